--- a/Makefile
+++ b/Makefile
@@ -30,9 +30,7 @@
 	go test -run '^$$' -fuzz FuzzWordsOfTheOwner -fuzztime 10s ./internal/handout
 
 lint:
-	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
-	go vet ./...
-	go vet -tags debug ./...
+	scripts/lint
 
 # The example: toy engines and feed, the controller, a job served, one throttled, an engine lost.
 run: build
--- a/scripts/samedecisions/main.go
+++ b/scripts/samedecisions/main.go
@@ -1,8 +1,9 @@
 // Command samedecisions compares pairs of bench journal entries, one recorded before a change and one after it.
 //
-// On the simulator the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of the
-// same deployment are equal in every figure except those that measure CPU time. The command prints the first differences
-// of each pair and exits with status 1 when there is one, and with status 2 when entries cannot be read or compared.
+// On the simulator the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of
+// the same deployment are equal in every figure except those that measure CPU time. The command prints the first
+// differences of each pair and exits with status 1 when there is one, and with status 2 when entries cannot be read or
+// compared.
 //
 //	go run ./scripts/samedecisions [-journal DIR] -before ID[,ID...] -after ID[,ID...]
 //
