--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -1,15 +1,11 @@
 package choice
 
 import (
-	"compress/gzip"
-	"encoding/gob"
 	"encoding/json"
 	"flag"
 	"fmt"
-	"hash/fnv"
 	"math"
 	"math/rand"
-	"os"
 	"path/filepath"
 	"reflect"
 	"slices"
@@ -350,109 +346,3 @@
 		t.Error("the order of actions is not in the digest")
 	}
 }
-
-// From here on: the form of before, to prove that both tell the same. It goes once that is proved.
-
-type told struct {
-	At Nanos
-	Event
-	Decided uint64 // digest of all actions so far
-}
-
-func digest(sum uint64, acts []Action) uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d", sum)
-	for _, a := range acts {
-		fmt.Fprintf(h, "|%d %d %d %d %d %d %d %x %d %d %v %q", a.Kind, a.Job, a.Engine, a.Seq, a.Span, a.Until, a.Priority, a.MemoryMB, a.Mark, a.Peer,
-			a.On, a.Text)
-	}
-	return h.Sum64()
-}
-
-// GobEncode and GobDecode let streams be recorded whose events can teach: Means has no exported fields.
-func (m Means) GobEncode() ([]byte, error)   { return json.Marshal(m) }
-func (m *Means) GobDecode(text []byte) error { return json.Unmarshal(text, m) }
-
-func gobStream(t *testing.T, name string) (events []told) {
-	gob.Register(map[string]any{})
-	gob.Register([]any{})
-	f, err := os.Open(filepath.Join("testdata", name+".gob.gz"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = f.Close() }() // only read
-	z, err := gzip.NewReader(f)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := gob.NewDecoder(z).Decode(&events); err != nil {
-		t.Fatal(err)
-	}
-	return events
-}
-
-// TestBothFormsOfStreamsTellTheSame: events alike, and the digest of the old form, log texts in it, from the new form too.
-func TestBothFormsOfStreamsTellTheSame(t *testing.T) {
-	for _, name := range []string{"few", "many", "paging", "zones"} {
-		events, steps := gobStream(t, name), readStream(t, streamPath(name))
-		if len(events) != len(steps) || len(events) < 1000 {
-			t.Fatalf("%s: %d events and %d", name, len(events), len(steps))
-		}
-		var c Controller
-		var sum uint64
-		for i, old := range events {
-			ev := steps[i].Event.event(t)
-			if steps[i].At != int64(old.At) || !same(reflect.ValueOf(ev), reflect.ValueOf(old.Event)) {
-				t.Fatalf("%s: event %d: %+v is %+v", name, i, old.Event, ev)
-			}
-			if sum = digest(sum, c.Decide(old.At, ev)); sum != old.Decided {
-				t.Fatalf("%s: event %d is decided otherwise", name, i)
-			}
-		}
-		t.Logf("%s: %d events", name, len(events))
-	}
-}
-
-// same is reflect.DeepEqual where NaN is equal to itself, and an empty list to none, as gob has it.
-func same(a, b reflect.Value) bool {
-	if a.Kind() != b.Kind() {
-		return false
-	}
-	switch a.Kind() {
-	case reflect.Float64:
-		return math.Float64bits(a.Float()) == math.Float64bits(b.Float())
-	case reflect.Slice:
-		if a.Len() != b.Len() {
-			return false
-		}
-		for i := range a.Len() {
-			if !same(a.Index(i), b.Index(i)) {
-				return false
-			}
-		}
-		return true
-	case reflect.Map:
-		if a.Len() != b.Len() {
-			return false
-		}
-		for _, key := range a.MapKeys() {
-			if !b.MapIndex(key).IsValid() || !same(a.MapIndex(key), b.MapIndex(key)) {
-				return false
-			}
-		}
-		return true
-	case reflect.Struct:
-		for i := range a.NumField() {
-			if !same(a.Field(i), b.Field(i)) {
-				return false
-			}
-		}
-		return true
-	case reflect.Interface, reflect.Pointer:
-		if a.IsNil() || b.IsNil() {
-			return a.IsNil() == b.IsNil()
-		}
-		return same(a.Elem(), b.Elem())
-	}
-	return a.Equal(b)
-}
