--- /dev/null
+++ b/cmd/swiftreel/tally_test.go
@@ -0,0 +1,336 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/back"
+	"swiftreel/internal/check"
+	"swiftreel/internal/config"
+	"swiftreel/internal/feed"
+	"swiftreel/internal/gateway"
+	"swiftreel/internal/golden"
+	"swiftreel/internal/limits"
+	"swiftreel/internal/operator"
+)
+
+// scriptedEngines end each dispatch as its statement says; only the engine named e1 is well.
+type scriptedEngines struct {
+	back.Engines
+	stays chan struct{} // a dispatch has come that does not end
+}
+
+func (e scriptedEngines) Start(_ back.Host, r back.Request, reply func(back.Reply)) back.Dispatch {
+	switch {
+	case strings.Contains(string(r.Statement), "ends"):
+		go reply(back.Reply{End: back.Done, Pages: [][]byte{{1}}, WorkMS: 35, RoomMB: 76})
+	case strings.Contains(string(r.Statement), "breaks"):
+		go reply(back.Reply{End: back.Reset})
+	case strings.Contains(string(r.Statement), "stays"):
+		e.stays <- struct{}{}
+	}
+	return scriptedDispatch{}
+}
+
+func (scriptedEngines) Probe(to back.Host, _ bool, _ time.Duration, reply func(back.Reply)) {
+	if to.Name == "e1" {
+		go reply(back.Reply{End: back.Done, Load: "concurrent:0"})
+	} else {
+		go reply(back.Reply{End: back.NotConnected})
+	}
+}
+func (scriptedEngines) CloseIdle(string)      {}
+func (scriptedEngines) Out(string) (int, int) { return 0, 0 }
+func (scriptedEngines) Free([][]byte)         {}
+func (scriptedEngines) Close()                {}
+
+type scriptedDispatch struct{}
+
+func (scriptedDispatch) GiveUp(done func()) bool { done(); return true }
+func (scriptedDispatch) Renice(uint8)            {}
+
+// answers is a client that keeps what it was answered.
+type answers struct {
+	list  chan string
+	leave func(left func())
+}
+
+func (a answers) Done([][]byte)           { a.list <- "done" }
+func (a answers) Throttled(time.Duration) { a.list <- "throttled" }
+func (a answers) Failed(reason string)    { a.list <- reason }
+func (a answers) OnLeave(left func())     { a.leave(left) }
+func (a answers) Here() bool              { return true }
+
+// patient are the facts with SLA times that no machine is too slow for.
+var patient = strings.NewReplacer(`"aim_ns":5e8`, `"aim_ns":5e12`, `"aim_ns":3e9`, `"aim_ns":3e12`).Replace(facts)
+
+// taught starts a gateway that has two engines in its list and what an older process has learned, told by the operator's
+// file of testdata, and its stats server.
+func taught(t *testing.T) (gate *gateway.Gateway, address string, stays <-chan struct{}) {
+	t.Helper()
+	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var settings map[string]any
+	if err := json.Unmarshal([]byte(patient), &settings); err != nil {
+		t.Fatal(err)
+	}
+	parts := new(limits.Parts)
+	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+	engines := scriptedEngines{stays: make(chan struct{}, 10)}
+	gate = gateway.New(choice.Facts(settings), 1, parts, false,
+		map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return engines }})
+	t.Cleanup(gate.Close)
+	told, err := newTeller(own.Tally, gate)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(told.close)
+	told.force(own.Tally, settings)
+	ev, err := feed.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	gate.List(ev, true)
+	teach(own.Tally, gate)
+	return gate, told.server.Address(), engines.stays
+}
+
+// What an older process has learned goes into a new one by the operator's file, under the same keys and in the same order
+// of figures.
+func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
+	gate, _, _ := taught(t)
+	means, health := gate.Learned(), gate.Health()
+	list := func(m choice.Means) (v []float64) {
+		text, err := json.Marshal(m)
+		if err == nil {
+			err = json.Unmarshal(text, &v)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		return v
+	}
+	if got := fmt.Sprint(list(means["import"])); got != "[9e+08 12 0.5 9 -0.5 0.25 9 1.5 1]" {
+		t.Errorf("import: %v", got)
+	}
+	lookup := list(means["lookup"]) // its slowness decays until a job tells it anew
+	if got := fmt.Sprint(lookup[:8]); got != "[5.1e+07 50 -0.25 88 0.125 0.0625 70 1.25]" || lookup[8] <= 1 || lookup[8] > 1.75 {
+		t.Errorf("lookup: %v, latency over best %v", got, lookup[8])
+	}
+	if h := health["e1"]; h.Slow <= 1 || h.Slow > 2.5 || h.Bad <= 0 || h.Bad > 0.25 || h.Aside {
+		t.Errorf("e1: %+v", h)
+	}
+	if h := health["e2"]; !h.Aside || len(means) != 2 || len(health) != 2 || gate.Aside() != 1 {
+		t.Errorf("e2: %+v of %d, %d types, %d aside", h, len(health), len(means), gate.Aside())
+	}
+}
+
+// The snapshot's text is the same after it was read and written.
+func TestASnapshotKeepsItsText(t *testing.T) {
+	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var means map[string]choice.Means
+	var health map[string]gateway.Health
+	if err := json.Unmarshal(own.Tally.Learned, &means); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(own.Tally.Health, &health); err != nil {
+		t.Fatal(err)
+	}
+	if own.Tally.Learned, err = json.Marshal(means); err != nil {
+		t.Fatal(err)
+	}
+	if own.Tally.Health, err = json.Marshal(health); err != nil {
+		t.Fatal(err)
+	}
+	text, err := json.Marshal(own.Tally)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "snapshot.golden.json", append(text, '\n'))
+}
+
+// A snapshot that cannot be read teaches nothing; of its two parts each is taken by itself.
+func TestASnapshotThatCannotBeReadTeachesNothing(t *testing.T) {
+	for name, c := range map[string]struct {
+		tally  operator.Tally
+		usual  float64
+		health bool
+	}{
+		"no snapshot":               {operator.Tally{}, 2.5e12, false},
+		"figures of another length": {operator.Tally{Learned: json.RawMessage(`{"lookup":[1,2,3]}`), Health: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
+		"health of another form":    {operator.Tally{Learned: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), Health: json.RawMessage(`[1]`)}, 7e6, false},
+		"both":                      {operator.Tally{Learned: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), Health: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var settings map[string]any
+			if err := json.Unmarshal([]byte(patient), &settings); err != nil {
+				t.Fatal(err)
+			}
+			parts := new(limits.Parts)
+			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+			gate := gateway.New(choice.Facts(settings), 1, parts, false,
+				map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return scriptedEngines{} }})
+			defer gate.Close()
+			ev, err := feed.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+			if err != nil {
+				t.Fatal(err)
+			}
+			gate.List(ev, true)
+			teach(&c.tally, gate)
+			text, err := json.Marshal(gate.Learned()["lookup"])
+			if err != nil {
+				t.Fatal(err)
+			}
+			var figures []float64
+			if err := json.Unmarshal(text, &figures); err != nil {
+				t.Fatal(err)
+			}
+			if figures[0] != c.usual || gate.Health()["e2"].Aside != c.health {
+				t.Errorf("usual work %v, health %+v", figures[0], gate.Health())
+			}
+		})
+	}
+}
+
+func get(t *testing.T, url string) string {
+	t.Helper()
+	r, err := http.Get(url)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Body.Close()
+	text, err := io.ReadAll(r.Body)
+	if err != nil || r.StatusCode != http.StatusOK || r.Header.Get("Content-Type") != "application/json" {
+		t.Fatal(r.Status, r.Header, err)
+	}
+	return string(text)
+}
+
+// timed are the figures of GET /tally that depend on when it is asked.
+var timed = []struct {
+	figure *regexp.Regexp
+	put    string
+}{
+	{regexp.MustCompile(`"started":[1-9][0-9]{18},`), `"started":0,`},
+	{regexp.MustCompile(`"reloads_failed":[0-9]+,`), `"reloads_failed":0,`},
+	{regexp.MustCompile(`"probes":[0-9]+,`), `"probes":0,`},
+	{regexp.MustCompile(`"took":\[[0-9,]*1\]`), `"took":[1]`},
+	{regexp.MustCompile(`"(lookup|import)":\[[-+.e0-9]+(,[-+.e0-9]+){8}\]`), `"$1":[0,0,0,0,0,0,0,0,0]`},
+	{regexp.MustCompile(`"slow":[0-9.e+-]+,"bad":[0-9.e+-]+`), `"slow":0,"bad":0`},
+}
+
+// The body of GET /tally, to the byte but for figures that depend on time.
+func TestTheTallyOverHTTP(t *testing.T) {
+	gate, address, stays := taught(t)
+	a := answers{make(chan string, 10), func(func()) {}}
+	ask := func(id byte, typ, statement string, left time.Duration, from gateway.Asker) {
+		gate.Take(gateway.Ask{Type: []byte(typ), ID: []byte{id}, Tenant: []byte("acme"), Statement: []byte(statement), At: time.Now(), Left: left, From: from})
+	}
+	heard := func(want string) {
+		t.Helper()
+		if got := <-a.list; got != want {
+			t.Fatalf("answered %q, want %q", got, want)
+		}
+	}
+	gate.Start()
+	ask(1, "lookup", "SELECT 1 FROM sales_17.ends", time.Hour, a)
+	heard("done")
+	ask(2, "import", "INSERT INTO sales_17.breaks SELECT 1 FROM a_1.b", time.Minute, a)
+	heard(gateway.ForGood)
+	ask(3, "lookup", "SELECT 1 FROM sales_17.late", time.Millisecond, a)
+	heard("throttled")
+	var leave func()
+	ask(4, "lookup", "SELECT 1 FROM sales_17.stays", time.Hour, answers{a.list, func(left func()) { leave = left }})
+	<-stays
+	leave()
+	var body string
+	settle(t, "no job was left", func() bool {
+		body = get(t, "http://"+address+"/tally")
+		return strings.Contains(body, `"\"lookup\" \"acme\"":{"jobs":3`)
+	})
+	if failed := fmt.Sprintf(`"reloads_failed":%d,`, check.Of("reloads_failed")); !strings.Contains(body, failed) { // of the whole process
+		t.Errorf("no %s in %s", failed, body)
+	}
+	for _, f := range timed {
+		if !f.figure.MatchString(body) {
+			t.Errorf("%s is not in %s", f.figure, body)
+		}
+		body = f.figure.ReplaceAllString(body, f.put)
+	}
+	golden.Check(t, "tally.golden.json", []byte(body))
+}
+
+// POST /part, as a fleet's leader sends it.
+func TestAPartOverHTTP(t *testing.T) {
+	gate, address, _ := taught(t)
+	text, err := os.ReadFile(filepath.Join("testdata", "part.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for body, want := range map[string]int{string(text): http.StatusNoContent, `{"per_million":0,"until_boot_ns":1}`: http.StatusUnprocessableEntity} {
+		r, err := http.Post("http://"+address+"/part", "application/json", bytes.NewReader([]byte(body)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Body.Close()
+		if r.StatusCode != want {
+			t.Errorf("%s: %s", body, r.Status)
+		}
+	}
+	settle(t, "the part is not gone by", func() bool { return gate.Carries() == 0.25 })
+}
+
+// addressLog is a log handler that passes on where the stats server listens.
+type addressLog struct{ to chan<- string }
+
+func (addressLog) Enabled(context.Context, slog.Level) bool { return true }
+func (h addressLog) WithAttrs([]slog.Attr) slog.Handler     { return h }
+func (h addressLog) WithGroup(string) slog.Handler          { return h }
+
+func (h addressLog) Handle(_ context.Context, r slog.Record) error {
+	if r.Message == "serving_tally" {
+		r.Attrs(func(a slog.Attr) bool {
+			if a.Key == "address" {
+				h.to <- a.Value.String()
+			}
+			return true
+		})
+	}
+	return nil
+}
+
+// A process that is started with the file that a keeper wrote tells in its tally what the older one has learned, and
+// serves.
+func TestAProcessStartsFromASnapshot(t *testing.T) {
+	before := slog.Default()
+	defer slog.SetDefault(before)
+	addresses := make(chan string, 1)
+	slog.SetDefault(slog.New(addressLog{addresses}))
+	t.Setenv("ROUTER_OPERATOR", filepath.Join("testdata", "operator.json"))
+	w := newTown(t, "e1", "e2")
+	body := get(t, "http://"+<-addresses+"/tally")
+	for _, part := range []string{`"import":[900000000,12,0.5,9,-0.5,0.25,9,1.5,1]`, `"lookup":[51000000,50,-0.25,88,0.125,0.0625,70,1.25,`,
+		`"spec":"1f0e2d3c4b5a69788796a5b4c3d2e1f0"`, `"ready":true`, `"engines":["e1","e2"]`} {
+		if !strings.Contains(body, part) {
+			t.Errorf("%s lacks %s", body, part)
+		}
+	}
+	w.served(2)
+}
--- /dev/null
+++ b/internal/gateway/job_life_test.go
@@ -0,0 +1,306 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/back"
+	"swiftreel/internal/check"
+	"swiftreel/internal/judge"
+	"swiftreel/internal/tally"
+)
+
+// transcript is what one job's function was seen to do, in order: calls to engines and to the client, events told to the
+// module.
+type transcript struct {
+	mu    sync.Mutex
+	lines []string
+}
+
+func (s *transcript) add(format string, v ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lines = append(s.lines, fmt.Sprintf(format, v...))
+}
+
+func (s *transcript) seen() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.lines)
+}
+
+// eventLog is a log handler that writes the traced events of jobs into a transcript.
+type eventLog struct{ to *transcript }
+
+func (eventLog) Enabled(context.Context, slog.Level) bool { return true }
+func (h eventLog) WithAttrs([]slog.Attr) slog.Handler     { return h }
+func (h eventLog) WithGroup(string) slog.Handler          { return h }
+
+func (h eventLog) Handle(_ context.Context, r slog.Record) error {
+	event, parts := "", []string{}
+	r.Attrs(func(a slog.Attr) bool {
+		switch a.Key {
+		case "event":
+			event = a.Value.String()
+		case "seq", "result", "final", "bill", "note", "amount":
+			parts = append(parts, fmt.Sprintf("%s=%v", a.Key, a.Value))
+		}
+		return true
+	})
+	if r.Message == "trace" && slices.Contains([]string{"answered", "noted", "client_left"}, event) {
+		h.to.add("%s", strings.Join(append([]string{"module:", event}, parts...), " "))
+	}
+	return nil
+}
+
+// scripted stands in for engines; what becomes of a dispatch is up to the test.
+type scripted struct {
+	back.Engines
+	seen *transcript
+
+	mu    sync.Mutex
+	reply func(back.Reply) // of the first dispatch still without an end
+	read  func()           // the engine has read the abort
+}
+
+func (e *scripted) Start(to back.Host, r back.Request, reply func(back.Reply)) back.Dispatch {
+	e.mu.Lock()
+	e.reply = reply
+	e.mu.Unlock()
+	e.seen.add("engine %s: start call=%s grant=%v priority=%d lane=%d wait=%v", to.Name, r.ID, r.GrantMB, r.Priority, r.Lane, r.WaitMS > 0)
+	return &scriptedDispatch{engines: e}
+}
+
+func (e *scripted) Probe(_ back.Host, _ bool, _ time.Duration, reply func(back.Reply)) {
+	reply(back.Reply{End: back.Done})
+}
+func (e *scripted) Free(pages [][]byte)   { e.seen.add("engine: free %d", len(pages)) }
+func (e *scripted) Out(string) (int, int) { return 0, 0 }
+func (e *scripted) CloseIdle(string)      {}
+func (e *scripted) Close()                {}
+
+type scriptedDispatch struct {
+	engines *scripted
+	given   atomic.Bool
+}
+
+func (d *scriptedDispatch) GiveUp(done func()) bool {
+	if !d.given.CompareAndSwap(false, true) {
+		return false
+	}
+	d.engines.mu.Lock()
+	d.engines.read = done
+	d.engines.mu.Unlock()
+	d.engines.seen.add("engine: give up")
+	return true
+}
+
+func (d *scriptedDispatch) Renice(priority uint8) { d.engines.seen.add("engine: renice %d", priority) }
+
+// recorder is a job's client.
+type recorder struct {
+	seen *transcript
+	here atomic.Bool
+}
+
+func (c *recorder) Done(pages [][]byte)          { c.seen.add("client: done %d", len(pages)) }
+func (c *recorder) Throttled(wait time.Duration) { c.seen.add("client: throttled %v", wait) }
+func (c *recorder) Failed(reason string)         { c.seen.add("client: failed %s", reason) }
+func (c *recorder) OnLeave(func())               {}
+func (c *recorder) Here() bool                   { return c.here.Load() }
+
+// stage runs one job's function by orders that no module gave: it knows no such job, so it adds none of its own.
+type stage struct {
+	*transcript
+	t       *testing.T
+	gate    *Gateway
+	engines *scripted
+	client  *recorder
+	job     *job
+	engine  choice.EngineID
+}
+
+func newStage(t *testing.T, left time.Duration) *stage {
+	t.Helper()
+	seen := &transcript{}
+	before := slog.Default()
+	slog.SetDefault(slog.New(eventLog{seen}))
+	t.Cleanup(func() { slog.SetDefault(before) })
+	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+		"tenants": []any{map[string]any{"name": "acme"}},
+		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9},
+			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 20e9}},
+		"limits": map[string]any{"cancel": true}}
+	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
+	s.client.here.Store(true)
+	s.gate = New(facts, 1, parts(), true, map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return s.engines }})
+	s.gate.List(listOf(t, "true", "e1"), true)
+	g := s.gate
+	s.job = &job{Ask: Ask{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), At: time.Now(), Left: left, From: s.client},
+		id: 1 << 30, in: newInbox()}
+	g.mu.Lock()
+	s.engine = g.roster.byName["e1"].id
+	g.jobs[s.job.id], g.calls["c1"] = s.job, struct{}{}
+	g.mu.Unlock()
+	return s
+}
+
+func (s *stage) start() {
+	s.gate.running.Add(1)
+	go s.gate.life(s.job)
+}
+
+func (s *stage) order(a choice.Action) {
+	a.Job, a.Engine = s.job.id, s.engine
+	s.job.in.put(message{order: a, at: time.Now()})
+}
+
+func (s *stage) leave() { s.job.in.put(message{left: true}) }
+
+func (s *stage) reply(r back.Reply) {
+	s.engines.mu.Lock()
+	reply := s.engines.reply
+	s.engines.mu.Unlock()
+	reply(r)
+}
+
+func (s *stage) abortRead() {
+	s.engines.mu.Lock()
+	read := s.engines.read
+	s.engines.mu.Unlock()
+	read()
+}
+
+// act is something that happens to a job, and what its function then does.
+type act struct {
+	do   func(*stage)
+	want []string
+}
+
+func ordered(kind choice.ActionKind, change func(*choice.Action)) func(*stage) {
+	return func(s *stage) {
+		a := choice.Action{Kind: kind}
+		if change != nil {
+			change(&a)
+		}
+		s.order(a)
+	}
+}
+
+func replied(r back.Reply) func(*stage) { return func(s *stage) { s.reply(r) } }
+
+func terms(priority uint8, grant float64) func(*stage) {
+	return ordered(choice.Terms, func(a *choice.Action) { a.Priority, a.MemoryMB = priority, grant })
+}
+
+func retract(seq choice.Seq) func(*stage) {
+	return ordered(choice.Retract, func(a *choice.Action) { a.Seq = seq })
+}
+
+var (
+	dispatched = act{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"}}
+	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Span = 1e9 }), []string{"client: throttled 1s"}}
+	cancelled  = act{ordered(choice.CancelForGood, nil), []string{"client: failed cancelled for good"}}
+	result     = back.Reply{End: back.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, RoomMB: 76}
+)
+
+func TestTheLifeOfAJobFollowsTheModulesOrders(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		acts    []act
+		counter string // rises by one
+		work    judge.Work
+	}{
+		{name: "done", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+		{name: "failed, then sent once more", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
+			{replied(back.Reply{End: back.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
+			{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+		{name: "never sent", work: judge.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
+		{name: "full, then throttled", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(back.Reply{End: back.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
+		{name: "not connected, reset, superseded", work: judge.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
+			{replied(back.Reply{End: back.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
+			{replied(back.Reply{End: back.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
+			{replied(back.Reply{End: back.Moot}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
+		{name: "progress is passed on", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(back.Reply{Note: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
+			{replied(back.Reply{Note: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
+			{replied(back.Reply{Note: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
+			{replied(back.Reply{Note: "other"}), nil},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+		{name: "terms before and while it is out", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
+			{terms(3, 64), nil},
+			{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=64 priority=3 lane=0 wait=true"}},
+			{terms(5, 64), []string{"engine: renice 5"}}, {terms(5, 96), nil},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+		{name: "retracted, then cancelled", work: judge.Work{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
+			{retract(9), nil}, {retract(0), []string{"engine: give up"}},
+			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}}, {retract(0), nil}, cancelled}},
+		{name: "retracted, but done before the engine read so", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+			{retract(0), []string{"engine: give up"}},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+		{name: "a reply after the retracted one's end", counter: "replies_late", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+			{retract(0), []string{"engine: give up"}},
+			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
+			{replied(result), []string{"engine: free 2"}}, throttled}},
+		{name: "a dispatch past its time limit", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
+			{ordered(choice.Dispatch, func(a *choice.Action) { a.Span = 1 }),
+				[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
+			{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
+		{name: "throttled while a dispatch is out", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
+		{name: "a second final answer is not given", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+			{ordered(choice.CancelForGood, nil), nil}, {ordered(choice.Throttle, nil), nil},
+			{replied(back.Reply{End: back.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
+		{name: "left before it is sent", work: judge.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
+		{name: "left while a dispatch is out", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+			{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
+			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
+		{name: "left, then done all the same", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+			{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
+		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{
+			{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
+				[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
+	} {
+		t.Run(c.name, func(t *testing.T) { play(t, time.Minute, c.acts, c.counter, c.work) })
+	}
+}
+
+// play goes through the acts of one job, each once the one before has shown, and looks at what stays.
+func play(t *testing.T, left time.Duration, acts []act, counter string, work judge.Work) {
+	s := newStage(t, left)
+	book := tally.NewBook()
+	s.gate.Count(book)
+	before := check.Of(counter)
+	s.start()
+	var want []string
+	for _, a := range acts {
+		want = append(want, a.want...)
+		a.do(s)
+		until(t, fmt.Sprintf("seen %q, want %q", s.seen(), want), func() bool { return len(s.seen()) >= len(want) })
+	}
+	s.gate.Close() // waits for the job's function
+	if got := s.seen(); !slices.Equal(got, want) {
+		t.Errorf("seen\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+	if counter != "" && check.Of(counter) != before+1 {
+		t.Errorf("%s counted %d times", counter, check.Of(counter)-before)
+	}
+	var r tally.Report
+	book.Fill(&r)
+	got := r.Work[judge.Group{Type: "lookup", Tenant: "acme"}]
+	got.Took = nil
+	if fmt.Sprint(got) != fmt.Sprint(work) {
+		t.Errorf("counted %+v, want %+v", got, work)
+	}
+}
--- /dev/null
+++ b/internal/operator/files_test.go
@@ -0,0 +1,98 @@
+package operator
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"swiftreel/internal/golden"
+)
+
+// Files that operators and keepers wrote are read whole: each key, and what stands for one that is absent.
+func TestAFileIsReadWhole(t *testing.T) {
+	for _, name := range []string{"full", "defaults"} {
+		t.Run(name, func(t *testing.T) {
+			f, err := Load(filepath.Join("testdata", name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if f.Plan.Answer.Steps == nil {
+				t.Error("the plan that it names was not read")
+			}
+			text, err := json.MarshalIndent(f, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden.Check(t, name+".golden.json", append(text, '\n'))
+		})
+	}
+}
+
+// The settings with the shape of a file over them, each key at its place.
+func TestAShapeStandsAtItsPlaceInTheSettings(t *testing.T) {
+	f, err := Load(filepath.Join("testdata", "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var settings map[string]any
+	text, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
+	if err == nil {
+		err = json.Unmarshal(text, &settings)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	over, err := f.Shape.Over(settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text, err = json.MarshalIndent(over, "", " "); err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "shape.golden.json", append(text, '\n'))
+}
+
+// What the SPARQL part says of types, as the front's rules.
+func TestTheRulesOfAFile(t *testing.T) {
+	f, err := Load(filepath.Join("testdata", "full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	rules := f.SPARQL.Rules()
+	if len(rules) != 3 {
+		t.Fatalf("%d rules", len(rules))
+	}
+	if r := rules[0]; r.Type != "lookup" || r.Most != 100e6 || r.Least != 0 || r.Marked || len(r.Forms) != 2 {
+		t.Errorf("%+v", r)
+	}
+	if r := rules[1]; r.Type != "report" || r.Most != 5000e6 || r.Least != 100e6 {
+		t.Errorf("%+v", r)
+	}
+	if r := rules[2]; r.Type != "import" || !r.Marked || r.Forms[0] != "UPDATE" {
+		t.Errorf("%+v", r)
+	}
+}
+
+// Contradictions that a schema does not see: each is told with its path.
+func TestContradictionsAreTold(t *testing.T) {
+	for _, c := range []struct{ name, text, fault string }{
+		{"listen", `{"sparql":{"listen":"x","types":[{"type":"a"}],"endpoints":{"e":"http://h/"}}}`, "/sparql/listen: address x: missing port in address"},
+		{"timeout", `{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://h/"},"timeout_ms":9,"most_timeout_ms":8}}`, "/sparql/timeout_ms: over most_timeout_ms"},
+		{"endpoint", `{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://u@h/"}}}`, `/sparql/endpoints/e: "http://u@h/" is no endpoint`},
+		{"work", `{"sparql":{"listen":"a:1","types":[{"type":"a","least_work_ms":5,"most_work_ms":5}],"endpoints":{"e":"http://h/"}}}`, "/sparql/types/0/most_work_ms: not over least_work_ms"},
+		{"no voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"parts":{}}}`, "/fleet: parts and planning are an owner's work: name voters"},
+		{"two members", `{"fleet":{"members":[{"name":"n","listen":"a:1"},{"name":"m","listen":"a:1"}]}}`, `/fleet/members/1/listen: "a:1" stands twice`},
+		{"voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"voters":["n"]}}`, "/fleet/voters: 1, three or five can have a majority that lasts"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "file.json")
+			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			if _, err := Load(path); err == nil || err.Error() != path+": "+c.fault {
+				t.Errorf("%v, want %s", err, c.fault)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/rulecheck/log_test.go
@@ -0,0 +1,31 @@
+package rulecheck
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// A log is read and written again to the byte: each key of an entry.
+func TestALogIsReadWhole(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "log.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	list, err := Read(bytes.NewReader(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got bytes.Buffer
+	e := json.NewEncoder(&got)
+	for _, entry := range list {
+		if err := e.Encode(entry); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if got.String() != string(text) {
+		t.Errorf("got\n%s\nwant\n%s", got.String(), text)
+	}
+}
