--- /dev/null
+++ b/internal/client/golden_test.go
@@ -0,0 +1,146 @@
+package client
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftreel/internal/gateway"
+	"swiftreel/internal/limits"
+)
+
+// byType answers each call as its type says.
+type byType struct{ ready bool }
+
+func (b byType) Ready() bool { return b.ready }
+
+func (byType) Take(a gateway.Ask) {
+	switch string(a.Type) {
+	case "rows":
+		a.From.Done([][]byte{[]byte("a\tb\tc\n"), []byte("d\te\tf\n")})
+	case "none":
+		a.From.Done(nil)
+	case "middle":
+		a.From.Done([][]byte{bytes.Repeat([]byte("x"), 300)})
+	case "large":
+		a.From.Done([][]byte{bytes.Repeat([]byte("x"), 70_000)})
+	case "throttled":
+		a.From.Throttled(0)
+	case "later":
+		a.From.Throttled(250 * time.Millisecond)
+	case "failed":
+		a.From.Failed("may_have_run")
+	}
+}
+
+const callHead = "\xde\x00\x02\xa4call\xb09b1f03aa5c7e2d41\xa3ttl\xa41500"
+
+// A message of each kind, both ways, on a connection.
+func TestEachMessageHasItsBytes(t *testing.T) {
+	fields := []string{"call", "9b1f03aa5c7e2d41", "ttl", "1500"}
+	for _, c := range []struct {
+		name        string
+		ready       bool
+		got         []byte
+		sent, comes string
+	}{
+		{"heartbeat", true, AppendHeartbeat(nil, 1), "\x94\x00\x01\xa9heartbeat\x91\x80", "\x94\x01\x01\xc0\x92\xc3\x80"},
+		{"heartbeat while not ready", false, AppendHeartbeat(nil, 200), "\x94\x00\xcc\xc8\xa9heartbeat\x91\x80",
+			"\x94\x01\xcc\xc8\xc0\x92\xc2\x80"},
+		{"rows", true, AppendCall(nil, 7, "rows", fields, []byte("SELECT 1")),
+			"\x94\x00\x07\xa4rows\x92" + callHead + "\xc4\x08SELECT 1", "\x94\x01\x07\xc0\x92\xc4\x0ca\tb\tc\nd\te\tf\n\x80"},
+		{"no rows", true, AppendCall(nil, 300, "none", fields, nil), "\x94\x00\xcd\x01\x2c\xa4none\x92" + callHead + "\xc4\x00",
+			"\x94\x01\xcd\x01\x2c\xc0\x92\xc4\x00\x80"},
+		{"a bin 16", true, AppendCall(nil, 70000, "middle", fields, bytes.Repeat([]byte("y"), 300)),
+			"\x94\x00\xce\x00\x01\x11\x70\xa6middle\x92" + callHead + "\xc5\x01\x2c" + strings.Repeat("y", 300),
+			"\x94\x01\xce\x00\x01\x11\x70\xc0\x92\xc5\x01\x2c" + strings.Repeat("x", 300) + "\x80"},
+		{"a bin 32", true, AppendCall(nil, 8, "large", fields, bytes.Repeat([]byte("y"), 70_000)),
+			"\x94\x00\x08\xa5large\x92" + callHead + "\xc6\x00\x01\x11\x70" + strings.Repeat("y", 70_000),
+			"\x94\x01\x08\xc0\x92\xc6\x00\x01\x11\x70" + strings.Repeat("x", 70_000) + "\x80"},
+		{"throttled", true, AppendCall(nil, 9, "throttled", fields, nil), "\x94\x00\x09\xa9throttled\x92" + callHead + "\xc4\x00",
+			"\x94\x01\x09\x92\xaaOverloaded\x80\xc0"},
+		{"throttled with a wait", true, AppendCall(nil, 9, "later", fields, nil), "\x94\x00\x09\xa5later\x92" + callHead + "\xc4\x00",
+			"\x94\x01\x09\x92\xaaOverloaded\x81\xa8pushback\xa3250\xc0"},
+		{"failed", true, AppendCall(nil, 9, "failed", fields, nil), "\x94\x00\x09\xa6failed\x92" + callHead + "\xc4\x00",
+			"\x94\x01\x09\x92\xa8Internal\x81\xa6reason\xacmay_have_run\xc0"},
+		{"a call that cannot be used", true, AppendCall(nil, 10, "rows", []string{"ttl", strings.Repeat("0", 40)}, nil),
+			"\x94\x00\x0a\xa4rows\x92\xde\x00\x01\xa3ttl\xd9\x28" + strings.Repeat("0", 40) + "\xc4\x00",
+			"\x94\x01\x0a\x92\xa8Internal\x81\xa6reason\xb6call or ttl is missing\xc0"},
+		{"revoked before it is taken, then a heartbeat", true,
+			AppendHeartbeat(AppendRevoke(AppendCall(nil, 11, "rows", fields, nil), 11), 12),
+			"\x94\x00\x0b\xa4rows\x92" + callHead + "\xc4\x00\x93\x02\xa6revoke\x91\x0b\x94\x00\x0c\xa9heartbeat\x91\x80",
+			"\x94\x01\x0c\xc0\x92\xc3\x80"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if string(c.got) != c.sent {
+				t.Fatalf("a client writes %q, not %q", c.got, c.sent)
+			}
+			nc := dialFront(t, byType{c.ready})
+			if _, err := nc.Write(c.got); err != nil {
+				t.Fatal(err)
+			}
+			if got := readBytes(t, nc, len(c.comes)); got != c.comes {
+				t.Errorf("%q comes back, not %q", got, c.comes)
+			}
+		})
+	}
+}
+
+// What ends a connection is told under the number of the call, where it has one.
+func TestTheLastWordOfAConnectionHasItsBytes(t *testing.T) {
+	nc := dialFront(t, byType{true})
+	if _, err := io.WriteString(nc, "\x94\x00\x05\x07"); err != nil { // the method is a number
+		t.Fatal(err)
+	}
+	if _, err := io.WriteString(nc, "\x90"); err != nil {
+		t.Fatal(err)
+	}
+	const want = "\x94\x01\x05\x92\xa8Internal\x81\xa6reason\xd9\x20not a message of MessagePack-RPC\xc0"
+	if got := readBytes(t, nc, len(want)); got != want {
+		t.Errorf("%q, not %q", got, want)
+	}
+}
+
+func dialFront(t *testing.T, taker Taker) net.Conn {
+	t.Helper()
+	parts := new(limits.Parts)
+	parts.ClientConns.Store(10)
+	parts.Bytes.Allow(1 << 20)
+	parts.Reads.Allow(1 << 20)
+	front := NewFront(taker, parts)
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() { served <- front.Serve(listener) }()
+	nc, err := net.Dial("tcp4", listener.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		nc.Close()
+		listener.Close()
+		if err := <-served; err != nil {
+			t.Error(err)
+		}
+		front.Close()
+	})
+	return nc
+}
+
+func readBytes(t *testing.T, nc net.Conn, n int) string {
+	t.Helper()
+	if err := nc.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	b := make([]byte, n)
+	n, err := io.ReadFull(nc, b)
+	if err != nil {
+		t.Errorf("%v after %q", err, b[:n])
+	}
+	return string(b[:n])
+}
--- /dev/null
+++ b/internal/engine/golden_test.go
@@ -0,0 +1,120 @@
+package engine_test
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"swiftreel/internal/engine"
+	"swiftreel/internal/limits"
+)
+
+// wirePeer is an engine that holds what comes to it against bytes.
+type wirePeer struct {
+	t  *testing.T
+	nc net.Conn
+}
+
+func (p *wirePeer) gets(want string) {
+	p.t.Helper()
+	if err := p.nc.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		p.t.Fatal(err)
+	}
+	got := make([]byte, len(want))
+	if n, err := io.ReadFull(p.nc, got); err != nil || string(got) != want {
+		p.t.Fatalf("%q came, %v, not %q", got[:n], err, want)
+	}
+}
+
+func (p *wirePeer) answers(text string) {
+	p.t.Helper()
+	if _, err := io.WriteString(p.nc, text); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+func TestEachCommandHasItsBytes(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	bounds := engine.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	bounds.Conns.Store(1)
+	bounds.Bytes.Allow(memory)
+	pool := engine.NewPool(bounds)
+	defer pool.Close()
+	host := engine.Host{Name: "e1", Address: listener.Addr().String()}
+	replies := make(chan engine.Reply, 10)
+	reply := func(r engine.Reply) { replies <- r }
+	ends := func(end engine.End) engine.Reply {
+		t.Helper()
+		select {
+		case r := <-replies:
+			if r.End != end {
+				t.Fatalf("%+v instead of %d", r, end)
+			}
+			return r
+		case <-time.After(20 * time.Second):
+			t.Fatalf("no end %d", end)
+		}
+		return engine.Reply{}
+	}
+
+	pool.Probe(host, true, time.Minute, reply)
+	nc, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	peer := &wirePeer{t, nc}
+	peer.gets("stats t1\r\n")
+	peer.answers("t1 well load=inflight:7;util:0.61 0\r\n\r\n")
+	if r := ends(engine.Done); r.Load != "inflight:7;util:0.61" {
+		t.Errorf("%+v", r)
+	}
+	pool.Probe(host, false, time.Minute, reply)
+	peer.gets("alive t2\r\n")
+	peer.answers("t2 well - 0\r\n\r\n")
+	ends(engine.Done)
+
+	first := pool.Start(host, engine.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: []byte("SELECT 1"),
+		WaitMS: 1500, Priority: 2, Ordered: time.Now()}, reply)
+	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
+	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
+	ends(engine.Open)
+	first.Renice(4)
+	peer.gets("renice 9b1f03aa5c7e2d41 4\r\n")
+	peer.answers("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
+	peer.gets("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
+	peer.answers("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
+	peer.gets("done 9b1f03aa5c7e2d41\r\n")
+	pool.Free(ends(engine.Done).Pages)
+
+	second := pool.Start(host, engine.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), Idempotency: []byte("key-7"),
+		GrantMB: 12.5, WaitMS: 0, Priority: 0, Ordered: time.Now()}, reply)
+	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
+	given := make(chan struct{})
+	if !second.GiveUp(func() { close(given) }) {
+		t.Fatal("not given up")
+	}
+	peer.gets("abort 00000000000000ff\r\nmore 00000000000000ff 1\r\n")
+	peer.answers("00000000000000ff failed - 0\r\n\r\n")
+	select {
+	case <-given:
+	case <-time.After(20 * time.Second):
+		t.Fatal("the abort is not known to be read")
+	}
+}
+
+func TestAnEnginesAnswerHasItsBytes(t *testing.T) {
+	for want, got := range map[string][]byte{
+		"a1 data sheets=1,toil=3 6\r\na\tb\tc\n\r\n": engine.AppendAnswer(nil, "a1", "data", "sheets=1,toil=3", []byte("a\tb\tc\n")),
+		"a1 full - 0\r\n\r\n":                        engine.AppendAnswer(nil, "a1", "full", "", nil),
+	} {
+		if string(got) != want {
+			t.Errorf("%q, not %q", got, want)
+		}
+	}
+}
