--- a/internal/recovery/book.go
+++ b/internal/recovery/book.go
@@ -203,9 +203,9 @@
 // Open is an open job and its fate.
 type Open struct {
 	Taken
-	Fate   Fate
-	Answer []byte
-	Rests  bool // its key does, from the start on: an engine may still be at it
+	Fate   Fate   `json:"Fate"`
+	Answer []byte `json:"Answer"`
+	Rests  bool   `json:"Rests"` // its key does, from the start on: an engine may still be at it
 }
 
 // Open are the open jobs, in the order in which they were taken. now is Unix ns: a keyed one may go again as long as engines
