--- /dev/null
+++ b/internal/change/forms_test.go
@@ -0,0 +1,142 @@
+package change
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+// Change files and what is read of them, orders and digests, as the program before had them: testdata.
+
+var recordForms = flag.Bool("record-forms", false, "write testdata/*.golden anew; only from a program whose forms are to stand")
+
+// golden holds a text against a file.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *recordForms {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s is\n%s\nwas\n%s", name, got, want)
+	}
+}
+
+func indented(t *testing.T, v any) []byte {
+	t.Helper()
+	text, err := json.MarshalIndent(v, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(text, '\n')
+}
+
+func TestChangeFilesAreReadAsTheyWere(t *testing.T) {
+	for _, name := range []string{"settings", "settings-null", "plan", "program"} {
+		t.Run(name, func(t *testing.T) {
+			c, err := Load(filepath.Join("testdata", "change-"+name+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden(t, "change-"+name, indented(t, c))
+			from := Spec{Program: Program{Path: "/old", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+			to, err := c.Leads(from)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden(t, "spec-"+name, append(indented(t, to), to.Digest()+"\n"...))
+		})
+	}
+}
+
+func TestOrdersAndHeldAreWrittenAsTheyWere(t *testing.T) {
+	spec := Spec{Program: Program{Path: "/opt/swiftreel", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+	o := Order{Format: 2, Fence: Fence{3, 2, 1}, By: "record", Member: "c1", Want: spec, Drain: true, Why: "stage 1 passed"}
+	held, is, err := Held{}.Take(o)
+	if err != nil || !is {
+		t.Fatal(is, err)
+	}
+	text := bytes.Join([][]byte{indented(t, o), indented(t, o.In(1)), indented(t, held), indented(t, Held{})}, nil)
+	golden(t, "order", text)
+}
+
+func TestDigestsAreAsTheyWere(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, []byte("a program"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	file, err := OfFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	list := []Digest{file, OfJSON(map[string]any{"b": 1, "a": []any{"x", nil, 0.5}}), Spec{}.Digest(), Spec{Program: Program{Digest: "0123"}, Shape: json.RawMessage(`{"b":1,"a":2}`)}.Digest(),
+		Spec{Program: Program{Digest: "0123"}, Plan: json.RawMessage(`{"steps":[]}`)}.Digest()}
+	golden(t, "digests", indented(t, list))
+}
+
+// Each error text of an order that is refused, which supervisors answer with and operators search for.
+func TestRefusalsAreWordedAsTheyWere(t *testing.T) {
+	good := `{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","want":{"program":{"path":"/p","digest":"d"}}}`
+	var lines []string
+	for _, c := range [][2]string{{`"by":"x"`, `"by":"x","hurry":true`}, {`"format":2`, `"format":3`}, {`"format":2`, `"format":1,"why":"y"`}, {`"by":"x"`, `"by":"x","why":"` + strings.Repeat("y", 1001) + `"`},
+		{`"turn":1`, `"turn":0`}, {`"by":"x"`, `"by":""`}, {`"digest":"d"`, `"digest":""`}, {`}}}`, `}}`}, {`{`, strings.Repeat(" ", 4<<20+1)}} {
+		_, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1)))
+		if err == nil {
+			t.Fatalf("%.40q is taken", c[1])
+		}
+		lines = append(lines, err.Error())
+	}
+	o := Order{Format: 2, Fence: Fence{1, 1, 2}, By: "x", Member: "c1", Want: Spec{Program: Program{Path: "/p", Digest: "d"}}}
+	held, _, _ := Held{}.Take(o)
+	early, other, another := o, o, o
+	early.Fence.Turn, other.By, another.Drain = 1, "y", true
+	for _, o := range []Order{early, other, another} {
+		_, _, err := held.Take(o)
+		if err == nil {
+			t.Fatalf("%+v is taken", o)
+		}
+		lines = append(lines, err.Error())
+	}
+	golden(t, "refusals", indented(t, lines))
+}
+
+// Every field of what is written has a key of its own that does not follow the field's name.
+func TestEveryFieldStatesItsKey(t *testing.T) {
+	seen := map[reflect.Type]bool{}
+	var walk func(reflect.Type)
+	walk = func(typ reflect.Type) {
+		switch typ.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+			walk(typ.Elem())
+		case reflect.Struct:
+			if seen[typ] {
+				return
+			}
+			seen[typ] = true
+			for i := range typ.NumField() {
+				f := typ.Field(i)
+				if f.IsExported() && f.Tag.Get("json") == "" {
+					t.Errorf("%v.%s has no key", typ, f.Name)
+				}
+				walk(f.Type)
+			}
+		}
+	}
+	for _, v := range []any{Change{}, Order{}, Held{}} {
+		walk(reflect.TypeOf(v))
+	}
+	if len(seen) < 8 {
+		t.Errorf("only %d types were seen", len(seen))
+	}
+}
