--- /dev/null
+++ b/internal/conduct/fixtures_test.go
@@ -0,0 +1,443 @@
+package conduct_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"io/fs"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/conduct"
+	"swiftreel/internal/judge"
+	"swiftreel/internal/keep"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/rollout"
+)
+
+// testdata/folders holds the coordinator's folder as the program before wrote it, in each phase of a change, and what the
+// supervisors held at that moment (members.json). Each is opened and goes on; nothing of it is lost.
+//
+// The files are written by TestRecordFolders with -record, never by another run. They stand for what operators have on
+// their disks: they are not written anew when the program changes.
+
+var record = flag.Bool("record", false, "write testdata anew; only from a program whose files are to be read from now on")
+
+// memberState is what a supervisor holds and its controller runs.
+type memberState struct {
+	Held    change.Held   `json:"held"`
+	Running change.Digest `json:"running"`
+	Failed  string        `json:"failed"`
+}
+
+// fakeFleet stands for supervisors over HTTP. Their controllers do ten jobs from one status to the next.
+type fakeFleet struct {
+	t       *testing.T
+	members []operator.Member
+	to      change.Digest // the new version
+
+	mu     sync.Mutex
+	states map[string]*memberState
+	work   map[string]judge.Work
+	missed string // whose jobs miss their time: "new", "all" while any is on the new version, or none
+	stays  string // one that cannot go back once it is on the new version
+	orders []change.Order
+}
+
+var fakeGroup = judge.Group{Type: "lookup", Tenant: "acme"}
+
+func newFakeFleet(t *testing.T, to change.Digest, states map[string]*memberState) *fakeFleet {
+	t.Helper()
+	f := &fakeFleet{t: t, to: to, states: states, work: map[string]judge.Work{}}
+	for _, name := range []string{"c1", "c2", "c3"} {
+		mux := http.NewServeMux()
+		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(f.status(name)) })
+		mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
+			if err := f.take(name, r); err != nil {
+				http.Error(w, err.Error(), http.StatusConflict)
+				return
+			}
+			w.WriteHeader(http.StatusNoContent)
+		})
+		s := httptest.NewServer(mux)
+		t.Cleanup(s.Close)
+		zone := map[bool]string{true: "east", false: "west"}[name != "c3"]
+		f.members = append(f.members, operator.Member{Name: name, Listen: strings.TrimPrefix(s.URL, "http://"), Zone: zone})
+	}
+	return f
+}
+
+func (f *fakeFleet) status(name string) keep.Status {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s, w := f.states[name], f.work[name]
+	anyNew := false
+	for _, o := range f.states {
+		anyNew = anyNew || o.Running == f.to
+	}
+	w.Jobs, w.Done, w.Dispatches = w.Jobs+10, w.Done+10, w.Dispatches+10
+	if !(f.missed == "new" && s.Running == f.to || f.missed == "all" && anyNew) {
+		w.Within += 10
+	}
+	w.Took = make([]uint64, 21)
+	w.Took[20] = w.Done
+	f.work[name] = w
+	return keep.Status{Format: change.Format, Name: name, Spec: s.Held.Want, Running: s.Running, Version: "dev", Settings: "s", Fence: s.Held.Fence, By: s.Held.By,
+		Serves: !s.Held.Drain, Drained: s.Held.Drain, Failed: s.Failed, MemoryMB: 20, Started: 1, Work: map[judge.Group]judge.Work{fakeGroup: w}, Life: "l", BootNS: 1}
+}
+
+func (f *fakeFleet) take(name string, r *http.Request) error {
+	o, err := change.ReadOrder(r.Body)
+	if err != nil {
+		f.t.Errorf("an order that cannot be read: %v", err)
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.orders = append(f.orders, o)
+	s := f.states[name]
+	next, _, err := s.Held.Take(o)
+	if err != nil {
+		return err
+	}
+	s.Held = next
+	if s.Failed = ""; name == f.stays && s.Running == f.to && next.Want.Digest() != f.to {
+		s.Failed = "the program is gone"
+	} else if !next.Drain {
+		s.Running = next.Want.Digest()
+	}
+	return nil
+}
+
+// set changes how the fleet does from now on.
+func (f *fakeFleet) set(missed, stays string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.missed, f.stays = missed, stays
+	if stays == "" {
+		for _, s := range f.states { // mended
+			s.Failed, s.Running = "", s.Held.Want.Digest()
+		}
+	}
+}
+
+// folderScenario says when a folder is kept, and what becomes of the change after that.
+type folderScenario struct {
+	name   string
+	change string // a file in testdata/changes
+	missed string
+	stays  string
+	asks   rollout.Ask // once the first stage bakes
+	when   func(rollout.State) bool
+	ends   rollout.Phase
+}
+
+func in(p rollout.Phase, stage int) func(rollout.State) bool {
+	return func(s rollout.State) bool { return s.Phase == p && s.Stage == stage && !s.Paused }
+}
+
+var folderScenarios = []folderScenario{
+	{name: "preparing", change: "settings", when: in(rollout.Preparing, 0), ends: rollout.Done},
+	{name: "watching", change: "settings", when: in(rollout.Watching, 0), ends: rollout.Done},
+	{name: "applying", change: "settings", when: in(rollout.Applying, 0), ends: rollout.Done},
+	{name: "baking", change: "settings", when: in(rollout.Baking, 0), ends: rollout.Done},
+	{name: "baking-later", change: "settings", when: in(rollout.Baking, 1), ends: rollout.Done},
+	{name: "paused", change: "settings", asks: rollout.AskPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.Done},
+	{name: "withdrawing", change: "settings", missed: "all", when: in(rollout.Withdrawing, 0), ends: rollout.Done},
+	{name: "waiting", change: "settings", missed: "all", when: in(rollout.Waiting, 0), ends: rollout.Done},
+	{name: "finishing", change: "program", when: in(rollout.Finishing, 1), ends: rollout.Done},
+	{name: "done", change: "program", when: in(rollout.Done, 1), ends: rollout.Done},
+	{name: "going-back", change: "program", missed: "new", when: in(rollout.GoingBack, 0), ends: rollout.Back},
+	{name: "stuck", change: "program", missed: "new", stays: "c2", when: in(rollout.Stuck, 0), ends: rollout.Back},
+	{name: "back", change: "program", missed: "new", when: in(rollout.Back, 0), ends: rollout.Back},
+	{name: "stopped", change: "settings", asks: rollout.AskStop, when: in(rollout.Stopped, 0), ends: rollout.Stopped},
+}
+
+const askTime = 2 * time.Second
+
+func firstStates() map[string]*memberState {
+	states := map[string]*memberState{}
+	for _, name := range []string{"c1", "c2", "c3"} {
+		want := change.Spec{Program: change.Program{Path: "/opt/swiftreel/bin/swiftreel", Digest: "0123456789abcdef0123456789abcdef"}, Shape: json.RawMessage(`{"budget_free":5}`),
+			Plan: json.RawMessage(`{"status":"optimal","steps":[]}`)}
+		states[name] = &memberState{Held: change.Held{Fence: change.Fence{Number: 2, Term: 1, Turn: 9}, By: "before", Want: want}, Running: want.Digest()}
+	}
+	return states
+}
+
+// lookUntil has a coordinator look until its state is as asked; at most for a while, as a fault would have it look for ever.
+func lookUntil(t *testing.T, c *conduct.Conductor, is func(rollout.State) bool) {
+	t.Helper()
+	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(stop) {
+			t.Fatalf("it is still %+v", c.State())
+		}
+		if err := c.Look(context.Background()); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func TestRecordFolders(t *testing.T) {
+	if !*record {
+		return // the fixtures stand as they are
+	}
+	for _, s := range folderScenarios {
+		t.Run(s.name, func(t *testing.T) {
+			ch, err := change.Load(filepath.Join("testdata", "changes", s.change+".json"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			states := firstStates()
+			to, err := ch.Leads(states["c1"].Held.Want)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fakes := newFakeFleet(t, to.Digest(), states)
+			fakes.missed, fakes.stays = s.missed, s.stays
+			dir := t.TempDir()
+			folder, err := conduct.Open(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer folder.Close()
+			fleet := conduct.NewFleet(fakes.members, askTime, askTime)
+			if err := conduct.Begin(context.Background(), folder, ch, fleet, false); err != nil {
+				t.Fatal(err)
+			}
+			if s.name != "preparing" {
+				c, err := conduct.Take(folder, fleet)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if s.asks != "" {
+					lookUntil(t, c, in(rollout.Baking, 0))
+					if err := folder.Ask(s.asks); err != nil {
+						t.Fatal(err)
+					}
+				}
+				lookUntil(t, c, s.when)
+			}
+			out := filepath.Join("testdata", "folders", s.name)
+			if err := os.RemoveAll(out); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.CopyFS(out, os.DirFS(dir)); err != nil {
+				t.Fatal(err)
+			}
+			if err := os.Remove(filepath.Join(out, "lock")); err != nil {
+				t.Fatal(err)
+			}
+			text, err := json.MarshalIndent(states, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(filepath.Join(out, "members.json"), append(text, '\n'), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		})
+	}
+}
+
+// openFolder copies a fixture and gives a fleet that stands as it stood.
+func openFolder(t *testing.T, name string) (dir string, before conduct.Record, fakes *fakeFleet) {
+	t.Helper()
+	from := filepath.Join("testdata", "folders", name)
+	dir = filepath.Join(t.TempDir(), name)
+	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
+		t.Fatal(err)
+	}
+	before, is, err := conduct.Look(dir).Record()
+	if err != nil || !is {
+		t.Fatal(is, err)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, "members.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	states := map[string]*memberState{}
+	if err := json.Unmarshal(text, &states); err != nil {
+		t.Fatal(err)
+	}
+	return dir, before, newFakeFleet(t, before.To.Digest(), states)
+}
+
+func TestFoldersOfTheProgramBeforeGoOn(t *testing.T) {
+	for _, s := range folderScenarios {
+		t.Run(s.name, func(t *testing.T) {
+			dir, before, fakes := openFolder(t, s.name)
+			if !s.when(before.State) {
+				t.Errorf("recorded is %+v", before.State)
+			}
+			oldSteps, err := conduct.Look(dir).History()
+			if err != nil {
+				t.Fatal(err)
+			}
+			oldPoints, err := conduct.Look(dir).Points()
+			if err != nil {
+				t.Fatal(err)
+			}
+			oldBase, err := os.ReadFile(filepath.Join(dir, "base.json"))
+			if err != nil && !errors.Is(err, fs.ErrNotExist) {
+				t.Fatal(err)
+			}
+			folder, err := conduct.Open(dir)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer folder.Close()
+			c, err := conduct.Take(folder, conduct.NewFleet(fakes.members, askTime, askTime))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := c.State().Fence; got != (change.Fence{Number: before.State.Fence.Number, Term: before.State.Fence.Term + 1, Turn: before.State.Fence.Turn}) {
+				t.Errorf("it goes on as %v after %v", got, before.State.Fence)
+			}
+			if s.name == "stuck" { // it stays so until the controller is mended
+				fakes.set("new", "c2")
+				if err := c.Look(context.Background()); err != nil || c.State().Phase != rollout.Stuck || c.State().Drains["c2"] == "" {
+					t.Errorf("%+v %v", c.State(), err)
+				}
+				fakes.set("", "")
+			}
+			if before.State.Paused {
+				for range 30 {
+					if err := c.Look(context.Background()); err != nil || !c.State().Paused || c.State().Phase != before.State.Phase {
+						t.Fatalf("%+v %v", c.State(), err)
+					}
+				}
+				if err := folder.Ask(rollout.AskResume); err != nil {
+					t.Fatal(err)
+				}
+			}
+			lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
+			after, _, err := conduct.Look(dir).Record()
+			if err != nil || after.State.Phase != s.ends {
+				t.Fatalf("%+v %v", after.State, err)
+			}
+			unchanged(t, before, after)
+			steps, err := conduct.Look(dir).History()
+			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
+				t.Errorf("of the history is left %v, was %v: %v", steps, oldSteps, err)
+			}
+			points, err := conduct.Look(dir).Points()
+			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
+				t.Errorf("%d looks, were %d: %v", len(points), len(oldPoints), err)
+			}
+			if base, err := os.ReadFile(filepath.Join(dir, "base.json")); oldBase != nil && (err != nil || !bytes.Equal(base, oldBase)) {
+				t.Errorf("the base is another: %v", err)
+			}
+			want := map[rollout.Phase]change.Digest{rollout.Done: before.To.Digest(), rollout.Back: before.From.Digest()}[s.ends]
+			for name, st := range fakes.states {
+				if want != "" && st.Running != want {
+					t.Errorf("%s runs %s, not %s", name, st.Running, want)
+				}
+			}
+			for _, o := range fakes.orders {
+				if o.Format != change.Format || o.By != before.By || o.Why == "" {
+					t.Errorf("an order %+v", o)
+				}
+			}
+		})
+	}
+}
+
+// unchanged tells what of a record was lost.
+func unchanged(t *testing.T, before, after conduct.Record) {
+	t.Helper()
+	was, is := before, after
+	if before.Stages == nil {
+		is.Stages = nil
+	}
+	if n := len(was.State.Verdicts); len(is.State.Verdicts) < n || !slices.Equal(is.State.Verdicts[:n], was.State.Verdicts) {
+		t.Errorf("of the verdicts is left %v, was %v", is.State.Verdicts, was.State.Verdicts)
+	}
+	if was.State.Outcome != "" && is.State.Outcome != was.State.Outcome {
+		t.Errorf("the outcome is %q, was %q", is.State.Outcome, was.State.Outcome)
+	}
+	if is.State.Tries < was.State.Tries || is.State.Early < was.State.Early {
+		t.Errorf("%+v after %+v", is.State, was.State)
+	}
+	was.State, is.State, was.Asked, is.Asked = rollout.State{}, rollout.State{}, "", ""
+	a, err := json.Marshal(was)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := json.Marshal(is)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(a, b) {
+		t.Errorf("the record is\n%s\nwas\n%s", b, a)
+	}
+}
+
+// agreedItems is a record that voters agree on, in memory.
+type agreedItems struct {
+	items map[string][]byte
+	term  int64
+}
+
+func (a *agreedItems) Read(name string) ([]byte, bool) {
+	value, is := a.items[name]
+	return value, is
+}
+func (a *agreedItems) Write(name string, value []byte) error {
+	a.items[name] = slices.Clone(value)
+	return nil
+}
+func (a *agreedItems) May() bool    { return true }
+func (a *agreedItems) Term() int64  { return a.term }
+func (a *agreedItems) Name() string { return "c3" }
+
+// What a leader before left among the agreed items goes on under the next one's term.
+func TestAgreedItemsOfTheProgramBeforeGoOn(t *testing.T) {
+	dir, before, fakes := openFolder(t, "baking-later")
+	a := &agreedItems{items: map[string][]byte{}, term: before.State.Fence.Term + 5}
+	for _, name := range []string{"change.json", "base.json"} {
+		text, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		a.items[name] = text
+	}
+	c, err := conduct.Take(conduct.Agreed(a), conduct.NewFleet(fakes.members, askTime, askTime))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.State().Fence.Term != a.term {
+		t.Errorf("term %d", c.State().Fence.Term)
+	}
+	lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
+	after, is, err := conduct.Agreed(a).Record()
+	if err != nil || !is || after.State.Phase != rollout.Done {
+		t.Fatalf("%+v %v", after.State, err)
+	}
+	unchanged(t, before, after)
+	if len(a.items) != 2 {
+		t.Errorf("%d items", len(a.items))
+	}
+	if len(fakes.orders) == 0 {
+		t.Error("nothing was ordered")
+	}
+	for _, o := range fakes.orders {
+		if o.By != before.By+"@c3" {
+			t.Errorf("ordered by %q", o.By)
+		}
+	}
+	if _, err := conduct.Take(conduct.Agreed(&agreedItems{items: a.items, term: a.term - 1}), conduct.NewFleet(fakes.members, askTime, askTime)); err == nil ||
+		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
+		t.Errorf("an earlier one: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/conduct/stored_form_test.go
@@ -0,0 +1,160 @@
+package conduct
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"swiftreel/internal/judge"
+)
+
+// Files as the program before wrote them, see fixtures_test.go: what is read of them and written again is the same to the byte.
+
+// storedFolders are the fixtures, each a folder of its own.
+func storedFolders(t *testing.T) []string {
+	t.Helper()
+	list, err := filepath.Glob("testdata/folders/*")
+	if err != nil || len(list) < 12 {
+		t.Fatalf("%d folders: %v", len(list), err)
+	}
+	return list
+}
+
+func sameFile(t *testing.T, want, got string) {
+	t.Helper()
+	a, err := os.ReadFile(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := os.ReadFile(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(a, b) {
+		t.Errorf("%s is written as\n%s\nwas\n%s", want, b, a)
+	}
+	info, err := os.Stat(got)
+	if err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("%s: %v %v", got, info.Mode(), err)
+	}
+}
+
+// strictly reads a file that must hold nothing but what the value knows.
+func strictly(t *testing.T, path string, into any) bool {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if os.IsNotExist(err) {
+		return false
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(into); err != nil {
+		t.Errorf("%s: %v", path, err)
+	}
+	return true
+}
+
+func TestStoredFilesAreWrittenAsTheyWere(t *testing.T) {
+	for _, folder := range storedFolders(t) {
+		t.Run(filepath.Base(folder), func(t *testing.T) {
+			from, to := Look(folder), Look(t.TempDir())
+			record, is, err := from.Record()
+			if err != nil || !is {
+				t.Fatal(is, err)
+			}
+			var strict Record
+			strictly(t, from.file("change.json"), &strict)
+			if err := to.write("change.json", record); err != nil {
+				t.Fatal(err)
+			}
+			sameFile(t, from.file("change.json"), to.file("change.json"))
+			if strictly(t, from.file("base.json"), judge.NewBase()) {
+				base, err := from.Base()
+				if err != nil {
+					t.Fatal(err)
+				}
+				if err := to.write("base.json", base); err != nil {
+					t.Fatal(err)
+				}
+				sameFile(t, from.file("base.json"), to.file("base.json"))
+			}
+			if strictly(t, from.file("ask.json"), &Wish{}) {
+				if err := to.write("ask.json", from.Wish()); err != nil {
+					t.Fatal(err)
+				}
+				sameFile(t, from.file("ask.json"), to.file("ask.json"))
+			}
+			steps, err := from.History()
+			if err != nil || len(steps) == 0 {
+				t.Fatal(len(steps), err)
+			}
+			for _, s := range steps {
+				to.note(s)
+			}
+			sameFile(t, from.file("history.jsonl"), to.file("history.jsonl"))
+			points, err := from.Points()
+			if err != nil {
+				t.Fatal(err)
+			}
+			if len(points) > 0 {
+				for _, p := range points {
+					to.add("looks.jsonl", p)
+				}
+				sameFile(t, from.file("looks.jsonl"), to.file("looks.jsonl"))
+			}
+		})
+	}
+}
+
+func TestALongFileOfLinesBeginsAnewAndKeepsOneBefore(t *testing.T) {
+	f := Look(t.TempDir())
+	f.note(Step{Number: 1})
+	if err := os.Truncate(f.file("history.jsonl"), mostLines+1); err != nil {
+		t.Fatal(err)
+	}
+	f.note(Step{Number: 2})
+	steps, err := f.History()
+	if err != nil || len(steps) != 1 || steps[0].Number != 2 {
+		t.Errorf("%v %v", steps, err)
+	}
+	if info, err := os.Stat(f.file("history.jsonl.before")); err != nil || info.Size() != mostLines+1 {
+		t.Errorf("%v %v", info, err)
+	}
+}
+
+// Every field of what is written has a key of its own that does not follow the field's name.
+func TestEveryStoredFieldStatesItsKey(t *testing.T) {
+	seen := map[reflect.Type]bool{}
+	var walk func(reflect.Type)
+	walk = func(typ reflect.Type) {
+		switch typ.Kind() {
+		case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+			walk(typ.Elem())
+		case reflect.Struct:
+			if seen[typ] || typ == reflect.TypeFor[time.Time]() {
+				return
+			}
+			seen[typ] = true
+			for i := range typ.NumField() {
+				f := typ.Field(i)
+				if f.IsExported() && f.Tag.Get("json") == "" {
+					t.Errorf("%v.%s has no key", typ, f.Name)
+				}
+				walk(f.Type)
+			}
+		}
+	}
+	for _, v := range []any{Record{}, Step{}, Point{}, Wish{}} {
+		walk(reflect.TypeOf(v))
+	}
+	if len(seen) < 13 {
+		t.Errorf("only %d types were seen", len(seen))
+	}
+}
--- /dev/null
+++ b/internal/conduct/wire_test.go
@@ -0,0 +1,103 @@
+package conduct_test
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/conduct"
+	"swiftreel/internal/handout"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/parts"
+)
+
+// What goes to supervisors, to the byte: testdata/wire/requests.txt is what the program before sent.
+
+func TestRequestsToSupervisorsAreAsTheyWere(t *testing.T) {
+	var mu sync.Mutex
+	var sent []string
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		text, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		mu.Lock()
+		sent = append(sent, fmt.Sprintf("%s %s type=%q\n%s\n", r.Method, r.URL, r.Header.Get("Content-Type"), text))
+		mu.Unlock()
+		if r.Method == http.MethodGet {
+			io.WriteString(w, `{"format":2,"name":"c1"}`)
+			return
+		}
+		w.WriteHeader(http.StatusNoContent)
+	}))
+	defer s.Close()
+	f := conduct.NewFleet([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
+	ctx := context.Background()
+	ask := func(engines bool) {
+		f.Engines = engines
+		if a := f.Ask(ctx); a[0].Err != nil {
+			t.Error(a[0].Err)
+		}
+	}
+	ask(false)
+	ask(true)
+	spec := change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+	o := change.Order{Format: 2, Fence: change.Fence{Number: 3, Term: 2, Turn: 1}, By: "record", Member: "c1", Want: spec, Why: "stage 1 passed"}
+	small := o
+	small.Want.Shape, small.Want.Plan, small.Drain = nil, nil, true
+	for _, o := range []change.Order{o, o.In(1), small} {
+		if errs := f.Order(ctx, map[int]change.Order{0: o}); len(errs) > 0 {
+			t.Error(errs)
+		}
+	}
+	word := handout.Word{Format: 2, Reign: 4, Count: 5, Owner: "c2", Member: "c1", Life: "l", Part: parts.Share{parts.Fleet: 333_333, "acme": 500_000}, PartUntil: 6, Plan: "0123", PlanUntil: 7,
+		Text: json.RawMessage(`{"steps":[]}`)}
+	for _, w := range []handout.Word{word, {Format: 2, Reign: 4, Count: 6, Owner: "c2", Member: "c1", Life: "l"}} {
+		if errs := f.Hand(ctx, map[int]handout.Word{0: w}); len(errs) > 0 {
+			t.Error(errs)
+		}
+	}
+	if *record {
+		if err := os.WriteFile("testdata/wire/requests.txt", []byte(strings.Join(sent, "")), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile("testdata/wire/requests.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := strings.Join(sent, ""); got != string(want) {
+		t.Errorf("sent is\n%s\nwas\n%s", got, want)
+	}
+}
+
+// What a supervisor refuses reaches the log as it says it.
+func TestRefusalsAreToldAsTheyWere(t *testing.T) {
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodGet {
+			io.WriteString(w, `{"format":2,"name":"c9"}`)
+			return
+		}
+		http.Error(w, "order 1.1.1 comes after 2.1.1 was taken", http.StatusConflict)
+	}))
+	defer s.Close()
+	at := strings.TrimPrefix(s.URL, "http://")
+	f := conduct.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	if a := f.Ask(context.Background()); a[0].Err == nil || a[0].Err.Error() != at+` answers as "c9"` {
+		t.Errorf("%v", a[0].Err)
+	}
+	f = conduct.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	errs := f.Order(context.Background(), map[int]change.Order{0: {}})
+	if errs[0] == nil || errs[0].Error() != "409 Conflict: order 1.1.1 comes after 2.1.1 was taken" {
+		t.Errorf("%v", errs)
+	}
+}
