--- /dev/null
+++ b/internal/keep/standin_test.go
@@ -0,0 +1,88 @@
+package keep
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/signal"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/judge"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/tally"
+)
+
+// standInVariable names the test binary in the environment of a stand-in controller (testdata/controller runs it).
+const standInVariable = "STAND_IN_CONTROLLER"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(standInVariable) != "" {
+		if err := standIn(os.Getenv("ROUTER_OPERATOR")); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and ends
+// at SIGTERM.
+func standIn(file string) error {
+	signals := make(chan os.Signal, 8)
+	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
+	read := func() (operator.Tally, error) {
+		var parts struct {
+			Tally operator.Tally `json:"tally"`
+		}
+		text, err := os.ReadFile(file)
+		if err == nil {
+			err = json.Unmarshal(text, &parts)
+		}
+		return parts.Tally, err
+	}
+	now, err := read()
+	if err != nil {
+		return err
+	}
+	var mu sync.Mutex
+	carries := int64(1_000_000)
+	started := time.Now().UnixNano()
+	learned := json.RawMessage(`{"lookup":{"mean":12.5}}`)
+	if len(now.Learned) > 0 {
+		learned = now.Learned
+	}
+	server, err := tally.Serve(now.Listen, func() tally.Report {
+		mu.Lock()
+		defer mu.Unlock()
+		return tally.Report{Format: change.Format, Started: started, Version: "stand-in", Spec: now.Spec, Settings: "5e77", Ready: true,
+			Probes: 3, Aside: 1, Learned: learned, Health: json.RawMessage(`{"e1":{"ok":true}}`), Engines: []string{"e1", "e2"}, Carries: carries,
+			Work: map[judge.Group]judge.Work{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, Within: 4, Done: 5, Dispatches: 6, Further: 1, Took: []uint64{0, 5}}}}
+	}, func(p tally.Part) {
+		mu.Lock()
+		defer mu.Unlock()
+		carries = p.PerMillion
+	})
+	if err != nil {
+		return err
+	}
+	defer server.Close()
+	fmt.Fprintf(os.Stderr, "level=INFO msg=serving_tally address=%s\n", server.Address())
+	for s := range signals {
+		if s == syscall.SIGTERM {
+			return nil
+		}
+		next, err := read()
+		if err != nil {
+			return err
+		}
+		mu.Lock()
+		now = next
+		mu.Unlock()
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/solve/golden_test.go
@@ -0,0 +1,62 @@
+package solve_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"swiftreel/internal/goldenfile"
+	"swiftreel/internal/solve"
+	"swiftreel/internal/solve/draw"
+)
+
+// TestAnswersAreThoseRecorded holds answers to drawn problems, as JSON to the byte, against those that the program gave when
+// they were recorded; one of each method stands there whole.
+func TestAnswersAreThoseRecorded(t *testing.T) {
+	var text bytes.Buffer
+	r := rand.New(rand.NewPCG(29, 4))
+	for n := range 60 {
+		p := draw.Small(r)
+		problem, err := json.Marshal(p)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "problem %d: %x\n", n, sha256.Sum256(problem))
+		for _, method := range []solve.Method{solve.Solver{}, solve.Proportional{}} {
+			a := solve.Solve(p, solve.Options{Method: method, Explain: true})
+			answer, err := json.MarshalIndent(a, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&text, "  %s: %s, value %d, cost %d, evenness %d, %d steps, %d binding, %d conflicts: %x\n", a.Method, a.Status, a.Value,
+				a.Cost, a.Evenness, len(a.Steps), len(a.Binding), len(a.Conflicts), sha256.Sum256(answer))
+		}
+	}
+	goldenfile.Check(t, "answers.txt", text.Bytes())
+}
+
+// TestJSONOfProblemAndAnswer holds the keys of both documents.
+func TestJSONOfProblemAndAnswer(t *testing.T) {
+	p := plain()
+	quota, budget := int64(3), int64(9000)
+	p.Tenants[0].QuotaThreads = &quota
+	p.Zones[1].CrossingBytesPerS = &budget
+	text, err := json.MarshalIndent(p, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Check(t, "problem.json", text)
+	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{Explain: true}), "", " "); err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Check(t, "answer.json", text)
+	p.Must.LeastServed = []solve.LeastServed{{Type: "import", PerMille: 500}}
+	p.Engines[1].Kind = "std"
+	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{}), "", " "); err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Check(t, "answer-conflict.json", text)
+}
