--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -30,10 +30,10 @@
 
 // Base is what all did before the first stage.
 type Base struct {
-	Work    map[string]map[Group]*Work // by member
-	All     map[Group]*Work
-	Spreads map[Group]*[measures]spread
-	Clumps  spread // of the fleet's missed jobs from one look to the next
+	Work    map[string]map[Group]*Work  `json:"Work"` // by member
+	All     map[Group]*Work             `json:"All"`
+	Spreads map[Group]*[measures]spread `json:"Spreads"`
+	Clumps  spread                      `json:"Clumps"` // of the fleet's missed jobs from one look to the next
 	before  arm    // missed in the last look
 }
 
--- a/internal/judge/odds.go
+++ b/internal/judge/odds.go
@@ -77,7 +77,10 @@
 
 // spread is how much wider counts are scattered between controllers at the same time than drawing each job by itself
 // would scatter them (Pearson).
-type spread struct{ Sum, Freedom float64 }
+type spread struct {
+	Sum     float64 `json:"Sum"`
+	Freedom float64 `json:"Freedom"`
+}
 
 const spreadFirst, spreadWeight = 1.2, 8 // counts as so much of scatter, seen so often
 
