--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -34,7 +34,7 @@
 	All     map[Group]*Work             `json:"All"`
 	Spreads map[Group]*[measures]spread `json:"Spreads"`
 	Clumps  spread                      `json:"Clumps"` // of the fleet's missed jobs from one look to the next
-	before  arm    // missed in the last look
+	before  arm                         // missed in the last look
 }
 
 // NewBase is empty.
