--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -113,6 +113,8 @@
 	"gatherer":  func(t *testing.T, watch func(*stage)) { playGossip(t, watch, 0) },
 	"gossip":    func(t *testing.T, watch func(*stage)) { playGossip(t, watch, 1) },
 	"fleetwide": playFleet,
+	"granted":   playGranted,
+	"turns":     playTurns,
 }
 
 // strictRules sets what bounds repeats, places, further dispatches and tenants.
@@ -242,6 +244,52 @@
 	s.hums(4*second, 0.04)
 }
 
+// playGranted has reports that tell of memory granted by the engines themselves, at each answer, under chaos.
+func playGranted(t *testing.T, watch func(*stage)) {
+	f := plainFacts().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false)
+	s := newStage(t, f.set("domain.note_period_ns", 2e8).set("balancers", 5.0), 0)
+	watch(s)
+	r := rand.New(rand.NewSource(13))
+	s.load = func(EngineID) []float64 { return []float64{r.Float64(), 2 * r.Float64()} }
+	restart(s)
+	s.chaos(r, 200)
+}
+
+// playTurns has one of twelve controllers send to engines that restart, as the list tells or as their few jobs show, while
+// progress is reported that now and then shows a bad plan.
+func playTurns(t *testing.T, watch func(*stage)) {
+	s := newStage(t, plainFacts().set("balancers", 12.0).set("me", 3.0).set("domain.note_period_ns", 2e8), 0)
+	watch(s)
+	r := rand.New(rand.NewSource(14))
+	s.load = func(EngineID) []float64 { return []float64{[]float64{14, 16, 18, 2, 1, 0}[r.Intn(6)]} }
+	restart(s)
+	for round := range 300 {
+		typ := TypeID(r.Intn(2))
+		s.arriveAs(Event{Type: typ, Tables: TableSet(r.Intn(3)), Left: 8 * second, Cost: Nanos(1+r.Intn(30)) * 40 * ms, CostKnown: true, MemoryMB: 300})
+		if round%50 == 20 {
+			id := EngineID(100 + r.Intn(3))
+			s.list(ListChanges, Line{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
+		}
+		for _, j := range slices.Clone(s.taken) {
+			if !j.out() {
+				continue
+			}
+			last := len(j.sends) - 1
+			switch roll := r.Intn(40); {
+			case j.sends[last].called:
+				s.finish(j.ev.Job, Retracted)
+			case roll == 0:
+				s.finish(j.ev.Job, Unreachable)
+			case roll < 12:
+				s.finish(j.ev.Job, Done)
+			case roll < 36:
+				s.tell(Event{Kind: Noted, Job: j.ev.Job, Seq: Seq(last), Engine: j.sends[last].engine, Note: Progress, Amount: r.Float64()})
+			}
+		}
+		s.pass(50 * ms)
+	}
+}
+
 // fill sets each exported field of a value, however deep, to something that is not zero.
 func fill(v reflect.Value) {
 	switch v.Kind() {
