--- a/Makefile
+++ b/Makefile
@@ -24,10 +24,10 @@
 	go test -run '^$$' -fuzz FuzzParse -fuzztime 10s ./internal/sparql/syntax
 	go test -run '^$$' -fuzz FuzzReaders -fuzztime 10s ./internal/sparql/results
 	go test -run '^$$' -fuzz FuzzCommands -fuzztime 10s ./internal/engine
-	go test -run '^$$' -fuzz FuzzParse -fuzztime 10s ./internal/feed
+	go test -run '^$$' -fuzz FuzzParse -fuzztime 10s ./internal/discovery
 	go test -run '^$$' -fuzz FuzzOrders -fuzztime 10s ./internal/change
 	go test -run '^$$' -fuzz FuzzGroup -fuzztime 10s ./internal/statement
-	go test -run '^$$' -fuzz FuzzWordsOfTheOwner -fuzztime 10s ./internal/handout
+	go test -run '^$$' -fuzz FuzzWordsOfTheOwner -fuzztime 10s ./internal/assignment
 
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
--- a/cmd/fleetview/page_test.go
+++ b/cmd/fleetview/page_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
 )
 
 // The page and the table of a folder as the program before wrote them: testdata.
@@ -38,7 +38,7 @@
 var svg = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
 func TestThePageOfAFolderIsAsItWas(t *testing.T) {
-	f := conduct.Look("testdata/folder")
+	f := coordinator.Look("testdata/folder")
 	r, is, err := f.Record()
 	if err != nil || !is {
 		t.Fatal(is, err)
--- a/cmd/fleetview/report.go
+++ b/cmd/fleetview/report.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
 )
 
 // bins is how many points a chart's line has at most: looks are put together.
@@ -22,17 +22,17 @@
 // chart is one figure of both versions over the change.
 type chart struct {
 	title string
-	of    func(conduct.Arm) (value, weight float64)
+	of    func(coordinator.Arm) (value, weight float64)
 }
 
 var charts = []chart{
-	{"jobs that missed their SLA time, %", func(a conduct.Arm) (float64, float64) { return 100 * float64(a.Missed), float64(a.Jobs) }},
-	{"throttled, %", func(a conduct.Arm) (float64, float64) { return 100 * float64(a.Throttled), float64(a.Jobs) }},
-	{"cancelled for good, %", func(a conduct.Arm) (float64, float64) { return 100 * float64(a.Cancelled), float64(a.Jobs) }},
-	{"median latency, ms", func(a conduct.Arm) (float64, float64) {
+	{"jobs that missed their SLA time, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Missed), float64(a.Jobs) }},
+	{"throttled, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Throttled), float64(a.Jobs) }},
+	{"cancelled for good, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Cancelled), float64(a.Jobs) }},
+	{"median latency, ms", func(a coordinator.Arm) (float64, float64) {
 		return float64(a.MedianNS) / 1e6 * float64(a.Jobs), float64(a.Jobs)
 	}},
-	{"99th percentile of latency, ms", func(a conduct.Arm) (float64, float64) {
+	{"99th percentile of latency, ms", func(a coordinator.Arm) (float64, float64) {
 		return float64(a.P99NS) / 1e6 * float64(a.Jobs), float64(a.Jobs)
 	}},
 }
@@ -43,12 +43,12 @@
 )
 
 // draw draws a chart as SVG; stages are marked by vertical lines.
-func (c chart) draw(points []conduct.Point) (template.HTML, error) {
+func (c chart) draw(points []coordinator.Point) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = c.title, "s"
 	began := points[0].At
 	per := (len(points) + bins - 1) / bins
-	for name, of := range map[string]func(conduct.Point) conduct.Arm{"old": func(p conduct.Point) conduct.Arm { return p.Old }, "new": func(p conduct.Point) conduct.Arm { return p.New }} {
+	for name, of := range map[string]func(coordinator.Point) coordinator.Arm{"old": func(p coordinator.Point) coordinator.Arm { return p.Old }, "new": func(p coordinator.Point) coordinator.Arm { return p.New }} {
 		var line plotter.XYs
 		for i := 0; i < len(points); i += per {
 			sum, weight := 0.0, 0.0
@@ -106,7 +106,7 @@
 `))
 
 // report is the page of the last change.
-func report(f *conduct.Folder, r conduct.Record) ([]byte, error) {
+func report(f *coordinator.Folder, r coordinator.Record) ([]byte, error) {
 	points, err := f.Points()
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var steps []conduct.Step
+	var steps []coordinator.Step
 	for _, s := range all {
 		if s.Number == r.Change.Number {
 			steps = append(steps, s)
@@ -134,9 +134,9 @@
 	}
 	var text bytes.Buffer
 	err = page.Execute(&text, struct {
-		R      conduct.Record
+		R      coordinator.Record
 		Charts []template.HTML
-		Steps  []conduct.Step
+		Steps  []coordinator.Step
 	}{r, drawn, steps})
 	return text.Bytes(), err
 }
--- a/cmd/fleetview/watch.go
+++ b/cmd/fleetview/watch.go
@@ -9,7 +9,7 @@
 
 	tea "charm.land/bubbletea/v2"
 
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
 )
 
@@ -18,22 +18,22 @@
 
 // view is what is shown.
 type view struct {
-	folder *conduct.Folder
-	fleet  *conduct.Fleet // nil: the record alone is shown
+	folder *coordinator.Folder
+	fleet  *coordinator.Fleet // nil: the record alone is shown
 	text   string
 }
 
 type shown string
 
 func watch(folder, file string) error {
-	v := view{folder: conduct.Look(folder)}
+	v := view{folder: coordinator.Look(folder)}
 	if file != "" {
 		f, err := operator.Load(file)
 		if err != nil {
 			return err
 		}
 		if f.Fleet != nil {
-			v.fleet = conduct.NewFleet(f.Fleet.Members, 2*time.Second, every)
+			v.fleet = coordinator.NewFleet(f.Fleet.Members, 2*time.Second, every)
 		}
 	}
 	_, err := tea.NewProgram(v).Run()
@@ -68,7 +68,7 @@
 }
 
 // table is the change and its controllers.
-func table(folder *conduct.Folder, fleet *conduct.Fleet) string {
+func table(folder *coordinator.Folder, fleet *coordinator.Fleet) string {
 	var b strings.Builder
 	r, is, err := folder.Record()
 	switch {
--- a/cmd/swiftreel-fleet/main.go
+++ b/cmd/swiftreel-fleet/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"swiftreel/internal/fleetcli"
+	"swiftreel/internal/command/fleet"
 )
 
-func main() { os.Exit(fleetcli.Run(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(fleet.Run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -15,15 +15,15 @@
 
 	"swiftreel/choice"
 	"swiftreel/internal/change"
-	"swiftreel/internal/check"
-	"swiftreel/internal/cli"
 	"swiftreel/internal/client"
+	"swiftreel/internal/command"
 	"swiftreel/internal/config"
-	"swiftreel/internal/fault"
-	"swiftreel/internal/feed"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
+	"swiftreel/internal/failpoint"
 	"swiftreel/internal/gateway"
 	"swiftreel/internal/limits"
-	"swiftreel/internal/logs"
+	"swiftreel/internal/logging"
 	"swiftreel/internal/operator"
 )
 
@@ -39,14 +39,14 @@
 var lateArrivals, lateMost = time.Second, 2 * time.Second
 
 func main() {
-	os.Exit(cli.Run(os.Args[1:], os.Stdout, os.Stderr, serve))
+	os.Exit(command.Run(os.Args[1:], os.Stdout, os.Stderr, serve))
 }
 
 // serve is what swiftreel does without a command.
-func serve(s cli.Serving) error {
+func serve(s command.Serving) error {
 	reload := make(chan os.Signal, 1) // caught before anything else: the signal never ends the program
 	signal.Notify(reload, syscall.SIGHUP)
-	logs.To(os.Stderr)
+	logging.To(os.Stderr)
 	if s.Operator == "" {
 		s.Operator = os.Getenv("ROUTER_OPERATOR")
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	fault.Early()
+	failpoint.Early()
 	stop := make(chan os.Signal, 1) // caught before clients can connect: who did is answered
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	listener, err := listen(file.Listen, own.Tally != nil)
@@ -72,7 +72,7 @@
 }
 
 // run serves until it is told to stop and nothing is owed. At a reload both files are read anew.
-func run(file config.File, listener net.Listener, s cli.Serving, stop, reload <-chan os.Signal) error {
+func run(file config.File, listener net.Listener, s command.Serving, stop, reload <-chan os.Signal) error {
 	known, err := events(file)
 	if err != nil {
 		return err
@@ -107,7 +107,7 @@
 	teach(own.Tally, gate)
 	followed := &plans{gate: gate}
 	followed.follow(own)
-	follower := feed.Follow(file.Feed, file.Known.N, func(ev feed.Event) { gate.List(ev, false) })
+	follower := discovery.Follow(file.Feed, file.Known.N, func(ev discovery.Event) { gate.List(ev, false) })
 	reloads := reloader{file: file, own: own, leaves: side.leaves, follower: follower, parts: parts, load: func() (config.File, error) { return config.Load(os.Getenv) },
 		operator: func() (operator.File, error) { return operator.Load(s.Operator) },
 		follow:   followed.follow,
@@ -121,7 +121,7 @@
 	side.serve()
 	debug.FreeOSMemory() // what the libraries of the command line left behind when they were set up
 	gate.Start()
-	fault.Start()
+	failpoint.Start()
 	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.Known.N, "settings", change.OfJSON(facts))
 
 	signal := <-stop
@@ -148,6 +148,6 @@
 	follower.Close()
 	followed.close()
 	gate.Close()
-	slog.Info("stopped", append([]any{"after_ms", time.Since(at).Milliseconds()}, check.Told()...)...)
+	slog.Info("stopped", append([]any{"after_ms", time.Since(at).Milliseconds()}, counters.LogAttributes()...)...)
 	return nil
 }
--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -15,12 +15,12 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
-	"swiftreel/internal/cli"
 	"swiftreel/internal/client"
+	"swiftreel/internal/command"
 	"swiftreel/internal/config"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/engine"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/fake"
 )
 
 // The program as a whole between stand-ins, on loopback. Nothing here is decided by how long something took,
@@ -41,22 +41,22 @@
 // town is a running controller with its peers.
 type town struct {
 	t        *testing.T
-	handle   func(*toy.Session, engine.Command) // nil: what is no probe comes through the channel
-	feed     *toy.Feed
-	engines  map[string]*toy.Engine
-	commands chan command
+	handle   func(*fake.Session, engine.Command) // nil: what is no probe comes through the channel
+	feed     *fake.Feed
+	engines  map[string]*fake.Engine
+	commands chan engineCommand
 	address  string
 	config   string // the file's path
 	stop     chan os.Signal
 	reload   chan os.Signal
 	ended    chan error
-	caller   *toy.Caller
+	caller   *fake.Caller
 }
 
-type command struct {
+type engineCommand struct {
 	engine.Command
 	host string
-	from *toy.Session
+	from *fake.Session
 }
 
 func settle(t *testing.T, what string, is func() bool) {
@@ -77,16 +77,16 @@
 func newTown(t *testing.T, names ...string) *town { return newTownOf(t, nil, names...) }
 
 // newTownOf has the engines' commands handled; else they come through the channel.
-func newTownOf(t *testing.T, handle func(*toy.Session, engine.Command), names ...string) *town {
+func newTownOf(t *testing.T, handle func(*fake.Session, engine.Command), names ...string) *town {
 	usual := lateArrivals
 	lateArrivals = 50 * time.Millisecond
 	log.SetOutput(io.Discard)
 	runtime.GC()
 	goroutines, files := runtime.NumGoroutine(), descriptors()
-	w := &town{t: t, handle: handle, engines: map[string]*toy.Engine{}, commands: make(chan command, 1000), stop: make(chan os.Signal, 1),
+	w := &town{t: t, handle: handle, engines: map[string]*fake.Engine{}, commands: make(chan engineCommand, 1000), stop: make(chan os.Signal, 1),
 		reload: make(chan os.Signal, 1), config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
 	var err error
-	if w.feed, err = toy.StartFeed("127.0.0.1:0", 1); err != nil {
+	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
 		t.Fatal(err)
 	}
 	var hosts []string
@@ -105,7 +105,9 @@
 		t.Fatal(err)
 	}
 	w.address = l.Addr().String()
-	go func() { w.ended <- run(file, l, cli.Serving{Operator: os.Getenv("ROUTER_OPERATOR")}, w.stop, w.reload) }()
+	go func() {
+		w.ended <- run(file, l, command.Serving{Operator: os.Getenv("ROUTER_OPERATOR")}, w.stop, w.reload)
+	}()
 	w.caller = w.dial()
 	settle(t, "not ready", func() bool { ready, err := w.caller.Ready(); return ready && err == nil })
 	t.Cleanup(func() {
@@ -143,8 +145,8 @@
 	}
 }
 
-func (w *town) dial() *toy.Caller {
-	c, err := toy.Dial(w.address)
+func (w *town) dial() *fake.Caller {
+	c, err := fake.Dial(w.address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -153,13 +155,13 @@
 
 // engine starts an engine and gives its entry in the list. It is well; jobs come through the channel.
 func (w *town) engine(name string) string {
-	e, err := toy.StartEngine("127.0.0.1:0", func(s *toy.Session, c engine.Command) {
+	e, err := fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) {
 		if w.handle != nil {
 			w.handle(s, c)
 		} else if c.Word == "stats" || c.Word == "alive" {
 			s.Answer(c.ID, "well", "load=concurrent:0", "")
 		} else {
-			w.commands <- command{c, name, s}
+			w.commands <- engineCommand{c, name, s}
 		}
 	})
 	if err != nil {
@@ -188,7 +190,7 @@
 	return id
 }
 
-func (w *town) got(word string) command {
+func (w *town) got(word string) engineCommand {
 	w.t.Helper()
 	select {
 	case c := <-w.commands:
@@ -199,16 +201,16 @@
 	case <-time.After(20 * time.Second):
 		w.t.Fatalf("no %s", word)
 	}
-	return command{}
+	return engineCommand{}
 }
 
 // rewrite writes the operator's file anew, sends SIGHUP and waits until the counter tells that it was read.
 func (w *town) rewrite(path, counter, text string) {
 	w.t.Helper()
 	write(w.t, path, text)
-	before := check.Of(counter)
+	before := counters.Value(counter)
 	w.reload <- syscall.SIGHUP
-	settle(w.t, "not read anew", func() bool { return check.Of(counter) > before })
+	settle(w.t, "not read anew", func() bool { return counters.Value(counter) > before })
 }
 
 func (w *town) answer(id uint32, word string) client.Answer {
@@ -313,7 +315,7 @@
 }
 
 // aborted waits for the abort of a dispatch and proves it read.
-func (w *town) aborted(c command) {
+func (w *town) aborted(c engineCommand) {
 	w.t.Helper()
 	if a := w.got("abort"); a.ID != c.ID {
 		w.t.Fatal(a.ID)
@@ -379,7 +381,7 @@
 	w := newTown(t, "e1")
 	out := w.job("lookup", "20000")
 	c := w.got("fetch")
-	moved, err := toy.StartFeed("127.0.0.1:0", 1)
+	moved, err := fake.StartFeed("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -392,9 +394,9 @@
 	settle(t, "the new place is not asked", func() bool { return len(moved.Told()) == 1 })
 	for _, text := range []string{"{", strings.Replace(good(w.config), moved.Address(), "nowhere", 1)} {
 		os.WriteFile(w.config, []byte(text), 0o600)
-		failed := check.Of("reloads_failed")
+		failed := counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
-		settle(t, "no failed reload", func() bool { return check.Of("reloads_failed") == failed+1 })
+		settle(t, "no failed reload", func() bool { return counters.Value("reloads_failed") == failed+1 })
 	}
 	moved.Add(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
 	for host := ""; host != "e2"; { // told of in a moment
@@ -482,7 +484,7 @@
 	type bad struct {
 		name, text string
 		gets       int
-		conn       *toy.Caller
+		conn       *fake.Caller
 	}
 	cases := []bad{
 		{"nothing said", "", closed, nil},
@@ -577,21 +579,21 @@
 	late, resting := w.dial(), w.dial()
 	defer late.Conn.Close()
 	defer resting.Conn.Close()
-	for _, c := range []*toy.Caller{late, resting} {
+	for _, c := range []*fake.Caller{late, resting} {
 		if ready, err := c.Ready(); !ready || err != nil {
 			t.Fatal(ready, err)
 		}
 	}
 	call := client.AppendCall(nil, 9, "lookup", []string{"call", "00000000000000bb", "ttl", "20000", "org", "acme"}, []byte("SELECT 1 FROM a_1.b"))
 	late.Conn.Write(call[:20])
-	before := check.Of("calls_after_stop")
+	before := counters.Value("calls_after_stop")
 	w.stop <- syscall.SIGTERM
-	for taken := 0; check.Of("calls_after_stop") == before; taken++ { // until nothing is taken any more
+	for taken := 0; counters.Value("calls_after_stop") == before; taken++ { // until nothing is taken any more
 		id, err := w.caller.Send("lookup", "SELECT 1 FROM a_1.b", "call", fmt.Sprintf("%016x", 0xcc00+taken), "ttl", "20000", "org", "acme")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if check.Of("calls_after_stop") == before {
+		if counters.Value("calls_after_stop") == before {
 			select {
 			case c := <-w.commands:
 				c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
@@ -666,7 +668,7 @@
 func (w *town) refused(before uint64) <-chan struct{} {
 	seen := make(chan struct{})
 	go func() {
-		for stop := time.Now().Add(20 * time.Second); check.Of("calls_after_stop") == before && time.Now().Before(stop); {
+		for stop := time.Now().Add(20 * time.Second); counters.Value("calls_after_stop") == before && time.Now().Before(stop); {
 			time.Sleep(time.Millisecond)
 		}
 		close(seen)
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"testing"
 
-	"swiftreel/internal/check"
-	"swiftreel/internal/cli"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/command"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/version"
 )
 
@@ -26,7 +26,7 @@
 func line(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	code := cli.Run(args, &out, &out, func(cli.Serving) error { t.Error("it serves"); return nil })
+	code := command.Run(args, &out, &out, func(command.Serving) error { t.Error("it serves"); return nil })
 	return code, out.String()
 }
 
@@ -154,7 +154,7 @@
 	}
 	own := write(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := newTownOf(t, toy.NewRough(4).Handle, "e1", "e2", "e3")
+	w := newTownOf(t, fake.NewRough(4).Handle, "e1", "e2", "e3")
 	var usual sync.WaitGroup
 	for i := range uint64(3) {
 		usual.Go(func() { w.usual(7000+i, 80) })
@@ -162,9 +162,9 @@
 	for i := range 12 {
 		text := []string{`{"plan":{"file":"a.json"}}`, `{"plan":{"file":"b.json","demand_factor":1.1}}`, `{"plan":{}}`, `{}`}[i%4]
 		write(t, own, text)
-		before := check.Of("reloads") + check.Of("reloads_failed")
+		before := counters.Value("reloads") + counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
-		settle(t, "not read anew", func() bool { return check.Of("reloads")+check.Of("reloads_failed") > before })
+		settle(t, "not read anew", func() bool { return counters.Value("reloads")+counters.Value("reloads_failed") > before })
 	}
 	usual.Wait()
 }
--- a/cmd/swiftreel/plans.go
+++ b/cmd/swiftreel/plans.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"swiftreel/internal/boot"
 	"swiftreel/internal/gateway"
+	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
 )
 
@@ -26,7 +26,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	plan := f.Plan
-	if plan != nil && plan.UntilNS != 0 && plan.UntilNS <= boot.Now() {
+	if plan != nil && plan.UntilNS != 0 && plan.UntilNS <= monotonic.Now() {
 		plan = nil
 	}
 	p.take(plan)
@@ -34,7 +34,7 @@
 		return
 	}
 	turn := p.turn
-	p.timer = time.AfterFunc(time.Duration(plan.UntilNS-boot.Now()), func() {
+	p.timer = time.AfterFunc(time.Duration(plan.UntilNS-monotonic.Now()), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if turn == p.turn {
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -9,9 +9,9 @@
 	"strings"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/check"
 	"swiftreel/internal/config"
-	"swiftreel/internal/feed"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
 	"swiftreel/internal/limits"
 	"swiftreel/internal/operator"
 )
@@ -27,7 +27,7 @@
 	restate  func(facts map[string]any)
 	force    func(*operator.Tally, map[string]any) // what is in force from now on
 	elder    func(bool)
-	follower *feed.Follower
+	follower *discovery.Follower
 	parts    *limits.Parts
 
 	done, ended chan struct{}
@@ -54,7 +54,7 @@
 // reload takes a file over, or leaves all as it was.
 func (r *reloader) reload() {
 	file, err := r.load()
-	var known []feed.Event
+	var known []discovery.Event
 	if err == nil {
 		known, err = events(file)
 	}
@@ -67,7 +67,7 @@
 		facts, err = own.Shape.Over(r.file.Facts) // the settings as at the start: others need a restart
 	}
 	if err != nil {
-		check.Count("reloads_failed")
+		counters.Increment("reloads_failed")
 		slog.Error("reload_failed", "reason", err)
 		return
 	}
@@ -96,7 +96,7 @@
 	r.force(own.Tally, facts)
 	r.own = own
 	r.file.Feed, r.file.Known, r.file.Limits = file.Feed, file.Known, file.Limits
-	check.Count("reloads")
+	counters.Increment("reloads")
 }
 
 // kept names what differs and is not taken over before the next start. The seed is new with each.
@@ -121,11 +121,11 @@
 }
 
 // events reads what a file knows of the feed.
-func events(file config.File) ([]feed.Event, error) {
-	known := make([]feed.Event, len(file.Known.Events))
+func events(file config.File) ([]discovery.Event, error) {
+	known := make([]discovery.Event, len(file.Known.Events))
 	for i, text := range file.Known.Events {
 		var err error
-		if known[i], err = feed.Parse(text); err != nil {
+		if known[i], err = discovery.Parse(text); err != nil {
 			return nil, fmt.Errorf("known event %d: %w", i, err)
 		}
 	}
--- a/cmd/swiftreel/rough_test.go
+++ b/cmd/swiftreel/rough_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/fake"
 )
 
 // Bad clients, bad engines, a feed that breaks and moves, and reloads, all at once against one controller. Each job of
@@ -25,10 +25,10 @@
 
 func roughDay(t *testing.T, seed uint64) {
 	left := func() [4]uint64 {
-		return [4]uint64{check.Of("jobs_left"), check.Of("bytes_left"), check.Of("dispatch_out_of_turn"), check.Of("action_for_no_job")}
+		return [4]uint64{counters.Value("jobs_left"), counters.Value("bytes_left"), counters.Value("dispatch_out_of_turn"), counters.Value("action_for_no_job")}
 	}
 	before := left()
-	w := newTownOf(t, toy.NewRough(seed).Handle, "e1", "e2", "e3")
+	w := newTownOf(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
 	var usual, others sync.WaitGroup
 	over := make(chan struct{})
 	for i := range uint64(4) { // usual clients
@@ -42,13 +42,13 @@
 					return
 				default:
 				}
-				if toy.Rude(w.address, chance) {
+				if fake.Rude(w.address, chance) {
 					t.Error("a bad client was served")
 				}
 			}
 		})
 	}
-	feeds := []*toy.Feed{w.feed}
+	feeds := []*fake.Feed{w.feed}
 	others.Go(func() { feeds = w.roughFeed(rand.New(rand.NewPCG(seed, 9)), over) })
 	usual.Wait()
 	close(over)
@@ -87,7 +87,7 @@
 			return
 		case !is:
 			w.t.Errorf("a second answer, or one for nothing: %+v", a)
-		case a.Error == "" && string(a.Body) != toy.Rows(id):
+		case a.Error == "" && string(a.Body) != fake.Rows(id):
 			w.t.Errorf("done with what no engine made: %.60q", a.Body)
 		case a.Error != "" && a.Error != "Overloaded" && a.Error != "Internal":
 			w.t.Errorf("%+v", a)
@@ -97,8 +97,8 @@
 }
 
 // roughFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
-func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*toy.Feed {
-	feeds := []*toy.Feed{w.feed}
+func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Feed {
+	feeds := []*fake.Feed{w.feed}
 	known := strings.TrimSuffix(strings.SplitN(good(w.config), `"events":[`, 2)[1], "]},\"settings\":"+facts+"}")
 	for {
 		select {
@@ -121,7 +121,7 @@
 			w.hup()
 			w.write(now.Address(), known)
 		case 5:
-			moved, err := toy.StartFeed("127.0.0.1:0", 1)
+			moved, err := fake.StartFeed("127.0.0.1:0", 1)
 			if err != nil {
 				w.t.Error(err)
 				return feeds
--- a/cmd/swiftreel/shape_test.go
+++ b/cmd/swiftreel/shape_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 	"swiftreel/internal/config"
 )
 
@@ -21,7 +21,7 @@
 	w := newTown(t, "e1")
 	reload := func(counter, text string) { t.Helper(); w.rewrite(own, counter, text) }
 	fetched := map[string]bool{} // a job sent twice would show as a fetch of an id seen before
-	fetch := func(granted bool) (uint32, command) {
+	fetch := func(granted bool) (uint32, engineCommand) {
 		t.Helper()
 		id := w.job("lookup", "20000")
 		c := w.got("fetch")
@@ -71,7 +71,9 @@
 	}
 	defer l.Close()
 	ended := make(chan error, 1)
-	go func() { ended <- run(file, l, cli.Serving{Operator: own}, make(chan os.Signal), make(chan os.Signal)) }()
+	go func() {
+		ended <- run(file, l, command.Serving{Operator: own}, make(chan os.Signal), make(chan os.Signal))
+	}()
 	select {
 	case err = <-ended:
 	case <-time.After(20 * time.Second):
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -6,7 +6,7 @@
 	"net"
 	"time"
 
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/config"
 	"swiftreel/internal/engine"
 	"swiftreel/internal/gateway"
@@ -56,10 +56,10 @@
 }
 
 // speak is what speaks with engines, by their protocol.
-func (s *side) speak() map[back.Protocol]back.Make {
-	list := map[back.Protocol]back.Make{back.Line: func(b back.Bounds) back.Engines { return engine.NewPool(b) }}
+func (s *side) speak() map[backend.Protocol]backend.Make {
+	list := map[backend.Protocol]backend.Make{backend.Line: func(b backend.Bounds) backend.Engines { return engine.NewPool(b) }}
 	if s.o != nil {
-		list[back.SPARQL] = func(b back.Bounds) back.Engines {
+		list[backend.SPARQL] = func(b backend.Bounds) backend.Engines {
 			b.Conns = &s.conns
 			return endpoint.New(b, func(name string, w decide.Word) { s.gate.Heard(name, w) })
 		}
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -12,17 +12,17 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/fake"
 )
 
 // terms is a town with a SPARQL front and two endpoints beside two engines of the line protocol, all on the machines e1
 // and e2.
-func terms(t *testing.T) (w *town, at string, ends [2]*toy.Endpoint) {
+func terms(t *testing.T) (w *town, at string, ends [2]*fake.Endpoint) {
 	var list []string
 	for i := range ends {
 		var err error
-		if ends[i], err = toy.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", `"1"`}, [3]string{"<b>", "<p>", `"2"`}, [3]string{"<a>", "<q>", "<b>"}); err != nil {
+		if ends[i], err = fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", `"1"`}, [3]string{"<b>", "<p>", `"2"`}, [3]string{"<a>", "<q>", "<b>"}); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(ends[i].Close)
@@ -205,13 +205,13 @@
 	fmt.Fprintf(c, "GET /sparql?query=%s HTTP/1.1\r\nHost: x\r\n\r\n", url.QueryEscape(askText))
 	<-began
 	c.Close()
-	before := check.Of("answers_overdue")
+	before := counters.Value("answers_overdue")
 	once.Do(func() { close(over) })
 	if status, _, _ := got(t, asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", "")); status != 200 {
 		t.Error("served no more")
 	}
 	w.finish() // ends only with nothing owed
-	if check.Of("answers_overdue") != before {
+	if counters.Value("answers_overdue") != before {
 		t.Error("an answer was owed to who left")
 	}
 }
--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -13,19 +13,19 @@
 	"golang.org/x/sys/unix"
 
 	"swiftreel/choice"
-	"swiftreel/internal/boot"
 	"swiftreel/internal/change"
-	"swiftreel/internal/check"
-	"swiftreel/internal/fault"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/failpoint"
 	"swiftreel/internal/gateway"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/tally"
 	"swiftreel/internal/version"
 )
 
 // teller tells the controller's tally; off, its server is nil.
 type teller struct {
-	server  *tally.Server
+	server  *jobstats.Server
 	inForce atomic.Pointer[force]
 	owed    atomic.Value // func() int64, once there is a front
 }
@@ -39,14 +39,14 @@
 	if o == nil {
 		return t, nil
 	}
-	book, began := tally.NewBook(), fault.Wall().UnixNano()
+	book, began := jobstats.NewBook(), failpoint.Wall().UnixNano()
 	gate.Count(book)
 	var err error
-	t.server, err = tally.Serve(o.Listen, func() (r tally.Report) {
+	t.server, err = jobstats.Serve(o.Listen, func() (r jobstats.Report) {
 		book.Fill(&r)
 		now := t.inForce.Load()
 		r.Started, r.Version, r.Spec, r.Settings = began, version.Name, now.spec, now.settings
-		r.Ready, r.Refused, r.Aside = gate.Ready(), check.Of("reloads_failed"), gate.Aside()
+		r.Ready, r.Refused, r.Aside = gate.Ready(), counters.Value("reloads_failed"), gate.Aside()
 		r.Health, _ = json.Marshal(gate.Health())
 		r.Engines, r.Carries = gate.Engines(), int64(1e6*gate.Carries())
 		r.Learned, _ = json.Marshal(gate.Learned()) // figures that JSON cannot hold are not told
@@ -54,12 +54,12 @@
 			r.Owed = owed()
 		}
 		return r
-	}, func(p tally.Part) {
+	}, func(p jobstats.Part) {
 		quotas := map[string]float64{}
 		for name, n := range p.Quotas {
 			quotas[name] = float64(n) / 1e6
 		}
-		if left := p.UntilNS - boot.Now(); left > 0 {
+		if left := p.UntilNS - monotonic.Now(); left > 0 {
 			gate.Part(float64(p.PerMillion)/1e6, quotas, time.Duration(left))
 		}
 	})
@@ -86,7 +86,7 @@
 
 // teach takes over what an older process has learned. Of another version, or spoilt, it teaches nothing.
 func teach(o *operator.Tally, gate *gateway.Gateway) {
-	if o == nil || len(o.Learned) == 0 || fault.Untaught() {
+	if o == nil || len(o.Learned) == 0 || failpoint.Untaught() {
 		return
 	}
 	var named map[string]choice.Means
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/config"
-	"swiftreel/internal/feed"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
 	"swiftreel/internal/gateway"
 	"swiftreel/internal/golden"
 	"swiftreel/internal/limits"
@@ -28,27 +28,27 @@
 
 // scriptedEngines end each dispatch as its statement says; only the engine named e1 is well.
 type scriptedEngines struct {
-	back.Engines
+	backend.Engines
 	stays chan struct{} // a dispatch has come that does not end
 }
 
-func (e scriptedEngines) Start(_ back.Host, r back.Request, reply func(back.Reply)) back.Dispatch {
+func (e scriptedEngines) Start(_ backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	switch {
 	case strings.Contains(string(r.Statement), "ends"):
-		go reply(back.Reply{End: back.Done, Pages: [][]byte{{1}}, WorkMS: 35, RoomMB: 76})
+		go reply(backend.Reply{End: backend.Done, Pages: [][]byte{{1}}, WorkMS: 35, RoomMB: 76})
 	case strings.Contains(string(r.Statement), "breaks"):
-		go reply(back.Reply{End: back.Reset})
+		go reply(backend.Reply{End: backend.Reset})
 	case strings.Contains(string(r.Statement), "stays"):
 		e.stays <- struct{}{}
 	}
 	return scriptedDispatch{}
 }
 
-func (scriptedEngines) Probe(to back.Host, _ bool, _ time.Duration, reply func(back.Reply)) {
+func (scriptedEngines) Probe(to backend.Host, _ bool, _ time.Duration, reply func(backend.Reply)) {
 	if to.Name == "e1" {
-		go reply(back.Reply{End: back.Done, Load: "concurrent:0"})
+		go reply(backend.Reply{End: backend.Done, Load: "concurrent:0"})
 	} else {
-		go reply(back.Reply{End: back.NotConnected})
+		go reply(backend.Reply{End: backend.NotConnected})
 	}
 }
 func (scriptedEngines) CloseIdle(string)      {}
@@ -92,7 +92,7 @@
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
 	gate = gateway.New(choice.Facts(settings), 1, parts, false,
-		map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return engines }})
+		map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return engines }})
 	t.Cleanup(gate.Close)
 	told, err := newTeller(own.Tally, gate)
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	t.Cleanup(told.close)
 	told.force(own.Tally, settings)
-	ev, err := feed.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,9 +186,9 @@
 			parts := new(limits.Parts)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 			gate := gateway.New(choice.Facts(settings), 1, parts, false,
-				map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return scriptedEngines{} }})
+				map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return scriptedEngines{} }})
 			defer gate.Close()
-			ev, err := feed.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -265,7 +265,7 @@
 		body = get(t, "http://"+address+"/tally")
 		return strings.Contains(body, `"\"lookup\" \"acme\"":{"jobs":3`)
 	})
-	if failed := fmt.Sprintf(`"reloads_failed":%d,`, check.Of("reloads_failed")); !strings.Contains(body, failed) { // of the whole process
+	if failed := fmt.Sprintf(`"reloads_failed":%d,`, counters.Value("reloads_failed")); !strings.Contains(body, failed) { // of the whole process
 		t.Errorf("no %s in %s", failed, body)
 	}
 	for _, f := range timed {
--- a/example/main.go
+++ b/example/main.go
@@ -21,7 +21,7 @@
 	"time"
 
 	"swiftreel/internal/engine"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/fake"
 )
 
 const (
@@ -54,17 +54,17 @@
 
 // toys are the engines that are up, and the feed.
 type toys struct {
-	feed *toy.Feed
+	feed *fake.Feed
 	mu   sync.Mutex
-	up   map[string]*toy.Engine
+	up   map[string]*fake.Engine
 }
 
 func start() (*toys, error) {
-	f, err := toy.StartFeed(feed, 2) // the configuration knows event 1
+	f, err := fake.StartFeed(feed, 2) // the configuration knows event 1
 	if err != nil {
 		return nil, err
 	}
-	t := &toys{feed: f, up: map[string]*toy.Engine{}}
+	t := &toys{feed: f, up: map[string]*fake.Engine{}}
 	for name := range addresses {
 		if err := t.begin(name); err != nil {
 			return nil, err
@@ -76,7 +76,7 @@
 func (t *toys) begin(name string) error {
 	var mu sync.Mutex
 	out := map[string]bool{} // jobs in hand
-	e, err := toy.StartEngine(addresses[name], func(s *toy.Session, c engine.Command) {
+	e, err := fake.StartEngine(addresses[name], func(s *fake.Session, c engine.Command) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch c.Word {
@@ -166,7 +166,7 @@
 	work := flags.Int("work", 100, "estimate of the work in milliseconds")
 	key := flags.String("key", "", "key of an import")
 	flags.Parse(args)
-	c, err := toy.Dial(controller)
+	c, err := fake.Dial(controller)
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 		return err
 	}
 	ready := func() bool {
-		c, err := toy.Dial(controller)
+		c, err := fake.Dial(controller)
 		if err != nil {
 			return false
 		}
--- a/example/sparql.go
+++ b/example/sparql.go
@@ -8,7 +8,7 @@
 	"os/signal"
 	"syscall"
 
-	"swiftreel/internal/toy"
+	"swiftreel/internal/fake"
 )
 
 // endpoints are where example/sparql.json has them: both machines speak both protocols.
@@ -20,7 +20,7 @@
 		return err
 	}
 	for _, address := range endpoints {
-		e, err := toy.StartEndpoint(address, [3]string{"<http://x/term1>", "<http://x/label>", `"memory"`},
+		e, err := fake.StartEndpoint(address, [3]string{"<http://x/term1>", "<http://x/label>", `"memory"`},
 			[3]string{"<http://x/term1>", "<http://x/in>", "<http://x/base>"}, [3]string{"<http://x/term2>", "<http://x/label>", `"engine"`})
 		if err != nil {
 			return err
--- a/internal/acceptance/process_test.go
+++ b/internal/acceptance/process_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"swiftreel/internal/engine"
-	"swiftreel/internal/rig"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/fake"
+	"swiftreel/internal/testcluster"
 )
 
 var program string
@@ -65,7 +65,7 @@
 	seed        int
 	fleet, me   int
 	descriptors int // of the system; 0: as they are
-	*rig.Process
+	*testcluster.Process
 }
 
 // address is one of loopback that nobody listens at now.
@@ -109,14 +109,14 @@
 		path, args = "/bin/sh", []string{"-c", fmt.Sprintf("ulimit -n %d; exec %s", c.descriptors, program)}
 	}
 	var err error
-	if c.Process, err = rig.Start(path, env, args...); err != nil {
+	if c.Process, err = testcluster.Start(path, env, args...); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
 // ready asks for the heartbeat over a new connection.
 func (c *controller) ready() bool {
-	caller, err := toy.Dial(c.listen)
+	caller, err := fake.Dial(c.listen)
 	if err != nil {
 		return false
 	}
@@ -161,12 +161,12 @@
 type fetch struct {
 	id   string
 	at   time.Time
-	from *toy.Session
+	from *fake.Session
 }
 
 // backend is an engine that logs what reaches it. Its work takes as long as the test says; held, it never answers.
 type backend struct {
-	*toy.Engine
+	*fake.Engine
 	mu    sync.Mutex
 	log   []fetch
 	hold  bool
@@ -178,14 +178,14 @@
 func newBackend(t *testing.T, takes time.Duration, hold bool) *backend {
 	b := &backend{takes: takes, hold: hold, open: map[string]*time.Timer{}}
 	var err error
-	if b.Engine, err = toy.StartEngine("127.0.0.1:0", b.handle); err != nil {
+	if b.Engine, err = fake.StartEngine("127.0.0.1:0", b.handle); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.Close)
 	return b
 }
 
-func (b *backend) handle(s *toy.Session, c engine.Command) {
+func (b *backend) handle(s *fake.Session, c engine.Command) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch c.Word {
@@ -207,7 +207,7 @@
 	}
 }
 
-func (b *backend) answer(s *toy.Session, id string) {
+func (b *backend) answer(s *fake.Session, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, is := b.open[id]; is {
@@ -240,7 +240,7 @@
 }
 
 // ask sends a job and gives its id.
-func ask(t *testing.T, c *toy.Caller, kind, id string, ms int, more ...string) uint32 {
+func ask(t *testing.T, c *fake.Caller, kind, id string, ms int, more ...string) uint32 {
 	t.Helper()
 	n, err := c.Send(kind, "SELECT 1 FROM a_1.b", append([]string{"call", id, "ttl", "8000", "org", "one", "work", fmt.Sprint(ms), "est_mb", "8"}, more...)...)
 	if err != nil {
--- a/internal/acceptance/terms_test.go
+++ b/internal/acceptance/terms_test.go
@@ -12,17 +12,17 @@
 	"time"
 
 	"swiftreel/internal/client"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/fake"
 )
 
 // A hundred clients leave at once while their jobs wait for an engine that is full; then it is free again. Nothing of
 // theirs is sent: what would go out in the moment of the first leave is looked at before it goes.
 func TestNothingIsSentForClientsThatLeftInABurst(t *testing.T) {
-	for name, leave := range map[string]func(*toy.Caller){
-		"close":  func(c *toy.Caller) { c.Conn.Close() },
-		"reset":  func(c *toy.Caller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
-		"revoke": func(c *toy.Caller) { c.Revoke(1); c.Ready() }, // its answer shows that the revoke was read
-		"unread": func(c *toy.Caller) { // the close lies behind much that is unread
+	for name, leave := range map[string]func(*fake.Caller){
+		"close":  func(c *fake.Caller) { c.Conn.Close() },
+		"reset":  func(c *fake.Caller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
+		"revoke": func(c *fake.Caller) { c.Revoke(1); c.Ready() }, // its answer shows that the revoke was read
+		"unread": func(c *fake.Caller) { // the close lies behind much that is unread
 			var b []byte
 			for id := range uint32(2000) {
 				b = client.AppendHeartbeat(b, 10+id)
@@ -37,7 +37,7 @@
 			c.write(address(t), event(1, true, entry("e1", e.Address(), "ready", 0)))
 			c.start()
 			until(t, "not ready", c.ready)
-			stay, err := toy.Dial(c.listen)
+			stay, err := fake.Dial(c.listen)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,9 +45,9 @@
 			for i := range 26 { // fill the engine
 				ask(t, stay, "look", fmt.Sprintf("%016x", 1+i), 1000)
 			}
-			var waiting []*toy.Caller
+			var waiting []*fake.Caller
 			for i := range 60 {
-				w, err := toy.Dial(c.listen)
+				w, err := fake.Dial(c.listen)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -91,7 +91,7 @@
 	const fleet, work = 20, time.Second
 	warm := []*backend{newBackend(t, work, false), newBackend(t, work, false), newBackend(t, work, false)}
 	cold := newBackend(t, work, false)
-	feed, err := toy.StartFeed("127.0.0.1:0", 1)
+	feed, err := fake.StartFeed("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 		}
 		load.Go(func() {
 			chance := rand.New(rand.NewPCG(7, uint64(i)))
-			caller, err := toy.Dial(c.listen)
+			caller, err := fake.Dial(c.listen)
 			if err != nil {
 				t.Error(err)
 				return
@@ -186,10 +186,10 @@
 	c.write(address(t), known) // nobody is there
 	c.start()
 	until(t, "not ready", c.ready)
-	var idle []*toy.Caller
+	var idle []*fake.Caller
 	half := client.AppendCall(nil, 1, "look", []string{"call", "00000000000000aa", "ttl", "8000", "org", "one"}, []byte("SELECT 1"))
 	for i := range 400 {
-		d, err := toy.Dial(c.listen)
+		d, err := fake.Dial(c.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -212,7 +212,7 @@
 	if len(idle) < 200 {
 		t.Errorf("only %d of 250 clients got an answer", len(idle))
 	}
-	feed, err := toy.StartFeed("127.0.0.1:0", 2)
+	feed, err := fake.StartFeed("127.0.0.1:0", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 	}
 	seen := func() int { return len(fresh.fetches()) }
 	until(t, "the new engine is not used", func() bool {
-		d, err := toy.Dial(c.listen)
+		d, err := fake.Dial(c.listen)
 		if err != nil {
 			return false
 		}
@@ -278,7 +278,7 @@
 					return
 				case <-time.After(50 * time.Millisecond):
 				}
-				if d, err := toy.Dial(c.listen); err == nil {
+				if d, err := fake.Dial(c.listen); err == nil {
 					d.Send("look", "SELECT 1 FROM a_1.b", "call", fmt.Sprintf("%08x%08x", i, n), "ttl", "1500", "org", "one", "work", "50")
 					if n%2 == 0 {
 						load.Go(func() { d.Read(2 * time.Second); d.Conn.Close() })
--- a/internal/handout/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -1,4 +1,4 @@
-package handout
+package assignment
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
@@ -50,7 +50,7 @@
 func TestFormsOfWordsStay(t *testing.T) {
 	text := json.RawMessage(`{"method":"m","status":"optimal"}`)
 	full := Word{Format: change.Format, Reign: 5, Count: 17, Owner: "v1", Member: "c1", Life: "0123456789abcdef",
-		Part: parts.Share{parts.Fleet: 250_000, parts.Quota("acme"): 500_000, parts.Quota(""): 1}, PartUntil: 123_456_789_000,
+		Part: quota.Share{quota.Fleet: 250_000, quota.Quota("acme"): 500_000, quota.Quota(""): 1}, PartUntil: 123_456_789_000,
 		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, Text: text}
 	for name, w := range map[string]Word{"word-full.json": full, "word-least.json": {Format: change.Format, Reign: 1, Count: 1, Owner: "a", Member: "b", Life: "c"}} {
 		got, err := ReadWord(bytes.NewReader(golden(t, name, marshal(t, w))))
--- a/internal/handout/walk_test.go
+++ b/internal/assignment/walk_test.go
@@ -1,4 +1,4 @@
-package handout
+package assignment
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 // All that can come of two owners, one after the other, and two receivers: each step of an owner may be its last for any
@@ -36,15 +36,15 @@
 	heldAt int64 // when a majority followed it last
 	stamp  int64 // when the receivers were asked
 	count  int64
-	ledger *parts.Ledger
-	want   map[string]parts.Share
+	ledger *quota.Ledger
+	want   map[string]quota.Share
 	acted  int64 // the last moment at which it began a round
 }
 
 type state struct {
 	now      int64
 	owners   [2]owning
-	agreed   parts.Record
+	agreed   quota.Record
 	reign    int64 // agreed
 	sky      []wordAt
 	held     [2]Held
@@ -63,7 +63,7 @@
 			h.Write([]byte{byte(n), byte(n >> 8), byte(n >> 16)})
 		}
 	}
-	record := func(r parts.Record) { put(r.Caps["c1"][parts.Fleet], r.Caps["c2"][parts.Fleet]) }
+	record := func(r quota.Record) { put(r.Caps["c1"][quota.Fleet], r.Caps["c2"][quota.Fleet]) }
 	put(s.now, s.reign, s.seenHigh[0], s.seenHigh[1], int64(s.stalls))
 	fmt.Fprint(h, s.stalled)
 	record(s.agreed)
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, g := range s.held {
-		put(g.Reign, g.Count, g.Part[parts.Fleet], g.PartUntil)
+		put(g.Reign, g.Count, g.Part[quota.Fleet], g.PartUntil)
 	}
 	for _, w := range s.sky {
 		put(int64(w.to), w.word.Reign, w.word.Count)
@@ -94,12 +94,12 @@
 }
 
 // wants are those of the two owners: the second gives to the one from whom it has to take first.
-func wants(i int) map[string]parts.Share {
-	much, less := parts.Share{parts.Fleet: 700_000}, parts.Share{parts.Fleet: 300_000}
+func wants(i int) map[string]quota.Share {
+	much, less := quota.Share{quota.Fleet: 700_000}, quota.Share{quota.Fleet: 300_000}
 	if i == 0 {
-		return map[string]parts.Share{"c1": much, "c2": less}
+		return map[string]quota.Share{"c1": much, "c2": less}
 	}
-	return map[string]parts.Share{"c1": less, "c2": much}
+	return map[string]quota.Share{"c1": less, "c2": much}
 }
 
 func (s *state) takesOver(i int, v variant) {
@@ -108,7 +108,7 @@
 		from -= 2 * lasts
 	}
 	s.reign++
-	s.owners[i] = owning{acted: -1, reign: s.reign, heldAt: s.now, ledger: parts.NewLedger(s.agreed, lasts, from), want: wants(i)}
+	s.owners[i] = owning{acted: -1, reign: s.reign, heldAt: s.now, ledger: quota.NewLedger(s.agreed, lasts, from), want: wants(i)}
 }
 
 // may is core.go's: the lease less what clocks may run unlike.
@@ -136,7 +136,7 @@
 	case 1: // what is agreed is fenced by its reign
 		next, differs := o.ledger.Next(o.want, s.now)
 		if v.noRecord {
-			next = parts.Record{Caps: o.want}
+			next = quota.Record{Caps: o.want}
 		}
 		if differs {
 			if s.reign != o.reign && !v.noRecord { // of a reign that is over: it changes nothing
@@ -205,10 +205,10 @@
 func (s *state) wrong() string {
 	sum := int64(0)
 	for _, h := range s.held {
-		sum += h.At(s.now).Part[parts.Fleet]
+		sum += h.At(s.now).Part[quota.Fleet]
 	}
-	if sum > parts.Whole {
-		return fmt.Sprintf("%d of %d are out at %d", sum, parts.Whole, s.now)
+	if sum > quota.Whole {
+		return fmt.Sprintf("%d of %d are out at %d", sum, quota.Whole, s.now)
 	}
 	return ""
 }
@@ -279,14 +279,14 @@
 }
 
 func TestSharesAreNotWrittenTo(t *testing.T) {
-	l := parts.NewLedger(parts.Record{}, 10, 0)
+	l := quota.NewLedger(quota.Record{}, 10, 0)
 	r, _ := l.Next(wants(0), 1)
 	l.Agreed(r)
 	c := l.Clone()
 	was := maps.Clone(r.Caps["c1"])
 	l.Give("c1", wants(0)["c1"], 1, 1)
 	l.Holds("c1", 1)
-	if got := c.Give("c1", wants(1)["c1"], 2, 1); got[parts.Fleet] != 300_000 || !maps.Equal(was, r.Caps["c1"]) {
+	if got := c.Give("c1", wants(1)["c1"], 2, 1); got[quota.Fleet] != 300_000 || !maps.Equal(was, r.Caps["c1"]) {
 		t.Errorf("%v %v", got, r.Caps)
 	}
 }
--- a/internal/handout/word.go
+++ b/internal/assignment/word.go
@@ -1,6 +1,6 @@
-// Package handout is what the fleet's owner hands out to controllers' keepers: parts and plans, each until an end by the
+// Package assignment is what the fleet's owner hands out to controllers' keepers: parts and plans, each until an end by the
 // receiver's own clock. Free of I/O and clock.
-package handout
+package assignment
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"io"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 // Word is all that the owner wants a member to go by. It carries the whole of it, so that one lost or repeated does no harm;
@@ -22,7 +22,7 @@
 	Owner     string          `json:"owner"`
 	Member    string          `json:"member"`
 	Life      string          `json:"life"` // of the keeper's process that it is for: another has taken nothing
-	Part      parts.Share     `json:"part,omitempty"`
+	Part      quota.Share     `json:"part,omitempty"`
 	PartUntil int64           `json:"part_until_boot_ns,omitempty"`
 	Plan      change.Digest   `json:"plan,omitempty"` // to be followed; none: none
 	PlanUntil int64           `json:"plan_until_boot_ns,omitempty"`
@@ -63,7 +63,7 @@
 		return Word{}, errors.New("/plan_text: it is not that plan")
 	}
 	for of, n := range w.Part {
-		if _, quota := of.Tenant(); !quota && of != parts.Fleet || n < 1 || n > parts.Whole {
+		if _, isTenant := of.Tenant(); !isTenant && of != quota.Fleet || n < 1 || n > quota.Whole {
 			return Word{}, fmt.Errorf("/part/%s: %d, or nothing that is parted", of, n)
 		}
 	}
@@ -75,7 +75,7 @@
 	Reign     int64         `json:"reign"`
 	Count     int64         `json:"count"`
 	Owner     string        `json:"owner"`
-	Part      parts.Share   `json:"part,omitempty"`
+	Part      quota.Share   `json:"part,omitempty"`
 	PartUntil int64         `json:"part_until_boot_ns,omitempty"`
 	Plan      change.Digest `json:"plan,omitempty"`
 	PlanUntil int64         `json:"plan_until_boot_ns,omitempty"`
--- a/internal/handout/word_test.go
+++ b/internal/assignment/word_test.go
@@ -1,4 +1,4 @@
-package handout
+package assignment
 
 import (
 	"bytes"
@@ -8,12 +8,12 @@
 	"testing"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 func TestAWordThatIsLateTwiceOrForAnotherChangesNothing(t *testing.T) {
 	word := func(reign, count int64, owner string) Word {
-		return Word{Format: change.Format, Reign: reign, Count: count, Owner: owner, Member: "c1", Life: "x", Part: parts.Share{parts.Fleet: 5}, PartUntil: 200}
+		return Word{Format: change.Format, Reign: reign, Count: count, Owner: owner, Member: "c1", Life: "x", Part: quota.Share{quota.Fleet: 5}, PartUntil: 200}
 	}
 	other, before, far := word(9, 9, "a"), word(9, 9, "a"), word(9, 9, "a")
 	other.Member, before.Life, far.PartUntil = "c2", "w", 100+mostAhead+1
@@ -29,7 +29,7 @@
 		}
 		h = next
 	}
-	if h.Reign != 3 || h.At(199).Part[parts.Fleet] != 5 || h.At(200).Part != nil || h.At(200).Reign != 3 {
+	if h.Reign != 3 || h.At(199).Part[quota.Fleet] != 5 || h.At(200).Part != nil || h.At(200).Reign != 3 {
 		t.Errorf("%+v", h)
 	}
 }
--- a/internal/back/back.go
+++ b/internal/backend/back.go
@@ -1,6 +1,6 @@
-// Package back is what the gateway knows of engines, whatever protocol they speak: dispatches, aborts, probes and their
+// Package backend is what the gateway knows of engines, whatever protocol they speak: dispatches, aborts, probes and their
 // outcomes. Each protocol is an implementation of Engines; the gateway chooses none, an engine's entry in the list does.
-package back
+package backend
 
 import (
 	"time"
--- a/internal/back/each.go
+++ b/internal/backend/each.go
@@ -1,9 +1,9 @@
-package back
+package backend
 
 import (
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 )
 
 // Each is the engines of all protocols: what concerns an engine goes to the implementation of its own. One of a protocol
@@ -29,7 +29,7 @@
 	if of := e.by[to.Protocol]; of != nil {
 		return of.Start(to, r, reply)
 	}
-	check.Count("protocols_unknown")
+	counters.Increment("protocols_unknown")
 	reply(Reply{End: NotConnected})
 	return ended{}
 }
@@ -40,7 +40,7 @@
 		of.Probe(to, load, limit, reply)
 		return
 	}
-	check.Count("protocols_unknown")
+	counters.Increment("protocols_unknown")
 	reply(Reply{End: NotConnected})
 }
 
--- a/internal/back/each_test.go
+++ b/internal/backend/each_test.go
@@ -1,4 +1,4 @@
-package back
+package backend
 
 import (
 	"testing"
--- a/internal/judge/group.go
+++ b/internal/canary/group.go
@@ -1,4 +1,4 @@
-package judge
+package canary
 
 import (
 	"fmt"
--- a/internal/judge/recovery.go
+++ b/internal/canary/recovery.go
@@ -1,4 +1,4 @@
-package judge
+package canary
 
 // Recovery tells whether all do again as they did before the first stage, over the last looks.
 type Recovery struct {
--- a/internal/judge/seen.go
+++ b/internal/canary/seen.go
@@ -1,6 +1,6 @@
-// Package judge tells whether controllers on a new version do worse than those on the old one, in the same time: from
+// Package canary tells whether controllers on a new version do worse than those on the old one, in the same time: from
 // counts alone, without a clock, a socket or chance of its own. It may be asked after every look without its error growing.
-package judge
+package canary
 
 import (
 	"cmp"
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"path/filepath"
 
-	"swiftreel/internal/document"
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
+	"swiftreel/internal/schema"
 )
 
 // Kind is what a change changes.
@@ -63,15 +63,15 @@
 		Plan    string          `json:"plan"`    // a file, relative to this one
 		Program string          `json:"program"` // a file at the same place for every keeper
 	} `json:"to"`
-	Stages []Stage      `json:"stages"`
-	Pace   Pace         `json:"pace"`
-	Limits judge.Limits `json:"limits"`
+	Stages []Stage       `json:"stages"`
+	Pace   Pace          `json:"pace"`
+	Limits canary.Limits `json:"limits"`
 }
 
 // Load reads a change whole; the error names every fault by path.
 func Load(path string) (c Change, err error) {
-	c.Limits = judge.Usual()
-	if err := document.Read(path, document.Change, &c); err != nil {
+	c.Limits = canary.Usual()
+	if err := schema.Read(path, schema.Change, &c); err != nil {
 		return Change{}, err
 	}
 	c.Pace = c.Pace.usual()
@@ -82,7 +82,7 @@
 		c.To.Plan = filepath.Join(filepath.Dir(path), c.To.Plan)
 	}
 	if list := c.Faults(); len(list) > 0 {
-		return Change{}, &document.Faults{File: path, List: list}
+		return Change{}, &schema.Faults{File: path, List: list}
 	}
 	return c, nil
 }
@@ -128,7 +128,7 @@
 		}
 	case Plan:
 		var text json.RawMessage
-		if err := document.Read(c.To.Plan, document.Plan, &text); err != nil {
+		if err := schema.Read(c.To.Plan, schema.Plan, &text); err != nil {
 			return to, err
 		}
 		to.Plan = text
--- a/internal/check/debug.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build debug
-
-package check
-
-func broken(what string) { panic("does not hold: " + what) }
--- a/internal/check/release.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !debug
-
-package check
-
-func broken(string) {}
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"swiftreel/internal/gateway"
-	"swiftreel/internal/sock"
+	"swiftreel/internal/socketstate"
 )
 
 // call is one job asked for and not answered.
@@ -88,7 +88,7 @@
 
 // Here looks whether the client is still there, as far as its connection shows: also where the reader has not come to
 // its close, behind all that it sent before.
-func (l *call) Here() bool { return !sock.PeerClosed(l.conn.nc) }
+func (l *call) Here() bool { return !socketstate.PeerClosed(l.conn.nc) }
 
 // answer writes the one answer of a call, unless the client left before.
 func (l *call) answer(parts net.Buffers) {
--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/gateway"
-	"swiftreel/internal/sock"
+	"swiftreel/internal/socketstate"
 )
 
 const (
@@ -95,13 +95,13 @@
 		}
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) && !errors.Is(err, syscall.ECONNRESET) {
-				c.front.bad.Note("clients_bad", "client_bad", "address", c.nc.RemoteAddr(), "reason", err)
+				c.front.bad.CountAndWarn("clients_bad", "client_bad", "address", c.nc.RemoteAddr(), "reason", err)
 				c.lastWord(err)
 			}
 			return
 		}
 		c.bound()
-		if c.pace.rest(time.Now()) && sock.PeerClosed(c.nc) {
+		if c.pace.rest(time.Now()) && socketstate.PeerClosed(c.nc) {
 			return
 		}
 	}
@@ -240,7 +240,7 @@
 	}
 	r, err := parseRequest(m)
 	if err != nil {
-		c.front.unusable.Note("calls_unusable", "call_unusable", "address", c.nc.RemoteAddr(), "reason", err)
+		c.front.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", c.nc.RemoteAddr(), "reason", err)
 		return c.refuse(m.id, wordFailed, "reason", err.Error())
 	}
 	if !c.front.parts.Bytes.Take(len(r.body)) {
@@ -258,7 +258,7 @@
 	switch {
 	case closing: // it crossed our half-close: its client sees that, and nothing was sent on
 		c.front.parts.Bytes.Give(call.held)
-		check.Count("calls_crossed")
+		counters.Increment("calls_crossed")
 	case twice:
 		c.front.parts.Bytes.Give(call.held)
 		return fmt.Errorf("id %d is still open and was used again", m.id)
@@ -276,7 +276,7 @@
 	if c.ahead = 0; len(c.pending) == 0 {
 		return nil
 	}
-	if sock.PeerClosed(c.nc) {
+	if socketstate.PeerClosed(c.nc) {
 		return io.EOF
 	}
 	for _, p := range c.pending {
@@ -285,9 +285,9 @@
 		c.mu.Unlock()
 		switch {
 		case !is:
-			check.Count("calls_revoked_at_once")
+			counters.Increment("calls_revoked_at_once")
 		case c.front.refusing.Load():
-			check.Count("calls_after_stop")
+			counters.Increment("calls_after_stop")
 			p.call.Throttled(0)
 		default:
 			c.front.taker.Take(p.ask)
@@ -385,7 +385,7 @@
 		n, err := parts.WriteTo(c.nc)
 		slow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(most)
 		if err != nil && !slow {
-			check.Count("client_writes_broken")
+			counters.Increment("client_writes_broken")
 			c.nc.Close()
 			return
 		}
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/gateway"
 	"swiftreel/internal/limits"
 )
@@ -167,7 +167,7 @@
 	defer wrote.Wait()
 	defer c.Close()
 	s.until("no answer is being written", func() bool { return s.front.writing() })
-	broken := check.Of("client_writes_broken")
+	broken := counters.Value("client_writes_broken")
 	c.Write(AppendHeartbeat(nil, 3))
 	c.Write(AppendRevoke(nil, 2))
 	select {
@@ -175,7 +175,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the revoke is not read")
 	}
-	if check.Of("client_writes_broken") != broken {
+	if counters.Value("client_writes_broken") != broken {
 		t.Error("it was read only once the connection had ended")
 	}
 }
@@ -236,9 +236,9 @@
 	if !ready(other) {
 		t.Fatal("no answer")
 	}
-	crossed := check.Of("calls_crossed")
+	crossed := counters.Value("calls_crossed")
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
-	s.until("what crossed is not read", func() bool { return check.Of("calls_crossed") > crossed })
+	s.until("what crossed is not read", func() bool { return counters.Value("calls_crossed") > crossed })
 	got, err := io.ReadAll(c)
 	if a, n, bad := ParseAnswer(got); err != nil || bad != nil || !a.Ready || n != len(got) {
 		t.Errorf("%q, %v", got, err)
@@ -271,9 +271,9 @@
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.From.Done([][]byte{make([]byte, size)}) })
 	s.until("no answer is being written", func() bool { return s.front.writing() })
-	full := check.Of("client_conns_full")
+	full := counters.Value("client_conns_full")
 	other := s.dial()
-	s.until("nobody is at the door", func() bool { return check.Of("client_conns_full") > full })
+	s.until("nobody is at the door", func() bool { return counters.Value("client_conns_full") > full })
 	b := make([]byte, size)
 	if _, err := io.ReadFull(c, b); err != nil {
 		t.Errorf("the answer is cut: %v", err)
--- a/internal/client/front.go
+++ b/internal/client/front.go
@@ -10,10 +10,11 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/gateway"
 	"swiftreel/internal/limits"
-	"swiftreel/internal/sock"
+	"swiftreel/internal/ratelog"
+	"swiftreel/internal/socketstate"
 )
 
 // Taker is who the calls are for.
@@ -34,7 +35,7 @@
 	parts   *limits.Parts
 	buffers sync.Pool
 
-	bad, unusable check.Grumble
+	bad, unusable ratelog.Logger
 	pulse         *pulse
 	owed          atomic.Int64 // answers owed to jobs, or results being written
 	replying      atomic.Int64 // connections with refusals or heartbeats not written yet
@@ -72,7 +73,7 @@
 		}
 		tcp, is := nc.(*net.TCPConn)
 		if err != nil || !is { // out of descriptors, say: what is open goes on, and this passes
-			check.Count("accepts_failed")
+			counters.Increment("accepts_failed")
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
@@ -98,7 +99,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for len(f.conns) >= f.parts.ClientConns.Most() && !f.ended {
-		check.Count("client_conns_full")
+		counters.Increment("client_conns_full")
 		if c := f.spare(time.Now()); c != nil {
 			if c.leaveIdle() { // else a call came just now: it stays, and another makes way
 				f.linger(c)
@@ -146,7 +147,7 @@
 	delete(f.conns, c)
 	f.lingering = append(f.lingering, c)
 	if len(f.lingering) > max(1, f.parts.Lingering.Most()) {
-		check.Count("lingering_full")
+		counters.Increment("lingering_full")
 		f.lingering[0].nc.Close()
 		f.lingering = slices.Delete(f.lingering, 0, 1)
 	}
@@ -174,7 +175,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listener != nil && sock.Readable(f.listener) {
+	if f.listener != nil && socketstate.Readable(f.listener) {
 		return true
 	}
 	for c := range f.conns {
--- a/internal/client/pace.go
+++ b/internal/client/pace.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 )
 
 // A connection may send so many messages a second before it is read more slowly; one that was refused counts as
@@ -28,7 +28,7 @@
 func (p *pace) rest(now time.Time) bool {
 	wait := p.owes(now)
 	if wait > 0 {
-		check.Count("clients_slowed")
+		counters.Increment("clients_slowed")
 		time.Sleep(wait)
 	}
 	return wait > 0
--- a/internal/client/pulse.go
+++ b/internal/client/pulse.go
@@ -4,7 +4,8 @@
 	"sync"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/ratelog"
 )
 
 const (
@@ -19,7 +20,7 @@
 	mu       sync.Mutex
 	last     time.Time
 	from, to time.Time // the last stall
-	say      check.Grumble
+	say      ratelog.Logger
 }
 
 func newPulse(now time.Time) *pulse { return &pulse{last: now, from: now, to: now.Add(-stallAfter)} }
@@ -58,8 +59,8 @@
 			return
 		case <-tick.C:
 			if still := p.beat(time.Now()); still > 0 {
-				check.Count("stalls")
-				p.say.Say("stood_still", "for_ms", still.Milliseconds())
+				counters.Increment("stalls")
+				p.say.Warn("stood_still", "for_ms", still.Milliseconds())
 			}
 		}
 	}
--- a/internal/cli/check.go
+++ b/internal/command/check.go
@@ -1,4 +1,4 @@
-package cli
+package command
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 
 	"swiftreel/internal/change"
 	"swiftreel/internal/config"
-	"swiftreel/internal/document"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/plan"
+	"swiftreel/internal/schema"
 )
 
 // report is what check tells scripts.
@@ -32,14 +32,14 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var err error
-			switch document.Kind(kind) {
-			case document.Operator:
+			switch schema.Kind(kind) {
+			case schema.Operator:
 				_, err = operator.Load(args[0])
-			case document.Plan:
+			case schema.Plan:
 				_, err = plan.Load(args[0])
-			case document.Problem:
+			case schema.Problem:
 				_, err = plan.Problem(args[0])
-			case document.Change:
+			case schema.Change:
 				_, err = change.Load(args[0])
 			case "config":
 				_, err = config.Load(func(name string) string { return map[string]string{"ROUTER_CONFIG": args[0]}[name] })
@@ -47,7 +47,7 @@
 				return badInput(fmt.Errorf("--kind %q is none of operator, problem, plan, change, config", kind))
 			}
 			r := report{File: args[0], Kind: kind, Faults: []string{}}
-			var faults *document.Faults
+			var faults *schema.Faults
 			if errors.As(err, &faults) {
 				r.Faults = faults.List
 			} else if err != nil {
@@ -68,7 +68,7 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&kind, "kind", string(document.Operator), "operator, problem, plan, change or config")
+	c.Flags().StringVar(&kind, "kind", string(schema.Operator), "operator, problem, plan, change or config")
 	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
 	return c
 }
--- a/internal/cli/cli.go
+++ b/internal/command/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: what a person or a script asks of swiftreel beside serving.
-package cli
+// Package command is the command line: what a person or a script asks of swiftreel beside serving.
+package command
 
 import (
 	"encoding/json"
--- a/internal/fleetcli/fleet.go
+++ b/internal/command/fleet/fleet.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"fmt"
@@ -8,10 +8,10 @@
 
 	"github.com/spf13/cobra"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/supervisor"
 )
 
 func fleetCommand() *cobra.Command {
@@ -26,13 +26,13 @@
 				return err
 			}
 			type row struct {
-				keep.Status
+				supervisor.Status
 				Error  string   `json:"error,omitempty"`
 				Others []string `json:"unknown_fields,omitempty"`
 			}
 			var rows []row
 			well := true
-			for i, a := range conduct.NewFleet(f.Members, askTime, askTime).Ask(c.Context()) {
+			for i, a := range coordinator.NewFleet(f.Members, askTime, askTime).Ask(c.Context()) {
 				r := row{Status: a.Status, Others: sortedKeys(a.Status.Others)}
 				r.Name = f.Members[i].Name
 				if a.Err != nil {
@@ -42,7 +42,7 @@
 				rows = append(rows, r)
 			}
 			if forScripts {
-				err = cli.AsJSON(c.OutOrStdout(), rows)
+				err = command.AsJSON(c.OutOrStdout(), rows)
 			} else {
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "CONTROLLER\tVERSION\tSPEC\tSERVES\tOWED\tLAST ORDER\tENDS\tMB\tNOTE")
@@ -56,7 +56,7 @@
 				err = w.Flush()
 			}
 			if err == nil && !well {
-				return cli.Said(cli.ExitNoFit, fmt.Errorf("not all controllers answer and serve"))
+				return command.Said(command.ExitNoFit, fmt.Errorf("not all controllers answer and serve"))
 			}
 			return err
 		}}
--- a/internal/fleetcli/fleetcli.go
+++ b/internal/command/fleet/fleetcli.go
@@ -1,12 +1,12 @@
-// Package fleetcli is the command line for fleets: keepers, rollouts, the owner.
-package fleetcli
+// Package fleet is the command line for fleets: keepers, rollouts, the owner.
+package fleet
 
 import (
 	"io"
 
 	"github.com/spf13/cobra"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 	"swiftreel/internal/version"
 )
 
@@ -15,5 +15,5 @@
 	root := &cobra.Command{Use: "swiftreel", Short: "Commands for fleets of controllers", Version: version.Name, SilenceErrors: true, SilenceUsage: true}
 	root.CompletionOptions.HiddenDefaultCmd = true
 	root.AddCommand(keepCommand(), rolloutCommand(), fleetCommand(), storeCommand())
-	return cli.Execute(root, args, out, errs)
+	return command.Execute(root, args, out, errs)
 }
--- a/internal/fleetcli/keep.go
+++ b/internal/command/fleet/keep.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 
-	"swiftreel/internal/keep"
-	"swiftreel/internal/logs"
-	"swiftreel/internal/owner"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/logging"
+	"swiftreel/internal/supervisor"
 )
 
 func keepCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 		Long: `Starts the controller that ROUTER_* describes and keeps it. Orders come over HTTP at the address that the part fleet of
 the operator's file gives for ROUTER_NAME. SIGTERM lets the controller drain.`,
 		RunE: func(*cobra.Command, []string) error {
-			logs.To(os.Stderr)
+			logging.To(os.Stderr)
 			if name == "" {
 				name = os.Getenv("ROUTER_NAME")
 			}
@@ -41,23 +41,23 @@
 			}
 			m, is := f.Find(name)
 			if !is {
-				return cli.BadInput(fmt.Errorf("%s: /fleet/members: no %q", file, name))
+				return command.BadInput(fmt.Errorf("%s: /fleet/members: no %q", file, name))
 			}
 			if f.Program == "" {
 				own, err := os.Executable()
 				if err != nil {
-					return cli.Failed(cli.ExitFailed, err)
+					return command.Failed(command.ExitFailed, err)
 				}
 				f.Program = filepath.Join(filepath.Dir(own), "swiftreel")
 			}
-			k, err := keep.New(keep.Options{Name: name, State: state, Operator: file, Program: f.Program, Drain: time.Duration(f.DrainMS) * time.Millisecond,
+			k, err := supervisor.New(supervisor.Options{Name: name, State: state, Operator: file, Program: f.Program, Drain: time.Duration(f.DrainMS) * time.Millisecond,
 				Env: os.Environ(), Log: os.Stderr})
 			if err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			l, err := net.Listen("tcp4", m.Listen)
 			if err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
@@ -67,14 +67,14 @@
 				for _, m := range f.Members {
 					addr[m.Name] = m.At()
 				}
-				node, err := owner.Open(name, filepath.Join(state, "owner.db"), addr, owner.Usual())
+				node, err := leader.Open(name, filepath.Join(state, "owner.db"), addr, leader.Usual())
 				if err != nil {
-					return cli.Failed(cli.ExitFailed, err)
+					return command.Failed(command.ExitFailed, err)
 				}
 				defer node.Close()
-				duties, err := owner.NewDuties(node, f, filepath.Dir(file))
+				duties, err := leader.NewDuties(node, f, filepath.Dir(file))
 				if err != nil {
-					return cli.BadInput(err)
+					return command.BadInput(err)
 				}
 				node.Handle(mux)
 				duties.Handle(mux)
@@ -85,7 +85,7 @@
 			defer h.Close()
 			slog.Info("keeping", "name", name, "address", l.Addr(), "spec", k.Status().Spec.Digest())
 			if err := k.Run(ctx); err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			return nil
 		}}
--- a/internal/fleetcli/owner.go
+++ b/internal/command/fleet/owner.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"bytes"
@@ -13,11 +13,11 @@
 
 	"github.com/spf13/cobra"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/leader"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/owner"
 )
 
 // voters asks those who agree on an owner.
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	if len(f.Voters) == 0 {
-		return nil, cli.BadInput(fmt.Errorf("/fleet/voters: none are named"))
+		return nil, command.BadInput(fmt.Errorf("/fleet/voters: none are named"))
 	}
 	return &voters{f, http.Client{Timeout: 2 * askTime}}, nil
 }
@@ -65,10 +65,10 @@
 }
 
 // views are what the voters tell of themselves, by name.
-func (v *voters) views() (views map[string]owner.View, errs map[string]error) {
-	views, errs = map[string]owner.View{}, map[string]error{}
+func (v *voters) views() (views map[string]leader.View, errs map[string]error) {
+	views, errs = map[string]leader.View{}, map[string]error{}
 	for _, name := range v.fleet.Voters {
-		var w owner.View
+		var w leader.View
 		text, err := v.ask(name, "/v1/owner", nil)
 		if err == nil {
 			err = json.Unmarshal(text, &w)
@@ -113,7 +113,7 @@
 				return err
 			}
 			if err := do(c, v, args); err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			return nil
 		}}
@@ -123,7 +123,7 @@
 	show := with("owner", "Who owns the fleet's work, as each voter knows it", "", cobra.NoArgs, func(c *cobra.Command, v *voters, _ []string) error {
 		views, errs := v.views()
 		if forScripts {
-			return cli.AsJSON(c.OutOrStdout(), views)
+			return command.AsJSON(c.OutOrStdout(), views)
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "VOTER\tOWNER\tREIGN\tACTS\tVOTERS\tNOTE")
@@ -245,7 +245,7 @@
 			case !sure:
 				return fmt.Errorf("what this loses stands in --help; say --the-others-lost-their-memory")
 			}
-			for _, a := range conduct.NewFleet(v.fleet.Members, askTime, askTime).Ask(context.Background()) {
+			for _, a := range coordinator.NewFleet(v.fleet.Members, askTime, askTime).Ask(context.Background()) {
 				if a.Err == nil {
 					term = max(term, uint64(a.Status.Fence.Term))
 				}
@@ -254,7 +254,7 @@
 			if err != nil {
 				return err
 			}
-			var kept owner.Agreed
+			var kept leader.Agreed
 			if err := json.Unmarshal(text, &kept); err != nil {
 				return err
 			}
--- a/internal/fleetcli/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"github.com/spf13/cobra"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/cli"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/document"
-	"swiftreel/internal/logs"
+	"swiftreel/internal/command"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/logging"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/schema"
 )
 
 // The exit codes of a rollout.
@@ -39,10 +39,10 @@
 	}
 	f, err := operator.Load(path)
 	if err != nil {
-		return nil, cli.BadInput(err)
+		return nil, command.BadInput(err)
 	}
 	if f.Fleet == nil {
-		return nil, cli.BadInput(fmt.Errorf("%s: no part fleet: name the file with --operator or ROUTER_OPERATOR", path))
+		return nil, command.BadInput(fmt.Errorf("%s: no part fleet: name the file with --operator or ROUTER_OPERATOR", path))
 	}
 	return f.Fleet, nil
 }
@@ -56,41 +56,41 @@
 Exit codes of start and resume: 0 on all controllers, 4 taken back, 5 stopped, 6 another conducts, 1 it could not go on.`}
 	root.PersistentFlags().StringVar(&folder, "record", "rollout", "the folder where the fleet's changes are recorded")
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's file; above ROUTER_OPERATOR")
-	conductIt := func(begin func(context.Context, *conduct.Folder, *conduct.Fleet) error) error {
-		logs.To(os.Stderr)
+	conductIt := func(begin func(context.Context, *coordinator.Folder, *coordinator.Fleet) error) error {
+		logging.To(os.Stderr)
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
 		f, err := fleetOf(file)
 		if err != nil {
 			return err
 		}
-		place, err := conduct.Open(folder)
-		if errors.Is(err, conduct.ErrConducted) {
-			return cli.Failed(ExitFenced, err)
+		place, err := coordinator.Open(folder)
+		if errors.Is(err, coordinator.ErrConducted) {
+			return command.Failed(ExitFenced, err)
 		} else if err != nil {
-			return cli.Failed(cli.ExitFailed, err)
+			return command.Failed(command.ExitFailed, err)
 		}
 		defer place.Close()
-		fleet := conduct.NewFleet(f.Members, askTime, askTime)
+		fleet := coordinator.NewFleet(f.Members, askTime, askTime)
 		if begin != nil {
 			if err := begin(ctx, place, fleet); err != nil {
-				return cli.BadInput(err)
+				return command.BadInput(err)
 			}
 		}
-		c, err := conduct.Take(place, fleet)
+		c, err := coordinator.Take(place, fleet)
 		if err != nil {
-			return cli.Failed(cli.ExitFailed, err)
+			return command.Failed(command.ExitFailed, err)
 		}
-		if err := c.Run(ctx); errors.Is(err, conduct.ErrFenced) {
-			return cli.Failed(ExitFenced, err)
+		if err := c.Run(ctx); errors.Is(err, coordinator.ErrFenced) {
+			return command.Failed(ExitFenced, err)
 		} else if err != nil {
-			return cli.Failed(cli.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
+			return command.Failed(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
 		}
 		switch s := c.State(); s.Phase {
 		case rollout.Back:
-			return cli.Failed(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
+			return command.Failed(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
 		case rollout.Stopped:
-			return cli.Failed(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
+			return command.Failed(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
 		}
 		return nil
 	}
@@ -100,13 +100,13 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			c, err := change.Load(args[0])
 			if err != nil {
-				return cli.BadInput(err)
+				return command.BadInput(err)
 			}
 			if agreed {
 				return toOwner(file, "/v1/owner/change", c)
 			}
-			return conductIt(func(ctx context.Context, p *conduct.Folder, f *conduct.Fleet) error {
-				return conduct.Begin(ctx, p, c, f, take)
+			return conductIt(func(ctx context.Context, p *coordinator.Folder, f *coordinator.Fleet) error {
+				return coordinator.Begin(ctx, p, c, f, take)
 			})
 		}}
 	start.Flags().BoolVar(&take, "take", false, "whoever conducted a change of this number from another folder is gone for good")
@@ -128,16 +128,16 @@
 	root.AddCommand(&cobra.Command{Use: "check CHANGE", Short: "Check a change's file whole: every fault is named with its path", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			got, err := change.Load(args[0])
-			var faults *document.Faults
+			var faults *schema.Faults
 			if errors.As(err, &faults) {
 				for _, f := range faults.List {
 					fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", faults.File, f)
 				}
-				return cli.Said(cli.ExitBadInput, err)
+				return command.Said(command.ExitBadInput, err)
 			} else if err != nil {
-				return cli.BadInput(err)
+				return command.BadInput(err)
 			}
-			return cli.AsJSON(c.OutOrStdout(), got)
+			return command.AsJSON(c.OutOrStdout(), got)
 		}})
 	return root
 }
@@ -153,20 +153,20 @@
 		_, err = v.ask(name, path, body)
 	}
 	if err != nil {
-		return cli.Failed(cli.ExitFailed, err)
+		return command.Failed(command.ExitFailed, err)
 	}
 	return nil
 }
 
 func wish(agreed bool, file, folder string, a rollout.Ask) error {
 	if agreed {
-		return toOwner(file, "/v1/owner/wish", conduct.Wish{Ask: a})
+		return toOwner(file, "/v1/owner/wish", coordinator.Wish{Ask: a})
 	}
-	return conduct.Look(folder).Ask(a)
+	return coordinator.Look(folder).Ask(a)
 }
 
 // agreedRecord reads the change that the owner conducts.
-func agreedRecord(file string) (r conduct.Record, is bool, err error) {
+func agreedRecord(file string) (r coordinator.Record, is bool, err error) {
 	v, err := votersOf(file)
 	if err != nil {
 		return r, false, err
@@ -186,18 +186,18 @@
 	var forScripts bool
 	c := &cobra.Command{Use: "status", Short: "Where the change stands", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, is, err := conduct.Look(*folder).Record()
+			r, is, err := coordinator.Look(*folder).Record()
 			if *agreed {
 				r, is, err = agreedRecord(*file)
 			}
 			if err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			if !is {
-				return cli.BadInput(fmt.Errorf("%s: no change is recorded", *folder))
+				return command.BadInput(fmt.Errorf("%s: no change is recorded", *folder))
 			}
 			if forScripts {
-				return cli.AsJSON(c.OutOrStdout(), struct {
+				return command.AsJSON(c.OutOrStdout(), struct {
 					Number int64         `json:"number"`
 					Kind   change.Kind   `json:"kind"`
 					Title  string        `json:"title"`
@@ -228,12 +228,12 @@
 	var forScripts bool
 	c := &cobra.Command{Use: "history", Short: "The transitions of all changes recorded", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			list, err := conduct.Look(*folder).History()
+			list, err := coordinator.Look(*folder).History()
 			if err != nil {
-				return cli.Failed(cli.ExitFailed, err)
+				return command.Failed(command.ExitFailed, err)
 			}
 			if forScripts {
-				return cli.AsJSON(c.OutOrStdout(), list)
+				return command.AsJSON(c.OutOrStdout(), list)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, s := range list {
--- a/internal/fleetcli/store.go
+++ b/internal/command/fleet/store.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"swiftreel/internal/cli"
+	"swiftreel/internal/command"
 	"swiftreel/internal/recovery"
 	"swiftreel/internal/store"
 )
@@ -28,7 +28,7 @@
 					return b.Apply(r)
 				})
 				if err != nil {
-					return cli.BadInput(fmt.Errorf("%s: %w", args[0], err))
+					return command.BadInput(fmt.Errorf("%s: %w", args[0], err))
 				}
 				return tell(c, found, b, kinds)
 			}}
@@ -36,7 +36,7 @@
 	var forScripts bool
 	inspect := look("inspect", "The open jobs in it, and what is to become of each", func(c *cobra.Command, _ store.Found, b *recovery.Book, _ map[store.Kind]int) error {
 		if forScripts {
-			return cli.AsJSON(c.OutOrStdout(), b.Open(0))
+			return command.AsJSON(c.OutOrStdout(), b.Open(0))
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
--- a/internal/fleetcli/store_test.go
+++ b/internal/command/fleet/store_test.go
@@ -1,4 +1,4 @@
-package fleetcli
+package fleet
 
 import (
 	"bytes"
--- a/internal/cli/golden_test.go
+++ b/internal/command/golden_test.go
@@ -1,4 +1,4 @@
-package cli
+package command
 
 import (
 	"bytes"
--- a/internal/conduct/backoff.go
+++ b/internal/coordinator/backoff.go
@@ -1,4 +1,4 @@
-package conduct
+package coordinator
 
 import "math/rand/v2"
 
--- a/internal/conduct/conduct.go
+++ b/internal/coordinator/conduct.go
@@ -1,6 +1,6 @@
-// Package conduct carries a recorded change through a fleet: it asks keepers how things are, has the stage judged and the
+// Package coordinator carries a recorded change through a fleet: it asks keepers how things are, has the stage judged and the
 // machine stepped, records what has changed and only then sends orders. It decides nothing itself.
-package conduct
+package coordinator
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/fault"
-	"swiftreel/internal/judge"
+	"swiftreel/internal/failpoint"
 	"swiftreel/internal/rollout"
 )
 
@@ -26,9 +26,9 @@
 	record  Record
 	fleet   *Fleet
 	machine *rollout.Machine
-	base    *judge.Base
-	judge   *judge.Judge
-	better  judge.Recovery
+	base    *canary.Base
+	judge   *canary.Judge
+	better  canary.Recovery
 	seen    []known // by the member's place
 	began   time.Time
 	phase   rollout.Phase
@@ -67,13 +67,13 @@
 	if r.To, err = c.Leads(r.From); err != nil {
 		return err
 	}
-	if _, err := change.Layout(c.Stages, (&Conductor{fleet: fleet, base: judge.NewBase()}).places()); err != nil {
+	if _, err := change.Layout(c.Stages, (&Conductor{fleet: fleet, base: canary.NewBase()}).places()); err != nil {
 		return err
 	}
 	if f.agreed == nil {
 		os.Remove(f.file("looks.jsonl"))
 	}
-	f.note(Step{At: fault.Wall().UTC(), Number: c.Number, Phase: rollout.Preparing, Fence: r.State.Fence, Why: c.Title})
+	f.note(Step{At: failpoint.Wall().UTC(), Number: c.Number, Phase: rollout.Preparing, Fence: r.State.Fence, Why: c.Title})
 	return f.write("change.json", r)
 }
 
@@ -135,7 +135,7 @@
 		return ctx.Err()
 	}
 	in := rollout.Input{Now: c.now()}
-	var looks []judge.Seen
+	var looks []canary.Seen
 	for i, a := range answers {
 		if a.Err == nil && a.Status.Fence.Compare(c.machine.State.Fence) > 0 {
 			slog.Error("rollout_fenced", "number", c.record.Change.Number, "member", a.Status.Name, "taken", a.Status.Fence.String(), "by", a.Status.By,
@@ -174,13 +174,13 @@
 }
 
 // see turns a keeper's answer into what the machine and the judge are told.
-func (c *Conductor) see(i int, a Answer, now int64) (rollout.Member, judge.Seen) {
+func (c *Conductor) see(i int, a Answer, now int64) (rollout.Member, canary.Seen) {
 	k, s := &c.seen[i], a.Status
 	name := c.fleet.Members[i].Name
 	pace := c.record.Change.Pace
 	if a.Err != nil {
 		return rollout.Member{Name: name, Heard: k.heard != 0 && now-k.heard < pace.UnheardMS*1e6, Serves: k.status.Serves, Running: k.status.Running,
-			Fence: k.status.Fence, Failed: k.status.Failed}, judge.Seen{}
+			Fence: k.status.Fence, Failed: k.status.Failed}, canary.Seen{}
 	}
 	d := k.apart(s)
 	switch {
@@ -195,13 +195,13 @@
 }
 
 // weigh has what was seen taken in by whoever weighs it in this phase.
-func (c *Conductor) weigh(in *rollout.Input, looks []judge.Seen) {
+func (c *Conductor) weigh(in *rollout.Input, looks []canary.Seen) {
 	s := c.machine.State
 	if s.Phase != c.phase || s.Stage != c.stage {
 		if c.phase, c.stage = s.Phase, s.Stage; s.Phase == rollout.Applying || s.Phase == rollout.Baking && c.judge == nil {
-			c.judge = judge.NewJudge(c.record.Change.Limits, c.base, c.machine.New())
+			c.judge = canary.NewJudge(c.record.Change.Limits, c.base, c.machine.New())
 		}
-		c.better = judge.Recovery{}
+		c.better = canary.Recovery{}
 	}
 	switch s.Phase {
 	case rollout.Watching:
@@ -213,7 +213,7 @@
 		in.Better = c.better.Look(c.record.Change.Limits, c.base, looks)
 	}
 	if !s.Phase.Ends() {
-		c.folder.add("looks.jsonl", Point{fault.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.Odds, armOf(judge.Sum(looks, false)), armOf(judge.Sum(looks, true))})
+		c.folder.add("looks.jsonl", Point{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.Odds, armOf(canary.Sum(looks, false)), armOf(canary.Sum(looks, true))})
 	}
 }
 
@@ -247,7 +247,7 @@
 	c.unsaid = false
 	if s.Phase != was.Phase || s.Stage != was.Stage {
 		slog.Info("rollout_phase", "number", c.record.Change.Number, "phase", s.Phase, "stage", s.Stage+1, "fence", s.Fence.String(), "on", strings.Join(c.machine.New(), ","), "why", s.Why)
-		c.folder.note(Step{fault.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Why, s.Outcome})
+		c.folder.note(Step{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Why, s.Outcome})
 	}
 }
 
--- a/internal/conduct/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -1,4 +1,4 @@
-package conduct_test
+package coordinator_test
 
 import (
 	"bytes"
@@ -18,12 +18,12 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/supervisor"
 )
 
 // testdata/folders holds the coordinator's folder as the program before wrote it, in each phase of a change, and what the
@@ -49,17 +49,17 @@
 
 	mu     sync.Mutex
 	states map[string]*memberState
-	work   map[string]judge.Work
+	work   map[string]canary.Work
 	missed string // whose jobs miss their time: "new", "all" while any is on the new version, or none
 	stays  string // one that cannot go back once it is on the new version
 	orders []change.Order
 }
 
-var fakeGroup = judge.Group{Type: "lookup", Tenant: "acme"}
+var fakeGroup = canary.Group{Type: "lookup", Tenant: "acme"}
 
 func newFakeFleet(t *testing.T, to change.Digest, states map[string]*memberState) *fakeFleet {
 	t.Helper()
-	f := &fakeFleet{t: t, to: to, states: states, work: map[string]judge.Work{}}
+	f := &fakeFleet{t: t, to: to, states: states, work: map[string]canary.Work{}}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(f.status(name)) })
@@ -78,7 +78,7 @@
 	return f
 }
 
-func (f *fakeFleet) status(name string) keep.Status {
+func (f *fakeFleet) status(name string) supervisor.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, w := f.states[name], f.work[name]
@@ -93,8 +93,8 @@
 	w.Took = make([]uint64, 21)
 	w.Took[20] = w.Done
 	f.work[name] = w
-	return keep.Status{Format: change.Format, Name: name, Spec: s.Held.Want, Running: s.Running, Version: "dev", Settings: "s", Fence: s.Held.Fence, By: s.Held.By,
-		Serves: !s.Held.Drain, Drained: s.Held.Drain, Failed: s.Failed, MemoryMB: 20, Started: 1, Work: map[judge.Group]judge.Work{fakeGroup: w}, Life: "l", BootNS: 1}
+	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Want, Running: s.Running, Version: "dev", Settings: "s", Fence: s.Held.Fence, By: s.Held.By,
+		Serves: !s.Held.Drain, Drained: s.Held.Drain, Failed: s.Failed, MemoryMB: 20, Started: 1, Work: map[canary.Group]canary.Work{fakeGroup: w}, Life: "l", BootNS: 1}
 }
 
 func (f *fakeFleet) take(name string, r *http.Request) error {
@@ -177,7 +177,7 @@
 }
 
 // lookUntil has a coordinator look until its state is as asked; at most for a while, as a fault would have it look for ever.
-func lookUntil(t *testing.T, c *conduct.Conductor, is func(rollout.State) bool) {
+func lookUntil(t *testing.T, c *coordinator.Conductor, is func(rollout.State) bool) {
 	t.Helper()
 	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(stop) {
@@ -207,17 +207,17 @@
 			fakes := newFakeFleet(t, to.Digest(), states)
 			fakes.missed, fakes.stays = s.missed, s.stays
 			dir := t.TempDir()
-			folder, err := conduct.Open(dir)
+			folder, err := coordinator.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			fleet := conduct.NewFleet(fakes.members, askTime, askTime)
-			if err := conduct.Begin(context.Background(), folder, ch, fleet, false); err != nil {
+			fleet := coordinator.NewFleet(fakes.members, askTime, askTime)
+			if err := coordinator.Begin(context.Background(), folder, ch, fleet, false); err != nil {
 				t.Fatal(err)
 			}
 			if s.name != "preparing" {
-				c, err := conduct.Take(folder, fleet)
+				c, err := coordinator.Take(folder, fleet)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -251,14 +251,14 @@
 }
 
 // openFolder copies a fixture and gives a fleet that stands as it stood.
-func openFolder(t *testing.T, name string) (dir string, before conduct.Record, fakes *fakeFleet) {
+func openFolder(t *testing.T, name string) (dir string, before coordinator.Record, fakes *fakeFleet) {
 	t.Helper()
 	from := filepath.Join("testdata", "folders", name)
 	dir = filepath.Join(t.TempDir(), name)
 	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
 		t.Fatal(err)
 	}
-	before, is, err := conduct.Look(dir).Record()
+	before, is, err := coordinator.Look(dir).Record()
 	if err != nil || !is {
 		t.Fatal(is, err)
 	}
@@ -280,11 +280,11 @@
 			if !s.when(before.State) {
 				t.Errorf("recorded is %+v", before.State)
 			}
-			oldSteps, err := conduct.Look(dir).History()
+			oldSteps, err := coordinator.Look(dir).History()
 			if err != nil {
 				t.Fatal(err)
 			}
-			oldPoints, err := conduct.Look(dir).Points()
+			oldPoints, err := coordinator.Look(dir).Points()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -292,12 +292,12 @@
 			if err != nil && !errors.Is(err, fs.ErrNotExist) {
 				t.Fatal(err)
 			}
-			folder, err := conduct.Open(dir)
+			folder, err := coordinator.Open(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			c, err := conduct.Take(folder, conduct.NewFleet(fakes.members, askTime, askTime))
+			c, err := coordinator.Take(folder, coordinator.NewFleet(fakes.members, askTime, askTime))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -322,16 +322,16 @@
 				}
 			}
 			lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
-			after, _, err := conduct.Look(dir).Record()
+			after, _, err := coordinator.Look(dir).Record()
 			if err != nil || after.State.Phase != s.ends {
 				t.Fatalf("%+v %v", after.State, err)
 			}
 			unchanged(t, before, after)
-			steps, err := conduct.Look(dir).History()
+			steps, err := coordinator.Look(dir).History()
 			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
 				t.Errorf("of the history is left %v, was %v: %v", steps, oldSteps, err)
 			}
-			points, err := conduct.Look(dir).Points()
+			points, err := coordinator.Look(dir).Points()
 			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
 				t.Errorf("%d looks, were %d: %v", len(points), len(oldPoints), err)
 			}
@@ -354,7 +354,7 @@
 }
 
 // unchanged tells what of a record was lost.
-func unchanged(t *testing.T, before, after conduct.Record) {
+func unchanged(t *testing.T, before, after coordinator.Record) {
 	t.Helper()
 	was, is := before, after
 	if before.Stages == nil {
@@ -412,7 +412,7 @@
 		}
 		a.items[name] = text
 	}
-	c, err := conduct.Take(conduct.Agreed(a), conduct.NewFleet(fakes.members, askTime, askTime))
+	c, err := coordinator.Take(coordinator.Agreed(a), coordinator.NewFleet(fakes.members, askTime, askTime))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -420,7 +420,7 @@
 		t.Errorf("term %d", c.State().Fence.Term)
 	}
 	lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
-	after, is, err := conduct.Agreed(a).Record()
+	after, is, err := coordinator.Agreed(a).Record()
 	if err != nil || !is || after.State.Phase != rollout.Done {
 		t.Fatalf("%+v %v", after.State, err)
 	}
@@ -436,7 +436,7 @@
 			t.Errorf("ordered by %q", o.By)
 		}
 	}
-	if _, err := conduct.Take(conduct.Agreed(&agreedItems{items: a.items, term: a.term - 1}), conduct.NewFleet(fakes.members, askTime, askTime)); err == nil ||
+	if _, err := coordinator.Take(coordinator.Agreed(&agreedItems{items: a.items, term: a.term - 1}), coordinator.NewFleet(fakes.members, askTime, askTime)); err == nil ||
 		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
 		t.Errorf("an earlier one: %v", err)
 	}
--- a/internal/conduct/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -1,4 +1,4 @@
-package conduct
+package coordinator
 
 import (
 	"bytes"
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/keep"
 	"swiftreel/internal/operator"
+	"swiftreel/internal/supervisor"
 )
 
 // mostStatus bounds a status's text.
@@ -65,7 +65,7 @@
 
 // Answer is a keeper's status, or why there is none.
 type Answer struct {
-	Status keep.Status
+	Status supervisor.Status
 	Err    error
 }
 
@@ -114,7 +114,7 @@
 	if err == nil {
 		var text []byte
 		if text, err = f.do(q, http.StatusOK); err == nil {
-			a.Status, err = keep.ReadStatus(text)
+			a.Status, err = supervisor.ReadStatus(text)
 		}
 	}
 	if err == nil && a.Status.Name != m.Name {
@@ -131,7 +131,7 @@
 }
 
 // Hand sends words of the fleet's owner, as Order does.
-func (f *Fleet) Hand(ctx context.Context, words map[int]handout.Word) map[int]error {
+func (f *Fleet) Hand(ctx context.Context, words map[int]assignment.Word) map[int]error {
 	return post(ctx, f, "/v1/word", words)
 }
 
@@ -209,21 +209,21 @@
 
 // known is what is remembered of a controller from look to look.
 type known struct {
-	status keep.Status
+	status supervisor.Status
 	heard  int64 // conductor's time; 0: never
 	since  int64 // it runs the new version; 0: it does not
 }
 
 // apart takes the counts since the look before: a controller that has started anew has counted from nothing.
-func (k *known) apart(s keep.Status) (d judge.Seen) {
-	d = judge.Seen{Member: s.Name, MemoryMB: s.MemoryMB, Aside: s.Aside, Work: map[judge.Group]judge.Work{}}
+func (k *known) apart(s supervisor.Status) (d canary.Seen) {
+	d = canary.Seen{Member: s.Name, MemoryMB: s.MemoryMB, Aside: s.Aside, Work: map[canary.Group]canary.Work{}}
 	if k.heard == 0 {
 		return d
 	}
 	was := k.status
 	d.Crashes = s.Crashes - min(s.Crashes, was.Crashes)
 	if was.Started != s.Started {
-		was = keep.Status{}
+		was = supervisor.Status{}
 	}
 	d.Probes, d.CPU = s.Probes-min(s.Probes, was.Probes), max(0, s.CPU-was.CPU)
 	for g, w := range s.Work {
--- a/internal/conduct/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -1,4 +1,4 @@
-package conduct_test
+package coordinator_test
 
 import (
 	"context"
@@ -17,17 +17,17 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/boot"
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/fake"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/owner"
-	"swiftreel/internal/parts"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/quota"
 	"swiftreel/internal/rollout"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
 )
 
 // Real processes: controllers with keepers, conductors, and what goes wrong between them. Nothing is decided by how long
@@ -57,9 +57,9 @@
 	build(program, "swiftreel")
 	build(filepath.Join(dir, fleet), fleet)
 	build(other, "swiftreel", "-ldflags", set+"other")
-	build(dying, "swiftreel", "-tags", "fault", "-ldflags", set+"dying -X swiftreel/internal/fault.name=dies")
+	build(dying, "swiftreel", "-tags", "fault", "-ldflags", set+"dying -X swiftreel/internal/failpoint.name=dies")
 	for _, of := range []string{"swiftreel", fleet} {
-		build(filepath.Join(filepath.Dir(steered), of), of, "-tags", "fault", "-ldflags", "-X swiftreel/internal/fault.name=steered")
+		build(filepath.Join(filepath.Dir(steered), of), of, "-tags", "fault", "-ldflags", "-X swiftreel/internal/failpoint.name=steered")
 		build(filepath.Join(filepath.Dir(before), of), of, "-tags", "format1")
 	}
 	if wait.Wait(); failed.Load() {
@@ -73,9 +73,9 @@
 const pace = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":3000,"look_ms":30},
 "limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
 
-func town(t *testing.T, n int) (*rig.Town, *rig.Load) {
+func town(t *testing.T, n int) (*testcluster.Town, *testcluster.Load) {
 	t.Helper()
-	w, err := rig.NewTown(program, 1, n, 2, false)
+	w, err := testcluster.NewTown(program, 1, n, 2, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	return w, w.NewLoad(1, 1, 10*time.Millisecond, false)
 }
 
-func write(t *testing.T, w *rig.Town, name, text string) string {
+func write(t *testing.T, w *testcluster.Town, name, text string) string {
 	t.Helper()
 	path := filepath.Join(w.Dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -96,7 +96,7 @@
 	return fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`, number, number, pace)
 }
 
-func until(t *testing.T, w *rig.Town, what string, is func() bool) {
+func until(t *testing.T, w *testcluster.Town, what string, is func() bool) {
 	t.Helper()
 	if err := w.Await(40*time.Second, is); err != nil {
 		t.Fatalf("%s: %v", what, err)
@@ -104,18 +104,18 @@
 }
 
 func phase(folder string) rollout.State {
-	r, _, _ := conduct.Look(folder).Record()
+	r, _, _ := coordinator.Look(folder).Record()
 	return r.State
 }
 
 // finish holds all logs against the rules.
-func finish(t *testing.T, w *rig.Town, l *rig.Load) {
+func finish(t *testing.T, w *testcluster.Town, l *testcluster.Load) {
 	t.Helper()
 	l.Stop()
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(rig.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
 		t.Error(v)
 	}
 	if l.Done.Load() == 0 {
@@ -123,7 +123,7 @@
 	}
 }
 
-func all(t *testing.T, w *rig.Town, is func(keep.Status) bool) bool {
+func all(t *testing.T, w *testcluster.Town, is func(supervisor.Status) bool) bool {
 	t.Helper()
 	for _, m := range w.Members {
 		if s, err := w.Status(m); err != nil || !is(s) {
@@ -172,7 +172,7 @@
 	if code, _ = err.(*exec.ExitError); code == nil || code.ExitCode() != 6 || !strings.Contains(p.Log(), "rollout_fenced") {
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
-	if !all(t, w, func(s keep.Status) bool {
+	if !all(t, w, func(s supervisor.Status) bool {
 		return strings.Contains(string(s.Spec.Shape), `"budget_free":1`) && s.Running == s.Spec.Digest() && s.Crashes == 0
 	}) {
 		t.Error("not all run it")
@@ -198,7 +198,7 @@
 	if s := phase(folder); s.Phase != rollout.Back || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
-	if !all(t, w, func(s keep.Status) bool { return s.Version == "dev" && s.Serves }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serves }) {
 		t.Error("not all are back")
 	}
 	finish(t, w, l)
@@ -232,7 +232,7 @@
 		n, _ := a.Body.Read(b)
 		return a.StatusCode, string(b[:n])
 	}
-	r, _, _ := conduct.Look(folder).Record()
+	r, _, _ := coordinator.Look(folder).Record()
 	late := change.Order{Format: change.Format, Fence: before.Fence, By: r.By, Member: m.Name, Want: r.From}
 	late.Fence.Turn--
 	try := func() {
@@ -283,23 +283,23 @@
 		t.Fatal(err)
 	}
 	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := conduct.Look(folder).Record()
-	var far *rig.Member
+	r, _, _ := coordinator.Look(folder).Record()
+	var far *testcluster.Member
 	for _, m := range w.Members {
 		if !strings.Contains(fmt.Sprint(r.Stages[0]), m.Name) {
 			far = m
 		}
 	}
-	far.Link.Set(rig.OneWay, 0) // it is asked, and its answers are lost
+	far.Link.Set(testcluster.OneWay, 0) // it is asked, and its answers are lost
 	until(t, w, "all that can be reached have passed", func() bool { return phase(folder).Phase == rollout.Finishing || p.Over() })
 	if p.Over() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
-	far.Link.Set(rig.Passes, 0)
+	far.Link.Set(testcluster.Passes, 0)
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if !all(t, w, func(s keep.Status) bool { return s.Running == r.To.Digest() }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
@@ -318,8 +318,10 @@
 		t.Fatal(err)
 	}
 	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
-	r, _, _ := conduct.Look(folder + ".gone").Record()
-	if !all(t, w, func(s keep.Status) bool { return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0 }) {
+	r, _, _ := coordinator.Look(folder + ".gone").Record()
+	if !all(t, w, func(s supervisor.Status) bool {
+		return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+	}) {
 		t.Error("orders went out past the record")
 	}
 	if err := os.Rename(folder+".gone", folder); err != nil {
@@ -335,7 +337,7 @@
 // their time to start: the change waits for what is mended, and reaches all.
 func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: steered, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
+	w, err := testcluster.Plan{Program: steered, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,14 +355,14 @@
 		t.Fatal(err)
 	}
 	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Over() })
-	disk(rig.Conductors, "full")
+	disk(testcluster.Conductors, "full")
 	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
-	disk(rig.Conductors, "300ms")
+	disk(testcluster.Conductors, "300ms")
 	until(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() })
-	if at := phase(folder).Fence; !strings.Contains(p.Log(), "507") || !all(t, w, func(s keep.Status) bool { return s.Fence.Compare(at) < 0 }) {
+	if at := phase(folder).Fence; !strings.Contains(p.Log(), "507") || !all(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
 	}
 	for _, m := range w.Members {
@@ -369,8 +371,8 @@
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	r, _, _ := conduct.Look(folder).Record()
-	if !all(t, w, func(s keep.Status) bool { return s.Running == r.To.Digest() && s.Crashes == 0 }) {
+	r, _, _ := coordinator.Look(folder).Record()
+	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Crashes == 0 }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
@@ -379,7 +381,7 @@
 // A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the format before.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: program, Seed: 4, Controllers: 3, Engines: 2, Keepers: map[int]string{0: before}}.Town()
+	w, err := testcluster.Plan{Program: program, Seed: 4, Controllers: 3, Engines: 2, Keepers: map[int]string{0: before}}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -394,7 +396,9 @@
 		if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 			t.Fatalf("%v: %s", err, p.Log())
 		}
-		if !all(t, w, func(s keep.Status) bool { return s.Fence.Number == int64(i)+1 && (s.Format == 1) == (s.Name == "c1") }) {
+		if !all(t, w, func(s supervisor.Status) bool {
+			return s.Fence.Number == int64(i)+1 && (s.Format == 1) == (s.Name == "c1")
+		}) {
 			t.Error("not all took it")
 		}
 		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `why="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
@@ -433,7 +437,7 @@
 // A key whose job still runs under the older process of a controller goes on under the newer one only once that is over.
 func TestAKeyWaitsForTheOlderProcess(t *testing.T) {
 	t.Parallel()
-	w, err := rig.NewTown(program, 1, 1, 1, false)
+	w, err := testcluster.NewTown(program, 1, 1, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -448,9 +452,9 @@
 		}
 		return n
 	}
-	ready := func() (c *toy.Caller) {
+	ready := func() (c *fake.Caller) {
 		until(t, w, "a process that is ready", func() bool {
-			c, err = toy.Dial(m.Clients)
+			c, err = fake.Dial(m.Clients)
 			if err != nil {
 				return false
 			}
@@ -459,13 +463,13 @@
 		})
 		return c
 	}
-	ask := func(c *toy.Caller, job string) {
+	ask := func(c *fake.Caller, job string) {
 		w.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: "import", Key: "k", Front: m.Name, Until: time.Now().Add(8 * time.Second).UnixNano()})
 		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	answer := func(c *toy.Caller, job string) {
+	answer := func(c *fake.Caller, job string) {
 		t.Helper()
 		a, err := c.Read(20 * time.Second)
 		if err != nil || a.Error != "" {
@@ -503,7 +507,7 @@
 	if began(second) != 1 {
 		t.Errorf("the second began %d times", began(second))
 	}
-	for _, v := range rulecheck.Check(rig.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
 		t.Error(v)
 	}
 }
@@ -519,8 +523,8 @@
 		t.Fatal(err)
 	}
 	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := conduct.Look(folder).Record()
-	var far *rig.Member
+	r, _, _ := coordinator.Look(folder).Record()
+	var far *testcluster.Member
 	for _, m := range w.Members {
 		if m.Name == r.Stages[0][0] {
 			far = m
@@ -528,32 +532,32 @@
 			syscall.Kill(s.PID, syscall.SIGHUP) // as by hand: the same file is read once more
 		}
 	}
-	far.Link.Set(rig.Silent, 0)
-	if err := conduct.Look(folder).Ask(rollout.AskBack); err != nil {
+	far.Link.Set(testcluster.Silent, 0)
+	if err := coordinator.Look(folder).Ask(rollout.AskBack); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is stuck, and names the one", func() bool {
 		s := phase(folder)
 		return s.Phase == rollout.Stuck && strings.Contains(s.Why, far.Name) || p.Over()
 	})
-	far.Link.Set(rig.Passes, 0)
+	far.Link.Set(testcluster.Passes, 0)
 	err = p.Await()
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || phase(folder).Phase != rollout.Back {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
-	if !all(t, w, func(s keep.Status) bool { return s.Running == r.From.Digest() && s.Crashes == 0 }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.From.Digest() && s.Crashes == 0 }) {
 		t.Error("not all are back")
 	}
 	finish(t, w, l)
 }
 
-func get(t *testing.T, w *rig.Town, m *rig.Member) (v owner.View) {
+func get(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.View) {
 	w.Get(m, "/v1/owner", &v) // none: it does not act
 	return v
 }
 
 // cli runs a command as an operator does.
-func cli(t *testing.T, w *rig.Town, args ...string) string {
+func cli(t *testing.T, w *testcluster.Town, args ...string) string {
 	t.Helper()
 	c := exec.Command(program, args...)
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
@@ -568,14 +572,14 @@
 // owns no more, and nothing that it does then is taken.
 func TestAnOwnerThatWakesUpLateDoesNoHarm(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: program, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	w, err := testcluster.Plan{Program: program, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
 	cli(t, w, "fleet", "found")
-	acts := func(but *rig.Member) (m *rig.Member) {
+	acts := func(but *testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
 		until(t, w, "somebody owns", func() bool {
 			for _, x := range w.Members {
@@ -591,7 +595,7 @@
 	first := acts(nil)
 	reign := get(t, w, first).Reign
 	cli(t, w, "rollout", "start", "--agreed", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":2000`, 1)))
-	state := func(m *rig.Member) (r conduct.Record) {
+	state := func(m *testcluster.Member) (r coordinator.Record) {
 		w.Get(m, "/v1/owner/item?name=change.json", &r)
 		return r
 	}
@@ -621,7 +625,7 @@
 	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
 	to := state(acts(nil)).To.Digest()
 	until(t, w, "all run it", func() bool {
-		return all(t, w, func(s keep.Status) bool { return s.Running == to && s.Fence.Term > int64(reign) })
+		return all(t, w, func(s supervisor.Status) bool { return s.Running == to && s.Fence.Term > int64(reign) })
 	})
 	if text := cli(t, w, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
 		t.Error(text)
@@ -676,7 +680,7 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(rig.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
 		t.Error(v)
 	}
 }
@@ -705,7 +709,7 @@
 	if text, err := conducted("next.json", settings(3)); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	if !all(t, w, func(s keep.Status) bool {
+	if !all(t, w, func(s supervisor.Status) bool {
 		return len(s.Spec.Plan) > 0 && len(s.Spec.Shape) > 0 && s.Running == s.Spec.Digest() && s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
@@ -725,7 +729,7 @@
 // than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
 func TestPartsAndPlansOutliveTheirOwnerToTheirEnds(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: program, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, Keepers: map[int]string{3: before}, Files: map[string]string{"problem.json": problem},
+	w, err := testcluster.Plan{Program: program, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, Keepers: map[int]string{3: before}, Files: map[string]string{"problem.json": problem},
 		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Town()
 	if err != nil {
 		t.Fatal(err)
@@ -735,7 +739,7 @@
 	cli(t, w, "fleet", "found")
 	told := w.Members[:3] // the fourth one's keeper is of the format before: it takes no words
 	watch := w.WatchParts(50 * time.Millisecond)
-	statuses := func(of []*rig.Member) (list []keep.Status) {
+	statuses := func(of []*testcluster.Member) (list []supervisor.Status) {
 		for _, m := range of {
 			if s, err := w.Status(m); err == nil {
 				list = append(list, s)
@@ -743,10 +747,10 @@
 		}
 		return list
 	}
-	settled := func(of []*rig.Member, reign int64) bool {
+	settled := func(of []*testcluster.Member, reign int64) bool {
 		list := statuses(of)
 		for _, s := range list {
-			if near := s.Carries - s.Word.Part[parts.Fleet]; s.Word.Reign <= reign || s.Word.Plan == "" || s.Word.Part[parts.Fleet] == 0 || near < -1 || near > 1 {
+			if near := s.Carries - s.Word.Part[quota.Fleet]; s.Word.Reign <= reign || s.Word.Plan == "" || s.Word.Part[quota.Fleet] == 0 || near < -1 || near > 1 {
 				return false
 			}
 		}
@@ -759,7 +763,7 @@
 	for _, m := range told {
 		until(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
 	}
-	var first *rig.Member
+	var first *testcluster.Member
 	for _, m := range told {
 		if get(t, w, m).May {
 			first = m
@@ -770,7 +774,7 @@
 	}
 	reign := int64(get(t, w, first).Reign)
 	first.Keeper.Signal(syscall.SIGSTOP)
-	others := slices.DeleteFunc(slices.Clone(told), func(m *rig.Member) bool { return m == first })
+	others := slices.DeleteFunc(slices.Clone(told), func(m *testcluster.Member) bool { return m == first })
 	until(t, w, "the next owner goes on", func() bool { return settled(others, reign) })
 	first.Keeper.Signal(syscall.SIGCONT)
 	until(t, w, "all go by it", func() bool { return settled(told, reign) })
@@ -790,7 +794,7 @@
 		s, err := w.Status(told[0])
 		return err == nil && s.Word.Plan == "" && len(s.Word.Part) == 0
 	})
-	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= parts.Whole/4 })
+	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= quota.Whole/4 })
 	done := l.Done.Load()
 	until(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
@@ -806,13 +810,13 @@
 // at once. A voter that is gone for good is forgotten.
 func TestAnOwnerThatIsUnfitHandsOver(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: steered, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockMS: map[int]int{0: -420_000, 1: 420_000}}.Town()
+	w, err := testcluster.Plan{Program: steered, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockMS: map[int]int{0: -420_000, 1: 420_000}}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	cli(t, w, "fleet", "found")
-	acts := func(but ...*rig.Member) (m *rig.Member) {
+	acts := func(but ...*testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
 		until(t, w, "somebody owns", func() bool {
 			for _, x := range w.Members {
@@ -881,7 +885,7 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(rig.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
 		t.Error(v)
 	}
 }
@@ -897,8 +901,8 @@
 	if text, err := exec.Command(program, "solve", file, "--out", filepath.Join(dir, "plan.json"), "--time", "20s").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	ends := boot.Now() + int64(6*time.Second)
-	w, err := rig.Plan{Program: program, Seed: 9, Controllers: 2, Engines: 2, Operator: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Town()
+	ends := monotonic.Now() + int64(6*time.Second)
+	w, err := testcluster.Plan{Program: program, Seed: 9, Controllers: 2, Engines: 2, Operator: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -910,7 +914,7 @@
 		t.Fatal(err)
 	}
 	until(t, w, "the first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	if boot.Now() > ends {
+	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
@@ -926,7 +930,7 @@
 }
 
 // order has a keeper run another program, past any conductor.
-func order(t *testing.T, m *rig.Member, was keep.Status, path string) {
+func order(t *testing.T, m *testcluster.Member, was supervisor.Status, path string) {
 	t.Helper()
 	want := was.Spec
 	want.Program.Path = path
@@ -934,7 +938,7 @@
 	if want.Program.Digest, err = change.OfFile(path); err != nil {
 		t.Fatal(err)
 	}
-	fleet := conduct.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
 	if errs := fleet.Order(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -943,7 +947,7 @@
 // An engine just started while an older and a newer process of one controller live: together they keep rule 4.
 func TestAColdEngineIsSparedByBothProcesses(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: program, Seed: 10, Controllers: 1, Engines: 2, Cold: true}.Town()
+	w, err := testcluster.Plan{Program: program, Seed: 10, Controllers: 1, Engines: 2, Cold: true}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -967,7 +971,7 @@
 			if e.What == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+rig.ColdRules().Warm {
+			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+testcluster.ColdRules().Warm {
 				n++
 			}
 		}
@@ -979,10 +983,10 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(rig.ColdRules(), w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.ColdRules(), w.Book.Log()) {
 		t.Error(v)
 	}
-	tight := rig.ColdRules()
+	tight := testcluster.ColdRules()
 	tight.FallPerCore /= 100
 	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
 		t.Error("so little was sent to it that nothing is shown")
@@ -992,7 +996,7 @@
 // What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its start.
 func TestAnEngineSetAsideIsAsideForTheNewerProcess(t *testing.T) {
 	t.Parallel()
-	w, err := rig.NewTown(program, 11, 1, 3, false)
+	w, err := testcluster.NewTown(program, 11, 1, 3, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -1000,7 +1004,7 @@
 	l := w.NewLoad(11, 10, 10*time.Millisecond, false)
 	m := w.Members[0]
 	w.Fates.Break("e2", true)
-	var was keep.Status
+	var was supervisor.Status
 	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.Aside == 1 })
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
@@ -1028,7 +1032,7 @@
 // A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
 func TestAMemberThatDiesWithItsOrder(t *testing.T) {
 	t.Parallel()
-	w, err := rig.Plan{Program: steered, Seed: 13, Controllers: 3, Engines: 2}.Town()
+	w, err := testcluster.Plan{Program: steered, Seed: 13, Controllers: 3, Engines: 2}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -1040,8 +1044,8 @@
 		t.Fatal(err)
 	}
 	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := conduct.Look(folder).Record()
-	var next, old *rig.Member
+	r, _, _ := coordinator.Look(folder).Record()
+	var next, old *testcluster.Member
 	for _, m := range w.Members {
 		if !slices.Contains(r.Stages[0], m.Name) {
 			next, old = m, next
@@ -1072,7 +1076,7 @@
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
-	if !all(t, w, func(s keep.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
--- a/internal/conduct/record.go
+++ b/internal/coordinator/record.go
@@ -1,4 +1,4 @@
-package conduct
+package coordinator
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 
 	"github.com/google/renameio/v2"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/fault"
-	"swiftreel/internal/judge"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/jobstats"
 	"swiftreel/internal/rollout"
-	"swiftreel/internal/tally"
 )
 
 // Record is all of a change that outlives its conductor.
@@ -65,8 +65,8 @@
 	P99NS     int64  `json:"p99_ns"`
 }
 
-func armOf(w judge.Work) Arm {
-	return Arm{w.Jobs, w.Jobs - w.Within, w.Throttled, w.Cancelled, int64(tally.Quantile(w.Took, 50)), int64(tally.Quantile(w.Took, 99))}
+func armOf(w canary.Work) Arm {
+	return Arm{w.Jobs, w.Jobs - w.Within, w.Throttled, w.Cancelled, int64(jobstats.Quantile(w.Took, 50)), int64(jobstats.Quantile(w.Took, 99))}
 }
 
 // Wish is what an operator asks of whoever conducts.
@@ -153,7 +153,7 @@
 	if f.agreed != nil {
 		return f.agreed.Write(name, text)
 	}
-	if err := fault.Write(); err != nil {
+	if err := failpoint.Write(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(f.file(name), text, 0o600)
@@ -185,8 +185,8 @@
 }
 
 // Base reads what was seen before the first stage; nothing where it was not reached.
-func (f *Folder) Base() (*judge.Base, error) {
-	b := judge.NewBase()
+func (f *Folder) Base() (*canary.Base, error) {
+	b := canary.NewBase()
 	_, err := f.read("base.json", b)
 	return b, err
 }
--- a/internal/conduct/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -1,4 +1,4 @@
-package conduct
+package coordinator
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 )
 
 // Files as the program before wrote them, see fixtures_test.go: what is read of them and written again is the same to the byte.
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			sameFile(t, from.file("change.json"), to.file("change.json"))
-			if strictly(t, from.file("base.json"), judge.NewBase()) {
+			if strictly(t, from.file("base.json"), canary.NewBase()) {
 				base, err := from.Base()
 				if err != nil {
 					t.Fatal(err)
--- a/internal/conduct/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -1,4 +1,4 @@
-package conduct_test
+package coordinator_test
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/assignment"
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/handout"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 // What goes to supervisors, to the byte: testdata/wire/requests.txt is what the program before sent.
@@ -40,7 +40,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer s.Close()
-	f := conduct.NewFleet([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
+	f := coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
 	ctx := context.Background()
 	ask := func(engines bool) {
 		f.Engines = engines
@@ -59,10 +59,10 @@
 			t.Error(errs)
 		}
 	}
-	word := handout.Word{Format: 2, Reign: 4, Count: 5, Owner: "c2", Member: "c1", Life: "l", Part: parts.Share{parts.Fleet: 333_333, "acme": 500_000}, PartUntil: 6, Plan: "0123", PlanUntil: 7,
+	word := assignment.Word{Format: 2, Reign: 4, Count: 5, Owner: "c2", Member: "c1", Life: "l", Part: quota.Share{quota.Fleet: 333_333, "acme": 500_000}, PartUntil: 6, Plan: "0123", PlanUntil: 7,
 		Text: json.RawMessage(`{"steps":[]}`)}
-	for _, w := range []handout.Word{word, {Format: 2, Reign: 4, Count: 6, Owner: "c2", Member: "c1", Life: "l"}} {
-		if errs := f.Hand(ctx, map[int]handout.Word{0: w}); len(errs) > 0 {
+	for _, w := range []assignment.Word{word, {Format: 2, Reign: 4, Count: 6, Owner: "c2", Member: "c1", Life: "l"}} {
+		if errs := f.Hand(ctx, map[int]assignment.Word{0: w}); len(errs) > 0 {
 			t.Error(errs)
 		}
 	}
@@ -91,11 +91,11 @@
 	}))
 	defer s.Close()
 	at := strings.TrimPrefix(s.URL, "http://")
-	f := conduct.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	f := coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
 	if a := f.Ask(context.Background()); a[0].Err == nil || a[0].Err.Error() != at+` answers as "c9"` {
 		t.Errorf("%v", a[0].Err)
 	}
-	f = conduct.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	f = coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
 	errs := f.Order(context.Background(), map[int]change.Order{0: {}})
 	if errs[0] == nil || errs[0].Error() != "409 Conflict: order 1.1.1 comes after 2.1.1 was taken" {
 		t.Errorf("%v", errs)
--- a/internal/feed/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 )
 
 // place is a control feed that a test plays by hand.
@@ -131,10 +131,10 @@
 	if late := time.Since(silent); last != 2 || again != 2 || late > 7*time.Second {
 		t.Errorf("called from %d and %d, the third time after %v", last, again, late)
 	}
-	before := check.Of("feed_events_again")
+	before := counters.Value("feed_events_again")
 	third.Write([]byte(change(2) + change(3)))
 	e.next(3)
-	if check.Of("feed_events_again") == before {
+	if counters.Value("feed_events_again") == before {
 		t.Error("what was told before is told anew")
 	}
 	first.Write([]byte(change(3)))
--- a/internal/feed/feed.go
+++ b/internal/discovery/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows the list of engines: what the configuration knew of it, and the control feed since.
-package feed
+// Package discovery follows the list of engines: what the configuration knew of it, and the control feed since.
+package discovery
 
 import (
 	"encoding/json"
--- a/internal/feed/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"fmt"
@@ -8,24 +8,24 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/feed"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/discovery"
+	"swiftreel/internal/fake"
 )
 
 const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,"born_ms":5}]`
 
 func TestEveryEventIsToldOnceAndInOrder(t *testing.T) {
 	log.SetOutput(io.Discard)
-	source, err := toy.StartFeed("127.0.0.1:0", 1)
+	source, err := fake.StartFeed("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer source.Close()
-	told := make(chan feed.Event, 100)
+	told := make(chan discovery.Event, 100)
 	for range 4 {
 		source.Add(false, hosts)
 	}
-	f := feed.Follow(source.Address(), 2, func(ev feed.Event) { told <- ev })
+	f := discovery.Follow(source.Address(), 2, func(ev discovery.Event) { told <- ev })
 	next := func(n uint64) {
 		t.Helper()
 		select {
@@ -49,7 +49,7 @@
 	source.Cut()
 	source.Add(false, hosts)
 	next(9)
-	moved, err := toy.StartFeed("127.0.0.1:0", 1)
+	moved, err := fake.StartFeed("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	for range 10 {
 		moved.Add(false, hosts)
 	}
-	if again, err := feed.Parse([]byte(event(9))); err != nil || !f.Move(moved.Address(), []feed.Event{again}) {
+	if again, err := discovery.Parse([]byte(event(9))); err != nil || !f.Move(moved.Address(), []discovery.Event{again}) {
 		t.Fatal("not moved", err)
 	}
 	next(10)
@@ -92,7 +92,7 @@
 		f.Add([]byte(good))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ev, err := feed.Parse(text)
+		ev, err := discovery.Parse(text)
 		if err != nil || ev.Members == nil {
 			return
 		}
@@ -106,7 +106,7 @@
 
 // An entry that could not be used had the feed called anew for ever, from the event before it.
 func TestAnEntryThatCannotBeUsedCostsNoOther(t *testing.T) {
-	ev, err := feed.Parse([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
+	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
 	if err != nil || ev.Bad != 3 || len(ev.Members.Hosts) != 1 || ev.Members.Hosts[0].Host != "e1" {
 		t.Errorf("%+v, %v", ev, err)
 	}
--- a/internal/feed/follow.go
+++ b/internal/discovery/follow.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"errors"
@@ -7,7 +7,8 @@
 	"strconv"
 	"sync"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/ratelog"
 )
 
 var errLeft = errors.New("the feed speaks elsewhere by now")
@@ -16,7 +17,7 @@
 type Follower struct {
 	tell func(Event)
 	done chan struct{}
-	bad  check.Grumble
+	bad  ratelog.Logger
 
 	mu      sync.Mutex // held over tell as well: two connections tell in one order
 	last    uint64     // the last event told
@@ -90,7 +91,7 @@
 		}
 	}
 	if ev.Bad > 0 {
-		f.bad.Note("feed_entries_bad", "feed_entries_bad", "address", s.address, "event", ev.N, "entries", ev.Bad)
+		f.bad.CountAndWarn("feed_entries_bad", "feed_entries_bad", "address", s.address, "event", ev.N, "entries", ev.Bad)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +106,7 @@
 		return fmt.Errorf("at event %d where %d is told", f.last, ev.N)
 	case ev.Bare:
 	case ev.N <= f.last: // told before
-		check.Count("feed_events_again")
+		counters.Increment("feed_events_again")
 	case ev.N != f.last+1:
 		return fmt.Errorf("event %d comes after %d", ev.N, f.last)
 	default:
@@ -117,7 +118,7 @@
 
 // lost notes the end of a connection.
 func (f *Follower) lost(s *source, say bool, why error) {
-	check.Count("feed_lost")
+	counters.Increment("feed_lost")
 	if last, _ := f.Last(); say {
 		slog.Warn("feed_lost", "address", s.address, "last", last, "reason", why)
 	}
--- a/internal/feed/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package discovery_test
 
 import (
 	"io"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/feed"
+	"swiftreel/internal/discovery"
 )
 
 func TestTheSubscriptionHasItsBytes(t *testing.T) {
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	f := feed.Follow(listener.Addr().String(), 41, func(feed.Event) {})
+	f := discovery.Follow(listener.Addr().String(), 41, func(discovery.Event) {})
 	defer f.Close()
 	nc, err := listener.Accept()
 	if err != nil {
--- a/internal/feed/source.go
+++ b/internal/discovery/source.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/check"
-	"swiftreel/internal/sock"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/socketstate"
 )
 
 const (
@@ -168,7 +168,7 @@
 		delete(c.aborts, id)
 	} else if done != nil {
 		if p.doubt(c.host, since); c.lane == MayRepeat || len(c.open) == 0 {
-			check.Count("engine_conns_silent")
+			counters.Increment("engine_conns_silent")
 			c.cut = true
 			p.shut(c) // its reader settles the rest
 		} else {
@@ -194,7 +194,7 @@
 		d.close(Moot)
 		p.mu.Unlock()
 		c.writing.Unlock()
-		check.Count("sends_too_late")
+		counters.Increment("sends_too_late")
 		d.finish(Reply{End: Moot})
 		return
 	}
@@ -231,13 +231,13 @@
 	d.moved++
 	next := p.assign(Host{Name: c.host, Address: c.address}, d)
 	p.mu.Unlock()
-	check.Count("sends_moved")
+	counters.Increment("sends_moved")
 	d.proceed(next)
 }
 
 func peerClosed(nc net.Conn) bool {
 	c, is := nc.(syscall.Conn)
-	return is && sock.PeerClosed(c)
+	return is && socketstate.PeerClosed(c)
 }
 
 // write sends bytes whole, or the connection is of no more use.
@@ -275,7 +275,7 @@
 		many := c.strays > straysMost
 		c.cut = c.cut || many
 		p.mu.Unlock()
-		check.Count("answers_late")
+		counters.Increment("answers_late")
 		return !many
 	}
 	if c.strays = 0; d.state == sending { // the answer overtook its writer
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/limits"
 )
 
@@ -142,7 +142,7 @@
 	return w
 }
 
-func (w *world) start(id string, until time.Time) back.Dispatch {
+func (w *world) start(id string, until time.Time) backend.Dispatch {
 	return w.pool.Start(Host{Name: "e1", Address: w.peer.Addr().String()}, Request{ID: []byte(id), Type: []byte("import"),
 		Statement: []byte("x"), WaitMS: 1000, Priority: 1, Lane: MayNot, Ordered: time.Now(), Until: until},
 		func(r Reply) { w.replies <- r })
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 )
 
 // Notes of a dispatch come so often at most, but for some at once.
@@ -52,7 +52,7 @@
 	case sending:
 		d.conn.send(d)
 	case over:
-		check.Count("engine_conns_full")
+		counters.Increment("engine_conns_full")
 		d.finish(Reply{End: Full}) // it never ran, and the engine refused nothing
 	}
 }
@@ -138,7 +138,7 @@
 	case !a.numberOrNone("toil") || !a.numberOrNone("room"):
 		d.spoilt("toil_or_room")
 	case d.pages != nil && len(d.pages) == int(sheets) && bytes.Equal(d.pages[0], a.body):
-		check.Count("answers_again")
+		counters.Increment("answers_again")
 	case d.pages != nil:
 		d.spoilt("data_twice")
 	default:
@@ -159,7 +159,7 @@
 	case d.pages[int(n)] == nil:
 		d.page(int(n), a.body)
 	case bytes.Equal(d.pages[int(n)], a.body):
-		check.Count("answers_again")
+		counters.Increment("answers_again")
 	default:
 		d.spoilt("page_twice")
 	}
@@ -181,7 +181,7 @@
 	if large {
 		d.spoilt("result_over_its_size")
 	} else if !fits && !over && d.GiveUp(func() {}) { // no fault of the engine's
-		check.Count("results_without_memory")
+		counters.Increment("results_without_memory")
 		d.finish(Reply{End: Failed})
 	}
 	if !fits {
@@ -219,7 +219,7 @@
 	}
 	p.mu.Unlock()
 	if was != over {
-		p.bad.Note("answers_bad", "answer_bad", "engine", d.conn.host, "reason", what)
+		p.bad.CountAndWarn("answers_bad", "answer_bad", "engine", d.conn.host, "reason", what)
 		d.finish(Reply{End: Failed})
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -9,8 +9,9 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/ratelog"
 )
 
 // half is how long an answer that has begun may take to be whole.
@@ -23,7 +24,7 @@
 type Pool struct {
 	bounds Bounds
 	done   chan struct{}
-	bad    check.Grumble
+	bad    ratelog.Logger
 	dialer func(network, address string, limit time.Duration) (net.Conn, error)
 
 	mu    sync.Mutex
@@ -43,7 +44,7 @@
 }
 
 // Start sends a dispatch to an engine. All that becomes of it is told to reply, in order, the end once and last.
-func (p *Pool) Start(to Host, r Request, reply func(Reply)) back.Dispatch {
+func (p *Pool) Start(to Host, r Request, reply func(Reply)) backend.Dispatch {
 	d := &Dispatch{pool: p, id: string(r.ID), reply: reply, started: r.Ordered, until: r.Until, lane: r.Lane}
 	d.text = appendFetch(make([]byte, 0, len(r.Statement)+128), r)
 	p.place(to, d)
@@ -63,7 +64,7 @@
 	text := appendCommand(nil, word, []byte(id), -1)
 	p.probe(to, id, text, limit, func(r Reply) {
 		if r.End == Reset { // it has no effect: the connection may have been to blame
-			check.Count("probes_again")
+			counters.Increment("probes_again")
 			p.probe(to, id, text, limit, reply)
 		} else {
 			reply(r)
@@ -291,13 +292,13 @@
 			return nc, nil
 		}
 		if try == dialTries || !errors.Is(err, syscall.ECONNRESET) {
-			check.Count("dials_failed")
+			counters.Increment("dials_failed")
 			return nil, err
 		}
-		check.Count("dials_reset")
+		counters.Increment("dials_reset")
 	}
 }
 
 func broken(c *conn, why error) {
-	c.pool.bad.Note("engine_lines_bad", "engine_bad", "engine", c.host, "reason", why)
+	c.pool.bad.CountAndWarn("engine_lines_bad", "engine_bad", "engine", c.host, "reason", why)
 }
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -6,17 +6,17 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/engine"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/limits"
-	"swiftreel/internal/toy"
 )
 
 // bench is a pool and one stand-in, whose commands come through a channel.
 type bench struct {
 	t        *testing.T
 	pool     *engine.Pool
-	peer     *toy.Engine
+	peer     *fake.Engine
 	host     engine.Host
 	bytes    *limits.Bytes
 	commands chan command
@@ -25,7 +25,7 @@
 
 type command struct {
 	engine.Command
-	from *toy.Session
+	from *fake.Session
 }
 
 const memory = 100_000
@@ -34,7 +34,7 @@
 	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan engine.Reply, 1000)}
 	b.bytes.Allow(memory)
 	var err error
-	b.peer, err = toy.StartEngine("127.0.0.1:0", func(s *toy.Session, c engine.Command) { b.commands <- command{c, s} })
+	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	return b
 }
 
-func (b *bench) start(id string) back.Dispatch {
+func (b *bench) start(id string) backend.Dispatch {
 	return b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
 		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
 }
@@ -204,7 +204,7 @@
 }
 
 // fetched waits for a dispatch, past pages asked for before.
-func (b *bench) fetched() *toy.Session {
+func (b *bench) fetched() *fake.Session {
 	c := <-b.commands
 	for c.Word != "fetch" {
 		c = <-b.commands
@@ -239,7 +239,7 @@
 // One spoilt line, reset or silence costs what is open on that connection, and nothing else.
 func TestEachDispatchHasItsOwnConnectionWhileThereAreSome(t *testing.T) {
 	b := newBench(t, nil) // of 10 connections, one is spared for engines that have none
-	from := map[*toy.Session]int{}
+	from := map[*fake.Session]int{}
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"}
 	var last command
 	for _, id := range ids {
@@ -266,7 +266,7 @@
 // Seen on sockets: a network that dropped what was idle for 90 ms cost one dispatch in twenty.
 func TestWhatIdleConnectionsLoseTeachesHowLongToTrustThem(t *testing.T) {
 	b := newBench(t, nil)
-	turn := func() *toy.Session {
+	turn := func() *fake.Session {
 		b.start("a")
 		from := b.fetched()
 		from.Answer("a", "full", "", "")
@@ -463,7 +463,7 @@
 // The engine vanished unnoticed: a run-once job that goes there over a connection that is up may have run for ever.
 func TestARunOnceJobDoesNotGoWhereAProbeWasLost(t *testing.T) {
 	b := newBench(t, nil)
-	importing := func(id string) *toy.Session {
+	importing := func(id string) *fake.Session {
 		b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("import"), Lane: engine.MayNot, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
 		c := b.got("fetch")
 		c.from.Answer(id, "full", "", "")
--- a/internal/engine/words.go
+++ b/internal/engine/words.go
@@ -1,19 +1,19 @@
 package engine
 
-import "swiftreel/internal/back"
+import "swiftreel/internal/backend"
 
 // The words that all protocols share.
 type (
-	Host    = back.Host
-	Bounds  = back.Bounds
-	Request = back.Request
-	Lane    = back.Lane
-	End     = back.End
-	Reply   = back.Reply
+	Host    = backend.Host
+	Bounds  = backend.Bounds
+	Request = backend.Request
+	Lane    = backend.Lane
+	End     = backend.End
+	Reply   = backend.Reply
 )
 
 // The lanes and ends.
 const (
-	MayRepeat, MayNot                                                 = back.MayRepeat, back.MayNot
-	Open, Done, Failed, Full, Moot, NotConnected, Reset, TimedOut End = back.Open, back.Done, back.Failed, back.Full, back.Moot, back.NotConnected, back.Reset, back.TimedOut
+	MayRepeat, MayNot                                                 = backend.MayRepeat, backend.MayNot
+	Open, Done, Failed, Full, Moot, NotConnected, Reset, TimedOut End = backend.Open, backend.Done, backend.Failed, backend.Full, backend.Moot, backend.NotConnected, backend.Reset, backend.TimedOut
 )
--- a/internal/fault/off.go
+++ b/internal/failpoint/off.go
@@ -1,8 +1,8 @@
 //go:build !fault
 
-// Package fault makes a bad build on purpose, for tests of rollouts: with the build tag fault and a name set by
-// -ldflags "-X swiftreel/internal/fault.name=...". Without the tag nothing of it is in the program.
-package fault
+// Package failpoint makes a bad build on purpose, for tests of rollouts: with the build tag fault and a name set by
+// -ldflags "-X swiftreel/internal/failpoint.name=...". Without the tag nothing of it is in the program.
+package failpoint
 
 import "time"
 
--- a/internal/toy/engine.go
+++ b/internal/fake/engine.go
@@ -1,6 +1,6 @@
-// Package toy has small stand-ins for what a controller speaks with: an engine, the control feed, a client. The
+// Package fake has small stand-ins for what a controller speaks with: an engine, the control feed, a client. The
 // example is built of them, and so are the tests that need a peer.
-package toy
+package fake
 
 import (
 	"bufio"
--- a/internal/toy/sparql.go
+++ b/internal/fake/sparql.go
@@ -1,4 +1,4 @@
-package toy
+package fake
 
 import (
 	"fmt"
--- a/internal/shaky/disk.go
+++ b/internal/faultdisk/disk.go
@@ -1,6 +1,6 @@
-// Package shaky is a disk for tests: what was not synced may be lost, torn or come out of order at a crash, calls fail, and a crash can
+// Package faultdisk is a disk for tests: what was not synced may be lost, torn or come out of order at a crash, calls fail, and a crash can
 // strike at any call.
-package shaky
+package faultdisk
 
 import (
 	"errors"
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 )
 
 // A call in the module's terms, and why one is unusable.
@@ -24,7 +24,7 @@
 		{"no group of tables", "the statement names no group of tables", Ask{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
 		{"no group where none matters", "", Ask{Type: []byte("mark"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
 		{"usable", "", Ask{Type: []byte("import"), Tenant: []byte("zeta"), Statement: []byte(text)}},
-		{"another protocol tells its group", "", Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: back.SPARQL}},
+		{"another protocol tells its group", "", Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: backend.SPARQL}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.ask.At = time.Now()
@@ -49,12 +49,12 @@
 	}
 	ev.Tables = 0
 	want := choice.Event{Kind: choice.Arrived, Type: 1, Tenant: 1, Key: keyOf([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
-		Repeat: true, Write: true, MemoryMB: 64, Needs: needs(back.Line)}
+		Repeat: true, Write: true, MemoryMB: 64, Needs: needs(backend.Line)}
 	if got, wanted := ev, want; got.Kind != wanted.Kind || got.Type != wanted.Type || got.Tenant != wanted.Tenant || got.Key != wanted.Key ||
 		got.Cost != wanted.Cost || !got.CostKnown || !got.Repeat || !got.Write || got.MemoryMB != wanted.MemoryMB || got.Needs != wanted.Needs {
 		t.Errorf("%+v, want %+v", got, wanted)
 	}
-	if ev, err = g.arrival(Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: back.SPARQL, At: time.Now()}); err != nil ||
+	if ev, err = g.arrival(Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: backend.SPARQL, At: time.Now()}); err != nil ||
 		ev.Tables != 5 || ev.Needs == want.Needs || ev.CostKnown || ev.Key != 0 {
 		t.Errorf("%+v %v", ev, err)
 	}
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/ratelog"
 )
 
 const (
@@ -18,7 +19,7 @@
 // belief holds what the module thinks of each engine against what is out on the sockets.
 type belief struct {
 	differs map[string]int // looks in a row, by engine; one that agrees leaves, as does one no longer seen
-	say     check.Grumble
+	say     ratelog.Logger
 	looks   int
 	told    string // of the counters
 }
@@ -43,7 +44,7 @@
 // counters logs them now and then, if any has changed.
 func (b *belief) counters(often bool) {
 	if b.looks++; b.looks%countersEvery == 0 || often && b.looks%(countersEvery/10) == 0 {
-		if now := check.Told(); fmt.Sprint(now) != b.told {
+		if now := counters.LogAttributes(); fmt.Sprint(now) != b.told {
 			b.told = fmt.Sprint(now)
 			slog.Info("counters", now...)
 		}
@@ -67,7 +68,7 @@
 		open, giving := g.pool.Out(names[i])
 		if s.Jobs != open+giving {
 			if b.differs[names[i]] = before[names[i]] + 1; b.differs[names[i]] >= differsMost {
-				b.say.Note("beliefs_differ", "belief", "engine", names[i], "module_jobs", s.Jobs, "open", open, "given_up", giving)
+				b.say.CountAndWarn("beliefs_differ", "belief", "engine", names[i], "module_jobs", s.Jobs, "open", open, "given_up", giving)
 			}
 		}
 		if g.trace && (s.Out != "gone" || s.Jobs > 0) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -11,28 +11,30 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
-	"swiftreel/internal/fault"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/invariant"
+	"swiftreel/internal/jobstats"
 	"swiftreel/internal/limits"
+	"swiftreel/internal/ratelog"
 	"swiftreel/internal/sparql/decide"
-	"swiftreel/internal/tally"
 )
 
 // Gateway stands between clients, engines and the module.
 type Gateway struct {
 	clock   clock
 	names   names
-	pool    back.Engines
+	pool    backend.Engines
 	rules   rules
 	parts   *limits.Parts
 	ready   atomic.Bool
 	trace   trace
 	running sync.WaitGroup // jobs' functions, and the watch over what is believed
 	done    chan struct{}
-	lines   check.Rate  // of the module's log
-	tally   *tally.Book // nil: nothing is counted
-	overdue check.Grumble
+	lines   ratelog.Limiter // of the module's log
+	tally   *jobstats.Book  // nil: nothing is counted
+	overdue ratelog.Logger
 
 	mu        sync.Mutex // around Decide and what follows; no I/O under it
 	module    choice.Controller
@@ -48,10 +50,10 @@
 }
 
 // New starts the module with the settings as they are, and what speaks with engines by protocol.
-func New(facts choice.Facts, seed uint64, parts *limits.Parts, traced bool, speak map[back.Protocol]back.Make) *Gateway {
+func New(facts choice.Facts, seed uint64, parts *limits.Parts, traced bool, speak map[backend.Protocol]backend.Make) *Gateway {
 	g := &Gateway{clock: newClock(), names: newNames(facts), rules: newRules(facts), parts: parts, roster: newRoster(),
 		jobs: map[choice.JobID]*job{}, calls: map[string]struct{}{}, done: make(chan struct{}), trace: trace(traced)}
-	g.pool = back.NewEach(speak, back.Bounds{Dial: g.rules.dial, Idle: g.rules.idle, Step: g.rules.step, Streams: g.rules.streams,
+	g.pool = backend.NewEach(speak, backend.Bounds{Dial: g.rules.dial, Idle: g.rules.idle, Step: g.rules.step, Streams: g.rules.streams,
 		Conns: &parts.EngineConns, Bytes: &parts.Bytes})
 	g.running.Go(func() { g.watch(g.done) })
 	g.tell(choice.Event{Kind: choice.Started, Seed: seed, Facts: facts})
@@ -59,7 +61,7 @@
 }
 
 // Count has jobs counted from now on. It comes before Start.
-func (g *Gateway) Count(b *tally.Book) { g.tally = b }
+func (g *Gateway) Count(b *jobstats.Book) { g.tally = b }
 
 // Ready tells whether the module has a list of engines and jobs are welcome.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
@@ -92,7 +94,7 @@
 		switch a.Kind {
 		case choice.Dispatch, choice.Throttle, choice.CancelForGood, choice.Retract, choice.Terms:
 			j := g.jobs[a.Job]
-			if check.That(j != nil, "action_for_no_job"); j != nil {
+			if invariant.Check(j != nil, "action_for_no_job"); j != nil {
 				j.in.put(message{order: a, at: now})
 			}
 		default:
@@ -111,7 +113,7 @@
 		case choice.Probe:
 			g.probe(a.Engine)
 		case choice.CloseIdle:
-			if host, is := g.host(a.Engine, back.Line); is {
+			if host, is := g.host(a.Engine, backend.Line); is {
 				g.pool.CloseIdle(host.Name)
 			}
 		case choice.Track: // the feed is always followed: nothing was missed
@@ -121,17 +123,17 @@
 		case choice.Log:
 			g.say(a.Text)
 		case choice.Fault:
-			check.Count("module_faults")
+			counters.Increment("module_faults")
 			slog.Error("module_fault", "text", a.Text)
 		case choice.Tell: // no channel between controllers is told of
-			check.Count("tells_dropped")
+			counters.Increment("tells_dropped")
 		}
 	}
 }
 
 // say logs the module's lines, some a second at most.
 func (g *Gateway) say(text string) {
-	if g.lines.Take(time.Now()) {
+	if g.lines.Allow(time.Now()) {
 		slog.Info("module", "text", text)
 	}
 }
@@ -146,33 +148,33 @@
 }
 
 // host is where an engine is reached by a protocol.
-func (g *Gateway) host(id choice.EngineID, by back.Protocol) (back.Host, bool) {
+func (g *Gateway) host(id choice.EngineID, by backend.Protocol) (backend.Host, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l := g.roster.byID[id]; l != nil {
 		return g.roster.reached(l, by), true
 	}
-	return back.Host{}, false
+	return backend.Host{}, false
 }
 
 func (g *Gateway) probe(id choice.EngineID) {
 	at := time.Now()
-	told := func(r back.Reply) {
+	told := func(r backend.Reply) {
 		g.tell(choice.Event{Kind: choice.Probed, Engine: id, Result: results[r.End], Latency: choice.Nanos(time.Since(at)),
 			Load: g.rules.load(r.Load)})
 	}
-	if host, is := g.host(id, back.Line); is {
+	if host, is := g.host(id, backend.Line); is {
 		if host.Address == "" { // it speaks nothing but SPARQL
-			host, _ = g.host(id, back.SPARQL)
+			host, _ = g.host(id, backend.SPARQL)
 		}
 		g.tally.Probe()
 		go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, told)
-		for range fault.Probes() {
+		for range failpoint.Probes() {
 			g.tally.Probe()
-			go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, func(back.Reply) {})
+			go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, func(backend.Reply) {})
 		}
 	} else {
-		told(back.Reply{End: back.NotConnected})
+		told(backend.Reply{End: backend.NotConnected})
 	}
 }
 
@@ -187,8 +189,8 @@
 	close(g.done)
 	g.pool.Close()
 	g.running.Wait()
-	check.That(len(g.jobs) == 0 && len(g.calls) == 0, "jobs_left")
-	check.That(g.parts.Reads.All() && g.parts.Bytes.All(), "bytes_left")
+	invariant.Check(len(g.jobs) == 0 && len(g.calls) == 0, "jobs_left")
+	invariant.Check(g.parts.Reads.All() && g.parts.Bytes.All(), "bytes_left")
 }
 
 // Restate tells the module its settings anew, between two decisions: jobs taken in and dispatches out stay. What
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 )
 
 // lineOf stands in for engines: it counts what is started there, and nothing of it ever ends by itself.
 type lineOf struct {
-	back.Engines
+	backend.Engines
 	started *atomic.Int64
 }
 
-func (l lineOf) Start(back.Host, back.Request, func(back.Reply)) back.Dispatch {
+func (l lineOf) Start(backend.Host, backend.Request, func(backend.Reply)) backend.Dispatch {
 	l.started.Add(1)
 	return forgotten{}
 }
@@ -44,7 +44,7 @@
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
 		"limits":  map[string]any{"cancel": true}}
 	var started atomic.Int64
-	g := New(facts, 1, parts(), false, map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return lineOf{started: &started} }})
+	g := New(facts, 1, parts(), false, map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return lineOf{started: &started} }})
 	defer g.Close()
 	gone := leaver{asker{make(chan string, 10), func(func()) {}}, new(atomic.Bool)}
 	here := leaver{asker{make(chan string, 10), func(func()) {}}, new(atomic.Bool)}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -5,12 +5,13 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
-	"swiftreel/internal/fault"
-	"swiftreel/internal/judge"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/canary"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/invariant"
+	"swiftreel/internal/jobstats"
 	"swiftreel/internal/statement"
-	"swiftreel/internal/tally"
 )
 
 // Ask is a job asked for, by whatever protocol. Its parts are its own.
@@ -22,8 +23,8 @@
 	Repeat                           bool          // a client's repeat
 	Work                             time.Duration // 0: no estimate
 	MemoryMB                         float64
-	Protocol                         back.Protocol // of the engines that can run it
-	Group                            uint32        // of tables; for the line protocol the statement tells it
+	Protocol                         backend.Protocol // of the engines that can run it
+	Group                            uint32           // of tables; for the line protocol the statement tells it
 	From                             Asker
 }
 
@@ -54,7 +55,7 @@
 	order choice.Action
 	at    time.Time // of the order
 	from  *sent
-	reply back.Reply
+	reply backend.Reply
 	given choice.Result // given up, as this, and the engine had time to read so
 	left  bool
 }
@@ -64,28 +65,28 @@
 	seq    choice.Seq
 	engine choice.EngineID
 	at     time.Time
-	link   back.Dispatch
+	link   backend.Dispatch
 }
 
 // Take takes a job: the module is told of it in the order of arrival, then its function is on its own.
 func (g *Gateway) Take(a Ask) {
 	ev, err := g.arrival(a)
 	if err != nil {
-		check.Count("calls_refused")
+		counters.Increment("calls_refused")
 		a.From.Failed(err.Error())
 		return
 	}
 	j := &job{Ask: a, in: newInbox()}
 	g.mu.Lock()
 	_, twice := g.calls[string(a.ID)]
-	if twice || fault.Refuses(string(a.Type)) || !g.place(a.Protocol) {
+	if twice || failpoint.Refuses(string(a.Type)) || !g.place(a.Protocol) {
 		g.mu.Unlock()
 		if twice { // engines tell dispatches apart by this id
-			check.Count("calls_twice")
+			counters.Increment("calls_twice")
 			a.From.Failed("a call with this id is open")
 		} else {
-			check.Count("turned_away")
-			g.count(&job{Ask: a}, tally.Throttled, 0, 0)
+			counters.Increment("turned_away")
+			g.count(&job{Ask: a}, jobstats.Throttled, 0, 0)
 			a.From.Throttled(0)
 		}
 		return
@@ -124,7 +125,7 @@
 		return choice.Event{}, fmt.Errorf("more memory than any engine has")
 	}
 	tables, found := a.Group, true
-	if a.Protocol == back.Line {
+	if a.Protocol == backend.Line {
 		tables, found = statement.Group(a.Statement)
 	}
 	if !found && g.rules.tables(t) {
@@ -160,14 +161,14 @@
 		})
 	}
 	// ended tells the module an outcome, and whether the job is over with it.
-	ended := func(s *sent, result choice.Result, r back.Reply) {
+	ended := func(s *sent, result choice.Result, r backend.Reply) {
 		now, limit = nil, lost
 		answered = answered || result == choice.Done
 		g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: result,
 			Latency: choice.Nanos(time.Since(s.at)), Final: answered, Bill: bill(r), Load: g.rules.load(r.Load)})
 	}
 	// answer writes the final answer. A slow client must not hold up the taking back of what is still out.
-	answer := func(how tally.How, write func()) {
+	answer := func(how jobstats.How, write func()) {
 		if answered {
 			return
 		}
@@ -184,7 +185,7 @@
 		if !answered {
 			answered = true
 			g.answered(j)
-			g.count(j, tally.Left, count, 0)
+			g.count(j, jobstats.Left, count, 0)
 			g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
 		}
 	}
@@ -198,10 +199,10 @@
 					giveUp(choice.TimedOut)
 				}
 				if !answered && time.Now().After(lost.Add(g.rules.slack)) {
-					g.overdue.Say("answer_overdue", "job", j.id, "call", string(j.ID), "late_ms", time.Since(lost).Milliseconds())
-					check.That(false, "answers_overdue")
+					g.overdue.Warn("answer_overdue", "job", j.id, "call", string(j.ID), "late_ms", time.Since(lost).Milliseconds())
+					invariant.Check(false, "answers_overdue")
 					g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
-					answer(tally.Cancelled, func() { j.From.Failed(TimedOut) })
+					answer(jobstats.Cancelled, func() { j.From.Failed(TimedOut) })
 				}
 				timer.Reset(max(g.rules.slack/4, time.Until(limit)))
 			}
@@ -211,28 +212,28 @@
 		case m.left:
 			left()
 		case m.given != 0:
-			ended(m.from, m.given, back.Reply{})
+			ended(m.from, m.given, backend.Reply{})
 		case m.from != nil:
 			if m.from != now {
-				check.Count("replies_late")
+				counters.Increment("replies_late")
 				g.pool.Free(m.reply.Pages)
 				break
 			}
 			s, r := now, m.reply
-			if r.End == back.Open {
+			if r.End == backend.Open {
 				g.noted(j, s, r)
 				break
 			}
 			owed := !answered
 			ended(s, results[r.End], r)
-			if r.End == back.Done {
+			if r.End == backend.Done {
 				if owed {
 					g.answered(j)
-					if time.Sleep(fault.Slow(time.Since(j.At))); fault.Fails(string(j.Type), func() string { h, _ := g.host(s.engine, j.Protocol); return string(h.Name) }) {
-						g.count(j, tally.Cancelled, count, 0)
+					if time.Sleep(failpoint.Slow(time.Since(j.At))); failpoint.Fails(string(j.Type), func() string { h, _ := g.host(s.engine, j.Protocol); return string(h.Name) }) {
+						g.count(j, jobstats.Cancelled, count, 0)
 						j.From.Failed(ForGood)
 					} else {
-						g.count(j, tally.Done, count, r.WorkMS)
+						g.count(j, jobstats.Done, count, r.WorkMS)
 						j.From.Done(r.Pages)
 					}
 				}
@@ -248,11 +249,11 @@
 			s := &sent{seq: count, engine: m.order.Engine, at: time.Now()}
 			count++
 			if !answered && !j.From.Here() { // its leave may stand behind this order, or behind what lies unread
-				check.Count("dispatches_for_nobody")
+				counters.Increment("dispatches_for_nobody")
 				left()
 			}
 			host, is := g.host(s.engine, j.Protocol)
-			if check.That(is && now == nil, "dispatch_out_of_turn"); !is || now != nil || answered || !s.at.Before(lost) {
+			if invariant.Check(is && now == nil, "dispatch_out_of_turn"); !is || now != nil || answered || !s.at.Before(lost) {
 				g.moot(j, s, answered)
 				break
 			}
@@ -261,11 +262,11 @@
 			}
 			timer.Reset(time.Until(limit))
 			now = s
-			s.link = g.pool.Start(host, back.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, Idempotency: j.Idempotency,
+			s.link = g.pool.Start(host, backend.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, Idempotency: j.Idempotency,
 				WaitMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, Ordered: m.at, Until: g.clock.moment(m.order.Until),
 				Lane: g.rules.lane(g.names.types[string(j.Type)])},
-				func(r back.Reply) {
-					if m := (message{from: s, reply: r}); r.End == back.Open {
+				func(r backend.Reply) {
+					if m := (message{from: s, reply: r}); r.End == backend.Open {
 						j.in.note(m)
 					} else {
 						j.in.put(m)
@@ -276,9 +277,9 @@
 				giveUp(choice.Retracted)
 			}
 		case m.order.Kind == choice.Throttle:
-			answer(tally.Throttled, func() { j.From.Throttled(time.Duration(m.order.Span)) })
+			answer(jobstats.Throttled, func() { j.From.Throttled(time.Duration(m.order.Span)) })
 		case m.order.Kind == choice.CancelForGood:
-			answer(tally.Cancelled, func() { j.From.Failed(ForGood) })
+			answer(jobstats.Cancelled, func() { j.From.Failed(ForGood) })
 		}
 	}
 }
@@ -288,20 +289,20 @@
 	g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: choice.Moot, Final: final})
 }
 
-func (g *Gateway) noted(j *job, s *sent, r back.Reply) {
+func (g *Gateway) noted(j *job, s *sent, r backend.Reply) {
 	if kind, is := notes[r.Note]; is {
 		g.tell(choice.Event{Kind: choice.Noted, Job: j.id, Seq: s.seq, Engine: s.engine, Note: kind, Amount: r.Amount})
 	}
 }
 
 // count tells the tally what became of a job for its client.
-func (g *Gateway) count(j *job, how tally.How, dispatches choice.Seq, workMS float64) {
+func (g *Gateway) count(j *job, how jobstats.How, dispatches choice.Seq, workMS float64) {
 	if g.tally == nil {
 		return
 	}
 	took := time.Since(j.At)
-	within := how == tally.Done && took <= g.rules.wanted(g.names.types[string(j.Type)], workMS)
-	g.tally.Answered(judge.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
+	within := how == jobstats.Done && took <= g.rules.wanted(g.names.types[string(j.Type)], workMS)
+	g.tally.Answered(canary.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
 }
 
 // answered frees the id of a call.
--- a/internal/gateway/job_life_test.go
+++ b/internal/gateway/job_life_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/tally"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/canary"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/jobstats"
 )
 
 // transcript is what one job's function was seen to do, in order: calls to engines and to the client, events told to the
@@ -63,15 +63,15 @@
 
 // scripted stands in for engines; what becomes of a dispatch is up to the test.
 type scripted struct {
-	back.Engines
+	backend.Engines
 	seen *transcript
 
 	mu    sync.Mutex
-	reply func(back.Reply) // of the first dispatch still without an end
-	read  func()           // the engine has read the abort
+	reply func(backend.Reply) // of the first dispatch still without an end
+	read  func()              // the engine has read the abort
 }
 
-func (e *scripted) Start(to back.Host, r back.Request, reply func(back.Reply)) back.Dispatch {
+func (e *scripted) Start(to backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	e.mu.Lock()
 	e.reply = reply
 	e.mu.Unlock()
@@ -79,8 +79,8 @@
 	return &scriptedDispatch{engines: e}
 }
 
-func (e *scripted) Probe(_ back.Host, _ bool, _ time.Duration, reply func(back.Reply)) {
-	reply(back.Reply{End: back.Done})
+func (e *scripted) Probe(_ backend.Host, _ bool, _ time.Duration, reply func(backend.Reply)) {
+	reply(backend.Reply{End: backend.Done})
 }
 func (e *scripted) Free(pages [][]byte)   { e.seen.add("engine: free %d", len(pages)) }
 func (e *scripted) Out(string) (int, int) { return 0, 0 }
@@ -141,7 +141,7 @@
 		"limits": map[string]any{"cancel": true}}
 	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
 	s.client.here.Store(true)
-	s.gate = New(facts, 1, parts(), true, map[back.Protocol]back.Make{back.Line: func(back.Bounds) back.Engines { return s.engines }})
+	s.gate = New(facts, 1, parts(), true, map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return s.engines }})
 	s.gate.List(listOf(t, "true", "e1"), true)
 	g := s.gate
 	s.job = &job{Ask: Ask{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), At: time.Now(), Left: left, From: s.client},
@@ -165,7 +165,7 @@
 
 func (s *stage) leave() { s.job.in.put(message{left: true}) }
 
-func (s *stage) reply(r back.Reply) {
+func (s *stage) reply(r backend.Reply) {
 	s.engines.mu.Lock()
 	reply := s.engines.reply
 	s.engines.mu.Unlock()
@@ -195,7 +195,7 @@
 	}
 }
 
-func replied(r back.Reply) func(*stage) { return func(s *stage) { s.reply(r) } }
+func replied(r backend.Reply) func(*stage) { return func(s *stage) { s.reply(r) } }
 
 func terms(priority uint8, grant float64) func(*stage) {
 	return ordered(choice.Terms, func(a *choice.Action) { a.Priority, a.MemoryMB = priority, grant })
@@ -209,7 +209,7 @@
 	dispatched = act{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"}}
 	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Span = 1e9 }), []string{"client: throttled 1s"}}
 	cancelled  = act{ordered(choice.CancelForGood, nil), []string{"client: failed cancelled for good"}}
-	result     = back.Reply{End: back.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, RoomMB: 76}
+	result     = backend.Reply{End: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, RoomMB: 76}
 )
 
 func TestTheLifeOfAJobFollowsTheModulesOrders(t *testing.T) {
@@ -217,58 +217,58 @@
 		name    string
 		acts    []act
 		counter string // rises by one
-		work    judge.Work
+		work    canary.Work
 	}{
-		{name: "done", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "done", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "failed, then sent once more", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
-			{replied(back.Reply{End: back.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
+		{name: "failed, then sent once more", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
+			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
 			{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "never sent", work: judge.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
-		{name: "full, then throttled", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(back.Reply{End: back.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
-		{name: "not connected, reset, superseded", work: judge.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
-			{replied(back.Reply{End: back.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
-			{replied(back.Reply{End: back.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
-			{replied(back.Reply{End: back.Moot}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
-		{name: "progress is passed on", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(back.Reply{Note: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
-			{replied(back.Reply{Note: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
-			{replied(back.Reply{Note: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
-			{replied(back.Reply{Note: "other"}), nil},
+		{name: "never sent", work: canary.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
+		{name: "full, then throttled", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(backend.Reply{End: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
+		{name: "not connected, reset, superseded", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
+			{replied(backend.Reply{End: backend.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
+			{replied(backend.Reply{End: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
+			{replied(backend.Reply{End: backend.Moot}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
+		{name: "progress is passed on", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(backend.Reply{Note: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
+			{replied(backend.Reply{Note: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
+			{replied(backend.Reply{Note: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
+			{replied(backend.Reply{Note: "other"}), nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "terms before and while it is out", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
+		{name: "terms before and while it is out", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
 			{terms(3, 64), nil},
 			{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=64 priority=3 lane=0 wait=true"}},
 			{terms(5, 64), []string{"engine: renice 5"}}, {terms(5, 96), nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "retracted, then cancelled", work: judge.Work{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "retracted, then cancelled", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(9), nil}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}}, {retract(0), nil}, cancelled}},
-		{name: "retracted, but done before the engine read so", work: judge.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "retracted, but done before the engine read so", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(0), []string{"engine: give up"}},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "a reply after the retracted one's end", counter: "replies_late", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "a reply after the retracted one's end", counter: "replies_late", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 			{replied(result), []string{"engine: free 2"}}, throttled}},
-		{name: "a dispatch past its time limit", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
+		{name: "a dispatch past its time limit", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
 			{ordered(choice.Dispatch, func(a *choice.Action) { a.Span = 1 }),
 				[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
-		{name: "throttled while a dispatch is out", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+		{name: "throttled while a dispatch is out", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a second final answer is not given", work: judge.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{ordered(choice.CancelForGood, nil), nil}, {ordered(choice.Throttle, nil), nil},
-			{replied(back.Reply{End: back.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
-		{name: "left before it is sent", work: judge.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
-		{name: "left while a dispatch is out", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
+		{name: "left before it is sent", work: canary.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
+		{name: "left while a dispatch is out", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
-		{name: "left, then done all the same", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "left, then done all the same", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: judge.Work{Jobs: 1, Dispatches: 1}, acts: []act{
+		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
 			{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
 				[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
 	} {
@@ -277,11 +277,11 @@
 }
 
 // play goes through the acts of one job, each once the one before has shown, and looks at what stays.
-func play(t *testing.T, left time.Duration, acts []act, counter string, work judge.Work) {
+func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.Work) {
 	s := newStage(t, left)
-	book := tally.NewBook()
+	book := jobstats.NewBook()
 	s.gate.Count(book)
-	before := check.Of(counter)
+	before := counters.Value(counter)
 	s.start()
 	var want []string
 	for _, a := range acts {
@@ -293,12 +293,12 @@
 	if got := s.seen(); !slices.Equal(got, want) {
 		t.Errorf("seen\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	if counter != "" && check.Of(counter) != before+1 {
-		t.Errorf("%s counted %d times", counter, check.Of(counter)-before)
+	if counter != "" && counters.Value(counter) != before+1 {
+		t.Errorf("%s counted %d times", counter, counters.Value(counter)-before)
 	}
-	var r tally.Report
+	var r jobstats.Report
 	book.Fill(&r)
-	got := r.Work[judge.Group{Type: "lookup", Tenant: "acme"}]
+	got := r.Work[canary.Group{Type: "lookup", Tenant: "acme"}]
 	got.Took = nil
 	if fmt.Sprint(got) != fmt.Sprint(work) {
 		t.Errorf("counted %+v, want %+v", got, work)
--- a/internal/gateway/names_test.go
+++ b/internal/gateway/names_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/config"
-	"swiftreel/internal/feed"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
 	"swiftreel/internal/limits"
 )
 
-func listOf(t *testing.T, whole string, hosts ...string) feed.Event {
+func listOf(t *testing.T, whole string, hosts ...string) discovery.Event {
 	t.Helper()
 	text := `{"n":1,"members":{"whole":` + whole + `,"hosts":[`
 	for i, h := range hosts {
@@ -23,7 +23,7 @@
 		}
 		text += `{"host":"` + h + `","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
 	}
-	ev, err := feed.Parse([]byte(text + "]}}"))
+	ev, err := discovery.Parse([]byte(text + "]}}"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,10 +82,10 @@
 	if got := r.load("util:0.5;x0:1.25;queue:3"); !slices.Equal(got, []float64{3, 0.5, 1.25}) {
 		t.Errorf("memory granted: %v", got)
 	}
-	if got := bill(back.Reply{WorkMS: 35, RoomMB: 76}); got != 35*4096+19 {
+	if got := bill(backend.Reply{WorkMS: 35, RoomMB: 76}); got != 35*4096+19 {
 		t.Errorf("bill %d", got)
 	}
-	if got := bill(back.Reply{WorkMS: 1e12, RoomMB: 1e9}); got != 1<<32-1 {
+	if got := bill(backend.Reply{WorkMS: 1e12, RoomMB: 1e9}); got != 1<<32-1 {
 		t.Errorf("bill past its bounds: %d", got)
 	}
 }
@@ -172,18 +172,18 @@
 	defer g.Close()
 	g.Endpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
 	a, n := asker{make(chan string, 200), func(func()) {}}, 0
-	take := func(p back.Protocol, times int) {
+	take := func(p backend.Protocol, times int) {
 		for range times { // no engine: they are parked until it is late
 			n++
 			g.Take(Ask{Type: []byte("lookup"), ID: []byte(fmt.Sprint(n)), At: time.Now(), Left: 20 * time.Second, Protocol: p, From: a})
 		}
 	}
-	before := check.Of("turned_away")
-	take(back.SPARQL, 60)
-	flood := 60 - int(check.Of("turned_away")-before)
-	before = check.Of("turned_away")
-	take(back.Line, 5)
-	if turned := check.Of("turned_away") - before; flood < 20 || flood > 35 || turned > 0 {
+	before := counters.Value("turned_away")
+	take(backend.SPARQL, 60)
+	flood := 60 - int(counters.Value("turned_away")-before)
+	before = counters.Value("turned_away")
+	take(backend.Line, 5)
+	if turned := counters.Value("turned_away") - before; flood < 20 || flood > 35 || turned > 0 {
 		t.Errorf("a flood takes %d of 40, %d of 5 calls of the other protocol are turned away", flood, turned)
 	}
 	for id := range n { // all leave, which empties every table
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
-	"swiftreel/internal/feed"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
 )
 
 // goneKept is how long an engine that is gone is still known, for what was ordered there a moment before.
@@ -15,7 +15,7 @@
 
 // listed is an engine of the list: its number, where it is, and when it was gone.
 type listed struct {
-	host back.Host
+	host backend.Host
 	id   choice.EngineID
 	line choice.Line
 	gone time.Time
@@ -40,14 +40,14 @@
 		for r.byID[id] != nil {
 			id++
 		}
-		l = &listed{id: id, host: back.Host{Name: name}}
+		l = &listed{id: id, host: backend.Host{Name: name}}
 		r.byName[name], r.byID[id] = l, l
 	}
 	return l
 }
 
 // take applies an event and gives the lines for the module, and the names of those that are gone with it.
-func (r *roster) take(ev feed.Event, n names, now time.Time) (lines []choice.Line, gone []string) {
+func (r *roster) take(ev discovery.Event, n names, now time.Time) (lines []choice.Line, gone []string) {
 	for name, l := range r.byName {
 		if !l.gone.IsZero() && now.Sub(l.gone) > goneKept {
 			delete(r.byName, name)
@@ -89,9 +89,9 @@
 }
 
 // List takes an event of the feed. A whole list from the configuration may be out of date.
-func (g *Gateway) List(ev feed.Event, cached bool) {
+func (g *Gateway) List(ev discovery.Event, cached bool) {
 	if ev.Members == nil {
-		check.Count("feed_events_passed_over")
+		counters.Increment("feed_events_passed_over")
 		return
 	}
 	kind := choice.ListChanges
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 )
 
 // After SIGTERM comes SIGKILL, no sooner than the longest job timeout, or this where it is longer, and some more.
@@ -105,11 +105,11 @@
 }
 
 // lane tells which connections a type's jobs go over.
-func (r rules) lane(t choice.TypeID) back.Lane {
+func (r rules) lane(t choice.TypeID) backend.Lane {
 	if int(t) < len(r.once) && r.once[t] {
-		return back.MayNot
+		return backend.MayNot
 	}
-	return back.MayRepeat
+	return backend.MayRepeat
 }
 
 // tables tells whether a type's group of tables bears on where it runs.
@@ -119,9 +119,9 @@
 }
 
 // results are the module's words for the ends of dispatches and probes.
-var results = map[back.End]choice.Result{
-	back.Done: choice.Done, back.Failed: choice.Failed, back.Full: choice.Full, back.Moot: choice.Moot,
-	back.NotConnected: choice.Unreachable, back.Reset: choice.Reset, back.TimedOut: choice.TimedOut,
+var results = map[backend.End]choice.Result{
+	backend.Done: choice.Done, backend.Failed: choice.Failed, backend.Full: choice.Full, backend.Moot: choice.Moot,
+	backend.NotConnected: choice.Unreachable, backend.Reset: choice.Reset, backend.TimedOut: choice.TimedOut,
 }
 
 // notes are its words for what news tells.
@@ -163,7 +163,7 @@
 }
 
 // bill packs what an answer tells of work and memory as the module reads it.
-func bill(r back.Reply) uint32 {
+func bill(r backend.Reply) uint32 {
 	work := min(math.Round(r.WorkMS), 1<<20-1)
 	room := min(math.Round(r.RoomMB/4), 1<<12-1)
 	return uint32(work)<<12 | uint32(room)
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 )
 
 const ruleFacts = `{"step_ns":2e8,"locality":1,"localities":["east","west"],"kinds":["std","big"],"tenants":[{"name":"acme"},{"name":"zeta"}],
@@ -43,10 +43,10 @@
 		"give_up_ns":                          {r.mostLeft(1), 12 * time.Second},
 		"no give_up_ns":                       {r.mostLeft(2), 2 * time.Hour},
 		"give_up_ns of an unknown type":       {r.mostLeft(9), time.Hour},
-		"idempotency repeatable":              {r.lane(0), back.MayRepeat},
-		"idempotency once":                    {r.lane(1), back.MayNot},
-		"idempotency by_key":                  {r.lane(2), back.MayNot},
-		"an unknown type's lane":              {r.lane(9), back.MayRepeat},
+		"idempotency repeatable":              {r.lane(0), backend.MayRepeat},
+		"idempotency once":                    {r.lane(1), backend.MayNot},
+		"idempotency by_key":                  {r.lane(2), backend.MayNot},
+		"an unknown type's lane":              {r.lane(9), backend.MayRepeat},
 		"waits_for_loads":                     {r.tables(0), true},
 		"writes_tables":                       {r.tables(1), true},
 		"neither":                             {r.tables(2), false},
--- a/internal/gateway/speech.go
+++ b/internal/gateway/speech.go
@@ -5,8 +5,8 @@
 	"slices"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/sparql/decide"
 )
 
@@ -18,8 +18,8 @@
 )
 
 // needs are those that a job's engine must speak.
-func needs(p back.Protocol) choice.Speech {
-	if p == back.SPARQL {
+func needs(p backend.Protocol) choice.Speech {
+	if p == backend.SPARQL {
 		return speechSPARQL
 	}
 	return speechLine
@@ -27,7 +27,7 @@
 
 // deaf are those that an engine does not speak. Where SPARQL is off nothing is said: no job needs it, and an engine
 // without an address was always taken as one that cannot be reached.
-func (r *roster) deaf(h back.Host) (d choice.Speech) {
+func (r *roster) deaf(h backend.Host) (d choice.Speech) {
 	if r.urls == nil {
 		return 0
 	}
@@ -41,9 +41,9 @@
 }
 
 // reached is where an engine is by a protocol.
-func (r *roster) reached(l *listed, by back.Protocol) back.Host {
-	if by == back.SPARQL {
-		return back.Host{Name: l.host.Name, Address: r.urls[l.host.Name], Protocol: by}
+func (r *roster) reached(l *listed, by backend.Protocol) backend.Host {
+	if by == backend.SPARQL {
+		return backend.Host{Name: l.host.Name, Address: r.urls[l.host.Name], Protocol: by}
 	}
 	return l.host
 }
@@ -64,7 +64,7 @@
 	var rest []choice.Action
 	if l := g.roster.byName[name]; l != nil && g.drains != nil {
 		if line, changed := g.drains.Said(g.clock.now(), l.id, w); changed {
-			check.Count("drains_heard")
+			counters.Increment("drains_heard")
 			rest = g.decide(choice.Event{Kind: choice.Listed, List: choice.ListChanges, Lines: []choice.Line{line}})
 		}
 	}
@@ -87,8 +87,8 @@
 }
 
 // lane is a protocol's place in the guard.
-func lane(p back.Protocol) int {
-	if p == back.SPARQL {
+func lane(p backend.Protocol) int {
+	if p == backend.SPARQL {
 		return 1
 	}
 	return 0
@@ -96,7 +96,7 @@
 
 // place takes a place for one more job. With two protocols a burst of one leaves the other what it used of late. The
 // lock is held.
-func (g *Gateway) place(p back.Protocol) bool {
+func (g *Gateway) place(p backend.Protocol) bool {
 	most := min(g.rules.open, g.parts.Jobs.Most())
 	return len(g.jobs) < most && (g.guard == nil || g.guard.Take(g.clock.now(), lane(p), most))
 }
--- a/internal/integer/golden_test.go
+++ b/internal/ilp/golden_test.go
@@ -1,4 +1,4 @@
-package integer
+package ilp
 
 import (
 	"bytes"
--- a/internal/integer/program.go
+++ b/internal/ilp/program.go
@@ -1,8 +1,8 @@
-// Package integer solves integer programs exactly: a floating-point simplex leads the way, and every bound it suggests
+// Package ilp solves integer programs exactly: a floating-point simplex leads the way, and every bound it suggests
 // is worked out again in whole numbers, so that rounding can cost time but never make an answer wrong.
 //
 // No I/O, no clock: who calls says when to stop. The same program gives the same search at every run.
-package integer
+package ilp
 
 import (
 	"math"
--- /dev/null
+++ b/internal/invariant/debug.go
@@ -0,0 +1,5 @@
+//go:build debug
+
+package invariant
+
+func violated(name string) { panic("does not hold: " + name) }
--- /dev/null
+++ b/internal/invariant/release.go
@@ -0,0 +1,5 @@
+//go:build !debug
+
+package invariant
+
+func violated(string) {}
--- a/internal/tally/tally.go
+++ b/internal/jobstats/tally.go
@@ -1,6 +1,6 @@
-// Package tally counts what became of a controller's jobs, by reservation type and tenant, and tells it over HTTP to who
+// Package jobstats counts what became of a controller's jobs, by reservation type and tenant, and tells it over HTTP to who
 // compares controllers. Off, nothing is counted.
-package tally
+package jobstats
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/judge"
 )
 
 // Latencies are counted in microseconds up to an hour, to one digit.
@@ -37,20 +37,20 @@
 // are refused before they are counted.
 type Book struct {
 	mu     sync.Mutex
-	groups map[judge.Group]*entry
+	groups map[canary.Group]*entry
 	probes uint64
 }
 
 type entry struct {
-	work judge.Work
+	work canary.Work
 	took *hdrhistogram.Histogram
 }
 
 // NewBook is empty.
-func NewBook() *Book { return &Book{groups: map[judge.Group]*entry{}} }
+func NewBook() *Book { return &Book{groups: map[canary.Group]*entry{}} }
 
 // Answered counts a job; a nil book counts nothing.
-func (b *Book) Answered(g judge.Group, how How, took time.Duration, within bool, dispatches uint64) {
+func (b *Book) Answered(g canary.Group, how How, took time.Duration, within bool, dispatches uint64) {
 	if b == nil {
 		return
 	}
@@ -90,21 +90,21 @@
 // Report is what a controller tells of itself. Counts are since its start; a reader that knows it by Started takes
 // differences.
 type Report struct {
-	Format   int                        `json:"format"`
-	Started  int64                      `json:"started"` // Unix ns by its own clock: a name, not a time to compare
-	Version  string                     `json:"version"`
-	Spec     change.Digest              `json:"spec"`     // as the operator's file in force tells it
-	Settings change.Digest              `json:"settings"` // of the settings in force
-	Ready    bool                       `json:"ready"`
-	Owed     int64                      `json:"owed"` // answers
-	Refused  uint64                     `json:"reloads_failed"`
-	Probes   uint64                     `json:"probes"`
-	Aside    int                        `json:"aside"`             // engines set aside now
-	Learned  json.RawMessage            `json:"learned,omitempty"` // by type, for a newer process of the same controller
-	Health   json.RawMessage            `json:"health,omitempty"`  // of engines, by name, for the same
-	Work     map[judge.Group]judge.Work `json:"work"`
-	Engines  []string                   `json:"engines,omitempty"`   // that are ready, in order of their names
-	Carries  int64                      `json:"carries_per_million"` // of the fleet, as the module goes by
+	Format   int                          `json:"format"`
+	Started  int64                        `json:"started"` // Unix ns by its own clock: a name, not a time to compare
+	Version  string                       `json:"version"`
+	Spec     change.Digest                `json:"spec"`     // as the operator's file in force tells it
+	Settings change.Digest                `json:"settings"` // of the settings in force
+	Ready    bool                         `json:"ready"`
+	Owed     int64                        `json:"owed"` // answers
+	Refused  uint64                       `json:"reloads_failed"`
+	Probes   uint64                       `json:"probes"`
+	Aside    int                          `json:"aside"`             // engines set aside now
+	Learned  json.RawMessage              `json:"learned,omitempty"` // by type, for a newer process of the same controller
+	Health   json.RawMessage              `json:"health,omitempty"`  // of engines, by name, for the same
+	Work     map[canary.Group]canary.Work `json:"work"`
+	Engines  []string                     `json:"engines,omitempty"`   // that are ready, in order of their names
+	Carries  int64                        `json:"carries_per_million"` // of the fleet, as the module goes by
 }
 
 // Part is what the controller carries of the fleet and of tenants' quotas, in millionths, until a time of the machine's clock.
@@ -130,7 +130,7 @@
 func (b *Book) Fill(r *Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.Format, r.Probes, r.Work = change.Format, b.probes, make(map[judge.Group]judge.Work, len(b.groups))
+	r.Format, r.Probes, r.Work = change.Format, b.probes, make(map[canary.Group]canary.Work, len(b.groups))
 	for g, e := range b.groups {
 		w := e.work
 		for i, n := range e.took.Export().Counts {
--- a/internal/tally/tally_test.go
+++ b/internal/jobstats/tally_test.go
@@ -1,4 +1,4 @@
-package tally
+package jobstats
 
 import (
 	"bytes"
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/goldenfile"
-	"swiftreel/internal/judge"
 )
 
 // sampleBook counts jobs of two groups, each way that a job may end.
 func sampleBook() *Book {
 	b := NewBook()
-	lookup, report := judge.Group{Type: "lookup", Tenant: "acme"}, judge.Group{Type: "report", Tenant: "b c"}
+	lookup, report := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "report", Tenant: "b c"}
 	for i := range 20 {
 		b.Answered(lookup, Done, time.Duration(i+1)*time.Millisecond, i < 15, uint64(1+i%3))
 	}
@@ -118,11 +118,11 @@
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	sum := judge.Sum([]judge.Seen{{Member: "c1", Work: read.Work}}, false)
+	sum := canary.Sum([]canary.Seen{{Member: "c1", Work: read.Work}}, false)
 	if sum.Jobs != 25 || sum.Done != 22 || sum.Within != 16 || sum.Throttled != 1 || sum.Cancelled != 1 || sum.Dispatches != 44 || sum.Further != 20 {
 		t.Errorf("%+v", sum)
 	}
-	took := read.Work[judge.Group{Type: "lookup", Tenant: "acme"}].Took
+	took := read.Work[canary.Group{Type: "lookup", Tenant: "acme"}].Took
 	if p50, p99 := Quantile(took, 50), Quantile(took, 99); p50 < 9*time.Millisecond || p50 > 11*time.Millisecond || p99 < 19*time.Millisecond || p99 > 21*time.Millisecond {
 		t.Errorf("%v %v", p50, p99)
 	}
@@ -133,6 +133,6 @@
 
 func TestNoBookCountsNothing(t *testing.T) {
 	var b *Book
-	b.Answered(judge.Group{}, Done, time.Second, true, 1)
+	b.Answered(canary.Group{}, Done, time.Second, true, 1)
 	b.Probe()
 }
--- a/internal/owner/agreed.go
+++ b/internal/leader/agreed.go
@@ -1,7 +1,7 @@
-// Package owner has work that is done once for the whole fleet be done by one process at a time: the owner, which a majority
+// Package leader has work that is done once for the whole fleet be done by one process at a time: the owner, which a majority
 // of the named voters has agreed on, under a reign that only rises. The consensus is etcd's raft; what is ours is the lease
 // within which an owner may act, the fence of what is agreed, and the members that lost their memory.
-package owner
+package leader
 
 import (
 	"encoding/json"
--- a/internal/owner/core_test.go
+++ b/internal/leader/core_test.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"flag"
--- a/internal/owner/disk.go
+++ b/internal/leader/disk.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"swiftreel/internal/fault"
+	"swiftreel/internal/failpoint"
 )
 
 var (
@@ -85,7 +85,7 @@
 	if o.Hard == nil && o.Snapshot == nil && len(o.Entries) == 0 {
 		return nil
 	}
-	if err := fault.Write(); err != nil {
+	if err := failpoint.Write(); err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error { return save(tx, o) })
--- a/internal/owner/duty.go
+++ b/internal/leader/duty.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/document"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/schema"
 	"swiftreel/internal/solve"
 )
 
@@ -31,7 +31,7 @@
 	fitness Fitness
 
 	mu    sync.Mutex
-	under []*conduct.Fleet // asked by duties under way
+	under []*coordinator.Fleet // asked by duties under way
 
 	count   int64  // of words handed out by this process: it rises over reigns too
 	refused string // the last word that was, as logged
@@ -101,11 +101,11 @@
 	}
 	others.Go(func() { d.watch(ctx, r) })
 	for ctx.Err() == nil {
-		record, is, err := conduct.Agreed(a).Record()
+		record, is, err := coordinator.Agreed(a).Record()
 		if err == nil && is && (!record.State.Phase.Ends() || d.asked(a, record)) {
-			var c *conduct.Conductor
-			fleet := conduct.NewFleet(d.members, askTime, askTime)
-			if c, err = conduct.Take(conduct.Agreed(a), fleet); err == nil {
+			var c *coordinator.Conductor
+			fleet := coordinator.NewFleet(d.members, askTime, askTime)
+			if c, err = coordinator.Take(coordinator.Agreed(a), fleet); err == nil {
 				done := d.asks(fleet)
 				err = c.Run(ctx)
 				done()
@@ -129,7 +129,7 @@
 // from those of its duties that ask all.
 func (d *Duties) watch(ctx context.Context, r Reign) {
 	members := slices.DeleteFunc(slices.Clone(d.members), func(m operator.Member) bool { return !slices.Contains(d.fleet.Voters, m.Name) })
-	fleet := conduct.NewFleet(members, askTime, watchEvery)
+	fleet := coordinator.NewFleet(members, askTime, watchEvery)
 	heard, last := make([]time.Time, len(members)), make([]Health, len(members))
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -165,26 +165,26 @@
 }
 
 // asks has the watch know of a duty that asks all members, until it is ended.
-func (d *Duties) asks(f *conduct.Fleet) (end func()) {
+func (d *Duties) asks(f *coordinator.Fleet) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.under = append(d.under, f)
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.under = slices.DeleteFunc(d.under, func(o *conduct.Fleet) bool { return o == f })
+		d.under = slices.DeleteFunc(d.under, func(o *coordinator.Fleet) bool { return o == f })
 	}
 }
 
-func (d *Duties) asking() []*conduct.Fleet {
+func (d *Duties) asking() []*coordinator.Fleet {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.under)
 }
 
 // asked tells whether there is a wish for a change that has ended.
-func (d *Duties) asked(a agreement, r conduct.Record) bool {
-	w := conduct.Agreed(a).Wish()
+func (d *Duties) asked(a agreement, r coordinator.Record) bool {
+	w := coordinator.Agreed(a).Wish()
 	return w.ID != "" && w.ID != r.Asked && w.Ask == rollout.AskBack && r.State.Phase == rollout.Stopped
 }
 
@@ -215,20 +215,20 @@
 			return fmt.Errorf("/: %w", err)
 		}
 		if list := c.Faults(); len(list) > 0 {
-			return &document.Faults{File: "the change", List: list}
+			return &schema.Faults{File: "the change", List: list}
 		}
 		if c.Kind == change.Plan {
 			return errors.New("/kind: a plan's file stands where it was written; conduct it with swiftreel rollout start")
 		}
 		d.one.Lock()
 		defer d.one.Unlock()
-		return conduct.Begin(r.Context(), conduct.Agreed(a), c, conduct.NewFleet(d.members, askTime, askTime), false)
+		return coordinator.Begin(r.Context(), coordinator.Agreed(a), c, coordinator.NewFleet(d.members, askTime, askTime), false)
 	}))
 	mux.HandleFunc("POST /v1/owner/wish", owned(func(r *http.Request, a agreement) error {
-		var w conduct.Wish
+		var w coordinator.Wish
 		if err := json.NewDecoder(io.LimitReader(r.Body, 1024)).Decode(&w); err != nil {
 			return err
 		}
-		return conduct.Agreed(a).Ask(w.Ask)
+		return coordinator.Agreed(a).Ask(w.Ask)
 	}))
 }
