--- a/internal/owner/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"bytes"
@@ -25,14 +25,14 @@
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/supervisor"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that a
@@ -77,7 +77,7 @@
 	jobs uint64 // its controller has so many more done at each look
 
 	mu    sync.Mutex
-	held  handout.Held
+	held  assignment.Held
 	looks uint64
 	texts [][]byte
 }
@@ -88,15 +88,15 @@
 func (k *fakeKeeper) status(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := keep.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Count, Serves: true,
-		EngineCount: 2, Started: 1, Work: map[judge.Group]judge.Work{}}
+	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Count, Serves: true,
+		EngineCount: 2, Started: 1, Work: map[canary.Group]canary.Work{}}
 	if r.URL.Query().Get("engines") == "1" {
 		s.Engines = []string{"e1", "e2"}
 	}
 	if k.jobs > 0 {
 		k.looks++
 		n := k.jobs * k.looks
-		s.Work[judge.Group{Type: "lookup", Tenant: "acme"}] = judge.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: []uint64{0, 0, 0, n}}
+		s.Work[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: []uint64{0, 0, 0, n}}
 	}
 	json.NewEncoder(w).Encode(s)
 }
@@ -106,8 +106,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
-		var word handout.Word
-		if word, err = handout.ReadWord(bytes.NewReader(text)); err == nil {
+		var word assignment.Word
+		if word, err = assignment.ReadWord(bytes.NewReader(text)); err == nil {
 			k.held, err = k.held.Take(word, k.name, "life of "+k.name, fakeBoot)
 		}
 	}
@@ -297,16 +297,16 @@
 	end := f.runDuties()
 	await(t, "parts and a plan are agreed", func() bool {
 		a := f.agreed(f.acting().name)
-		var r parts.Record
-		return json.Unmarshal(a.Items[partsItem], &r) == nil && r.Caps["v1"][parts.Fleet] > 450_000 && a.Items[planItem] != nil
+		var r quota.Record
+		return json.Unmarshal(a.Items[partsItem], &r) == nil && r.Caps["v1"][quota.Fleet] > 450_000 && a.Items[planItem] != nil
 	})
 	end()
-	changed := conduct.Record{By: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
+	changed := coordinator.Record{By: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
 		To:     change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}, Shape: json.RawMessage(`{"budget_free":1}`)},
 		Stages: [][]string{{"v1"}, {"v1", "v2", "v3"}}, Asked: "1",
 		State: rollout.State{Phase: rollout.Done, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Turn: 7}, Why: "all run it"}}
 	changed.Change.Number, changed.Change.Kind = 1, change.Settings
-	for name, v := range map[string]any{"change.json": changed, "ask.json": conduct.Wish{ID: "1", Ask: rollout.AskResume}} {
+	for name, v := range map[string]any{"change.json": changed, "ask.json": coordinator.Wish{ID: "1", Ask: rollout.AskResume}} {
 		text, err := json.MarshalIndent(v, "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -545,7 +545,7 @@
 	if err := json.Unmarshal(was.Items[planItem], &p); err != nil {
 		t.Fatal(err)
 	}
-	var r parts.Record
+	var r quota.Record
 	if err := json.Unmarshal(was.Items[partsItem], &r); err != nil {
 		t.Fatal(err)
 	}
@@ -558,7 +558,7 @@
 			t.Errorf("%s holds %+v, planned was %s", name, held, p.Digest)
 		}
 	}
-	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Caps) != 3 || r.Caps["v1"][parts.Fleet] <= r.Caps["v3"][parts.Fleet] || p.Reign == 0 || p.Count == 0 {
+	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Caps) != 3 || r.Caps["v1"][quota.Fleet] <= r.Caps["v3"][quota.Fleet] || p.Reign == 0 || p.Count == 0 {
 		t.Errorf("the fixture shows nothing: %+v, %+v", p, r)
 	}
 	a := f.agreed(f.acting().name)
--- a/internal/owner/hand.go
+++ b/internal/leader/hand.go
@@ -1,4 +1,4 @@
-package owner
+package leader
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"strings"
 	"time"
 
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/jobstats"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/parts"
 	"swiftreel/internal/plan"
 	"swiftreel/internal/planner"
+	"swiftreel/internal/quota"
 	"swiftreel/internal/solve"
-	"swiftreel/internal/tally"
+	"swiftreel/internal/supervisor"
 )
 
 // Names of what is agreed for it.
@@ -45,11 +45,11 @@
 type hands struct {
 	d      *Duties
 	a      agreement
-	fleet  *conduct.Fleet
+	fleet  *coordinator.Fleet
 	began  time.Time
 	seen   []seen
-	demand *parts.Demand
-	ledger *parts.Ledger    // nil: nothing is parted
+	demand *quota.Demand
+	ledger *quota.Ledger    // nil: nothing is parted
 	plans  *planner.Planner // nil: nothing is planned
 	now    planned          // followed; no digest: none
 	text   json.RawMessage  // of its answer
@@ -58,7 +58,7 @@
 
 // seen is what is remembered of a member from look to look.
 type seen struct {
-	status keep.Status
+	status supervisor.Status
 	heard  int64 // owner's time; 0: never
 }
 
@@ -69,13 +69,13 @@
 }
 
 func newHands(d *Duties, a agreement) (*hands, error) {
-	h := &hands{d: d, a: a, fleet: conduct.NewFleet(d.fleet.Members, askTime, handEvery/2), began: time.Now(), seen: make([]seen, len(d.fleet.Members)), demand: parts.NewDemand()}
+	h := &hands{d: d, a: a, fleet: coordinator.NewFleet(d.fleet.Members, askTime, handEvery/2), began: time.Now(), seen: make([]seen, len(d.fleet.Members)), demand: quota.NewDemand()}
 	if p := d.fleet.Parts; p != nil {
-		var r parts.Record
+		var r quota.Record
 		if err := h.read(partsItem, &r); err != nil {
 			return nil, err
 		}
-		h.ledger = parts.NewLedger(r, p.LifeMS*1e6, h.time())
+		h.ledger = quota.NewLedger(r, p.LifeMS*1e6, h.time())
 	}
 	if p := d.fleet.Planning; p != nil {
 		h.fleet.Engines = true
@@ -147,14 +147,14 @@
 	if !h.a.May() {
 		return nil
 	}
-	words := map[int]handout.Word{}
+	words := map[int]assignment.Word{}
 	for i, m := range h.fleet.Members {
 		s := &h.seen[i]
 		if answers[i].Err != nil || s.status.Format < 2 { // one of the form before takes no words: it goes on as without an owner
 			continue
 		}
 		h.d.count++
-		w := handout.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Life}
+		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Life}
 		if h.ledger != nil {
 			if w.Part = h.ledger.Give(m.Name, want[m.Name], now, w.Count); len(w.Part) > 0 {
 				w.PartUntil = s.status.BootNS + h.d.fleet.Parts.LifeMS*1e6
@@ -181,14 +181,14 @@
 }
 
 // take turns keepers' answers into what parts and planner are told.
-func (h *hands) take(answers []conduct.Answer, now int64) (rates map[string]map[judge.Group]float64, engines [][]string) {
-	var list []parts.Seen
+func (h *hands) take(answers []coordinator.Answer, now int64) (rates map[string]map[canary.Group]float64, engines [][]string) {
+	var list []quota.Seen
 	for i, a := range answers {
 		m, k := h.fleet.Members[i], &h.seen[i]
-		s := parts.Seen{Member: m.Name, Heard: a.Err == nil}
+		s := quota.Seen{Member: m.Name, Heard: a.Err == nil}
 		if a.Err == nil {
 			if k.heard != 0 && k.status.Started == a.Status.Started {
-				s.Span, s.Work = now-k.heard, map[judge.Group]judge.Work{}
+				s.Span, s.Work = now-k.heard, map[canary.Group]canary.Work{}
 				for g, w := range a.Status.Work {
 					s.Work[g] = w.Less(k.status.Work[g])
 				}
@@ -203,12 +203,12 @@
 		}
 		list = append(list, s)
 	}
-	h.demand.Look(now, list, func(took []uint64) float64 { return float64(tally.Quantile(took, 50)) })
-	rates = map[string]map[judge.Group]float64{}
+	h.demand.Look(now, list, func(took []uint64) float64 { return float64(jobstats.Quantile(took, 50)) })
+	rates = map[string]map[canary.Group]float64{}
 	for name, by := range h.demand.Rates() {
 		m, _ := h.d.fleet.Find(name)
 		if rates[m.Zone] == nil {
-			rates[m.Zone] = map[judge.Group]float64{}
+			rates[m.Zone] = map[canary.Group]float64{}
 		}
 		for g, n := range by {
 			rates[m.Zone][g] += n
@@ -218,7 +218,7 @@
 }
 
 // plan takes up a solve that has ended, and begins one where it is due.
-func (h *hands) plan(ctx context.Context, now int64, rates map[string]map[judge.Group]float64, engines [][]string) error {
+func (h *hands) plan(ctx context.Context, now int64, rates map[string]map[canary.Group]float64, engines [][]string) error {
 	if h.solved != nil {
 		select {
 		case o := <-h.solved:
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -1,5 +1,5 @@
-// Package logs sets up the program's log: structured, key=value, one line an event, through log/slog.
-package logs
+// Package logging sets up the program's log: structured, key=value, one line an event, through log/slog.
+package logging
 
 import (
 	"io"
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/boot/boot.go
+++ b/internal/monotonic/boot.go
@@ -1,6 +1,6 @@
-// Package boot is the machine's own clock, the same for all its processes: it starts with the machine, goes on while that
+// Package monotonic is the machine's own clock, the same for all its processes: it starts with the machine, goes on while that
 // sleeps, and nobody sets it.
-package boot
+package monotonic
 
 import "golang.org/x/sys/unix"
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -5,8 +5,8 @@
 import (
 	"path/filepath"
 
-	"swiftreel/internal/document"
 	"swiftreel/internal/plan"
+	"swiftreel/internal/schema"
 	"swiftreel/internal/solve"
 )
 
@@ -36,17 +36,17 @@
 	if path == "" {
 		return f, nil
 	}
-	if err := document.Read(path, document.Operator, &f); err != nil {
+	if err := schema.Read(path, schema.Operator, &f); err != nil {
 		return File{}, err
 	}
 	if f.SPARQL != nil {
 		if list := f.SPARQL.complete(); len(list) > 0 {
-			return File{}, &document.Faults{File: path, List: list}
+			return File{}, &schema.Faults{File: path, List: list}
 		}
 	}
 	if f.Fleet != nil {
 		if list := f.Fleet.complete(); len(list) > 0 {
-			return File{}, &document.Faults{File: path, List: list}
+			return File{}, &schema.Faults{File: path, List: list}
 		}
 	}
 	if f.Plan != nil {
--- a/internal/plan/files_test.go
+++ b/internal/plan/files_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"swiftreel/internal/document"
 	"swiftreel/internal/golden"
+	"swiftreel/internal/schema"
 )
 
 func indented(t *testing.T, v any) []byte {
@@ -99,7 +99,7 @@
 }
 
 func containsFault(err error, fault string) bool {
-	var faults *document.Faults
+	var faults *schema.Faults
 	if !errors.As(err, &faults) {
 		return false
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"slices"
 
-	"swiftreel/internal/document"
+	"swiftreel/internal/schema"
 	"swiftreel/internal/solve"
 )
 
 // Load reads a plan; what cannot be followed is an error with all its faults.
 func Load(path string) (a solve.Answer, err error) {
-	if err := document.Read(path, document.Plan, &a); err != nil {
+	if err := schema.Read(path, schema.Plan, &a); err != nil {
 		return solve.Answer{}, err
 	}
 	if list := faults(a); len(list) > 0 {
-		return solve.Answer{}, &document.Faults{File: path, List: list}
+		return solve.Answer{}, &schema.Faults{File: path, List: list}
 	}
 	return a, nil
 }
@@ -23,11 +23,11 @@
 // Problem reads a problem and checks it whole.
 func Problem(path string) (*solve.Problem, error) {
 	p := new(solve.Problem)
-	if err := document.Read(path, document.Problem, p); err != nil {
+	if err := schema.Read(path, schema.Problem, p); err != nil {
 		return nil, err
 	}
 	if list := p.Check(); len(list) > 0 {
-		f := &document.Faults{File: path}
+		f := &schema.Faults{File: path}
 		for _, fault := range list {
 			f.List = append(f.List, fault.String())
 		}
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -13,7 +13,7 @@
 	"path/filepath"
 	"testing"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
@@ -55,7 +55,7 @@
 		if r.IntN(15) == 0 {
 			lists[r.IntN(3)] = [][]string{{"e1"}, {"e1", "e2"}, {"e1", "e2", "e3"}, {"e3", "e9"}, nil}[r.IntN(5)]
 		}
-		s := Seen{Engines: lists, Rates: map[string]map[judge.Group]float64{
+		s := Seen{Engines: lists, Rates: map[string]map[canary.Group]float64{
 			"east": {{Type: "lookup", Tenant: "acme"}: rates[0], {Type: "report", Tenant: "acme"}: rates[1], {Type: "other", Tenant: "acme"}: 3},
 			"west": {{Type: "lookup", Tenant: "acme"}: 7, {Type: "lookup", Tenant: "nobody"}: 9}, "north": {{Type: "lookup", Tenant: "acme"}: 2}}}
 		q, why := p.Look(now, s)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -8,7 +8,7 @@
 	"math"
 	"slices"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/solve"
 )
 
@@ -47,8 +47,8 @@
 
 // Seen is what a look shows.
 type Seen struct {
-	Rates   map[string]map[judge.Group]float64 // by zone of origin: jobs a second
-	Engines [][]string                         // each controller's that told: engines that are ready, in order
+	Rates   map[string]map[canary.Group]float64 // by zone of origin: jobs a second
+	Engines [][]string                          // each controller's that told: engines that are ready, in order
 }
 
 // Look tells the problem to solve now and why, or nil.
@@ -102,7 +102,7 @@
 }
 
 // threads are those asked for, by type and zone, as far as the problem knows them.
-func (p *Planner) threads(rates map[string]map[judge.Group]float64) map[place]float64 {
+func (p *Planner) threads(rates map[string]map[canary.Group]float64) map[place]float64 {
 	asked := map[place]float64{}
 	for zone, by := range rates {
 		for _, g := range groups(by) {
@@ -138,7 +138,7 @@
 }
 
 // problem is the operator's with what is asked and the engines that are there.
-func (p *Planner) problem(rates map[string]map[judge.Group]float64, there []string) *solve.Problem {
+func (p *Planner) problem(rates map[string]map[canary.Group]float64, there []string) *solve.Problem {
 	q := p.base
 	q.Engines, q.Demand = nil, nil
 	for _, e := range p.base.Engines {
@@ -176,10 +176,10 @@
 	return names
 }
 
-func groups(by map[judge.Group]float64) (list []judge.Group) {
+func groups(by map[canary.Group]float64) (list []canary.Group) {
 	for g := range by {
 		list = append(list, g)
 	}
-	slices.SortFunc(list, judge.Group.Compare)
+	slices.SortFunc(list, canary.Group.Compare)
 	return list
 }
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/solve"
 )
 
@@ -16,7 +16,7 @@
 }
 
 func seen(lookups, reports float64, engines ...string) Seen {
-	return Seen{Rates: map[string]map[judge.Group]float64{"east": {{Type: "lookup", Tenant: "acme"}: lookups, {Type: "report", Tenant: "acme"}: reports}},
+	return Seen{Rates: map[string]map[canary.Group]float64{"east": {{Type: "lookup", Tenant: "acme"}: lookups, {Type: "report", Tenant: "acme"}: reports}},
 		Engines: [][]string{engines, engines, {"e1"}}}
 }
 
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -18,13 +18,13 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/boot"
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/judge"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/owner"
+	"swiftreel/internal/supervisor"
 )
 
 // What owning costs by the number of listeners: three voters are processes of their own (this program, with the real
@@ -43,7 +43,7 @@
 	name  string
 	began time.Time
 	mu    sync.Mutex
-	word  handout.Held
+	word  assignment.Held
 	words int
 }
 
@@ -52,20 +52,20 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n := uint64(time.Since(s.began).Seconds()*jobsASec) + 1
-		st := keep.Status{Format: change.Format, Name: s.name, Life: s.name, BootNS: boot.Now(), Word: s.word.At(boot.Now()), Serves: true, EngineCount: 300, Started: 1, Work: map[judge.Group]judge.Work{}}
+		st := supervisor.Status{Format: change.Format, Name: s.name, Life: s.name, BootNS: monotonic.Now(), Word: s.word.At(monotonic.Now()), Serves: true, EngineCount: 300, Started: 1, Work: map[canary.Group]canary.Work{}}
 		for g := range groupsOf {
 			took := make([]uint64, tellsUpTo)
 			took[g*5] = n
-			st.Work[judge.Group{Type: fmt.Sprint("type", g%3), Tenant: fmt.Sprint("tenant", g)}] = judge.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: took}
+			st.Work[canary.Group{Type: fmt.Sprint("type", g%3), Tenant: fmt.Sprint("tenant", g)}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: took}
 		}
 		json.NewEncoder(w).Encode(st)
 	})
 	mux.HandleFunc("POST /v1/word", func(w http.ResponseWriter, r *http.Request) {
-		word, err := handout.ReadWord(r.Body)
+		word, err := assignment.ReadWord(r.Body)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err == nil {
-			s.word, err = s.word.Take(word, s.name, s.name, boot.Now())
+			s.word, err = s.word.Take(word, s.name, s.name, monotonic.Now())
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
@@ -119,11 +119,11 @@
 	for _, m := range f.Fleet.Members {
 		addr[m.Name] = m.At()
 	}
-	node, err := owner.Open(as, filepath.Join(filepath.Dir(file), as+".db"), addr, owner.Usual())
+	node, err := leader.Open(as, filepath.Join(filepath.Dir(file), as+".db"), addr, leader.Usual())
 	if err != nil {
 		return err
 	}
-	d, err := owner.NewDuties(node, f.Fleet, filepath.Dir(file))
+	d, err := leader.NewDuties(node, f.Fleet, filepath.Dir(file))
 	if err != nil {
 		return err
 	}
@@ -229,7 +229,7 @@
 			if a, err := http.Post("http://"+m.Listen+"/v1/owner/found", "application/json", strings.NewReader(string(text))); err == nil {
 				a.Body.Close() // 409: it is a member already
 			}
-			var v owner.View
+			var v leader.View
 			if a, err := http.Get("http://" + m.Listen + "/v1/owner"); err == nil {
 				json.NewDecoder(a.Body).Decode(&v)
 				a.Body.Close()
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/owner"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/leader"
 	"swiftreel/internal/rollout"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/testcluster"
 )
 
 const (
@@ -134,7 +134,7 @@
 	program            string
 	number             int
 	r                  *rand.Rand
-	town               *rig.Town
+	town               *testcluster.Town
 	gaps               map[string][]time.Duration
 	violations         []rulecheck.Violation
 	jobs, done, broken int64
@@ -144,12 +144,12 @@
 	lost               []string
 	mostOut            int64 // parts of a million, at a moment
 	plans              int   // taken by controllers' keepers
-	asleep             []*rig.Member
+	asleep             []*testcluster.Member
 	keptLogs           []string // of keepers that were killed
 }
 
 func (p *play) run() (err error) {
-	plan := rig.Plan{Program: p.program, Seed: uint64(p.number) + 1, Controllers: voters + listeners, Engines: 3, Voters: voters, Files: map[string]string{"problem.json": problem},
+	plan := testcluster.Plan{Program: p.program, Seed: uint64(p.number) + 1, Controllers: voters + listeners, Engines: 3, Voters: voters, Files: map[string]string{"problem.json": problem},
 		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
 	if p.plain {
 		plan.Voters, plan.Parts = 0, ""
@@ -202,7 +202,7 @@
 	if err := p.town.Stop(); err != nil {
 		return err
 	}
-	p.violations = rulecheck.Check(rig.Rules, p.town.Book.Log())
+	p.violations = rulecheck.Check(testcluster.Rules, p.town.Book.Log())
 	return nil
 }
 
@@ -216,10 +216,10 @@
 }
 
 // owner waits until a voter other than one acts.
-func (p *play) owner(not string) (m *rig.Member, err error) {
+func (p *play) owner(not string) (m *testcluster.Member, err error) {
 	err = p.town.Await(20*time.Second, func() bool {
 		for _, x := range p.town.Members[:min(voters, len(p.town.Members))] {
-			var v owner.View
+			var v leader.View
 			if x.Name != not && !slices.Contains(p.asleep, x) && p.town.Get(x, "/v1/owner", &v) == nil && v.May {
 				m = x
 				return true
@@ -276,7 +276,7 @@
 }
 
 // strikeBy loses it so.
-func (p *play) strikeBy(how string, m *rig.Member) error {
+func (p *play) strikeBy(how string, m *testcluster.Member) error {
 	from := time.Now()
 	heal := func() error { return nil }
 	switch how {
@@ -293,8 +293,8 @@
 			return nil
 		}
 	case "cut off": // it hears nobody, and its own words arrive
-		m.Link.Set(rig.Silent, 0)
-		heal = func() error { m.Link.Set(rig.Passes, 0); return nil }
+		m.Link.Set(testcluster.Silent, 0)
+		heal = func() error { m.Link.Set(testcluster.Passes, 0); return nil }
 	default:
 		if err := p.cli("fleet", "step-down"); err != nil {
 			return err
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"swiftreel/internal/rig"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/testcluster"
 )
 
 // shares has a front send unevenly to four controllers, with parts told and with parts guessed, and tells how far what each
@@ -36,7 +36,7 @@
 }
 
 func uneven(program string, told bool) (off, done float64, err error) {
-	plan := rig.Plan{Program: program, Seed: 40, Controllers: 4, Engines: 2, Voters: 3}
+	plan := testcluster.Plan{Program: program, Seed: 40, Controllers: 4, Engines: 2, Voters: 3}
 	if told {
 		plan.Parts = `"parts":{"life_ms":3000},`
 	}
@@ -85,7 +85,7 @@
 	if err := town.Stop(); err != nil {
 		return 0, 0, err
 	}
-	for _, v := range rulecheck.Check(rig.Rules, town.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, town.Book.Log()) {
 		return 0, 0, fmt.Errorf("%v", v)
 	}
 	return off / float64(n), float64(load.Done.Load()) / float64(max(1, all)), nil
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"swiftreel/internal/owner"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/testcluster"
 )
 
 // plainFor is how long the load without an owner is played.
@@ -36,7 +36,7 @@
 
 // loaded counts how often the owner of three voters changes while all cores are busy with the tests.
 func loaded(program string, stop chan struct{}) error {
-	town, err := rig.Plan{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	town, err := testcluster.Plan{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Town()
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	if err := p.cli("fleet", "found"); err != nil {
 		return err
 	}
-	var first, last owner.View
+	var first, last leader.View
 	m, err := p.owner("")
 	if err != nil {
 		return err
@@ -68,8 +68,8 @@
 	var texts [2][]byte
 	var errs [2]error
 	var wait sync.WaitGroup
-	for i, args := range [][]string{{"TestTimesWithoutAnOwner|TestOneOwnerAtATime", "./internal/owner", "-args", "-runs", "200", "-hours", "1", "-worlds", "1000"},
-		{"TestAllThatCan|TestNeverMore", "./internal/handout", "./internal/parts"}} {
+	for i, args := range [][]string{{"TestTimesWithoutAnOwner|TestOneOwnerAtATime", "./internal/leader", "-args", "-runs", "200", "-hours", "1", "-worlds", "1000"},
+		{"TestAllThatCan|TestNeverMore", "./internal/assignment", "./internal/quota"}} {
 		wait.Go(func() {
 			texts[i], errs[i] = exec.Command("go", append([]string{"test", "-count=1", "-v", "-run"}, args...)...).CombinedOutput()
 		})
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/rig"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/testcluster"
 )
 
 // switches is how often a controller's program is changed in each way.
@@ -20,7 +20,7 @@
 // handover changes the program of the one controller of a town under load: by a process beside the old one, and, as the
 // plain way, by SIGTERM and a new start. It tells whether the figures hold.
 func handover(base, next string) bool {
-	town, err := rig.NewTown(base, 77, 1, 2, false)
+	town, err := testcluster.NewTown(base, 77, 1, 2, false)
 	if err != nil {
 		fmt.Println("FAILED: hand-over:", err)
 		return false
@@ -28,7 +28,7 @@
 	defer town.Close()
 	m := town.Members[0]
 	load := town.NewLoad(77, 30, 140*time.Millisecond, false)
-	fleet := conduct.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
 	steady := func() { time.Sleep(1500 * time.Millisecond) } // the load beside the switches, not a proof
 	steady()
 	marks := []time.Time{time.Now()}
@@ -75,7 +75,7 @@
 		ok = false
 	}
 	log := town.Book.Log()
-	for _, v := range rulecheck.Check(rig.Rules, log) {
+	for _, v := range rulecheck.Check(testcluster.Rules, log) {
 		fmt.Println("FAILED: hand-over:", v)
 		ok = false
 	}
--- a/internal/proof/rollout/main.go
+++ b/internal/proof/rollout/main.go
@@ -175,11 +175,11 @@
 	build("base", "-ldflags", set+"1")
 	build("next", "-ldflags", set+"2")
 	for _, b := range bad {
-		build(b.name, "-tags", "fault", "-ldflags", set+"bad-"+b.name+" -X swiftreel/internal/fault.name="+b.name)
+		build(b.name, "-tags", "fault", "-ldflags", set+"bad-"+b.name+" -X swiftreel/internal/failpoint.name="+b.name)
 	}
 	for _, of := range []string{"steered", "later", "swiftreel-fleet"} { // in a folder of their own
 		name := filepath.Join("apart", of)
-		build(name, "-tags", "fault", "-ldflags", set+of+" -X swiftreel/internal/fault.name=steered")
+		build(name, "-tags", "fault", "-ldflags", set+of+" -X swiftreel/internal/failpoint.name=steered")
 		programs[of] = programs[name]
 	}
 	wait.Wait()
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/rollout"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/testcluster"
 )
 
 // scenario is a change that goes through a town of its own.
@@ -33,12 +33,12 @@
 
 // fault is a line of a schedule: data, so that one that finds something can be played again.
 type fault struct {
-	AtMS   int64   `json:"at_ms"`
-	Member int     `json:"member"`
-	Way    rig.Way `json:"way"`
-	Delay  int64   `json:"delay_ms"`
-	Repeat bool    `json:"repeat"`  // an order, once more
-	Stop   int64   `json:"stop_ms"` // SIGSTOP of the keeper, for so long
+	AtMS   int64           `json:"at_ms"`
+	Member int             `json:"member"`
+	Way    testcluster.Way `json:"way"`
+	Delay  int64           `json:"delay_ms"`
+	Repeat bool            `json:"repeat"`  // an order, once more
+	Stop   int64           `json:"stop_ms"` // SIGSTOP of the keeper, for so long
 }
 
 // schedule draws faults of links and keepers from a seed; the last ones end all.
@@ -52,7 +52,7 @@
 		case 1:
 			f.Stop = 50 + r.Int64N(600)
 		default:
-			f.Way = rig.Way(r.IntN(5))
+			f.Way = testcluster.Way(r.IntN(5))
 			f.Delay = 20 + r.Int64N(300)
 		}
 		list = append(list, f)
@@ -87,7 +87,7 @@
 
 func (s scenario) play(base string) (t told) {
 	t = told{scenario: s}
-	town, err := rig.NewTown(base, s.seed, s.controllers, s.engines, false)
+	town, err := testcluster.NewTown(base, s.seed, s.controllers, s.engines, false)
 	if err != nil {
 		t.err = err
 		return t
@@ -108,7 +108,7 @@
 	if s.loses {
 		go func() {
 			town.Await(20*time.Second, func() bool {
-				r, _, err := conduct.Look(folder).Record()
+				r, _, err := coordinator.Look(folder).Record()
 				return err == nil && r.State.Phase == rollout.Baking
 			})
 			town.Lose("e1")
@@ -117,7 +117,7 @@
 	t.kills, t.err = s.conduct(town, base, folder, file)
 	close(done)
 	load.Stop()
-	r, _, err := conduct.Look(folder).Record()
+	r, _, err := coordinator.Look(folder).Record()
 	if err != nil && t.err == nil {
 		t.err = err
 	}
@@ -142,12 +142,12 @@
 	if err := town.Stop(); t.err == nil {
 		t.err = err
 	}
-	t.violations = rulecheck.Check(rig.Rules, town.Book.Log())
+	t.violations = rulecheck.Check(testcluster.Rules, town.Book.Log())
 	return t
 }
 
 // trouble plays the schedule.
-func (s scenario) trouble(town *rig.Town, done chan struct{}) {
+func (s scenario) trouble(town *testcluster.Town, done chan struct{}) {
 	began := time.Now()
 	for _, f := range s.faults {
 		select {
@@ -169,7 +169,7 @@
 }
 
 // conduct runs conductors until the change ends. Where they are killed, it is once in each phase that the record shows.
-func (s scenario) conduct(town *rig.Town, program, folder, file string) (kills int, err error) {
+func (s scenario) conduct(town *testcluster.Town, program, folder, file string) (kills int, err error) {
 	killed := map[string]bool{}
 	args := []string{"start", file}
 	if len(s.faults) > 0 { // the start needs all to answer
@@ -181,7 +181,7 @@
 			return kills, err
 		}
 		kill := func() bool {
-			r, is, err := conduct.Look(folder).Record()
+			r, is, err := coordinator.Look(folder).Record()
 			at := fmt.Sprint(r.State.Phase, r.State.Stage)
 			if s.kill && err == nil && is && !r.State.Phase.Ends() && !killed[at] {
 				killed[at] = true
@@ -194,7 +194,7 @@
 		}
 		if p.Over() {
 			end := p.Await()
-			if r, is, _ := conduct.Look(folder).Record(); is && r.State.Phase.Ends() {
+			if r, is, _ := coordinator.Look(folder).Record(); is && r.State.Phase.Ends() {
 				return kills, nil
 			}
 			if kills > 0 && strings.Contains(p.Log(), "another process conducts") { // the killed one's lock is not free yet
@@ -210,7 +210,7 @@
 
 // span is from the first stage's beginning to the decision to go back, or to the end.
 func span(folder string) time.Duration {
-	list, _ := conduct.Look(folder).History()
+	list, _ := coordinator.Look(folder).History()
 	var from, to time.Time
 	for _, s := range list {
 		if s.Phase == rollout.Applying && s.Stage == 0 && from.IsZero() {
--- a/internal/proof/rollout/taught.go
+++ b/internal/proof/rollout/taught.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/rig"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/testcluster"
 )
 
 // taughtJobs are counted after each switch.
@@ -37,7 +37,7 @@
 
 // switched is how many dispatches beyond their jobs' first the newer process made for its first jobs.
 func switched(program, env string) (float64, error) {
-	town, err := rig.Plan{Program: program, Seed: 5, Controllers: 1, Engines: 2, Env: []string{env}}.Town()
+	town, err := testcluster.Plan{Program: program, Seed: 5, Controllers: 1, Engines: 2, Env: []string{env}}.Town()
 	if err != nil {
 		return 0, err
 	}
@@ -57,7 +57,7 @@
 	if want.Program.Digest, err = change.OfFile(want.Program.Path); err != nil {
 		return 0, err
 	}
-	fleet := conduct.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
 	fleet.Order(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}})
 	var again, jobs uint64
 	err = town.Await(20*time.Second, func() bool {
@@ -75,7 +75,7 @@
 	if err == nil {
 		err = town.Stop()
 	}
-	for _, v := range rulecheck.Check(rig.Rules, town.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, town.Book.Log()) {
 		return 0, fmt.Errorf("%v", v)
 	}
 	return float64(again) * taughtJobs / float64(max(1, jobs)), err
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/judge"
 	"swiftreel/internal/rollout"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // look is a second of each controller's work; on tells who is on the new version.
-func (w *world) look(on func(int) bool) (list []judge.Seen) {
+func (w *world) look(on func(int) bool) (list []canary.Seen) {
 	if w.r.Float64() < 0.003 { // a bad spell of 30 s in the mean, for all
 		w.day = 0.02 + 0.1*w.r.Float64()
 	} else if w.r.Float64() < 0.033 {
@@ -50,14 +50,14 @@
 		if w.r.Float64() < 0.02 { // an engine stalls under one controller's jobs
 			clump = 6
 		}
-		s := judge.Seen{Member: fmt.Sprintf("c%03d", i), New: on(i), MemoryMB: 40, Work: map[judge.Group]judge.Work{}}
-		for _, g := range []judge.Group{{Type: "lookup", Tenant: "a"}, {Type: "report", Tenant: "a"}} {
+		s := canary.Seen{Member: fmt.Sprintf("c%03d", i), New: on(i), MemoryMB: 40, Work: map[canary.Group]canary.Work{}}
+		for _, g := range []canary.Group{{Type: "lookup", Tenant: "a"}, {Type: "report", Tenant: "a"}} {
 			part := map[string]float64{"lookup": 0.8, "report": 0.2}[g.Type]
 			n := int(rate * part)
 			if w.r.Float64() < rate*part-float64(n) {
 				n++
 			}
-			k := judge.Work{Took: make([]uint64, 64)}
+			k := canary.Work{Took: make([]uint64, 64)}
 			for range n {
 				k.Jobs++
 				k.Dispatches++
@@ -96,12 +96,12 @@
 func (w *world) play(looks int) (c course) {
 	pace := change.Pace{BaseMS: 60_000, BakeMS: 60_000, MostMS: int64(looks) * 1000, ApplyMS: 60_000, SteadyMS: 1, UnheardMS: 5000, SharedMS: 30_000,
 		SharedTries: 2, HealthyPerMille: 500, LookMS: 1000}
-	limits := judge.Usual()
+	limits := canary.Usual()
 	m := rollout.New(rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}, change.Settings, "old", "new", nil, pace, 0)
-	base, on := judge.NewBase(), make([]bool, len(w.rates))
+	base, on := canary.NewBase(), make([]bool, len(w.rates))
 	var places []change.Place
-	var j *judge.Judge
-	var better judge.Recovery
+	var j *canary.Judge
+	var better canary.Recovery
 	var a, b [2]float64 // the naive test's counts
 	last, stage, began := rollout.Preparing, -1, 0
 	for t := 0; !m.State.Phase.Ends() && t < 10*looks; t++ {
@@ -116,7 +116,7 @@
 		}
 		if s := m.State; s.Phase != last || s.Stage != stage {
 			if last, stage = s.Phase, s.Stage; s.Phase == rollout.Applying {
-				j, better = judge.NewJudge(limits, base, m.New()), judge.Recovery{}
+				j, better = canary.NewJudge(limits, base, m.New()), canary.Recovery{}
 				if began == 0 {
 					began = t
 				}
@@ -155,7 +155,7 @@
 }
 
 // naive is the test that this one replaces: two proportions of missed jobs, one in a hundred, asked at every look.
-func naive(list []judge.Seen, a, b *[2]float64) bool {
+func naive(list []canary.Seen, a, b *[2]float64) bool {
 	for _, s := range list {
 		at := b
 		if s.New {
--- a/internal/proof/sparql/node.go
+++ b/internal/proof/sparql/node.go
@@ -3,15 +3,15 @@
 import (
 	"regexp"
 
-	"swiftreel/internal/rig"
+	"swiftreel/internal/testcluster"
 )
 
 // node is a controller's process. It listens where there is room, and its log says where: an address chosen before it
 // starts may be another run's by then, whose jobs would be taken for this one's.
-type node struct{ *rig.Process }
+type node struct{ *testcluster.Process }
 
 func startNode(program, config, own string) (*node, error) {
-	p, err := rig.Start(program, []string{"ROUTER_CONFIG=" + config, "ROUTER_OPERATOR=" + own})
+	p, err := testcluster.Start(program, []string{"ROUTER_CONFIG=" + config, "ROUTER_OPERATOR=" + own})
 	return &node{p}, err
 }
 
--- a/internal/proof/sparql/play.go
+++ b/internal/proof/sparql/play.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/rig"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/testcluster"
 )
 
 // day is one run.
@@ -56,10 +56,10 @@
 
 // town is the stand-ins and controllers of a run.
 type town struct {
-	book   rig.Book
-	feed   *toy.Feed
-	lines  map[string]*toy.Engine
-	ends   map[string]*toy.Endpoint
+	book   testcluster.Book
+	feed   *fake.Feed
+	lines  map[string]*fake.Engine
+	ends   map[string]*fake.Endpoint
 	nodes  []*node
 	client [2]string // addresses
 	sparql [2]string
@@ -71,7 +71,7 @@
 
 // play runs a day and holds its logs against the rules.
 func play(program string, d day) (t tally, err error) {
-	w := &town{lines: map[string]*toy.Engine{}, ends: map[string]*toy.Endpoint{}}
+	w := &town{lines: map[string]*fake.Engine{}, ends: map[string]*fake.Endpoint{}}
 	dir, err := os.MkdirTemp("", "proof")
 	if err != nil {
 		return t, err
@@ -135,22 +135,22 @@
 }
 
 func (w *town) begin(program, dir string, d day) (err error) {
-	f := rig.NewFates(d.seed, d.faults, 3*time.Millisecond)
-	if w.feed, err = toy.StartFeed("127.0.0.1:0", 1); err != nil {
+	f := testcluster.NewFates(d.seed, d.faults, 3*time.Millisecond)
+	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
 		return err
 	}
 	var hosts, urls []string
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
 		dial := ""
 		if name != "e4" {
-			e, err := rig.LineEngine("127.0.0.1:0", name, &w.book, f)
+			e, err := testcluster.LineEngine("127.0.0.1:0", name, &w.book, f)
 			if err != nil {
 				return err
 			}
 			w.lines[name], dial = e, e.Address()
 		}
 		if name != "e3" {
-			e, err := toy.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", "1"}, [3]string{"<b>", "<p>", "2"})
+			e, err := fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", "1"}, [3]string{"<b>", "<p>", "2"})
 			if err != nil {
 				return err
 			}
@@ -181,7 +181,7 @@
 		for stop := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			var is bool
 			if w.client[n], w.sparql[n], is = w.nodes[n].addresses(); is {
-				if c, err := toy.Dial(w.client[n]); err == nil {
+				if c, err := fake.Dial(w.client[n]); err == nil {
 					ready, err := c.Ready()
 					c.Conn.Close()
 					if ready && err == nil {
@@ -243,7 +243,7 @@
 
 // calls is a MessagePack client: a call at a time, every tenth an import.
 func (w *town) calls(node int, name string, d day) {
-	c, err := toy.Dial(w.client[node])
+	c, err := fake.Dial(w.client[node])
 	if err != nil {
 		return
 	}
--- a/internal/proof/sparql/stand.go
+++ b/internal/proof/sparql/stand.go
@@ -6,20 +6,20 @@
 	"strings"
 	"time"
 
-	"swiftreel/internal/rig"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/testcluster"
 )
 
 // scriptEndpoint has an endpoint log, and misbehave. A job's name stands in its text as a comment.
-func scriptEndpoint(e *toy.Endpoint, name string, b *rig.Book, f *rig.Fates) {
+func scriptEndpoint(e *fake.Endpoint, name string, b *testcluster.Book, f *testcluster.Fates) {
 	e.Script(func(w http.ResponseWriter, text string) bool {
 		_, job, is := strings.Cut(text, "# ")
 		if !is {
 			return false // a probe
 		}
 		what := f.Draw()
-		if what == rig.Full {
+		if what == testcluster.Full {
 			b.Add(rulecheck.Entry{What: rulecheck.Reached, Job: job, Engine: name, Protocol: "sparql"})
 			w.Header().Set("Not-Started", "?1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -27,15 +27,15 @@
 		}
 		b.Add(rulecheck.Entry{What: rulecheck.Began, Job: job, Engine: name, Protocol: "sparql", Work: int64(f.Work())})
 		takes := f.Work()
-		if what == rig.Slow {
+		if what == testcluster.Slow {
 			takes *= 20
 		}
 		time.Sleep(takes) // the job's work, as simulated
 		switch what {
-		case rig.Breaks:
+		case testcluster.Breaks:
 			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
 			panic(http.ErrAbortHandler)
-		case rig.Fails: // begins well, and breaks off inside the JSON
+		case testcluster.Fails: // begins well, and breaks off inside the JSON
 			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
 			w.Header().Set("Content-Type", "application/sparql-results+json")
 			fmt.Fprint(w, `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","val`)
--- a/internal/parts/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -1,4 +1,4 @@
-package parts
+package quota
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"path/filepath"
 	"testing"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
@@ -136,11 +136,11 @@
 			if r.IntN(20) == 0 {
 				continue
 			}
-			s := Seen{Member: m, Heard: r.IntN(10) > 0, Span: r.Int64N(3) * 1e9, Work: map[judge.Group]judge.Work{}}
-			for _, g := range []judge.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}} {
+			s := Seen{Member: m, Heard: r.IntN(10) > 0, Span: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.Work{}}
+			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}} {
 				if r.IntN(3) == 0 {
 					n := uint64(r.IntN(400))
-					s.Work[g] = judge.Work{Jobs: n, Done: n / 2, Took: []uint64{n, n / 3}}
+					s.Work[g] = canary.Work{Jobs: n, Done: n / 2, Took: []uint64{n, n / 3}}
 				}
 			}
 			seen = append(seen, s)
@@ -149,7 +149,7 @@
 		last = marshal(t, d.Want(now))
 		trace.Write(last)
 		for _, m := range []string{"a", "b", "c", "d"} {
-			for _, g := range []judge.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}} {
+			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}} {
 				fmt.Fprintf(trace, "%.9f", d.Rates()[m][g])
 			}
 		}
--- a/internal/parts/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,7 +1,7 @@
-// Package parts works out what each controller carries of the fleet and of tenants' quotas, and holds that what is out never
+// Package quota works out what each controller carries of the fleet and of tenants' quotas, and holds that what is out never
 // passes the whole, also while a part is taken back from one that cannot be reached, and past the loss of who hands them
 // out. Free of I/O and clock: times are told.
-package parts
+package quota
 
 import (
 	"maps"
--- a/internal/parts/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -1,11 +1,11 @@
-package parts
+package quota
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 )
 
 // Owners come and go, members' clocks run unlike, words are late, doubled and lost: never more than the whole is out.
@@ -214,10 +214,10 @@
 
 func TestPartsFollowWhatIsAsked(t *testing.T) {
 	d := NewDemand()
-	g, other := judge.Group{Type: "lookup", Tenant: "acme"}, judge.Group{Type: "lookup", Tenant: "bee"}
+	g, other := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	look := func(now int64, a, b uint64, heard bool) {
-		d.Look(now, []Seen{{Member: "a", Heard: true, Span: 1e9, Work: map[judge.Group]judge.Work{g: {Jobs: a, Done: a}}},
-			{Member: "b", Heard: heard, Span: 1e9, Work: map[judge.Group]judge.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
+		d.Look(now, []Seen{{Member: "a", Heard: true, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: a, Done: a}}},
+			{Member: "b", Heard: heard, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
 			{Member: "c", Heard: true, Span: 1e9}}, half)
 	}
 	for now := int64(1e9); now <= 60e9; now += 1e9 {
--- a/internal/parts/weigh.go
+++ b/internal/quota/weigh.go
@@ -1,11 +1,11 @@
-package parts
+package quota
 
 import (
 	"maps"
 	"math"
 	"slices"
 
-	"swiftreel/internal/judge"
+	"swiftreel/internal/canary"
 )
 
 const (
@@ -21,7 +21,7 @@
 	Member string
 	Heard  bool
 	Span   int64 // ns since it was last heard; 0: before, it was not
-	Work   map[judge.Group]judge.Work
+	Work   map[canary.Group]canary.Work
 }
 
 // Demand is what controllers are asked for of late, and the parts that follow from it.
@@ -33,7 +33,7 @@
 
 type asked struct {
 	heard int64
-	rate  map[judge.Group]float64 // jobs a second
+	rate  map[canary.Group]float64 // jobs a second
 }
 
 type mean struct{ sum, n float64 }
@@ -48,7 +48,7 @@
 		named[s.Member] = true
 		m := d.members[s.Member]
 		if m == nil {
-			m = &asked{rate: map[judge.Group]float64{}, heard: now}
+			m = &asked{rate: map[canary.Group]float64{}, heard: now}
 			d.members[s.Member] = m
 		}
 		if !s.Heard {
@@ -62,7 +62,7 @@
 		for g := range s.Work {
 			m.rate[g] += 0 // it is there
 		}
-		for _, g := range slices.SortedFunc(maps.Keys(m.rate), judge.Group.Compare) {
+		for _, g := range slices.SortedFunc(maps.Keys(m.rate), canary.Group.Compare) {
 			w := s.Work[g]
 			m.rate[g] += weight * (float64(w.Jobs)/(float64(s.Span)/1e9) - m.rate[g])
 			if m.rate[g] < 1e-3 && w.Jobs == 0 {
@@ -100,8 +100,8 @@
 }
 
 // Rates are jobs a second that the fleet is asked for, by group, as seen from each member.
-func (d *Demand) Rates() map[string]map[judge.Group]float64 {
-	all := map[string]map[judge.Group]float64{}
+func (d *Demand) Rates() map[string]map[canary.Group]float64 {
+	all := map[string]map[canary.Group]float64{}
 	for name, m := range d.members {
 		all[name] = maps.Clone(m.rate)
 	}
@@ -122,7 +122,7 @@
 			continue
 		}
 		there = append(there, name)
-		groups := slices.SortedFunc(maps.Keys(m.rate), judge.Group.Compare)
+		groups := slices.SortedFunc(maps.Keys(m.rate), canary.Group.Compare)
 		for _, g := range groups {
 			threads := m.rate[g] * d.holds(g.Type)
 			for of, w := range map[Of]float64{Fleet: threads, Quota(g.Tenant): m.rate[g]} {
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/judge"
 )
 
 // Phase is where a change stands.
@@ -43,7 +43,7 @@
 	Early    int64             `json:"early"`    // how often all were better soon after it was withdrawn
 	Why      string            `json:"why"`      // the last transition's figures
 	Outcome  string            `json:"outcome"`  // why it goes back, once it does
-	Verdicts []judge.Verdict   `json:"verdicts"` // of the stages passed, and of the one that was not
+	Verdicts []canary.Verdict  `json:"verdicts"` // of the stages passed, and of the one that was not
 	Drains   map[string]string `json:"drains"`   // controllers taken out of service, and why
 }
 
@@ -72,8 +72,8 @@
 type Input struct {
 	Now     int64 // ns of the conductor's own time, from its start
 	Members []Member
-	Verdict judge.Verdict // of the stage that stands
-	Better  bool          // Waiting: all do again as before the stage
+	Verdict canary.Verdict // of the stage that stands
+	Better  bool           // Waiting: all do again as before the stage
 	Ask     Ask
 }
 
@@ -224,7 +224,7 @@
 // applying waits until those of the stage that can be reached have taken the new version and serve. One that says that it
 // cannot, or dies of it, is worse at once.
 func (m *Machine) applying(in Input) bool {
-	if in.Verdict.Kind == judge.Worse {
+	if in.Verdict.Kind == canary.Worse {
 		return m.judged(in)
 	}
 	for _, x := range in.Members {
@@ -261,11 +261,11 @@
 func (m *Machine) baking(in Input) bool {
 	s := &m.State
 	switch in.Verdict.Kind {
-	case judge.Worse:
+	case canary.Worse:
 		return m.judged(in)
-	case judge.Shared:
+	case canary.Shared:
 		return m.enter(Withdrawing, in, "%s", in.Verdict.Why)
-	case judge.Even:
+	case canary.Even:
 		if s.Paused {
 			return false
 		}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/judge"
 )
 
 // A fleet in virtual time, where everything goes wrong that a schedule draws: orders are lost, late, doubled and turned
@@ -71,7 +71,7 @@
 	f.m = New(f.record, change.Software, specs[false].Digest(), specs[true].Digest(), f.stages, pace, f.now)
 }
 
-func (f *fleet) input(v judge.Verdict, ask Ask) Input {
+func (f *fleet) input(v canary.Verdict, ask Ask) Input {
 	in := Input{Now: f.now, Verdict: v, Better: f.r.IntN(3) == 0, Ask: ask}
 	for i, x := range f.members {
 		in.Members = append(in.Members, Member{Name: f.names[i], Heard: !x.away, Serves: x.down == 0, Running: x.running, Fence: x.held.Fence, Failed: x.failed})
@@ -80,7 +80,7 @@
 }
 
 // one is a look of the conductor, and what comes of it at the members. kill: 1 before the record, 2 before the orders.
-func (f *fleet) one(v judge.Verdict, ask Ask, kill int, faults bool) {
+func (f *fleet) one(v canary.Verdict, ask Ask, kill int, faults bool) {
 	before := f.m.State
 	in := f.input(v, ask)
 	changed := f.m.Step(in)
@@ -91,7 +91,7 @@
 	} else if changed {
 		f.record = f.m.State
 		f.seen[f.record.Phase] = true
-		if before.Phase == Baking && f.record.Phase != Baking && v.Kind == judge.Even {
+		if before.Phase == Baking && f.record.Phase != Baking && v.Kind == canary.Even {
 			f.passed[before.Stage] = true
 		}
 		if f.record.Phase == Applying {
@@ -182,15 +182,15 @@
 	bad := f.r.IntN(3) == 0
 	for i := 0; i < 3000 && !f.m.State.Phase.Ends(); i++ {
 		faults := i < 250
-		v := judge.Verdict{Kind: judge.Open}
+		v := canary.Verdict{Kind: canary.Open}
 		if f.m.State.Phase == Baking {
 			switch n := f.r.IntN(30); {
 			case n == 0 && bad:
-				v.Kind = judge.Worse
+				v.Kind = canary.Worse
 			case n == 1 && faults:
-				v.Kind = judge.Shared
+				v.Kind = canary.Shared
 			case n < 12 && f.m.Baked(f.now):
-				v.Kind = judge.Even
+				v.Kind = canary.Even
 			}
 		}
 		kill, ask := 0, Ask("")
@@ -269,10 +269,10 @@
 			for at := range 120 {
 				f := newFleet(t, 1, 4)
 				for i := 0; i < 2000 && !f.m.State.Phase.Ends(); i++ {
-					v := judge.Verdict{Kind: judge.Open}
+					v := canary.Verdict{Kind: canary.Open}
 					if f.m.State.Phase == Baking && f.m.Baked(f.now) {
-						if v.Kind = judge.Even; bad && f.m.State.Stage == 1 {
-							v.Kind = judge.Worse
+						if v.Kind = canary.Even; bad && f.m.State.Stage == 1 {
+							v.Kind = canary.Worse
 						}
 					}
 					kill := 0
@@ -292,9 +292,9 @@
 func TestOneThatCannotGoBackIsNamedAndDrained(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	for i := 0; i < 400 && f.m.State.Phase != Stuck; i++ {
-		v := judge.Verdict{Kind: judge.Open}
+		v := canary.Verdict{Kind: canary.Open}
 		if f.m.State.Phase == Baking {
-			v.Kind = judge.Worse
+			v.Kind = canary.Worse
 			f.members[0].failed = "the program is gone"
 		}
 		f.one(v, "", 0, false)
@@ -304,7 +304,7 @@
 	}
 	f.members[0].failed, f.members[0].running = "", "" // mended by hand; it is still out of service, so nothing runs there
 	for i := 0; i < 50 && f.m.State.Phase != Back; i++ {
-		f.one(judge.Verdict{}, "", 0, false)
+		f.one(canary.Verdict{}, "", 0, false)
 	}
 	if f.m.State.Phase != Back || f.members[0].held.Drain || f.settled() != "" {
 		t.Errorf("%+v, drains %v: %s", f.m.State, f.members[0].held.Drain, f.settled())
@@ -315,7 +315,7 @@
 	f := newFleet(t, 3, 3)
 	f.members[2].away = true
 	for i := 0; i < 400 && !f.m.State.Phase.Ends(); i++ {
-		f.one(judge.Verdict{}, "", 0, false)
+		f.one(canary.Verdict{}, "", 0, false)
 	}
 	if f.m.State.Phase != Stopped || !strings.Contains(f.m.State.Outcome, "c2") || f.deepest >= 0 {
 		t.Errorf("%+v", f.m.State)
--- a/internal/document/document.go
+++ b/internal/schema/document.go
@@ -1,5 +1,5 @@
-// Package document reads JSON files that operators write: bounded, held against their schema, every fault with its path.
-package document
+// Package schema reads JSON files that operators write: bounded, held against their schema, every fault with its path.
+package schema
 
 import (
 	"bytes"
--- a/internal/sock/sock.go
+++ b/internal/socketstate/sock.go
@@ -1,5 +1,5 @@
-// Package sock looks at the state of a socket without reading from it and without waiting.
-package sock
+// Package socketstate looks at the state of a socket without reading from it and without waiting.
+package socketstate
 
 import (
 	"syscall"
--- a/internal/sock/sock_test.go
+++ b/internal/socketstate/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package socketstate
 
 import (
 	"net"
--- a/internal/solve/dive.go
+++ b/internal/solve/dive.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"swiftreel/internal/integer"
+	"swiftreel/internal/ilp"
 )
 
 // steps of packing in a dive, where a good pattern does as well as the best.
@@ -39,8 +39,8 @@
 			s.prog.Cols[j].Lo = n
 		}
 	}
-	lp := integer.NewLP(s.prog)
-	if lp.Solve(stop) != integer.Best {
+	lp := ilp.NewLP(s.prog)
+	if lp.Solve(stop) != ilp.Best {
 		return nil
 	}
 	for {
@@ -60,17 +60,17 @@
 			s.prog.Cols[j].Hi = s.prog.Cols[j].Lo
 		}
 	}
-	search := integer.NewSearch(s.prog)
+	search := ilp.NewSearch(s.prog)
 	search.Stop, search.Nodes = stop, lastNodes
 	return search.Run().X
 }
 
 // refine solves and adds patterns for what is left, some rounds.
-func (s *master) refine(lp *integer.LP, left []int64, stop func() bool) bool {
+func (s *master) refine(lp *ilp.LP, left []int64, stop func() bool) bool {
 	for round := 0; ; round++ {
 		ended := lp.Solve(stop)
-		if ended != integer.Best || round >= diveRounds {
-			return ended == integer.Best
+		if ended != ilp.Best || round >= diveRounds {
+			return ended == ilp.Best
 		}
 		y := lp.Multipliers(ended)
 		added := 0
@@ -170,7 +170,7 @@
 }
 
 // packLeft fills an engine with pieces of which so much is left, well rather than best.
-func (s *master) packLeft(c int, y integer.Multipliers, left []int64) ([]int64, int64) {
+func (s *master) packLeft(c int, y ilp.Multipliers, left []int64) ([]int64, int64) {
 	m, cl := s.m, &s.clusters[c]
 	var items []item
 	for k := range m.pieces {
@@ -190,19 +190,19 @@
 }
 
 // reduced is what a thread of a piece is worth on a cluster's engine at the multipliers.
-func (s *master) reduced(c, k int, y integer.Multipliers) (int64, bool) {
+func (s *master) reduced(c, k int, y ilp.Multipliers) (int64, bool) {
 	m, cl := s.m, &s.clusters[c]
 	if s.most(cl, k) == 0 {
 		return 0, false
 	}
 	pc := m.pieces[k]
-	col := integer.Col{Rows: []int32{s.link + int32(k), s.budget + int32(pc.zone), s.cost},
+	col := ilp.Col{Rows: []int32{s.link + int32(k), s.budget + int32(pc.zone), s.cost},
 		By: []int64{-1, cl.group.bytes[k], cl.group.cost[k]}, Obj: -s.dear * cl.group.cost[k]}
 	if !m.placed(pc.typ, cl.group) {
 		col.Rows, col.By = append(col.Rows, s.outside+int32(pc.typ)), append(col.By, 1)
 	}
 	d, known := y.Reduced(&col)
-	return d, known && d < integer.Largest/max(1, 2*cl.threads)
+	return d, known && d < ilp.Largest/max(1, 2*cl.threads)
 }
 
 // chance settles which engines are freed; the same at every run.
--- a/internal/solve/generate.go
+++ b/internal/solve/generate.go
@@ -3,21 +3,21 @@
 import (
 	"math"
 
-	"swiftreel/internal/integer"
+	"swiftreel/internal/ilp"
 )
 
 // generate adds the patterns that the multipliers call for, until none does, and returns a bound that holds over all
 // patterns there are, written out or not: in whole numbers, whatever the LP's rounding. math.MaxInt64: none known. The
 // multipliers are those of the last round.
-func (s *master) generate(stop func() bool) (bound int64, y integer.Multipliers) {
+func (s *master) generate(stop func() bool) (bound int64, y ilp.Multipliers) {
 	bound = math.MaxInt64
 	if s.whole {
 		return bound, y
 	}
-	lp := integer.NewLP(s.prog)
+	lp := ilp.NewLP(s.prog)
 	for !stop() {
 		ended := lp.Solve(stop)
-		if ended == integer.Stopped {
+		if ended == ilp.Stopped {
 			return bound, y
 		}
 		y = lp.Multipliers(ended)
@@ -31,7 +31,7 @@
 			}
 			y.By[s.convex+int32(c)] = most
 		}
-		if b, known := s.prog.Bound(y); known && (ended == integer.Best || b < 0) {
+		if b, known := s.prog.Bound(y); known && (ended == ilp.Best || b < 0) {
 			bound = min(bound, b) // with no fit: nothing at all fits, as b tells
 		}
 		if added == 0 {
@@ -44,7 +44,7 @@
 
 // pack finds the pattern of a cluster that is worth most at the multipliers. Among a type's pieces the best counts, as
 // a pattern may hold any number of it: that can only raise the bound.
-func (s *master) pack(c int, y integer.Multipliers) (counts []int64, worth, bound int64) {
+func (s *master) pack(c int, y ilp.Multipliers) (counts []int64, worth, bound int64) {
 	m, cl := s.m, &s.clusters[c]
 	items := make([]item, len(m.p.Types))
 	pieceOf := make([]int, len(items))
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"swiftreel/internal/integer"
+	"swiftreel/internal/ilp"
 )
 
 // aim is what a stage wants most.
@@ -30,7 +30,7 @@
 	m        *model
 	h        *holds
 	clusters []cluster
-	prog     *integer.Program
+	prog     *ilp.Program
 	cols     []meaning // of the program's columns
 	known    []map[string]int
 	whole    bool  // all patterns are in it
@@ -80,8 +80,8 @@
 func newCompact(m *model, h *holds) *master { return makeMaster(m, h, true) }
 
 func makeMaster(m *model, h *holds, compact bool) *master {
-	s := &master{m: m, h: h, clusters: m.clusters(h, compact), prog: &integer.Program{}, compact: compact, limit: math.MaxInt64}
-	rows := func(n int, row func(i int) integer.Row) (first int32) {
+	s := &master{m: m, h: h, clusters: m.clusters(h, compact), prog: &ilp.Program{}, compact: compact, limit: math.MaxInt64}
+	rows := func(n int, row func(i int) ilp.Row) (first int32) {
 		first = int32(len(s.prog.Rows))
 		for i := range n {
 			s.prog.Rows = append(s.prog.Rows, row(i))
@@ -94,24 +94,24 @@
 		}
 		return v
 	}
-	s.convex = rows(len(s.clusters), func(i int) integer.Row {
+	s.convex = rows(len(s.clusters), func(i int) ilp.Row {
 		if compact {
-			return integer.Row{Bound: s.clusters[i].threads}
+			return ilp.Row{Bound: s.clusters[i].threads}
 		}
-		return integer.Row{Bound: int64(len(s.clusters[i].engines)), Convex: true}
+		return ilp.Row{Bound: int64(len(s.clusters[i].engines)), Convex: true}
 	})
 	if compact {
-		s.memory = rows(len(s.clusters), func(i int) integer.Row { return integer.Row{Bound: s.clusters[i].group.memory} })
+		s.memory = rows(len(s.clusters), func(i int) ilp.Row { return ilp.Row{Bound: s.clusters[i].group.memory} })
 	}
-	s.link = rows(len(m.pieces), func(int) integer.Row { return integer.Row{} })
-	s.quota = rows(len(m.p.Tenants), func(i int) integer.Row { return integer.Row{Bound: most(h.quota[i], m.asked(-1, i))} })
-	s.floors = rows(len(h.floors), func(i int) integer.Row {
-		return integer.Row{Sense: integer.AtLeast, Bound: h.floors[i].threads}
+	s.link = rows(len(m.pieces), func(int) ilp.Row { return ilp.Row{} })
+	s.quota = rows(len(m.p.Tenants), func(i int) ilp.Row { return ilp.Row{Bound: most(h.quota[i], m.asked(-1, i))} })
+	s.floors = rows(len(h.floors), func(i int) ilp.Row {
+		return ilp.Row{Sense: ilp.AtLeast, Bound: h.floors[i].threads}
 	})
-	s.budget = rows(len(m.p.Zones), func(i int) integer.Row { return integer.Row{Bound: most(h.budget[i], m.mostBytes())} })
-	s.outside = rows(len(m.p.Types), func(i int) integer.Row { return integer.Row{Bound: most(h.outside[i], m.fleet)} })
-	s.cost = rows(1, func(int) integer.Row { return integer.Row{Bound: most(h.cost, m.mostCost())} })
-	s.value = rows(1, func(int) integer.Row { return integer.Row{Sense: integer.AtLeast, Bound: h.value} })
+	s.budget = rows(len(m.p.Zones), func(i int) ilp.Row { return ilp.Row{Bound: most(h.budget[i], m.mostBytes())} })
+	s.outside = rows(len(m.p.Types), func(i int) ilp.Row { return ilp.Row{Bound: most(h.outside[i], m.fleet)} })
+	s.cost = rows(1, func(int) ilp.Row { return ilp.Row{Bound: most(h.cost, m.mostCost())} })
+	s.value = rows(1, func(int) ilp.Row { return ilp.Row{Sense: ilp.AtLeast, Bound: h.value} })
 	s.addWants()
 	s.addPatterns()
 	return s
@@ -131,7 +131,7 @@
 		rows = append(rows, s.value)
 		add := func(most, worth int64, part bool) {
 			if most > 0 {
-				s.prog.Cols = append(s.prog.Cols, integer.Col{Hi: most, Rows: rows, By: append(slices.Clone(by), worth)})
+				s.prog.Cols = append(s.prog.Cols, ilp.Col{Hi: most, Rows: rows, By: append(slices.Clone(by), worth)})
 				s.cols = append(s.cols, meaning{cluster: -1, want: i, part: part})
 			}
 		}
@@ -139,7 +139,7 @@
 		add(w.threads-w.full, w.partial, true)
 	}
 	for k, f := range s.h.floors {
-		s.prog.Cols = append(s.prog.Cols, integer.Col{Hi: f.threads, Rows: []int32{s.floors + int32(k)}, By: []int64{1}})
+		s.prog.Cols = append(s.prog.Cols, ilp.Col{Hi: f.threads, Rows: []int32{s.floors + int32(k)}, By: []int64{1}})
 		s.cols = append(s.cols, meaning{cluster: -1, want: -1})
 	}
 }
@@ -245,7 +245,7 @@
 		return j
 	}
 	m, cl := s.m, &s.clusters[c]
-	col := integer.Col{Hi: int64(len(cl.engines)), First: true}
+	col := ilp.Col{Hi: int64(len(cl.engines)), First: true}
 	put := func(row int32, by int64) {
 		if by == 0 {
 			return
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"swiftreel/internal/integer"
+	"swiftreel/internal/ilp"
 )
 
 // Stop tells whether so many thousandths of the time given are over. It is asked often; nil never stops.
@@ -25,7 +25,7 @@
 	got    measure
 	bound  measure // of each: no better one is possible while those before it stand as they are
 	proved [3]bool // value, cost, evenness
-	marks  integer.Multipliers
+	marks  ilp.Multipliers
 	master *master // of the value's stage, for what binds
 }
 
@@ -70,7 +70,7 @@
 type found struct {
 	sol          *solution
 	value, bound int64
-	marks        integer.Multipliers
+	marks        ilp.Multipliers
 }
 
 // mostCompact is up to how many threads variables what patterns left open is closed without them; where not even the
@@ -110,7 +110,7 @@
 	if start != nil {
 		x = s.write(start)
 	}
-	search := integer.NewSearch(s.prog)
+	search := ilp.NewSearch(s.prog)
 	search.Stop, search.Above = stop, above
 	search.Bound, f.marks = s.generate(stop)
 	search.Bound = min(search.Bound, s.limit)
--- a/internal/sparql/endpoint/endpoint.go
+++ b/internal/sparql/endpoint/endpoint.go
@@ -16,8 +16,9 @@
 	"sync"
 	"time"
 
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/invariant"
 	"swiftreel/internal/sparql/decide"
 	"swiftreel/internal/sparql/results"
 )
@@ -70,7 +71,7 @@
 
 // Client carries dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL.
 type Client struct {
-	bounds back.Bounds
+	bounds backend.Bounds
 	heard  func(name string, w decide.Word)
 	http   *http.Client
 	ctx    context.Context
@@ -84,7 +85,7 @@
 type count struct{ open, givenUp int }
 
 // New makes a client. What engines say of themselves beside their answers is told to heard.
-func New(b back.Bounds, heard func(name string, w decide.Word)) *Client {
+func New(b backend.Bounds, heard func(name string, w decide.Word)) *Client {
 	dialer := &net.Dialer{Timeout: b.Dial}
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) { // IPv4 only, as the fleet allows
 		return dialer.DialContext(ctx, "tcp4", address)
@@ -104,7 +105,7 @@
 	client *Client
 	name   string
 	cancel context.CancelFunc
-	reply  func(back.Reply)
+	reply  func(backend.Reply)
 
 	mu    sync.Mutex
 	over  bool   // its end is told, or it was given up
@@ -113,17 +114,17 @@
 }
 
 // Start implements back.Engines.
-func (c *Client) Start(to back.Host, r back.Request, reply func(back.Reply)) back.Dispatch {
+func (c *Client) Start(to backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	ctx, cancel := context.WithCancel(c.ctx)
 	d := &dispatch{client: c, name: to.Name, cancel: cancel, reply: reply}
 	if !c.enter(to.Name) {
-		check.Count("endpoint_conns_full")
-		d.finish(back.Reply{End: back.Full}, false) // it never ran, and the engine refused nothing
+		counters.Increment("endpoint_conns_full")
+		d.finish(backend.Reply{End: backend.Full}, false) // it never ran, and the engine refused nothing
 		return d
 	}
 	ask, form, err := parseAsk(r.Statement)
-	if check.That(err == nil, "statement_of_another_protocol"); err != nil {
-		d.finish(back.Reply{End: back.Moot}, true)
+	if invariant.Check(err == nil, "statement_of_another_protocol"); err != nil {
+		d.finish(backend.Reply{End: backend.Moot}, true)
 		return d
 	}
 	if limit := time.Duration(r.WaitMS) * time.Millisecond; limit > 0 { // beyond it nobody waits
@@ -138,7 +139,7 @@
 }
 
 // finish tells the end, unless the dispatch was given up: then that it is over.
-func (d *dispatch) finish(r back.Reply, entered bool) {
+func (d *dispatch) finish(r backend.Reply, entered bool) {
 	d.mu.Lock()
 	told, done := d.over, d.done
 	d.over, d.ended = true, true
@@ -175,13 +176,13 @@
 func (d *dispatch) Renice(uint8) {}
 
 // carry sends and reads one answer.
-func (c *Client) carry(ctx context.Context, to back.Host, id string, ask Ask, form []byte) back.Reply {
+func (c *Client) carry(ctx context.Context, to backend.Host, id string, ask Ask, form []byte) backend.Reply {
 	answer, got, err := c.post(ctx, to, id, ask, form)
 	if err != nil {
 		if !got {
-			return back.Reply{End: back.NotConnected}
+			return backend.Reply{End: backend.NotConnected}
 		}
-		return back.Reply{End: back.Reset}
+		return backend.Reply{End: backend.Reset}
 	}
 	defer answer.Body.Close()
 	c.listen(to.Name, answer)
@@ -189,19 +190,19 @@
 	switch {
 	case (answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests) &&
 		answer.Header.Get(headerNotStarted) == isTrue:
-		return back.Reply{End: back.Full, Load: load}
+		return backend.Reply{End: backend.Full, Load: load}
 	case ask.Update && answer.StatusCode/100 == 2:
-		return back.Reply{End: c.drained(answer), Load: load}
+		return backend.Reply{End: c.drained(answer), Load: load}
 	case answer.StatusCode != http.StatusOK:
-		check.Count("endpoint_statuses_bad")
-		return back.Reply{End: back.Failed, Load: load}
+		counters.Increment("endpoint_statuses_bad")
+		return backend.Reply{End: backend.Failed, Load: load}
 	}
 	pages, end := c.read(answer, ask.Accept)
-	return back.Reply{End: end, Pages: pages, Load: load}
+	return backend.Reply{End: end, Pages: pages, Load: load}
 }
 
 // post sends a form. got: a connection was up, so that any of it may have been read.
-func (c *Client) post(ctx context.Context, to back.Host, id string, ask Ask, form []byte) (answer *http.Response, got bool, err error) {
+func (c *Client) post(ctx context.Context, to backend.Host, id string, ask Ask, form []byte) (answer *http.Response, got bool, err error) {
 	var up sync.Mutex
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		up.Lock()
@@ -241,27 +242,27 @@
 }
 
 // drained reads the rest of an update's answer, which says nothing, but must be whole.
-func (c *Client) drained(a *http.Response) back.End {
+func (c *Client) drained(a *http.Response) backend.End {
 	n, err := io.Copy(io.Discard, io.LimitReader(a.Body, mostHeader+1))
 	if err != nil || n > mostHeader {
-		return back.Failed
+		return backend.Failed
 	}
-	return back.Done
+	return backend.Done
 }
 
 // read takes a result into pages, within the bytes there are, and follows its form to the end.
-func (c *Client) read(a *http.Response, accept string) (pages [][]byte, end back.End) {
+func (c *Client) read(a *http.Response, accept string) (pages [][]byte, end backend.End) {
 	media, _, _ := strings.Cut(a.Header.Get("Content-Type"), ";")
 	if !strings.EqualFold(strings.TrimSpace(media), accept) || a.Header.Get("Content-Encoding") != "" {
-		check.Count("endpoint_answers_of_another_form")
-		return nil, back.Failed
+		counters.Increment("endpoint_answers_of_another_form")
+		return nil, backend.Failed
 	}
 	var err error
 	for err == nil {
 		if !c.bounds.Bytes.Take(pageSize) {
-			check.Count("endpoint_answers_too_large")
+			counters.Increment("endpoint_answers_too_large")
 			c.Free(pages)
-			return nil, back.Failed
+			return nil, backend.Failed
 		}
 		page, n := make([]byte, pageSize), 0
 		for n < pageSize && err == nil { // not io.ReadFull: it tells a body cut short like one that ends
@@ -276,16 +277,16 @@
 	}
 	if err != io.EOF || a.ContentLength >= 0 && size(pages) != a.ContentLength {
 		c.Free(pages)
-		return nil, back.Reset
+		return nil, backend.Reset
 	}
 	if f, is := formats[accept]; is {
 		if err := whole(results.NewReader(f, Pages(pages))); err != nil {
-			check.Count("endpoint_results_bad")
+			counters.Increment("endpoint_results_bad")
 			c.Free(pages)
-			return nil, back.Failed
+			return nil, backend.Failed
 		}
 	}
-	return pages, back.Done
+	return pages, backend.Done
 }
 
 // formats are those whose end can be told.
@@ -322,9 +323,9 @@
 }
 
 // Probe implements back.Engines: an ASK that every endpoint answers at once.
-func (c *Client) Probe(to back.Host, load bool, limit time.Duration, reply func(back.Reply)) {
+func (c *Client) Probe(to backend.Host, load bool, limit time.Duration, reply func(backend.Reply)) {
 	if !c.enter("") {
-		reply(back.Reply{End: back.Full})
+		reply(backend.Reply{End: backend.Full})
 		return
 	}
 	defer c.leave("", false)
@@ -333,24 +334,24 @@
 	answer, got, err := c.post(ctx, to, "", Ask{Accept: results.JSON.MediaType()}, []byte(probeText))
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		reply(back.Reply{End: back.TimedOut})
+		reply(backend.Reply{End: backend.TimedOut})
 		return
 	case err != nil && !got:
-		reply(back.Reply{End: back.NotConnected})
+		reply(backend.Reply{End: backend.NotConnected})
 		return
 	case err != nil:
-		reply(back.Reply{End: back.Reset})
+		reply(backend.Reply{End: backend.Reset})
 		return
 	}
 	defer answer.Body.Close()
-	r := back.Reply{End: back.Failed, Load: answer.Header.Get(headerLoad)}
+	r := backend.Reply{End: backend.Failed, Load: answer.Header.Get(headerLoad)}
 	if answer.StatusCode == http.StatusServiceUnavailable { // said of itself, without a job
 		c.heard(to.Name, decide.Drains)
-		r.End = back.Full
+		r.End = backend.Full
 	} else if c.listen(to.Name, answer); answer.StatusCode == http.StatusOK {
 		head, err := results.NewReader(results.JSON, io.LimitReader(answer.Body, mostHeader)).Head()
 		if err == nil && head.Ask {
-			r.End = back.Done
+			r.End = backend.Done
 		}
 	}
 	if !load {
@@ -425,4 +426,4 @@
 	c.http.CloseIdleConnections()
 }
 
-var _ back.Engines = (*Client)(nil)
+var _ backend.Engines = (*Client)(nil)
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/back"
+	"swiftreel/internal/backend"
 	"swiftreel/internal/limits"
 	"swiftreel/internal/sparql/decide"
 )
@@ -21,7 +21,7 @@
 type town struct {
 	t      *testing.T
 	client *Client
-	host   back.Host
+	host   backend.Host
 	bytes  *limits.Bytes
 	mu     sync.Mutex
 	words  []decide.Word
@@ -52,11 +52,11 @@
 			})
 		}
 	})
-	w := &town{t: t, host: back.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: back.SPARQL}, bytes: new(limits.Bytes)}
+	w := &town{t: t, host: backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}, bytes: new(limits.Bytes)}
 	w.bytes.Allow(1 << 20)
 	most := new(limits.Count)
 	most.Store(conns)
-	w.client = New(back.Bounds{Dial: time.Second, Idle: 10 * time.Second, Conns: most, Bytes: w.bytes}, func(_ string, word decide.Word) {
+	w.client = New(backend.Bounds{Dial: time.Second, Idle: 10 * time.Second, Conns: most, Bytes: w.bytes}, func(_ string, word decide.Word) {
 		w.mu.Lock()
 		w.words = append(w.words, word)
 		w.mu.Unlock()
@@ -77,17 +77,17 @@
 
 var query = Ask{Accept: "application/sparql-results+json", Form: url.Values{"query": {"SELECT * { ?s ?p ?o }"}, "default-graph-uri": {"http://g"}}}
 
-func (w *town) ask(a Ask) back.Reply {
+func (w *town) ask(a Ask) backend.Reply {
 	w.t.Helper()
-	told := make(chan back.Reply, 2)
-	w.client.Start(w.host, back.Request{ID: []byte("7"), Statement: a.Statement(), WaitMS: 20000}, func(r back.Reply) { told <- r })
+	told := make(chan backend.Reply, 2)
+	w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: a.Statement(), WaitMS: 20000}, func(r backend.Reply) { told <- r })
 	select {
 	case r := <-told:
 		return r
 	case <-time.After(20 * time.Second):
 		w.t.Fatal("no outcome")
 	}
-	return back.Reply{}
+	return backend.Reply{}
 }
 
 const good = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","value":"http://a"}}]}}`
@@ -105,30 +105,30 @@
 	for name, c := range map[string]struct {
 		ask   Ask
 		write string
-		want  back.End
+		want  backend.End
 	}{
-		"done":                          {query, answer("200 OK", typed+"Load: inflight:3\r\n", good), back.Done},
-		"chunked":                       {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(good), good), back.Done},
-		"last chunk missing":            {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(good), good), back.Reset},
-		"body cut":                      {query, half[:len(half)-5], back.Reset},
-		"head cut":                      {query, half[:20], back.Reset},
-		"nothing at all":                {query, "", back.Reset},
-		"breaks inside the JSON":        {query, answer("200 OK", typed, good[:len(good)-9]), back.Failed},
-		"more after the JSON":           {query, answer("200 OK", typed, good+good), back.Failed},
-		"another format":                {query, answer("200 OK", "Content-Type: text/html\r\n", "<html>"), back.Failed},
-		"said to be compressed":         {query, answer("200 OK", typed+"Content-Encoding: gzip\r\n", "\x1f\x8b"), back.Failed},
-		"full, and nothing began":       {query, answer("503 Service Unavailable", "Not-Started: ?1\r\n", ""), back.Full},
-		"too many, and nothing began":   {query, answer("429 Too Many Requests", "Not-Started: ?1\r\n", ""), back.Full},
-		"503 that says nothing":         {query, answer("503 Service Unavailable", "", ""), back.Failed},
-		"an error":                      {query, answer("500 Internal Server Error", "Not-Started: ?1\r\n", ""), back.Failed},
-		"sent elsewhere":                {query, answer("307 Temporary Redirect", "Location: /other\r\n", ""), back.Failed},
-		"no HTTP":                       {query, "220 mail\r\n\r\n", back.Reset},
-		"a header without end":          {query, "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n", back.Reset},
-		"an update done":                {update, answer("204 No Content", "", ""), back.Done},
-		"an update done, with words":    {update, answer("200 OK", "Content-Type: text/plain\r\n", "done"), back.Done},
-		"an update's answer cut":        {update, strings.TrimSuffix(answer("200 OK", "", "done"), "e"), back.Failed},
-		"an update answered at length":  {update, answer("200 OK", "", strings.Repeat("x", 200<<10)), back.Failed},
-		"more than there is memory for": {query, answer("200 OK", typed, `{"head":{"vars":[]},"results":{"bindings":[`+strings.Repeat(" ", 2<<20)+"]}}"), back.Failed},
+		"done":                          {query, answer("200 OK", typed+"Load: inflight:3\r\n", good), backend.Done},
+		"chunked":                       {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(good), good), backend.Done},
+		"last chunk missing":            {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(good), good), backend.Reset},
+		"body cut":                      {query, half[:len(half)-5], backend.Reset},
+		"head cut":                      {query, half[:20], backend.Reset},
+		"nothing at all":                {query, "", backend.Reset},
+		"breaks inside the JSON":        {query, answer("200 OK", typed, good[:len(good)-9]), backend.Failed},
+		"more after the JSON":           {query, answer("200 OK", typed, good+good), backend.Failed},
+		"another format":                {query, answer("200 OK", "Content-Type: text/html\r\n", "<html>"), backend.Failed},
+		"said to be compressed":         {query, answer("200 OK", typed+"Content-Encoding: gzip\r\n", "\x1f\x8b"), backend.Failed},
+		"full, and nothing began":       {query, answer("503 Service Unavailable", "Not-Started: ?1\r\n", ""), backend.Full},
+		"too many, and nothing began":   {query, answer("429 Too Many Requests", "Not-Started: ?1\r\n", ""), backend.Full},
+		"503 that says nothing":         {query, answer("503 Service Unavailable", "", ""), backend.Failed},
+		"an error":                      {query, answer("500 Internal Server Error", "Not-Started: ?1\r\n", ""), backend.Failed},
+		"sent elsewhere":                {query, answer("307 Temporary Redirect", "Location: /other\r\n", ""), backend.Failed},
+		"no HTTP":                       {query, "220 mail\r\n\r\n", backend.Reset},
+		"a header without end":          {query, "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n", backend.Reset},
+		"an update done":                {update, answer("204 No Content", "", ""), backend.Done},
+		"an update done, with words":    {update, answer("200 OK", "Content-Type: text/plain\r\n", "done"), backend.Done},
+		"an update's answer cut":        {update, strings.TrimSuffix(answer("200 OK", "", "done"), "e"), backend.Failed},
+		"an update answered at length":  {update, answer("200 OK", "", strings.Repeat("x", 200<<10)), backend.Failed},
+		"more than there is memory for": {query, answer("200 OK", typed, `{"head":{"vars":[]},"results":{"bindings":[`+strings.Repeat(" ", 2<<20)+"]}}"), backend.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTown(t, 8, func(conn net.Conn, r *http.Request) {
@@ -144,7 +144,7 @@
 			if r.End != c.want {
 				t.Errorf("end %d, want %d", r.End, c.want)
 			}
-			if r.End == back.Done && !c.ask.Update {
+			if r.End == backend.Done && !c.ask.Update {
 				text, _ := io.ReadAll(Pages(r.Pages))
 				if string(text) != good || name == "done" && r.Load != "inflight:3" {
 					t.Errorf("%q, load %q", text, r.Load)
@@ -160,15 +160,15 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	w.host.Address = "http://" + l.Addr().String()
 	l.Close()
-	if r := w.ask(query); r.End != back.NotConnected {
+	if r := w.ask(query); r.End != backend.NotConnected {
 		t.Errorf("end %d", r.End)
 	}
-	probed := make(chan back.Reply, 1)
-	w.client.Probe(w.host, true, time.Second, func(r back.Reply) { probed <- r })
-	if r := <-probed; r.End != back.NotConnected {
+	probed := make(chan backend.Reply, 1)
+	w.client.Probe(w.host, true, time.Second, func(r backend.Reply) { probed <- r })
+	if r := <-probed; r.End != backend.NotConnected {
 		t.Errorf("a probe: end %d", r.End)
 	}
-	if r := w.ask(Ask{}); r.End != back.NotConnected {
+	if r := w.ask(Ask{}); r.End != backend.NotConnected {
 		t.Errorf("end %d", r.End)
 	}
 }
@@ -181,13 +181,13 @@
 		io.Copy(io.Discard, c) // until it is closed
 		close(closed)
 	})
-	told := make(chan back.Reply, 2)
-	d := w.client.Start(w.host, back.Request{ID: []byte("7"), Statement: query.Statement()}, func(r back.Reply) { told <- r })
+	told := make(chan backend.Reply, 2)
+	d := w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: query.Statement()}, func(r backend.Reply) { told <- r })
 	<-asked
 	if open, _ := w.client.Out("e1"); open != 1 {
 		t.Errorf("%d open", open)
 	}
-	if r := w.ask(query); r.End != back.Full { // no connection is left: it never ran
+	if r := w.ask(query); r.End != backend.Full { // no connection is left: it never ran
 		t.Errorf("past the connections: end %d", r.End)
 	}
 	done := make(chan struct{})
@@ -209,22 +209,22 @@
 		io.WriteString(c, next)
 		mu.Unlock()
 	})
-	probe := func() back.Reply {
-		told := make(chan back.Reply, 1)
-		w.client.Probe(w.host, true, 20*time.Second, func(r back.Reply) { told <- r })
+	probe := func() backend.Reply {
+		told := make(chan backend.Reply, 1)
+		w.client.Probe(w.host, true, 20*time.Second, func(r backend.Reply) { told <- r })
 		return <-told
 	}
 	ask := `{"head":{},"boolean":true}`
 	for _, c := range []struct {
 		write string
-		end   back.End
+		end   backend.End
 		word  decide.Word
 	}{
-		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), back.Done, decide.Serves},
-		{answer("200 OK", typed+"Draining: ?1\r\n", ask), back.Done, decide.Drains},
-		{answer("503 Service Unavailable", "", ""), back.Full, decide.Drains},
-		{answer("200 OK", typed, "{}"), back.Failed, decide.Serves},
-		{answer("200 OK", typed+"Connection: close\r\n", ask), back.Done, decide.Closes},
+		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.Serves},
+		{answer("200 OK", typed+"Draining: ?1\r\n", ask), backend.Done, decide.Drains},
+		{answer("503 Service Unavailable", "", ""), backend.Full, decide.Drains},
+		{answer("200 OK", typed, "{}"), backend.Failed, decide.Serves},
+		{answer("200 OK", typed+"Connection: close\r\n", ask), backend.Done, decide.Closes},
 	} {
 		mu.Lock()
 		next = c.write
--- a/internal/sparql/front/front.go
+++ b/internal/sparql/front/front.go
@@ -19,9 +19,10 @@
 	"time"
 
 	"swiftreel/choice"
-	"swiftreel/internal/back"
-	"swiftreel/internal/check"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/gateway"
+	"swiftreel/internal/ratelog"
 	"swiftreel/internal/sparql/decide"
 	"swiftreel/internal/sparql/endpoint"
 	"swiftreel/internal/sparql/results"
@@ -69,7 +70,7 @@
 	mu      sync.Mutex
 	guesses *decide.Guesses
 	marks   *decide.Marks
-	bad     check.Grumble
+	bad     ratelog.Logger
 }
 
 // New serves a taker. Serve begins it.
@@ -216,7 +217,7 @@
 	if !errors.As(err, &r) {
 		r = refuse(http.StatusBadRequest, "%v", err)
 	}
-	f.bad.Note("sparql_refused", "sparql_refused", "status", r.status, "reason", r.text)
+	f.bad.CountAndWarn("sparql_refused", "sparql_refused", "status", r.status, "reason", r.text)
 	if r.allow != "" {
 		w.Header().Set("Allow", r.allow)
 	}
@@ -254,7 +255,7 @@
 	defer f.owed.Add(-1)
 	f.taker.Take(gateway.Ask{Type: []byte(typ), ID: []byte(hex.EncodeToString(id[:])), Tenant: []byte(tenant), Key: []byte(decide.OrderKey(s)),
 		Statement: endpoint.Ask{Update: q.update, Accept: a.wants, Mark: mark.Text, Form: form}.Statement(), Left: q.left, At: at, Work: time.Duration(work),
-		Protocol: back.SPARQL, From: a})
+		Protocol: backend.SPARQL, From: a})
 	a.wait()
 	if a.took > 0 {
 		f.mu.Lock()
@@ -431,7 +432,7 @@
 		_, err = results.Copy(results.NewWriter(to, out), results.NewReader(from, endpoint.Pages(o.pages)))
 	}
 	if err != nil {
-		check.Count("sparql_answers_cut")
+		counters.Increment("sparql_answers_cut")
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/sparql/front/front_test.go
+++ b/internal/sparql/front/front_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/check"
+	"swiftreel/internal/counters"
 	"swiftreel/internal/gateway"
 	"swiftreel/internal/sparql/decide"
 )
@@ -90,7 +90,7 @@
 		}
 		a.From.Done(append(pages, []byte(tail)))
 	})
-	cut := check.Of("sparql_answers_cut")
+	cut := counters.Value("sparql_answers_cut")
 	slow, unread := dialed(t, at), dialed(t, at)
 	io.WriteString(slow, "GET /sparql?query=")
 	io.WriteString(unread, get("SELECT * { ?s <b> 2 }"))
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for stop := time.Now().Add(15 * time.Second); check.Of("sparql_answers_cut") == cut; time.Sleep(10 * time.Millisecond) {
+	for stop := time.Now().Add(15 * time.Second); counters.Value("sparql_answers_cut") == cut; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(stop) {
 			t.Fatal("a client that takes nothing keeps its answer")
 		}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"testing"
 
-	"swiftreel/internal/shaky"
+	"swiftreel/internal/faultdisk"
 	"swiftreel/internal/store"
 )
 
@@ -122,7 +122,7 @@
 		for at := 1; ; at++ {
 			r := rand.New(rand.NewPCG(seed, uint64(at)))
 			work := rand.New(rand.NewPCG(seed, 1)) // the same work, cut at each of its calls
-			d, k := shaky.New(), &kept{}
+			d, k := faultdisk.New(), &kept{}
 			d.CrashAt = at
 			g, _, err := k.open(d)
 			if err == nil {
@@ -132,13 +132,13 @@
 				break // it lived to its end
 			}
 			crashes++
-			if !errors.Is(err, shaky.ErrCrashed) {
+			if !errors.Is(err, faultdisk.ErrCrashed) {
 				t.Fatalf("seed %d, call %d: %v", seed, at, err)
 			}
 			d = d.Crash(r)
 			if r.IntN(2) == 0 { // a second one while it recovers
 				d.CrashAt = 1 + r.IntN(8)
-				if g, _, err = k.open(d); err != nil && !errors.Is(err, shaky.ErrCrashed) {
+				if g, _, err = k.open(d); err != nil && !errors.Is(err, faultdisk.ErrCrashed) {
 					t.Fatalf("seed %d, call %d, recovering: %v", seed, at, err)
 				}
 				d = d.Crash(r)
@@ -165,7 +165,7 @@
 	fails := 0
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		d, k := shaky.New(), &kept{}
+		d, k := faultdisk.New(), &kept{}
 		g, _, err := k.open(d)
 		if err != nil {
 			t.Fatal(err)
@@ -173,7 +173,7 @@
 		at := d.Calls + 1 + r.IntN(60)
 		d.Fail = func(call int, op string) error {
 			if call == at {
-				return []error{shaky.Full, errors.New("input/output error")}[r.IntN(2)]
+				return []error{faultdisk.Full, errors.New("input/output error")}[r.IntN(2)]
 			}
 			return nil
 		}
@@ -207,7 +207,7 @@
 // recorded is a day's files, and how many entries were acknowledged when they had grown so far.
 func recorded(t *testing.T, batches int) (files map[string][]byte, k *kept) {
 	t.Helper()
-	d := shaky.New()
+	d := faultdisk.New()
 	k = &kept{}
 	g, _, err := k.open(d)
 	for range 2 { // checkpoints, then several segments behind them
@@ -234,7 +234,7 @@
 			turned[name] = bad
 			n++
 			state := map[string]string{}
-			found, err := store.Look(shaky.From(turned), replayInto(state))
+			found, err := store.Look(faultdisk.From(turned), replayInto(state))
 			var damage *store.Damage
 			switch {
 			case errors.As(err, &damage) && damage.File == name:
@@ -269,7 +269,7 @@
 		bad[at+1] ^= byte(1 + r.IntN(255))
 		turned[name] = bad
 		state := map[string]string{}
-		_, err := store.Look(shaky.From(turned), replayInto(state))
+		_, err := store.Look(faultdisk.From(turned), replayInto(state))
 		var damage *store.Damage
 		if errors.As(err, &damage) {
 			if refused++; damage.File != name {
@@ -309,7 +309,7 @@
 		cut := maps.Clone(files)
 		cut[last] = files[last][:at]
 		state := map[string]string{}
-		if _, err := store.Look(shaky.From(cut), replayInto(state)); err != nil {
+		if _, err := store.Look(faultdisk.From(cut), replayInto(state)); err != nil {
 			t.Fatalf("cut at %d: %v", at, err)
 		}
 		n := prefix(state, k.acked)
@@ -326,7 +326,7 @@
 // Old bytes that look like records, a segment of another store, two that changed places.
 func TestWhatDoesNotBelongIsNamed(t *testing.T) {
 	files, _ := recorded(t, 60)
-	other := shaky.New()
+	other := faultdisk.New()
 	k := &kept{plain: true}
 	g, _, err := k.open(other)
 	if err == nil {
@@ -350,7 +350,7 @@
 		turned := maps.Clone(files)
 		change(turned)
 		var damage *store.Damage
-		if _, err := store.Look(shaky.From(turned), replayInto(map[string]string{})); !errors.As(err, &damage) {
+		if _, err := store.Look(faultdisk.From(turned), replayInto(map[string]string{})); !errors.As(err, &damage) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/internal/keep/again.go
+++ b/internal/supervisor/again.go
@@ -1,4 +1,4 @@
-package keep
+package supervisor
 
 import "time"
 
--- a/internal/keep/child.go
+++ b/internal/supervisor/child.go
@@ -1,4 +1,4 @@
-package keep
+package supervisor
 
 import (
 	"bufio"
@@ -17,10 +17,10 @@
 	"sync"
 	"time"
 
+	"swiftreel/internal/assignment"
 	"swiftreel/internal/change"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/parts"
-	"swiftreel/internal/tally"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/quota"
 )
 
 // told is what a process has been told by its operator's file.
@@ -32,7 +32,7 @@
 }
 
 // want is what a process is to be told.
-func want(h change.Held, word handout.Held, elder bool) told {
+func want(h change.Held, word assignment.Held, elder bool) told {
 	t := told{spec: h.Want.Digest(), elder: elder}
 	if len(h.Want.Plan) == 0 && word.Plan != "" {
 		t.plan, t.planUntil = word.Plan, word.PlanUntil
@@ -57,9 +57,9 @@
 	began   time.Time
 	drains  time.Time // told to end
 	ended   chan struct{}
-	err     error        // once ended
-	report  tally.Report // the last; under the keeper's lock
-	part    [2]int64     // reign and count of the last word whose part it has taken
+	err     error           // once ended
+	report  jobstats.Report // the last; under the keeper's lock
+	part    [2]int64        // reign and count of the last word whose part it has taken
 
 	mu      sync.Mutex
 	address string // of its tally, once it has said so
@@ -115,7 +115,7 @@
 var errNotYet = errors.New("it does not say where it tells its tally yet")
 
 // ask asks it for its tally.
-func (c *child) ask(ctx context.Context, h *http.Client) (r tally.Report, err error) {
+func (c *child) ask(ctx context.Context, h *http.Client) (r jobstats.Report, err error) {
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
@@ -135,14 +135,14 @@
 }
 
 // carry tells it what it carries.
-func (c *child) carry(ctx context.Context, h *http.Client, word handout.Held) bool {
+func (c *child) carry(ctx context.Context, h *http.Client, word assignment.Held) bool {
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
 	if address == "" {
 		return false
 	}
-	p := tally.Part{PerMillion: word.Part[parts.Fleet], Quotas: map[string]int64{}, UntilNS: word.PartUntil}
+	p := jobstats.Part{PerMillion: word.Part[quota.Fleet], Quotas: map[string]int64{}, UntilNS: word.PartUntil}
 	for of, n := range word.Part {
 		if tenant, is := of.Tenant(); is {
 			p.Quotas[tenant] = n
--- a/internal/keep/keep.go
+++ b/internal/supervisor/keep.go
@@ -1,6 +1,6 @@
-// Package keep is a controller's keeper: it starts it and starts it again, and has it run with what the order says that it
+// Package supervisor is a controller's keeper: it starts it and starts it again, and has it run with what the order says that it
 // holds. It outlives the controller's program, so that a program that cannot live can be taken back.
-package keep
+package supervisor
 
 import (
 	"cmp"
@@ -22,12 +22,12 @@
 
 	"github.com/google/renameio/v2"
 
-	"swiftreel/internal/boot"
+	"swiftreel/internal/assignment"
 	"swiftreel/internal/change"
-	"swiftreel/internal/fault"
-	"swiftreel/internal/handout"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/quota"
 )
 
 // Options are a keeper's.
@@ -52,7 +52,7 @@
 	life      string // of this process: words of the owner are for it alone
 	mu        sync.Mutex
 	held      change.Held
-	word      handout.Held
+	word      assignment.Held
 	now, next *child   // who serves, and who is to
 	olds      []*child // that drain; they leave as they end, or are killed
 	failed    string
@@ -156,10 +156,10 @@
 }
 
 // Hear takes a word of the fleet's owner, or refuses it. It is not written down: it is for this process alone.
-func (k *Keeper) Hear(w handout.Word) error {
+func (k *Keeper) Hear(w assignment.Word) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next, err := k.word.Take(w, k.o.Name, k.life, boot.Now())
+	next, err := k.word.Take(w, k.o.Name, k.life, monotonic.Now())
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	if err := fault.Write(); err != nil {
+	if err := failpoint.Write(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(path, text, 0o600)
@@ -215,18 +215,18 @@
 		}
 	}
 	k.mu.Lock()
-	k.word = k.word.At(boot.Now())
+	k.word = k.word.At(monotonic.Now())
 	held, word, now, next := k.held, k.word, k.now, k.next
 	s := scene{drain: held.Drain, now: now != nil, next: next != nil, olds: len(k.olds), wait: time.Now().Before(k.startAt)}
 	if now != nil {
-		s.nowFits, s.told = now.program == held.Want.Program, now.told.covers(want(held, word, len(k.olds) > 0), boot.Now())
+		s.nowFits, s.told = now.program == held.Want.Program, now.told.covers(want(held, word, len(k.olds) > 0), monotonic.Now())
 	}
 	if next != nil {
 		s.nextFits, s.nextReady = next.program == held.Want.Program, next.report.Ready && next.report.Spec == held.Want.Digest()
 	}
 	var carry []*child // those that answer: one that hangs must not hold up orders
 	for _, c := range []*child{now, next} {
-		if c != nil && c.report.Ready && word.Part[parts.Fleet] > 0 {
+		if c != nil && c.report.Ready && word.Part[quota.Fleet] > 0 {
 			carry = append(carry, c)
 		}
 	}
@@ -350,7 +350,7 @@
 }
 
 // file writes a process's operator's file: of what is held, and whether an older one still drains.
-func (k *Keeper) file(c *child, h change.Held, word handout.Held, elder bool) bool {
+func (k *Keeper) file(c *child, h change.Held, word assignment.Held, elder bool) bool {
 	parts := map[string]json.RawMessage{}
 	for name, text := range k.base {
 		if name != "fleet" && name != "shape" && name != "plan" {
@@ -417,7 +417,7 @@
 const files = 4
 
 // begin starts a process of the controller.
-func (k *Keeper) begin(h change.Held, word handout.Held) {
+func (k *Keeper) begin(h change.Held, word assignment.Held) {
 	k.seq++
 	c := &child{program: h.Want.Program, file: k.path(fmt.Sprintf("operator-%d.json", k.seq%files)), began: time.Now(), ended: make(chan struct{})}
 	k.mu.Lock()
@@ -463,7 +463,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	s := Status{Format: change.Format, Life: k.life, BootNS: boot.Now(), Word: k.word, Name: k.o.Name, Spec: k.held.Want, Fence: k.held.Fence,
+	s := Status{Format: change.Format, Life: k.life, BootNS: monotonic.Now(), Word: k.word, Name: k.o.Name, Spec: k.held.Want, Fence: k.held.Fence,
 		By: k.held.By, Drained: k.drained, Failed: k.failed, Crashes: k.again.Crashes, OrderMS: -1, AskedMS: now.Sub(k.asked).Milliseconds()}
 	if k.asked = now; !k.ordered.IsZero() {
 		s.OrderMS = now.Sub(k.ordered).Milliseconds()
@@ -507,7 +507,7 @@
 		json.NewEncoder(w).Encode(s)
 	})
 	mux.HandleFunc("POST /v1/word", func(w http.ResponseWriter, r *http.Request) {
-		o, err := handout.ReadWord(r.Body)
+		o, err := assignment.ReadWord(r.Body)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
--- a/internal/keep/keep_test.go
+++ b/internal/supervisor/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package supervisor
 
 import (
 	"encoding/json"
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"swiftreel/internal/boot"
+	"swiftreel/internal/assignment"
 	"swiftreel/internal/change"
-	"swiftreel/internal/handout"
-	"swiftreel/internal/parts"
-	"swiftreel/internal/tally"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/monotonic"
+	"swiftreel/internal/quota"
 )
 
 func TestEndsInARowAreWaitedOutLongerAndLonger(t *testing.T) {
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	c := &child{file: k.path("operator-1.json")}
-	if !k.file(c, k.held, handout.Held{}, true) || c.told != (told{spec: k.held.Want.Digest(), elder: true}) {
+	if !k.file(c, k.held, assignment.Held{}, true) || c.told != (told{spec: k.held.Want.Digest(), elder: true}) {
 		t.Fatal(k.failed)
 	}
 	var parts map[string]json.RawMessage
@@ -144,10 +144,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []tally.Part
+	var got []jobstats.Part
 	well := false
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var p tally.Part
+		var p jobstats.Part
 		if !well || json.NewDecoder(r.Body).Decode(&p) != nil {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
@@ -163,7 +163,7 @@
 	k.now = c
 	hear := func(count, share int64) {
 		t.Helper()
-		if err := k.Hear(handout.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: k.life, Part: parts.Share{parts.Fleet: share, parts.Quota("acme"): 7}, PartUntil: boot.Now() + 60e9}); err != nil {
+		if err := k.Hear(assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: k.life, Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/keep/scene.go
+++ b/internal/supervisor/scene.go
@@ -1,4 +1,4 @@
-package keep
+package supervisor
 
 // scene is what a keeper sees when it decides what comes next. Two programs of the controller may live at once, no more:
 // the one that serves and the next, or the one that serves and an old one that serves what it owes.
--- a/internal/keep/standin_test.go
+++ b/internal/supervisor/standin_test.go
@@ -1,4 +1,4 @@
-package keep
+package supervisor
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/judge"
+	"swiftreel/internal/jobstats"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/tally"
 )
 
 // standInVariable names the test binary in the environment of a stand-in controller (testdata/controller runs it).
@@ -56,13 +56,13 @@
 	if len(now.Learned) > 0 {
 		learned = now.Learned
 	}
-	server, err := tally.Serve(now.Listen, func() tally.Report {
+	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
 		defer mu.Unlock()
-		return tally.Report{Format: change.Format, Started: started, Version: "stand-in", Spec: now.Spec, Settings: "5e77", Ready: true,
+		return jobstats.Report{Format: change.Format, Started: started, Version: "stand-in", Spec: now.Spec, Settings: "5e77", Ready: true,
 			Probes: 3, Aside: 1, Learned: learned, Health: json.RawMessage(`{"e1":{"ok":true}}`), Engines: []string{"e1", "e2"}, Carries: carries,
-			Work: map[judge.Group]judge.Work{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, Within: 4, Done: 5, Dispatches: 6, Further: 1, Took: []uint64{0, 5}}}}
-	}, func(p tally.Part) {
+			Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, Within: 4, Done: 5, Dispatches: 6, Further: 1, Took: []uint64{0, 5}}}}
+	}, func(p jobstats.Part) {
 		mu.Lock()
 		defer mu.Unlock()
 		carries = p.PerMillion
--- a/internal/rig/book.go
+++ b/internal/testcluster/book.go
@@ -1,6 +1,6 @@
-// Package rig plays real processes of the program against stand-ins on loopback, with faults between them, and logs all
+// Package testcluster plays real processes of the program against stand-ins on loopback, with faults between them, and logs all
 // that the rules need: who asked for what, what reached engines, what was answered.
-package rig
+package testcluster
 
 import (
 	"math/rand/v2"
--- a/internal/rig/engine.go
+++ b/internal/testcluster/engine.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -6,15 +6,15 @@
 	"time"
 
 	"swiftreel/internal/engine"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
 )
 
 // LineEngine is an engine of the line protocol that logs. Its work is as the fates say.
-func LineEngine(address, name string, b *Book, f *Fates) (*toy.Engine, error) {
+func LineEngine(address, name string, b *Book, f *Fates) (*fake.Engine, error) {
 	var mu sync.Mutex
 	running := map[string]*time.Timer{} // by session and id
-	return toy.StartEngine(address, func(s *toy.Session, c engine.Command) {
+	return fake.StartEngine(address, func(s *fake.Session, c engine.Command) {
 		key := fmt.Sprintf("%p %s", s, c.ID)
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/rig/load.go
+++ b/internal/testcluster/load.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
+	"swiftreel/internal/fake"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
 )
 
 // Load is clients that ask a town's controllers for jobs until stopped. A client goes on to another connection where its
@@ -61,7 +61,7 @@
 
 func (l *Load) client(m *Member, name string, chance *rand.Rand) {
 	for !l.over() {
-		c, err := toy.Dial(m.Clients)
+		c, err := fake.Dial(m.Clients)
 		if err != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
@@ -88,7 +88,7 @@
 func (l *Load) says() string { return fmt.Sprint(l.work) }
 
 // job asks for one; it tells whether the connection still serves.
-func (l *Load) job(c *toy.Caller, name string, chance *rand.Rand) bool {
+func (l *Load) job(c *fake.Caller, name string, chance *rand.Rand) bool {
 	job := fmt.Sprintf("%s%012x", name, l.town.jobs.Add(1))
 	typ, ttl, key := "lookup", 2*time.Second, ""
 	fields := []string{"call", job, "ttl", "2000", "org", "acme", "work", l.says(), "est_mb", "8"}
--- a/internal/rig/parts.go
+++ b/internal/testcluster/parts.go
@@ -1,12 +1,12 @@
-package rig
+package testcluster
 
 import (
 	"fmt"
 	"sync"
 	"time"
 
-	"swiftreel/internal/boot"
-	"swiftreel/internal/parts"
+	"swiftreel/internal/monotonic"
+	"swiftreel/internal/quota"
 )
 
 // PartsWatch looks again and again at what a town's controllers go by of the whole. It counts only what was held at one
@@ -32,7 +32,7 @@
 	p.wait.Go(func() {
 		last := make([]partAt, len(t.Members))
 		for {
-			at := boot.Now()
+			at := monotonic.Now()
 			now := p.look(last)
 			sum := int64(0)
 			for i := range now {
@@ -63,7 +63,7 @@
 		wait.Go(func() {
 			now[i] = last[i]
 			if s, err := p.town.Status(m); err == nil && s.Carried != 0 { // else its controller goes by the part before
-				now[i] = partAt{s.Word.Part[parts.Fleet], s.Word.PartUntil}
+				now[i] = partAt{s.Word.Part[quota.Fleet], s.Word.PartUntil}
 			}
 		})
 	}
@@ -75,8 +75,8 @@
 func (p *PartsWatch) Stop() error {
 	close(p.stop)
 	p.wait.Wait()
-	if p.Most > parts.Whole {
-		return fmt.Errorf("%d of %d were out", p.Most, parts.Whole)
+	if p.Most > quota.Whole {
+		return fmt.Errorf("%d of %d were out", p.Most, quota.Whole)
 	}
 	if p.Looks == 0 {
 		return fmt.Errorf("no part was seen")
--- a/internal/rig/process.go
+++ b/internal/testcluster/process.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bufio"
--- a/internal/rig/town.go
+++ b/internal/testcluster/town.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"syscall"
 	"time"
 
-	"swiftreel/internal/conduct"
-	"swiftreel/internal/keep"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/fake"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/toy"
+	"swiftreel/internal/supervisor"
 )
 
 // Settings of the town's controllers: two types that differ in what they may and how long they take.
@@ -57,8 +57,8 @@
 	subnet string
 	lock   net.Listener
 	jobs   atomic.Uint64 // numbered
-	feed   *toy.Feed
-	engine map[string]*toy.Engine
+	feed   *fake.Feed
+	engine map[string]*fake.Engine
 	http   http.Client
 }
 
@@ -98,7 +98,7 @@
 // Town starts one.
 func (o Plan) Town() (t *Town, err error) {
 	program, seed, controllers, engines, faults := o.Program, o.Seed, o.Controllers, o.Engines, o.Faults
-	t = &Town{Fates: NewFates(seed, faults, 4*time.Millisecond), engine: map[string]*toy.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
+	t = &Town{Fates: NewFates(seed, faults, 4*time.Millisecond), engine: map[string]*fake.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
 	if t.Dir, err = os.MkdirTemp("", "town"); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 		t.subnet = fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 		t.lock, _ = net.Listen("tcp4", t.subnet+".250:7000")
 	}
-	if t.feed, err = toy.StartFeed("127.0.0.1:0", 1); err != nil {
+	if t.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
 		return t, err
 	}
 	var hosts []string
@@ -205,8 +205,8 @@
 }
 
 // Status asks a keeper past its link.
-func (t *Town) Status(m *Member) (s keep.Status, err error) {
-	f := conduct.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+func (t *Town) Status(m *Member) (s supervisor.Status, err error) {
+	f := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
 	a := f.Ask(context.Background())[0]
 	return a.Status, a.Err
 }
