--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"swiftreel/internal/goldenfile"
+	"swiftreel/internal/golden"
 )
 
 // sampleFleet draws looks at a fleet of four members from a seed.
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	goldenfile.Check(t, "verdicts.txt", text.Bytes())
+	golden.Check(t, "verdicts.txt", text.Bytes())
 }
 
 // TestStoredBaseIsReadAndJudgedBy reads a base as the recorded program stored it: it is written the same, and the verdicts
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "base.json", text)
+	golden.Check(t, "base.json", text)
 	stored := NewBase()
 	if err := json.Unmarshal(text, stored); err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldenfile.Check(t, name, text)
+		golden.Check(t, name, text)
 	}
 }
 
@@ -211,5 +211,5 @@
 		}
 	}
 	fmt.Fprintf(&text, "shorter: %+v\n", Work{Jobs: 3, Took: []uint64{1, 2, 3}}.Less(Work{Jobs: 5, Took: []uint64{1}}))
-	goldenfile.Check(t, "arithmetic.txt", text.Bytes())
+	golden.Check(t, "arithmetic.txt", text.Bytes())
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,30 +1,41 @@
-// Package golden compares the output of a test with a file in the test's testdata directory. It is used by tests only.
+// Package golden compares what a test got with a file of testdata. It is imported by tests only.
 package golden
 
 import (
+	"errors"
 	"flag"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write golden files instead of comparing with them")
+var record = flag.Bool("record", false, "write golden files that do not exist yet; existing ones are never overwritten")
 
-// Check reports an error if got differs from testdata/name. With the test flag -update it writes that file instead.
+// Missing reports whether the file at path is absent and shall be recorded by this run.
+func Missing(path string) bool {
+	_, err := os.Stat(path)
+	return *record && errors.Is(err, fs.ErrNotExist)
+}
+
+// Check fails the test unless got equals the contents of testdata/name to the byte. With -record an absent file is
+// written first.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	if *update {
+	if Missing(path) {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
 		if err := os.WriteFile(path, got, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		return
 	}
 	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("output differs from %s\ngot:\n%s\nwant:\n%s", path, got, want)
+		t.Errorf("%s differs:\ngot:\n%s\nwant:\n%s", path, got, want)
 	}
 }
--- a/internal/jobstats/tally_test.go
+++ b/internal/jobstats/tally_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"swiftreel/internal/canary"
-	"swiftreel/internal/goldenfile"
+	"swiftreel/internal/golden"
 )
 
 // sampleBook counts jobs of two groups, each way that a job may end.
@@ -54,7 +54,7 @@
 	if err != nil || answer.StatusCode != http.StatusOK || answer.Header.Get("Content-Type") != "application/json" {
 		t.Errorf("%s %v %v", answer.Status, answer.Header, err)
 	}
-	goldenfile.Check(t, "report.json", body)
+	golden.Check(t, "report.json", body)
 	for i, v := 0, reflect.ValueOf(sampleReport()); i < v.NumField(); i++ {
 		if v.Field(i).IsZero() {
 			t.Errorf("%s is not filled: the golden file does not hold its key", v.Type().Field(i).Name)
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "part.json", text)
+	golden.Check(t, "part.json", text)
 	if code, body := post(string(text)); code != http.StatusNoContent || body != "" || len(got) != 1 || !reflect.DeepEqual(got[0], sent) {
 		t.Errorf("%d %q: %+v", code, body, got)
 	}
--- a/internal/solve/golden_test.go
+++ b/internal/solve/golden_test.go
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"swiftreel/internal/goldenfile"
+	"swiftreel/internal/golden"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
@@ -35,7 +35,7 @@
 				a.Cost, a.Evenness, len(a.Steps), len(a.Binding), len(a.Conflicts), sha256.Sum256(answer))
 		}
 	}
-	goldenfile.Check(t, "answers.txt", text.Bytes())
+	golden.Check(t, "answers.txt", text.Bytes())
 }
 
 // TestJSONOfProblemAndAnswer holds the keys of both documents.
@@ -48,15 +48,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "problem.json", text)
+	golden.Check(t, "problem.json", text)
 	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{Explain: true}), "", " "); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "answer.json", text)
+	golden.Check(t, "answer.json", text)
 	p.Must.LeastServed = []solve.LeastServed{{Type: "import", PerMille: 500}}
 	p.Engines[1].Kind = "std"
 	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{}), "", " "); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "answer-conflict.json", text)
+	golden.Check(t, "answer-conflict.json", text)
 }
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -18,7 +18,7 @@
 	"swiftreel/internal/assignment"
 	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/goldenfile"
+	"swiftreel/internal/golden"
 	"swiftreel/internal/monotonic"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/quota"
@@ -182,7 +182,7 @@
 // of the order is lost, what was refused before still is, and the next order is carried out.
 func TestFolderOfAnEarlierBuildIsOpenedAndGoesOn(t *testing.T) {
 	recorded := filepath.Join("testdata", "state")
-	if goldenfile.Missing(recorded) {
+	if golden.Missing(recorded) {
 		recordState(t, recorded)
 	}
 	dir := filepath.Join(t.TempDir(), "state")
@@ -244,13 +244,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	check := func(file, golden string) {
+	check := func(file, name string) {
 		t.Helper()
 		text, err := os.ReadFile(filepath.Join(dir, file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldenfile.Check(t, golden, text)
+		golden.Check(t, name, text)
 	}
 	spec := change.Spec{Program: change.Program{Path: "/opt/controller", Digest: "d1"}, Shape: json.RawMessage(shapeFirst)}
 	if err := k.Take(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Turn: 7}, By: "x", Member: "c1", Want: spec, Drain: true, Why: "why"}); err != nil {
@@ -324,7 +324,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Check(t, "status.json", text)
+	golden.Check(t, "status.json", text)
 	read, err := ReadStatus(text)
 	// engines is left out of an empty status, by which ReadStatus knows its own keys: it stands in Others too.
 	if err != nil || len(read.Others) != 1 || read.Others["engines"] == nil {
@@ -348,7 +348,7 @@
 	server := httptest.NewServer(idle.Handler())
 	defer server.Close()
 	steady := func(body []byte) []byte { return volatile.ReplaceAll(body, []byte(`"$1":0`)) }
-	goldenfile.Check(t, "http/status-idle.json", steady((&running{url: server.URL}).get(t, "/v1/status")))
+	golden.Check(t, "http/status-idle.json", steady((&running{url: server.URL}).get(t, "/v1/status")))
 
 	r := run(t, filepath.Join(t.TempDir(), "state"))
 	s := r.await(t, "its controller", func(s Status) bool { return s.Serves && s.EngineCount == 2 })
@@ -363,8 +363,8 @@
 		t.Errorf("%d %q", code, body)
 	}
 	r.await(t, "order and word", func(s Status) bool { return s.Running == o.Want.Digest() && s.Carried == 1 && s.Carries == 400_000 })
-	goldenfile.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
-	goldenfile.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
+	golden.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
+	golden.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
 
 	elsewhere := o
 	elsewhere.Member = "c9"
