--- a/choice/choice.go
+++ b/choice/choice.go
@@ -69,52 +69,52 @@
 	switch ev.Kind {
 	case Started:
 		c.start(ev)
-	case Listed:
+	case EnginesListed:
 		c.list(ev)
-	case Arrived:
+	case JobArrived:
 		c.arrive(ev)
-	case Noted:
+	case ProgressReported:
 		c.note(ev)
-	case Answered:
+	case AttemptEnded:
 		own = c.answer(ev)
-	case StreamBegan, ClientLeft:
+	case StreamStarted, ClientDisconnected:
 		if j := c.jobs[ev.Job]; j != nil && !j.over {
-			if j.streaming = ev.Kind == StreamBegan; !j.streaming {
+			if j.streaming = ev.Kind == StreamStarted; !j.streaming {
 				c.end(j)
 			}
 		}
-	case Probed:
+	case ProbeCompleted:
 		c.probed(ev)
-	case Heard:
-		c.hear(int(ev.Peer), ev.Said)
+	case GossipReceived:
+		c.hear(int(ev.Peer), ev.Payload)
 	case Stopping:
-		c.until = c.now + ev.Left
-	case Planned:
+		c.until = c.now + ev.TimeLeft
+	case PlanUpdated:
 		c.takePlan(ev.Plan)
-	case Restated:
-		c.read(ev.Facts)
-	case Taught: // by an elder, whose jobs told more than the settings do
-		for i := range min(len(ev.Means), len(c.types)) {
-			if ev.Means[i].sound() {
-				c.types[i].Means = ev.Means[i]
+	case Reconfigured:
+		c.read(ev.Settings)
+	case StateTransferred: // by an elder, whose jobs told more than the settings do
+		for i := range min(len(ev.TypeStats), len(c.types)) {
+			if ev.TypeStats[i].sound() {
+				c.types[i].TypeStats = ev.TypeStats[i]
 			}
 		}
-		for _, h := range ev.Health {
+		for _, h := range ev.EngineHealth {
 			if i, known := c.find(h.Engine); known && h.sound() {
 				e := c.engines[i]
-				if e.slow, e.bad = h.Slow, h.Bad; h.Aside { // its own rest begins now
+				if e.slow, e.bad = h.LatencyRatio, h.FailureRate; h.Ejected { // its own rest begins now
 					c.setAside(e, false)
 				}
 			}
 		}
-	case Parted: // by who knows what all were asked: until it ends it stands in for our own guess
-		c.part = ev.Part
-	case Elder: // until it has ended, nobody here knows what it sent
-		if c.alone = c.now; ev.On {
+	case QuotaAssigned: // by who knows what all were asked: until it ends it stands in for our own guess
+		c.part = ev.Quota
+	case PredecessorChanged: // until it has ended, nobody here knows what it sent
+		if c.alone = c.now; ev.PredecessorRunning {
 			c.alone = math.MaxInt64 / 2
 		}
-	case TimerDue:
-		if ev.Mark == c.tick { // a timer that is not the last one set would start a second chain of them
+	case TimerFired:
+		if ev.TimerID == c.tick { // a timer that is not the last one set would start a second chain of them
 			c.sweep()
 		}
 	}
@@ -133,14 +133,14 @@
 	c.booted, c.swept, c.mapAt, c.refused = c.now, c.now, c.now, c.now-outageLasts
 	c.until, c.alone = math.MaxInt64, math.MinInt64/2
 	c.jobs, c.lines, c.tenants = map[JobID]*job{}, map[Key]*keyLine{}, map[TenantID]*tenantSeen{}
-	c.read(ev.Facts)
+	c.read(ev.Settings)
 	c.share, c.guess, c.slowMean, c.probesLeft, c.reach = c.even, c.even, 1, probesMost, looksLeast
 	c.workMean, c.spanMean, c.off = 1, 1, 0.4 // until the first job
 	c.arm()
 }
 
 // read takes the settings. What jobs taught a type stays; one that is no longer named keeps its settings.
-func (c *Controller) read(f Facts) {
+func (c *Controller) read(f RawSettings) {
 	c.facts = f
 	c.controllers, c.me = max(1, int(f.num("balancers", 1))), int(f.num("me", 0))
 	c.even, c.mostTries = 1/float64(c.controllers), max(1, int(f.num("limits.most_tries", 1)))
@@ -172,7 +172,7 @@
 			c.types[i].typeTerms = terms
 			continue
 		}
-		t := &jobType{typeTerms: terms, Means: Means{best: 1, slow: 1}}
+		t := &jobType{typeTerms: terms, TypeStats: TypeStats{best: 1, slow: 1}}
 		t.usual = math.Max(float64(t.aim)*t.threads/2, float64(ms)) // until jobs tell better
 		c.types = append(c.types, t)
 	}
@@ -180,7 +180,7 @@
 
 func (c *Controller) arm() {
 	c.tick++
-	c.do(Action{Kind: Timer, Span: sweepEvery, Mark: c.tick})
+	c.do(Action{Kind: SetTimer, Duration: sweepEvery, TimerID: c.tick})
 }
 
 // list takes discovery's view. A start time that changes is a restart: what was learned there is void.
@@ -188,19 +188,19 @@
 	c.tracked = ev.List != ListFailed && (c.tracked || ev.List != CachedList)
 	if ev.List == ListFailed {
 		return
-	} else if ev.List != ListChanges {
+	} else if ev.List != ListDelta {
 		for _, e := range c.engines {
-			e.State = Gone
+			e.State = Removed
 		}
 	}
-	for _, l := range ev.Lines {
+	for _, l := range ev.Engines {
 		i, known := c.find(l.Engine)
 		if !known {
-			c.engines = slices.Insert(c.engines, i, &engine{slow: 1, Line: l})
+			c.engines = slices.Insert(c.engines, i, &engine{slow: 1, EngineEntry: l})
 		}
 		e := c.engines[i]
 		restarted := !known || e.StartedAt != l.StartedAt
-		e.Line, e.cores = l, math.Max(1, c.facts.num(fmt.Sprintf("domain.cpu_of_kind.%d", l.Kind), 1))
+		e.EngineEntry, e.cores = l, math.Max(1, c.facts.num(fmt.Sprintf("domain.cpu_of_kind.%d", l.Kind), 1))
 		e.memory = c.facts.num(fmt.Sprintf("domain.size_mb.%d", l.Kind), 0)
 		if restarted {
 			e.slow, e.bad, e.pressed, e.aside, e.strikes, e.bound = 1, 0, false, false, 0, e.cores*c.share
@@ -228,8 +228,8 @@
 		return
 	}
 	t := c.types[ev.Type]
-	j := &job{id: ev.Job, typ: t, key: ev.Key, tables: ev.Tables, arrived: c.now, needs: ev.Needs,
-		lost: c.now + max(0, ev.Left), work: t.usual, worth: t.worth}
+	j := &job{id: ev.Job, typ: t, key: ev.Key, tables: ev.Tables, arrived: c.now, needs: ev.RequiredProtocols,
+		lost: c.now + max(0, ev.TimeLeft), work: t.usual, worth: t.worth}
 	if ev.CostKnown && ev.Cost > 0 {
 		j.work = min(float64(ev.Cost)*math.Exp(t.costBias), float64(3600*second))
 		t.meanOf(j.work)
@@ -320,7 +320,7 @@
 // takePlan follows a plan, or none. What is asked is thought to be as planned until it is known.
 func (c *Controller) takePlan(p *Plan) {
 	if c.plan, c.hold = p.indexed(c.now), 0; p != nil {
-		c.hold, c.offered = 1, p.Demand*c.share
+		c.hold, c.offered = 1, p.DemandThreads*c.share
 		c.follow()
 	}
 }
@@ -336,8 +336,8 @@
 			there += threads
 		}
 	}
-	gone, off := max(1-there/c.plan.all, strange/max(1, c.cores)), c.plan.Factor
-	ratio, out := max(c.offered, 1e-9)/max(1e-9, c.plan.Demand*c.share), planMissing
+	gone, off := max(1-there/c.plan.all, strange/max(1, c.cores)), c.plan.MaxDemandRatio
+	ratio, out := max(c.offered, 1e-9)/max(1e-9, c.plan.DemandThreads*c.share), planMissing
 	if c.hold == 0 {
 		out, off = planBack*planMissing, 1+planBack*(off-1)
 	}
@@ -443,7 +443,7 @@
 
 func (c *Controller) probe(e *engine) {
 	e.probed, e.asked = c.now, true
-	c.do(Action{Kind: Probe, Engine: e.Engine})
+	c.do(Action{Kind: SendProbe, Engine: e.Engine})
 }
 
 // quick tells types of short jobs: at the highest priority, and over an engine's bound by half its start.
@@ -570,7 +570,7 @@
 		e.State != Ready,                     // rule 3, with no use of the grace
 		c.warmth(e) < 1 && !c.coldRoom(j, e), // rule 4
 		!c.turn(j),                           // rule 5
-		j.needs&e.Deaf != 0,                  // rule 6, here and below
+		j.needs&e.Unsupported != 0,           // rule 6, here and below
 		t.zones != nil && !slices.Contains(t.zones, any(float64(e.Zone))),
 		t.kinds != nil && !slices.Contains(t.kinds, any(float64(e.Kind))):
 		return false
@@ -640,14 +640,14 @@
 		}
 	}
 	if c.grants || c.facts.flag("domain.takes_priority") {
-		c.do(Action{Kind: Terms, Job: j.id, Priority: priority, MemoryMB: grant})
+		c.do(Action{Kind: SetDispatchOptions, Job: j.id, Priority: priority, MemoryMB: grant})
 	}
 	until := c.now + c.grace // later it may be told to be draining for too long
 	if j.mayHaveRun && !t.repeatable {
 		until = min(until, j.firstAt+t.window-2*c.step)
 	}
-	c.do(Action{Kind: Dispatch, Job: j.id, Engine: e.Engine, Until: until})
-	f := &flight{job: j, engine: e, seq: Seq(j.dispatches), sent: c.now, noted: c.now, memory: held,
+	c.do(Action{Kind: Dispatch, Job: j.id, Engine: e.Engine, SendDeadline: until})
+	f := &flight{job: j, engine: e, seq: AttemptSeq(j.dispatches), sent: c.now, noted: c.now, memory: held,
 		expect: j.work / t.threads * t.slow}
 	if j.dispatches > 0 {
 		c.further = append(c.further, c.now)
@@ -686,9 +686,9 @@
 	}
 	t, unsure := j.typ, j.mayHaveRun || j.flight != nil
 	if !unsure || t.repeatable || (t.keyed && t.scope == "all" && c.now < j.firstAt+t.window) {
-		c.do(Action{Kind: Throttle, Job: j.id, Span: c.retryAfter})
+		c.do(Action{Kind: Throttle, Job: j.id, Duration: c.retryAfter})
 	} else {
-		c.do(Action{Kind: CancelForGood, Job: j.id})
+		c.do(Action{Kind: CancelPermanently, Job: j.id})
 	}
 	c.end(j)
 }
@@ -704,7 +704,7 @@
 func (c *Controller) retract(f *flight) {
 	if f != nil && !f.called && c.cancels {
 		f.called = true
-		c.do(Action{Kind: Retract, Job: f.job.id, Seq: f.seq})
+		c.do(Action{Kind: CancelAttempt, Job: f.job.id, Seq: f.seq})
 	}
 }
 
@@ -726,7 +726,7 @@
 		return
 	}
 	f, took := j.flight, float64(c.now-j.flight.sent-j.flight.still)
-	if f.noted, f.engine.heard = c.now, c.now; ev.Note == Progress {
+	if f.noted, f.engine.heard = c.now, c.now; ev.Progress == ProgressFraction {
 		whole := took / max(ev.Amount, 0.01)
 		if whole > badPlanTimes*c.scatter()*f.expect && whole-took > 1.5*f.expect {
 			c.callBack(f)
@@ -769,7 +769,7 @@
 	j.bucket.used -= t.threads
 	j.mayHaveRun = j.mayHaveRun || !ev.Result.NeverRan()
 	if l := c.lines[j.key]; l != nil && t.ordered &&
-		(ev.Result == TimedOut || ev.Result == Reset || ev.Result == Retracted) {
+		(ev.Result == TimedOut || ev.Result == Reset || ev.Result == Canceled) {
 		l.rest = max(l.rest, c.now+c.facts.span("invariants.order_pause_ns"))
 	}
 	c.report(e, ev.Load)
@@ -777,7 +777,7 @@
 	if ev.Result == Done {
 		c.learn(j, f, ev)
 	}
-	if j.over = j.over || ev.Final; j.over {
+	if j.over = j.over || ev.IsFinal; j.over {
 		c.forget(j)
 		return j.bucket
 	}
@@ -796,11 +796,11 @@
 // learn takes what an answer tells: the true work and memory, the latency beside the best, the bound.
 func (c *Controller) learn(j *job, f *flight, ev Event) {
 	t, e, work := j.typ, f.engine, j.work
-	if c.facts.flag("domain.says_cost") && ev.Bill > 0 {
-		work = math.Max(float64(ev.Bill>>12)*float64(ms), float64(ms))
+	if c.facts.flag("domain.says_cost") && ev.Usage > 0 {
+		work = math.Max(float64(ev.Usage>>12)*float64(ms), float64(ms))
 		t.costN = min(t.costN+1, 100)
 		t.costBias += min(3, max(-3, math.Log(work/j.work))) / max(t.costN, 10)
-		if used := float64(ev.Bill&4095) * 4; used > 0 && j.memory > 0 {
+		if used := float64(ev.Usage&4095) * 4; used > 0 && j.memory > 0 {
 			t.memN = min(t.memN+1, 100)
 			off := math.Log(used/j.memory) - t.memBias
 			t.memBias += off / t.memN
@@ -885,7 +885,7 @@
 			if to := rank * c.controllers / some; to == c.me {
 				c.hear(to, []byte(text))
 			} else {
-				c.do(Action{Kind: Tell, Peer: PeerID(to), Text: text})
+				c.do(Action{Kind: SendGossip, Peer: PeerID(to), Text: text})
 			}
 		}
 	}
@@ -895,7 +895,7 @@
 		c.now-c.mapAt >= Nanos(rank)*mapLate && c.now-c.mapped >= mapEvery {
 		c.mapped, c.mapsLeft, text = c.now, c.mapsLeft-cost, c.fleetMap(c.now-wordLasts)
 		c.hear(c.me, []byte(text))
-		c.do(Action{Kind: Tell, Peer: math.MaxUint32, Text: text})
+		c.do(Action{Kind: SendGossip, Peer: math.MaxUint32, Text: text})
 	}
 }
 
@@ -1011,8 +1011,8 @@
 	if c.crowd > 0 {
 		c.guess += 0.05 * (min(1, max(c.even, c.outThreads/max(1, c.crowd*c.cores))) - c.guess)
 	}
-	if c.share = c.guess; c.now < c.part.Until {
-		c.share = c.part.Share
+	if c.share = c.guess; c.now < c.part.ExpiresAt {
+		c.share = c.part.FleetShare
 	}
 	c.reprice()
 	c.offered -= c.offered * float64(sweepEvery) / float64(offeredOver)
@@ -1076,7 +1076,7 @@
 	window := c.facts.span("invariants.fall_ns")
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool { // one that flaps keeps its cold budget
 		e.sent = slices.DeleteFunc(e.sent, func(s sentWork) bool { return s.at < c.now-window })
-		return e.State == Gone && len(e.flights) == 0 && len(e.sent) == 0
+		return e.State == Removed && len(e.flights) == 0 && len(e.sent) == 0
 	})
 	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
 		return len(b.fifo) == 0 && b.used == 0 && c.now-b.seen > tenantMemory
@@ -1086,7 +1086,7 @@
 	c.rationed()
 	if c.facts.text("discovery") == "subscribe" && !c.tracked && c.now-c.asked >= second {
 		c.asked = c.now
-		c.do(Action{Kind: Track, On: true})
+		c.do(Action{Kind: WatchEngines, Enabled: true})
 	}
 }
 
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -27,16 +27,16 @@
 	id := s.arrive(0, 0, 1)
 	want(t, len(s.sentTo(id)) == 1, "not sent")
 	terms := s.acts[len(s.acts)-2]
-	want(t, terms.Kind == Terms && terms.Priority == 3, "a quick type goes at the highest priority: %+v", s.acts)
+	want(t, terms.Kind == SetDispatchOptions && terms.Priority == 3, "a quick type goes at the highest priority: %+v", s.acts)
 }
 
 func TestLimitIsCoresTimesTwoByShareAndTenants(t *testing.T) {
 	s := newStage(t, plainFacts(), 3)
 	s.arrive(0, 0, 1)
 	want(t, s.c.limit(&bucket{}) == 3*8*2/2, "limit %v", s.c.limit(&bucket{}))
-	s.arriveAs(Event{Type: 0, Tenant: 1, Left: second, Cost: ms, CostKnown: true})
+	s.arriveAs(Event{Type: 0, Tenant: 1, TimeLeft: second, Cost: ms, CostKnown: true})
 	want(t, s.c.limit(&bucket{}) == 3*8*2/2/2, "limit %v with two tenants", s.c.limit(&bucket{}))
-	s.list(ListChanges, Line{Engine: 100, State: Draining})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
 	want(t, s.c.limit(&bucket{}) == 2*8*2/2/2, "live limit %v", s.c.limit(&bucket{}))
 }
 
@@ -60,7 +60,7 @@
 		s.arrive(1, 0, 1)
 	}
 	id := s.arrive(1, 0, 1)
-	want(t, s.jobs[id].by == Throttle && s.acts[0].Span == second, "not throttled with a retry-after: %+v", s.acts)
+	want(t, s.jobs[id].by == Throttle && s.acts[0].Duration == second, "not throttled with a retry-after: %+v", s.acts)
 	s.pass(3 * second)
 	want(t, s.jobs[short].by == Throttle, "a job never sent is throttled, not cancelled for good")
 }
@@ -94,11 +94,11 @@
 func TestAJobParkedAgainHasNotWaited(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
 	s.c.spare = 5
-	s.list(ListChanges, Line{Engine: 100, State: Draining})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
 	id := s.arrive(1, 0, 1)
-	s.list(ListChanges, Line{Engine: 100, State: Ready})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready})
 	s.now += 3 * second
-	s.list(ListChanges, Line{Engine: 100, State: Draining})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
 	s.finish(id, Reset)
 	s.pass(20 * ms)
 	want(t, len(s.sentTo(id)) == 1, "sent %v", s.sentTo(id))
@@ -108,7 +108,7 @@
 // The failure: a job that comes with next to no time left outlived it until the next sweep.
 func TestAJobWithNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
-	id := s.arriveAs(Event{Type: 0, Left: 0, Cost: 1, CostKnown: true})
+	id := s.arriveAs(Event{Type: 0, TimeLeft: 0, Cost: 1, CostKnown: true})
 	want(t, s.jobs[id].by == Throttle, "answered by %v", s.jobs[id].by)
 }
 
@@ -117,13 +117,13 @@
 func TestWhatCannotEndBeforeWeStopIsThrottledAtOnce(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
 	s.c.engines[0].fullUntil = s.now + 100*second // nothing is sent for now
-	long, short := s.arriveAs(Event{Type: 1, Left: 20 * second, Cost: 10 * second, CostKnown: true}), s.arrive(0, 0, 0)
+	long, short := s.arriveAs(Event{Type: 1, TimeLeft: 20 * second, Cost: 10 * second, CostKnown: true}), s.arrive(0, 0, 0)
 	s.pass(100 * ms)
 	want(t, !s.jobs[long].ended && !s.jobs[short].ended, "both wait")
-	s.tell(Event{Kind: Stopping, Left: 3 * second})
+	s.tell(Event{Kind: Stopping, TimeLeft: 3 * second})
 	s.pass(100 * ms)
 	want(t, s.jobs[long].ended && s.jobs[long].by == Throttle && !s.jobs[short].ended, "%+v %+v", s.jobs[long], s.jobs[short])
-	long = s.arriveAs(Event{Type: 1, Left: 20 * second, Cost: 10 * second, CostKnown: true})
+	long = s.arriveAs(Event{Type: 1, TimeLeft: 20 * second, Cost: 10 * second, CostKnown: true})
 	want(t, s.jobs[long].ended && s.jobs[long].by == Throttle, "one that comes later: %+v", s.jobs[long])
 }
 
@@ -140,13 +140,13 @@
 
 func TestNothingNewToADrainingEngineAndAFlappingListKeepsTheColdBudget(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
-	s.list(ListChanges, Line{Engine: 100, State: Draining})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
 	want(t, len(s.sentTo(s.arrive(0, 0, 1))) == 0, "sent to a draining engine")
 	s.now += 2 * second
-	s.list(ListChanges, Line{Engine: 101, State: Ready, StartedAt: s.now})
+	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	e := s.c.engines[len(s.c.engines)-1]
 	e.sent = append(e.sent, sentWork{s.now, 1})
-	s.list(ListChanges, Line{Engine: 101, State: Ready}) // the failure: a list that flaps renewed the budget
+	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready}) // the failure: a list that flaps renewed the budget
 	want(t, len(e.sent) > 0, "a list that flaps renews the budget")
 }
 
@@ -192,12 +192,12 @@
 	s.c.spare = 5
 	id := s.arrive(1, 0, 1)
 	s.now += 500 * ms
-	s.tell(Event{Kind: Noted, Job: id, Note: Progress, Amount: 0.3})
+	s.tell(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.3})
 	want(t, !s.jobs[id].sends[0].called, "a good pace is left alone")
 	s.now += 1500 * ms
-	s.tell(Event{Kind: Noted, Job: id, Note: Progress, Amount: 0.31})
+	s.tell(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.31})
 	want(t, s.jobs[id].sends[0].called, "not called back")
-	s.finish(id, Retracted)
+	s.finish(id, Canceled)
 	want(t, len(s.sentTo(id)) == 2, "not sent again")
 }
 
@@ -208,7 +208,7 @@
 		s := newStage(t, plainFacts(), 2)
 		s.c.spare = 5
 		for i := range 60 {
-			id := s.arrive(1, 0, TableSet(i)) // a second is expected
+			id := s.arrive(1, 0, TableGroup(i)) // a second is expected
 			if s.now += 500 * ms; rough && i%2 == 0 {
 				s.now += 1500 * ms
 			} else if !rough {
@@ -218,7 +218,7 @@
 		}
 		id := s.arrive(1, 0, 1)
 		s.now += Nanos(2 * s.c.jobs[id].flight.expect)
-		s.tell(Event{Kind: Noted, Job: id, Note: Progress, Amount: 0.5}) // four times in all
+		s.tell(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.5}) // four times in all
 		want(t, s.jobs[id].sends[0].called != rough, "rough=%v: called back=%v, scatter %v", rough, !rough, s.c.scatter())
 	}
 }
@@ -260,7 +260,7 @@
 	s := newStage(t, plainFacts().set("balancers", 3.0), 6)
 	report := func(others float64) {
 		for _, e := range s.c.engines {
-			s.tell(Event{Kind: Probed, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights)) + others}})
+			s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights)) + others}})
 		}
 	}
 	for range 30 {
@@ -302,7 +302,7 @@
 func TestGrantsLearnTheBiasOfEstimates(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
 	grant := func() float64 {
-		id := s.arriveAs(Event{Type: 0, Left: 2 * second, Cost: 100 * ms, CostKnown: true, MemoryMB: 100})
+		id := s.arriveAs(Event{Type: 0, TimeLeft: 2 * second, Cost: 100 * ms, CostKnown: true, MemoryMB: 100})
 		g := s.acts[0].MemoryMB
 		s.now += 100 * ms
 		s.jobs[id].ev.MemoryMB = 300
@@ -351,7 +351,7 @@
 	heavy := s.arrive(1, 0, 1)
 	want(t, len(s.probes) > 0 && len(s.probes) <= looksLeast && len(s.sentTo(heavy)) == 0, "probes %v", s.probes)
 	for _, e := range s.probes {
-		s.tell(Event{Kind: Probed, Engine: e, Result: Done, Load: []float64{3}})
+		s.tell(Event{Kind: ProbeCompleted, Engine: e, Result: Done, Load: []float64{3}})
 	}
 	want(t, slices.Contains(s.probes, s.sentTo(heavy)[0]), "goes where it looked: %v", s.sentTo(heavy))
 	s.probes = nil
@@ -367,7 +367,7 @@
 	s.now += 2 * second // its timer comes late, behind it the answer
 	for mark := range s.timers {
 		delete(s.timers, mark)
-		s.tell(Event{Kind: TimerDue, Mark: mark})
+		s.tell(Event{Kind: TimerFired, TimerID: mark})
 	}
 	want(t, !s.jobs[id].sends[0].called, "called back for our own stall")
 	s.finish(id, Done)
@@ -386,7 +386,7 @@
 	s.now += 200 * ms
 	for mark := range s.timers {
 		delete(s.timers, mark)
-		s.tell(Event{Kind: TimerDue, Mark: mark})
+		s.tell(Event{Kind: TimerFired, TimerID: mark})
 	}
 	s.finish(ids[0], Done) // the head goes, and the next is one from now on
 	s.pass(40 * ms)
@@ -412,9 +412,9 @@
 	refused, empty := s.c.engines[0], s.c.engines[1]
 	s.c.judge(refused, Unreachable)
 	want(t, s.c.warmth(empty) < 1, "it may have restarted too")
-	s.tell(Event{Kind: Probed, Engine: empty.Engine, Result: Done})
+	s.tell(Event{Kind: ProbeCompleted, Engine: empty.Engine, Result: Done})
 	want(t, s.c.warmth(empty) == 1, "it is heard of")
-	s.tell(Event{Kind: Probed, Engine: refused.Engine, Result: Done})
+	s.tell(Event{Kind: ProbeCompleted, Engine: refused.Engine, Result: Done})
 	want(t, s.c.warmth(refused) < 1, "it answers again")
 	s.pass(outageLasts)
 	s.c.crowd = 1
@@ -431,12 +431,12 @@
 	a, b := s.arrive(2, 5, 1), s.arrive(2, 5, 2)
 	for range 10 {
 		s.pass(400 * ms)
-		s.tell(Event{Kind: Noted, Job: a, Note: Waiting, Amount: 2})
+		s.tell(Event{Kind: ProgressReported, Job: a, Progress: ProgressWaiting, Amount: 2})
 	}
 	want(t, !s.jobs[a].ended, "ended though it stands still with notes")
 	s.pass(2 * second)
-	want(t, s.jobs[a].by == CancelForGood && s.jobs[a].sends[0].called, "by %v", s.jobs[a].by)
-	s.finish(a, Retracted)
+	want(t, s.jobs[a].by == CancelPermanently && s.jobs[a].sends[0].called, "by %v", s.jobs[a].by)
+	s.finish(a, Canceled)
 	s.pass(400 * ms)
 	want(t, len(s.sentTo(b)) == 1, "its key is free")
 }
@@ -458,7 +458,7 @@
 	for i := range n {
 		s := newStage(t, plainFacts().set("balancers", float64(n)).set("me", float64(i)), 1)
 		s.now += 2 * second
-		s.list(ListChanges, Line{Engine: 100, State: Ready, StartedAt: s.now})
+		s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
 		stages = append(stages, s)
 	}
 	work, sum := [steps]float64{}, 0.0
@@ -481,7 +481,7 @@
 	play := func() (log string) {
 		s := newStage(t, plainFacts(), 5)
 		for i := range 300 {
-			s.arrive(TypeID(i%3), Key(i%4), TableSet(i%7))
+			s.arrive(TypeID(i%3), Key(i%4), TableGroup(i%7))
 			s.pass(15 * ms)
 			log += fmt.Sprint(s.acts)
 		}
@@ -510,7 +510,7 @@
 // The failure: an engine that had been cold was empty for our own restraint, and taken for just started for ever.
 func TestAnEngineJustWarmAgainIsNotTakenForJustStarted(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
-	s.list(ListChanges, Line{Engine: 100, State: Ready, StartedAt: s.now})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
 	s.now += s.c.warmWithin + second
 	s.c.now, s.c.crowd = s.now, 1
 	s.c.report(s.c.engines[0], []float64{0})
@@ -525,22 +525,22 @@
 	usual := s.c.types[1].usual
 	barred := plainFacts().set("limits.cancel", false)
 	barred["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
-	s.tell(Event{Kind: Restated, Facts: barred})
+	s.tell(Event{Kind: Reconfigured, Settings: barred})
 	want(t, s.c.jobs[out].flight != nil && s.c.types[1].usual == usual && !s.c.cancels, "what was out or learned is lost")
 	held := s.arrive(1, 0, 1)
 	want(t, len(s.sentTo(held)) == 0, "sent to an engine of a kind that the restated settings bar")
-	s.tell(Event{Kind: Restated, Facts: plainFacts()})
+	s.tell(Event{Kind: Reconfigured, Settings: plainFacts()})
 	s.pass(lookAgain)
 	want(t, len(s.sentTo(held)) == 1 && s.c.cancels, "the way back does not hold at once")
 	want(t, len(s.sentTo(out)) == 1, "what was out is sent twice")
 	e := s.c.engines[1]
 	memory := plainFacts().set("telemetry.fields", []any{"load_share", "x0"})
 	for range 2 { // from counts of jobs to memory granted, and back
-		s.tell(Event{Kind: Restated, Facts: memory})
-		s.tell(Event{Kind: Probed, Engine: e.Engine, Result: Done, Load: []float64{0, (e.grants + 800) / e.memory}})
+		s.tell(Event{Kind: Reconfigured, Settings: memory})
+		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{0, (e.grants + 800) / e.memory}})
 		want(t, e.others > 6 && e.others < 10, "others %v of 8 by memory", e.others)
-		s.tell(Event{Kind: Restated, Facts: plainFacts()})
-		s.tell(Event{Kind: Probed, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights))}})
+		s.tell(Event{Kind: Reconfigured, Settings: plainFacts()})
+		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights))}})
 		want(t, e.others == 0, "others %v of 0 by count", e.others)
 	}
 }
@@ -568,7 +568,7 @@
 		s.c.report(e, []float64{1, 0})
 		want(t, len(s.sentTo(s.arrive(1, 0, 3))) == 1, "drained, and used again at the first word of it")
 	}
-	for _, f := range []Facts{plainFacts().set("telemetry.fields", []any{"load_share"}), // busy cores alone
+	for _, f := range []RawSettings{plainFacts().set("telemetry.fields", []any{"load_share"}), // busy cores alone
 		plainFacts().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.size_mb", []any{})} { // a share of what?
 		s := newStage(t, f, 1)
 		s.arrive(1, 0, 1)
@@ -583,7 +583,7 @@
 	s := newStage(t, plainFacts(), 2)
 	s.c.types[1].slow, s.c.types[1].taught = 3, s.now
 	short := func() JobID {
-		return s.arriveAs(Event{Type: 1, Left: 1500 * ms, Cost: 2 * second, CostKnown: true})
+		return s.arriveAs(Event{Type: 1, TimeLeft: 1500 * ms, Cost: 2 * second, CostKnown: true})
 	}
 	id := short() // 2 s on two threads
 	want(t, s.jobs[id].by == Throttle && len(s.sentTo(id)) == 0, "sent %v", s.sentTo(id))
@@ -600,7 +600,7 @@
 	f := plainFacts()
 	f.list("classes")[1].(map[string]any)["kinds_only"] = []any{1.0}
 	s := newStage(t, f.set("domain.cpu_of_kind", []any{8.0, 8.0}).set("domain.size_mb", []any{16000.0, 16000.0}), 2)
-	s.list(ListChanges, Line{Engine: 101, State: Ready, Kind: 1, Zone: 1})
+	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, Kind: 1, Zone: 1})
 	s.c.engines[1].fullUntil = s.now + 100*second
 	id := s.arrive(1, 0, 1)
 	s.pass(2 * second)
@@ -624,14 +624,14 @@
 	id := s.arrive(1, 0, 1)
 	want(t, len(s.probes) == 3, "a heavy one bears three: %v", s.probes)
 	for _, e := range s.probes {
-		s.tell(Event{Kind: Probed, Engine: e, Result: Done, Load: []float64{16}})
+		s.tell(Event{Kind: ProbeCompleted, Engine: e, Result: Done, Load: []float64{16}})
 	}
 	s.pass(50 * ms)
 	want(t, len(s.sentTo(id)) == 1, "not sent to what nobody filled")
 	s.finish(id, Done)
 	crowd := func() { // those reported are full, the others thought to be all alike, over a thread a core
 		for s.c.crowd = 1.45; len(s.probes) > 0; s.probes = s.probes[1:] {
-			s.tell(Event{Kind: Probed, Engine: s.probes[0], Result: Done, Load: []float64{20}})
+			s.tell(Event{Kind: ProbeCompleted, Engine: s.probes[0], Result: Done, Load: []float64{20}})
 		}
 		for _, e := range s.c.engines {
 			if e.others = 1.45 * e.cores; s.now-e.reported < reportFresh {
@@ -678,7 +678,7 @@
 	until := func() (at Nanos) {
 		for _, a := range s.acts {
 			if a.Kind == Dispatch {
-				at = a.Until
+				at = a.SendDeadline
 			}
 		}
 		return at
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -34,7 +34,7 @@
 	at     Nanos
 	of     int // controller
 	job    JobID
-	seq    Seq
+	seq    AttemptSeq
 	engine EngineID
 	sent   Nanos
 	result Result
@@ -55,7 +55,7 @@
 type coldJob struct {
 	work, threads float64
 	at            EngineID
-	seq           Seq
+	seq           AttemptSeq
 	out           bool
 }
 
@@ -68,7 +68,7 @@
 
 var coldWorks, coldShares, coldThreads = []float64{0.3e9, 6e9, 10e9}, []float64{0.76, 0.17, 0.07}, []float64{1, 3, 2}
 
-func coldFacts(d coldDay, me int) Facts {
+func coldFacts(d coldDay, me int) RawSettings {
 	f := plainFacts().set("balancers", float64(d.controllers)).set("me", float64(me)).set("domain.cpu_of_kind", []any{coldCores}).
 		set("domain.class_threads", []any{1.0, 3.0, 2.0}).set("domain.size_mb", []any{64000.0}).set("tariffs", map[string]any{"probe": 0.01}).
 		set("invariants.start_capacity", coldCapacity).set("invariants.fall_multiple", d.multiple).
@@ -89,7 +89,7 @@
 	begin, born := warm, warm+12*second
 	type fleetOf struct {
 		c      *Controller
-		timers map[Mark]Nanos
+		timers map[TimerID]Nanos
 		jobs   map[JobID]*coldJob
 		last   JobID
 		skew   Nanos
@@ -108,14 +108,14 @@
 		o := fleet[i]
 		for _, a := range acts {
 			switch a.Kind {
-			case Timer:
-				o.timers[a.Mark] = now + a.Span
-			case Probe:
+			case SetTimer:
+				o.timers[a.TimerID] = now + a.Duration
+			case SendProbe:
 				result, load := Done, []float64{float64(inHand[a.Engine])}
 				if a.Engine == coldEngine && now < born {
 					result, load = Unreachable, nil
 				}
-				tell(i, Event{Kind: Probed, Engine: a.Engine, Result: result, Load: load})
+				tell(i, Event{Kind: ProbeCompleted, Engine: a.Engine, Result: result, Load: load})
 			case Dispatch:
 				j := o.jobs[a.Job]
 				j.at, j.out = a.Engine, true
@@ -130,45 +130,45 @@
 				}
 				j.seq++
 				heap.Push(&queue, e)
-			case Retract:
+			case CancelAttempt:
 				if j := o.jobs[a.Job]; j != nil && j.out {
 					for q := range queue {
 						if queue[q].of == i && queue[q].job == a.Job {
-							queue[q].at, queue[q].result = now+10*ms, Retracted
+							queue[q].at, queue[q].result = now+10*ms, Canceled
 							heap.Init(&queue)
 							break
 						}
 					}
 				}
-			case Throttle, CancelForGood:
+			case Throttle, CancelPermanently:
 				if j := o.jobs[a.Job]; j != nil && !j.out {
 					delete(o.jobs, a.Job)
 				}
 			}
 		}
 	}
-	lines := func(cold bool) []Line {
-		var list []Line
+	lines := func(cold bool) []EngineEntry {
+		var list []EngineEntry
 		for e := range warmCount {
-			list = append(list, Line{Engine: EngineID(100 + e), State: Ready})
+			list = append(list, EngineEntry{Engine: EngineID(100 + e), State: Ready})
 		}
 		if d.untold {
-			list = append(list, Line{Engine: coldEngine, State: Ready})
+			list = append(list, EngineEntry{Engine: coldEngine, State: Ready})
 		} else if cold {
-			list = append(list, Line{Engine: coldEngine, State: Ready, StartedAt: born})
+			list = append(list, EngineEntry{Engine: coldEngine, State: Ready, StartedAt: born})
 		}
 		return list
 	}
 	start := func(i int) {
 		o := fleet[i]
-		o.c, o.timers, o.jobs = &Controller{}, map[Mark]Nanos{}, map[JobID]*coldJob{}
+		o.c, o.timers, o.jobs = &Controller{}, map[TimerID]Nanos{}, map[JobID]*coldJob{}
 		for q := range queue { // nobody hears of what was out
 			if queue[q].of == i {
 				queue[q].of = -1
 			}
 		}
-		tell(i, Event{Kind: Started, Seed: uint64(seed)*1000 + uint64(i), Facts: coldFacts(d, i)})
-		tell(i, Event{Kind: Listed, List: CachedList, Lines: lines(now >= o.hears)})
+		tell(i, Event{Kind: Started, Seed: uint64(seed)*1000 + uint64(i), Settings: coldFacts(d, i)})
+		tell(i, Event{Kind: EnginesListed, List: CachedList, Engines: lines(now >= o.hears)})
 	}
 	total := 0.0
 	for i := range fleet {
@@ -208,8 +208,8 @@
 			if e.result == Done {
 				bill = uint32(min(j.work/1e6, 1<<20-1)) << 12
 			}
-			tell(e.of, Event{Kind: Answered, Job: e.job, Seq: e.seq, Engine: e.engine, Result: e.result, Latency: now - e.sent, Final: e.result == Done,
-				Bill: bill, Load: load})
+			tell(e.of, Event{Kind: AttemptEnded, Job: e.job, Seq: e.seq, Engine: e.engine, Result: e.result, Latency: now - e.sent, IsFinal: e.result == Done,
+				Usage: bill, Load: load})
 		}
 		for i, o := range fleet {
 			if now >= o.dies {
@@ -217,12 +217,12 @@
 				start(i)
 			}
 			if now >= o.hears && now-5*ms < o.hears && !d.untold {
-				tell(i, Event{Kind: Listed, List: ListChanges, Lines: []Line{{Engine: coldEngine, State: Ready, StartedAt: born}}})
+				tell(i, Event{Kind: EnginesListed, List: ListDelta, Engines: []EngineEntry{{Engine: coldEngine, State: Ready, StartedAt: born}}})
 			}
 			for mark, at := range o.timers {
 				if at <= now {
 					delete(o.timers, mark)
-					tell(i, Event{Kind: TimerDue, Mark: mark})
+					tell(i, Event{Kind: TimerFired, TimerID: mark})
 				}
 			}
 			for expect := perSecond * o.rate / total * 0.005; chance.Float64() < expect; expect-- {
@@ -234,7 +234,7 @@
 				o.last++
 				o.jobs[o.last] = &coldJob{work: work, threads: coldThreads[kind]}
 				cost := work * math.Exp(0.3*chance.NormFloat64())
-				tell(i, Event{Kind: Arrived, Job: o.last, Type: TypeID(kind), Key: Key(chance.Int63()), Tables: TableSet(chance.Intn(20)), Left: 40 * second, Cost: Nanos(cost), CostKnown: true, MemoryMB: 100})
+				tell(i, Event{Kind: JobArrived, Job: o.last, Type: TypeID(kind), Key: Key(chance.Int63()), Tables: TableGroup(chance.Intn(20)), TimeLeft: 40 * second, Cost: Nanos(cost), CostKnown: true, MemoryMB: 100})
 			}
 		}
 	}
@@ -304,8 +304,8 @@
 		var fleet []*Controller
 		for i := range n {
 			c := &Controller{}
-			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Facts: coldFacts(d, i)})
-			c.Decide(start, Event{Kind: Listed, List: WholeList, Lines: []Line{{Engine: coldEngine, State: Ready}}})
+			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Settings: coldFacts(d, i)})
+			c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: coldEngine, State: Ready}}})
 			c.engines[0].back = start + 3*second + Nanos(chance.Float64()*4*float64(coldWindow))
 			c.types[1].usual, c.types[2].usual = float64(second), longest(chance.Float64())
 			fleet = append(fleet, c)
@@ -332,18 +332,18 @@
 	f := plainFacts().set("limits.probes", false)
 	s := newStage(t, f, 1)
 	s.pass(2 * second)
-	first := s.arriveAs(Event{Type: 1, Left: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
+	first := s.arriveAs(Event{Type: 1, TimeLeft: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
 	want(t, len(s.sentTo(first)) == 1, "not sent to a warm engine")
 	s.finish(first, Unreachable)
 	s.pass(20 * second)
-	again := s.arriveAs(Event{Type: 1, Left: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
+	again := s.arriveAs(Event{Type: 1, TimeLeft: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
 	want(t, len(s.sentTo(first))+len(s.sentTo(again)) == 1, "sent where it may just have started: %v, %v", s.sentTo(first), s.sentTo(again))
 	small := s.arrive(0, 0, 1)
 	s.pass(3 * second)
 	want(t, len(s.sentTo(small)) == 1, "nothing is sent there any more")
 	s.finish(small, Done)
 	s.pass(11 * second)
-	third := s.arriveAs(Event{Type: 1, Left: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
+	third := s.arriveAs(Event{Type: 1, TimeLeft: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
 	want(t, len(s.sentTo(third)) == 1, "cold for ever")
 }
 
@@ -365,7 +365,7 @@
 	s := newStage(t, f, 4)
 	s.pass(3 * second)
 	want(t, s.c.cores == 32, "%v cores of four warm engines", s.c.cores)
-	s.list(ListChanges, Line{Engine: 100, State: Ready, StartedAt: s.now}, Line{Engine: 101, State: Ready, StartedAt: s.now})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now}, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	s.pass(200 * ms)
 	want(t, s.c.cores == 16, "%v cores take jobs where two of four are cold", s.c.cores)
 	s.c.crowd = 2
--- a/choice/elder_test.go
+++ b/choice/elder_test.go
@@ -10,8 +10,8 @@
 // Two processes of one controller: the older serves what it owes, the newer takes what comes. To the rules they are one.
 
 func TestAnElderCountsWithUs(t *testing.T) {
-	facts := func() Facts {
-		return Facts{"balancers": 1.0, "me": 0.0, "classes": []any{
+	facts := func() RawSettings {
+		return RawSettings{"balancers": 1.0, "me": 0.0, "classes": []any{
 			map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 1e9, "gain": 1.0},
 			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 1e9, "gain": 1.0, "fifo_by_key": true}},
 			"limits": map[string]any{"most_tries": 9.0, "cancel": true}, "domain": map[string]any{"class_threads": []any{1.0, 1.0}, "cpu_of_kind": []any{16.0}},
@@ -29,17 +29,17 @@
 	}
 	begin := func(elder bool, startedAt Nanos) *Controller {
 		c := &Controller{}
-		c.Decide(start, Event{Kind: Started, Seed: 1, Facts: facts()})
+		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: facts()})
 		if elder {
-			c.Decide(start, Event{Kind: Elder, On: true})
+			c.Decide(start, Event{Kind: PredecessorChanged, PredecessorRunning: true})
 		}
-		c.Decide(start, Event{Kind: Listed, List: WholeList, Lines: []Line{{Engine: 1, State: Ready, StartedAt: startedAt}}})
+		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready, StartedAt: startedAt}}})
 		return c
 	}
 	keyed := func(c *Controller, at Nanos) int {
-		return sent(c.Decide(at, Event{Kind: Arrived, Job: 1, Type: 1, Key: 7, Left: 60e9, Cost: 1e7, CostKnown: true}))
+		return sent(c.Decide(at, Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
 	}
-	sweep := func(c *Controller, at Nanos) int { return sent(c.Decide(at, Event{Kind: TimerDue, Mark: c.tick})) }
+	sweep := func(c *Controller, at Nanos) int { return sent(c.Decide(at, Event{Kind: TimerFired, TimerID: c.tick})) }
 
 	// Rule 5: a key rests from the elder's end on.
 	if c := begin(false, 0); keyed(c, start+1e7) != 1 {
@@ -49,7 +49,7 @@
 	if keyed(c, start+1e7) != 0 || sweep(c, start+5e8) != 0 {
 		t.Error("a key goes on while an elder may serve it")
 	}
-	c.Decide(start+6e8, Event{Kind: Elder})
+	c.Decide(start+6e8, Event{Kind: PredecessorChanged})
 	if sweep(c, start+6e8+5e7) != 0 {
 		t.Error("a key goes on before it has rested")
 	}
@@ -59,10 +59,10 @@
 
 	// Rule 4: what the elder sent to a cold engine is not known before a window after its end.
 	lookup := func(c *Controller, job JobID, at Nanos) int {
-		return sent(c.Decide(at, Event{Kind: Arrived, Job: job, Left: 60e9, Cost: 1e7, CostKnown: true}))
+		return sent(c.Decide(at, Event{Kind: JobArrived, Job: job, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
 	}
 	c = begin(true, start)
-	c.Decide(start+2e9, Event{Kind: Elder})
+	c.Decide(start+2e9, Event{Kind: PredecessorChanged})
 	if lookup(c, 1, start+25e8) != 0 {
 		t.Error("a cold engine is sent a job within a window after the elder's end")
 	}
@@ -75,7 +75,7 @@
 
 	// Rule 7: the free part of the budget may be the elder's for a window.
 	c = begin(true, 0)
-	if c.Decide(start+1e9, Event{Kind: Elder}); c.rationed() {
+	if c.Decide(start+1e9, Event{Kind: PredecessorChanged}); c.rationed() {
 		t.Error("the free part is used twice")
 	}
 	if c.now = start + 61e8; !c.rationed() {
@@ -85,32 +85,32 @@
 
 // What an older process has learned goes over; what it cannot have learned does not.
 func TestAnElderTeaches(t *testing.T) {
-	facts := Facts{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9}, map[string]any{"name": "report", "aim_ns": 4e9}}}
+	facts := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9}, map[string]any{"name": "report", "aim_ns": 4e9}}}
 	begin := func() *Controller {
 		c := &Controller{}
-		c.Decide(1e15, Event{Kind: Started, Seed: 1, Facts: facts})
+		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: facts})
 		return c
 	}
 	old := begin()
-	old.types[0].Means = Means{usual: 5e6, usualN: 50, costBias: -1.2, costN: 900, memBias: 0.4, memDev: 0.2, memN: 700, best: 1.4, slow: 1.9}
-	text, err := json.Marshal(old.Learned())
+	old.types[0].TypeStats = TypeStats{usual: 5e6, usualN: 50, costBias: -1.2, costN: 900, memBias: 0.4, memDev: 0.2, memN: 700, best: 1.4, slow: 1.9}
+	text, err := json.Marshal(old.TypeStats())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []Means
+	var told []TypeStats
 	if err := json.Unmarshal(text, &told); err != nil {
 		t.Fatal(err)
 	}
 	told[1].slow = math.Inf(1) // torn on the way
 	c := begin()
-	fresh := c.types[1].Means
-	c.Decide(1e15+1, Event{Kind: Taught, Means: append(told, told...)})
-	if c.types[0].Means != old.types[0].Means || c.types[1].Means != fresh {
-		t.Errorf("%+v %+v", c.types[0].Means, c.types[1].Means)
-	}
-	c.Decide(1e15+2, Event{Kind: Listed, List: WholeList, Lines: []Line{{Engine: 1, State: Ready}, {Engine: 2, State: Ready}, {Engine: 3, State: Ready}, {Engine: 4, State: Ready}}})
-	c.Decide(1e15+3, Event{Kind: Taught, Health: []Health{{1, 2.5, 0.4, true}, {2, 1.5, 0.1, false}, {3, math.NaN(), 0, true}, {9, 1, 0, true}}})
-	if got := fmt.Sprint(c.Health()); got != "[{1 2.5 0.4 true} {2 1.5 0.1 false} {3 1 0 false} {4 1 0 false}]" {
+	fresh := c.types[1].TypeStats
+	c.Decide(1e15+1, Event{Kind: StateTransferred, TypeStats: append(told, told...)})
+	if c.types[0].TypeStats != old.types[0].TypeStats || c.types[1].TypeStats != fresh {
+		t.Errorf("%+v %+v", c.types[0].TypeStats, c.types[1].TypeStats)
+	}
+	c.Decide(1e15+2, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready}, {Engine: 2, State: Ready}, {Engine: 3, State: Ready}, {Engine: 4, State: Ready}}})
+	c.Decide(1e15+3, Event{Kind: StateTransferred, EngineHealth: []EngineHealth{{1, 2.5, 0.4, true}, {2, 1.5, 0.1, false}, {3, math.NaN(), 0, true}, {9, 1, 0, true}}})
+	if got := fmt.Sprint(c.EngineHealth()); got != "[{1 2.5 0.4 true} {2 1.5 0.1 false} {3 1 0 false} {4 1 0 false}]" {
 		t.Errorf("%s", got)
 	}
 	for _, bad := range []string{`[[1,2,3]]`, `[["x"]]`, `{}`} {
@@ -118,7 +118,7 @@
 			t.Errorf("%s is read", bad)
 		}
 	}
-	for _, m := range []Means{{}, {usual: -1, best: 1, slow: 1}, {usual: 1, best: 1, slow: 1, costBias: 99}, {usual: math.NaN(), best: 1, slow: 1}} {
+	for _, m := range []TypeStats{{}, {usual: -1, best: 1, slow: 1}, {usual: 1, best: 1, slow: 1, costBias: 99}, {usual: math.NaN(), best: 1, slow: 1}} {
 		if m.sound() {
 			t.Errorf("%+v is sound", m)
 		}
--- a/choice/part_test.go
+++ b/choice/part_test.go
@@ -11,16 +11,16 @@
 	const start = Nanos(1e15)
 	begin := func() *Controller {
 		c := &Controller{}
-		c.Decide(start, Event{Kind: Started, Seed: 1, Facts: Facts{"balancers": 4.0,
+		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: RawSettings{"balancers": 4.0,
 			"tenants":    []any{map[string]any{"quota_per_s": 100.0}},
 			"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 1e9, "gain": 1.0}},
 			"telemetry":  map[string]any{"fields": []any{"concurrent"}},
 			"invariants": map[string]any{}, "domain": map[string]any{"cpu_of_kind": []any{16.0}}}})
-		c.Decide(start, Event{Kind: Listed, List: WholeList, Lines: []Line{{Engine: 1, State: Ready}}})
+		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready}}})
 		return c
 	}
 	sweep := func(c *Controller, at Nanos) float64 {
-		c.Decide(at, Event{Kind: TimerDue, Mark: c.tick})
+		c.Decide(at, Event{Kind: TimerFired, TimerID: c.tick})
 		return c.share
 	}
 	inside := func(c *Controller) (n int) {
@@ -33,7 +33,7 @@
 	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+quotaSaved) {
 		t.Errorf("told nothing: %v", c.share)
 	}
-	c.Decide(start+1e9, Event{Kind: Parted, Part: Part{Share: 0.1, Tenants: map[TenantID]float64{0: 0.6}, Until: start + 5e9}})
+	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1, TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
 	if got := sweep(c, start+2e9); got != 0.1 {
 		t.Errorf("share %v", got)
 	}
@@ -53,7 +53,7 @@
 	if delete(c.tenants, 0); inside(c) != int(2*100*0.25+quotaSaved) {
 		t.Error("the tenant's part does not end")
 	}
-	if fmt.Sprint(c.View(start+60e9)) != fmt.Sprint(plain.View(start+60e9)) {
+	if fmt.Sprint(c.EngineViews(start+60e9)) != fmt.Sprint(plain.EngineViews(start+60e9)) {
 		t.Error("what it believes of engines is not as without a part")
 	}
 }
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -7,11 +7,11 @@
 )
 
 // planned is a stage of four engines whose plan wants type 0 on engine 103 and gives tenant 1 most.
-func planned(t testing.TB, f Facts) (*stage, *Plan) {
+func planned(t testing.TB, f RawSettings) (*stage, *Plan) {
 	s := newStage(t, f, 4)
-	p := &Plan{Tenants: []PlanTenant{{0, 0.25}, {1, 0.75}}, Demand: 8, Factor: 3,
+	p := &Plan{Tenants: []PlanTenant{{0, 0.25}, {1, 0.75}}, DemandThreads: 8, MaxDemandRatio: 3,
 		Engines: []PlanEngine{{100, 4}, {101, 4}, {102, 4}, {103, 4}}, Weights: []PlanWeight{{0, 103, 1}}}
-	s.tell(Event{Kind: Planned, Plan: p})
+	s.tell(Event{Kind: PlanUpdated, Plan: p})
 	return s, p
 }
 
@@ -43,14 +43,14 @@
 func TestAPlanFadesAsItsEnginesGoAndComesBackLater(t *testing.T) {
 	s, p := planned(t, plainFacts())
 	p.Engines[0].Threads = 1.5
-	s.tell(Event{Kind: Planned, Plan: p})
+	s.tell(Event{Kind: PlanUpdated, Plan: p})
 	line := func(id EngineID, state EngineState) {
-		s.list(ListChanges, Line{Engine: id, State: state, Zone: ZoneID(id % 2)})
+		s.list(ListDelta, EngineEntry{Engine: id, State: state, Zone: ZoneID(id % 2)})
 	}
 	line(100, Draining)
 	s.offer(second, 1)
 	want(t, s.c.hold > 0.4 && s.c.hold < 0.5, "a ninth of its threads gone: hold %v", s.c.hold)
-	line(101, Gone)
+	line(101, Removed)
 	s.offer(second, 1)
 	want(t, s.c.hold == 0 && strings.Count(s.texts, "plan followed=false") == 1, "hold %v, log %q", s.c.hold, s.texts)
 	want(t, s.c.limit(&bucket{tenant: 1}) == s.c.limit(&bucket{tenant: 0}), "limits of a plan set aside")
@@ -60,10 +60,10 @@
 	line(100, Ready)
 	s.offer(second, 1)
 	want(t, s.c.hold == 1 && strings.Count(s.texts, "plan followed=true") == 1, "hold %v, log %q", s.c.hold, s.texts)
-	s.list(ListChanges, Line{Engine: 104, State: Ready}, Line{Engine: 105, State: Ready})
+	s.list(ListDelta, EngineEntry{Engine: 104, State: Ready}, EngineEntry{Engine: 105, State: Ready})
 	s.offer(second, 1)
 	want(t, s.c.hold == 0, "a third of the fleet is not in the plan: hold %v", s.c.hold)
-	s.tell(Event{Kind: Planned})
+	s.tell(Event{Kind: PlanUpdated})
 	s.offer(second, 1)
 	want(t, s.c.hold == 0 && s.c.plan == nil, "a plan taken back")
 }
@@ -89,13 +89,13 @@
 		r := rand.New(rand.NewSource(seed))
 		s, _ := planned(t, plainFacts())
 		for range 5 {
-			p := &Plan{Demand: r.Float64() * 40, Factor: 1 + 5*r.Float64()}
+			p := &Plan{DemandThreads: r.Float64() * 40, MaxDemandRatio: 1 + 5*r.Float64()}
 			for i := range 5 {
 				p.Tenants = append(p.Tenants, PlanTenant{TenantID(i), r.Float64()})
 				p.Engines = append(p.Engines, PlanEngine{EngineID(100 + i), r.Float64() * 9})
 				p.Weights = append(p.Weights, PlanWeight{TypeID(i), EngineID(100 + r.Intn(6)), r.Float64()})
 			}
-			s.tell(Event{Kind: Planned, Plan: p})
+			s.tell(Event{Kind: PlanUpdated, Plan: p})
 			s.chaos(r, 50)
 		}
 	})
@@ -111,32 +111,32 @@
 func RunDecides(n int, plan bool) {
 	var c Controller
 	now := Nanos(1e12)
-	c.Decide(now, Event{Kind: Started, Seed: 3, Facts: plainFacts()})
-	p := &Plan{Tenants: []PlanTenant{{0, 1}}, Demand: 40, Factor: 1e9}
-	var lines []Line
+	c.Decide(now, Event{Kind: Started, Seed: 3, Settings: plainFacts()})
+	p := &Plan{Tenants: []PlanTenant{{0, 1}}, DemandThreads: 40, MaxDemandRatio: 1e9}
+	var lines []EngineEntry
 	for i := range EngineID(40) {
-		lines = append(lines, Line{Engine: i, State: Ready})
+		lines = append(lines, EngineEntry{Engine: i, State: Ready})
 		p.Engines = append(p.Engines, PlanEngine{i, 8})
 		for t := range TypeID(3) {
 			p.Weights = append(p.Weights, PlanWeight{t, i, float64(i%7) / 7})
 		}
 	}
-	c.Decide(now, Event{Kind: Listed, List: WholeList, Lines: lines})
+	c.Decide(now, Event{Kind: EnginesListed, List: FullList, Engines: lines})
 	if plan {
-		c.Decide(now, Event{Kind: Planned, Plan: p})
+		c.Decide(now, Event{Kind: PlanUpdated, Plan: p})
 	}
 	for i := range n {
 		now += ms
 		id := JobID(i + 1)
 		to := EngineID(0)
-		for _, a := range c.Decide(now, Event{Kind: Arrived, Job: id, Type: TypeID(i % 2), Left: second, Cost: 50 * ms, CostKnown: true}) {
+		for _, a := range c.Decide(now, Event{Kind: JobArrived, Job: id, Type: TypeID(i % 2), TimeLeft: second, Cost: 50 * ms, CostKnown: true}) {
 			if a.Kind == Dispatch {
 				to = a.Engine
 			}
 		}
-		c.Decide(now, Event{Kind: Answered, Job: id, Engine: to, Result: Done, Final: true, Latency: 50 * ms})
+		c.Decide(now, Event{Kind: AttemptEnded, Job: id, Engine: to, Result: Done, IsFinal: true, Latency: 50 * ms})
 		if i%20 == 0 {
-			c.Decide(now, Event{Kind: TimerDue, Mark: c.tick})
+			c.Decide(now, Event{Kind: TimerFired, TimerID: c.tick})
 		}
 	}
 }
--- a/choice/recording_test.go
+++ b/choice/recording_test.go
@@ -172,18 +172,18 @@
 }
 
 var (
-	eventNames = names[EventKind]{Started: "started", Arrived: "arrived", StreamBegan: "stream_began", Noted: "noted",
-		Answered: "answered", ClientLeft: "client_left", TimerDue: "timer_due", Listed: "listed", Probed: "probed",
-		Heard: "heard", Stopping: "stopping", Planned: "planned", Restated: "restated", Taught: "taught",
-		Parted: "parted", Elder: "elder"}
+	eventNames = names[EventKind]{Started: "started", JobArrived: "arrived", StreamStarted: "stream_began", ProgressReported: "noted",
+		AttemptEnded: "answered", ClientDisconnected: "client_left", TimerFired: "timer_due", EnginesListed: "listed", ProbeCompleted: "probed",
+		GossipReceived: "heard", Stopping: "stopping", PlanUpdated: "planned", Reconfigured: "restated", StateTransferred: "taught",
+		QuotaAssigned: "parted", PredecessorChanged: "elder"}
 	resultNames = names[Result]{0: "", Done: "done", Failed: "failed", Full: "full", TimedOut: "timed_out",
-		Unreachable: "unreachable", Reset: "reset", Retracted: "retracted", Moot: "moot"}
-	listNames = names[ListKind]{0: "", WholeList: "whole", CachedList: "cached", ListChanges: "changes",
+		Unreachable: "unreachable", Reset: "reset", Canceled: "retracted", Superseded: "moot"}
+	listNames = names[ListKind]{0: "", FullList: "whole", CachedList: "cached", ListDelta: "changes",
 		ListFailed: "failed"}
-	stateNames  = names[EngineState]{Gone: "", Ready: "ready", Draining: "draining"}
-	actionNames = names[ActionKind]{Dispatch: "dispatch", Throttle: "throttle", CancelForGood: "cancel_for_good",
-		Retract: "retract", Terms: "terms", Timer: "timer", Probe: "probe", CloseIdle: "close_idle", Tell: "tell",
-		Track: "track", ListAll: "list_all", Log: "log", Fault: "fault"}
+	stateNames  = names[EngineState]{Removed: "", Ready: "ready", Draining: "draining"}
+	actionNames = names[ActionKind]{Dispatch: "dispatch", Throttle: "throttle", CancelPermanently: "cancel_for_good",
+		CancelAttempt: "retract", SetDispatchOptions: "terms", SetTimer: "timer", SendProbe: "probe", CloseIdle: "close_idle", SendGossip: "tell",
+		WatchEngines: "track", ListEngines: "list_all", Log: "log", Fault: "fault"}
 )
 
 // each converts a list, nil to nil.
@@ -199,23 +199,23 @@
 }
 
 func recorded(ev Event) recordedEvent {
-	r := recordedEvent{Kind: eventNames.name(ev.Kind), Seed: ev.Seed, Settings: ev.Facts, Job: uint32(ev.Job),
-		Type: uint8(ev.Type), Tenant: uint32(ev.Tenant), Key: uint64(ev.Key), Left: int64(ev.Left), Cost: int64(ev.Cost),
-		CostKnown: ev.CostKnown, Repeat: ev.Repeat, Write: ev.Write, MemoryMB: recordedFloat(ev.MemoryMB),
-		Tables: int64(ev.Tables), Needs: uint8(ev.Needs), Seq: uint16(ev.Seq), Engine: uint32(ev.Engine),
-		Result: resultNames.name(ev.Result), Latency: int64(ev.Latency), Final: ev.Final, Bill: ev.Bill,
-		Load: each(ev.Load, func(v float64) recordedFloat { return recordedFloat(v) }), Note: uint8(ev.Note),
-		Amount: recordedFloat(ev.Amount), Mark: uint64(ev.Mark), List: listNames.name(ev.List),
-		Peer: uint32(ev.Peer), Said: ev.Said, On: ev.On,
-		Part: recordedPart{Share: recordedFloat(ev.Part.Share), Until: int64(ev.Part.Until)}}
-	r.Lines = each(ev.Lines, func(l Line) recordedEngine {
+	r := recordedEvent{Kind: eventNames.name(ev.Kind), Seed: ev.Seed, Settings: ev.Settings, Job: uint32(ev.Job),
+		Type: uint8(ev.Type), Tenant: uint32(ev.Tenant), Key: uint64(ev.Key), Left: int64(ev.TimeLeft), Cost: int64(ev.Cost),
+		CostKnown: ev.CostKnown, Repeat: ev.IsRepeat, Write: ev.IsWrite, MemoryMB: recordedFloat(ev.MemoryMB),
+		Tables: int64(ev.Tables), Needs: uint8(ev.RequiredProtocols), Seq: uint16(ev.Seq), Engine: uint32(ev.Engine),
+		Result: resultNames.name(ev.Result), Latency: int64(ev.Latency), Final: ev.IsFinal, Bill: ev.Usage,
+		Load: each(ev.Load, func(v float64) recordedFloat { return recordedFloat(v) }), Note: uint8(ev.Progress),
+		Amount: recordedFloat(ev.Amount), Mark: uint64(ev.TimerID), List: listNames.name(ev.List),
+		Peer: uint32(ev.Peer), Said: ev.Payload, On: ev.PredecessorRunning,
+		Part: recordedPart{Share: recordedFloat(ev.Quota.FleetShare), Until: int64(ev.Quota.ExpiresAt)}}
+	r.Lines = each(ev.Engines, func(l EngineEntry) recordedEngine {
 		return recordedEngine{uint32(l.Engine), uint8(l.Zone), uint16(l.Kind), uint16(l.Cell), stateNames.name(l.State),
-			recordedFloat(l.Size), int64(l.StartedAt), uint8(l.Deaf)}
+			recordedFloat(l.Size), int64(l.StartedAt), uint8(l.Unsupported)}
 	})
 	if p := ev.Plan; p != nil {
-		r.Plan = &recordedPlan{Idle: p.Idle, Demand: recordedFloat(p.Demand), Factor: recordedFloat(p.Factor),
+		r.Plan = &recordedPlan{Idle: p.IdleEngines, Demand: recordedFloat(p.DemandThreads), Factor: recordedFloat(p.MaxDemandRatio),
 			Tenants: each(p.Tenants, func(v PlanTenant) recordedPlanTenant {
-				return recordedPlanTenant{uint32(v.Tenant), recordedFloat(v.Part)}
+				return recordedPlanTenant{uint32(v.Tenant), recordedFloat(v.Share)}
 			}),
 			Engines: each(p.Engines, func(v PlanEngine) recordedPlanEngine {
 				return recordedPlanEngine{uint32(v.Engine), recordedFloat(v.Threads)}
@@ -224,41 +224,41 @@
 				return recordedPlanWeight{uint8(v.Type), uint32(v.Engine), recordedFloat(v.Weight)}
 			})}
 	}
-	if ev.Part.Tenants != nil {
+	if ev.Quota.TenantShares != nil {
 		r.Part.Tenants = map[uint32]recordedFloat{}
-		for id, part := range ev.Part.Tenants {
+		for id, part := range ev.Quota.TenantShares {
 			r.Part.Tenants[uint32(id)] = recordedFloat(part)
 		}
 	}
-	r.Means = each(ev.Means, func(m Means) recordedMeans {
+	r.Means = each(ev.TypeStats, func(m TypeStats) recordedMeans {
 		return recordedMeans{recordedFloat(m.usual), recordedFloat(m.usualN), recordedFloat(m.costBias), recordedFloat(m.costN),
 			recordedFloat(m.memBias), recordedFloat(m.memDev), recordedFloat(m.memN), recordedFloat(m.best), recordedFloat(m.slow)}
 	})
-	r.Health = each(ev.Health, func(h Health) recordedHealth {
-		return recordedHealth{uint32(h.Engine), recordedFloat(h.Slow), recordedFloat(h.Bad), h.Aside}
+	r.Health = each(ev.EngineHealth, func(h EngineHealth) recordedHealth {
+		return recordedHealth{uint32(h.Engine), recordedFloat(h.LatencyRatio), recordedFloat(h.FailureRate), h.Ejected}
 	})
 	return r
 }
 
 func (r recordedEvent) event(t testing.TB) Event {
 	t.Helper()
-	ev := Event{Seed: r.Seed, Facts: r.Settings, Job: JobID(r.Job), Type: TypeID(r.Type), Tenant: TenantID(r.Tenant),
-		Key: Key(r.Key), Left: Nanos(r.Left), Cost: Nanos(r.Cost), CostKnown: r.CostKnown, Repeat: r.Repeat, Write: r.Write,
-		MemoryMB: float64(r.MemoryMB), Tables: TableSet(r.Tables), Needs: Speech(r.Needs), Seq: Seq(r.Seq),
-		Engine: EngineID(r.Engine), Latency: Nanos(r.Latency), Final: r.Final, Bill: r.Bill,
-		Load: each(r.Load, func(v recordedFloat) float64 { return float64(v) }), Note: NoteKind(r.Note),
-		Amount: float64(r.Amount), Mark: Mark(r.Mark), Peer: PeerID(r.Peer), Said: r.Said, On: r.On,
-		Part: Part{Share: float64(r.Part.Share), Until: Nanos(r.Part.Until)}}
+	ev := Event{Seed: r.Seed, Settings: r.Settings, Job: JobID(r.Job), Type: TypeID(r.Type), Tenant: TenantID(r.Tenant),
+		Key: Key(r.Key), TimeLeft: Nanos(r.Left), Cost: Nanos(r.Cost), CostKnown: r.CostKnown, IsRepeat: r.Repeat, IsWrite: r.Write,
+		MemoryMB: float64(r.MemoryMB), Tables: TableGroup(r.Tables), RequiredProtocols: Protocols(r.Needs), Seq: AttemptSeq(r.Seq),
+		Engine: EngineID(r.Engine), Latency: Nanos(r.Latency), IsFinal: r.Final, Usage: r.Bill,
+		Load: each(r.Load, func(v recordedFloat) float64 { return float64(v) }), Progress: ProgressKind(r.Note),
+		Amount: float64(r.Amount), TimerID: TimerID(r.Mark), Peer: PeerID(r.Peer), Payload: r.Said, PredecessorRunning: r.On,
+		Quota: Quota{FleetShare: float64(r.Part.Share), ExpiresAt: Nanos(r.Part.Until)}}
 	ev.Kind = eventNames.value(t, r.Kind)
 	ev.Result = resultNames.value(t, r.Result)
 	ev.List = listNames.value(t, r.List)
-	ev.Lines = each(r.Lines, func(l recordedEngine) Line {
+	ev.Engines = each(r.Lines, func(l recordedEngine) EngineEntry {
 		state := stateNames.value(t, l.State)
-		return Line{EngineID(l.Engine), ZoneID(l.Zone), KindID(l.Kind), CellID(l.Cell), state, float64(l.Size),
-			Nanos(l.StartedAt), Speech(l.Deaf)}
+		return EngineEntry{EngineID(l.Engine), ZoneID(l.Zone), KindID(l.Kind), CellID(l.Cell), state, float64(l.Size),
+			Nanos(l.StartedAt), Protocols(l.Deaf)}
 	})
 	if p := r.Plan; p != nil {
-		ev.Plan = &Plan{Idle: p.Idle, Demand: float64(p.Demand), Factor: float64(p.Factor),
+		ev.Plan = &Plan{IdleEngines: p.Idle, DemandThreads: float64(p.Demand), MaxDemandRatio: float64(p.Factor),
 			Tenants: each(p.Tenants, func(v recordedPlanTenant) PlanTenant {
 				return PlanTenant{TenantID(v.Tenant), float64(v.Part)}
 			}),
@@ -270,17 +270,17 @@
 			})}
 	}
 	if r.Part.Tenants != nil {
-		ev.Part.Tenants = map[TenantID]float64{}
+		ev.Quota.TenantShares = map[TenantID]float64{}
 		for id, part := range r.Part.Tenants {
-			ev.Part.Tenants[TenantID(id)] = float64(part)
+			ev.Quota.TenantShares[TenantID(id)] = float64(part)
 		}
 	}
-	ev.Means = each(r.Means, func(m recordedMeans) Means {
-		return Means{usual: float64(m.Usual), usualN: float64(m.UsualN), costBias: float64(m.CostBias), costN: float64(m.CostN),
+	ev.TypeStats = each(r.Means, func(m recordedMeans) TypeStats {
+		return TypeStats{usual: float64(m.Usual), usualN: float64(m.UsualN), costBias: float64(m.CostBias), costN: float64(m.CostN),
 			memBias: float64(m.MemBias), memDev: float64(m.MemDev), memN: float64(m.MemN), best: float64(m.Best), slow: float64(m.Slow)}
 	})
-	ev.Health = each(r.Health, func(h recordedHealth) Health {
-		return Health{EngineID(h.Engine), float64(h.Slow), float64(h.Bad), h.Aside}
+	ev.EngineHealth = each(r.Health, func(h recordedHealth) EngineHealth {
+		return EngineHealth{EngineID(h.Engine), float64(h.Slow), float64(h.Bad), h.Aside}
 	})
 	return ev
 }
@@ -297,7 +297,7 @@
 			text = ""
 		}
 		fmt.Fprintf(h, "%s job=%d engine=%d seq=%d span=%d until=%d priority=%d memory=%x mark=%d peer=%d on=%v text=%x\n",
-			actionNames.name(a.Kind), a.Job, a.Engine, a.Seq, a.Span, a.Until, a.Priority, a.MemoryMB, a.Mark, a.Peer, a.On, text)
+			actionNames.name(a.Kind), a.Job, a.Engine, a.Seq, a.Duration, a.SendDeadline, a.Priority, a.MemoryMB, a.TimerID, a.Peer, a.Enabled, text)
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
 }
@@ -339,11 +339,11 @@
 		put(e.bound, e.slow, e.bad, int64(e.rest), e.strikes, e.passed, e.place, len(e.sent), fmt.Sprint(e.held))
 		put(e.down, e.pressed, e.aside, e.asked, int64(e.fullUntil), int64(e.back), int64(e.heard), int64(e.reported))
 	}
-	for _, s := range c.View(now) {
-		put(uint32(s.Engine), s.Jobs, s.Threads, s.Others, int64(s.Reported), int64(s.Heard), s.Out)
+	for _, s := range c.EngineViews(now) {
+		put(uint32(s.Engine), s.Jobs, s.Threads, s.SiblingThreads, int64(s.ReportAge), int64(s.LastSeenAge), s.UnavailableReason)
 	}
-	for _, s := range c.Health() {
-		put(uint32(s.Engine), s.Slow, s.Bad, s.Aside)
+	for _, s := range c.EngineHealth() {
+		put(uint32(s.Engine), s.LatencyRatio, s.FailureRate, s.Ejected)
 	}
 	return fmt.Sprintf("%08x", h.Sum32())
 }
--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -80,13 +80,13 @@
 
 // restart has a stage begin anew with a module that was told nothing, so that a stream holds its first event.
 func restart(s *stage) {
-	s.c, s.timers, s.lines, s.told = Controller{}, map[Mark]Nanos{}, map[EngineID]Line{}, map[EngineID]Nanos{}
-	s.tell(Event{Kind: Started, Seed: 11, Facts: s.facts})
-	s.list(CachedList, Line{Engine: 100, State: Ready}, Line{Engine: 101, State: Ready, Zone: 1}, Line{Engine: 102, State: Ready})
+	s.c, s.timers, s.lines, s.told = Controller{}, map[TimerID]Nanos{}, map[EngineID]EngineEntry{}, map[EngineID]Nanos{}
+	s.tell(Event{Kind: Started, Seed: 11, Settings: s.facts})
+	s.list(CachedList, EngineEntry{Engine: 100, State: Ready}, EngineEntry{Engine: 101, State: Ready, Zone: 1}, EngineEntry{Engine: 102, State: Ready})
 }
 
 // plain is a stage under chaos with one change of the settings.
-func plain(change func(Facts)) func(*testing.T, func(*stage)) {
+func plain(change func(RawSettings)) func(*testing.T, func(*stage)) {
 	return func(t *testing.T, watch func(*stage)) {
 		f := plainFacts()
 		change(f)
@@ -99,12 +99,12 @@
 
 // streams are what is recorded: each plays a stage and has it watched from its first event on.
 var streams = map[string]func(*testing.T, func(*stage)){
-	"few":    plain(func(Facts) {}),
-	"many":   plain(func(f Facts) { f.set("balancers", 60.0).set("tariffs", map[string]any{"probe": 0.001}) }),
-	"paging": plain(func(f Facts) { f.set("domain.memory_short", "swap").set("limits.probes", false) }),
-	"zones":  plain(func(f Facts) { f.set("tariffs", map[string]any{"cross_zone": 0.02}).set("locality", 1.0) }),
+	"few":    plain(func(RawSettings) {}),
+	"many":   plain(func(f RawSettings) { f.set("balancers", 60.0).set("tariffs", map[string]any{"probe": 0.001}) }),
+	"paging": plain(func(f RawSettings) { f.set("domain.memory_short", "swap").set("limits.probes", false) }),
+	"zones":  plain(func(f RawSettings) { f.set("tariffs", map[string]any{"cross_zone": 0.02}).set("locality", 1.0) }),
 	"rules":  plain(strictRules),
-	"memory": plain(func(f Facts) {
+	"memory": plain(func(f RawSettings) {
 		f.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false).set("discovery", "subscribe")
 		f.set("domain.waits_for_loads", []any{true, false, true}).set("domain.note_period_ns", 2e8)
 	}),
@@ -118,7 +118,7 @@
 }
 
 // strictRules sets what bounds repeats, places, further dispatches and tenants.
-func strictRules(f Facts) {
+func strictRules(f RawSettings) {
 	keyed := func(scope string, ordered bool) map[string]any {
 		return map[string]any{"idempotency": "by_key", "key_scope": scope, "repeat_window_ns": 1e9, "aim_ns": 1e9,
 			"give_up_ns": 3e9, "gain": 2.0, "late_worth": 0.25, "fifo_by_key": ordered}
@@ -136,16 +136,16 @@
 	restart(s)
 	r := rand.New(rand.NewSource(8))
 	for range 5 {
-		p := &Plan{Demand: r.Float64() * 40, Factor: 1 + 5*r.Float64(), Idle: []EngineID{105}}
+		p := &Plan{DemandThreads: r.Float64() * 40, MaxDemandRatio: 1 + 5*r.Float64(), IdleEngines: []EngineID{105}}
 		for i := range 5 {
 			p.Tenants = append(p.Tenants, PlanTenant{TenantID(i), r.Float64()})
 			p.Engines = append(p.Engines, PlanEngine{EngineID(100 + i), r.Float64() * 9})
 			p.Weights = append(p.Weights, PlanWeight{TypeID(i), EngineID(100 + r.Intn(6)), r.Float64()})
 		}
-		s.tell(Event{Kind: Planned, Plan: p})
+		s.tell(Event{Kind: PlanUpdated, Plan: p})
 		s.chaos(r, 50)
 	}
-	s.tell(Event{Kind: Planned})
+	s.tell(Event{Kind: PlanUpdated})
 	s.chaos(r, 20)
 }
 
@@ -157,27 +157,27 @@
 	watch(s)
 	restart(s)
 	r := rand.New(rand.NewSource(9))
-	s.tell(Event{Kind: Elder, On: true})
-	taught := []Means{{usual: 2e8, usualN: 40, costBias: 0.3, costN: 60, memBias: -0.2, memDev: 0.1, memN: 30, best: 0.7, slow: 1.4},
+	s.tell(Event{Kind: PredecessorChanged, PredecessorRunning: true})
+	taught := []TypeStats{{usual: 2e8, usualN: 40, costBias: 0.3, costN: 60, memBias: -0.2, memDev: 0.1, memN: 30, best: 0.7, slow: 1.4},
 		{usual: math.NaN(), best: 1, slow: 1}, {usual: 3e9, usualN: 7, best: 1.1, slow: 1.9}}
-	s.tell(Event{Kind: Taught, Means: taught, Health: []Health{{100, 1.3, 0.2, false}, {101, 2.5, 0.4, true}, {102, math.Inf(1), 0, true}}})
+	s.tell(Event{Kind: StateTransferred, TypeStats: taught, EngineHealth: []EngineHealth{{100, 1.3, 0.2, false}, {101, 2.5, 0.4, true}, {102, math.Inf(1), 0, true}}})
 	s.chaos(r, 60)
-	s.tell(Event{Kind: Elder})
-	s.tell(Event{Kind: Parted, Part: Part{Share: 0.2, Tenants: map[TenantID]float64{0: 0.7, 1: 0.1}, Until: s.now + 3*second}})
+	s.tell(Event{Kind: PredecessorChanged})
+	s.tell(Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.2, TenantShares: map[TenantID]float64{0: 0.7, 1: 0.1}, ExpiresAt: s.now + 3*second}})
 	s.chaos(r, 80)
 	s.facts = plainFacts().set("limits.cancel", false).set("limits.probes", false)
-	s.tell(Event{Kind: Restated, Facts: s.facts})
+	s.tell(Event{Kind: Reconfigured, Settings: s.facts})
 	s.chaos(r, 60)
 	s.facts = plainFacts().set("limits.most_tries", 2.0).set("balancers", 3.0)
-	s.tell(Event{Kind: Restated, Facts: s.facts})
-	s.tell(Event{Kind: Parted, Part: Part{Share: 0.9, Until: s.now + 60*second}})
+	s.tell(Event{Kind: Reconfigured, Settings: s.facts})
+	s.tell(Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.9, ExpiresAt: s.now + 60*second}})
 	s.chaos(r, 60)
-	s.list(ListChanges, Line{Engine: 100, State: Draining, Size: 2, Cell: 3}, Line{Engine: 101, State: Ready, Deaf: 2})
+	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining, Size: 2, Cell: 3}, EngineEntry{Engine: 101, State: Ready, Unsupported: 2})
 	for range 4 {
-		s.arriveAs(Event{Type: 1, Left: 20 * second, Cost: 10 * second, CostKnown: true, Needs: 3})
+		s.arriveAs(Event{Type: 1, TimeLeft: 20 * second, Cost: 10 * second, CostKnown: true, RequiredProtocols: 3})
 	}
 	s.pass(2 * second)
-	s.tell(Event{Kind: Stopping, Left: 3 * second})
+	s.tell(Event{Kind: Stopping, TimeLeft: 3 * second})
 	s.chaos(r, 40)
 }
 
@@ -192,13 +192,13 @@
 		deliver(ev, acts)
 		f.deliver(watched, acts)
 	}
-	f.all[watched].c, f.all[watched].timers = Controller{}, map[Mark]Nanos{}
-	f.all[watched].tell(Event{Kind: Started, Seed: 11, Facts: f.all[watched].facts})
-	f.all[watched].list(CachedList, Line{Engine: 100, State: Ready}, Line{Engine: 101, State: Ready, Zone: 1}, Line{Engine: 102, State: Ready})
+	f.all[watched].c, f.all[watched].timers = Controller{}, map[TimerID]Nanos{}
+	f.all[watched].tell(Event{Kind: Started, Seed: 11, Settings: f.all[watched].facts})
+	f.all[watched].list(CachedList, EngineEntry{Engine: 100, State: Ready}, EngineEntry{Engine: 101, State: Ready, Zone: 1}, EngineEntry{Engine: 102, State: Ready})
 	for round := range 120 {
 		for i, s := range f.all {
 			for range 1 + r.Intn(3) {
-				s.arrive(TypeID(r.Intn(3)), Key(r.Intn(4)), TableSet(r.Intn(4)))
+				s.arrive(TypeID(r.Intn(3)), Key(r.Intn(4)), TableGroup(r.Intn(4)))
 			}
 			for _, j := range slices.Clone(s.taken) {
 				switch roll := r.Intn(20); {
@@ -210,17 +210,17 @@
 				}
 			}
 			if round%40 == 10*i {
-				s.list(ListChanges, Line{Engine: 101, State: Draining, Zone: 1})
+				s.list(ListDelta, EngineEntry{Engine: 101, State: Draining, Zone: 1})
 			} else if round%40 == 10*i+5 {
-				s.list(ListChanges, Line{Engine: 101, State: Ready, Zone: 1})
+				s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, Zone: 1})
 			}
 		}
 		f.pass(40 * ms)
 	}
 	said := []byte{mapText, 1, 2, 3, 4}
-	f.all[watched].tell(Event{Kind: Heard, Peer: 2, Said: said})
-	f.all[watched].tell(Event{Kind: Heard, Peer: 77, Said: said})
-	f.all[watched].tell(Event{Kind: Heard, Peer: 3, Said: said[:3]})
+	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 2, Payload: said})
+	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 77, Payload: said})
+	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 3, Payload: said[:3]})
 	f.pass(2 * second)
 }
 
@@ -231,15 +231,15 @@
 	s := newStage(t, f.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.says_cost", false), 0)
 	watch(s)
 	restart(s)
-	var lines []Line
+	var lines []EngineEntry
 	for i := range 30 {
-		lines = append(lines, Line{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3)})
+		lines = append(lines, EngineEntry{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3)})
 	}
-	s.list(WholeList, lines...)
+	s.list(FullList, lines...)
 	s.hums(2*second, 0.04)
 	s.hums(2*second, 0.25)
 	for i := range 8 {
-		s.list(ListChanges, Line{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3), StartedAt: s.now})
+		s.list(ListDelta, EngineEntry{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3), StartedAt: s.now})
 	}
 	s.hums(4*second, 0.04)
 }
@@ -265,10 +265,10 @@
 	restart(s)
 	for round := range 300 {
 		typ := TypeID(r.Intn(2))
-		s.arriveAs(Event{Type: typ, Tables: TableSet(r.Intn(3)), Left: 8 * second, Cost: Nanos(1+r.Intn(30)) * 40 * ms, CostKnown: true, MemoryMB: 300})
+		s.arriveAs(Event{Type: typ, Tables: TableGroup(r.Intn(3)), TimeLeft: 8 * second, Cost: Nanos(1+r.Intn(30)) * 40 * ms, CostKnown: true, MemoryMB: 300})
 		if round%50 == 20 {
 			id := EngineID(100 + r.Intn(3))
-			s.list(ListChanges, Line{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
+			s.list(ListDelta, EngineEntry{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
 		}
 		for _, j := range slices.Clone(s.taken) {
 			if !j.out() {
@@ -277,13 +277,13 @@
 			last := len(j.sends) - 1
 			switch roll := r.Intn(40); {
 			case j.sends[last].called:
-				s.finish(j.ev.Job, Retracted)
+				s.finish(j.ev.Job, Canceled)
 			case roll == 0:
 				s.finish(j.ev.Job, Unreachable)
 			case roll < 12:
 				s.finish(j.ev.Job, Done)
 			case roll < 36:
-				s.tell(Event{Kind: Noted, Job: j.ev.Job, Seq: Seq(last), Engine: j.sends[last].engine, Note: Progress, Amount: r.Float64()})
+				s.tell(Event{Kind: ProgressReported, Job: j.ev.Job, Seq: AttemptSeq(last), Engine: j.sends[last].engine, Progress: ProgressFraction, Amount: r.Float64()})
 			}
 		}
 		s.pass(50 * ms)
@@ -318,8 +318,8 @@
 		v.Set(reflect.New(v.Type().Elem()))
 		fill(v.Elem())
 	case reflect.Struct:
-		if v.Type() == reflect.TypeFor[Means]() {
-			m := v.Addr().Interface().(*Means)
+		if v.Type() == reflect.TypeFor[TypeStats]() {
+			m := v.Addr().Interface().(*TypeStats)
 			for i, part := range m.parts() {
 				*part = float64(i) + 0.1
 			}
@@ -346,7 +346,7 @@
 		events = append(events, one)
 	}
 	for kind := range EventKind(20) {
-		events = append(events, Event{Kind: kind, Result: Result(kind), List: ListKind(kind), Lines: []Line{{State: EngineState(kind)}}})
+		events = append(events, Event{Kind: kind, Result: Result(kind), List: ListKind(kind), Engines: []EngineEntry{{State: EngineState(kind)}}})
 	}
 	for i, ev := range events {
 		var step recordedStep
@@ -358,9 +358,9 @@
 		}
 	}
 	for i := range 9 {
-		var m Means
+		var m TypeStats
 		*m.parts()[i] = math.E
-		if got := recorded(Event{Means: []Means{m}}).event(t).Means[0]; got != m {
+		if got := recorded(Event{TypeStats: []TypeStats{m}}).event(t).TypeStats[0]; got != m {
 			t.Errorf("mean %d: %+v is read as %+v", i, m, got)
 		}
 	}
@@ -380,7 +380,7 @@
 	for i := range reflect.TypeFor[Action]().NumField() {
 		one, other := Action{Kind: Dispatch}, Action{Kind: Dispatch}
 		if fill(reflect.ValueOf(&other).Elem().Field(i)); one == other {
-			other.Kind = Probe
+			other.Kind = SendProbe
 		}
 		if digestOf([]Action{one}) == digestOf([]Action{other}) {
 			t.Errorf("field %s is not in the digest", reflect.TypeFor[Action]().Field(i).Name)
@@ -390,7 +390,7 @@
 	if digestOf([]Action{a}) != digestOf([]Action{b}) || slices.Equal(logTexts([]Action{a}), logTexts([]Action{b})) {
 		t.Error("the text of a log line is to be compared apart from the decisions")
 	}
-	if digestOf([]Action{a, {Kind: Probe}}) == digestOf([]Action{{Kind: Probe}, a}) {
+	if digestOf([]Action{a, {Kind: SendProbe}}) == digestOf([]Action{{Kind: SendProbe}, a}) {
 		t.Error("the order of actions is not in the digest")
 	}
 }
--- a/choice/stage_test.go
+++ b/choice/stage_test.go
@@ -16,12 +16,12 @@
 	t          testing.TB
 	c          Controller
 	now        Nanos
-	facts      Facts
+	facts      RawSettings
 	jobs       map[JobID]*staged
 	taken      []*staged
-	lines      map[EngineID]Line
+	lines      map[EngineID]EngineEntry
 	told       map[EngineID]Nanos // when the engine was told to be draining or gone
-	timers     map[Mark]Nanos
+	timers     map[TimerID]Nanos
 	probes     []EngineID
 	slowProbes bool // chaos answers them when it likes
 	cold       map[EngineID][]sentWork
@@ -59,7 +59,7 @@
 func (j *staged) unsure() bool { return slices.ContainsFunc(j.sends, (*sending).mayHaveRun) }
 
 // plainFacts has three types: a short restartable, a long restartable, a run-once load in order of its key.
-func plainFacts() Facts {
+func plainFacts() RawSettings {
 	class := func(effect string, aim, give, gain float64, more map[string]any) map[string]any {
 		m := map[string]any{"idempotency": effect, "aim_ns": aim * 1e9, "give_up_ns": give * 1e9, "gain": gain,
 			"late_worth": 0.5, "aim_stretch": 2.0, "key_scope": "all", "repeat_window_ns": 5e9}
@@ -68,7 +68,7 @@
 		}
 		return m
 	}
-	return Facts{
+	return RawSettings{
 		"balancers": 2.0, "me": 0.0, "step_ns": 5e6, "discovery": "automatic",
 		"classes": []any{class("repeatable", 0.5, 2.5, 1, nil), class("repeatable", 1.5, 20, 10, nil),
 			class("once", 3, 20, 10, map[string]any{"fifo_by_key": true})},
@@ -84,7 +84,7 @@
 }
 
 // set changes one setting by its dotted path.
-func (f Facts) set(path string, v any) Facts {
+func (f RawSettings) set(path string, v any) RawSettings {
 	at, name := f, path
 	for i := 0; i < len(name); i++ {
 		if name[i] == '.' {
@@ -96,25 +96,25 @@
 	return f
 }
 
-func newStage(t testing.TB, f Facts, engines int) *stage {
-	s := &stage{t: t, now: Nanos(1e12), facts: f, jobs: map[JobID]*staged{}, lines: map[EngineID]Line{},
-		told: map[EngineID]Nanos{}, timers: map[Mark]Nanos{}, cold: map[EngineID][]sentWork{}}
-	s.tell(Event{Kind: Started, Seed: 7, Facts: f})
-	var lines []Line
+func newStage(t testing.TB, f RawSettings, engines int) *stage {
+	s := &stage{t: t, now: Nanos(1e12), facts: f, jobs: map[JobID]*staged{}, lines: map[EngineID]EngineEntry{},
+		told: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{}, cold: map[EngineID][]sentWork{}}
+	s.tell(Event{Kind: Started, Seed: 7, Settings: f})
+	var lines []EngineEntry
 	for i := range engines {
-		lines = append(lines, Line{Engine: EngineID(100 + i), State: Ready, Zone: ZoneID(i % 2)})
+		lines = append(lines, EngineEntry{Engine: EngineID(100 + i), State: Ready, Zone: ZoneID(i % 2)})
 	}
 	s.list(CachedList, lines...)
 	return s
 }
 
-func (s *stage) list(kind ListKind, lines ...Line) {
+func (s *stage) list(kind ListKind, lines ...EngineEntry) {
 	gone := func(id EngineID) {
 		if _, was := s.told[id]; !was {
 			s.told[id] = s.now
 		}
 	}
-	if kind != ListChanges && kind != ListFailed {
+	if kind != ListDelta && kind != ListFailed {
 		for id := range s.lines {
 			gone(id)
 		}
@@ -126,7 +126,7 @@
 			gone(l.Engine)
 		}
 	}
-	s.tell(Event{Kind: Listed, List: kind, Lines: lines})
+	s.tell(Event{Kind: EnginesListed, List: kind, Engines: lines})
 }
 
 func (s *stage) tell(ev Event) {
@@ -139,26 +139,26 @@
 		s.check(a)
 	}
 	for _, a := range own {
-		if a.Kind == Probe && !s.slowProbes {
-			s.tell(Event{Kind: Probed, Engine: a.Engine, Result: Done, Load: s.reported(a.Engine)})
+		if a.Kind == SendProbe && !s.slowProbes {
+			s.tell(Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: s.reported(a.Engine)})
 			own = append(own, s.acts...)
 		}
 	}
 	s.acts = own
 }
 
-func (s *stage) arrive(typ TypeID, key Key, tables TableSet) JobID {
+func (s *stage) arrive(typ TypeID, key Key, tables TableGroup) JobID {
 	cost := Nanos(100e6)
 	if typ > 0 {
 		cost = Nanos(2e9)
 	}
 	give := s.facts.span(fmt.Sprintf("classes.%d.give_up_ns", typ))
-	return s.arriveAs(Event{Type: typ, Key: key, Tables: tables, Left: give, Cost: cost, CostKnown: true, MemoryMB: 200})
+	return s.arriveAs(Event{Type: typ, Key: key, Tables: tables, TimeLeft: give, Cost: cost, CostKnown: true, MemoryMB: 200})
 }
 
 func (s *stage) arriveAs(ev Event) JobID {
 	s.nextID++
-	ev.Kind, ev.Job = Arrived, s.nextID
+	ev.Kind, ev.Job = JobArrived, s.nextID
 	j := &staged{ev: ev, at: s.now}
 	s.jobs[ev.Job] = j
 	s.taken = append(s.taken, j)
@@ -174,7 +174,7 @@
 			continue
 		}
 		d.over, d.result = true, r
-		if r == TimedOut || r == Reset || r == Retracted {
+		if r == TimedOut || r == Reset || r == Canceled {
 			j.settle = s.now + s.facts.span("invariants.order_pause_ns")
 		}
 		final := j.ended
@@ -185,8 +185,8 @@
 		if j.ev.Cost > 0 && j.ev.Cost <= 10*second {
 			bill = uint32(j.ev.Cost/ms)<<12 | uint32(j.ev.MemoryMB/4)&4095
 		}
-		s.tell(Event{Kind: Answered, Job: id, Seq: Seq(i), Engine: d.engine, Result: r,
-			Latency: s.now - d.at, Final: final, Bill: bill, Load: s.reported(d.engine)})
+		s.tell(Event{Kind: AttemptEnded, Job: id, Seq: AttemptSeq(i), Engine: d.engine, Result: r,
+			Latency: s.now - d.at, IsFinal: final, Usage: bill, Load: s.reported(d.engine)})
 		return
 	}
 }
@@ -198,7 +198,7 @@
 		for mark, at := range s.timers {
 			if at <= s.now {
 				delete(s.timers, mark)
-				s.tell(Event{Kind: TimerDue, Mark: mark})
+				s.tell(Event{Kind: TimerFired, TimerID: mark})
 			}
 		}
 		if len(s.timers) != 1 {
@@ -206,7 +206,7 @@
 		}
 		for _, j := range s.taken {
 			slack := s.facts.span("invariants.answer_slack_ns")
-			if lost := j.at + max(0, j.ev.Left); !j.ended && s.now > lost+slack {
+			if lost := j.at + max(0, j.ev.TimeLeft); !j.ended && s.now > lost+slack {
 				s.t.Fatalf("rule 1: job %d of type %d has no final answer", j.ev.Job, j.ev.Type)
 			} else if !j.ended && s.now >= lost && j.out() {
 				s.finish(j.ev.Job, TimedOut)
@@ -219,18 +219,18 @@
 func (s *stage) check(a Action) {
 	j := s.jobs[a.Job]
 	switch a.Kind {
-	case Timer:
-		s.timers[a.Mark] = s.now + a.Span
-	case Probe:
+	case SetTimer:
+		s.timers[a.TimerID] = s.now + a.Duration
+	case SendProbe:
 		s.probes = append(s.probes, a.Engine)
 	case Log:
 		s.texts += a.Text + "\n"
-	case Retract:
+	case CancelAttempt:
 		if int(a.Seq) >= len(j.sends) {
 			s.t.Fatalf("retracts dispatch %d of job %d, never sent", a.Seq, a.Job)
 		}
 		j.sends[a.Seq].called = true
-	case Throttle, CancelForGood:
+	case Throttle, CancelPermanently:
 		at := func(name string) string { return fmt.Sprintf("classes.%d.%s", j.ev.Type, name) }
 		effect := s.facts.text(at("idempotency"))
 		switch {
@@ -252,7 +252,7 @@
 	at := func(name string) string { return fmt.Sprintf("classes.%d.%s", j.ev.Type, name) }
 	line, known := s.lines[a.Engine]
 	switch told, gone := s.told[a.Engine]; {
-	case j.ended || s.now > j.at+max(0, j.ev.Left):
+	case j.ended || s.now > j.at+max(0, j.ev.TimeLeft):
 		s.t.Fatalf("rule 1: job %d sent after its end", a.Job)
 	case j.out():
 		s.t.Fatalf("job %d has two dispatches out", a.Job)
@@ -308,7 +308,7 @@
 }
 
 // checkCold holds rule 4 as far as one controller can break it alone.
-func (s *stage) checkCold(j *staged, line Line) {
+func (s *stage) checkCold(j *staged, line EngineEntry) {
 	f := s.facts
 	if line.StartedAt == 0 || s.now-line.StartedAt >= f.span("invariants.warm_within_ns") {
 		return
@@ -333,15 +333,15 @@
 	for range steps {
 		for n := r.Intn(3); n > 0; n-- {
 			typ := TypeID(r.Intn(len(s.facts.list("classes"))))
-			ev := Event{Type: typ, Tenant: TenantID(r.Intn(3)), Key: Key(r.Intn(4)), Tables: TableSet(r.Intn(4)),
-				Left: Nanos(r.Int63n(int64(3 * second))), Cost: Nanos(r.Int63n(int64(second))), CostKnown: true, MemoryMB: 100}
+			ev := Event{Type: typ, Tenant: TenantID(r.Intn(3)), Key: Key(r.Intn(4)), Tables: TableGroup(r.Intn(4)),
+				TimeLeft: Nanos(r.Int63n(int64(3 * second))), Cost: Nanos(r.Int63n(int64(second))), CostKnown: true, MemoryMB: 100}
 			switch r.Intn(12) {
 			case 0:
 				ev.CostKnown, ev.Cost, ev.MemoryMB = false, 0, math.NaN()
 			case 1:
 				ev.Cost, ev.MemoryMB = math.MaxInt64, math.Inf(1)
 			case 2:
-				ev.Left, ev.Cost = 0, -5
+				ev.TimeLeft, ev.Cost = 0, -5
 			}
 			s.arriveAs(ev)
 		}
@@ -352,41 +352,41 @@
 				}
 				switch roll := r.Intn(60); {
 				case d.called && roll < 40:
-					s.finish(j.ev.Job, Retracted)
+					s.finish(j.ev.Job, Canceled)
 				case roll < 9:
 					s.finish(j.ev.Job, Done)
 				case roll < 16:
 					s.finish(j.ev.Job, Result(2+r.Intn(7)))
 				case roll < 20:
-					s.tell(Event{Kind: Noted, Job: j.ev.Job, Seq: Seq(i), Engine: d.engine, Note: NoteKind(r.Intn(4)),
+					s.tell(Event{Kind: ProgressReported, Job: j.ev.Job, Seq: AttemptSeq(i), Engine: d.engine, Progress: ProgressKind(r.Intn(4)),
 						Amount: r.Float64()})
 				}
 				break
 			}
 			if r.Intn(200) == 0 && !j.ended {
 				j.ended, j.by = true, clientGone
-				s.tell(Event{Kind: ClientLeft, Job: j.ev.Job})
+				s.tell(Event{Kind: ClientDisconnected, Job: j.ev.Job})
 			}
 		}
 		for _, e := range s.probes {
-			s.tell(Event{Kind: Probed, Engine: e, Result: Result(1 + r.Intn(8)), Load: []float64{r.Float64() * 20}})
+			s.tell(Event{Kind: ProbeCompleted, Engine: e, Result: Result(1 + r.Intn(8)), Load: []float64{r.Float64() * 20}})
 		}
 		s.probes = nil
 		switch id := EngineID(100 + r.Intn(5)); r.Intn(25) {
 		case 0:
-			s.list(ListChanges, Line{Engine: id, State: EngineState(r.Intn(3)), Kind: KindID(r.Intn(3)),
+			s.list(ListDelta, EngineEntry{Engine: id, State: EngineState(r.Intn(3)), Kind: KindID(r.Intn(3)),
 				Zone: ZoneID(id % 2)})
 		case 1:
-			s.list(ListChanges, Line{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
+			s.list(ListDelta, EngineEntry{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
 		case 2:
 			s.list(ListFailed)
 		case 3:
-			s.list(WholeList, Line{Engine: id, State: Ready, Zone: ZoneID(id % 2)},
-				Line{Engine: id + 1, State: Ready, Zone: ZoneID((id + 1) % 2)})
+			s.list(FullList, EngineEntry{Engine: id, State: Ready, Zone: ZoneID(id % 2)},
+				EngineEntry{Engine: id + 1, State: Ready, Zone: ZoneID((id + 1) % 2)})
 		case 4:
-			s.tell(Event{Kind: TimerDue, Mark: 1 << 40})
-			s.tell(Event{Kind: Answered, Job: 1 << 30, Result: Done})
-			s.tell(Event{Kind: StreamBegan, Job: 1 << 30})
+			s.tell(Event{Kind: TimerFired, TimerID: 1 << 40})
+			s.tell(Event{Kind: AttemptEnded, Job: 1 << 30, Result: Done})
+			s.tell(Event{Kind: StreamStarted, Job: 1 << 30})
 		}
 		s.pass(Nanos(1+r.Intn(8)) * 5 * ms)
 	}
@@ -428,7 +428,7 @@
 		if s.nextID%4 == 0 {
 			typ = 1
 		}
-		s.arrive(typ, 0, TableSet(s.nextID%7))
+		s.arrive(typ, 0, TableGroup(s.nextID%7))
 		for range 5 {
 			s.pass(20 * ms)
 			for _, j := range slices.Clone(s.taken) {
--- a/choice/types.go
+++ b/choice/types.go
@@ -10,18 +10,18 @@
 
 // Each kind of id is a type of its own.
 type (
-	JobID    uint32
-	EngineID uint32
-	Key      uint64
-	TypeID   uint8
-	TenantID uint32
-	ZoneID   uint8
-	KindID   uint16
-	CellID   uint16
-	Seq      uint16
-	PeerID   uint32
-	Mark     uint64
-	TableSet int64
+	JobID      uint32
+	EngineID   uint32
+	Key        uint64
+	TypeID     uint8
+	TenantID   uint32
+	ZoneID     uint8
+	KindID     uint16
+	CellID     uint16
+	AttemptSeq uint16
+	PeerID     uint32
+	TimerID    uint64
+	TableGroup int64
 )
 
 // EventKind says what happened.
@@ -30,21 +30,21 @@
 // The events that a controller is told of.
 const (
 	Started EventKind = iota + 1
-	Arrived
-	StreamBegan
-	Noted
-	Answered
-	ClientLeft
-	TimerDue
-	Listed
-	Probed
-	Heard
-	Stopping // this controller is about to end
-	Planned  // a plan is to be followed from now on, or none any more
-	Restated // the settings anew (Facts); what was taken in and learned stays
-	Taught   // what an older process of this controller has learned (Means, by type)
-	Parted   // what we carry of the fleet, for a while (Part)
-	Elder    // an older process of this controller serves on what it owes (On), or has ended
+	JobArrived
+	StreamStarted
+	ProgressReported
+	AttemptEnded
+	ClientDisconnected
+	TimerFired
+	EnginesListed
+	ProbeCompleted
+	GossipReceived
+	Stopping           // this controller is about to end
+	PlanUpdated        // a plan is to be followed from now on, or none any more
+	Reconfigured       // the settings anew (Facts); what was taken in and learned stays
+	StateTransferred   // what an older process of this controller has learned (Means, by type)
+	QuotaAssigned      // what we carry of the fleet, for a while (Part)
+	PredecessorChanged // an older process of this controller serves on what it owes (On), or has ended
 )
 
 // Result is how a dispatch or a probe ended.
@@ -58,21 +58,21 @@
 	TimedOut
 	Unreachable
 	Reset
-	Retracted
-	Moot
+	Canceled
+	Superseded
 )
 
 // NeverRan tells whether the result proves that the dispatch had no effect.
-func (r Result) NeverRan() bool { return r == Full || r == Unreachable || r == Moot }
+func (r Result) NeverRan() bool { return r == Full || r == Unreachable || r == Superseded }
 
 // NoteKind is what a note on a running dispatch speaks of.
-type NoteKind uint8
+type ProgressKind uint8
 
 // The kinds of note.
 const (
-	Progress NoteKind = iota + 1
-	Spilling
-	Waiting
+	ProgressFraction ProgressKind = iota + 1
+	ProgressSpilling
+	ProgressWaiting
 )
 
 // ListKind says how a list of engines is to be read.
@@ -80,9 +80,9 @@
 
 // The kinds of list.
 const (
-	WholeList ListKind = iota + 1
+	FullList ListKind = iota + 1
 	CachedList
-	ListChanges
+	ListDelta
 	ListFailed
 )
 
@@ -91,70 +91,70 @@
 
 // The states of an engine.
 const (
-	Gone EngineState = iota
+	Removed EngineState = iota
 	Ready
 	Draining
 )
 
 // Speech is a set of protocols. Which bit is which is the gateway's affair.
-type Speech uint8
+type Protocols uint8
 
 // Line is one engine in a list.
-type Line struct {
-	Engine    EngineID
-	Zone      ZoneID
-	Kind      KindID
-	Cell      CellID
-	State     EngineState
-	Size      float64
-	StartedAt Nanos
-	Deaf      Speech // to jobs that need one of these
+type EngineEntry struct {
+	Engine      EngineID
+	Zone        ZoneID
+	Kind        KindID
+	Cell        CellID
+	State       EngineState
+	Size        float64
+	StartedAt   Nanos
+	Unsupported Protocols // to jobs that need one of these
 }
 
 // Event is something that happened; Kind says which of the fields count.
 type Event struct {
 	Kind EventKind
 
-	Seed  uint64 // Started
-	Facts Facts
-
-	Job       JobID // Arrived, and all that speak of a job
-	Type      TypeID
-	Tenant    TenantID
-	Key       Key
-	Left      Nanos // also Stopping: in which answers are sure to go out
-	Cost      Nanos
-	CostKnown bool
-	Repeat    bool
-	Write     bool
-	MemoryMB  float64
-	Tables    TableSet
-	Needs     Speech // protocols of which the engine must speak all
-
-	Seq     Seq // Answered, Noted, StreamBegan, Probed
-	Engine  EngineID
-	Result  Result
-	Latency Nanos
-	Final   bool
-	Bill    uint32
-	Load    []float64
-	Note    NoteKind
-	Amount  float64
+	Seed     uint64 // Started
+	Settings RawSettings
+
+	Job               JobID // Arrived, and all that speak of a job
+	Type              TypeID
+	Tenant            TenantID
+	Key               Key
+	TimeLeft          Nanos // also Stopping: in which answers are sure to go out
+	Cost              Nanos
+	CostKnown         bool
+	IsRepeat          bool
+	IsWrite           bool
+	MemoryMB          float64
+	Tables            TableGroup
+	RequiredProtocols Protocols // protocols of which the engine must speak all
+
+	Seq      AttemptSeq // Answered, Noted, StreamBegan, Probed
+	Engine   EngineID
+	Result   Result
+	Latency  Nanos
+	IsFinal  bool
+	Usage    uint32
+	Load     []float64
+	Progress ProgressKind
+	Amount   float64
 
-	Mark Mark // TimerDue
+	TimerID TimerID // TimerDue
 
-	List  ListKind // Listed
-	Lines []Line
+	List    ListKind // Listed
+	Engines []EngineEntry
 
-	Peer PeerID // Heard
-	Said []byte
+	Peer    PeerID // Heard
+	Payload []byte
 
 	Plan *Plan // Planned; nil: none
 
-	On     bool     // Elder
-	Part   Part     // Parted
-	Means  []Means  // Taught: by type; one that is not sound teaches nothing
-	Health []Health // Taught: of engines, each once
+	PredecessorRunning bool           // Elder
+	Quota              Quota          // Parted
+	TypeStats          []TypeStats    // Taught: by type; one that is not sound teaches nothing
+	EngineHealth       []EngineHealth // Taught: of engines, each once
 }
 
 // ActionKind says what is to be done.
@@ -164,46 +164,46 @@
 const (
 	Dispatch ActionKind = iota + 1
 	Throttle
-	CancelForGood
-	Retract
-	Terms
-	Timer
-	Probe
+	CancelPermanently
+	CancelAttempt
+	SetDispatchOptions
+	SetTimer
+	SendProbe
 	CloseIdle
-	Tell
-	Track
-	ListAll
+	SendGossip
+	WatchEngines
+	ListEngines
 	Log
 	Fault
 )
 
 // Action is something to be done; Kind says which of the fields count.
 type Action struct {
-	Kind     ActionKind
-	Job      JobID
-	Engine   EngineID
-	Seq      Seq
-	Span     Nanos // Dispatch: time-out; Throttle: retry-after; Timer: delay
-	Until    Nanos // Dispatch: later than this not one byte of it may go out, and it never ran
-	Priority uint8
-	MemoryMB float64
-	Mark     Mark
-	Peer     PeerID // Tell
-	On       bool   // Track
-	Text     string // Log, Fault, and what Tell says
+	Kind         ActionKind
+	Job          JobID
+	Engine       EngineID
+	Seq          AttemptSeq
+	Duration     Nanos // Dispatch: time-out; Throttle: retry-after; Timer: delay
+	SendDeadline Nanos // Dispatch: later than this not one byte of it may go out, and it never ran
+	Priority     uint8
+	MemoryMB     float64
+	TimerID      TimerID
+	Peer         PeerID // Tell
+	Enabled      bool   // Track
+	Text         string // Log, Fault, and what Tell says
 }
 
 // Part is what this controller carries of the fleet, over 0 to 1, and of tenants' quotas, 0 to 1, until a time. Told by
 // nobody, it is zero.
-type Part struct {
-	Share   float64
-	Tenants map[TenantID]float64
-	Until   Nanos
+type Quota struct {
+	FleetShare   float64
+	TenantShares map[TenantID]float64
+	ExpiresAt    Nanos
 }
 
 // of is our part of a tenant's quota; absent: none is told.
-func (p Part) of(id TenantID, now Nanos, absent float64) float64 {
-	if part, told := p.Tenants[id]; told && now < p.Until {
+func (p Quota) of(id TenantID, now Nanos, absent float64) float64 {
+	if part, told := p.TenantShares[id]; told && now < p.ExpiresAt {
 		return part
 	}
 	return absent
@@ -215,12 +215,12 @@
 // Plan is what was worked out ahead, as far as it bears on this controller. All rules, bounds and judgements of health
 // stand above it.
 type Plan struct {
-	Tenants []PlanTenant // each once
-	Engines []PlanEngine // each once: those that it gives threads
-	Weights []PlanWeight // each pair once
-	Idle    []EngineID   // known to it, and given nothing
-	Demand  float64      // threads asked for in the whole fleet
-	Factor  float64      // where so many times more is asked, or less, it does not hold
+	Tenants        []PlanTenant // each once
+	Engines        []PlanEngine // each once: those that it gives threads
+	Weights        []PlanWeight // each pair once
+	IdleEngines    []EngineID   // known to it, and given nothing
+	DemandThreads  float64      // threads asked for in the whole fleet
+	MaxDemandRatio float64      // where so many times more is asked, or less, it does not hold
 
 	parts   map[TenantID]float64 // the same, to look up
 	engines map[EngineID]planPart
@@ -250,9 +250,9 @@
 	}
 	p.parts, p.engines, p.all = map[TenantID]float64{}, map[EngineID]planPart{}, 0
 	for _, t := range p.Tenants {
-		p.parts[t.Tenant] = t.Part
+		p.parts[t.Tenant] = t.Share
 	}
-	for _, id := range p.Idle {
+	for _, id := range p.IdleEngines {
 		p.engines[id] = planPart{}
 	}
 	for _, e := range p.Engines {
@@ -274,7 +274,7 @@
 // PlanTenant is a tenant's part of all threads.
 type PlanTenant struct {
 	Tenant TenantID
-	Part   float64
+	Share  float64
 }
 
 // PlanEngine is the threads that a plan counts on at an engine.
@@ -292,15 +292,15 @@
 
 // Controller decides for one instance.
 type Controller struct {
-	facts                                       Facts
+	facts                                       RawSettings
 	chance                                      pcg
 	acts                                        []Action
-	tick                                        Mark  // of the last timer set
-	now, booted, swept, asked, until            Nanos // asked: for changes of the list; until: we stop
-	alone                                       Nanos // since when no older process of ours runs: far ahead while one does
-	outage, refused, reportedLast               Nanos // engines refuse since, and last did; last report
-	saved                                       Nanos // when a probe was last paid for
-	warmWithin, grace, step, period, retryAfter Nanos // step: between batches; period: between notes
+	tick                                        TimerID // of the last timer set
+	now, booted, swept, asked, until            Nanos   // asked: for changes of the list; until: we stop
+	alone                                       Nanos   // since when no older process of ours runs: far ahead while one does
+	outage, refused, reportedLast               Nanos   // engines refuse since, and last did; last report
+	saved                                       Nanos   // when a probe was last paid for
+	warmWithin, grace, step, period, retryAfter Nanos   // step: between batches; period: between notes
 	zone                                        ZoneID
 	probes, cancels, swaps, grants              bool // grants: ours are heeded
 	priced, pressed, tracked                    bool
@@ -323,7 +323,7 @@
 	lines                                       map[Key]*keyLine         // dropped when empty and rested
 	tenants                                     map[TenantID]*tenantSeen // dropped after tenantMemory
 	taken, further                              []Nanos                  // inside the rationing window
-	part                                        Part                     // told by the fleet's owner
+	part                                        Quota                    // told by the fleet's owner
 	plan                                        *Plan                    // worked out ahead; nil: none
 	hold, offered                               float64                  // how far it is followed; threads asked of us
 	words                                       []word                   // of siblings, by number, at those who gather
@@ -349,14 +349,14 @@
 // jobType is what is known of a reservation type: its settings, and what answers taught.
 type jobType struct {
 	typeTerms
-	Means
+	TypeStats
 	parked int
 	taught Nanos   // when an answer last told of its slowness
 	price  float64 // in mean billed values for a second of work
 }
 
 // Means is what jobs taught of a reservation type.
-type Means struct {
+type TypeStats struct {
 	usual, usualN         float64 // mean work of a job, ns
 	costBias, costN       float64 // log of true work over estimate
 	memBias, memDev, memN float64 // log of true memory over estimate, its mean deviation
@@ -364,10 +364,10 @@
 }
 
 // Health is what jobs taught of an engine.
-type Health struct {
-	Engine    EngineID
-	Slow, Bad float64 // latency over best; part lost or failed
-	Aside     bool
+type EngineHealth struct {
+	Engine                    EngineID
+	LatencyRatio, FailureRate float64 // latency over best; part lost or failed
+	Ejected                   bool
 }
 
 // job is a job taken that is not over, or has a dispatch out.
@@ -376,10 +376,10 @@
 	typ                       *jobType
 	bucket                    *bucket
 	key                       Key
-	tables                    TableSet
+	tables                    TableGroup
 	arrived, ready, due, lost Nanos // ready: its key lets it go; due: the SLA time ends; lost: the job timeout
 	work, memory, worth       float64
-	needs                     Speech
+	needs                     Protocols
 	dispatches                int
 	looks                     []*engine // engines that it may go to, drawn at looked
 	looked                    Nanos
@@ -394,7 +394,7 @@
 type flight struct {
 	job            *job
 	engine         *engine
-	seq            Seq
+	seq            AttemptSeq
 	sent           Nanos
 	noted          Nanos // the last note on it came
 	still          Nanos // of its time that this controller itself stood still
@@ -404,7 +404,7 @@
 
 // engine is what is known of an engine.
 type engine struct {
-	Line
+	EngineEntry
 	cores, memory, threads, grants, others float64 // threads, grants: ours; others: siblings' threads
 	said                                   float64 // threads of ours, by our last word
 	held                                   []byte  // marks of tables that siblings' loads hold, as told at heldAt
@@ -453,9 +453,9 @@
 
 // Facts are the settings handed over at the start: a plain map of names to values, read by dotted
 // path ("limits.probes", "classes.2.gain"). What is absent, or of another sort, gives the caller's value.
-type Facts map[string]any
+type RawSettings map[string]any
 
-func (f Facts) at(path string) any {
+func (f RawSettings) at(path string) any {
 	var v any = map[string]any(f)
 	for path != "" {
 		var name string
@@ -476,17 +476,17 @@
 	return v
 }
 
-func (f Facts) num(path string, absent float64) float64 {
+func (f RawSettings) num(path string, absent float64) float64 {
 	if v, ok := f.at(path).(float64); ok {
 		return v
 	}
 	return absent
 }
 
-func (f Facts) span(path string) Nanos { return Nanos(f.num(path, 0)) }
+func (f RawSettings) span(path string) Nanos { return Nanos(f.num(path, 0)) }
 
-func (f Facts) flag(path string) bool { v, _ := f.at(path).(bool); return v }
+func (f RawSettings) flag(path string) bool { v, _ := f.at(path).(bool); return v }
 
-func (f Facts) text(path string) string { v, _ := f.at(path).(string); return v }
+func (f RawSettings) text(path string) string { v, _ := f.at(path).(string); return v }
 
-func (f Facts) list(path string) []any { v, _ := f.at(path).([]any); return v }
+func (f RawSettings) list(path string) []any { v, _ := f.at(path).([]any); return v }
--- a/choice/word.go
+++ b/choice/word.go
@@ -31,7 +31,7 @@
 }
 
 // mark stands for a group of tables that a load holds. Of two that share one, readers keep away alike.
-func (t TableSet) mark() byte { return byte(uint64(t) * 0x9E3779B97F4A7C15 >> 56) }
+func (t TableGroup) mark() byte { return byte(uint64(t) * 0x9E3779B97F4A7C15 >> 56) }
 
 // word is what a sibling last said. It holds wordMost/wordEach entries at most.
 type word struct {
--- a/choice/word_test.go
+++ b/choice/word_test.go
@@ -28,9 +28,9 @@
 func (f *fleet) deliver(from int, acts []Action) {
 	for _, a := range acts {
 		for to, s := range f.all {
-			if a.Kind == Tell && to != from && (a.Peer == PeerID(to) || a.Peer == 1<<32-1) && !f.lost(from, to) {
+			if a.Kind == SendGossip && to != from && (a.Peer == PeerID(to) || a.Peer == 1<<32-1) && !f.lost(from, to) {
 				f.cost += wordHead + len(a.Text)
-				s.tell(Event{Kind: Heard, Peer: PeerID(from), Said: []byte(a.Text)})
+				s.tell(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Text)})
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 // leave has a job's client leave before its dispatch ends.
 func (s *stage) leave(id JobID, r Result) {
 	s.jobs[id].ended, s.jobs[id].by = true, clientGone
-	s.tell(Event{Kind: ClientLeft, Job: id})
+	s.tell(Event{Kind: ClientDisconnected, Job: id})
 	s.finish(id, r)
 }
 
@@ -55,11 +55,11 @@
 func (f *fleet) busy(who []int) {
 	for _, i := range who {
 		for range 40 { // what is taken pays, also for a map
-			f.all[i].leave(f.all[i].arrive(0, 0, 1), Retracted)
+			f.all[i].leave(f.all[i].arrive(0, 0, 1), Canceled)
 		}
-		f.all[i].list(ListChanges, Line{Engine: 101, State: Draining})
+		f.all[i].list(ListDelta, EngineEntry{Engine: 101, State: Draining})
 		f.all[i].arrive(1, 0, 1)
-		f.all[i].list(ListChanges, Line{Engine: 101, State: Ready})
+		f.all[i].list(ListDelta, EngineEntry{Engine: 101, State: Ready})
 	}
 }
 
@@ -102,15 +102,15 @@
 func TestWhatWaitsForLoadsKeepsAwayFromSiblingsLoads(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for _, s := range f.all { // type 0 stands still behind loads of type 2
-		s.tell(Event{Kind: Restated, Facts: s.facts.set("domain.waits_for_loads", []any{true, false, false})})
+		s.tell(Event{Kind: Reconfigured, Settings: s.facts.set("domain.waits_for_loads", []any{true, false, false})})
 	}
-	f.all[1].list(ListChanges, Line{Engine: 101, State: Draining})
+	f.all[1].list(ListDelta, EngineEntry{Engine: 101, State: Draining})
 	load := f.all[1].arrive(2, 0, 7)
-	f.all[1].list(ListChanges, Line{Engine: 101, State: Ready})
+	f.all[1].list(ListDelta, EngineEntry{Engine: 101, State: Ready})
 	f.busy([]int{2, 3}) // pays, and fills the same engine
 	f.pass(300 * ms)
 	s := f.all[0]
-	want(t, slices.Contains(s.c.engines[0].held, TableSet(7).mark()), "the load is not told: %v", s.c.engines[0].held)
+	want(t, slices.Contains(s.c.engines[0].held, TableGroup(7).mark()), "the load is not told: %v", s.c.engines[0].held)
 	for range 5 {
 		s.c.engines[1].others = 12 // over the other, but it has room
 		id := s.arrive(0, 0, 7)
@@ -131,14 +131,14 @@
 	deliver := s.heard
 	s.heard = func(ev Event, acts []Action) {
 		for _, a := range acts {
-			if a.Kind == Tell {
+			if a.Kind == SendGossip {
 				told++
 			}
 		}
 		deliver(ev, acts)
 	}
 	for i, on := range []bool{true, false, true} {
-		s.tell(Event{Kind: Restated, Facts: s.facts.set("limits.peer_messages", on)})
+		s.tell(Event{Kind: Reconfigured, Settings: s.facts.set("limits.peer_messages", on)})
 		s.c.engines[0].others, s.c.engines[0].reported, told = 0, 0, 0
 		f.busy([]int{0, 1, 2})
 		f.pass(300 * ms)
@@ -172,7 +172,7 @@
 	jobs := 0
 	for range 200 {
 		for _, s := range f.all[:20] {
-			s.arrive(1, 0, TableSet(jobs%5))
+			s.arrive(1, 0, TableGroup(jobs%5))
 			jobs++
 		}
 		f.pass(20 * ms)
@@ -198,7 +198,7 @@
 				if len(said) > 4 {
 					said[1], said[2] = byte(e.mark()>>8), byte(e.mark())
 				}
-				s.tell(Event{Kind: Heard, Peer: PeerID(r.Intn(7)), Said: said})
+				s.tell(Event{Kind: GossipReceived, Peer: PeerID(r.Intn(7)), Payload: said})
 			}
 			s.chaos(r, 20)
 		}
--- a/cmd/adapter/facts.go
+++ b/cmd/adapter/facts.go
@@ -9,7 +9,7 @@
 // checkFacts refuses settings whose form the module cannot read, naming the field: a value read wrongly would
 // else become a silent default (a place list of names, say, would bar every engine). Absent fields are the
 // module's affair; only the form of those present is checked.
-func checkFacts(f choice.Facts) error {
+func checkSettings(f choice.RawSettings) error {
 	classes, ok := f["classes"].([]any)
 	if !ok {
 		return fmt.Errorf("classes: a list is wanted")
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -24,7 +24,7 @@
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
-	host := host{instances: map[wire.Instance]*choice.Controller{}, sets: map[wire.SetID][]choice.Line{}}
+	host := host{instances: map[wire.Instance]*choice.Controller{}, sets: map[wire.SetID][]choice.EngineEntry{}}
 	for {
 		batch, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
@@ -49,30 +49,30 @@
 
 type host struct {
 	instances map[wire.Instance]*choice.Controller // one for each live instance; Stop removes it
-	sets      map[wire.SetID][]choice.Line         // numbers are reused, so it stays small
+	sets      map[wire.SetID][]choice.EngineEntry  // numbers are reused, so it stays small
 	reply     wire.Reply
 }
 
 // tell hands one record to whom it concerns and gathers the actions.
 func (h *host) tell(now choice.Nanos, rec wire.Record) error {
 	switch rec.Kind {
-	case wire.Register:
-		h.sets[rec.Set] = rec.Lines
+	case wire.RegisterEngines:
+		h.sets[rec.Set] = rec.Engines
 		return nil
-	case wire.Stop:
+	case wire.StopInstance:
 		delete(h.instances, rec.Instance)
 		return nil
-	case wire.Boot:
-		if err := json.Unmarshal(rec.Info, &rec.Event.Facts); err != nil {
+	case wire.StartInstance:
+		if err := json.Unmarshal(rec.Settings, &rec.Event.Settings); err != nil {
 			return fmt.Errorf("settings of instance %d: %w", rec.Instance, err)
 		}
-		if err := checkFacts(rec.Event.Facts); err != nil {
+		if err := checkSettings(rec.Event.Settings); err != nil {
 			return fmt.Errorf("settings of instance %d: %w", rec.Instance, err)
 		}
 		h.instances[rec.Instance] = new(choice.Controller)
 	}
-	if rec.Event.Kind == choice.Listed {
-		rec.Event.Lines = h.sets[rec.Set]
+	if rec.Event.Kind == choice.EnginesListed {
+		rec.Event.Engines = h.sets[rec.Set]
 	}
 	if c := h.instances[rec.Instance]; c != nil {
 		for _, a := range c.Decide(now, rec.Event) {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -75,17 +75,17 @@
 		`{"classes": [], "invariants": {"further_ratio": "x"}}`: "invariants.further_ratio",
 		`{"classes": [], "invariants": {"budget_free": -1}}`:    "invariants.budget_free",
 	} {
-		var f choice.Facts
+		var f choice.RawSettings
 		if err := json.Unmarshal([]byte(text), &f); err != nil {
 			t.Fatal(err)
 		}
-		if err := checkFacts(f); err == nil || !strings.Contains(err.Error(), want+":") {
+		if err := checkSettings(f); err == nil || !strings.Contains(err.Error(), want+":") {
 			t.Errorf("%s: got %v, want an error naming %s", text, err, want)
 		}
 	}
-	var f choice.Facts
+	var f choice.RawSettings
 	_ = json.Unmarshal([]byte(`{"classes": [{"kinds_only": [0, 2]}], "telemetry": {"fields": ["util"]}}`), &f)
-	if err := checkFacts(f); err != nil {
+	if err := checkSettings(f); err != nil {
 		t.Errorf("a readable file refused: %v", err)
 	}
 }
--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Operator, err)
 	}
-	gate := gateway.New(choice.Facts(facts), file.Seed, parts, s.Trace, side.speak())
+	gate := gateway.New(choice.RawSettings(facts), file.Seed, parts, s.Trace, side.speak())
 	side.join(gate)
 	told, err := newTeller(own.Tally, gate)
 	if err != nil {
--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -89,7 +89,7 @@
 	if o == nil || len(o.Learned) == 0 || failpoint.Untaught() {
 		return
 	}
-	var named map[string]choice.Means
+	var named map[string]choice.TypeStats
 	if err := json.Unmarshal(o.Learned, &named); err != nil {
 		slog.Warn("not_taught", "reason", err)
 		return
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -91,7 +91,7 @@
 	parts := new(limits.Parts)
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
-	gate = gateway.New(choice.Facts(settings), 1, parts, false,
+	gate = gateway.New(choice.RawSettings(settings), 1, parts, false,
 		map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return engines }})
 	t.Cleanup(gate.Close)
 	told, err := newTeller(own.Tally, gate)
@@ -114,7 +114,7 @@
 func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
 	gate, _, _ := taught(t)
 	means, health := gate.Learned(), gate.Health()
-	list := func(m choice.Means) (v []float64) {
+	list := func(m choice.TypeStats) (v []float64) {
 		text, err := json.Marshal(m)
 		if err == nil {
 			err = json.Unmarshal(text, &v)
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var means map[string]choice.Means
+	var means map[string]choice.TypeStats
 	var health map[string]gateway.Health
 	if err := json.Unmarshal(own.Tally.Learned, &means); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 			}
 			parts := new(limits.Parts)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
-			gate := gateway.New(choice.Facts(settings), 1, parts, false,
+			gate := gateway.New(choice.RawSettings(settings), 1, parts, false,
 				map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return scriptedEngines{} }})
 			defer gate.Close()
 			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -43,19 +43,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev.Left = 0
+	ev.TimeLeft = 0
 	if ev.Tables == 0 {
 		t.Error("no group of tables")
 	}
 	ev.Tables = 0
-	want := choice.Event{Kind: choice.Arrived, Type: 1, Tenant: 1, Key: keyOf([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
-		Repeat: true, Write: true, MemoryMB: 64, Needs: needs(backend.Line)}
+	want := choice.Event{Kind: choice.JobArrived, Type: 1, Tenant: 1, Key: keyOf([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
+		IsRepeat: true, IsWrite: true, MemoryMB: 64, RequiredProtocols: needs(backend.Line)}
 	if got, wanted := ev, want; got.Kind != wanted.Kind || got.Type != wanted.Type || got.Tenant != wanted.Tenant || got.Key != wanted.Key ||
-		got.Cost != wanted.Cost || !got.CostKnown || !got.Repeat || !got.Write || got.MemoryMB != wanted.MemoryMB || got.Needs != wanted.Needs {
+		got.Cost != wanted.Cost || !got.CostKnown || !got.IsRepeat || !got.IsWrite || got.MemoryMB != wanted.MemoryMB || got.RequiredProtocols != wanted.RequiredProtocols {
 		t.Errorf("%+v, want %+v", got, wanted)
 	}
 	if ev, err = g.arrival(Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: backend.SPARQL, At: time.Now()}); err != nil ||
-		ev.Tables != 5 || ev.Needs == want.Needs || ev.CostKnown || ev.Key != 0 {
+		ev.Tables != 5 || ev.RequiredProtocols == want.RequiredProtocols || ev.CostKnown || ev.Key != 0 {
 		t.Errorf("%+v %v", ev, err)
 	}
 }
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -54,7 +54,7 @@
 // look compares once. An engine that is gone is told of only while something is out there.
 func (b *belief) look(g *Gateway) {
 	g.mu.Lock()
-	seen := g.module.View(max(g.last, g.clock.now()))
+	seen := g.module.EngineViews(max(g.last, g.clock.now()))
 	names := make([]string, len(seen))
 	for i, s := range seen {
 		if l := g.roster.byID[s.Engine]; l != nil {
@@ -71,9 +71,9 @@
 				b.say.CountAndWarn("beliefs_differ", "belief", "engine", names[i], "module_jobs", s.Jobs, "open", open, "given_up", giving)
 			}
 		}
-		if g.trace && (s.Out != "gone" || s.Jobs > 0) {
+		if g.trace && (s.UnavailableReason != "gone" || s.Jobs > 0) {
 			slog.Info("belief", "engine", names[i], "module_jobs", s.Jobs, "open", open, "given_up", giving, "threads", s.Threads,
-				"others", s.Others, "report_age_ms", ms(s.Reported), "heard_ms", ms(s.Heard), "out", s.Out)
+				"others", s.SiblingThreads, "report_age_ms", ms(s.ReportAge), "heard_ms", ms(s.LastSeenAge), "out", s.UnavailableReason)
 		}
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -50,13 +50,13 @@
 }
 
 // New starts the module with the settings as they are, and what speaks with engines by protocol.
-func New(facts choice.Facts, seed uint64, parts *limits.Parts, traced bool, speak map[backend.Protocol]backend.Make) *Gateway {
+func New(facts choice.RawSettings, seed uint64, parts *limits.Parts, traced bool, speak map[backend.Protocol]backend.Make) *Gateway {
 	g := &Gateway{clock: newClock(), names: newNames(facts), rules: newRules(facts), parts: parts, roster: newRoster(),
 		jobs: map[choice.JobID]*job{}, calls: map[string]struct{}{}, done: make(chan struct{}), trace: trace(traced)}
 	g.pool = backend.NewEach(speak, backend.Bounds{Dial: g.rules.dial, Idle: g.rules.idle, Step: g.rules.step, Streams: g.rules.streams,
 		Conns: &parts.EngineConns, Bytes: &parts.Bytes})
 	g.running.Go(func() { g.watch(g.done) })
-	g.tell(choice.Event{Kind: choice.Started, Seed: seed, Facts: facts})
+	g.tell(choice.Event{Kind: choice.Started, Seed: seed, Settings: facts})
 	return g
 }
 
@@ -72,7 +72,7 @@
 // Stop says that jobs are no longer welcome, and tells the module how long it may count on.
 func (g *Gateway) Stop() {
 	g.ready.Store(false)
-	g.tell(choice.Event{Kind: choice.Stopping, Left: choice.Nanos(g.rules.stops)})
+	g.tell(choice.Event{Kind: choice.Stopping, TimeLeft: choice.Nanos(g.rules.stops)})
 }
 
 // tell hands an event to the module and carries out what it decides: what concerns a job goes to its inbox in
@@ -92,7 +92,7 @@
 	for _, a := range g.module.Decide(g.last, ev) {
 		g.trace.action(g.last, a)
 		switch a.Kind {
-		case choice.Dispatch, choice.Throttle, choice.CancelForGood, choice.Retract, choice.Terms:
+		case choice.Dispatch, choice.Throttle, choice.CancelPermanently, choice.CancelAttempt, choice.SetDispatchOptions:
 			j := g.jobs[a.Job]
 			if invariant.Check(j != nil, "action_for_no_job"); j != nil {
 				j.in.put(message{order: a, at: now})
@@ -108,24 +108,24 @@
 func (g *Gateway) carry(acts []choice.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case choice.Timer:
-			time.AfterFunc(time.Duration(a.Span), func() { g.due(a.Mark) })
-		case choice.Probe:
+		case choice.SetTimer:
+			time.AfterFunc(time.Duration(a.Duration), func() { g.due(a.TimerID) })
+		case choice.SendProbe:
 			g.probe(a.Engine)
 		case choice.CloseIdle:
 			if host, is := g.host(a.Engine, backend.Line); is {
 				g.pool.CloseIdle(host.Name)
 			}
-		case choice.Track: // the feed is always followed: nothing was missed
-			g.tell(choice.Event{Kind: choice.Listed, List: choice.ListChanges})
-		case choice.ListAll:
+		case choice.WatchEngines: // the feed is always followed: nothing was missed
+			g.tell(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta})
+		case choice.ListEngines:
 			g.listAll()
 		case choice.Log:
 			g.say(a.Text)
 		case choice.Fault:
 			counters.Increment("module_faults")
 			slog.Error("module_fault", "text", a.Text)
-		case choice.Tell: // no channel between controllers is told of
+		case choice.SendGossip: // no channel between controllers is told of
 			counters.Increment("tells_dropped")
 		}
 	}
@@ -138,12 +138,12 @@
 	}
 }
 
-func (g *Gateway) due(mark choice.Mark) {
+func (g *Gateway) due(mark choice.TimerID) {
 	g.mu.Lock()
 	ended := g.ended
 	g.mu.Unlock()
 	if !ended {
-		g.tell(choice.Event{Kind: choice.TimerDue, Mark: mark})
+		g.tell(choice.Event{Kind: choice.TimerFired, TimerID: mark})
 	}
 }
 
@@ -160,7 +160,7 @@
 func (g *Gateway) probe(id choice.EngineID) {
 	at := time.Now()
 	told := func(r backend.Reply) {
-		g.tell(choice.Event{Kind: choice.Probed, Engine: id, Result: results[r.End], Latency: choice.Nanos(time.Since(at)),
+		g.tell(choice.Event{Kind: choice.ProbeCompleted, Engine: id, Result: results[r.End], Latency: choice.Nanos(time.Since(at)),
 			Load: g.rules.load(r.Load)})
 	}
 	if host, is := g.host(id, backend.Line); is {
@@ -195,27 +195,27 @@
 
 // Restate tells the module its settings anew, between two decisions: jobs taken in and dispatches out stay. What
 // concerns carrying out (names, time limits, fields of load reports) stays as at the start.
-func (g *Gateway) Restate(facts choice.Facts) {
-	g.tell(choice.Event{Kind: choice.Restated, Facts: facts})
+func (g *Gateway) Restate(facts choice.RawSettings) {
+	g.tell(choice.Event{Kind: choice.Reconfigured, Settings: facts})
 	slog.Info("settings_restated")
 }
 
 // Part tells the module what it carries of the fleet, and of quotas by the names of tenants, for so long.
 func (g *Gateway) Part(share float64, quotas map[string]float64, left time.Duration) {
-	p := choice.Part{Share: share, Tenants: map[choice.TenantID]float64{}, Until: g.clock.at(time.Now()) + choice.Nanos(left)}
+	p := choice.Quota{FleetShare: share, TenantShares: map[choice.TenantID]float64{}, ExpiresAt: g.clock.at(time.Now()) + choice.Nanos(left)}
 	for name, part := range quotas {
 		if id, is := g.names.tenants[name]; is {
-			p.Tenants[id] = part
+			p.TenantShares[id] = part
 		}
 	}
-	g.tell(choice.Event{Kind: choice.Parted, Part: p})
+	g.tell(choice.Event{Kind: choice.QuotaAssigned, Quota: p})
 }
 
 // Carries is what the module goes by now of the fleet, of 1.
 func (g *Gateway) Carries() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.module.Carries()
+	return g.module.FleetShare()
 }
 
 // Engines are the names of those that the list says are ready, in order.
@@ -234,15 +234,15 @@
 // Elder tells the module that an older process of this controller still serves what it owes, or has ended. Together they
 // count as one controller.
 func (g *Gateway) Elder(on bool) {
-	g.tell(choice.Event{Kind: choice.Elder, On: on})
+	g.tell(choice.Event{Kind: choice.PredecessorChanged, PredecessorRunning: on})
 	slog.Info("elder", "runs", on)
 }
 
 // Learned is what jobs have taught the module, by the names of types.
-func (g *Gateway) Learned() map[string]choice.Means {
+func (g *Gateway) Learned() map[string]choice.TypeStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	list, named := g.module.Learned(), map[string]choice.Means{}
+	list, named := g.module.TypeStats(), map[string]choice.TypeStats{}
 	for name, id := range g.names.types {
 		if int(id) < len(list) {
 			named[name] = list[id]
@@ -263,9 +263,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	named := map[string]Health{}
-	for _, h := range g.module.Health() {
+	for _, h := range g.module.EngineHealth() {
 		if l := g.roster.byID[h.Engine]; l != nil {
-			named[string(l.host.Name)] = Health{h.Slow, h.Bad, h.Aside}
+			named[string(l.host.Name)] = Health{h.LatencyRatio, h.FailureRate, h.Ejected}
 		}
 	}
 	return named
@@ -273,22 +273,22 @@
 
 // Teach tells the module what an older process of this controller has learned. Types that the settings do not name, and
 // engines that no list has named, are passed over; the module says what it takes.
-func (g *Gateway) Teach(named map[string]choice.Means, engines map[string]Health) {
-	list := make([]choice.Means, len(g.names.types))
+func (g *Gateway) Teach(named map[string]choice.TypeStats, engines map[string]Health) {
+	list := make([]choice.TypeStats, len(g.names.types))
 	for name, m := range named {
 		if id, is := g.names.types[name]; is {
 			list[id] = m
 		}
 	}
-	var health []choice.Health
+	var health []choice.EngineHealth
 	g.mu.Lock()
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
 		if l, h := g.roster.byName[name], engines[name]; l != nil {
-			health = append(health, choice.Health{Engine: l.id, Slow: h.Slow, Bad: h.Bad, Aside: h.Aside})
+			health = append(health, choice.EngineHealth{Engine: l.id, LatencyRatio: h.Slow, FailureRate: h.Bad, Ejected: h.Aside})
 		}
 	}
 	g.mu.Unlock()
-	g.tell(choice.Event{Kind: choice.Taught, Means: list, Health: health})
+	g.tell(choice.Event{Kind: choice.StateTransferred, TypeStats: list, EngineHealth: health})
 	slog.Info("taught", "types", len(named), "engines", len(health))
 }
 
@@ -296,8 +296,8 @@
 func (g *Gateway) Aside() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range g.module.View(max(g.last, g.clock.now())) {
-		if s.Out == "aside" {
+	for _, s := range g.module.EngineViews(max(g.last, g.clock.now())) {
+		if s.UnavailableReason == "aside" {
 			n++
 		}
 	}
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -40,7 +40,7 @@
 // A job waits for an engine; its client has gone, and the reader has not come to that yet, as it lies behind much that is
 // unread. When an engine comes, nothing is sent there, and the module forgets the job.
 func TestNothingIsSentForAClientThatIsNoLongerThere(t *testing.T) {
-	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
 		"limits":  map[string]any{"cancel": true}}
 	var started atomic.Int64
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -62,7 +62,7 @@
 
 // sent is a dispatch of the job.
 type sent struct {
-	seq    choice.Seq
+	seq    choice.AttemptSeq
 	engine choice.EngineID
 	at     time.Time
 	link   backend.Dispatch
@@ -131,10 +131,10 @@
 	if !found && g.rules.tables(t) {
 		return choice.Event{}, fmt.Errorf("the statement names no group of tables")
 	}
-	return choice.Event{Kind: choice.Arrived, Type: t, Tenant: tenant, Key: keyOf(a.Key),
-		Left: choice.Nanos(a.Left - min(travels, a.Left/10) - time.Since(a.At)), Cost: choice.Nanos(a.Work), CostKnown: a.Work > 0,
-		Repeat: a.Repeat, MemoryMB: a.MemoryMB, Tables: choice.TableSet(tables), Needs: needs(a.Protocol),
-		Write: int(t) < len(g.rules.writes) && g.rules.writes[t] == true}, nil
+	return choice.Event{Kind: choice.JobArrived, Type: t, Tenant: tenant, Key: keyOf(a.Key),
+		TimeLeft: choice.Nanos(a.Left - min(travels, a.Left/10) - time.Since(a.At)), Cost: choice.Nanos(a.Work), CostKnown: a.Work > 0,
+		IsRepeat: a.Repeat, MemoryMB: a.MemoryMB, Tables: choice.TableGroup(tables), RequiredProtocols: needs(a.Protocol),
+		IsWrite: int(t) < len(g.rules.writes) && g.rules.writes[t] == true}, nil
 }
 
 // life is a job's, from its arrival to its last outcome. The module is told at each point of choice; what it
@@ -143,7 +143,7 @@
 	defer g.running.Done()
 	var (
 		now      *sent // the dispatch that is out: the module has one at a time
-		count    choice.Seq
+		count    choice.AttemptSeq
 		priority = uint8(1)
 		grant    float64
 		answered bool
@@ -164,8 +164,8 @@
 	ended := func(s *sent, result choice.Result, r backend.Reply) {
 		now, limit = nil, lost
 		answered = answered || result == choice.Done
-		g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: result,
-			Latency: choice.Nanos(time.Since(s.at)), Final: answered, Bill: bill(r), Load: g.rules.load(r.Load)})
+		g.tell(choice.Event{Kind: choice.AttemptEnded, Job: j.id, Seq: s.seq, Engine: s.engine, Result: result,
+			Latency: choice.Nanos(time.Since(s.at)), IsFinal: answered, Usage: bill(r), Load: g.rules.load(r.Load)})
 	}
 	// answer writes the final answer. A slow client must not hold up the taking back of what is still out.
 	answer := func(how jobstats.How, write func()) {
@@ -186,7 +186,7 @@
 			answered = true
 			g.answered(j)
 			g.count(j, jobstats.Left, count, 0)
-			g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
+			g.tell(choice.Event{Kind: choice.ClientDisconnected, Job: j.id})
 		}
 	}
 	for !answered || now != nil || !g.forget(j) {
@@ -201,7 +201,7 @@
 				if !answered && time.Now().After(lost.Add(g.rules.slack)) {
 					g.overdue.Warn("answer_overdue", "job", j.id, "call", string(j.ID), "late_ms", time.Since(lost).Milliseconds())
 					invariant.Check(false, "answers_overdue")
-					g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
+					g.tell(choice.Event{Kind: choice.ClientDisconnected, Job: j.id})
 					answer(jobstats.Cancelled, func() { j.From.Failed(TimedOut) })
 				}
 				timer.Reset(max(g.rules.slack/4, time.Until(limit)))
@@ -239,7 +239,7 @@
 				}
 				g.pool.Free(r.Pages)
 			}
-		case m.order.Kind == choice.Terms:
+		case m.order.Kind == choice.SetDispatchOptions:
 			grant = m.order.MemoryMB
 			if now != nil && m.order.Priority != priority {
 				now.link.Renice(m.order.Priority)
@@ -257,13 +257,13 @@
 				g.moot(j, s, answered)
 				break
 			}
-			if limit = lost; m.order.Span != 0 && s.at.Add(time.Duration(m.order.Span)).Before(lost) {
-				limit = s.at.Add(time.Duration(m.order.Span))
+			if limit = lost; m.order.Duration != 0 && s.at.Add(time.Duration(m.order.Duration)).Before(lost) {
+				limit = s.at.Add(time.Duration(m.order.Duration))
 			}
 			timer.Reset(time.Until(limit))
 			now = s
 			s.link = g.pool.Start(host, backend.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, Idempotency: j.Idempotency,
-				WaitMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, Ordered: m.at, Until: g.clock.moment(m.order.Until),
+				WaitMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, Ordered: m.at, Until: g.clock.moment(m.order.SendDeadline),
 				Lane: g.rules.lane(g.names.types[string(j.Type)])},
 				func(r backend.Reply) {
 					if m := (message{from: s, reply: r}); r.End == backend.Open {
@@ -272,13 +272,13 @@
 						j.in.put(m)
 					}
 				})
-		case m.order.Kind == choice.Retract:
+		case m.order.Kind == choice.CancelAttempt:
 			if now != nil && now.seq == m.order.Seq {
-				giveUp(choice.Retracted)
+				giveUp(choice.Canceled)
 			}
 		case m.order.Kind == choice.Throttle:
-			answer(jobstats.Throttled, func() { j.From.Throttled(time.Duration(m.order.Span)) })
-		case m.order.Kind == choice.CancelForGood:
+			answer(jobstats.Throttled, func() { j.From.Throttled(time.Duration(m.order.Duration)) })
+		case m.order.Kind == choice.CancelPermanently:
 			answer(jobstats.Cancelled, func() { j.From.Failed(ForGood) })
 		}
 	}
@@ -286,17 +286,17 @@
 
 // moot tells the module of a dispatch that was not issued.
 func (g *Gateway) moot(j *job, s *sent, final bool) {
-	g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: choice.Moot, Final: final})
+	g.tell(choice.Event{Kind: choice.AttemptEnded, Job: j.id, Seq: s.seq, Engine: s.engine, Result: choice.Superseded, IsFinal: final})
 }
 
 func (g *Gateway) noted(j *job, s *sent, r backend.Reply) {
 	if kind, is := notes[r.Note]; is {
-		g.tell(choice.Event{Kind: choice.Noted, Job: j.id, Seq: s.seq, Engine: s.engine, Note: kind, Amount: r.Amount})
+		g.tell(choice.Event{Kind: choice.ProgressReported, Job: j.id, Seq: s.seq, Engine: s.engine, Progress: kind, Amount: r.Amount})
 	}
 }
 
 // count tells the tally what became of a job for its client.
-func (g *Gateway) count(j *job, how jobstats.How, dispatches choice.Seq, workMS float64) {
+func (g *Gateway) count(j *job, how jobstats.How, dispatches choice.AttemptSeq, workMS float64) {
 	if g.tally == nil {
 		return
 	}
--- a/internal/gateway/job_life_test.go
+++ b/internal/gateway/job_life_test.go
@@ -134,7 +134,7 @@
 	before := slog.Default()
 	slog.SetDefault(slog.New(eventLog{seen}))
 	t.Cleanup(func() { slog.SetDefault(before) })
-	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
 		"tenants": []any{map[string]any{"name": "acme"}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9},
 			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 20e9}},
@@ -198,17 +198,17 @@
 func replied(r backend.Reply) func(*stage) { return func(s *stage) { s.reply(r) } }
 
 func terms(priority uint8, grant float64) func(*stage) {
-	return ordered(choice.Terms, func(a *choice.Action) { a.Priority, a.MemoryMB = priority, grant })
+	return ordered(choice.SetDispatchOptions, func(a *choice.Action) { a.Priority, a.MemoryMB = priority, grant })
 }
 
-func retract(seq choice.Seq) func(*stage) {
-	return ordered(choice.Retract, func(a *choice.Action) { a.Seq = seq })
+func retract(seq choice.AttemptSeq) func(*stage) {
+	return ordered(choice.CancelAttempt, func(a *choice.Action) { a.Seq = seq })
 }
 
 var (
 	dispatched = act{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"}}
-	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Span = 1e9 }), []string{"client: throttled 1s"}}
-	cancelled  = act{ordered(choice.CancelForGood, nil), []string{"client: failed cancelled for good"}}
+	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Duration = 1e9 }), []string{"client: throttled 1s"}}
+	cancelled  = act{ordered(choice.CancelPermanently, nil), []string{"client: failed cancelled for good"}}
 	result     = backend.Reply{End: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, RoomMB: 76}
 )
 
@@ -253,13 +253,13 @@
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 			{replied(result), []string{"engine: free 2"}}, throttled}},
 		{name: "a dispatch past its time limit", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
-			{ordered(choice.Dispatch, func(a *choice.Action) { a.Span = 1 }),
+			{ordered(choice.Dispatch, func(a *choice.Action) { a.Duration = 1 }),
 				[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
 		{name: "throttled while a dispatch is out", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
 		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
-			{ordered(choice.CancelForGood, nil), nil}, {ordered(choice.Throttle, nil), nil},
+			{ordered(choice.CancelPermanently, nil), nil}, {ordered(choice.Throttle, nil), nil},
 			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
 		{name: "left before it is sent", work: canary.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
 		{name: "left while a dispatch is out", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
--- a/internal/gateway/names.go
+++ b/internal/gateway/names.go
@@ -16,7 +16,7 @@
 	own     string // the zone that this controller is in
 }
 
-func newNames(facts choice.Facts) names {
+func newNames(facts choice.RawSettings) names {
 	n := names{map[string]choice.TypeID{}, map[string]choice.TenantID{}, map[string]choice.ZoneID{},
 		map[string]choice.KindID{}, ""}
 	here, _ := facts["locality"].(float64)
@@ -52,7 +52,7 @@
 }
 
 // each goes through a list of the settings whose entries are names, or have one.
-func each(facts choice.Facts, path string, tell func(i int, name string)) {
+func each(facts choice.RawSettings, path string, tell func(i int, name string)) {
 	list, _ := facts[path].([]any)
 	for i, v := range list {
 		if entry, is := v.(map[string]any); is {
--- a/internal/gateway/names_test.go
+++ b/internal/gateway/names_test.go
@@ -31,12 +31,12 @@
 }
 
 func TestEnginesAreNumberedAlikeInWhateverOrderTheyCome(t *testing.T) {
-	n := newNames(choice.Facts{"localities": []any{"east", "west"}, "kinds": []any{"std"}})
+	n := newNames(choice.RawSettings{"localities": []any{"east", "west"}, "kinds": []any{"std"}})
 	a, b, now := newRoster(), newRoster(), time.Now()
 	first, _ := a.take(listOf(t, "true", "e1", "e2", "e3"), n, now)
 	b.take(listOf(t, "true", "e3"), n, now)
 	b.take(listOf(t, "false", "e2", "e1"), n, now)
-	want := choice.Line{Engine: a.byName["e1"].id, Zone: 1, Cell: 2, State: choice.Ready, Size: 4, StartedAt: 5e6}
+	want := choice.EngineEntry{Engine: a.byName["e1"].id, Zone: 1, Cell: 2, State: choice.Ready, Size: 4, StartedAt: 5e6}
 	if first[0] != want {
 		t.Errorf("%+v, want %+v", first[0], want)
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	_, gone := a.take(listOf(t, "true", "e2"), n, now)
-	if slices.Sort(gone); !slices.Equal(gone, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Gone {
+	if slices.Sort(gone); !slices.Equal(gone, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Removed {
 		t.Errorf("gone %v", gone)
 	}
 	a.take(listOf(t, "false", "e1"), n, now.Add(time.Minute))
@@ -59,7 +59,7 @@
 // Taken for the first zone of the settings, such an engine would get jobs that must not run there.
 func TestAnEngineInAnUnknownPlaceIsInNoneOfThose(t *testing.T) {
 	r := newRoster()
-	lines, _ := r.take(listOf(t, "true", "e1"), newNames(choice.Facts{"localities": []any{"east"}, "kinds": []any{"small"}}), time.Now())
+	lines, _ := r.take(listOf(t, "true", "e1"), newNames(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}), time.Now())
 	if lines[0].Zone != noZone || lines[0].Kind != noKind {
 		t.Errorf("%+v", lines[0])
 	}
@@ -109,7 +109,7 @@
 func (a asker) Here() bool              { return true }
 
 func TestAFloodEndsInThrottling(t *testing.T) {
-	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits": map[string]any{"max_open": 3.0}}
 	g := New(facts, 1, parts(), false, nil)
 	defer g.Close()
@@ -135,11 +135,11 @@
 }
 
 func TestTheModuleIsToldLessTimeThanTheClientHas(t *testing.T) {
-	g := New(choice.Facts{"classes": []any{map[string]any{"name": "lookup"}}}, 1, parts(), false, nil)
+	g := New(choice.RawSettings{"classes": []any{map[string]any{"name": "lookup"}}}, 1, parts(), false, nil)
 	defer g.Close()
 	for left, most := range map[time.Duration]time.Duration{time.Second: time.Second - travels, 10 * time.Millisecond: 9 * time.Millisecond} {
 		ev, err := g.arrival(Ask{Type: []byte("lookup"), At: time.Now(), Left: left})
-		if got := time.Duration(ev.Left); err != nil || got > most || got < most-5*time.Second {
+		if got := time.Duration(ev.TimeLeft); err != nil || got > most || got < most-5*time.Second {
 			t.Errorf("%v of %v told, %v", got, left, err)
 		}
 	}
@@ -148,7 +148,7 @@
 // A client may leave in the moment in which the module sends its job: that dispatch is owed an outcome too, or its
 // threads would count as out for ever.
 func TestADispatchOrderedAsTheClientLeavesHasAnOutcome(t *testing.T) {
-	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}}}
 	g := New(facts, 1, parts(), false, nil)
 	var parked *job
@@ -166,7 +166,7 @@
 
 // A flood of one protocol takes what nobody used of late, and leaves the other its part.
 func TestAFloodOfOneProtocolLeavesTheOtherItsPlaces(t *testing.T) {
-	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits": map[string]any{"max_open": 40.0}}
 	g := New(facts, 1, parts(), false, nil)
 	defer g.Close()
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -33,7 +33,7 @@
 	}
 	g.mu.Unlock()
 	if p == nil {
-		g.tell(choice.Event{Kind: choice.Planned})
+		g.tell(choice.Event{Kind: choice.PlanUpdated})
 		return
 	}
 	slog.Info("plan_taken", "steps", len(p.Steps))
@@ -48,7 +48,7 @@
 		g.mu.Unlock()
 		return
 	}
-	rest := g.decide(choice.Event{Kind: choice.Planned, Plan: told})
+	rest := g.decide(choice.Event{Kind: choice.PlanUpdated, Plan: told})
 	if i+1 < len(p.Steps) {
 		at := began.Add(time.Duration(p.Steps[i+1].FromMS) * time.Millisecond)
 		g.following.timer = time.AfterFunc(time.Until(at), func() { g.step(p, i+1, turn, began) })
@@ -60,17 +60,17 @@
 // planned puts a step into the module's numbers, as far as it bears on jobs from this controller's zone. What the
 // settings do not name is passed over.
 func (g *Gateway) planned(s solve.Step, factor float64) *choice.Plan {
-	p := &choice.Plan{Factor: factor}
+	p := &choice.Plan{MaxDemandRatio: factor}
 	for _, share := range s.Shares {
 		if id, is := g.names.tenants[share.Tenant]; is {
-			p.Tenants = append(p.Tenants, choice.PlanTenant{Tenant: id, Part: float64(share.PerMio) / 1e6})
+			p.Tenants = append(p.Tenants, choice.PlanTenant{Tenant: id, Share: float64(share.PerMio) / 1e6})
 		}
 	}
 	for _, u := range s.Use {
 		if id := engineNumber(u.Engine); u.Threads > 0 {
 			p.Engines = append(p.Engines, choice.PlanEngine{Engine: id, Threads: float64(u.Threads)})
 		} else {
-			p.Idle = append(p.Idle, id)
+			p.IdleEngines = append(p.IdleEngines, id)
 		}
 	}
 	most := map[string]int64{}
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, t := range s.Served {
-		p.Demand += float64(t.Asked)
+		p.DemandThreads += float64(t.Asked)
 	}
 	return p
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -17,7 +17,7 @@
 type listed struct {
 	host backend.Host
 	id   choice.EngineID
-	line choice.Line
+	line choice.EngineEntry
 	gone time.Time
 }
 
@@ -47,7 +47,7 @@
 }
 
 // take applies an event and gives the lines for the module, and the names of those that are gone with it.
-func (r *roster) take(ev discovery.Event, n names, now time.Time) (lines []choice.Line, gone []string) {
+func (r *roster) take(ev discovery.Event, n names, now time.Time) (lines []choice.EngineEntry, gone []string) {
 	for name, l := range r.byName {
 		if !l.gone.IsZero() && now.Sub(l.gone) > goneKept {
 			delete(r.byName, name)
@@ -56,8 +56,8 @@
 	}
 	if ev.Members.Whole {
 		for _, l := range r.byName {
-			if l.line.State != choice.Gone {
-				l.line.State, l.gone = choice.Gone, now
+			if l.line.State != choice.Removed {
+				l.line.State, l.gone = choice.Removed, now
 			}
 		}
 	}
@@ -71,13 +71,13 @@
 		case "ready":
 			state = choice.Ready
 		case "gone":
-			state = choice.Gone
+			state = choice.Removed
 		}
-		if l.gone = (time.Time{}); state == choice.Gone {
+		if l.gone = (time.Time{}); state == choice.Removed {
 			l.gone = now
 		}
-		l.line = choice.Line{Engine: l.id, Zone: n.zone(e.Site), Kind: n.kind(e.Kind), Cell: choice.CellID(e.Cell),
-			State: state, Size: e.Size, StartedAt: choice.Nanos(e.BornMS) * 1e6, Deaf: r.deaf(l.host)}
+		l.line = choice.EngineEntry{Engine: l.id, Zone: n.zone(e.Site), Kind: n.kind(e.Kind), Cell: choice.CellID(e.Cell),
+			State: state, Size: e.Size, StartedAt: choice.Nanos(e.BornMS) * 1e6, Unsupported: r.deaf(l.host)}
 		lines = append(lines, l.line)
 	}
 	for name, l := range r.byName {
@@ -94,9 +94,9 @@
 		counters.Increment("feed_events_passed_over")
 		return
 	}
-	kind := choice.ListChanges
+	kind := choice.ListDelta
 	if ev.Members.Whole {
-		kind = choice.WholeList
+		kind = choice.FullList
 		if cached {
 			kind = choice.CachedList
 		}
@@ -106,7 +106,7 @@
 	if g.drains != nil {
 		lines = g.drains.Listed(g.clock.now(), lines)
 	}
-	rest := g.decide(choice.Event{Kind: choice.Listed, List: kind, Lines: lines})
+	rest := g.decide(choice.Event{Kind: choice.EnginesListed, List: kind, Engines: lines})
 	g.mu.Unlock()
 	g.carry(rest)
 	for _, name := range gone {
@@ -116,13 +116,13 @@
 
 func (g *Gateway) listAll() {
 	g.mu.Lock()
-	ev := choice.Event{Kind: choice.Listed, List: choice.WholeList}
+	ev := choice.Event{Kind: choice.EnginesListed, List: choice.FullList}
 	for _, l := range g.roster.byName {
-		if l.line.State != choice.Gone {
-			ev.Lines = append(ev.Lines, l.line)
+		if l.line.State != choice.Removed {
+			ev.Engines = append(ev.Engines, l.line)
 		}
 	}
-	slices.SortFunc(ev.Lines, func(a, b choice.Line) int { return int(int64(a.Engine) - int64(b.Engine)) })
+	slices.SortFunc(ev.Engines, func(a, b choice.EngineEntry) int { return int(int64(a.Engine) - int64(b.Engine)) })
 	rest := g.decide(ev)
 	g.mu.Unlock()
 	g.carry(rest)
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -47,7 +47,7 @@
 	return a.least + time.Duration(a.stretch*workMS/a.threads*float64(time.Millisecond))
 }
 
-func newRules(f choice.Facts) rules {
+func newRules(f choice.RawSettings) rules {
 	in := func(name string) map[string]any { m, _ := f[name].(map[string]any); return m }
 	num := func(m map[string]any, name string, absent float64) float64 {
 		if v, is := m[name].(float64); is && v > 0 {
@@ -120,13 +120,13 @@
 
 // results are the module's words for the ends of dispatches and probes.
 var results = map[backend.End]choice.Result{
-	backend.Done: choice.Done, backend.Failed: choice.Failed, backend.Full: choice.Full, backend.Moot: choice.Moot,
+	backend.Done: choice.Done, backend.Failed: choice.Failed, backend.Full: choice.Full, backend.Moot: choice.Superseded,
 	backend.NotConnected: choice.Unreachable, backend.Reset: choice.Reset, backend.TimedOut: choice.TimedOut,
 }
 
 // notes are its words for what news tells.
-var notes = map[string]choice.NoteKind{
-	"frac": choice.Progress, "missing": choice.Spilling, "parked": choice.Waiting,
+var notes = map[string]choice.ProgressKind{
+	"frac": choice.ProgressFraction, "missing": choice.ProgressSpilling, "parked": choice.ProgressWaiting,
 }
 
 // reported are the sockets' names of the fields that the settings name otherwise.
--- a/internal/gateway/rules_test.go
+++ b/internal/gateway/rules_test.go
@@ -17,7 +17,7 @@
 "limits":{"dial_timeout_ns":3e8,"conn_idle_ns":7e9,"max_streams":9,"max_open":77},
 "telemetry":{"via":"on_probe","fields":["concurrent","load_share"]},"invariants":{"answer_slack_ns":2e7}}`
 
-func factsOf(t *testing.T, text string) (f choice.Facts) {
+func factsOf(t *testing.T, text string) (f choice.RawSettings) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/speech.go
+++ b/internal/gateway/speech.go
@@ -13,12 +13,12 @@
 // The module's bits for protocols. One machine that runs engines of several is one engine to the module: its threads,
 // memory, load, warm-up and drain count once, whatever protocol a job comes over.
 const (
-	speechLine choice.Speech = 1 << iota
+	speechLine choice.Protocols = 1 << iota
 	speechSPARQL
 )
 
 // needs are those that a job's engine must speak.
-func needs(p backend.Protocol) choice.Speech {
+func needs(p backend.Protocol) choice.Protocols {
 	if p == backend.SPARQL {
 		return speechSPARQL
 	}
@@ -27,7 +27,7 @@
 
 // deaf are those that an engine does not speak. Where SPARQL is off nothing is said: no job needs it, and an engine
 // without an address was always taken as one that cannot be reached.
-func (r *roster) deaf(h backend.Host) (d choice.Speech) {
+func (r *roster) deaf(h backend.Host) (d choice.Protocols) {
 	if r.urls == nil {
 		return 0
 	}
@@ -65,7 +65,7 @@
 	if l := g.roster.byName[name]; l != nil && g.drains != nil {
 		if line, changed := g.drains.Said(g.clock.now(), l.id, w); changed {
 			counters.Increment("drains_heard")
-			rest = g.decide(choice.Event{Kind: choice.Listed, List: choice.ListChanges, Lines: []choice.Line{line}})
+			rest = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: []choice.EngineEntry{line}})
 		}
 	}
 	g.mu.Unlock()
@@ -79,7 +79,7 @@
 	if g.drains != nil {
 		ids := slices.Sorted(maps.Keys(g.roster.byID))
 		if lines := g.drains.Pass(g.clock.now(), ids); len(lines) > 0 {
-			rest = g.decide(choice.Event{Kind: choice.Listed, List: choice.ListChanges, Lines: lines})
+			rest = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: lines})
 		}
 	}
 	g.mu.Unlock()
--- a/internal/proof/solve/cost.go
+++ b/internal/proof/solve/cost.go
@@ -29,40 +29,40 @@
 func decides(n int, plan bool) time.Duration {
 	var c choice.Controller
 	now := choice.Nanos(1e12)
-	var mark choice.Mark
+	var mark choice.TimerID
 	tell := func(ev choice.Event) (to choice.EngineID) {
 		for _, a := range c.Decide(now, ev) {
 			switch a.Kind {
 			case choice.Dispatch:
 				to = a.Engine
-			case choice.Timer:
-				mark = a.Mark
+			case choice.SetTimer:
+				mark = a.TimerID
 			}
 		}
 		return to
 	}
-	tell(choice.Event{Kind: choice.Started, Seed: 3, Facts: facts(0, 1)})
-	p := &choice.Plan{Tenants: []choice.PlanTenant{{Tenant: 0, Part: 1}}, Demand: 40, Factor: 1e9}
-	var lines []choice.Line
+	tell(choice.Event{Kind: choice.Started, Seed: 3, Settings: facts(0, 1)})
+	p := &choice.Plan{Tenants: []choice.PlanTenant{{Tenant: 0, Share: 1}}, DemandThreads: 40, MaxDemandRatio: 1e9}
+	var lines []choice.EngineEntry
 	for i := range choice.EngineID(40) {
-		lines = append(lines, choice.Line{Engine: i, State: choice.Ready})
+		lines = append(lines, choice.EngineEntry{Engine: i, State: choice.Ready})
 		p.Engines = append(p.Engines, choice.PlanEngine{Engine: i, Threads: 8})
 		for t := range choice.TypeID(3) {
 			p.Weights = append(p.Weights, choice.PlanWeight{Type: t, Engine: i, Weight: float64(i%7) / 7})
 		}
 	}
-	tell(choice.Event{Kind: choice.Listed, List: choice.WholeList, Lines: lines})
+	tell(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: lines})
 	if plan {
-		tell(choice.Event{Kind: choice.Planned, Plan: p})
+		tell(choice.Event{Kind: choice.PlanUpdated, Plan: p})
 	}
 	began := time.Now()
 	for i := range n {
 		now += 1e6
 		id := choice.JobID(i + 1)
-		to := tell(choice.Event{Kind: choice.Arrived, Job: id, Type: choice.TypeID(i % 2), Left: 4e9, Cost: 5e7, CostKnown: true})
-		tell(choice.Event{Kind: choice.Answered, Job: id, Engine: to, Result: choice.Done, Final: true, Latency: 5e7})
+		to := tell(choice.Event{Kind: choice.JobArrived, Job: id, Type: choice.TypeID(i % 2), TimeLeft: 4e9, Cost: 5e7, CostKnown: true})
+		tell(choice.Event{Kind: choice.AttemptEnded, Job: id, Engine: to, Result: choice.Done, IsFinal: true, Latency: 5e7})
 		if i%20 == 0 {
-			tell(choice.Event{Kind: choice.TimerDue, Mark: mark})
+			tell(choice.Event{Kind: choice.TimerFired, TimerID: mark})
 		}
 	}
 	return time.Since(began)
--- a/internal/proof/solve/virtual.go
+++ b/internal/proof/solve/virtual.go
@@ -11,12 +11,12 @@
 )
 
 // facts are settings for a controller of a zone, one of n.
-func facts(zone int, n int) choice.Facts {
+func facts(zone int, n int) choice.RawSettings {
 	class := func(effect string, aim, value float64, order bool) map[string]any {
 		return map[string]any{"idempotency": effect, "aim_ns": aim, "give_up_ns": 2e10, "gain": value, "late_worth": 0.3, "aim_stretch": 1.0,
 			"key_scope": "all", "repeat_window_ns": 5e9, "fifo_by_key": order}
 	}
-	return choice.Facts{"balancers": float64(n), "me": 0.0, "step_ns": 5e6, "discovery": "automatic", "locality": float64(zone),
+	return choice.RawSettings{"balancers": float64(n), "me": 0.0, "step_ns": 5e6, "discovery": "automatic", "locality": float64(zone),
 		"classes": []any{class("repeatable", 5e8, 1, false), class("repeatable", 3e9, 10, false), class("once", 3e9, 12, true)},
 		"domain": map[string]any{"class_threads": []any{1.0, 2.0, 2.0}, "cpu_of_kind": []any{16.0}, "size_mb": []any{32000.0}, "grants_count": true,
 			"takes_priority": true, "max_grant_share": 0.4, "says_cost": true, "memory_short": "queue"},
@@ -101,10 +101,10 @@
 		heap.Push(&todo, due{now + span, order, do})
 	}
 	var servers []*server
-	var lines []choice.Line
+	var lines []choice.EngineEntry
 	for i := range p.Engines {
 		servers = append(servers, &server{zone: i % 2, cores: 16, at: now})
-		lines = append(lines, choice.Line{Engine: choice.EngineID(i), Zone: choice.ZoneID(i % 2), State: choice.Ready})
+		lines = append(lines, choice.EngineEntry{Engine: choice.EngineID(i), Zone: choice.ZoneID(i % 2), State: choice.Ready})
 	}
 	var settle func(s *server)
 	settle = func(s *server) { // works off what ran since, ends what is done, and sets when the next will be
@@ -141,7 +141,7 @@
 		zone     int
 		at       int64
 		answered bool
-		seq      choice.Seq
+		seq      choice.AttemptSeq
 		out      bool
 		called   bool
 	}
@@ -174,8 +174,8 @@
 								t.crossing += float64(typ.AnswerBytes)
 							}
 						}
-						tell(choice.Event{Kind: choice.Answered, Job: id, Seq: seq, Engine: e, Result: choice.Done, Final: true,
-							Latency: choice.Nanos(now - sent), Bill: uint32(typ.WorkMS)<<12 | uint32(typ.MemoryMB/4), Load: load(e)})
+						tell(choice.Event{Kind: choice.AttemptEnded, Job: id, Seq: seq, Engine: e, Result: choice.Done, IsFinal: true,
+							Latency: choice.Nanos(now - sent), Usage: uint32(typ.WorkMS)<<12 | uint32(typ.MemoryMB/4), Load: load(e)})
 					})
 				}})
 				settle(s)
@@ -186,7 +186,7 @@
 				switch a.Kind {
 				case choice.Dispatch:
 					dispatch(a.Job, a.Engine)
-				case choice.Throttle, choice.CancelForGood:
+				case choice.Throttle, choice.CancelPermanently:
 					if jobs[a.Job].answered {
 						t.rule("rule 1: a second answer")
 					}
@@ -195,20 +195,20 @@
 					}
 					jobs[a.Job].answered = true
 					t.throttled++
-				case choice.Retract: // these simulated servers end what they began
-				case choice.Timer:
-					after(int64(a.Span), func() { tell(choice.Event{Kind: choice.TimerDue, Mark: a.Mark}) })
-				case choice.Probe:
+				case choice.CancelAttempt: // these simulated servers end what they began
+				case choice.SetTimer:
+					after(int64(a.Duration), func() { tell(choice.Event{Kind: choice.TimerFired, TimerID: a.TimerID}) })
+				case choice.SendProbe:
 					after(2*way, func() {
-						tell(choice.Event{Kind: choice.Probed, Engine: a.Engine, Result: choice.Done, Load: load(a.Engine)})
+						tell(choice.Event{Kind: choice.ProbeCompleted, Engine: a.Engine, Result: choice.Done, Load: load(a.Engine)})
 					})
 				}
 			}
 		}
-		tell(choice.Event{Kind: choice.Started, Seed: seed<<8 | uint64(me), Facts: facts(zone, controllers)})
-		tell(choice.Event{Kind: choice.Listed, List: choice.WholeList, Lines: lines})
+		tell(choice.Event{Kind: choice.Started, Seed: seed<<8 | uint64(me), Settings: facts(zone, controllers)})
+		tell(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: lines})
 		if plan != nil {
-			tell(choice.Event{Kind: choice.Planned, Plan: numbers(p, plan, zone)})
+			tell(choice.Event{Kind: choice.PlanUpdated, Plan: numbers(p, plan, zone)})
 		}
 		id := choice.JobID(0)
 		for _, d := range p.Demand {
@@ -234,7 +234,7 @@
 				id++
 				t.taken++
 				jobs[id] = &job{typ: typ, zone: zone, at: now}
-				tell(choice.Event{Kind: choice.Arrived, Job: id, Type: choice.TypeID(typ), Tenant: tenant, Key: choice.Key(r.Uint64()%1000 + 1), Left: 20e9,
+				tell(choice.Event{Kind: choice.JobArrived, Job: id, Type: choice.TypeID(typ), Tenant: tenant, Key: choice.Key(r.Uint64()%1000 + 1), TimeLeft: 20e9,
 					Cost: choice.Nanos(p.Types[typ].WorkMS) * 1e6, CostKnown: true, MemoryMB: float64(p.Types[typ].MemoryMB)})
 			}
 			after(int64(r.ExpFloat64()*each), arrive)
@@ -257,16 +257,16 @@
 
 // numbers puts a step into the module's numbers for a controller in a zone.
 func numbers(p *solve.Problem, s *solve.Step, zone int) *choice.Plan {
-	out := &choice.Plan{Factor: 3}
+	out := &choice.Plan{MaxDemandRatio: 3}
 	for i, share := range s.Shares {
-		out.Tenants = append(out.Tenants, choice.PlanTenant{Tenant: choice.TenantID(i), Part: float64(share.PerMio) / 1e6})
+		out.Tenants = append(out.Tenants, choice.PlanTenant{Tenant: choice.TenantID(i), Share: float64(share.PerMio) / 1e6})
 	}
 	number := func(name string) choice.EngineID { return choice.EngineID(name[1] - '0') }
 	for _, u := range s.Use {
 		if u.Threads > 0 {
 			out.Engines = append(out.Engines, choice.PlanEngine{Engine: number(u.Engine), Threads: float64(u.Threads)})
 		} else {
-			out.Idle = append(out.Idle, number(u.Engine))
+			out.IdleEngines = append(out.IdleEngines, number(u.Engine))
 		}
 	}
 	most := map[string]int64{}
@@ -283,7 +283,7 @@
 		}
 	}
 	for _, t := range s.Served {
-		out.Demand += float64(t.Asked)
+		out.DemandThreads += float64(t.Asked)
 	}
 	return out
 }
--- a/internal/sparql/decide/decide_test.go
+++ b/internal/sparql/decide/decide_test.go
@@ -120,8 +120,8 @@
 
 func TestADrainIsHeardFromEitherSide(t *testing.T) {
 	d := NewDrain(20 * sec)
-	line := func(s choice.EngineState, started choice.Nanos) []choice.Line {
-		return []choice.Line{{Engine: 1, State: s, StartedAt: started}}
+	line := func(s choice.EngineState, started choice.Nanos) []choice.EngineEntry {
+		return []choice.EngineEntry{{Engine: 1, State: s, StartedAt: started}}
 	}
 	state := func(now choice.Nanos, w Word) choice.EngineState {
 		l, _ := d.Said(now, 1, w)
@@ -159,7 +159,7 @@
 	if d.Listed(28*sec, line(choice.Draining, 99)); state(28*sec, Serves) != choice.Draining {
 		t.Error("the list's word does not count")
 	}
-	if d.Listed(29*sec, line(choice.Gone, 99)); len(d.engines) != 0 {
+	if d.Listed(29*sec, line(choice.Removed, 99)); len(d.engines) != 0 {
 		t.Error("a gone engine is kept")
 	}
 }
--- a/internal/sparql/decide/drains.go
+++ b/internal/sparql/decide/drains.go
@@ -24,7 +24,7 @@
 }
 
 type drain struct {
-	list   choice.Line
+	list   choice.EngineEntry
 	own    bool
 	closed int
 	heard  choice.Nanos // the last own word that it drains
@@ -37,7 +37,7 @@
 }
 
 // Listed takes lines of the list and gives them as the module is to see them.
-func (d *Drain) Listed(now choice.Nanos, lines []choice.Line) (seen []choice.Line) {
+func (d *Drain) Listed(now choice.Nanos, lines []choice.EngineEntry) (seen []choice.EngineEntry) {
 	for _, l := range lines {
 		e := d.engines[l.Engine]
 		if e == nil {
@@ -48,7 +48,7 @@
 		}
 		e.list = l
 		seen = append(seen, e.line(now, d.stale))
-		if e.told = seen[len(seen)-1].State; l.State == choice.Gone {
+		if e.told = seen[len(seen)-1].State; l.State == choice.Removed {
 			delete(d.engines, l.Engine)
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // Said takes an engine's own word; a line is given where the module has to hear of a change.
-func (d *Drain) Said(now choice.Nanos, id choice.EngineID, w Word) (line choice.Line, changed bool) {
+func (d *Drain) Said(now choice.Nanos, id choice.EngineID, w Word) (line choice.EngineEntry, changed bool) {
 	e := d.engines[id]
 	if e == nil {
 		return line, false
@@ -75,7 +75,7 @@
 }
 
 // Pass lets time go by: own words that are stale no longer count. The lines are in the order of ids.
-func (d *Drain) Pass(now choice.Nanos, ids []choice.EngineID) (lines []choice.Line) {
+func (d *Drain) Pass(now choice.Nanos, ids []choice.EngineID) (lines []choice.EngineEntry) {
 	for _, id := range ids {
 		if e := d.engines[id]; e != nil {
 			if line, changed := d.change(now, e); changed {
@@ -86,7 +86,7 @@
 	return lines
 }
 
-func (d *Drain) change(now choice.Nanos, e *drain) (choice.Line, bool) {
+func (d *Drain) change(now choice.Nanos, e *drain) (choice.EngineEntry, bool) {
 	line := e.line(now, d.stale)
 	changed := line.State != e.told
 	e.told = line.State
@@ -94,7 +94,7 @@
 }
 
 // line is the list's, draining where the engine says so.
-func (e *drain) line(now, stale choice.Nanos) choice.Line {
+func (e *drain) line(now, stale choice.Nanos) choice.EngineEntry {
 	if e.own && now-e.heard >= stale {
 		e.own, e.closed = false, 0
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -24,18 +24,18 @@
 // The kinds of record.
 const (
 	ForInstance RecordKind = iota
-	Boot
-	Stop
-	Register
+	StartInstance
+	StopInstance
+	RegisterEngines
 )
 
 // Record is one event of a batch.
 type Record struct {
 	Kind     RecordKind
 	Instance Instance
-	Set      SetID         // Register, and a list event
-	Lines    []choice.Line // Register
-	Info     []byte        // Boot: the settings as JSON text
+	Set      SetID                // Register, and a list event
+	Engines  []choice.EngineEntry // Register
+	Settings []byte               // Boot: the settings as JSON text
 	Event    choice.Event
 }
 
@@ -55,20 +55,20 @@
 
 var (
 	eventCodes = map[byte]choice.EventKind{
-		20: choice.Arrived, 30: choice.Noted, 40: choice.TimerDue, 60: choice.Answered, 70: choice.ClientLeft,
-		90: choice.StreamBegan, 100: choice.Heard, 110: choice.Listed, 120: choice.Probed,
+		20: choice.JobArrived, 30: choice.ProgressReported, 40: choice.TimerFired, 60: choice.AttemptEnded, 70: choice.ClientDisconnected,
+		90: choice.StreamStarted, 100: choice.GossipReceived, 110: choice.EnginesListed, 120: choice.ProbeCompleted,
 	}
 	actionCodes = map[choice.ActionKind]byte{
-		choice.Dispatch: 10, choice.Throttle: 20, choice.CancelForGood: 30, choice.Retract: 40, choice.Timer: 50,
-		choice.Probe: 60, choice.CloseIdle: 70, choice.Tell: 80, choice.Log: 90, choice.Fault: 100,
-		choice.Track: 110, choice.ListAll: 120, choice.Terms: 130,
+		choice.Dispatch: 10, choice.Throttle: 20, choice.CancelPermanently: 30, choice.CancelAttempt: 40, choice.SetTimer: 50,
+		choice.SendProbe: 60, choice.CloseIdle: 70, choice.SendGossip: 80, choice.Log: 90, choice.Fault: 100,
+		choice.WatchEngines: 110, choice.ListEngines: 120, choice.SetDispatchOptions: 130,
 	}
 	resultCodes = map[uint16]choice.Result{
 		100: choice.Done, 301: choice.Failed, 302: choice.Full, 303: choice.TimedOut,
-		304: choice.Unreachable, 305: choice.Reset, 306: choice.Retracted, 307: choice.Moot,
+		304: choice.Unreachable, 305: choice.Reset, 306: choice.Canceled, 307: choice.Superseded,
 	}
 	listCodes = map[byte]choice.ListKind{
-		0: choice.WholeList, 1: choice.ListFailed, 3: choice.ListChanges, 4: choice.CachedList,
+		0: choice.FullList, 1: choice.ListFailed, 3: choice.ListDelta, 4: choice.CachedList,
 	}
 )
 
@@ -136,12 +136,12 @@
 }
 
 // tableSet reads the group of tables, which the wire states as a float.
-func tableSet(b []byte) choice.TableSet {
+func tableSet(b []byte) choice.TableGroup {
 	v := f32(b)
 	if !(math.Abs(v) < 1<<31) {
 		return 0
 	}
-	return choice.TableSet(v)
+	return choice.TableGroup(v)
 }
 
 func decodeEvent(r, tail []byte) (Record, error) {
@@ -151,18 +151,18 @@
 	known, err := true, error(nil)
 	switch r[0] {
 	case 10:
-		rec.Kind = Boot
+		rec.Kind = StartInstance
 		*ev = choice.Event{Kind: choice.Started, Seed: be.Uint64(r[3:])}
-		rec.Info, err = cut(tail, r[11:], 1)
+		rec.Settings, err = cut(tail, r[11:], 1)
 		return rec, err
 	case 80:
-		rec.Kind = Stop
+		rec.Kind = StopInstance
 		return rec, nil
 	case 50:
-		rec.Kind, rec.Set = Register, SetID(be.Uint16(r[1:]))
+		rec.Kind, rec.Set = RegisterEngines, SetID(be.Uint16(r[1:]))
 		lines, err := cut(tail, r[3:], lineSize)
 		for ; len(lines) > 0; lines = lines[lineSize:] {
-			rec.Lines = append(rec.Lines, choice.Line{
+			rec.Engines = append(rec.Engines, choice.EngineEntry{
 				Engine: choice.EngineID(be.Uint32(lines)), Zone: choice.ZoneID(lines[4]),
 				Kind: choice.KindID(be.Uint16(lines[5:])), Cell: choice.CellID(be.Uint16(lines[7:])),
 				State: choice.EngineState(lines[9]), Size: f32(lines[10:]),
@@ -178,39 +178,39 @@
 		return rec, fmt.Errorf("event code %d", r[0])
 	}
 	switch ev.Kind {
-	case choice.Arrived, choice.ClientLeft, choice.Answered, choice.Noted, choice.StreamBegan:
+	case choice.JobArrived, choice.ClientDisconnected, choice.AttemptEnded, choice.ProgressReported, choice.StreamStarted:
 		ev.Job = choice.JobID(be.Uint32(r[3:]))
 	}
 	switch ev.Kind {
-	case choice.Answered, choice.Noted, choice.StreamBegan:
-		ev.Seq, ev.Engine = choice.Seq(be.Uint16(r[7:])), choice.EngineID(be.Uint32(r[9:]))
+	case choice.AttemptEnded, choice.ProgressReported, choice.StreamStarted:
+		ev.Seq, ev.Engine = choice.AttemptSeq(be.Uint16(r[7:])), choice.EngineID(be.Uint32(r[9:]))
 	}
 	switch ev.Kind {
-	case choice.Arrived:
+	case choice.JobArrived:
 		ev.Type, ev.Tenant = choice.TypeID(r[7]), choice.TenantID(be.Uint32(r[8:]))
-		ev.Key, ev.Left = choice.Key(be.Uint64(r[12:])), choice.Nanos(be.Uint64(r[20:]))
+		ev.Key, ev.TimeLeft = choice.Key(be.Uint64(r[12:])), choice.Nanos(be.Uint64(r[20:]))
 		ev.Cost, ev.MemoryMB = choice.Nanos(be.Uint64(r[28:])), f32(r[36:])
 		ev.Tables = tableSet(r[40:])
-		ev.CostKnown, ev.Repeat, ev.Write = r[44]&1 != 0, r[44]&2 != 0, r[44]&4 != 0
-	case choice.Noted:
-		ev.Note, ev.Amount = choice.NoteKind(r[13]), f32(r[14:])
-	case choice.StreamBegan:
+		ev.CostKnown, ev.IsRepeat, ev.IsWrite = r[44]&1 != 0, r[44]&2 != 0, r[44]&4 != 0
+	case choice.ProgressReported:
+		ev.Progress, ev.Amount = choice.ProgressKind(r[13]), f32(r[14:])
+	case choice.StreamStarted:
 		ev.Latency = choice.Nanos(be.Uint64(r[13:]))
-	case choice.TimerDue:
-		ev.Mark = choice.Mark(be.Uint64(r[3:]))
-	case choice.Answered:
+	case choice.TimerFired:
+		ev.TimerID = choice.TimerID(be.Uint64(r[3:]))
+	case choice.AttemptEnded:
 		ev.Result, known = resultCodes[be.Uint16(r[13:])]
-		ev.Latency, ev.Final, ev.Bill = choice.Nanos(be.Uint64(r[15:])), r[23] != 0, be.Uint32(r[24:])
+		ev.Latency, ev.IsFinal, ev.Usage = choice.Nanos(be.Uint64(r[15:])), r[23] != 0, be.Uint32(r[24:])
 		ev.Load, err = loadReport(r[28:])
-	case choice.Probed:
+	case choice.ProbeCompleted:
 		ev.Engine = choice.EngineID(be.Uint32(r[3:]))
 		ev.Result, known = resultCodes[be.Uint16(r[7:])]
 		ev.Latency = choice.Nanos(be.Uint64(r[9:]))
 		ev.Load, err = loadReport(r[17:])
-	case choice.Heard:
+	case choice.GossipReceived:
 		ev.Peer = choice.PeerID(be.Uint32(r[3:]))
-		ev.Said, err = cut(tail, r[7:], 1)
-	case choice.Listed:
+		ev.Payload, err = cut(tail, r[7:], 1)
+	case choice.EnginesListed:
 		ev.List, known = listCodes[r[3]]
 		rec.Set = SetID(be.Uint16(r[12:]))
 	}
@@ -236,24 +236,24 @@
 	switch a.Kind {
 	case choice.Dispatch:
 		be.PutUint32(r[7:], uint32(a.Engine))
-		be.PutUint64(r[11:], uint64(a.Span))
+		be.PutUint64(r[11:], uint64(a.Duration))
 	case choice.Throttle:
-		be.PutUint64(r[7:], uint64(a.Span))
-	case choice.Retract:
+		be.PutUint64(r[7:], uint64(a.Duration))
+	case choice.CancelAttempt:
 		be.PutUint16(r[7:], uint16(a.Seq))
-	case choice.Terms:
+	case choice.SetDispatchOptions:
 		r[7] = a.Priority
 		be.PutUint32(r[8:], math.Float32bits(float32(a.MemoryMB)))
-	case choice.Timer:
-		be.PutUint64(r[3:], uint64(a.Span))
-		be.PutUint64(r[11:], uint64(a.Mark))
-	case choice.Probe, choice.CloseIdle:
+	case choice.SetTimer:
+		be.PutUint64(r[3:], uint64(a.Duration))
+		be.PutUint64(r[11:], uint64(a.TimerID))
+	case choice.SendProbe, choice.CloseIdle:
 		be.PutUint32(r[3:], uint32(a.Engine))
-	case choice.Track:
-		if a.On {
+	case choice.WatchEngines:
+		if a.Enabled {
 			r[3] = 1
 		}
-	case choice.Tell:
+	case choice.SendGossip:
 		be.PutUint32(r[3:], uint32(a.Peer))
 		p.text(r[7:], a.Text)
 	case choice.Log, choice.Fault:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,15 +35,15 @@
 	if err != nil || b.Now != 0x1f568bf90 || len(b.Records) != 3 {
 		t.Fatalf("%+v %v", b, err)
 	}
-	job := choice.Event{Kind: choice.Arrived, Job: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Left: 240000000,
+	job := choice.Event{Kind: choice.JobArrived, Job: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, TimeLeft: 240000000,
 		Cost: 12000000, MemoryMB: 384, Tables: 11, CostKnown: true}
 	if got := b.Records[0]; got.Instance != 3 || !reflect.DeepEqual(got.Event, job) {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Records[1].Event; got.Kind != choice.TimerDue || got.Mark != 77 {
+	if got := b.Records[1].Event; got.Kind != choice.TimerFired || got.TimerID != 77 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Records[2]; got.Instance != 5 || got.Event.Kind != choice.ClientLeft || got.Event.Job != 0x0e6f2b19 {
+	if got := b.Records[2]; got.Instance != 5 || got.Event.Kind != choice.ClientDisconnected || got.Event.Job != 0x0e6f2b19 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -57,14 +57,14 @@
 	if err != nil || len(b.Records) != 2 {
 		t.Fatalf("%+v %v", b, err)
 	}
-	want := choice.Event{Kind: choice.Answered, Job: 0x5d3a91c4, Seq: 1, Engine: 0x03124a07, Result: choice.Done,
-		Latency: 0x11a49a0, Final: true, Bill: 0x11060, Load: []float64{10}}
+	want := choice.Event{Kind: choice.AttemptEnded, Job: 0x5d3a91c4, Seq: 1, Engine: 0x03124a07, Result: choice.Done,
+		Latency: 0x11a49a0, IsFinal: true, Usage: 0x11060, Load: []float64{10}}
 	if got := b.Records[0].Event; !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
-	lines := []choice.Line{{Engine: 0x03124a07, Zone: 1, Kind: 2, State: choice.Ready, Size: 1},
+	lines := []choice.EngineEntry{{Engine: 0x03124a07, Zone: 1, Kind: 2, State: choice.Ready, Size: 1},
 		{Engine: 0x2c9011f2, Zone: 1, Cell: 7, State: choice.Draining, Size: 1.5, StartedAt: 0x16b969d00}}
-	if got := b.Records[1]; got.Kind != Register || got.Set != 2 || !reflect.DeepEqual(got.Lines, lines) {
+	if got := b.Records[1]; got.Kind != RegisterEngines || got.Set != 2 || !reflect.DeepEqual(got.Engines, lines) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -90,11 +90,11 @@
 
 func TestReply(t *testing.T) {
 	var p Reply
-	p.Add(3, choice.Action{Kind: choice.Dispatch, Job: 0x5d3a91c4, Engine: 0x03124a07, Span: 80000000})
-	p.Add(3, choice.Action{Kind: choice.Timer, Span: 500000000, Mark: 77})
+	p.Add(3, choice.Action{Kind: choice.Dispatch, Job: 0x5d3a91c4, Engine: 0x03124a07, Duration: 80000000})
+	p.Add(3, choice.Action{Kind: choice.SetTimer, Duration: 500000000, TimerID: 77})
 	p.Add(5, choice.Action{Kind: choice.Log, Text: "two servers known"})
-	p.Add(3, choice.Action{Kind: choice.Tell, Peer: 0xffffffff, Text: "hi 7"})
-	p.Add(3, choice.Action{Kind: choice.Terms, Job: 0x5d3a91c4, Priority: 2, MemoryMB: 640})
+	p.Add(3, choice.Action{Kind: choice.SendGossip, Peer: 0xffffffff, Text: "hi 7"})
+	p.Add(3, choice.Action{Kind: choice.SetDispatchOptions, Job: 0x5d3a91c4, Priority: 2, MemoryMB: 640})
 	var out bytes.Buffer
 	if _, err := p.WriteTo(&out); err != nil {
 		t.Fatal(err)
