--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -49,25 +49,25 @@
 // A word and what is held of words are written to the byte as before, and read back whole.
 func TestFormsOfWordsStay(t *testing.T) {
 	text := json.RawMessage(`{"method":"m","status":"optimal"}`)
-	full := Word{Format: change.Format, Reign: 5, Count: 17, Owner: "v1", Member: "c1", Life: "0123456789abcdef",
-		Part: quota.Share{quota.Fleet: 250_000, quota.Quota("acme"): 500_000, quota.Quota(""): 1}, PartUntil: 123_456_789_000,
-		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, Text: text}
-	for name, w := range map[string]Word{"word-full.json": full, "word-least.json": {Format: change.Format, Reign: 1, Count: 1, Owner: "a", Member: "b", Life: "c"}} {
-		got, err := ReadWord(bytes.NewReader(golden(t, name, marshal(t, w))))
+	full := Assignment{Format: change.Format, Term: 5, Sequence: 17, Leader: "v1", Member: "c1", Incarnation: "0123456789abcdef",
+		Shares: quota.Shares{quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1}, SharesUntil: 123_456_789_000,
+		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, PlanText: text}
+	for name, w := range map[string]Assignment{"word-full.json": full, "word-least.json": {Format: change.Format, Term: 1, Sequence: 1, Leader: "a", Member: "b", Incarnation: "c"}} {
+		got, err := Read(bytes.NewReader(golden(t, name, marshal(t, w))))
 		if err != nil || !reflect.DeepEqual(got, w) {
 			t.Errorf("%s is read as %+v, %v", name, got, err)
 		}
 	}
-	held, err := Held{}.Take(full, "c1", "0123456789abcdef", 1000)
+	held, err := Accepted{}.Accept(full, "c1", "0123456789abcdef", 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, h := range map[string]Held{"held-full.json": held, "held-none.json": {}} {
-		var got Held
+	for name, h := range map[string]Accepted{"held-full.json": held, "held-none.json": {}} {
+		var got Accepted
 		if err := json.Unmarshal(golden(t, name, marshal(t, h)), &got); err != nil {
 			t.Fatal(err)
 		}
-		h.Text = nil // it is not told in a status
+		h.PlanText = nil // it is not told in a status
 		if !reflect.DeepEqual(got, h) {
 			t.Errorf("%s is read as %+v", name, got)
 		}
--- a/internal/assignment/walk_test.go
+++ b/internal/assignment/walk_test.go
@@ -26,7 +26,7 @@
 
 type wordAt struct {
 	to   int
-	word Word
+	word Assignment
 }
 
 // owning is an owner's place in its rounds: look, have it agreed on, ask whether it may, send to the first, to the second.
@@ -37,7 +37,7 @@
 	stamp  int64 // when the receivers were asked
 	count  int64
 	ledger *quota.Ledger
-	want   map[string]quota.Share
+	want   map[string]quota.Shares
 	acted  int64 // the last moment at which it began a round
 }
 
@@ -47,7 +47,7 @@
 	agreed   quota.Record
 	reign    int64 // agreed
 	sky      []wordAt
-	held     [2]Held
+	held     [2]Accepted
 	seenHigh [2]int64 // reign
 	stalled  bool     // the first owner is, in the midst of a round
 	stalls   int
@@ -63,7 +63,7 @@
 			h.Write([]byte{byte(n), byte(n >> 8), byte(n >> 16)})
 		}
 	}
-	record := func(r quota.Record) { put(r.Caps["c1"][quota.Fleet], r.Caps["c2"][quota.Fleet]) }
+	record := func(r quota.Record) { put(r.Limits["c1"][quota.Fleet], r.Limits["c2"][quota.Fleet]) }
 	put(s.now, s.reign, s.seenHigh[0], s.seenHigh[1], int64(s.stalls))
 	fmt.Fprint(h, s.stalled)
 	record(s.agreed)
@@ -74,10 +74,10 @@
 		}
 	}
 	for _, g := range s.held {
-		put(g.Reign, g.Count, g.Part[quota.Fleet], g.PartUntil)
+		put(g.Term, g.Sequence, g.Shares[quota.Fleet], g.SharesUntil)
 	}
 	for _, w := range s.sky {
-		put(int64(w.to), w.word.Reign, w.word.Count)
+		put(int64(w.to), w.word.Term, w.word.Sequence)
 	}
 	return [16]byte(h.Sum(nil))
 }
@@ -94,12 +94,12 @@
 }
 
 // wants are those of the two owners: the second gives to the one from whom it has to take first.
-func wants(i int) map[string]quota.Share {
-	much, less := quota.Share{quota.Fleet: 700_000}, quota.Share{quota.Fleet: 300_000}
+func wants(i int) map[string]quota.Shares {
+	much, less := quota.Shares{quota.Fleet: 700_000}, quota.Shares{quota.Fleet: 300_000}
 	if i == 0 {
-		return map[string]quota.Share{"c1": much, "c2": less}
+		return map[string]quota.Shares{"c1": much, "c2": less}
 	}
-	return map[string]quota.Share{"c1": less, "c2": much}
+	return map[string]quota.Shares{"c1": less, "c2": much}
 }
 
 func (s *state) takesOver(i int, v variant) {
@@ -129,21 +129,21 @@
 	case 0:
 		o.stamp = s.now
 		for k, h := range s.held {
-			if h.Reign == o.reign {
-				o.ledger.Holds(names[k], h.Count)
+			if h.Term == o.reign {
+				o.ledger.Confirm(names[k], h.Sequence)
 			}
 		}
 	case 1: // what is agreed is fenced by its reign
-		next, differs := o.ledger.Next(o.want, s.now)
+		next, differs := o.ledger.NextRecord(o.want, s.now)
 		if v.noRecord {
-			next = quota.Record{Caps: o.want}
+			next = quota.Record{Limits: o.want}
 		}
 		if differs {
 			if s.reign != o.reign && !v.noRecord { // of a reign that is over: it changes nothing
 				o.step = (firsts+i)*round - 1
 				break
 			}
-			if o.ledger.Agreed(next); s.reign == o.reign && !v.noRecord {
+			if o.ledger.Commit(next); s.reign == o.reign && !v.noRecord {
 				s.agreed = next
 			}
 		}
@@ -154,8 +154,8 @@
 	case 3, 4:
 		k := o.step%round - 3
 		o.count++
-		part := o.ledger.Give(names[k], o.want[names[k]], o.stamp, o.count)
-		w := Word{Reign: o.reign, Count: o.count, Owner: fmt.Sprint(i), Member: names[k], Life: "x", Part: part, PartUntil: o.stamp + lasts}
+		part := o.ledger.Grant(names[k], o.want[names[k]], o.stamp, o.count)
+		w := Assignment{Term: o.reign, Sequence: o.count, Leader: fmt.Sprint(i), Member: names[k], Incarnation: "x", Shares: part, SharesUntil: o.stamp + lasts}
 		s.sky = append(s.sky, wordAt{k, w})
 	}
 	o.step++
@@ -188,16 +188,16 @@
 	s.sky = slices.Delete(slices.Clone(s.sky), at, at+1)
 	h := s.held[w.to]
 	if v.noFence {
-		h.Reign, h.Count = 0, 0
+		h.Term, h.Sequence = 0, 0
 	}
-	next, err := h.Take(w.word, names[w.to], "x", s.now)
+	next, err := h.Accept(w.word, names[w.to], "x", s.now)
 	if err != nil {
 		return ""
 	}
-	if w.word.Reign < s.seenHigh[w.to] {
-		return fmt.Sprintf("%s takes a word of reign %d after %d", names[w.to], w.word.Reign, s.seenHigh[w.to])
+	if w.word.Term < s.seenHigh[w.to] {
+		return fmt.Sprintf("%s takes a word of reign %d after %d", names[w.to], w.word.Term, s.seenHigh[w.to])
 	}
-	s.seenHigh[w.to], s.held[w.to] = w.word.Reign, next
+	s.seenHigh[w.to], s.held[w.to] = w.word.Term, next
 	return ""
 }
 
@@ -205,10 +205,10 @@
 func (s *state) wrong() string {
 	sum := int64(0)
 	for _, h := range s.held {
-		sum += h.At(s.now).Part[quota.Fleet]
+		sum += h.ValidAt(s.now).Shares[quota.Fleet]
 	}
-	if sum > quota.Whole {
-		return fmt.Sprintf("%d of %d are out at %d", sum, quota.Whole, s.now)
+	if sum > quota.FullShare {
+		return fmt.Sprintf("%d of %d are out at %d", sum, quota.FullShare, s.now)
 	}
 	return ""
 }
@@ -231,7 +231,7 @@
 		broken := ""
 		try(func(c *state) bool {
 			c.now++
-			c.sky = slices.DeleteFunc(c.sky, func(w wordAt) bool { return w.word.PartUntil <= c.now }) // late ones give nothing
+			c.sky = slices.DeleteFunc(c.sky, func(w wordAt) bool { return w.word.SharesUntil <= c.now }) // late ones give nothing
 			return c.now < mostTime
 		})
 		for i := range 2 {
@@ -280,13 +280,13 @@
 
 func TestSharesAreNotWrittenTo(t *testing.T) {
 	l := quota.NewLedger(quota.Record{}, 10, 0)
-	r, _ := l.Next(wants(0), 1)
-	l.Agreed(r)
+	r, _ := l.NextRecord(wants(0), 1)
+	l.Commit(r)
 	c := l.Clone()
-	was := maps.Clone(r.Caps["c1"])
-	l.Give("c1", wants(0)["c1"], 1, 1)
-	l.Holds("c1", 1)
-	if got := c.Give("c1", wants(1)["c1"], 2, 1); got[quota.Fleet] != 300_000 || !maps.Equal(was, r.Caps["c1"]) {
-		t.Errorf("%v %v", got, r.Caps)
+	was := maps.Clone(r.Limits["c1"])
+	l.Grant("c1", wants(0)["c1"], 1, 1)
+	l.Confirm("c1", 1)
+	if got := c.Grant("c1", wants(1)["c1"], 2, 1); got[quota.Fleet] != 300_000 || !maps.Equal(was, r.Limits["c1"]) {
+		t.Errorf("%v %v", got, r.Limits)
 	}
 }
--- a/internal/command/fleet/keep.go
+++ b/internal/command/fleet/keep.go
@@ -67,7 +67,7 @@
 				for _, m := range f.Members {
 					addr[m.Name] = m.At()
 				}
-				node, err := leader.Open(name, filepath.Join(state, "owner.db"), addr, leader.Usual())
+				node, err := leader.Open(name, filepath.Join(state, "owner.db"), addr, leader.DefaultTiming())
 				if err != nil {
 					return command.Failed(command.ExitFailed, err)
 				}
@@ -76,8 +76,8 @@
 				if err != nil {
 					return command.BadInput(err)
 				}
-				node.Handle(mux)
-				duties.Handle(mux)
+				node.RegisterHandlers(mux)
+				duties.RegisterHandlers(mux)
 				go duties.Run(ctx)
 			}
 			h := &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}
--- a/internal/command/fleet/owner.go
+++ b/internal/command/fleet/owner.go
@@ -65,10 +65,10 @@
 }
 
 // views are what the voters tell of themselves, by name.
-func (v *voters) views() (views map[string]leader.View, errs map[string]error) {
-	views, errs = map[string]leader.View{}, map[string]error{}
+func (v *voters) views() (views map[string]leader.Status, errs map[string]error) {
+	views, errs = map[string]leader.Status{}, map[string]error{}
 	for _, name := range v.fleet.Voters {
-		var w leader.View
+		var w leader.Status
 		text, err := v.ask(name, "/v1/owner", nil)
 		if err == nil {
 			err = json.Unmarshal(text, &w)
@@ -87,7 +87,7 @@
 	for stop := time.Now().Add(wait); ; time.Sleep(100 * time.Millisecond) {
 		views, errs := v.views()
 		for _, name := range v.fleet.Voters {
-			if views[name].May {
+			if views[name].Active {
 				return name, nil
 			}
 		}
@@ -137,7 +137,7 @@
 			if s.ID == 0 {
 				note = "of no fleet yet: swiftreel fleet found, or join"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%s\n", name, s.Owner, s.Reign, s.May, s.Voters, note)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%s\n", name, s.Leader, s.Term, s.Active, s.Voters, note)
 		}
 		return w.Flush()
 	})
@@ -206,7 +206,7 @@
 					continue // one change of members at a time
 				}
 				views, _ := v.views()
-				if s := views[args[0]]; s.ID == id && len(s.Voters) == len(v.fleet.Voters) && s.Leader != "" && isIn(s.Voters, args[0]) {
+				if s := views[args[0]]; s.ID == id && len(s.Voters) == len(v.fleet.Voters) && s.RaftLeader != "" && isIn(s.Voters, args[0]) {
 					return nil
 				}
 			}
@@ -230,11 +230,11 @@
 					return fmt.Errorf("%s does not answer: %w", name, errs[name])
 				}
 				w := views[name]
-				if term = max(term, w.Term, uint64(w.Reign)); w.ID != 0 {
+				if term = max(term, w.RaftTerm, uint64(w.Term)); w.ID != 0 {
 					remember++
 				}
-				if w.Reign > views[args[0]].Reign {
-					return fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, w.Reign, args[0], views[args[0]].Reign)
+				if w.Term > views[args[0]].Term {
+					return fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, w.Term, args[0], views[args[0]].Term)
 				}
 			}
 			switch {
@@ -254,7 +254,7 @@
 			if err != nil {
 				return err
 			}
-			var kept leader.Agreed
+			var kept leader.State
 			if err := json.Unmarshal(text, &kept); err != nil {
 				return err
 			}
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -131,7 +131,7 @@
 }
 
 // Hand sends words of the fleet's owner, as Order does.
-func (f *Fleet) Hand(ctx context.Context, words map[int]assignment.Word) map[int]error {
+func (f *Fleet) Hand(ctx context.Context, words map[int]assignment.Assignment) map[int]error {
 	return post(ctx, f, "/v1/word", words)
 }
 
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -551,7 +551,7 @@
 	finish(t, w, l)
 }
 
-func get(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.View) {
+func get(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.Status) {
 	w.Get(m, "/v1/owner", &v) // none: it does not act
 	return v
 }
@@ -583,7 +583,7 @@
 		t.Helper()
 		until(t, w, "somebody owns", func() bool {
 			for _, x := range w.Members {
-				if x != but && get(t, w, x).May {
+				if x != but && get(t, w, x).Active {
 					m = x
 					return true
 				}
@@ -593,7 +593,7 @@
 		return m
 	}
 	first := acts(nil)
-	reign := get(t, w, first).Reign
+	reign := get(t, w, first).Term
 	cli(t, w, "rollout", "start", "--agreed", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":2000`, 1)))
 	state := func(m *testcluster.Member) (r coordinator.Record) {
 		w.Get(m, "/v1/owner/item?name=change.json", &r)
@@ -611,7 +611,7 @@
 	})
 	first.Keeper.Signal(syscall.SIGSTOP)
 	second := acts(first)
-	if r := get(t, w, second).Reign; r <= reign {
+	if r := get(t, w, second).Term; r <= reign {
 		t.Errorf("reign %d after %d", r, reign)
 	}
 	until(t, w, "it is taken over where it stood", func() bool { // the stage may hold the one that sleeps: then it waits for that
@@ -656,7 +656,7 @@
 
 	// A majority loses its memory: nobody owns until an operator says with whose memory to begin anew.
 	kept := w.Members[0]
-	reign = get(t, w, acts(nil)).Reign
+	reign = get(t, w, acts(nil)).Term
 	for _, m := range w.Members[1:] {
 		m.Keeper.End()
 		if err := os.Remove(filepath.Join(w.Dir, m.Name, "owner.db")); err != nil {
@@ -667,15 +667,15 @@
 		}
 		until(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
 	}
-	until(t, w, "nobody owns", func() bool { return !get(t, w, kept).May })
+	until(t, w, "nobody owns", func() bool { return !get(t, w, kept).Active })
 	c := exec.Command(program, "fleet", "recover", kept.Name)
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
 	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "--the-others-lost-their-memory") {
 		t.Errorf("it recovers unasked: %s", text)
 	}
 	cli(t, w, "fleet", "recover", "--the-others-lost-their-memory", kept.Name)
-	if m := acts(nil); get(t, w, m).Reign <= reign || state(m).State.Phase != rollout.Done {
-		t.Errorf("reign %d after %d, %+v", get(t, w, m).Reign, reign, state(m).State)
+	if m := acts(nil); get(t, w, m).Term <= reign || state(m).State.Phase != rollout.Done {
+		t.Errorf("reign %d after %d, %+v", get(t, w, m).Term, reign, state(m).State)
 	}
 	if err := w.Stop(); err != nil {
 		t.Error(err)
@@ -750,7 +750,7 @@
 	settled := func(of []*testcluster.Member, reign int64) bool {
 		list := statuses(of)
 		for _, s := range list {
-			if near := s.Carries - s.Word.Part[quota.Fleet]; s.Word.Reign <= reign || s.Word.Plan == "" || s.Word.Part[quota.Fleet] == 0 || near < -1 || near > 1 {
+			if near := s.Carries - s.Word.Shares[quota.Fleet]; s.Word.Term <= reign || s.Word.Plan == "" || s.Word.Shares[quota.Fleet] == 0 || near < -1 || near > 1 {
 				return false
 			}
 		}
@@ -765,14 +765,14 @@
 	}
 	var first *testcluster.Member
 	for _, m := range told {
-		if get(t, w, m).May {
+		if get(t, w, m).Active {
 			first = m
 		}
 	}
 	if first == nil {
 		t.Fatal("nobody owns any more")
 	}
-	reign := int64(get(t, w, first).Reign)
+	reign := int64(get(t, w, first).Term)
 	first.Keeper.Signal(syscall.SIGSTOP)
 	others := slices.DeleteFunc(slices.Clone(told), func(m *testcluster.Member) bool { return m == first })
 	until(t, w, "the next owner goes on", func() bool { return settled(others, reign) })
@@ -782,7 +782,7 @@
 		t.Error(err)
 	}
 	guess, err := w.Status(w.Members[3])
-	if err != nil || guess.Carries == 0 || guess.Word.Reign != 0 {
+	if err != nil || guess.Carries == 0 || guess.Word.Term != 0 {
 		t.Errorf("the one of the format before: %+v %v", guess.Word, err)
 	}
 
@@ -792,9 +792,9 @@
 	}
 	until(t, w, "part and plan end", func() bool {
 		s, err := w.Status(told[0])
-		return err == nil && s.Word.Plan == "" && len(s.Word.Part) == 0
+		return err == nil && s.Word.Plan == "" && len(s.Word.Shares) == 0
 	})
-	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= quota.Whole/4 })
+	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= quota.FullShare/4 })
 	done := l.Done.Load()
 	until(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
@@ -820,7 +820,7 @@
 		t.Helper()
 		until(t, w, "somebody owns", func() bool {
 			for _, x := range w.Members {
-				if !slices.Contains(but, x) && get(t, w, x).May {
+				if !slices.Contains(but, x) && get(t, w, x).Active {
 					m = x
 					return true
 				}
@@ -865,7 +865,7 @@
 	if err := w.Again(second); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "it is back with its memory", func() bool { return get(t, w, second).Leader != "" })
+	until(t, w, "it is back with its memory", func() bool { return get(t, w, second).RaftLeader != "" })
 	acts()
 	gone := w.Members[0]
 	for _, m := range w.Members {
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -59,10 +59,10 @@
 			t.Error(errs)
 		}
 	}
-	word := assignment.Word{Format: 2, Reign: 4, Count: 5, Owner: "c2", Member: "c1", Life: "l", Part: quota.Share{quota.Fleet: 333_333, "acme": 500_000}, PartUntil: 6, Plan: "0123", PlanUntil: 7,
-		Text: json.RawMessage(`{"steps":[]}`)}
-	for _, w := range []assignment.Word{word, {Format: 2, Reign: 4, Count: 6, Owner: "c2", Member: "c1", Life: "l"}} {
-		if errs := f.Hand(ctx, map[int]assignment.Word{0: w}); len(errs) > 0 {
+	word := assignment.Assignment{Format: 2, Term: 4, Sequence: 5, Leader: "c2", Member: "c1", Incarnation: "l", Shares: quota.Shares{quota.Fleet: 333_333, "acme": 500_000}, SharesUntil: 6, Plan: "0123", PlanUntil: 7,
+		PlanText: json.RawMessage(`{"steps":[]}`)}
+	for _, w := range []assignment.Assignment{word, {Format: 2, Term: 4, Sequence: 6, Leader: "c2", Member: "c1", Incarnation: "l"}} {
+		if errs := f.Hand(ctx, map[int]assignment.Assignment{0: w}); len(errs) > 0 {
 			t.Error(errs)
 		}
 	}
--- a/internal/ilp/golden_test.go
+++ b/internal/ilp/golden_test.go
@@ -26,14 +26,14 @@
 		bound, known := p.Bound(lp.Multipliers(ended))
 		s := NewSearch(p)
 		if n%3 == 1 {
-			s.Nodes = 1 + n%7
+			s.MaxNodes = 1 + n%7
 		}
 		if n%5 == 1 {
-			s.Above = int64(n % 40)
+			s.Cutoff = int64(n % 40)
 		}
 		got := s.Run()
-		fmt.Fprintf(&lines, "%d: lp %d after %d, bound %d %v; %v value %d bound %d done %v nodes %d\n", n, ended, lp.Turns, bound, known,
-			got.X, got.Value, got.Bound, got.Done, got.Nodes)
+		fmt.Fprintf(&lines, "%d: lp %d after %d, bound %d %v; %v value %d bound %d done %v nodes %d\n", n, ended, lp.Pivots, bound, known,
+			got.Values, got.Value, got.Bound, got.Complete, got.Nodes)
 	}
 	path := filepath.Join("testdata", "searches.txt")
 	want, err := os.ReadFile(path)
--- a/internal/ilp/integer_test.go
+++ b/internal/ilp/integer_test.go
@@ -7,7 +7,7 @@
 
 // brute tries every whole x.
 func brute(p *Program) (best int64, fits bool) {
-	x := make([]int64, len(p.Cols))
+	x := make([]int64, len(p.Columns))
 	var at func(j int)
 	at = func(j int) {
 		if j == len(x) {
@@ -16,7 +16,7 @@
 			}
 			return
 		}
-		for x[j] = p.Cols[j].Lo; x[j] <= p.Cols[j].Hi; x[j]++ {
+		for x[j] = p.Columns[j].Lower; x[j] <= p.Columns[j].Upper; x[j]++ {
 			at(j + 1)
 		}
 	}
@@ -33,18 +33,18 @@
 	for range 1 + r.IntN(5) {
 		row := Row{Bound: large * int64(r.IntN(40))}
 		if r.IntN(3) == 0 {
-			row.Sense, row.Bound = AtLeast, large*int64(r.IntN(20))
+			row.Sense, row.Bound = GreaterOrEqual, large*int64(r.IntN(20))
 		}
 		p.Rows = append(p.Rows, row)
 	}
 	for range 1 + r.IntN(6) {
-		c := Col{Obj: int64(r.IntN(60) - 10), Lo: int64(r.IntN(2)), Hi: int64(1 + r.IntN(4)), First: r.IntN(2) == 0}
+		c := Column{Objective: int64(r.IntN(60) - 10), Lower: int64(r.IntN(2)), Upper: int64(1 + r.IntN(4)), BranchFirst: r.IntN(2) == 0}
 		for i := range p.Rows {
 			if r.IntN(3) > 0 {
-				c.Rows, c.By = append(c.Rows, int32(i)), append(c.By, large*int64(r.IntN(12)-1))
+				c.Rows, c.Coefficients = append(c.Rows, int32(i)), append(c.Coefficients, large*int64(r.IntN(12)-1))
 			}
 		}
-		p.Cols = append(p.Cols, c)
+		p.Columns = append(p.Columns, c)
 	}
 	return p
 }
@@ -56,9 +56,9 @@
 		p := drawn(r)
 		want, fits := brute(p)
 		got := NewSearch(p).Run()
-		if !got.Done || (got.X != nil) != fits || (fits && (got.Value != want || got.Bound != want)) {
-			t.Fatalf("program %d: fits %v, best %d; found %v %d, bound %d, done %v\n%+v", n, fits, want, got.X, got.Value,
-				got.Bound, got.Done, p)
+		if !got.Complete || (got.Values != nil) != fits || (fits && (got.Value != want || got.Bound != want)) {
+			t.Fatalf("program %d: fits %v, best %d; found %v %d, bound %d, done %v\n%+v", n, fits, want, got.Values, got.Value,
+				got.Bound, got.Complete, p)
 		}
 		if !fits {
 			none++
@@ -73,10 +73,10 @@
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 3000 {
 		p := drawn(r)
-		m := Multipliers{Scale: int64(r.IntN(3)), By: make([]int64, len(p.Rows))}
+		m := Multipliers{Scale: int64(r.IntN(3)), Values: make([]int64, len(p.Rows))}
 		for i, row := range p.Rows {
-			if m.By[i] = int64(r.IntN(20)); row.Sense == AtLeast {
-				m.By[i] = -m.By[i]
+			if m.Values[i] = int64(r.IntN(20)); row.Sense == GreaterOrEqual {
+				m.Values[i] = -m.Values[i]
 			}
 		}
 		best, fits := brute(p)
@@ -101,13 +101,13 @@
 			s := NewSearch(p)
 			s.Stop = func() bool { asked++; return asked > stop }
 			got := s.Run()
-			if v, ok := p.Value(got.X); got.X != nil && (!ok || v != got.Value) {
+			if v, ok := p.Value(got.Values); got.Values != nil && (!ok || v != got.Value) {
 				t.Fatalf("a plan that does not fit: %v", got)
 			}
-			if fits && got.Bound < want || got.X != nil && got.Value > want || got.Done && fits && got.Value != want {
+			if fits && got.Bound < want || got.Values != nil && got.Value > want || got.Complete && fits && got.Value != want {
 				t.Fatalf("stopped after %d: %+v where the best is %d", stop, got, want)
 			}
-			if got.Done {
+			if got.Complete {
 				break
 			}
 		}
@@ -115,14 +115,14 @@
 }
 
 func TestFiguresAtTheEdgeAreNoAnswer(t *testing.T) {
-	p := &Program{Rows: []Row{{Bound: Largest}}, Cols: []Col{{Obj: Largest, Hi: 4, Rows: []int32{0}, By: []int64{1}}}}
+	p := &Program{Rows: []Row{{Bound: MaxMagnitude}}, Columns: []Column{{Objective: MaxMagnitude, Upper: 4, Rows: []int32{0}, Coefficients: []int64{1}}}}
 	if _, ok := p.Value([]int64{2}); ok {
 		t.Error("a sum beyond what can be held has a value")
 	}
-	if v, ok := p.Value([]int64{1}); !ok || v != Largest {
+	if v, ok := p.Value([]int64{1}); !ok || v != MaxMagnitude {
 		t.Error("the largest that can be held has none")
 	}
-	if got := NewSearch(p).Run(); got.Value > Largest || got.Done && got.X == nil {
+	if got := NewSearch(p).Run(); got.Value > MaxMagnitude || got.Complete && got.Values == nil {
 		t.Errorf("found %+v", got)
 	}
 }
--- a/internal/ilp/program.go
+++ b/internal/ilp/program.go
@@ -14,8 +14,8 @@
 
 // The senses.
 const (
-	AtMost Sense = iota
-	AtLeast
+	LessOrEqual Sense = iota
+	GreaterOrEqual
 )
 
 // Row is a constraint on the sum of its columns' coefficients times their values.
@@ -26,44 +26,44 @@
 }
 
 // Col is a whole variable from Lo to Hi, both in force. It is worth Obj a unit.
-type Col struct {
-	Obj    int64
-	Lo, Hi int64
-	Rows   []int32 // where it has a coefficient, each once
-	By     []int64 // the coefficients
-	First  bool    // branched on before the others
+type Column struct {
+	Objective    int64
+	Lower, Upper int64
+	Rows         []int32 // where it has a coefficient, each once
+	Coefficients []int64 // the coefficients
+	BranchFirst  bool    // branched on before the others
 }
 
 // Program is: the greatest sum of Obj, within all rows.
 type Program struct {
-	Rows []Row
-	Cols []Col
+	Rows    []Row
+	Columns []Column
 }
 
 // Largest bounds each figure of a program, and what sums of them may reach; beyond it all is refused.
-const Largest = 1 << 62
+const MaxMagnitude = 1 << 62
 
 // Value is the objective at x; false where x breaks a row or a bound, or a sum leaves Largest.
 func (p *Program) Value(x []int64) (int64, bool) {
-	if len(x) != len(p.Cols) {
+	if len(x) != len(p.Columns) {
 		return 0, false
 	}
 	sums := make([]sum, len(p.Rows))
 	var value sum
-	for j, c := range p.Cols {
-		if x[j] < c.Lo || x[j] > c.Hi {
+	for j, c := range p.Columns {
+		if x[j] < c.Lower || x[j] > c.Upper {
 			return 0, false
 		}
 		if x[j] == 0 {
 			continue
 		}
-		value.add(c.Obj, x[j])
+		value.add(c.Objective, x[j])
 		for k, r := range c.Rows {
-			sums[r].add(c.By[k], x[j])
+			sums[r].add(c.Coefficients[k], x[j])
 		}
 	}
 	for i, r := range p.Rows {
-		if got, whole := sums[i].got(); !whole || (r.Sense == AtMost && got > r.Bound) || (r.Sense == AtLeast && got < r.Bound) {
+		if got, whole := sums[i].got(); !whole || (r.Sense == LessOrEqual && got > r.Bound) || (r.Sense == GreaterOrEqual && got < r.Bound) {
 			return 0, false
 		}
 	}
@@ -79,7 +79,7 @@
 func (s *sum) add(a, b int64) {
 	product, whole := times(a, b)
 	total := s.at + product
-	s.out = s.out || !whole || total > Largest || total < -Largest
+	s.out = s.out || !whole || total > MaxMagnitude || total < -MaxMagnitude
 	s.at = total
 }
 
@@ -88,7 +88,7 @@
 // times multiplies; false beyond Largest.
 func times(a, b int64) (int64, bool) {
 	hi, lo := bits.Mul64(magnitude(a), magnitude(b))
-	if hi != 0 || lo > Largest {
+	if hi != 0 || lo > MaxMagnitude {
 		return 0, false
 	}
 	if (a < 0) != (b < 0) {
@@ -107,8 +107,8 @@
 // grain is what every value of the objective is a multiple of, at least 1.
 func (p *Program) grain() int64 {
 	var g int64
-	for _, c := range p.Cols {
-		for a, b := g, int64(magnitude(c.Obj)); ; a, b = b, a%b {
+	for _, c := range p.Columns {
+		for a, b := g, int64(magnitude(c.Objective)); ; a, b = b, a%b {
 			if b == 0 {
 				g = a
 				break
--- a/internal/ilp/safe.go
+++ b/internal/ilp/safe.go
@@ -4,18 +4,18 @@
 
 // Multipliers are whole numbers, one a row: the LP's, times Scale and rounded. Any are valid, good or bad.
 type Multipliers struct {
-	Scale int64 // of the objective; 0 where they speak of no fit at all
-	By    []int64
+	Scale  int64 // of the objective; 0 where they speak of no fit at all
+	Values []int64
 }
 
 // fine is about how large the largest figure of the objective is made, so that rounding of multipliers costs little.
 const fine = 1 << 36
 
 // Multipliers gives those of the last solve. After NoFit they prove, if they hold in whole numbers, that nothing fits.
-func (l *LP) Multipliers(ended Ended) Multipliers {
-	m := Multipliers{Scale: 1, By: make([]int64, l.m)}
+func (l *LP) Multipliers(ended Outcome) Multipliers {
+	m := Multipliers{Scale: 1, Values: make([]int64, l.m)}
 	by := float64(fine)
-	if ended == NoFit {
+	if ended == Infeasible {
 		m.Scale = 0
 	} else {
 		for l.worth*float64(m.Scale)*2 <= fine {
@@ -25,22 +25,22 @@
 	}
 	for i, r := range l.prog.Rows {
 		y := math.Round(l.y[i] / l.unit[i] * by)
-		if math.Abs(y) >= Largest {
+		if math.Abs(y) >= MaxMagnitude {
 			y = 0
 		}
-		if m.By[i] = int64(y); (r.Sense == AtMost) != (y >= 0) {
-			m.By[i] = 0
+		if m.Values[i] = int64(y); (r.Sense == LessOrEqual) != (y >= 0) {
+			m.Values[i] = 0
 		}
 	}
 	return m
 }
 
 // Reduced is what a column is worth beyond what it uses, at the multipliers, times Scale.
-func (m Multipliers) Reduced(c *Col) (int64, bool) {
+func (m Multipliers) ReducedObjective(c *Column) (int64, bool) {
 	var s sum
-	s.add(m.Scale, c.Obj)
+	s.add(m.Scale, c.Objective)
 	for k, r := range c.Rows {
-		s.add(-m.By[r], c.By[k])
+		s.add(-m.Values[r], c.Coefficients[k])
 	}
 	return s.got()
 }
@@ -49,14 +49,14 @@
 // the sum over rows of y x bound, and over columns of the best that its reduced worth and its bounds give. False: the
 // sums left Largest, nothing is known. With Scale 0 a bound below 0 proves that nothing fits.
 func (p *Program) Bound(m Multipliers) (int64, bool) {
-	y := append([]int64(nil), m.By...)
-	m.By = y
-	reduced := make([]int64, len(p.Cols))
+	y := append([]int64(nil), m.Values...)
+	m.Values = y
+	reduced := make([]int64, len(p.Columns))
 	// The multiplier of a convex row may cover what its columns are still worth, where that costs less.
 	top, all := map[int32]int64{}, map[int32]float64{}
-	for j := range p.Cols {
-		c := &p.Cols[j]
-		d, whole := m.Reduced(c)
+	for j := range p.Columns {
+		c := &p.Columns[j]
+		d, whole := m.ReducedObjective(c)
 		if !whole {
 			return 0, false
 		}
@@ -67,7 +67,7 @@
 		for _, r := range c.Rows {
 			if p.Rows[r].Convex {
 				top[r] = max(top[r], d)
-				all[r] += float64(d) * float64(c.Hi)
+				all[r] += float64(d) * float64(c.Upper)
 			}
 		}
 	}
@@ -80,15 +80,15 @@
 	for i, r := range p.Rows {
 		total.add(y[i]+top[int32(i)], r.Bound)
 	}
-	for j := range p.Cols {
-		c, d := &p.Cols[j], reduced[j]
+	for j := range p.Columns {
+		c, d := &p.Columns[j], reduced[j]
 		for _, r := range c.Rows {
 			d -= top[r]
 		}
 		if d > 0 {
-			total.add(d, c.Hi)
+			total.add(d, c.Upper)
 		} else {
-			total.add(d, c.Lo)
+			total.add(d, c.Lower)
 		}
 	}
 	got, whole := total.got()
--- a/internal/ilp/search.go
+++ b/internal/ilp/search.go
@@ -5,27 +5,27 @@
 // Search is branch and bound, depth first: the branch nearest to the LP goes first, so that plans come early; what is
 // open keeps its bound.
 type Search struct {
-	Prog   *Program
-	Stop   func() bool // nil: never; asked often
-	Nodes  int         // at most; 0: as many as it takes
-	Start  []int64     // a plan to begin with, or nil
-	Above  int64       // only what is worth more than this is looked for; math.MinInt64: anything
-	Enough int64       // a plan worth this ends the search; math.MaxInt64: none does
-	Bound  int64       // known beforehand; math.MaxInt64: nothing is
+	Program    *Program
+	Stop       func() bool // nil: never; asked often
+	MaxNodes   int         // at most; 0: as many as it takes
+	Start      []int64     // a plan to begin with, or nil
+	Cutoff     int64       // only what is worth more than this is looked for; math.MinInt64: anything
+	Target     int64       // a plan worth this ends the search; math.MaxInt64: none does
+	KnownBound int64       // known beforehand; math.MaxInt64: nothing is
 }
 
 // NewSearch looks for the best.
 func NewSearch(p *Program) *Search {
-	return &Search{Prog: p, Above: math.MinInt64, Enough: math.MaxInt64, Bound: math.MaxInt64}
+	return &Search{Program: p, Cutoff: math.MinInt64, Target: math.MaxInt64, KnownBound: math.MaxInt64}
 }
 
 // Result is how far a search came.
 type Result struct {
-	X     []int64 // the best found, or nil
-	Value int64   // of it
-	Bound int64   // no x is worth more; below what was asked for (Above + 1): there is none such
-	Done  bool    // nothing is left open: X is best, or there is none
-	Nodes int
+	Values   []int64 // the best found, or nil
+	Value    int64   // of it
+	Bound    int64   // no x is worth more; below what was asked for (Above + 1): there is none such
+	Complete bool    // nothing is left open: X is best, or there is none
+	Nodes    int
 }
 
 type node struct {
@@ -46,7 +46,7 @@
 
 // Run searches. An LP that stopped in the middle of a node leaves that node open.
 func (s Search) Run() Result {
-	r := run{Search: s, grain: s.Prog.grain(), left: math.MinInt64, tried: s.Above}
+	r := run{Search: s, grain: s.Program.grain(), left: math.MinInt64, tried: s.Cutoff}
 	if r.Stop == nil {
 		r.Stop = func() bool { return false }
 	}
@@ -54,53 +54,53 @@
 	if s.Start != nil {
 		r.offer(s.Start)
 	}
-	lo, hi := make([]int64, len(s.Prog.Cols)), make([]int64, len(s.Prog.Cols))
-	for j, c := range s.Prog.Cols {
-		lo[j], hi[j] = c.Lo, c.Hi
+	lo, hi := make([]int64, len(s.Program.Columns)), make([]int64, len(s.Program.Columns))
+	for j, c := range s.Program.Columns {
+		lo[j], hi[j] = c.Lower, c.Upper
 	}
-	r.lp = NewLP(s.Prog)
-	open := []*node{{col: -1, bound: s.Bound}}
-	for len(open) > 0 && r.res.Value < r.Enough {
+	r.lp = NewLP(s.Program)
+	open := []*node{{col: -1, bound: s.KnownBound}}
+	for len(open) > 0 && r.res.Value < r.Target {
 		n := open[len(open)-1]
 		if n.bound <= r.tried {
 			open = open[:len(open)-1]
 			continue
 		}
-		if r.Stop() || (r.Nodes > 0 && r.res.Nodes >= r.Nodes) {
+		if r.Stop() || (r.MaxNodes > 0 && r.res.Nodes >= r.MaxNodes) {
 			break
 		}
 		r.res.Nodes++
-		for j := range s.Prog.Cols {
-			s.Prog.Cols[j].Lo, s.Prog.Cols[j].Hi = lo[j], hi[j]
+		for j := range s.Program.Columns {
+			s.Program.Columns[j].Lower, s.Program.Columns[j].Upper = lo[j], hi[j]
 		}
 		for b := n; b != nil && b.col >= 0; b = b.before {
-			c := &s.Prog.Cols[b.col]
-			c.Lo, c.Hi = max(c.Lo, b.lo), min(c.Hi, b.hi)
+			c := &s.Program.Columns[b.col]
+			c.Lower, c.Upper = max(c.Lower, b.lo), min(c.Upper, b.hi)
 		}
-		r.lp.Grow()
+		r.lp.Refresh()
 		children, settled := r.visit(n)
 		if !settled {
 			break // time ran out in its middle: it stays open
 		}
 		open = append(open[:len(open)-1], children...)
 	}
-	for j := range s.Prog.Cols {
-		s.Prog.Cols[j].Lo, s.Prog.Cols[j].Hi = lo[j], hi[j]
+	for j := range s.Program.Columns {
+		s.Program.Columns[j].Lower, s.Program.Columns[j].Upper = lo[j], hi[j]
 	}
 	r.res.Bound = max(r.left, r.tried)
 	for _, n := range open {
 		r.res.Bound = max(r.res.Bound, n.bound)
 	}
-	r.res.Bound = min(r.res.Bound, s.Bound)
-	r.res.Done = r.res.Bound <= r.tried
+	r.res.Bound = min(r.res.Bound, s.KnownBound)
+	r.res.Complete = r.res.Bound <= r.tried
 	return r.res
 }
 
 // offer takes a plan if it fits and is better than what is known.
 func (r *run) offer(x []int64) bool {
-	v, fits := r.Prog.Value(x)
+	v, fits := r.Program.Value(x)
 	if fits && v > r.tried {
-		r.res.X, r.res.Value, r.tried = append([]int64(nil), x...), v, v
+		r.res.Values, r.res.Value, r.tried = append([]int64(nil), x...), v, v
 	}
 	return fits
 }
@@ -112,30 +112,30 @@
 		return nil, r.hard(n)
 	}
 	bound := n.bound
-	if b, known := r.Prog.Bound(r.lp.Multipliers(ended)); known {
-		if ended == NoFit && b < 0 {
+	if b, known := r.Program.Bound(r.lp.Multipliers(ended)); known {
+		if ended == Infeasible && b < 0 {
 			return nil, true
 		}
-		if ended == Best {
+		if ended == Optimal {
 			bound = min(bound, down(b, r.grain))
 		}
 	}
 	if bound <= r.tried {
 		return nil, true
 	}
-	at := r.lp.At()
+	at := r.lp.Values()
 	x := make([]int64, len(at))
 	pick, most := -1, -1.0
 	for j, v := range at {
 		x[j] = int64(math.Round(v))
-		c := &r.Prog.Cols[j]
-		x[j] = min(c.Hi, max(c.Lo, x[j]))
+		c := &r.Program.Columns[j]
+		x[j] = min(c.Upper, max(c.Lower, x[j]))
 		off := math.Abs(v - math.Round(v))
-		if off < 1e-6 || ended == NoFit || v < float64(c.Lo) || v > float64(c.Hi) {
+		if off < 1e-6 || ended == Infeasible || v < float64(c.Lower) || v > float64(c.Upper) {
 			continue
 		}
 		rank := v - math.Floor(v)
-		if c.First {
+		if c.BranchFirst {
 			rank += 2
 		}
 		if rank > most {
@@ -143,21 +143,21 @@
 		}
 	}
 	if pick < 0 {
-		if fits := ended == Best && r.offer(x); fits && r.tried >= bound {
+		if fits := ended == Optimal && r.offer(x); fits && r.tried >= bound {
 			return nil, true
 		}
-		for j := range r.Prog.Cols { // rounding hid something: halve what is not fixed yet
-			if c := &r.Prog.Cols[j]; c.Lo < c.Hi {
-				cut := c.Lo + (c.Hi-c.Lo)/2
-				return []*node{r.branch(n, j, cut+1, c.Hi, bound), r.branch(n, j, c.Lo, cut, bound)}, true
+		for j := range r.Program.Columns { // rounding hid something: halve what is not fixed yet
+			if c := &r.Program.Columns[j]; c.Lower < c.Upper {
+				cut := c.Lower + (c.Upper-c.Lower)/2
+				return []*node{r.branch(n, j, cut+1, c.Upper, bound), r.branch(n, j, c.Lower, cut, bound)}, true
 			}
 		}
 		r.offer(x) // all are fixed: this is all that there is
 		return nil, true
 	}
 	cut := int64(math.Floor(at[pick]))
-	c := r.Prog.Cols[pick]
-	lower, upper := r.branch(n, pick, c.Lo, cut, bound), r.branch(n, pick, cut+1, c.Hi, bound)
+	c := r.Program.Columns[pick]
+	lower, upper := r.branch(n, pick, c.Lower, cut, bound), r.branch(n, pick, cut+1, c.Upper, bound)
 	if at[pick]-math.Floor(at[pick]) < 0.3 {
 		return []*node{upper, lower}, true
 	}
--- a/internal/ilp/simplex.go
+++ b/internal/ilp/simplex.go
@@ -6,22 +6,22 @@
 // columns, so that each solve begins where the last ended. A primal simplex with bounds on variables, an inverse held
 // dense: rows are some hundreds at most.
 type LP struct {
-	prog  *Program
-	m     int
-	unit  []float64 // what a row's coefficients are divided by
-	worth float64   // what the objective is divided by
-	lo    []float64 // slacks first, then columns
-	hi    []float64
-	cost  []float64
-	at    []place
-	basis []int     // by row: the variable that is basic there
-	inv   []float64 // column by column
-	x     []float64 // of basic variables, by row
-	y     []float64 // multipliers of rows
-	way   []float64 // the entering column, as the basis sees it
-	since int       // pivots since the inverse was made anew
-	poor  bool      // the inverse could not be made: begin from slacks
-	Turns int       // pivots in all
+	prog   *Program
+	m      int
+	unit   []float64 // what a row's coefficients are divided by
+	worth  float64   // what the objective is divided by
+	lo     []float64 // slacks first, then columns
+	hi     []float64
+	cost   []float64
+	at     []place
+	basis  []int     // by row: the variable that is basic there
+	inv    []float64 // column by column
+	x      []float64 // of basic variables, by row
+	y      []float64 // multipliers of rows
+	way    []float64 // the entering column, as the basis sees it
+	since  int       // pivots since the inverse was made anew
+	poor   bool      // the inverse could not be made: begin from slacks
+	Pivots int       // pivots in all
 }
 
 type place uint8
@@ -33,12 +33,12 @@
 )
 
 // Ended tells how a solve ended.
-type Ended uint8
+type Outcome uint8
 
 // The ends. At NoFit the multipliers are those that show why; at Stopped nothing is known.
 const (
-	Best Ended = iota
-	NoFit
+	Optimal Outcome = iota
+	Infeasible
 	Stopped
 )
 
@@ -58,17 +58,17 @@
 	l.way, l.inv = make([]float64, l.m), make([]float64, l.m*l.m)
 	for i, r := range p.Rows {
 		l.unit[i] = 1
-		if l.hi[i] = math.Inf(1); r.Sense == AtLeast {
+		if l.hi[i] = math.Inf(1); r.Sense == GreaterOrEqual {
 			l.lo[i], l.hi[i], l.at[i] = math.Inf(-1), 0, atHigh
 		}
 	}
-	for _, c := range p.Cols {
+	for _, c := range p.Columns {
 		for k, r := range c.Rows {
-			l.unit[r] = max(l.unit[r], math.Abs(float64(c.By[k])))
+			l.unit[r] = max(l.unit[r], math.Abs(float64(c.Coefficients[k])))
 		}
 	}
 	l.slacks()
-	l.Grow()
+	l.Refresh()
 	return l
 }
 
@@ -87,20 +87,20 @@
 }
 
 // Grow takes in columns that were added to the program, and all its figures anew.
-func (l *LP) Grow() {
-	for len(l.lo) < l.m+len(l.prog.Cols) {
+func (l *LP) Refresh() {
+	for len(l.lo) < l.m+len(l.prog.Columns) {
 		l.lo, l.hi = append(l.lo, 0), append(l.hi, 0)
 		l.cost, l.at = append(l.cost, 0), append(l.at, atLow)
 	}
 	most := 1.0
-	for _, c := range l.prog.Cols {
-		most = max(most, math.Abs(float64(c.Obj)))
+	for _, c := range l.prog.Columns {
+		most = max(most, math.Abs(float64(c.Objective)))
 	}
 	l.worth = most
-	for j, c := range l.prog.Cols {
+	for j, c := range l.prog.Columns {
 		v := l.m + j
-		l.lo[v], l.hi[v], l.cost[v] = float64(c.Lo), float64(c.Hi), float64(c.Obj)/most
-		if l.at[v] == atHigh && c.Lo == c.Hi {
+		l.lo[v], l.hi[v], l.cost[v] = float64(c.Lower), float64(c.Upper), float64(c.Objective)/most
+		if l.at[v] == atHigh && c.Lower == c.Upper {
 			l.at[v] = atLow
 		}
 	}
@@ -123,14 +123,14 @@
 			rest[i] -= l.value(i)
 		}
 	}
-	for j, c := range l.prog.Cols {
+	for j, c := range l.prog.Columns {
 		v := l.m + j
 		if l.at[v] == basic {
 			continue
 		}
 		if x := l.value(v); x != 0 {
 			for k, r := range c.Rows {
-				rest[r] -= x * float64(c.By[k]) / l.unit[r]
+				rest[r] -= x * float64(c.Coefficients[k]) / l.unit[r]
 			}
 		}
 	}
@@ -154,9 +154,9 @@
 			work[v*m+i] = 1
 			continue
 		}
-		c := l.prog.Cols[v-m]
+		c := l.prog.Columns[v-m]
 		for k, r := range c.Rows {
-			work[int(r)*m+i] = float64(c.By[k]) / l.unit[r]
+			work[int(r)*m+i] = float64(c.Coefficients[k]) / l.unit[r]
 		}
 	}
 	out := make([]float64, m*m) // row by row
@@ -205,7 +205,7 @@
 }
 
 // Solve goes on until nothing improves, or stop says so.
-func (l *LP) Solve(stop func() bool) Ended {
+func (l *LP) Solve(stop func() bool) Outcome {
 	if l.poor {
 		l.slacks()
 	}
@@ -228,16 +228,16 @@
 				continue
 			}
 			if fits {
-				return Best
+				return Optimal
 			}
-			return NoFit
+			return Infeasible
 		}
 		if step := l.pivot(enter, fits); step > 1e-12 {
 			flat = 0
 		} else {
 			flat++
 		}
-		l.Turns++
+		l.Pivots++
 	}
 }
 
@@ -278,12 +278,12 @@
 		if v < l.m {
 			d = -l.y[v]
 		} else {
-			c := &l.prog.Cols[v-l.m]
+			c := &l.prog.Columns[v-l.m]
 			if fits {
 				d = l.cost[v]
 			}
 			for k, r := range c.Rows {
-				d -= l.y[r] * float64(c.By[k]) / l.unit[r]
+				d -= l.y[r] * float64(c.Coefficients[k]) / l.unit[r]
 			}
 		}
 		if l.at[v] == atHigh {
@@ -310,9 +310,9 @@
 	if enter < l.m {
 		add(enter, 1)
 	} else {
-		c := &l.prog.Cols[enter-l.m]
+		c := &l.prog.Columns[enter-l.m]
 		for k, r := range c.Rows {
-			add(int(r), float64(c.By[k])/l.unit[r])
+			add(int(r), float64(c.Coefficients[k])/l.unit[r])
 		}
 	}
 	side := 1.0
@@ -390,8 +390,8 @@
 }
 
 // At gives a column's value.
-func (l *LP) At() []float64 {
-	x := make([]float64, len(l.prog.Cols))
+func (l *LP) Values() []float64 {
+	x := make([]float64, len(l.prog.Columns))
 	for j := range x {
 		if v := l.m + j; l.at[v] != basic {
 			x[j] = l.value(v)
--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -21,7 +21,7 @@
 
 type voter struct {
 	core   *Core
-	disk   Disk
+	disk   PersistentState
 	drift  float64
 	due    int64 // of its next tick, its own time
 	stall  int64 // until, the world's time
@@ -43,29 +43,29 @@
 	ids     []uint64
 	sky     []letter
 	cut     map[[2]uint64]bool // one way
-	pace    Pace
+	pace    Timing
 	noLease bool
 	reuse   bool // a member that lost its memory comes back under its old number
-	owners  map[Reign]string
+	owners  map[Term]string
 	log     map[uint64]string // what was applied, by index
 	acts    int
 	broken  string
 	loss    int                  // of 100 messages
 	acting  func(uint64, *voter) // one that may act, before it hears of anything in that moment
-	done    func(uint64, Done)   // a member's command has its outcome
+	done    func(uint64, Result) // a member's command has its outcome
 	drop    func(*raftpb.Message) bool
 }
 
 func newWorld(t *testing.T, seed uint64, n int) *world {
-	w := &world{t: t, r: rand.New(rand.NewPCG(seed, 3)), voters: map[uint64]*voter{}, cut: map[[2]uint64]bool{}, pace: Usual(), owners: map[Reign]string{}, log: map[uint64]string{}, loss: 2}
-	w.pace.KeepsLast = 16
+	w := &world{t: t, r: rand.New(rand.NewPCG(seed, 3)), voters: map[uint64]*voter{}, cut: map[[2]uint64]bool{}, pace: DefaultTiming(), owners: map[Term]string{}, log: map[uint64]string{}, loss: 2}
+	w.pace.RetainedEntries = 16
 	names := map[uint64]string{}
 	for i := range n {
 		id := uint64(i + 1)
 		w.ids, names[id] = append(w.ids, id), fmt.Sprint("v", id)
 	}
 	for _, id := range w.ids {
-		w.voters[id] = &voter{disk: Found(id, names), drift: 1 + 0.05*(2*w.r.Float64()-1)}
+		w.voters[id] = &voter{disk: BootstrapState(id, names), drift: 1 + 0.05*(2*w.r.Float64()-1)}
 	}
 	return w
 }
@@ -84,20 +84,20 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	c.noLease = w.noLease
+	c.ignoreLease = w.noLease
 	v.core, v.due = c, w.local(v)
 }
 
 // does saves, then sends.
-func (w *world) does(id uint64, o Out) {
+func (w *world) does(id uint64, o Output) {
 	d := &w.voters[id].disk
-	if o.Hard != nil {
-		d.Hard = o.Hard
+	if o.HardState != nil {
+		d.HardState = o.HardState
 	}
 	if o.Snapshot != nil {
 		d.Snapshot = o.Snapshot
 		last := o.Snapshot.GetMetadata().GetIndex()
-		for len(d.Entries) > 0 && (o.Anew || d.Entries[0].GetIndex() <= last) {
+		for len(d.Entries) > 0 && (o.ReplaceLog || d.Entries[0].GetIndex() <= last) {
 			d.Entries = d.Entries[1:]
 		}
 	}
@@ -109,7 +109,7 @@
 			d.Entries = append(d.Entries, e)
 		}
 	}
-	for _, x := range o.Done {
+	for _, x := range o.Results {
 		if w.done != nil {
 			w.done(id, x)
 		}
@@ -138,7 +138,7 @@
 func (w *world) both() {
 	may := ""
 	for _, id := range w.ids {
-		if v := w.voters[id]; v.core != nil && v.stall <= w.now && v.core.May(w.local(v)) != 0 {
+		if v := w.voters[id]; v.core != nil && v.stall <= w.now && v.core.ActiveTerm(w.local(v)) != 0 {
 			if may != "" {
 				w.broken = fmt.Sprintf("%s and %s both may act", may, v.core.name)
 			}
@@ -183,7 +183,7 @@
 			v.due = w.local(v) + w.pace.Tick // ticks that were missed are not made up for
 			w.does(id, v.core.Tick(w.local(v)))
 		}
-		if r := v.core.May(w.local(v)); r != 0 {
+		if r := v.core.ActiveTerm(w.local(v)); r != 0 {
 			if was := w.owners[r]; was != "" && was != v.core.name {
 				w.broken = fmt.Sprintf("reign %d has two owners, %s and %s", r, was, v.core.name)
 			}
@@ -199,12 +199,12 @@
 				}
 			}
 		}
-		a := v.core.Agreed()
-		text := fmt.Sprint(a.Reign, a.Owner, a.Seq)
-		if was, is := w.log[v.core.applied]; is && was != text {
-			w.broken = fmt.Sprintf("at %d %s was agreed, and %s by %s", v.core.applied, was, text, v.core.name)
+		a := v.core.State()
+		text := fmt.Sprint(a.Term, a.Leader, a.Versions)
+		if was, is := w.log[v.core.appliedIndex]; is && was != text {
+			w.broken = fmt.Sprintf("at %d %s was agreed, and %s by %s", v.core.appliedIndex, was, text, v.core.name)
 		}
-		w.log[v.core.applied] = text
+		w.log[v.core.appliedIndex] = text
 	}
 }
 
@@ -223,7 +223,7 @@
 		clear(w.cut)
 	case 8:
 		if v.core != nil && v.stall <= w.now {
-			if out, is := v.core.StepDown(""); is {
+			if out, is := v.core.TransferLeadership(""); is {
 				w.does(id, out)
 			}
 		}
@@ -233,7 +233,7 @@
 			for _, n := range w.ids {
 				names[n] = fmt.Sprint("v", n)
 			}
-			v.core, v.down, v.disk = nil, w.now+1, Found(id, names)
+			v.core, v.down, v.disk = nil, w.now+1, BootstrapState(id, names)
 		}
 	}
 }
@@ -343,14 +343,14 @@
 	for w.now < 10e9 && first == 0 {
 		w.one()
 		for _, id := range w.ids {
-			if w.voters[id].core.May(w.local(w.voters[id])) != 0 {
+			if w.voters[id].core.ActiveTerm(w.local(w.voters[id])) != 0 {
 				first = id
 			}
 		}
 	}
 	v := w.voters[first]
-	out, is := v.core.StepDown("")
-	if !is || v.core.May(w.local(v)) != 0 {
+	out, is := v.core.TransferLeadership("")
+	if !is || v.core.ActiveTerm(w.local(v)) != 0 {
 		t.Fatal("it acts on after it stepped down")
 	}
 	w.does(first, out)
@@ -358,7 +358,7 @@
 	for {
 		w.one()
 		for _, id := range w.ids {
-			if id != first && w.voters[id].core.May(w.local(w.voters[id])) != 0 {
+			if id != first && w.voters[id].core.ActiveTerm(w.local(w.voters[id])) != 0 {
 				if w.now-from > 500e6 {
 					t.Errorf("handed over after %d ms", (w.now-from)/1e6)
 				}
@@ -398,7 +398,7 @@
 	w.start()
 	owner := func() *Core {
 		for _, v := range w.voters {
-			if v.core != nil && v.core.May(w.local(v)) != 0 {
+			if v.core != nil && v.core.ActiveTerm(w.local(v)) != 0 {
 				return v.core
 			}
 		}
@@ -417,19 +417,19 @@
 			w.ids[i] = 9
 		}
 	}
-	w.voters[9] = &voter{disk: Disk{ID: 9, Hard: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}, drift: 1}
+	w.voters[9] = &voter{disk: PersistentState{MemberID: 9, HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}, drift: 1}
 	w.boot(9)
 	name := fmt.Sprint("v", lost)
 	for end := w.now + 20e9; w.now < end; {
 		if c := owner(); c != nil && w.r.IntN(20) == 0 {
-			if out, err := c.Join(9, name); err == nil {
+			if out, err := c.AddMember(9, name); err == nil {
 				w.does(c.id, out)
 			}
 		}
 		w.one()
 		voters := w.voters[9].core.Voters()
-		if c := owner(); c != nil && len(voters) == 3 && c.agreed.Names[9] == name && c.agreed.Names[lost] == "" {
-			if w.voters[9].core.agreed.Reign != c.agreed.Reign {
+		if c := owner(); c != nil && len(voters) == 3 && c.state.Members[9] == name && c.state.Members[lost] == "" {
+			if w.voters[9].core.state.Term != c.state.Term {
 				t.Errorf("it does not know what is agreed")
 			}
 			if w.broken != "" {
@@ -447,7 +447,7 @@
 	w.start()
 	owner := func() (c *Core) {
 		for _, id := range w.ids {
-			if v := w.voters[id]; v.core != nil && v.core.May(w.local(v)) != 0 {
+			if v := w.voters[id]; v.core != nil && v.core.ActiveTerm(w.local(v)) != 0 {
 				c = v.core
 			}
 		}
@@ -465,7 +465,7 @@
 	until("an owner", func(*Core) bool { return true })
 	gone := uint64(1)
 	if owner().id == gone {
-		if _, err := owner().Forget("v1"); err == nil {
+		if _, err := owner().RemoveMember("v1"); err == nil {
 			t.Error("an owner forgets itself")
 		}
 		gone = 2
@@ -474,7 +474,7 @@
 	delete(w.voters, gone)
 	w.ids = slices.DeleteFunc(w.ids, func(id uint64) bool { return id == gone })
 	until("one is forgotten", func(c *Core) bool {
-		if out, err := c.Forget(name); err == nil {
+		if out, err := c.RemoveMember(name); err == nil {
 			w.does(c.id, out)
 		} else if err.Error() != "another owns" && !slices.Contains(c.Voters(), gone) {
 			return true // it is no member
@@ -486,15 +486,15 @@
 		name := fmt.Sprint("v", id)
 		delete(w.voters, id)
 		w.ids[slices.Index(w.ids, id)] = next
-		w.voters[next] = &voter{disk: Disk{ID: next, Hard: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}, drift: 1}
+		w.voters[next] = &voter{disk: PersistentState{MemberID: next, HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}, drift: 1}
 		w.boot(next)
 		until(name+" comes back", func(c *Core) bool {
 			if w.r.IntN(20) == 0 {
-				if out, err := c.Join(next, name); err == nil {
+				if out, err := c.AddMember(next, name); err == nil {
 					w.does(c.id, out)
 				}
 			}
-			return slices.Contains(c.Voters(), next) && len(c.Voters()) == 4 && c.agreed.Names[id] == "" && len(w.voters[next].core.Voters()) == 4
+			return slices.Contains(c.Voters(), next) && len(c.Voters()) == 4 && c.state.Members[id] == "" && len(w.voters[next].core.Voters()) == 4
 		})
 	}
 	if w.broken != "" {
@@ -503,23 +503,23 @@
 }
 
 func TestWhatIsAgreedIsFencedAndBounded(t *testing.T) {
-	a := Agreed{}
+	a := State{}
 	for i, c := range []struct {
 		c  Command
 		ok bool
 	}{
-		{Command{Reign: 1, Name: "x"}, false}, {Command{Reign: 3, Claim: "a"}, true}, {Command{Reign: 3, Claim: "b"}, false}, {Command{Reign: 2, Claim: "b"}, false},
-		{Command{Reign: 3, Name: "x", Value: []byte("1")}, true}, {Command{Reign: 2, Name: "x"}, false}, {Command{Reign: 4, Claim: "b"}, true},
-		{Command{Reign: 3, Name: "x"}, false}, {Command{Reign: 4, Name: "y", Value: make([]byte, mostItem+1)}, false},
+		{Command{Term: 1, Item: "x"}, false}, {Command{Term: 3, Candidate: "a"}, true}, {Command{Term: 3, Candidate: "b"}, false}, {Command{Term: 2, Candidate: "b"}, false},
+		{Command{Term: 3, Item: "x", Value: []byte("1")}, true}, {Command{Term: 2, Item: "x"}, false}, {Command{Term: 4, Candidate: "b"}, true},
+		{Command{Term: 3, Item: "x"}, false}, {Command{Term: 4, Item: "y", Value: make([]byte, maxItemBytes+1)}, false},
 	} {
 		if err := a.apply(c.c); (err == nil) != c.ok {
 			t.Errorf("%d: %v", i, err)
 		}
 	}
-	for i := range 2 * mostItems {
-		a.apply(Command{Reign: 4, Name: fmt.Sprint(i), Value: []byte("1")})
+	for i := range 2 * maxItems {
+		a.apply(Command{Term: 4, Item: fmt.Sprint(i), Value: []byte("1")})
 	}
-	if len(a.Items) != mostItems || string(a.Items["x"]) != "1" || a.Owner != "b" {
+	if len(a.Items) != maxItems || string(a.Items["x"]) != "1" || a.Leader != "b" {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/leader/disk.go
+++ b/internal/leader/disk.go
@@ -42,14 +42,14 @@
 func (s *Store) Close() error { return s.db.Close() }
 
 // Load reads all; a number of 0: it was never written.
-func (s *Store) Load() (d Disk, err error) {
+func (s *Store) Load() (d PersistentState, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(metaBucket)
 		if id := meta.Get(idKey); len(id) == 8 {
-			d.ID = binary.BigEndian.Uint64(id)
+			d.MemberID = binary.BigEndian.Uint64(id)
 		}
-		d.Hard, d.Snapshot = &raftpb.HardState{}, &raftpb.Snapshot{}
-		if err := proto.Unmarshal(meta.Get(hardKey), d.Hard); err != nil {
+		d.HardState, d.Snapshot = &raftpb.HardState{}, &raftpb.Snapshot{}
+		if err := proto.Unmarshal(meta.Get(hardKey), d.HardState); err != nil {
 			return err
 		}
 		if err := proto.Unmarshal(meta.Get(snapshotKey), d.Snapshot); err != nil {
@@ -65,7 +65,7 @@
 }
 
 // Begin writes the disk of a member of a new fleet, or of one that is to join; what stood there is void.
-func (s *Store) Begin(d Disk) error {
+func (s *Store) Initialize(d PersistentState) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if err := tx.DeleteBucket(entriesBucket); err != nil {
 			return err
@@ -73,16 +73,16 @@
 		if _, err := tx.CreateBucket(entriesBucket); err != nil {
 			return err
 		}
-		if err := tx.Bucket(metaBucket).Put(idKey, binary.BigEndian.AppendUint64(nil, d.ID)); err != nil {
+		if err := tx.Bucket(metaBucket).Put(idKey, binary.BigEndian.AppendUint64(nil, d.MemberID)); err != nil {
 			return err
 		}
-		return save(tx, Out{Hard: d.Hard, Snapshot: d.Snapshot})
+		return save(tx, Output{HardState: d.HardState, Snapshot: d.Snapshot})
 	})
 }
 
 // Save writes what a call of the core left to be saved, all or nothing.
-func (s *Store) Save(o Out) error {
-	if o.Hard == nil && o.Snapshot == nil && len(o.Entries) == 0 {
+func (s *Store) Save(o Output) error {
+	if o.HardState == nil && o.Snapshot == nil && len(o.Entries) == 0 {
 		return nil
 	}
 	if err := failpoint.Write(); err != nil {
@@ -91,7 +91,7 @@
 	return s.db.Update(func(tx *bbolt.Tx) error { return save(tx, o) })
 }
 
-func save(tx *bbolt.Tx, o Out) error {
+func save(tx *bbolt.Tx, o Output) error {
 	meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
 	put := func(key []byte, m proto.Message) error {
 		text, err := proto.Marshal(m)
@@ -111,8 +111,8 @@
 		}
 		return nil
 	}
-	if o.Hard != nil {
-		if err := put(hardKey, o.Hard); err != nil {
+	if o.HardState != nil {
+		if err := put(hardKey, o.HardState); err != nil {
 			return err
 		}
 	}
@@ -121,7 +121,7 @@
 			return err
 		}
 		last := o.Snapshot.GetMetadata().GetIndex()
-		if err := drop(func(n uint64) bool { return o.Anew || n <= last }); err != nil {
+		if err := drop(func(n uint64) bool { return o.ReplaceLog || n <= last }); err != nil {
 			return err
 		}
 	}
--- a/internal/leader/duty.go
+++ b/internal/leader/duty.go
@@ -23,32 +23,32 @@
 // Duties are what is done once for the whole fleet, by whoever owns it: now, conducting its changes. They begin under a
 // reign, end with it, and are taken up by the next owner from what was agreed.
 type Duties struct {
-	node    *Node
-	fleet   *operator.Fleet
-	members []operator.Member
-	problem *solve.Problem // to plan from
-	one     sync.Mutex     // a change is begun at a time
-	fitness Fitness
+	node     *Node
+	fleet    *operator.Fleet
+	members  []operator.Member
+	problem  *solve.Problem // to plan from
+	changeMu sync.Mutex     // a change is begun at a time
+	fitness  FitnessMonitor
 
 	mu    sync.Mutex
-	under []*coordinator.Fleet // asked by duties under way
+	polls []*coordinator.Fleet // asked by duties under way
 
-	count   int64  // of words handed out by this process: it rises over reigns too
-	refused string // the last word that was, as logged
+	sequence      int64  // of words handed out by this process: it rises over reigns too
+	lastRejection string // the last word that was, as logged
 }
 
 // agreement is what is agreed, under a reign.
 type agreement struct {
-	node  *Node
-	reign Reign
+	node *Node
+	term Term
 }
 
 func (a agreement) Read(name string) ([]byte, bool) { return a.node.Item(name) }
 func (a agreement) Write(name string, value []byte) error {
-	return a.node.Propose(a.reign, name, value)
+	return a.node.Propose(a.term, name, value)
 }
-func (a agreement) May() bool    { return a.node.May() == a.reign }
-func (a agreement) Term() int64  { return int64(a.reign) }
+func (a agreement) May() bool    { return a.node.ActiveTerm() == a.term }
+func (a agreement) Term() int64  { return int64(a.term) }
 func (a agreement) Name() string { return a.node.name }
 
 // NewDuties are those of a process; folder is what files in the operator's part are relative to.
@@ -58,33 +58,33 @@
 }
 
 // askTime is how long a keeper may take for an answer.
-const askTime = 2 * time.Second
+const requestTimeout = 2 * time.Second
 
 // rests is from one look for something to do to the next.
-const rests = 100 * time.Millisecond
+const dutyInterval = 100 * time.Millisecond
 
 // Run does the duties while this process owns, until ctx ends.
 func (d *Duties) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r := d.node.May(); r != 0 {
-			d.reign(ctx, r)
+		if r := d.node.ActiveTerm(); r != 0 {
+			d.runTerm(ctx, r)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rests):
+		case <-time.After(dutyInterval):
 		}
 	}
 }
 
 // reign does them under one reign. Whatever ends it, nothing goes on: what is begun is agreed before it is done, and orders
 // carry the reign, so that one that is late is refused where it arrives.
-func (d *Duties) reign(ctx context.Context, r Reign) {
+func (d *Duties) runTerm(ctx context.Context, r Term) {
 	slog.Info("owner_begins", "reign", r)
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	go func() {
-		for ctx.Err() == nil && d.node.May() == r {
-			time.Sleep(rests / 2)
+		for ctx.Err() == nil && d.node.ActiveTerm() == r {
+			time.Sleep(dutyInterval / 2)
 		}
 		end()
 	}()
@@ -92,21 +92,21 @@
 	var others sync.WaitGroup
 	defer others.Wait()
 	if d.fleet.Parts != nil || d.fleet.Planning != nil {
-		h, err := newHands(d, a)
+		h, err := newDistributor(d, a)
 		if err != nil {
 			slog.Error("duty_ended", "reign", r, "reason", err)
 		} else {
 			others.Go(func() { h.run(ctx) })
 		}
 	}
-	others.Go(func() { d.watch(ctx, r) })
+	others.Go(func() { d.watchHealth(ctx, r) })
 	for ctx.Err() == nil {
 		record, is, err := coordinator.Agreed(a).Record()
-		if err == nil && is && (!record.State.Phase.Ends() || d.asked(a, record)) {
+		if err == nil && is && (!record.State.Phase.Ends() || d.hasRollbackRequest(a, record)) {
 			var c *coordinator.Conductor
-			fleet := coordinator.NewFleet(d.members, askTime, askTime)
+			fleet := coordinator.NewFleet(d.members, requestTimeout, requestTimeout)
 			if c, err = coordinator.Take(coordinator.Agreed(a), fleet); err == nil {
-				done := d.asks(fleet)
+				done := d.registerPoll(fleet)
 				err = c.Run(ctx)
 				done()
 			}
@@ -116,28 +116,28 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rests):
+		case <-time.After(dutyInterval):
 		}
 	}
 	slog.Info("owner_ends", "reign", r)
 }
 
 // watchEvery is from one look at the voters' health to the next.
-const watchEvery = 500 * time.Millisecond
+const healthInterval = 500 * time.Millisecond
 
 // watch hands over by itself where another voter is fitter to own. It asks voters; how much of the fleet is heard it learns
 // from those of its duties that ask all.
-func (d *Duties) watch(ctx context.Context, r Reign) {
+func (d *Duties) watchHealth(ctx context.Context, r Term) {
 	members := slices.DeleteFunc(slices.Clone(d.members), func(m operator.Member) bool { return !slices.Contains(d.fleet.Voters, m.Name) })
-	fleet := coordinator.NewFleet(members, askTime, watchEvery)
+	fleet := coordinator.NewFleet(members, requestTimeout, healthInterval)
 	heard, last := make([]time.Time, len(members)), make([]Health, len(members))
 	for ctx.Err() == nil {
 		now := time.Now()
 		for i, a := range fleet.Ask(ctx) {
 			if a.Err == nil {
-				heard[i], last[i] = now, Health{Serves: a.Status.Serves, Engines: a.Status.EngineCount}
+				heard[i], last[i] = now, Health{Serving: a.Status.Serves, ReadyEngines: a.Status.EngineCount}
 			}
-			last[i].Name, last[i].Reached = members[i].Name, !heard[i].IsZero() && now.Sub(heard[i]) < askTime
+			last[i].Name, last[i].Reachable = members[i].Name, !heard[i].IsZero() && now.Sub(heard[i]) < requestTimeout
 		}
 		own, others := Health{}, []Health(nil)
 		for _, h := range last {
@@ -147,59 +147,59 @@
 				others = append(others, h)
 			}
 		}
-		own.Stalls, own.Reached = d.node.Stalls(), true
-		for _, f := range d.asking() {
-			if n, of := f.Heard(); of > 0 && (own.Members == 0 || n < own.Heard) {
-				own.Heard, own.Members = n, of
+		own.StalledTicks, own.Reachable = d.node.StalledTicks(), true
+		for _, f := range d.activePolls() {
+			if n, of := f.Heard(); of > 0 && (own.Members == 0 || n < own.ReachableMembers) {
+				own.ReachableMembers, own.Members = n, of
 			}
 		}
-		if to, why := d.fitness.Look(int64(time.Since(d.node.began)), own, others); to != "" && d.node.May() == r {
+		if to, why := d.fitness.Evaluate(int64(time.Since(d.node.startedAt)), own, others); to != "" && d.node.ActiveTerm() == r {
 			slog.Warn("owner_hands_over", "reign", r, "to", to, "why", why)
-			d.node.StepDown(to)
+			d.node.TransferLeadership(to)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watchEvery):
+		case <-time.After(healthInterval):
 		}
 	}
 }
 
 // asks has the watch know of a duty that asks all members, until it is ended.
-func (d *Duties) asks(f *coordinator.Fleet) (end func()) {
+func (d *Duties) registerPoll(f *coordinator.Fleet) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.under = append(d.under, f)
+	d.polls = append(d.polls, f)
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.under = slices.DeleteFunc(d.under, func(o *coordinator.Fleet) bool { return o == f })
+		d.polls = slices.DeleteFunc(d.polls, func(o *coordinator.Fleet) bool { return o == f })
 	}
 }
 
-func (d *Duties) asking() []*coordinator.Fleet {
+func (d *Duties) activePolls() []*coordinator.Fleet {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.under)
+	return slices.Clone(d.polls)
 }
 
 // asked tells whether there is a wish for a change that has ended.
-func (d *Duties) asked(a agreement, r coordinator.Record) bool {
+func (d *Duties) hasRollbackRequest(a agreement, r coordinator.Record) bool {
 	w := coordinator.Agreed(a).Wish()
 	return w.ID != "" && w.ID != r.Asked && w.Ask == rollout.AskBack && r.State.Phase == rollout.Stopped
 }
 
 // mostChange bounds a change's text.
-const mostChange = 4 << 20
+const maxChangeBytes = 4 << 20
 
-var errNotOwner = errors.New("another owns: swiftreel fleet owner tells who")
+var errNotLeader = errors.New("another owns: swiftreel fleet owner tells who")
 
 // Handle adds what operators ask of the owner: a change to begin, a wish for the one under way.
-func (d *Duties) Handle(mux *http.ServeMux) {
+func (d *Duties) RegisterHandlers(mux *http.ServeMux) {
 	owned := func(do func(*http.Request, agreement) error) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			a := agreement{d.node, d.node.May()}
-			err := errNotOwner
-			if a.reign != 0 {
+			a := agreement{d.node, d.node.ActiveTerm()}
+			err := errNotLeader
+			if a.term != 0 {
 				err = do(r, a)
 			}
 			if err != nil {
@@ -211,7 +211,7 @@
 	}
 	mux.HandleFunc("POST /v1/owner/change", owned(func(r *http.Request, a agreement) error {
 		var c change.Change
-		if err := json.NewDecoder(io.LimitReader(r.Body, mostChange)).Decode(&c); err != nil {
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxChangeBytes)).Decode(&c); err != nil {
 			return fmt.Errorf("/: %w", err)
 		}
 		if list := c.Faults(); len(list) > 0 {
@@ -220,9 +220,9 @@
 		if c.Kind == change.Plan {
 			return errors.New("/kind: a plan's file stands where it was written; conduct it with swiftreel rollout start")
 		}
-		d.one.Lock()
-		defer d.one.Unlock()
-		return coordinator.Begin(r.Context(), coordinator.Agreed(a), c, coordinator.NewFleet(d.members, askTime, askTime), false)
+		d.changeMu.Lock()
+		defer d.changeMu.Unlock()
+		return coordinator.Begin(r.Context(), coordinator.Agreed(a), c, coordinator.NewFleet(d.members, requestTimeout, requestTimeout), false)
 	}))
 	mux.HandleFunc("POST /v1/owner/wish", owned(func(r *http.Request, a agreement) error {
 		var w coordinator.Wish
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -62,7 +62,7 @@
 var fixtureNames = []string{"v1", "v2", "v3"}
 
 // fixturePace is quick, and has a log compacted after a few entries.
-var fixturePace = Pace{Tick: 20e6, Lease: 400e6, PerMille: 800, KeepsLast: 8}
+var fixturePace = Timing{Tick: 20e6, Lease: 400e6, LeasePerMille: 800, RetainedEntries: 8}
 
 // fixtureProblem is what the fixture's fleet is planned from.
 const fixtureProblem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
@@ -77,7 +77,7 @@
 	jobs uint64 // its controller has so many more done at each look
 
 	mu    sync.Mutex
-	held  assignment.Held
+	held  assignment.Accepted
 	looks uint64
 	texts [][]byte
 }
@@ -88,7 +88,7 @@
 func (k *fakeKeeper) status(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Count, Serves: true,
+	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Sequence, Serves: true,
 		EngineCount: 2, Started: 1, Work: map[canary.Group]canary.Work{}}
 	if r.URL.Query().Get("engines") == "1" {
 		s.Engines = []string{"e1", "e2"}
@@ -106,9 +106,9 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
-		var word assignment.Word
-		if word, err = assignment.ReadWord(bytes.NewReader(text)); err == nil {
-			k.held, err = k.held.Take(word, k.name, "life of "+k.name, fakeBoot)
+		var word assignment.Assignment
+		if word, err = assignment.Read(bytes.NewReader(text)); err == nil {
+			k.held, err = k.held.Accept(word, k.name, "life of "+k.name, fakeBoot)
 		}
 	}
 	if err != nil {
@@ -156,7 +156,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		node.Handle(muxes[name])
+		node.RegisterHandlers(muxes[name])
 		f.nodes[name] = node
 	}
 	t.Cleanup(f.close)
@@ -233,7 +233,7 @@
 	f.t.Helper()
 	await(f.t, "one acts", func() bool {
 		for _, n := range f.nodes {
-			if n.View().May {
+			if n.Status().Active {
 				node = n
 			}
 		}
@@ -247,12 +247,12 @@
 	f.t.Helper()
 	await(f.t, name+" is written", func() bool {
 		n := f.acting()
-		return n.Propose(n.May(), name, value) == nil
+		return n.Propose(n.ActiveTerm(), name, value) == nil
 	})
 }
 
 // agreed is what a member tells of what is agreed.
-func (f *testFleet) agreed(name string) (a Agreed) {
+func (f *testFleet) agreed(name string) (a State) {
 	f.t.Helper()
 	m, _ := f.fleet.Find(name)
 	answer, err := http.Get("http://" + m.At() + "/v1/owner/agreed")
@@ -267,12 +267,12 @@
 }
 
 // settle waits until all members know the same, and returns it.
-func (f *testFleet) settle() (a Agreed) {
+func (f *testFleet) settle() (a State) {
 	f.t.Helper()
 	await(f.t, "all know the same", func() bool {
 		a = f.agreed(f.acting().name)
 		for _, name := range fixtureNames {
-			if other := f.agreed(name); !bytes.Equal(other.text(), a.text()) {
+			if other := f.agreed(name); !bytes.Equal(other.encode(), a.encode()) {
 				return false
 			}
 		}
@@ -298,7 +298,7 @@
 	await(t, "parts and a plan are agreed", func() bool {
 		a := f.agreed(f.acting().name)
 		var r quota.Record
-		return json.Unmarshal(a.Items[partsItem], &r) == nil && r.Caps["v1"][quota.Fleet] > 450_000 && a.Items[planItem] != nil
+		return json.Unmarshal(a.Items[quotaItem], &r) == nil && r.Limits["v1"][quota.Fleet] > 450_000 && a.Items[planItem] != nil
 	})
 	end()
 	changed := coordinator.Record{By: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
@@ -316,7 +316,7 @@
 	for i := range 20 {
 		f.propose("register", fmt.Append(nil, "value ", i))
 	}
-	f.acting().StepDown("")
+	f.acting().TransferLeadership("")
 	f.propose("register", []byte("after the first owner"))
 	f.close()
 	if err := os.Remove(filepath.Join(dir, "v3.db")); err != nil {
@@ -328,7 +328,7 @@
 	}
 	await(t, "v3 is taken in", func() bool {
 		f.post(f.acting().name, "/v1/owner/join", map[string]any{"names": map[uint64]string{9: "v3"}})
-		v := f.nodes["v3"].View()
+		v := f.nodes["v3"].Status()
 		return v.ID == 9 && slices.Contains(v.Voters, "v3") && len(v.Voters) == 3
 	})
 	for i := range 5 {
@@ -336,7 +336,7 @@
 	}
 	a := f.settle()
 	f.close()
-	golden(t, "agreed.json", append(a.text(), '\n'))
+	golden(t, "agreed.json", append(a.encode(), '\n'))
 	for _, name := range fixtureNames {
 		text, err := os.ReadFile(filepath.Join(dir, name+".db"))
 		if err != nil {
@@ -382,7 +382,7 @@
 	return dir
 }
 
-func fixtureAgreed(t *testing.T) (a Agreed) {
+func fixtureAgreed(t *testing.T) (a State) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/agreed.json")
 	if err != nil {
@@ -395,9 +395,9 @@
 }
 
 // diskText writes all of a member's disk as text.
-func diskText(d Disk) []byte {
+func diskText(d PersistentState) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "number %d\nterm %d vote %d commit %d\n", d.ID, d.Hard.GetTerm(), d.Hard.GetVote(), d.Hard.GetCommit())
+	fmt.Fprintf(&b, "number %d\nterm %d vote %d commit %d\n", d.MemberID, d.HardState.GetTerm(), d.HardState.GetVote(), d.HardState.GetCommit())
 	m := d.Snapshot.GetMetadata()
 	fmt.Fprintf(&b, "snapshot %d of term %d, voters %v learners %v: %s\n", m.GetIndex(), m.GetTerm(), m.GetConfState().GetVoters(),
 		m.GetConfState().GetLearners(), d.Snapshot.GetData())
@@ -432,7 +432,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := errors.Join(again.Begin(d), again.Save(Out{Entries: d.Entries})); err != nil {
+		if err := errors.Join(again.Initialize(d), again.Save(Output{Entries: d.Entries})); err != nil {
 			t.Fatal(err)
 		}
 		got, err := again.Load()
@@ -483,10 +483,10 @@
 	was := fixtureAgreed(t)
 	f := openFleet(t, dir, nil)
 	a := f.settle()
-	if a.Reign <= was.Reign || !maps.EqualFunc(a.Items, was.Items, bytes.Equal) || !maps.Equal(a.Seq, was.Seq) || !maps.Equal(a.Names, was.Names) {
-		t.Errorf("%s after %s", a.text(), was.text())
+	if a.Term <= was.Term || !maps.EqualFunc(a.Items, was.Items, bytes.Equal) || !maps.Equal(a.Versions, was.Versions) || !maps.Equal(a.Members, was.Members) {
+		t.Errorf("%s after %s", a.encode(), was.encode())
 	}
-	if v := f.nodes["v3"].View(); v.ID != 9 || len(v.Voters) != 3 || v.Term <= uint64(was.Reign) {
+	if v := f.nodes["v3"].Status(); v.ID != 9 || len(v.Voters) != 3 || v.RaftTerm <= uint64(was.Term) {
 		t.Errorf("%+v", v)
 	}
 	if code, text := f.post("v1", "/v1/owner/found", map[string]any{"id": 4, "names": map[uint64]string{4: "v1"}}); code != http.StatusConflict {
@@ -497,8 +497,8 @@
 
 	f = openFleet(t, dir, nil)
 	next := f.settle()
-	if next.Reign <= a.Reign || string(next.Items["register"]) != "by this program" || next.Seq["register"] < was.Seq["register"]+1 {
-		t.Errorf("%s after %s", next.text(), a.text())
+	if next.Term <= a.Term || string(next.Items["register"]) != "by this program" || next.Versions["register"] < was.Versions["register"]+1 {
+		t.Errorf("%s after %s", next.encode(), a.encode())
 	}
 	for name, value := range was.Items {
 		if name != "register" && !bytes.Equal(next.Items[name], value) {
@@ -523,8 +523,8 @@
 		if err := json.Unmarshal(k.taken()[0], &w); err != nil {
 			t.Fatal(err)
 		}
-		if reign, _ := w["reign"].(float64); reign <= float64(was.Reign) {
-			t.Errorf("reign %v after %d", w["reign"], was.Reign)
+		if reign, _ := w["reign"].(float64); reign <= float64(was.Term) {
+			t.Errorf("reign %v after %d", w["reign"], was.Term)
 		}
 		for _, any := range []string{"reign", "count", "owner"} { // which of them owns, and after how many looks, is by chance
 			if _, is := w[any]; !is {
@@ -541,12 +541,12 @@
 			t.Errorf("the second word says nothing of the plan: %s, %v", k.taken()[1], err)
 		}
 	}
-	var p planned
+	var p planRecord
 	if err := json.Unmarshal(was.Items[planItem], &p); err != nil {
 		t.Fatal(err)
 	}
 	var r quota.Record
-	if err := json.Unmarshal(was.Items[partsItem], &r); err != nil {
+	if err := json.Unmarshal(was.Items[quotaItem], &r); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range fixtureNames {
@@ -554,11 +554,11 @@
 		k.mu.Lock()
 		held := k.held
 		k.mu.Unlock()
-		if held.Plan != p.Digest || held.Plan != change.OfJSON(held.Text) || held.PlanUntil != fakeBoot+600e9 || held.PartUntil != fakeBoot+600e9 {
+		if held.Plan != p.Digest || held.Plan != change.OfJSON(held.PlanText) || held.PlanUntil != fakeBoot+600e9 || held.SharesUntil != fakeBoot+600e9 {
 			t.Errorf("%s holds %+v, planned was %s", name, held, p.Digest)
 		}
 	}
-	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Caps) != 3 || r.Caps["v1"][quota.Fleet] <= r.Caps["v3"][quota.Fleet] || p.Reign == 0 || p.Count == 0 {
+	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Limits) != 3 || r.Limits["v1"][quota.Fleet] <= r.Limits["v3"][quota.Fleet] || p.Term == 0 || p.Sequence == 0 {
 		t.Errorf("the fixture shows nothing: %+v, %+v", p, r)
 	}
 	a := f.agreed(f.acting().name)
--- a/internal/leader/health_test.go
+++ b/internal/leader/health_test.go
@@ -6,7 +6,7 @@
 )
 
 func well(name string) Health {
-	return Health{Name: name, Reached: true, Serves: true, Engines: 3, Heard: 9, Members: 10}
+	return Health{Name: name, Reachable: true, Serving: true, ReadyEngines: 3, ReachableMembers: 9, Members: 10}
 }
 
 func TestAnUnfitOwnerHandsOverToOneThatIsFit(t *testing.T) {
@@ -16,41 +16,41 @@
 		return h
 	}
 	for why, own := range map[string]Health{
-		"its controller does not serve": bad("a", func(h *Health) { h.Serves = false }), "its controller sees no engine": bad("a", func(h *Health) { h.Engines = 0 }),
-		"it hears 4 of 10 members": bad("a", func(h *Health) { h.Heard = 4 })} {
-		var f Fitness
-		others := []Health{bad("b", func(h *Health) { h.Reached = false }), bad("c", func(h *Health) { h.Engines = 0 }), well("d")}
-		if to, _ := f.Look(1e9, own, others); to != "" {
+		"its controller does not serve": bad("a", func(h *Health) { h.Serving = false }), "its controller sees no engine": bad("a", func(h *Health) { h.ReadyEngines = 0 }),
+		"it hears 4 of 10 members": bad("a", func(h *Health) { h.ReachableMembers = 4 })} {
+		var f FitnessMonitor
+		others := []Health{bad("b", func(h *Health) { h.Reachable = false }), bad("c", func(h *Health) { h.ReadyEngines = 0 }), well("d")}
+		if to, _ := f.Evaluate(1e9, own, others); to != "" {
 			t.Errorf("%s: at once to %s", why, to)
 		}
-		if to, got := f.Look(1e9+badFor, own, others); to != "d" || got != why {
+		if to, got := f.Evaluate(1e9+handoverDelay, own, others); to != "d" || got != why {
 			t.Errorf("%s: to %q, %q", why, to, got)
 		}
-		f = Fitness{}
-		f.Look(1e9, own, others)
-		f.Look(2e9, well("a"), others)
-		if to, _ := f.Look(1e9+badFor, own, others); to != "" {
+		f = FitnessMonitor{}
+		f.Evaluate(1e9, own, others)
+		f.Evaluate(2e9, well("a"), others)
+		if to, _ := f.Evaluate(1e9+handoverDelay, own, others); to != "" {
 			t.Errorf("%s: for a moment, and it hands over to %s", why, to)
 		}
-		f = Fitness{}
-		f.Look(1e9, own, others[:2])
-		if to, _ := f.Look(100e9, own, others[:2]); to != "" {
+		f = FitnessMonitor{}
+		f.Evaluate(1e9, own, others[:2])
+		if to, _ := f.Evaluate(100e9, own, others[:2]); to != "" {
 			t.Errorf("%s: to %s, which is no better", why, to)
 		}
 	}
 	// Stalls, of late only.
-	var f Fitness
+	var f FitnessMonitor
 	own := well("a")
 	for now := int64(1e9); now < 60e9; now += 5e9 {
-		own.Stalls++
-		if to, _ := f.Look(now, own, []Health{well("b")}); to != "" {
+		own.StalledTicks++
+		if to, _ := f.Evaluate(now, own, []Health{well("b")}); to != "" {
 			t.Fatalf("one stall in 5 s: %s", to)
 		}
 	}
 	handed := false
 	for now := int64(60e9); now < 70e9 && !handed; now += 1e9 {
-		own.Stalls++
-		to, _ := f.Look(now, own, []Health{well("b")})
+		own.StalledTicks++
+		to, _ := f.Evaluate(now, own, []Health{well("b")})
 		handed = to == "b"
 	}
 	if !handed {
@@ -62,10 +62,10 @@
 func TestOwnersThatAreUnfitByTurnsDoNotHandToAndFro(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 5))
 	names := []string{"a", "b", "c"}
-	fit, goodUntil := map[string]*Fitness{}, map[string]int64{}
+	fit, goodUntil := map[string]*FitnessMonitor{}, map[string]int64{}
 	isBad := map[string]bool{}
 	for _, n := range names {
-		fit[n] = &Fitness{}
+		fit[n] = &FitnessMonitor{}
 	}
 	owner, changes, unfit := "a", 0, int64(0)
 	const look = int64(5e8)
@@ -77,7 +77,7 @@
 			}
 			h := well(n)
 			if isBad[n] {
-				h.Engines = 0
+				h.ReadyEngines = 0
 			}
 			all[n] = h
 		}
@@ -90,7 +90,7 @@
 				others = append(others, all[n])
 			}
 		}
-		if to, _ := fit[owner].Look(now, all[owner], others); to != "" {
+		if to, _ := fit[owner].Evaluate(now, all[owner], others); to != "" {
 			owner, changes = to, changes+1
 		}
 	}
--- a/internal/leader/history_test.go
+++ b/internal/leader/history_test.go
@@ -30,8 +30,8 @@
 	var ops []porcupine.Operation
 	open := map[string]int{} // by value, until known
 	values := 0
-	w.done = func(id uint64, d Done) {
-		value := fmt.Sprint(id, " ", d.ID)
+	w.done = func(id uint64, d Result) {
+		value := fmt.Sprint(id, " ", d.CommandID)
 		if i, is := open[value]; is {
 			if delete(open, value); d.Err != nil { // it changed nothing, for certain
 				ops[i].Input = nil
@@ -45,14 +45,14 @@
 		case 0:
 			values++
 			value := fmt.Sprint(id, " ", 1_000_000+values)
-			out, err := v.core.Propose(uint64(1_000_000+values), v.core.May(w.local(v)), "register", []byte(value))
+			out, err := v.core.Propose(uint64(1_000_000+values), v.core.ActiveTerm(w.local(v)), "register", []byte(value))
 			if err == nil {
 				open[value] = len(ops)
 				ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: value, Call: w.now * 1000, Output: "", Return: 1 << 62})
 				w.does(id, out)
 			}
 		case 1, 2, 3:
-			got := string(v.core.Agreed().Items["register"])
+			got := string(v.core.State().Items["register"])
 			ops = append(ops, porcupine.Operation{ClientId: len(ops), Input: "", Call: w.now*1000 + 1, Output: got, Return: w.now*1000 + 2})
 		}
 	}
@@ -98,7 +98,7 @@
 				w.start()
 				owner := func(not uint64) uint64 {
 					for _, id := range w.ids {
-						if v := w.voters[id]; id != not && v.core != nil && v.stall <= w.now && v.core.May(w.local(v)) != 0 {
+						if v := w.voters[id]; id != not && v.core != nil && v.stall <= w.now && v.core.ActiveTerm(w.local(v)) != 0 {
 							return id
 						}
 					}
@@ -122,7 +122,7 @@
 						w.cut[[2]uint64{id, n}], w.cut[[2]uint64{n, id}] = true, true
 					}
 				default:
-					out, is := v.core.StepDown("")
+					out, is := v.core.TransferLeadership("")
 					if !is {
 						continue
 					}
--- a/internal/leader/http_test.go
+++ b/internal/leader/http_test.go
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	d := &door{t, node, http.NewServeMux()}
-	node.Handle(d.mux)
-	duties.Handle(d.mux)
+	node.RegisterHandlers(d.mux)
+	duties.RegisterHandlers(d.mux)
 	return d
 }
 
@@ -77,9 +77,9 @@
 	d.ask("POST", "/v1/owner/found", `{"id":7,"names":{"7":"v2"}}`, http.StatusConflict)
 	d.ask("POST", "/v1/owner/found", `no JSON`, http.StatusConflict)
 	tell("founded", d.ask("POST", "/v1/owner/found", `{"id":7,"names":{"7":"v1"}}`, http.StatusOK))
-	await(t, "it acts", func() bool { return d.node.May() != 0 })
+	await(t, "it acts", func() bool { return d.node.ActiveTerm() != 0 })
 	tell("it owns", d.ask("GET", "/v1/owner", "", http.StatusOK))
-	if err := d.node.Propose(d.node.May(), "some.json", []byte(`{"a":1}`)); err != nil {
+	if err := d.node.Propose(d.node.ActiveTerm(), "some.json", []byte(`{"a":1}`)); err != nil {
 		t.Fatal(err)
 	}
 	tell("agreed", d.ask("GET", "/v1/owner/agreed", "", http.StatusOK))
@@ -93,7 +93,7 @@
 	d.ask("POST", "/v1/owner/forget", `"nobody"`, http.StatusConflict)
 	d.ask("POST", "/v1/owner/step-down", `{}`, http.StatusConflict)
 	d.ask("POST", "/v1/owner/message", "no message", http.StatusUnprocessableEntity)
-	d.ask("POST", "/v1/owner/message", strings.Repeat("x", mostMessage+1), http.StatusUnprocessableEntity)
+	d.ask("POST", "/v1/owner/message", strings.Repeat("x", maxMessageBytes+1), http.StatusUnprocessableEntity)
 	d.ask("POST", "/v1/owner/change", `no JSON`, http.StatusConflict)
 	d.ask("POST", "/v1/owner/change", `{"number":1,"kind":"plan","to":{"plan":"x"},"stages":[{"per_mille":1000}],"pace":{"look_ms":1}}`, http.StatusConflict)
 	d.ask("POST", "/v1/owner/change", `{"number":0}`, http.StatusConflict)
@@ -107,7 +107,7 @@
 	}
 	tell("begun again", d.ask("POST", "/v1/owner/found",
 		`{"id":9,"names":{"9":"v1"},"again":true,"kept":{"reign":2,"owner":"v1","items":{"x":"eHl6"},"seq":{"x":3},"names":{"7":"v1"}},"term":5}`, http.StatusOK))
-	await(t, "it acts", func() bool { return d.node.May() != 0 })
+	await(t, "it acts", func() bool { return d.node.ActiveTerm() != 0 })
 	tell("agreed after that", d.ask("GET", "/v1/owner/agreed", "", http.StatusOK))
 	d.node.mu.Lock()
 	d.node.halted = errors.New("no space left")
@@ -173,12 +173,12 @@
 			t.Errorf("%s is read as %s, %v", text, again, err)
 		}
 	}
-	put(Command{ID: 3, From: 7, Reign: 5, Claim: "v1"}, &Command{})
-	put(Command{ID: 4, From: 7, Reign: 5, Name: "parts.json", Value: []byte("{}")}, &Command{})
-	put(Agreed{}, &Agreed{})
-	put(Agreed{Reign: 5, Owner: "v1", Items: map[string][]byte{"x": []byte("1")}, Seq: map[string]uint64{"x": 2}, Names: map[uint64]string{7: "v1"}}, &Agreed{})
-	put(View{Name: "v1", ID: 7, Reign: 5, Owner: "v1", May: true, Leader: "v1", Term: 6, Voters: []string{"v1"}, Halted: "no space"}, &View{})
-	put(founding{ID: 7, Names: map[uint64]string{7: "v1"}, Again: true, Kept: Agreed{Reign: 5}, Term: 6}, &founding{})
-	put(planned{Reign: 5, Count: 2, Digest: "ab", Why: "the first", Answer: solve.Answer{Method: "m", Status: "optimal"}}, &planned{})
+	put(Command{ID: 3, Proposer: 7, Term: 5, Candidate: "v1"}, &Command{})
+	put(Command{ID: 4, Proposer: 7, Term: 5, Item: "parts.json", Value: []byte("{}")}, &Command{})
+	put(State{}, &State{})
+	put(State{Term: 5, Leader: "v1", Items: map[string][]byte{"x": []byte("1")}, Versions: map[string]uint64{"x": 2}, Members: map[uint64]string{7: "v1"}}, &State{})
+	put(Status{Name: "v1", ID: 7, Term: 5, Leader: "v1", Active: true, RaftLeader: "v1", RaftTerm: 6, Voters: []string{"v1"}, Halted: "no space"}, &Status{})
+	put(bootstrapRequest{ID: 7, Members: map[uint64]string{7: "v1"}, Recover: true, State: State{Term: 5}, RaftTerm: 6}, &bootstrapRequest{})
+	put(planRecord{Term: 5, Sequence: 2, Digest: "ab", Reason: "the first", Answer: solve.Answer{Method: "m", Status: "optimal"}}, &planRecord{})
 	golden(t, "stored.txt", got.Bytes())
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -44,7 +44,7 @@
 // trace is one run: the seconds at which it planned, and a digest of the problems.
 func trace(t *testing.T, seed uint64) string {
 	r, sum := rand.New(rand.NewPCG(seed, 9)), fnv.New64a()
-	p := New(base, Pace{Every: 60e9, Least: 5e9}, 0)
+	p := New(base, Timing{MaxInterval: 60e9, MinInterval: 5e9}, 0)
 	var at []int64
 	rates := [2]float64{100, 5}
 	lists := [][]string{{"e1", "e2", "e3"}, {"e1", "e2", "e3"}, {"e1", "e2", "e3", "e9"}}
@@ -55,10 +55,10 @@
 		if r.IntN(15) == 0 {
 			lists[r.IntN(3)] = [][]string{{"e1"}, {"e1", "e2"}, {"e1", "e2", "e3"}, {"e3", "e9"}, nil}[r.IntN(5)]
 		}
-		s := Seen{Engines: lists, Rates: map[string]map[canary.Group]float64{
+		s := Observation{Engines: lists, Rates: map[string]map[canary.Group]float64{
 			"east": {{Type: "lookup", Tenant: "acme"}: rates[0], {Type: "report", Tenant: "acme"}: rates[1], {Type: "other", Tenant: "acme"}: 3},
 			"west": {{Type: "lookup", Tenant: "acme"}: 7, {Type: "lookup", Tenant: "nobody"}: 9}, "north": {{Type: "lookup", Tenant: "acme"}: 2}}}
-		q, why := p.Look(now, s)
+		q, why := p.Next(now, s)
 		if (q == nil) != (why == "") {
 			t.Fatalf("seed %d at %d: %v for %q", seed, now, q, why)
 		}
@@ -70,9 +70,9 @@
 			t.Fatal(err)
 		}
 		sum.Write(text)
-		fmt.Fprint(sum, p.Strange())
+		fmt.Fprint(sum, p.UnknownEngines())
 		at = append(at, now/1e9)
-		p.Solved(r.IntN(3) > 0)
+		p.ReportResult(r.IntN(3) > 0)
 	}
 	return fmt.Sprintf("%v %016x", at, sum.Sum64())
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -13,79 +13,79 @@
 )
 
 // Pace is how often the fleet is planned. In ns.
-type Pace struct {
-	Every int64 // at the latest
-	Least int64 // from one to the next, whatever changes
+type Timing struct {
+	MaxInterval int64 // at the latest
+	MinInterval int64 // from one to the next, whatever changes
 }
 
 const (
-	changed  = 1.5 // times more or less of a type from a zone, in threads: demand is another
-	counts   = 0.1 // of all threads asked for: less is not looked at
-	lookEach = 2   // in a row that have to show an engine's coming or going
-	slackPer = 1.2 // planned for so much more than is asked: what is asked rises and falls
+	loadChangeFactor = 1.5 // times more or less of a type from a zone, in threads: demand is another
+	minLoadFraction  = 0.1 // of all threads asked for: less is not looked at
+	confirmations    = 2   // in a row that have to show an engine's coming or going
+	demandMargin     = 1.2 // planned for so much more than is asked: what is asked rises and falls
 )
 
 // Planner is its owner's; a new owner begins with none, and plans at once when it knows what is asked.
 type Planner struct {
-	pace    Pace
-	base    solve.Problem // types, tenants, zones, what must hold, and all engines there may be
-	began   int64
-	tried   int64 // 0: never
-	failed  int   // in a row
-	asked   map[place]float64
-	engines []string
-	strange int // looks in a row with other engines
+	timing             Timing
+	base               solve.Problem // types, tenants, zones, what must hold, and all engines there may be
+	startedAt          int64
+	attemptedAt        int64 // 0: never
+	failures           int   // in a row
+	plannedLoad        map[loadSource]float64
+	plannedEngines     []string
+	changedEngineLists int // looks in a row with other engines
 }
 
 // place is a type's jobs from a zone.
-type place struct{ typ, zone string }
+type loadSource struct{ typ, zone string }
 
 // New begins from a problem of the operator's, whose demand counts for nothing.
-func New(base solve.Problem, p Pace, now int64) *Planner {
-	return &Planner{pace: p, base: base, began: now}
+func New(base solve.Problem, p Timing, now int64) *Planner {
+	return &Planner{timing: p, base: base, startedAt: now}
 }
 
 // Seen is what a look shows.
-type Seen struct {
+type Observation struct {
 	Rates   map[string]map[canary.Group]float64 // by zone of origin: jobs a second
 	Engines [][]string                          // each controller's that told: engines that are ready, in order
 }
 
 // Look tells the problem to solve now and why, or nil.
-func (p *Planner) Look(now int64, s Seen) (*solve.Problem, string) {
-	there, asked := there(s.Engines), p.threads(s.Rates)
-	if p.strange++; slices.Equal(there, p.engines) {
-		p.strange = 0
+func (p *Planner) Next(now int64, s Observation) (*solve.Problem, string) {
+	there, asked := readyEngines(s.Engines), p.threadLoad(s.Rates)
+	if p.changedEngineLists++; slices.Equal(there, p.plannedEngines) {
+		p.changedEngineLists = 0
 	}
 	why := ""
 	switch {
-	case len(there) == 0 || len(asked) == 0 || now-p.began < p.pace.Least: // too little is known yet
-	case p.tried != 0 && now-p.tried < p.pace.Least<<min(p.failed, 6):
-	case p.tried == 0:
+	case len(there) == 0 || len(asked) == 0 || now-p.startedAt < p.timing.MinInterval: // too little is known yet
+	case p.attemptedAt != 0 && now-p.attemptedAt < p.timing.MinInterval<<min(p.failures, 6):
+	case p.attemptedAt == 0:
 		why = "the first"
-	case p.strange >= lookEach:
-		why = fmt.Sprintf("%d engines, planned for were %d", len(there), len(p.engines))
-	case now-p.tried >= p.pace.Every:
+	case p.changedEngineLists >= confirmations:
+		why = fmt.Sprintf("%d engines, planned for were %d", len(there), len(p.plannedEngines))
+	case now-p.attemptedAt >= p.timing.MaxInterval:
 		why = "it is time"
 	default:
-		why = differs(p.asked, asked)
+		why = loadChange(p.plannedLoad, asked)
 	}
 	if why == "" {
 		return nil, ""
 	}
-	p.tried, p.asked, p.engines, p.strange = now, asked, there, 0
+	p.attemptedAt, p.plannedLoad, p.plannedEngines, p.changedEngineLists = now, asked, there, 0
 	return p.problem(s.Rates, there), why
 }
 
 // Solved takes in whether there is a plan; where there is none it is tried less and less often.
-func (p *Planner) Solved(is bool) {
-	if p.failed++; is {
-		p.failed = 0
+func (p *Planner) ReportResult(is bool) {
+	if p.failures++; is {
+		p.failures = 0
 	}
 }
 
 // there are the engines that most controllers see ready: one alone may have a list that is late.
-func there(lists [][]string) (names []string) {
+func readyEngines(lists [][]string) (names []string) {
 	count := map[string]int{}
 	for _, list := range lists {
 		for _, name := range list {
@@ -102,12 +102,12 @@
 }
 
 // threads are those asked for, by type and zone, as far as the problem knows them.
-func (p *Planner) threads(rates map[string]map[canary.Group]float64) map[place]float64 {
-	asked := map[place]float64{}
+func (p *Planner) threadLoad(rates map[string]map[canary.Group]float64) map[loadSource]float64 {
+	asked := map[loadSource]float64{}
 	for zone, by := range rates {
 		for _, g := range groups(by) {
 			if i := slices.IndexFunc(p.base.Types, func(t solve.Type) bool { return t.Name == g.Type }); i >= 0 {
-				asked[place{g.Type, zone}] += by[g] * float64(p.base.Types[i].WorkMS) / 1000
+				asked[loadSource{g.Type, zone}] += by[g] * float64(p.base.Types[i].WorkMS) / 1000
 			}
 		}
 	}
@@ -115,22 +115,22 @@
 }
 
 // differs tells what is asked for in other measure than was planned for.
-func differs(was, is map[place]float64) string {
-	var places []place
+func loadChange(was, is map[loadSource]float64) string {
+	var places []loadSource
 	all := 0.0
-	for _, m := range []map[place]float64{was, is} {
+	for _, m := range []map[loadSource]float64{was, is} {
 		for at := range m {
 			places = append(places, at)
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int { return cmp.Or(cmp.Compare(a.typ, b.typ), cmp.Compare(a.zone, b.zone)) })
+	slices.SortFunc(places, func(a, b loadSource) int { return cmp.Or(cmp.Compare(a.typ, b.typ), cmp.Compare(a.zone, b.zone)) })
 	places = slices.Compact(places)
 	for _, at := range places {
 		all += max(was[at], is[at])
 	}
 	for _, at := range places {
 		a, b := was[at], is[at]
-		if max(a, b) > counts*all && max(a, b) > changed*max(1e-9, min(a, b)) {
+		if max(a, b) > minLoadFraction*all && max(a, b) > loadChangeFactor*max(1e-9, min(a, b)) {
 			return fmt.Sprintf("%s from %q asks for %.1f threads, planned for were %.1f", at.typ, at.zone, b, a)
 		}
 	}
@@ -158,7 +158,7 @@
 		for _, g := range groups(rates[zone]) {
 			known := slices.ContainsFunc(p.base.Types, func(t solve.Type) bool { return t.Name == g.Type }) &&
 				slices.ContainsFunc(p.base.Tenants, func(t solve.Tenant) bool { return t.Name == g.Tenant })
-			if n := int64(math.Ceil(rates[zone][g] * 1000 * slackPer)); known && n > 0 {
+			if n := int64(math.Ceil(rates[zone][g] * 1000 * demandMargin)); known && n > 0 {
 				q.Demand = append(q.Demand, solve.Demand{Type: g.Type, Tenant: g.Tenant, Zone: zone, JobsPer1000S: n})
 			}
 		}
@@ -167,8 +167,8 @@
 }
 
 // Strange are engines that are there and that the problem does not know: nothing is planned for them.
-func (p *Planner) Strange() (names []string) {
-	for _, name := range p.engines {
+func (p *Planner) UnknownEngines() (names []string) {
+	for _, name := range p.plannedEngines {
 		if !slices.ContainsFunc(p.base.Engines, func(e solve.Engine) bool { return e.Name == name }) {
 			names = append(names, name)
 		}
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -15,21 +15,21 @@
 	Tenants: []solve.Tenant{{Name: "acme"}}, Zones: []solve.Zone{{Name: "east"}, {Name: "west"}},
 }
 
-func seen(lookups, reports float64, engines ...string) Seen {
-	return Seen{Rates: map[string]map[canary.Group]float64{"east": {{Type: "lookup", Tenant: "acme"}: lookups, {Type: "report", Tenant: "acme"}: reports}},
+func seen(lookups, reports float64, engines ...string) Observation {
+	return Observation{Rates: map[string]map[canary.Group]float64{"east": {{Type: "lookup", Tenant: "acme"}: lookups, {Type: "report", Tenant: "acme"}: reports}},
 		Engines: [][]string{engines, engines, {"e1"}}}
 }
 
 func TestTheFleetIsPlannedWhenSomethingIsOther(t *testing.T) {
-	p := New(base, Pace{Every: 180e9, Least: 10e9}, 0)
-	want := func(at int64, s Seen, why string) *solve.Problem {
+	p := New(base, Timing{MaxInterval: 180e9, MinInterval: 10e9}, 0)
+	want := func(at int64, s Observation, why string) *solve.Problem {
 		t.Helper()
-		q, got := p.Look(at, s)
+		q, got := p.Next(at, s)
 		if (why == "") != (q == nil) || !strings.Contains(got, why) {
 			t.Errorf("at %d: %q, wanted %q", at/1e9, got, why)
 		}
 		if q != nil {
-			p.Solved(true)
+			p.ReportResult(true)
 		}
 		return q
 	}
@@ -50,26 +50,26 @@
 	}
 	want(100e9, seen(100, 8, "e1", "e3"), "")
 	want(242e9, seen(100, 8, "e1", "e3"), "it is time")
-	want(260e9, Seen{}, "") // nobody tells: nothing is planned for no engines
+	want(260e9, Observation{}, "") // nobody tells: nothing is planned for no engines
 	if len(base.Demand) != 0 || len(base.Engines) != 3 {
 		t.Error("the operator's problem is written to")
 	}
 }
 
 func TestOneListThatIsLateIsNotBelievedAndStrangeEnginesAreNamed(t *testing.T) {
-	p := New(base, Pace{Every: 180e9, Least: 1}, 0)
-	q, _ := p.Look(1e9, Seen{Rates: seen(1, 1).Rates, Engines: [][]string{{"e1", "e2"}, {"e1", "e2", "e3"}, {"e1", "e9"}, {"e1", "e2", "e9"}, {"e1", "e9"}}})
-	if fmt.Sprint(names(q.Engines)) != "[e1 e2]" || fmt.Sprint(p.Strange()) != "[e9]" {
-		t.Errorf("%v, strange %v", names(q.Engines), p.Strange())
+	p := New(base, Timing{MaxInterval: 180e9, MinInterval: 1}, 0)
+	q, _ := p.Next(1e9, Observation{Rates: seen(1, 1).Rates, Engines: [][]string{{"e1", "e2"}, {"e1", "e2", "e3"}, {"e1", "e9"}, {"e1", "e2", "e9"}, {"e1", "e9"}}})
+	if fmt.Sprint(names(q.Engines)) != "[e1 e2]" || fmt.Sprint(p.UnknownEngines()) != "[e9]" {
+		t.Errorf("%v, strange %v", names(q.Engines), p.UnknownEngines())
 	}
 }
 
 func TestWhatDoesNotFitIsTriedLessAndLessOften(t *testing.T) {
-	p := New(base, Pace{Every: 1e9, Least: 1e9}, 0)
+	p := New(base, Timing{MaxInterval: 1e9, MinInterval: 1e9}, 0)
 	tries := []int64{}
 	for now := int64(0); now < 300e9; now += 1e9 {
-		if q, _ := p.Look(now, seen(100, 5, "e1")); q != nil {
-			p.Solved(false)
+		if q, _ := p.Next(now, seen(100, 5, "e1")); q != nil {
+			p.ReportResult(false)
 			tries = append(tries, now/1e9)
 		}
 	}
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -43,7 +43,7 @@
 	name  string
 	began time.Time
 	mu    sync.Mutex
-	word  assignment.Held
+	word  assignment.Accepted
 	words int
 }
 
@@ -52,7 +52,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n := uint64(time.Since(s.began).Seconds()*jobsASec) + 1
-		st := supervisor.Status{Format: change.Format, Name: s.name, Life: s.name, BootNS: monotonic.Now(), Word: s.word.At(monotonic.Now()), Serves: true, EngineCount: 300, Started: 1, Work: map[canary.Group]canary.Work{}}
+		st := supervisor.Status{Format: change.Format, Name: s.name, Life: s.name, BootNS: monotonic.Now(), Word: s.word.ValidAt(monotonic.Now()), Serves: true, EngineCount: 300, Started: 1, Work: map[canary.Group]canary.Work{}}
 		for g := range groupsOf {
 			took := make([]uint64, tellsUpTo)
 			took[g*5] = n
@@ -61,11 +61,11 @@
 		json.NewEncoder(w).Encode(st)
 	})
 	mux.HandleFunc("POST /v1/word", func(w http.ResponseWriter, r *http.Request) {
-		word, err := assignment.ReadWord(r.Body)
+		word, err := assignment.Read(r.Body)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if err == nil {
-			s.word, err = s.word.Take(word, s.name, s.name, monotonic.Now())
+			s.word, err = s.word.Accept(word, s.name, s.name, monotonic.Now())
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
@@ -119,7 +119,7 @@
 	for _, m := range f.Fleet.Members {
 		addr[m.Name] = m.At()
 	}
-	node, err := leader.Open(as, filepath.Join(filepath.Dir(file), as+".db"), addr, leader.Usual())
+	node, err := leader.Open(as, filepath.Join(filepath.Dir(file), as+".db"), addr, leader.DefaultTiming())
 	if err != nil {
 		return err
 	}
@@ -129,8 +129,8 @@
 	}
 	mux := http.NewServeMux()
 	(&stub{name: as, began: time.Now()}).handler(mux)
-	node.Handle(mux)
-	d.Handle(mux)
+	node.RegisterHandlers(mux)
+	d.RegisterHandlers(mux)
 	l, err := net.Listen("tcp4", m.Listen)
 	if err != nil {
 		return err
@@ -229,12 +229,12 @@
 			if a, err := http.Post("http://"+m.Listen+"/v1/owner/found", "application/json", strings.NewReader(string(text))); err == nil {
 				a.Body.Close() // 409: it is a member already
 			}
-			var v leader.View
+			var v leader.Status
 			if a, err := http.Get("http://" + m.Listen + "/v1/owner"); err == nil {
 				json.NewDecoder(a.Body).Decode(&v)
 				a.Body.Close()
 			}
-			if v.May {
+			if v.Active {
 				acts = i
 			}
 		}
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -219,8 +219,8 @@
 func (p *play) owner(not string) (m *testcluster.Member, err error) {
 	err = p.town.Await(20*time.Second, func() bool {
 		for _, x := range p.town.Members[:min(voters, len(p.town.Members))] {
-			var v leader.View
-			if x.Name != not && !slices.Contains(p.asleep, x) && p.town.Get(x, "/v1/owner", &v) == nil && v.May {
+			var v leader.Status
+			if x.Name != not && !slices.Contains(p.asleep, x) && p.town.Get(x, "/v1/owner", &v) == nil && v.Active {
 				m = x
 				return true
 			}
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -56,7 +56,7 @@
 // oneByOne has every voter lose its memory, one after the other, under load; each is taken in under a new number.
 func (p *play) oneByOne() error {
 	for _, m := range p.town.Members[:voters] {
-		var was, is leader.View
+		var was, is leader.Status
 		if err := p.town.Get(m, "/v1/owner", &was); err != nil {
 			return err
 		}
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -45,7 +45,7 @@
 	if err := p.cli("fleet", "found"); err != nil {
 		return err
 	}
-	var first, last leader.View
+	var first, last leader.Status
 	m, err := p.owner("")
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	if err := town.Get(m, "/v1/owner", &last); err != nil {
 		return err
 	}
-	fmt.Printf("real processes beside that, all cores busy: the owner of 3 voters changed %d times in %.0f s\n", last.Reign-first.Reign, span.Seconds())
+	fmt.Printf("real processes beside that, all cores busy: the owner of 3 voters changed %d times in %.0f s\n", last.Term-first.Term, span.Seconds())
 	return town.Stop()
 }
 
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -49,22 +49,22 @@
 
 // A ledger takes over from the record as it was written before: nothing of it is given twice until it has ended.
 func TestALedgerGoesOnFromARecordOfAnEarlierProgram(t *testing.T) {
-	want := map[string]Share{"a": {Fleet: 700_000, Quota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
+	want := map[string]Shares{"a": {Fleet: 700_000, TenantQuota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
 	l := NewLedger(Record{}, 5000, 0)
-	first, _ := l.Next(want, 1)
+	first, _ := l.NextRecord(want, 1)
 	var r Record
 	if err := json.Unmarshal(golden(t, "record.json", marshal(t, first)), &r); err != nil {
 		t.Fatal(err)
 	}
 	l = NewLedger(r, 5000, 1000)
-	other := map[string]Share{"a": {Fleet: 100_000}, "b": {Fleet: 900_000}}
-	next, _ := l.Next(other, 1001)
+	other := map[string]Shares{"a": {Fleet: 100_000}, "b": {Fleet: 900_000}}
+	next, _ := l.NextRecord(other, 1001)
 	golden(t, "record-next.json", marshal(t, next))
-	l.Agreed(next)
-	if got := l.Give("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
+	l.Commit(next)
+	if got := l.Grant("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
 		t.Errorf("%v is given while the part before is out", got)
 	}
-	next, _ = l.Next(other, 1000+5000+250)
+	next, _ = l.NextRecord(other, 1000+5000+250)
 	golden(t, "record-ended.json", marshal(t, next))
 }
 
@@ -80,46 +80,46 @@
 
 func ledgerTrace(t *testing.T, seed uint64) string {
 	r, trace := rand.New(rand.NewPCG(seed, 7)), fnv.New64a()
-	members, of := []string{"a", "b", "c", "d"}, []Of{Fleet, Quota("x"), Quota("y")}
+	members, of := []string{"a", "b", "c", "d"}, []Resource{Fleet, TenantQuota("x"), TenantQuota("y")}
 	l, count := NewLedger(Record{}, 5000, 0), int64(0)
 	var last []byte
 	for now := int64(0); now < 60_000; now += 500 {
-		want := map[string]Share{}
+		want := map[string]Shares{}
 		for _, o := range of {
-			left := int64(Whole)
+			left := int64(FullShare)
 			for _, m := range members {
 				if r.IntN(8) > 0 {
 					if want[m] == nil {
-						want[m] = Share{}
+						want[m] = Shares{}
 					}
 					n := r.Int64N(left + 1)
 					want[m][o], left = n, left-n
 				}
 			}
 		}
-		next, differs := l.Next(want, now)
+		next, differs := l.NextRecord(want, now)
 		fmt.Fprint(trace, now, differs)
 		last = marshal(t, next)
 		trace.Write(last)
 		switch r.IntN(6) {
 		case 0:
-			l.Doubt()
+			l.MarkUncertain()
 		case 1:
 			l = NewLedger(next, 5000, now)
 		default:
-			l.Agreed(next)
+			l.Commit(next)
 		}
 		for _, m := range members {
 			if r.IntN(3) > 0 {
 				count++
-				trace.Write(marshal(t, l.Give(m, want[m], now, count)))
+				trace.Write(marshal(t, l.Grant(m, want[m], now, count)))
 			}
 			if r.IntN(3) > 0 {
-				l.Holds(m, count-r.Int64N(5))
+				l.Confirm(m, count-r.Int64N(5))
 			}
 		}
 		if r.IntN(4) == 0 {
-			l.Forget(now)
+			l.DropExpired(now)
 		}
 		trace.Write(marshal(t, l.Clone().Record()))
 	}
@@ -131,12 +131,12 @@
 	d := NewDemand()
 	var last []byte
 	for now := int64(1e9); now < 120e9; now += 1e9 {
-		var seen []Seen
+		var seen []Observation
 		for _, m := range []string{"a", "b", "c", "d"} {
 			if r.IntN(20) == 0 {
 				continue
 			}
-			s := Seen{Member: m, Heard: r.IntN(10) > 0, Span: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.Work{}}
+			s := Observation{Member: m, Reachable: r.IntN(10) > 0, Interval: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.Work{}}
 			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}} {
 				if r.IntN(3) == 0 {
 					n := uint64(r.IntN(400))
@@ -145,8 +145,8 @@
 			}
 			seen = append(seen, s)
 		}
-		d.Look(now, seen, func(took []uint64) float64 { return float64(1 + len(took)*int(took[0]%7)) })
-		last = marshal(t, d.Want(now))
+		d.Observe(now, seen, func(took []uint64) float64 { return float64(1 + len(took)*int(took[0]%7)) })
+		last = marshal(t, d.Targets(now))
 		trace.Write(last)
 		for _, m := range []string{"a", "b", "c", "d"} {
 			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}} {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -13,7 +13,7 @@
 type holder struct {
 	drift float64
 	off   int64
-	share Share
+	share Shares
 	until int64 // its own time
 	reign int
 	count int64
@@ -25,7 +25,7 @@
 	to    int
 	reign int
 	count int64
-	share Share
+	share Shares
 	until int64
 	at    int64 // when it arrives
 }
@@ -55,15 +55,15 @@
 	for i := range holders {
 		holders[i] = holder{drift: 1 + 0.04*(r.Float64()-0.5), off: r.Int64N(1e9)}
 	}
-	ofs := []Of{Fleet, Quota("a"), Quota("")}
-	draw := func() map[string]Share {
-		want := map[string]Share{}
+	ofs := []Resource{Fleet, TenantQuota("a"), TenantQuota("")}
+	draw := func() map[string]Shares {
+		want := map[string]Shares{}
 		for _, of := range ofs {
-			left := int64(Whole)
+			left := int64(FullShare)
 			for i := range n {
 				name := fmt.Sprint("c", i)
 				if want[name] == nil {
-					want[name] = Share{}
+					want[name] = Shares{}
 				}
 				p := r.Int64N(left + 1)
 				want[name][of], left = p, left-p
@@ -89,19 +89,19 @@
 				if h := &holders[i]; r.IntN(5) > 0 {
 					heard[i] = h.time(now - r.Int64N(400)) // its answer took a while
 					if h.reign == reign {
-						ledger.Holds(fmt.Sprint("c", i), h.count)
+						ledger.Confirm(fmt.Sprint("c", i), h.count)
 					}
 				}
 			}
-			if next, differs := ledger.Next(want, now); differs && r.IntN(6) > 0 { // else it is not agreed
+			if next, differs := ledger.NextRecord(want, now); differs && r.IntN(6) > 0 { // else it is not agreed
 				agreed = next
-				ledger.Agreed(next)
+				ledger.Commit(next)
 				moved++
 			}
 			for i := range holders {
 				if stamp, is := heard[i]; is {
 					count++
-					g := given{i, reign, count, ledger.Give(fmt.Sprint("c", i), want[fmt.Sprint("c", i)], now, count), stamp + life, now + r.Int64N(3000)}
+					g := given{i, reign, count, ledger.Grant(fmt.Sprint("c", i), want[fmt.Sprint("c", i)], now, count), stamp + life, now + r.Int64N(3000)}
 					if r.IntN(5) > 0 {
 						sky = append(sky, g)
 					}
@@ -111,7 +111,7 @@
 					}
 				}
 			}
-			ledger.Forget(now)
+			ledger.DropExpired(now)
 		}
 		var later []given
 		for _, g := range sky {
@@ -131,10 +131,10 @@
 					out += h.share[of]
 				}
 			}
-			for _, s := range agreed.Caps {
+			for _, s := range agreed.Limits {
 				caps += s[of]
 			}
-			if out > Whole || caps > Whole {
+			if out > FullShare || caps > FullShare {
 				return fmt.Sprintf("at %d %d of %s are out, %d are agreed", now, out, of, caps)
 			}
 		}
@@ -148,23 +148,23 @@
 // A record whose write timed out may be agreed later: one that is wanted no more must be written over before anything is given.
 func TestARecordInDoubtIsWrittenOver(t *testing.T) {
 	l := NewLedger(Record{}, 5000, 0)
-	want := map[string]Share{"a": {Fleet: 700_000}, "b": {Fleet: 300_000}}
-	r, differs := l.Next(want, 1)
-	if l.Agreed(r); !differs {
+	want := map[string]Shares{"a": {Fleet: 700_000}, "b": {Fleet: 300_000}}
+	r, differs := l.NextRecord(want, 1)
+	if l.Commit(r); !differs {
 		t.Error("the first is not written")
 	}
-	if _, differs := l.Next(want, 2); differs {
+	if _, differs := l.NextRecord(want, 2); differs {
 		t.Error("what is agreed is written again")
 	}
-	if _, differs := l.Next(map[string]Share{"a": {Fleet: 300_000}}, 3); !differs {
+	if _, differs := l.NextRecord(map[string]Shares{"a": {Fleet: 300_000}}, 3); !differs {
 		t.Error("a change is not written")
 	}
-	l.Doubt() // it timed out, and what was wanted before is wanted again
-	r, differs = l.Next(want, 4)
+	l.MarkUncertain() // it timed out, and what was wanted before is wanted again
+	r, differs = l.NextRecord(want, 4)
 	if !differs {
 		t.Error("nothing is written over it")
 	}
-	if l.Agreed(r); l.Give("a", want["a"], 5, 1)[Fleet] != 700_000 {
+	if l.Commit(r); l.Grant("a", want["a"], 5, 1)[Fleet] != 700_000 {
 		t.Error("it is not given once it is agreed")
 	}
 }
@@ -172,21 +172,21 @@
 // What is wanted comes to be, once what was out has ended or been given back.
 func TestPartsConverge(t *testing.T) {
 	l := NewLedger(Record{}, 5000, 0)
-	two := func(a, b int64) map[string]Share { return map[string]Share{"a": {Fleet: a}, "b": {Fleet: b}} }
+	two := func(a, b int64) map[string]Shares { return map[string]Shares{"a": {Fleet: a}, "b": {Fleet: b}} }
 	count := int64(0)
-	turn := func(now int64, want map[string]Share, heard bool) (got Share) {
+	turn := func(now int64, want map[string]Shares, heard bool) (got Shares) {
 		if heard && count > 0 {
-			l.Holds("a", count-1)
-			l.Holds("b", count)
+			l.Confirm("a", count-1)
+			l.Confirm("b", count)
 		}
-		if r, differs := l.Next(want, now); differs {
-			l.Agreed(r)
+		if r, differs := l.NextRecord(want, now); differs {
+			l.Commit(r)
 		}
 		if heard {
-			l.Give("a", want["a"], now, count+1)
+			l.Grant("a", want["a"], now, count+1)
 		}
 		count += 2
-		return l.Give("b", want["b"], now, count)
+		return l.Grant("b", want["b"], now, count)
 	}
 	if got := turn(1000, two(900_000, 100_000), true); got[Fleet] != 100_000 {
 		t.Errorf("%v", got)
@@ -201,11 +201,11 @@
 	turn(4000, two(800_000, 200_000), true)
 	turn(5000, two(800_000, 200_000), true)
 	for now := int64(6000); now < 5000+5250; now += 1000 {
-		if got := turn(now, two(0, Whole), false); got[Fleet] != 200_000 {
+		if got := turn(now, two(0, FullShare), false); got[Fleet] != 200_000 {
 			t.Errorf("at %d: %v", now, got)
 		}
 	}
-	if got := turn(5000+5251, two(0, Whole), false); got[Fleet] != Whole {
+	if got := turn(5000+5251, two(0, FullShare), false); got[Fleet] != FullShare {
 		t.Errorf("%v, %v", got, l.Record())
 	}
 }
@@ -216,43 +216,43 @@
 	d := NewDemand()
 	g, other := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	look := func(now int64, a, b uint64, heard bool) {
-		d.Look(now, []Seen{{Member: "a", Heard: true, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: a, Done: a}}},
-			{Member: "b", Heard: heard, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
-			{Member: "c", Heard: true, Span: 1e9}}, half)
+		d.Observe(now, []Observation{{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: a, Done: a}}},
+			{Member: "b", Reachable: heard, Interval: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
+			{Member: "c", Reachable: true, Interval: 1e9}}, half)
 	}
 	for now := int64(1e9); now <= 60e9; now += 1e9 {
 		look(now, 80, 10, true)
 	}
-	want := d.Want(60e9)
+	want := d.Targets(60e9)
 	sum := int64(0)
 	for _, m := range []string{"a", "b", "c"} {
 		sum += want[m][Fleet]
 	}
-	if sum > Whole || sum < Whole-3 || want["a"][Fleet] < 600_000 || want["c"][Fleet] < 50_000 || want["b"][Quota("bee")] < 800_000 || want["a"][Quota("acme")] < 700_000 {
+	if sum > FullShare || sum < FullShare-3 || want["a"][Fleet] < 600_000 || want["c"][Fleet] < 50_000 || want["b"][TenantQuota("bee")] < 800_000 || want["a"][TenantQuota("acme")] < 700_000 {
 		t.Errorf("%v", want)
 	}
 	for now := int64(61e9); now < 64e9; now += 1e9 { // what changes by little changes nothing
-		if look(now, 80, 12, true); fmt.Sprint(d.Want(now)) != fmt.Sprint(want) {
-			t.Errorf("at %d: %v", now, d.Want(now))
+		if look(now, 80, 12, true); fmt.Sprint(d.Targets(now)) != fmt.Sprint(want) {
+			t.Errorf("at %d: %v", now, d.Targets(now))
 		}
 	}
 	for now := int64(64e9); now < 90e9; now += 1e9 {
 		look(now, 80, 0, false)
 	}
-	if got := d.Want(90e9); got["b"] == nil || got["b"][Fleet] > Whole/3+1 {
+	if got := d.Targets(90e9); got["b"] == nil || got["b"][Fleet] > FullShare/3+1 {
 		t.Errorf("one that is not heard: %v", got)
 	}
-	look(63e9+reserved, 80, 0, false)
-	if got := d.Want(63e9 + reserved); got["b"] != nil || got["a"][Fleet] < 700_000 {
+	look(63e9+unseenTimeout, 80, 0, false)
+	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][Fleet] < 700_000 {
 		t.Errorf("long not heard: %v", got)
 	}
-	d.Look(200e9, []Seen{{Member: "a", Heard: true}}, half)
+	d.Observe(200e9, []Observation{{Member: "a", Reachable: true}}, half)
 	if len(d.members) != 1 {
 		t.Errorf("%d are remembered", len(d.members))
 	}
 	if got := NewDemand(); true {
-		got.Look(1, []Seen{{Member: "a", Heard: true}, {Member: "b", Heard: true}}, half)
-		if w := got.Want(1); w["a"][Fleet] != Whole/2 || w["b"][Fleet] != Whole/2 {
+		got.Observe(1, []Observation{{Member: "a", Reachable: true}, {Member: "b", Reachable: true}}, half)
+		if w := got.Targets(1); w["a"][Fleet] != FullShare/2 || w["b"][Fleet] != FullShare/2 {
 			t.Errorf("nothing asked: %v", w)
 		}
 	}
--- a/internal/solve/binding.go
+++ b/internal/solve/binding.go
@@ -28,8 +28,8 @@
 			if f.sol != nil && f.value > out.got.value {
 				list = append(list, Binding{what, unit, f.value - out.got.value, f.bound <= f.value && out.proved[0]})
 			}
-		} else if y := out.marks; row >= 0 && int(row) < len(y.By) && y.Scale > 0 {
-			if by := y.By[row]; max(by, -by) >= y.Scale {
+		} else if y := out.marks; row >= 0 && int(row) < len(y.Values) && y.Scale > 0 {
+			if by := y.Values[row]; max(by, -by) >= y.Scale {
 				list = append(list, Binding{what, unit, max(by, -by) / y.Scale, false})
 			}
 		}
--- a/internal/solve/dive.go
+++ b/internal/solve/dive.go
@@ -23,54 +23,54 @@
 func (s *master) dive(settled []int64, almost float64, stop func() bool) []int64 {
 	lows, highs := make([]int64, len(s.cols)), make([]int64, len(s.cols))
 	for j := range s.cols {
-		lows[j], highs[j] = s.prog.Cols[j].Lo, s.prog.Cols[j].Hi
+		lows[j], highs[j] = s.prog.Columns[j].Lower, s.prog.Columns[j].Upper
 	}
 	defer func() {
 		for j := range s.cols {
 			if j < len(lows) {
-				s.prog.Cols[j].Lo, s.prog.Cols[j].Hi = lows[j], highs[j]
+				s.prog.Columns[j].Lower, s.prog.Columns[j].Upper = lows[j], highs[j]
 			} else {
-				s.prog.Cols[j].Lo, s.prog.Cols[j].Hi = 0, int64(len(s.clusters[s.cols[j].cluster].engines))
+				s.prog.Columns[j].Lower, s.prog.Columns[j].Upper = 0, int64(len(s.clusters[s.cols[j].cluster].engines))
 			}
 		}
 	}()
 	for j, n := range settled {
 		if s.cols[j].cluster >= 0 {
-			s.prog.Cols[j].Lo = n
+			s.prog.Columns[j].Lower = n
 		}
 	}
 	lp := ilp.NewLP(s.prog)
-	if lp.Solve(stop) != ilp.Best {
+	if lp.Solve(stop) != ilp.Optimal {
 		return nil
 	}
 	for {
-		left := s.left(lp.At())
+		left := s.left(lp.Values())
 		s.close(left)
-		lp.Grow()
+		lp.Refresh()
 		if !s.refine(lp, left, stop) {
 			return nil
 		}
-		if !s.settle(lp.At(), almost) {
+		if !s.settle(lp.Values(), almost) {
 			break
 		}
-		lp.Grow()
+		lp.Refresh()
 	}
 	for j, of := range s.cols {
 		if of.cluster >= 0 {
-			s.prog.Cols[j].Hi = s.prog.Cols[j].Lo
+			s.prog.Columns[j].Upper = s.prog.Columns[j].Lower
 		}
 	}
 	search := ilp.NewSearch(s.prog)
-	search.Stop, search.Nodes = stop, lastNodes
-	return search.Run().X
+	search.Stop, search.MaxNodes = stop, lastNodes
+	return search.Run().Values
 }
 
 // refine solves and adds patterns for what is left, some rounds.
 func (s *master) refine(lp *ilp.LP, left []int64, stop func() bool) bool {
 	for round := 0; ; round++ {
 		ended := lp.Solve(stop)
-		if ended != ilp.Best || round >= diveRounds {
-			return ended == ilp.Best
+		if ended != ilp.Optimal || round >= diveRounds {
+			return ended == ilp.Optimal
 		}
 		y := lp.Multipliers(ended)
 		added := 0
@@ -79,7 +79,7 @@
 				continue
 			}
 			counts, worth := s.packLeft(c, y, left)
-			if worth > y.By[s.convex+int32(c)] {
+			if worth > y.Values[s.convex+int32(c)] {
 				before := len(s.cols)
 				s.pattern(c, counts)
 				added += len(s.cols) - before
@@ -88,7 +88,7 @@
 		if added == 0 {
 			return true
 		}
-		lp.Grow()
+		lp.Refresh()
 	}
 }
 
@@ -96,7 +96,7 @@
 func (s *master) settled(c int) (n int64) {
 	for j, of := range s.cols {
 		if of.cluster == c {
-			n += s.prog.Cols[j].Lo
+			n += s.prog.Columns[j].Lower
 		}
 	}
 	return n
@@ -109,17 +109,17 @@
 		if of.cluster < 0 {
 			continue
 		}
-		c := &s.prog.Cols[j]
-		over := at[j] - float64(c.Lo)
+		c := &s.prog.Columns[j]
+		over := at[j] - float64(c.Lower)
 		if n := int64(math.Floor(over + 1 - almost)); n > 0 {
-			c.Lo += n
+			c.Lower += n
 			any = true
 		} else if over > most {
 			best, most = j, over
 		}
 	}
 	if !any && best >= 0 {
-		s.prog.Cols[best].Lo++
+		s.prog.Columns[best].Lower++
 	}
 	return any || best >= 0
 }
@@ -140,7 +140,7 @@
 	for j, of := range s.cols {
 		if of.cluster >= 0 {
 			for k, n := range of.counts {
-				left[k] -= n * s.prog.Cols[j].Lo
+				left[k] -= n * s.prog.Columns[j].Lower
 			}
 		}
 	}
@@ -153,9 +153,9 @@
 		if of.cluster < 0 {
 			continue
 		}
-		c := &s.prog.Cols[j]
-		if c.Hi = int64(len(s.clusters[of.cluster].engines)); !fitsLeft(of.counts, left) {
-			c.Hi = c.Lo
+		c := &s.prog.Columns[j]
+		if c.Upper = int64(len(s.clusters[of.cluster].engines)); !fitsLeft(of.counts, left) {
+			c.Upper = c.Lower
 		}
 	}
 }
@@ -196,13 +196,13 @@
 		return 0, false
 	}
 	pc := m.pieces[k]
-	col := ilp.Col{Rows: []int32{s.link + int32(k), s.budget + int32(pc.zone), s.cost},
-		By: []int64{-1, cl.group.bytes[k], cl.group.cost[k]}, Obj: -s.dear * cl.group.cost[k]}
+	col := ilp.Column{Rows: []int32{s.link + int32(k), s.budget + int32(pc.zone), s.cost},
+		Coefficients: []int64{-1, cl.group.bytes[k], cl.group.cost[k]}, Objective: -s.dear * cl.group.cost[k]}
 	if !m.placed(pc.typ, cl.group) {
-		col.Rows, col.By = append(col.Rows, s.outside+int32(pc.typ)), append(col.By, 1)
+		col.Rows, col.Coefficients = append(col.Rows, s.outside+int32(pc.typ)), append(col.Coefficients, 1)
 	}
-	d, known := y.Reduced(&col)
-	return d, known && d < ilp.Largest/max(1, 2*cl.threads)
+	d, known := y.ReducedObjective(&col)
+	return d, known && d < ilp.MaxMagnitude/max(1, 2*cl.threads)
 }
 
 // chance settles which engines are freed; the same at every run.
--- a/internal/solve/generate.go
+++ b/internal/solve/generate.go
@@ -24,20 +24,20 @@
 		added := 0
 		for c := range s.clusters {
 			counts, worth, most := s.pack(c, y)
-			if worth > y.By[s.convex+int32(c)] {
+			if worth > y.Values[s.convex+int32(c)] {
 				before := len(s.cols)
 				s.pattern(c, counts)
 				added += len(s.cols) - before
 			}
-			y.By[s.convex+int32(c)] = most
+			y.Values[s.convex+int32(c)] = most
 		}
-		if b, known := s.prog.Bound(y); known && (ended == ilp.Best || b < 0) {
+		if b, known := s.prog.Bound(y); known && (ended == ilp.Optimal || b < 0) {
 			bound = min(bound, b) // with no fit: nothing at all fits, as b tells
 		}
 		if added == 0 {
 			return bound, y
 		}
-		lp.Grow()
+		lp.Refresh()
 	}
 	return bound, y
 }
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -106,12 +106,12 @@
 	s.link = rows(len(m.pieces), func(int) ilp.Row { return ilp.Row{} })
 	s.quota = rows(len(m.p.Tenants), func(i int) ilp.Row { return ilp.Row{Bound: most(h.quota[i], m.asked(-1, i))} })
 	s.floors = rows(len(h.floors), func(i int) ilp.Row {
-		return ilp.Row{Sense: ilp.AtLeast, Bound: h.floors[i].threads}
+		return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: h.floors[i].threads}
 	})
 	s.budget = rows(len(m.p.Zones), func(i int) ilp.Row { return ilp.Row{Bound: most(h.budget[i], m.mostBytes())} })
 	s.outside = rows(len(m.p.Types), func(i int) ilp.Row { return ilp.Row{Bound: most(h.outside[i], m.fleet)} })
 	s.cost = rows(1, func(int) ilp.Row { return ilp.Row{Bound: most(h.cost, m.mostCost())} })
-	s.value = rows(1, func(int) ilp.Row { return ilp.Row{Sense: ilp.AtLeast, Bound: h.value} })
+	s.value = rows(1, func(int) ilp.Row { return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: h.value} })
 	s.addWants()
 	s.addPatterns()
 	return s
@@ -131,7 +131,7 @@
 		rows = append(rows, s.value)
 		add := func(most, worth int64, part bool) {
 			if most > 0 {
-				s.prog.Cols = append(s.prog.Cols, ilp.Col{Hi: most, Rows: rows, By: append(slices.Clone(by), worth)})
+				s.prog.Columns = append(s.prog.Columns, ilp.Column{Upper: most, Rows: rows, Coefficients: append(slices.Clone(by), worth)})
 				s.cols = append(s.cols, meaning{cluster: -1, want: i, part: part})
 			}
 		}
@@ -139,7 +139,7 @@
 		add(w.threads-w.full, w.partial, true)
 	}
 	for k, f := range s.h.floors {
-		s.prog.Cols = append(s.prog.Cols, ilp.Col{Hi: f.threads, Rows: []int32{s.floors + int32(k)}, By: []int64{1}})
+		s.prog.Columns = append(s.prog.Columns, ilp.Column{Upper: f.threads, Rows: []int32{s.floors + int32(k)}, Coefficients: []int64{1}})
 		s.cols = append(s.cols, meaning{cluster: -1, want: -1})
 	}
 }
@@ -245,23 +245,23 @@
 		return j
 	}
 	m, cl := s.m, &s.clusters[c]
-	col := ilp.Col{Hi: int64(len(cl.engines)), First: true}
+	col := ilp.Column{Upper: int64(len(cl.engines)), BranchFirst: true}
 	put := func(row int32, by int64) {
 		if by == 0 {
 			return
 		}
 		if i := slices.Index(col.Rows, row); i >= 0 {
-			col.By[i] += by
+			col.Coefficients[i] += by
 			return
 		}
-		col.Rows, col.By = append(col.Rows, row), append(col.By, by)
+		col.Rows, col.Coefficients = append(col.Rows, row), append(col.Coefficients, by)
 	}
 	put(s.convex+int32(c), 1)
 	for k, n := range counts {
 		pc := m.pieces[k]
 		if s.compact && n > 0 {
 			put(s.memory+int32(c), m.memory[pc.typ])
-			col.Hi = s.most(cl, k)
+			col.Upper = s.most(cl, k)
 		}
 		put(s.link+int32(k), -n)
 		put(s.budget+int32(pc.zone), n*cl.group.bytes[k])
@@ -272,7 +272,7 @@
 	}
 	j := len(s.cols)
 	s.known[c][string(key)] = j
-	s.prog.Cols = append(s.prog.Cols, col)
+	s.prog.Columns = append(s.prog.Columns, col)
 	s.cols = append(s.cols, meaning{cluster: c, counts: slices.Clone(counts), want: -1})
 	s.price(j)
 	return j
@@ -280,30 +280,30 @@
 
 // costOf is the cost of a pattern's column.
 func (s *master) costOf(j int) int64 {
-	col := &s.prog.Cols[j]
+	col := &s.prog.Columns[j]
 	if i := slices.Index(col.Rows, s.cost); i >= 0 {
-		return col.By[i]
+		return col.Coefficients[i]
 	}
 	return 0
 }
 
 // price gives a column its worth in the stage at hand.
 func (s *master) price(j int) {
-	col, of := &s.prog.Cols[j], s.cols[j]
+	col, of := &s.prog.Columns[j], s.cols[j]
 	switch {
 	case of.cluster >= 0:
-		col.Obj = -s.dear * s.costOf(j)
+		col.Objective = -s.dear * s.costOf(j)
 	case of.want >= 0:
-		if col.Obj = 0; s.aim == aimValue {
-			col.Obj = col.By[len(col.By)-1]
+		if col.Objective = 0; s.aim == aimValue {
+			col.Objective = col.Coefficients[len(col.Coefficients)-1]
 		}
 	default:
-		col.Obj, col.Hi = -s.missing, 0 // floors hold
+		col.Objective, col.Upper = -s.missing, 0 // floors hold
 		if s.aim == aimShort {
-			col.Obj = -1
+			col.Objective = -1
 		}
 		if s.aim == aimShort || s.missing > 0 {
-			col.Hi = s.h.floors[col.Rows[0]-s.floors].threads
+			col.Upper = s.h.floors[col.Rows[0]-s.floors].threads
 		}
 	}
 }
@@ -387,7 +387,7 @@
 	}
 	for j, of := range s.cols {
 		if of.cluster < 0 && of.want < 0 { // short of a floor
-			f := s.h.floors[s.prog.Cols[j].Rows[0]-s.floors]
+			f := s.h.floors[s.prog.Columns[j].Rows[0]-s.floors]
 			x[j] = f.threads
 			for i, w := range s.m.wants {
 				if f.typ == s.m.pieces[w.piece].typ || f.tenant == w.tenant {
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -111,19 +111,19 @@
 		x = s.write(start)
 	}
 	search := ilp.NewSearch(s.prog)
-	search.Stop, search.Above = stop, above
-	search.Bound, f.marks = s.generate(stop)
-	search.Bound = min(search.Bound, s.limit)
+	search.Stop, search.Cutoff = stop, above
+	search.KnownBound, f.marks = s.generate(stop)
+	search.KnownBound = min(search.KnownBound, s.limit)
 	switch {
 	case to == aimShort:
-		search.Enough = 0
+		search.Target = 0
 	case above != math.MinInt64:
-		search.Enough = above + 1
-	case !s.whole && search.Bound != math.MaxInt64 && part > 0:
-		search.Enough = search.Bound - max(search.Bound, -search.Bound)/part
+		search.Target = above + 1
+	case !s.whole && search.KnownBound != math.MaxInt64 && part > 0:
+		search.Target = search.KnownBound - max(search.KnownBound, -search.KnownBound)/part
 	}
 	if !s.whole {
-		x = s.dives(to, x, min(search.Enough, search.Bound), stop)
+		x = s.dives(to, x, min(search.Target, search.KnownBound), stop)
 	}
 	if x != nil {
 		x = append(x, make([]int64, len(s.cols)-len(x))...)
@@ -132,22 +132,22 @@
 	r := search.Run()
 	f.value, f.bound = r.Value, r.Bound
 	if !s.whole {
-		f.bound = search.Bound // the search knows the patterns at hand only
+		f.bound = search.KnownBound // the search knows the patterns at hand only
 	}
 	if f.bound == math.MaxInt64 {
 		f.bound = s.ceiling()
 	}
-	if r.X != nil {
-		f.sol = s.read(r.X)
+	if r.Values != nil {
+		f.sol = s.read(r.Values)
 	}
 	return f
 }
 
 // ceiling is a bound that needs no solving: all that is asked for is served.
 func (s *master) ceiling() (most int64) {
-	for j := range s.prog.Cols {
-		if c := &s.prog.Cols[j]; s.cols[j].cluster < 0 && c.Obj > 0 {
-			most += c.Obj * c.Hi
+	for j := range s.prog.Columns {
+		if c := &s.prog.Columns[j]; s.cols[j].cluster < 0 && c.Objective > 0 {
+			most += c.Objective * c.Upper
 		}
 	}
 	return most
--- a/internal/supervisor/child.go
+++ b/internal/supervisor/child.go
@@ -32,7 +32,7 @@
 }
 
 // want is what a process is to be told.
-func want(h change.Held, word assignment.Held, elder bool) told {
+func want(h change.Held, word assignment.Accepted, elder bool) told {
 	t := told{spec: h.Want.Digest(), elder: elder}
 	if len(h.Want.Plan) == 0 && word.Plan != "" {
 		t.plan, t.planUntil = word.Plan, word.PlanUntil
@@ -135,15 +135,15 @@
 }
 
 // carry tells it what it carries.
-func (c *child) carry(ctx context.Context, h *http.Client, word assignment.Held) bool {
+func (c *child) carry(ctx context.Context, h *http.Client, word assignment.Accepted) bool {
 	c.mu.Lock()
 	address := c.address
 	c.mu.Unlock()
 	if address == "" {
 		return false
 	}
-	p := jobstats.Part{PerMillion: word.Part[quota.Fleet], Quotas: map[string]int64{}, UntilNS: word.PartUntil}
-	for of, n := range word.Part {
+	p := jobstats.Part{PerMillion: word.Shares[quota.Fleet], Quotas: map[string]int64{}, UntilNS: word.SharesUntil}
+	for of, n := range word.Shares {
 		if tenant, is := of.Tenant(); is {
 			p.Quotas[tenant] = n
 		}
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -157,9 +157,9 @@
 		t.Fatal(code, body)
 	}
 	s := r.await(t, "the first order", func(s Status) bool { return s.Serves && s.Running == first.Want.Digest() })
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Life, Part: quota.Share{quota.Fleet: 400_000},
-		PartUntil: monotonic.Now() + int64(time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		Text: json.RawMessage(planOfOwner)}
+	word := assignment.Assignment{Format: change.Format, Term: 3, Sequence: 1, Leader: "c2", Member: "c1", Incarnation: s.Life, Shares: quota.Shares{quota.Fleet: 400_000},
+		SharesUntil: monotonic.Now() + int64(time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
+		PlanText: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
@@ -258,11 +258,11 @@
 	}
 	check("held.json", "files/held.json")
 	c := &child{file: k.path("operator-1.json")}
-	if !k.file(c, k.held, assignment.Held{}, false) {
+	if !k.file(c, k.held, assignment.Accepted{}, false) {
 		t.Fatal(k.failed)
 	}
 	check("operator-1.json", "files/operator-no-plan.json")
-	word := assignment.Held{Reign: 1, Count: 2, Owner: "c2", Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: 123456789, Text: json.RawMessage(planOfOwner)}
+	word := assignment.Accepted{Term: 1, Sequence: 2, Leader: "c2", Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: 123456789, PlanText: json.RawMessage(planOfOwner)}
 	k.now = &child{}
 	k.now.report.Learned, k.now.report.Health = json.RawMessage(`{"lookup":{"mean":12.5}}`), json.RawMessage(`{"e1":{"ok":true}}`)
 	if !k.file(c, k.held, word, true) {
@@ -313,7 +313,7 @@
 		Running: "r", Version: "v", Settings: "s", Fence: change.Fence{Number: 1, Term: 2, Turn: 3}, By: "x", Serves: true, Drained: true, Failed: "why",
 		Crashes: 4, PID: 5, Drains: []int{6, 7}, Owed: 8, OrderMS: 9, AskedMS: 10, MemoryMB: 11.5, CPU: 12, Started: 13, Probes: 14, Aside: 15,
 		Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "a b"}: {Jobs: 3, Within: 2, Done: 2, Throttled: 1, Cancelled: 1, Dispatches: 4, Further: 1, Took: []uint64{1, 1}}},
-		Life: "life", BootNS: 16, Word: assignment.Held{Reign: 17, Count: 18, Owner: "c2", Part: quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20}, PartUntil: 21, Plan: "p", PlanUntil: 22},
+		Life: "life", BootNS: 16, Word: assignment.Accepted{Term: 17, Sequence: 18, Leader: "c2", Shares: quota.Shares{quota.Fleet: 19, quota.TenantQuota("acme"): 20}, SharesUntil: 21, Plan: "p", PlanUntil: 22},
 		Carries: 23, Carried: 24, EngineCount: 25, Engines: []string{"e1", "e2"}}
 	for i, v := 0, reflect.ValueOf(s); i < v.NumField(); i++ {
 		if f := v.Type().Field(i); v.Field(i).IsZero() && f.Tag.Get("json") != "-" {
@@ -357,8 +357,8 @@
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Life, Part: quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
-		PartUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), Text: json.RawMessage(planOfOwner)}
+	word := assignment.Assignment{Format: change.Format, Term: 3, Sequence: 1, Leader: "c2", Member: "c1", Incarnation: s.Life, Shares: quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
+		SharesUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), PlanText: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
@@ -369,7 +369,7 @@
 	elsewhere := o
 	elsewhere.Member = "c9"
 	late := word
-	late.Life = "another"
+	late.Incarnation = "another"
 	for what, c := range map[string]struct {
 		path string
 		send any
--- a/internal/supervisor/keep.go
+++ b/internal/supervisor/keep.go
@@ -52,7 +52,7 @@
 	life      string // of this process: words of the owner are for it alone
 	mu        sync.Mutex
 	held      change.Held
-	word      assignment.Held
+	word      assignment.Accepted
 	now, next *child   // who serves, and who is to
 	olds      []*child // that drain; they leave as they end, or are killed
 	failed    string
@@ -156,15 +156,15 @@
 }
 
 // Hear takes a word of the fleet's owner, or refuses it. It is not written down: it is for this process alone.
-func (k *Keeper) Hear(w assignment.Word) error {
+func (k *Keeper) Hear(w assignment.Assignment) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	next, err := k.word.Take(w, k.o.Name, k.life, monotonic.Now())
+	next, err := k.word.Accept(w, k.o.Name, k.life, monotonic.Now())
 	if err != nil {
 		return err
 	}
-	if next.Reign != k.word.Reign || next.Plan != k.word.Plan {
-		slog.Info("word_taken", "reign", next.Reign, "count", next.Count, "owner", next.Owner, "plan", next.Plan)
+	if next.Term != k.word.Term || next.Plan != k.word.Plan {
+		slog.Info("word_taken", "reign", next.Term, "count", next.Sequence, "owner", next.Leader, "plan", next.Plan)
 	}
 	k.word = next
 	select {
@@ -215,7 +215,7 @@
 		}
 	}
 	k.mu.Lock()
-	k.word = k.word.At(monotonic.Now())
+	k.word = k.word.ValidAt(monotonic.Now())
 	held, word, now, next := k.held, k.word, k.now, k.next
 	s := scene{drain: held.Drain, now: now != nil, next: next != nil, olds: len(k.olds), wait: time.Now().Before(k.startAt)}
 	if now != nil {
@@ -226,7 +226,7 @@
 	}
 	var carry []*child // those that answer: one that hangs must not hold up orders
 	for _, c := range []*child{now, next} {
-		if c != nil && c.report.Ready && word.Part[quota.Fleet] > 0 {
+		if c != nil && c.report.Ready && word.Shares[quota.Fleet] > 0 {
 			carry = append(carry, c)
 		}
 	}
@@ -237,7 +237,7 @@
 		k.recheck(held.Want.Program)
 	}
 	for _, c := range carry {
-		if at := [2]int64{word.Reign, word.Count}; c.part != at && c.carry(ctx, &k.http, word) {
+		if at := [2]int64{word.Term, word.Sequence}; c.part != at && c.carry(ctx, &k.http, word) {
 			k.mu.Lock()
 			c.part = at
 			k.mu.Unlock()
@@ -350,7 +350,7 @@
 }
 
 // file writes a process's operator's file: of what is held, and whether an older one still drains.
-func (k *Keeper) file(c *child, h change.Held, word assignment.Held, elder bool) bool {
+func (k *Keeper) file(c *child, h change.Held, word assignment.Accepted, elder bool) bool {
 	parts := map[string]json.RawMessage{}
 	for name, text := range k.base {
 		if name != "fleet" && name != "shape" && name != "plan" {
@@ -370,7 +370,7 @@
 	var err error
 	text, tells := h.Want.Plan, want(h, word, elder)
 	if tells.plan != "" {
-		text = word.Text
+		text = word.PlanText
 	}
 	if len(text) > 0 {
 		name := fmt.Sprintf("plan-%s.json", change.OfJSON(text))
@@ -417,7 +417,7 @@
 const files = 4
 
 // begin starts a process of the controller.
-func (k *Keeper) begin(h change.Held, word assignment.Held) {
+func (k *Keeper) begin(h change.Held, word assignment.Accepted) {
 	k.seq++
 	c := &child{program: h.Want.Program, file: k.path(fmt.Sprintf("operator-%d.json", k.seq%files)), began: time.Now(), ended: make(chan struct{})}
 	k.mu.Lock()
@@ -487,12 +487,12 @@
 func (k *Keeper) carried() int64 {
 	all := len(k.olds) == 0
 	for _, c := range []*child{k.now, k.next} {
-		all = all && (c == nil || c.part == [2]int64{k.word.Reign, k.word.Count})
+		all = all && (c == nil || c.part == [2]int64{k.word.Term, k.word.Sequence})
 	}
 	if !all {
 		return 0
 	}
-	return k.word.Count
+	return k.word.Sequence
 }
 
 // Handler speaks with conductors and the fleet's owner: GET /v1/status, POST /v1/order, POST /v1/word.
@@ -507,7 +507,7 @@
 		json.NewEncoder(w).Encode(s)
 	})
 	mux.HandleFunc("POST /v1/word", func(w http.ResponseWriter, r *http.Request) {
-		o, err := assignment.ReadWord(r.Body)
+		o, err := assignment.Read(r.Body)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
--- a/internal/supervisor/keep_test.go
+++ b/internal/supervisor/keep_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	c := &child{file: k.path("operator-1.json")}
-	if !k.file(c, k.held, assignment.Held{}, true) || c.told != (told{spec: k.held.Want.Digest(), elder: true}) {
+	if !k.file(c, k.held, assignment.Accepted{}, true) || c.told != (told{spec: k.held.Want.Digest(), elder: true}) {
 		t.Fatal(k.failed)
 	}
 	var parts map[string]json.RawMessage
@@ -163,7 +163,7 @@
 	k.now = c
 	hear := func(count, share int64) {
 		t.Helper()
-		if err := k.Hear(assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: k.life, Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}); err != nil {
+		if err := k.Hear(assignment.Assignment{Term: 1, Sequence: count, Leader: "a", Member: "c1", Incarnation: k.life, Shares: quota.Shares{quota.Fleet: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -36,7 +36,7 @@
 	Work        map[canary.Group]canary.Work `json:"work"`                // since its start
 	Life        string                       `json:"life"`                // of this keeper's process; from format 2 on
 	BootNS      int64                        `json:"boot_ns"`             // the machine's own clock, now
-	Word        assignment.Held              `json:"word"`                // what is held of the owner's words
+	Word        assignment.Accepted          `json:"word"`                // what is held of the owner's words
 	Carries     int64                        `json:"carries_per_million"` // of the fleet, as its controller goes by
 	Carried     int64                        `json:"carried_word"`        // the last word by whose part its controller goes for certain; 0: not known
 	EngineCount int                          `json:"engine_count"`        // that its controller sees ready
--- a/internal/testcluster/parts.go
+++ b/internal/testcluster/parts.go
@@ -63,7 +63,7 @@
 		wait.Go(func() {
 			now[i] = last[i]
 			if s, err := p.town.Status(m); err == nil && s.Carried != 0 { // else its controller goes by the part before
-				now[i] = partAt{s.Word.Part[quota.Fleet], s.Word.PartUntil}
+				now[i] = partAt{s.Word.Shares[quota.Fleet], s.Word.SharesUntil}
 			}
 		})
 	}
@@ -75,8 +75,8 @@
 func (p *PartsWatch) Stop() error {
 	close(p.stop)
 	p.wait.Wait()
-	if p.Most > quota.Whole {
-		return fmt.Errorf("%d of %d were out", p.Most, quota.Whole)
+	if p.Most > quota.FullShare {
+		return fmt.Errorf("%d of %d were out", p.Most, quota.FullShare)
 	}
 	if p.Looks == 0 {
 		return fmt.Errorf("no part was seen")
