--- a/internal/command/fleet/store_test.go
+++ b/internal/command/fleet/store_test.go
@@ -13,20 +13,20 @@
 
 func TestAStoreIsLookedAtAndNotChanged(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	f, err := store.OpenFolder(dir)
+	f, err := store.OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, _, err := store.Open(f, store.Usual(), func(store.Record) error { return nil })
+	g, _, err := store.Open(f, store.DefaultOptions(), func(store.Record) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, v := range []struct {
 		k store.Kind
 		v any
-	}{{recovery.TakenKind, recovery.Taken{Call: "c1", Type: "import", Key: "k", Effect: recovery.RunOnce}}, {recovery.SentKind, recovery.Sent{Call: "c1", Engine: "e1"}},
-		{recovery.TakenKind, recovery.Taken{Call: "c2", Type: "import", Effect: recovery.RunOnce}}} {
-		r, err := recovery.Entry(v.k, v.v)
+	}{{recovery.KindAccepted, recovery.Accepted{Call: "c1", Type: "import", Key: "k", Effect: recovery.EffectRunOnce}}, {recovery.KindDispatched, recovery.Dispatched{Call: "c1", Engine: "e1"}},
+		{recovery.KindAccepted, recovery.Accepted{Call: "c2", Type: "import", Effect: recovery.EffectRunOnce}}} {
+		r, err := recovery.NewRecord(v.k, v.v)
 		if err == nil {
 			_, err = g.Append([]store.Record{r})
 		}
--- a/internal/faultdisk/disk.go
+++ b/internal/faultdisk/disk.go
@@ -1,5 +1,5 @@
-// Package faultdisk is a disk for tests: what was not synced may be lost, torn or come out of order at a crash, calls fail, and a crash can
-// strike at any call.
+// Package faultdisk is an in-memory store.Disk for tests. A crash can strike at any call; what was not synced by then
+// may be lost, torn or applied out of order. Single calls can be made to fail.
 package faultdisk
 
 import (
@@ -12,55 +12,86 @@
 	"swiftreel/internal/store"
 )
 
-// ErrCrashed is what every call tells once the process is dead.
-var ErrCrashed = errors.New("crashed")
+var (
+	// ErrCrashed is returned by every call after the crash.
+	ErrCrashed = errors.New("crashed")
+	// ErrDiskFull is what a full disk returns, for Disk.Fail.
+	ErrDiskFull = error(syscall.ENOSPC)
+)
 
-// Disk is one. It is for one goroutine at a time.
-type Disk struct {
-	Calls   int                             // so far
-	CrashAt int                             // from that call on nothing happens any more; 0: never
-	Fail    func(call int, op string) error // nil, or what a call fails with
-	names   map[string]*file
-	durable map[string]*file
-	ops     []func(map[string]*file) // of names, not durable yet, in their order
-}
+// Operation is a kind of call to the disk or one of its files.
+type Operation string
+
+// The operations.
+const (
+	OpList     Operation = "list"
+	OpRead     Operation = "read"
+	OpCreate   Operation = "create"
+	OpRename   Operation = "rename"
+	OpRemove   Operation = "remove"
+	OpSyncDir  Operation = "sync names"
+	OpWrite    Operation = "write"
+	OpSyncFile Operation = "sync"
+)
 
-type file struct {
-	text    []byte // as it is read
-	synced  []byte // durable
-	pending []span
+// Disk is a directory of files in memory. It is for one goroutine at a time.
+type Disk struct {
+	Calls   int                                // made so far
+	CrashAt int                                // the call in which the process dies; 0: none
+	Fail    func(call int, op Operation) error // if set, returns the error with which a call fails, or nil
+	current map[string]*file                   // by name, as the process sees them
+	durable map[string]*file                   // by name, as they survive a crash
+	pending []directoryChange                  // made and not durable, in order
 }
 
-// span is a write, or a cut (nil).
-type span struct {
-	at   int
-	text []byte
-}
+// directoryChange is a change of names.
+type directoryChange func(files map[string]*file)
 
-// New is empty.
-func New() *Disk { return &Disk{names: map[string]*file{}, durable: map[string]*file{}} }
+// New returns an empty disk.
+func New() *Disk { return &Disk{current: map[string]*file{}, durable: map[string]*file{}} }
 
-// From holds files that are durable.
-func From(files map[string][]byte) *Disk {
+// FromFiles returns a disk with files that are durable.
+func FromFiles(files map[string][]byte) *Disk {
 	d := New()
-	for name, text := range files {
-		f := &file{text: slices.Clone(text), synced: slices.Clone(text)}
-		d.names[name], d.durable[name] = f, f
+	for name, content := range files {
+		f := &file{content: slices.Clone(content), durable: slices.Clone(content)}
+		d.current[name] = f
+		d.durable[name] = f
 	}
 	return d
 }
 
-// Files are the files as they are read.
+// Files returns the contents of all files as the process sees them.
 func (d *Disk) Files() map[string][]byte {
 	all := map[string][]byte{}
-	for name, f := range d.names {
-		all[name] = slices.Clone(f.text)
+	for name, f := range d.current {
+		all[name] = slices.Clone(f.content)
 	}
 	return all
 }
 
-func (d *Disk) call(op string) error {
-	if d.CrashAt > 0 && d.Calls >= d.CrashAt {
+// Crash returns the disk as it is found after the process and the machine died: with some of the changes of names
+// that were not durable, in their order, and some of the writes, perhaps torn.
+func (d *Disk) Crash(random *rand.Rand) *Disk {
+	survivors := map[string]*file{}
+	for name, f := range d.durable {
+		survivors[name] = f
+	}
+	for _, change := range d.pending[:random.IntN(len(d.pending)+1)] {
+		change(survivors)
+	}
+	files := map[string][]byte{}
+	for name, f := range survivors {
+		files[name] = f.afterCrash(random)
+	}
+	return FromFiles(files)
+}
+
+func (d *Disk) isCrashed() bool { return d.CrashAt > 0 && d.Calls >= d.CrashAt }
+
+// begin counts a call and returns the error with which it fails.
+func (d *Disk) begin(op Operation) error {
+	if d.isCrashed() {
 		return ErrCrashed
 	}
 	d.Calls++
@@ -70,181 +101,83 @@
 	return nil
 }
 
-func apply(text []byte, s span) []byte {
-	if s.text == nil {
-		return slices.Clone(text[:min(len(text), s.at)])
-	}
-	text = slices.Clone(text)
-	for len(text) < s.at+len(s.text) {
-		text = append(text, 0)
-	}
-	copy(text[s.at:], s.text)
-	return text
-}
-
-// Crash is the disk as it is found after the process, and the machine, died.
-func (d *Disk) Crash(r *rand.Rand) *Disk {
-	names := map[string]*file{}
-	for name, f := range d.durable {
-		names[name] = f
-	}
-	for _, op := range d.ops[:r.IntN(len(d.ops)+1)] {
-		op(names)
-	}
-	files := map[string][]byte{}
-	for name, f := range names {
-		text := f.synced
-		for _, s := range f.pending {
-			switch r.IntN(4) {
-			case 0: // lost, and what came later may not be
-			case 1:
-				if len(s.text) > 0 { // torn
-					s.text = s.text[:r.IntN(len(s.text))]
-				}
-				text = apply(text, s)
-			default:
-				text = apply(text, s)
-			}
-		}
-		files[name] = text
-	}
-	return From(files)
+func (d *Disk) change(change directoryChange) {
+	change(d.current)
+	d.pending = append(d.pending, change)
 }
 
-// List tells names.
-func (d *Disk) List() (names []string, err error) {
-	if err := d.call("list"); err != nil {
+// List implements store.Disk.
+func (d *Disk) List() ([]string, error) {
+	if err := d.begin(OpList); err != nil {
 		return nil, err
 	}
-	for name := range d.names {
+	var names []string
+	for name := range d.current {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-// Read reads.
+// Read implements store.Disk.
 func (d *Disk) Read(name string) ([]byte, error) {
-	if err := d.call("read"); err != nil {
+	if err := d.begin(OpRead); err != nil {
 		return nil, err
 	}
-	f := d.names[name]
+	f := d.current[name]
 	if f == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
-	return slices.Clone(f.text), nil
+	return slices.Clone(f.content), nil
 }
 
-func (d *Disk) rename(op func(map[string]*file)) {
-	op(d.names)
-	d.ops = append(d.ops, op)
-}
-
-// Create makes a file, or empties it.
+// Create implements store.Disk.
 func (d *Disk) Create(name string) (store.File, error) {
-	if err := d.call("create"); err != nil {
+	if err := d.begin(OpCreate); err != nil {
 		return nil, err
 	}
-	f := d.names[name]
+	f := d.current[name]
 	if f == nil {
 		f = &file{}
-		d.rename(func(names map[string]*file) { names[name] = f })
+		d.change(func(files map[string]*file) { files[name] = f })
 	} else {
-		f.write(span{})
-	}
-	return &handle{d, f}, nil
-}
-
-func (f *file) write(s span) {
-	f.text = apply(f.text, s)
-	f.pending = append(f.pending, s)
-}
-
-func (f *file) sync() {
-	for _, s := range f.pending {
-		f.synced = apply(f.synced, s)
+		f.apply(truncation())
 	}
-	f.pending = nil
+	return &handle{disk: d, file: f}, nil
 }
 
-// Rename renames.
+// Rename implements store.Disk.
 func (d *Disk) Rename(from, to string) error {
-	if err := d.call("rename"); err != nil {
+	if err := d.begin(OpRename); err != nil {
 		return err
 	}
-	f := d.names[from]
-	d.rename(func(names map[string]*file) {
-		if names[from] == f {
-			delete(names, from)
+	f := d.current[from]
+	d.change(func(files map[string]*file) {
+		if files[from] == f {
+			delete(files, from)
 		}
-		names[to] = f
+		files[to] = f
 	})
 	return nil
 }
 
-// Remove removes.
+// Remove implements store.Disk.
 func (d *Disk) Remove(name string) error {
-	if err := d.call("remove"); err != nil {
+	if err := d.begin(OpRemove); err != nil {
 		return err
 	}
-	d.rename(func(names map[string]*file) { delete(names, name) })
+	d.change(func(files map[string]*file) { delete(files, name) })
 	return nil
 }
 
-// Sync makes names durable.
+// Sync implements store.Disk.
 func (d *Disk) Sync() error {
-	if err := d.call("sync names"); err != nil {
-		return err
-	}
-	for _, op := range d.ops {
-		op(d.durable)
-	}
-	d.ops = nil
-	return nil
-}
-
-type handle struct {
-	d *Disk
-	f *file
-}
-
-// Write writes at the end; where it fails a part may have been written.
-func (h *handle) Write(b []byte) (int, error) {
-	if err := h.d.call("write"); err != nil {
-		if err == ErrCrashed {
-			if h.d.Calls == h.d.CrashAt && len(b) > 1 { // the call in which it died
-				h.d.Calls++
-				h.f.write(span{len(h.f.text), slices.Clone(b[:len(b)/2])})
-			}
-			return 0, err
-		}
-		n := len(b) / 2
-		h.f.write(span{len(h.f.text), slices.Clone(b[:n])})
-		return n, err
-	}
-	h.f.write(span{len(h.f.text), slices.Clone(b)})
-	return len(b), nil
-}
-
-// Sync makes it durable. Where it fails, what it was for is gone for good, though it can still be read: later ones do not write it.
-func (h *handle) Sync() error {
-	if err := h.d.call("sync"); err != nil {
-		if err != ErrCrashed {
-			h.f.pending = nil
-		}
+	if err := d.begin(OpSyncDir); err != nil {
 		return err
 	}
-	h.f.sync()
-	return nil
-}
-
-// Close closes it: nothing is synced by that.
-func (h *handle) Close() error {
-	if h.d.CrashAt > 0 && h.d.Calls >= h.d.CrashAt {
-		return ErrCrashed
+	for _, change := range d.pending {
+		change(d.durable)
 	}
+	d.pending = nil
 	return nil
 }
-
-// Full is what a disk tells that is.
-var Full = syscall.ENOSPC
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -12,8 +12,8 @@
 	"swiftreel/internal/store"
 )
 
-// The store under testdata/jobs/store was written by the program at 70e2e4b: a checkpoint and segments behind it, with records
-// of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
+// The store under testdata/jobs/store was written by the program at 70e2e4b: a checkpoint and segments behind it,
+// with records of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
 
 var record = flag.Bool("record", false, "write the store under testdata where it is not there yet")
 
@@ -29,63 +29,69 @@
 	body any
 }
 
-func taken(c Call, key string, e Effect) step {
-	job := Taken{Call: c, Type: "import", Key: key, Effect: e}
-	if e == Keyed {
-		job.Window, job.Tenant = windowOfKeyed, "acme"
+func accepted(c CallID, key string, e Effect) step {
+	job := Accepted{Call: c, Type: "import", Key: key, Effect: e}
+	if e == EffectKeyed {
+		job.WindowNS, job.Tenant = windowOfKeyed, "acme"
 	}
-	return step{TakenKind, job}
+	return step{KindAccepted, job}
 }
 
-func sent(c Call, at int64) step { return step{SentKind, Sent{Call: c, Engine: "e17", At: at}} }
+func dispatched(c CallID, at int64) step {
+	return step{KindDispatched, Dispatched{Call: c, Engine: "e17", AtNS: at}}
+}
 
-func ended(c Call, how How, answer string) step {
-	e := Ended{Call: c, How: how}
+func ended(c CallID, outcome Outcome, answer string) step {
+	e := AttemptEnded{Call: c, Outcome: outcome}
 	if answer != "" {
 		e.Answer = []byte(answer)
 	}
-	return step{EndedKind, e}
+	return step{KindAttemptEnded, e}
 }
 
-func answered(c Call, how string) step { return step{AnsweredKind, Answered{Call: c, How: how}} }
+func answered(c CallID, how FinalAnswer) step {
+	return step{KindAnswered, Answered{Call: c, Answer: how}}
+}
 
 // beforeCheckpoint and behindCheckpoint are all ways that a job can have gone, cut off by a crash.
 var (
 	beforeCheckpoint = []step{
-		taken("c-dropped", "", RunOnce), answered("c-dropped", Done), // the oldest answer, not kept to the end
-		taken("c-done", "k1", RunOnce), sent("c-done", 10), ended("c-done", Ran, "a\tb\tc\n"), answered("c-done", Done),
-		taken("c-fresh", "k2", RunOnce),
-		taken("c-behind-fresh", "k2", RunOnce),
-		taken("c-out", "k3", RunOnce), sent("c-out", 20),
-		taken("c-keyed-out", "k4", Keyed), sent("c-keyed-out", 500),
-		taken("c-ran", "k5", RunOnce), sent("c-ran", 30), ended("c-ran", Ran, "d\te\tf\n"),
+		accepted("c-dropped", "", EffectRunOnce), answered("c-dropped", AnswerDone), // the oldest answer, not kept to the end
+		accepted("c-done", "k1", EffectRunOnce), dispatched("c-done", 10), ended("c-done", OutcomeRan, "a\tb\tc\n"),
+		answered("c-done", AnswerDone),
+		accepted("c-fresh", "k2", EffectRunOnce),
+		accepted("c-behind-fresh", "k2", EffectRunOnce),
+		accepted("c-out", "k3", EffectRunOnce), dispatched("c-out", 20),
+		accepted("c-keyed-out", "k4", EffectKeyed), dispatched("c-keyed-out", 500),
+		accepted("c-ran", "k5", EffectRunOnce), dispatched("c-ran", 30), ended("c-ran", OutcomeRan, "d\te\tf\n"),
 	}
 	behindCheckpoint = []step{
-		taken("c-keyed-stale", "k6", Keyed), sent("c-keyed-stale", 5), ended("c-keyed-stale", Unsure, ""),
-		taken("c-refused", "k7", RunOnce), sent("c-refused", 40), ended("c-refused", NeverRan, ""), sent("c-refused", 50),
-		ended("c-refused", NeverRan, ""),
-		taken("c-unsure", "", RunOnce), sent("c-unsure", 60), ended("c-unsure", Unsure, ""),
-		taken("c-large", "k8", RunOnce), sent("c-large", 70), ended("c-large", Ran, ""),
-		taken("c-throttled", "k9", RunOnce), answered("c-throttled", Throttled),
-		taken("c-cancelled", "k9", RunOnce), sent("c-cancelled", 80), ended("c-cancelled", Unsure, ""),
-		answered("c-cancelled", Cancelled),
-		sent("c-fresh", 90),
+		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5), ended("c-keyed-stale", OutcomeUnknown, ""),
+		accepted("c-refused", "k7", EffectRunOnce), dispatched("c-refused", 40), ended("c-refused", OutcomeNeverRan, ""),
+		dispatched("c-refused", 50),
+		ended("c-refused", OutcomeNeverRan, ""),
+		accepted("c-unsure", "", EffectRunOnce), dispatched("c-unsure", 60), ended("c-unsure", OutcomeUnknown, ""),
+		accepted("c-large", "k8", EffectRunOnce), dispatched("c-large", 70), ended("c-large", OutcomeRan, ""),
+		accepted("c-throttled", "k9", EffectRunOnce), answered("c-throttled", AnswerThrottled),
+		accepted("c-cancelled", "k9", EffectRunOnce), dispatched("c-cancelled", 80), ended("c-cancelled", OutcomeUnknown, ""),
+		answered("c-cancelled", AnswerCancelled),
+		dispatched("c-fresh", 90),
 	}
-	allCalls = []Call{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran", "c-keyed-stale",
+	allCalls = []CallID{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran", "c-keyed-stale",
 		"c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
 )
 
 // decision is what is known of one call.
 type decision struct {
-	Call     Call   `json:"call"`
-	Known    bool   `json:"known"`
-	Goes     bool   `json:"goes"`
-	Answered bool   `json:"answered"`
-	How      string `json:"how,omitempty"`
-	Answer   string `json:"answer,omitempty"`
+	Call        CallID `json:"call"`
+	IsKnown     bool   `json:"known"`
+	CanDispatch bool   `json:"goes"`
+	IsAnswered  bool   `json:"answered"`
+	Answer      string `json:"how,omitempty"`
+	Result      string `json:"answer,omitempty"`
 }
 
-// decisions are all that a book tells.
+// decisions are all that a ledger tells.
 type decisions struct {
 	Open       map[string]json.RawMessage `json:"open"` // by the time
 	AfterCrash json.RawMessage            `json:"after_crash"`
@@ -95,25 +101,32 @@
 	Answers    int                        `json:"answers"`
 }
 
-func decisionsOf(t *testing.T, b *Book) (d decisions) {
+func decisionsOf(t *testing.T, ledger *Ledger) (d decisions) {
 	t.Helper()
 	d.Open = map[string]json.RawMessage{}
 	for _, now := range []int64{0, 100, 1001, 1499, 1500, 1 << 62} {
-		d.Open[fmt.Sprint(now)] = marshalled(t, b.Open(now))
+		d.Open[fmt.Sprint(now)] = marshalled(t, ledger.OpenJobs(now))
 	}
-	d.AfterCrash = marshalled(t, b.AfterCrash())
-	for _, c := range allCalls {
-		how, answer, is := b.Answer(c)
-		d.Calls = append(d.Calls, decision{Call: c, Known: b.Known(c), Goes: b.Goes(c), Answered: is, How: how, Answer: string(answer)})
+	d.AfterCrash = marshalled(t, ledger.InterruptedAttempts())
+	for _, call := range allCalls {
+		answer, isAnswered := ledger.Answer(call)
+		d.Calls = append(d.Calls, decision{
+			Call:        call,
+			IsKnown:     ledger.Contains(call),
+			CanDispatch: ledger.CanDispatch(call),
+			IsAnswered:  isAnswered,
+			Answer:      string(answer.Answer),
+			Result:      string(answer.Result),
+		})
 	}
-	err := b.Live(func(k store.Kind, payload []byte) error {
+	err := ledger.Snapshot(func(k store.Kind, payload []byte) error {
 		d.Live = append(d.Live, fmt.Sprintf("%d %s", k, payload))
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.OpenJobs, d.Answers = b.Size()
+	d.OpenJobs, d.Answers = ledger.Size()
 	return d
 }
 
@@ -126,22 +139,22 @@
 	return text
 }
 
-// jobStore is a store of jobs and the book that it was replayed into.
+// jobStore is a store of jobs and the ledger that it was replayed into.
 type jobStore struct {
 	t      *testing.T
-	folder *store.Folder
+	folder *store.Directory
 	log    *store.Log
-	book   *Book
+	ledger *Ledger
 }
 
 func openJobs(t *testing.T, dir string) *jobStore {
 	t.Helper()
-	folder, err := store.OpenFolder(dir)
+	folder, err := store.OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &jobStore{t: t, folder: folder, book: NewBook(keptAnswers)}
-	if s.log, _, err = store.Open(folder, store.Limits{Segment: 600}, s.book.Apply); err != nil {
+	s := &jobStore{t: t, folder: folder, ledger: NewLedger(keptAnswers)}
+	if s.log, _, err = store.Open(folder, store.Options{SegmentBytes: 600}, s.ledger.Apply); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -150,9 +163,9 @@
 func (s *jobStore) write(steps ...step) {
 	s.t.Helper()
 	for _, each := range steps {
-		r, err := Entry(each.kind, each.body)
+		r, err := NewRecord(each.kind, each.body)
 		if err == nil {
-			err = s.book.Apply(r)
+			err = s.ledger.Apply(r)
 		}
 		if err == nil {
 			_, err = s.log.Append([]store.Record{r})
@@ -165,7 +178,7 @@
 
 func (s *jobStore) checkpoint() {
 	s.t.Helper()
-	if err := s.log.Checkpoint(s.book.Live); err != nil {
+	if err := s.log.Checkpoint(s.ledger.Snapshot); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -184,20 +197,21 @@
 func goOnFrom(t *testing.T, dir string) (list []decisions) {
 	t.Helper()
 	s := openJobs(t, dir)
-	list = append(list, decisionsOf(t, s.book))
-	for _, e := range s.book.AfterCrash() {
-		s.write(step{EndedKind, e})
+	list = append(list, decisionsOf(t, s.ledger))
+	for _, e := range s.ledger.InterruptedAttempts() {
+		s.write(step{KindAttemptEnded, e})
 	}
 	s.close()
 	s = openJobs(t, dir)
-	list = append(list, decisionsOf(t, s.book))
-	s.write(sent("c-keyed-out", 1200), ended("c-keyed-out", Ran, "g\th\ti\n"), answered("c-keyed-out", Done), answered("c-ran", Done))
+	list = append(list, decisionsOf(t, s.ledger))
+	s.write(dispatched("c-keyed-out", 1200), ended("c-keyed-out", OutcomeRan, "g\th\ti\n"),
+		answered("c-keyed-out", AnswerDone), answered("c-ran", AnswerDone))
 	s.checkpoint()
-	s.write(taken("c-new", "k2", RunOnce), answered("c-fresh", Cancelled))
-	before := decisionsOf(t, s.book)
+	s.write(accepted("c-new", "k2", EffectRunOnce), answered("c-fresh", AnswerCancelled))
+	before := decisionsOf(t, s.ledger)
 	s.close()
 	s = openJobs(t, dir)
-	after := decisionsOf(t, s.book)
+	after := decisionsOf(t, s.ledger)
 	s.close()
 	if got, want := marshalled(t, after), marshalled(t, before); !bytes.Equal(got, want) {
 		t.Errorf("after a restart\n%s\nnot\n%s", got, want)
@@ -277,17 +291,17 @@
 		kind store.Kind
 		want string
 	}{
-		{taken("c1", "k", RunOnce), 1, `{"call":"c1","type":"import","key":"k","effect":"run-once"}`},
-		{taken("c2", "", Keyed), 1, `{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
-		{sent("c1", 7), 2, `{"call":"c1","engine":"e17","at":7}`},
-		{ended("c1", Ran, "a\tb\tc\n"), 3, `{"call":"c1","how":"ran","answer":"YQliCWMK"}`},
-		{ended("c1", NeverRan, ""), 3, `{"call":"c1","how":"never ran"}`},
-		{ended("c1", Unsure, ""), 3, `{"call":"c1","how":"unsure"}`},
-		{answered("c1", Done), 4, `{"call":"c1","how":"done"}`},
-		{answered("c1", Throttled), 4, `{"call":"c1","how":"throttled"}`},
-		{answered("c1", Cancelled), 4, `{"call":"c1","how":"cancelled"}`},
+		{accepted("c1", "k", EffectRunOnce), 1, `{"call":"c1","type":"import","key":"k","effect":"run-once"}`},
+		{accepted("c2", "", EffectKeyed), 1, `{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
+		{dispatched("c1", 7), 2, `{"call":"c1","engine":"e17","at":7}`},
+		{ended("c1", OutcomeRan, "a\tb\tc\n"), 3, `{"call":"c1","how":"ran","answer":"YQliCWMK"}`},
+		{ended("c1", OutcomeNeverRan, ""), 3, `{"call":"c1","how":"never ran"}`},
+		{ended("c1", OutcomeUnknown, ""), 3, `{"call":"c1","how":"unsure"}`},
+		{answered("c1", AnswerDone), 4, `{"call":"c1","how":"done"}`},
+		{answered("c1", AnswerThrottled), 4, `{"call":"c1","how":"throttled"}`},
+		{answered("c1", AnswerCancelled), 4, `{"call":"c1","how":"cancelled"}`},
 	} {
-		r, err := Entry(c.step.kind, c.body)
+		r, err := NewRecord(c.step.kind, c.body)
 		if err != nil || r.Kind != c.kind || string(r.Payload) != c.want {
 			t.Errorf("kind %d, %s, %v; not kind %d, %s", r.Kind, r.Payload, err, c.kind, c.want)
 		}
--- /dev/null
+++ b/internal/recovery/ledger_test.go
@@ -0,0 +1,134 @@
+package recovery
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"swiftreel/internal/store"
+)
+
+func apply(t *testing.T, ledger *Ledger, kind store.Kind, body any) error {
+	t.Helper()
+	r, err := NewRecord(kind, body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return ledger.Apply(r)
+}
+
+func mustApply(t *testing.T, ledger *Ledger, kind store.Kind, body any) {
+	t.Helper()
+	if err := apply(t, ledger, kind, body); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// ledgerOfAllStates has an open job for each way in which a crash can cut one off, and an answered one.
+func ledgerOfAllStates(t *testing.T) *Ledger {
+	t.Helper()
+	outcomes := map[CallID]Outcome{
+		"ran":     OutcomeRan,
+		"refused": OutcomeNeverRan,
+		"unsure":  OutcomeUnknown,
+		"over":    OutcomeRan,
+	}
+	ledger := NewLedger(2)
+	for _, call := range []CallID{"fresh", "out", "keyed", "stale", "ran", "refused", "unsure", "over"} {
+		accepted := Accepted{Call: call, Type: "import", Key: string(call), Effect: EffectRunOnce}
+		if call == "keyed" || call == "stale" {
+			accepted.Effect = EffectKeyed
+			accepted.WindowNS = 100
+		}
+		mustApply(t, ledger, KindAccepted, accepted)
+		if call == "fresh" {
+			continue
+		}
+		dispatchedAt := int64(50)
+		if call == "stale" {
+			dispatchedAt = 5
+		}
+		mustApply(t, ledger, KindDispatched, Dispatched{Call: call, Engine: "e", AtNS: dispatchedAt})
+		if outcome := outcomes[call]; outcome != "" {
+			mustApply(t, ledger, KindAttemptEnded, AttemptEnded{Call: call, Outcome: outcome, Answer: []byte("x")})
+		}
+	}
+	mustApply(t, ledger, KindAnswered, Answered{"over", AnswerDone})
+	return ledger
+}
+
+func describeOpenJobs(ledger *Ledger, nowNS int64) (text string) {
+	for _, open := range ledger.OpenJobs(nowNS) {
+		text += fmt.Sprintf("%s:%s:%v ", open.Call, open.Action, open.NeedsKeyCooldown)
+	}
+	return text
+}
+
+const allActions = "fresh:may go again:false out:cancel for good:true keyed:may go again:true " +
+	"stale:cancel for good:true ran:repeat its answer:false refused:may go again:false unsure:cancel for good:true "
+
+func TestRecoveryActionsOfOpenJobs(t *testing.T) {
+	ledger := ledgerOfAllStates(t)
+	if got := describeOpenJobs(ledger, 120); got != allActions {
+		t.Errorf("%s", got)
+	}
+	if got := describeOpenJobs(ledger, 10); got == allActions { // a clock that was set back: the window cannot be trusted
+		t.Errorf("%s", got)
+	}
+	answer, found := ledger.Answer("over")
+	if !found || answer.Answer != AnswerDone || string(answer.Result) != "x" {
+		t.Error(answer, found)
+	}
+}
+
+func TestASnapshotHoldsTheState(t *testing.T) {
+	restored := NewLedger(2)
+	put := func(kind store.Kind, payload []byte) error {
+		return restored.Apply(store.Record{Kind: kind, Payload: payload})
+	}
+	if err := ledgerOfAllStates(t).Snapshot(put); err != nil {
+		t.Fatal(err)
+	}
+	if got := describeOpenJobs(restored, 120); got != allActions || !restored.Contains("over") {
+		t.Errorf("%s", got)
+	}
+}
+
+func TestImpossibleRecordsAreRefused(t *testing.T) {
+	ledger := ledgerOfAllStates(t)
+	isTransition := func(err error) bool { return errors.As(err, new(*TransitionError)) }
+	isDuplicate := func(err error) bool { return errors.Is(err, ErrDuplicateCall) }
+	isUnknownCall := func(err error) bool { return errors.Is(err, ErrUnknownCall) }
+	isUnknownKind := func(err error) bool { return errors.As(err, new(*UnknownKindError)) }
+	for _, c := range []struct {
+		name  string
+		kind  store.Kind
+		body  any
+		isErr func(error) bool
+	}{
+		{"accepted twice", KindAccepted, Accepted{Call: "out"}, isDuplicate},
+		{"dispatched, unknown", KindDispatched, Dispatched{Call: "nobody"}, isUnknownCall},
+		{"dispatched while out", KindDispatched, Dispatched{Call: "out"}, isTransition},
+		{"dispatched after it ran", KindDispatched, Dispatched{Call: "ran"}, isTransition},
+		{"ended while pending", KindAttemptEnded, AttemptEnded{Call: "fresh"}, isTransition},
+		{"answered twice", KindAnswered, Answered{Call: "over"}, isTransition},
+		{"unknown kind", 99, Accepted{}, isUnknownKind},
+	} {
+		if err := apply(t, ledger, c.kind, c.body); err == nil || !c.isErr(err) {
+			t.Errorf("%s: %v", c.name, err)
+		}
+	}
+}
+
+func TestRetainedAnswersAreBounded(t *testing.T) {
+	ledger := ledgerOfAllStates(t)
+	for i := range 10 {
+		call := CallID(fmt.Sprint("more", i))
+		mustApply(t, ledger, KindAccepted, Accepted{Call: call})
+		mustApply(t, ledger, KindAnswered, Answered{call, AnswerThrottled})
+	}
+	open, answered := ledger.Size()
+	if open != 7 || answered != 2 || ledger.Contains("over") || len(ledger.jobs) != 9 {
+		t.Errorf("%d open, %d answered, %d in all", open, answered, len(ledger.jobs))
+	}
+}
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -21,15 +21,15 @@
 //	checkpointed/  the files after it opened those, wrote a checkpoint, appended and closed
 //	transcript.txt what it replayed and found at each step
 //
-// The identity of a store is drawn when it is made and kept in its files, so all that is written to an old store is the same
-// to the byte, whatever program does it.
+// The identity of a store is drawn when it is made and kept in its files, so all that is written to an old store is
+// the same to the byte, whatever program does it.
 
 var record = flag.Bool("record", false, "write the stores under testdata that are not there yet")
 
 const storesFolder = "testdata/stores"
 
 // fixtureLimits are small, so that a few records fill more than one segment.
-var fixtureLimits = store.Limits{Segment: 300}
+var fixtureLimits = store.Options{SegmentBytes: 300}
 
 // oldStores says how each store came to be.
 var oldStores = map[string]func(t *testing.T, dir string){
@@ -58,7 +58,8 @@
 		writeCheckpoint(t, dir)
 		writeBatches(t, dir, 6)
 	},
-	"checkpoint-cut-off": func(t *testing.T, dir string) { // the process died before it removed what the checkpoint stands for
+	// The process died before it removed what the checkpoint stands for.
+	"checkpoint-cut-off": func(t *testing.T, dir string) {
 		writeBatches(t, dir, 7)
 		before := filesIn(t, dir)
 		writeCheckpoint(t, dir)
@@ -78,7 +79,7 @@
 // openStore opens a folder and adds to a transcript what it replays and finds.
 func openStore(t *testing.T, dir string, transcript *bytes.Buffer) (log *store.Log, replayed []store.Record, done func()) {
 	t.Helper()
-	folder, err := store.OpenFolder(dir)
+	folder, err := store.OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +104,7 @@
 
 func lookAtStore(t *testing.T, dir string, transcript *bytes.Buffer) (replayed []store.Record) {
 	t.Helper()
-	found, err := store.Look(store.LookFolder(dir), func(r store.Record) error {
+	found, err := store.Inspect(store.ReadOnlyDirectory(dir), func(r store.Record) error {
 		replayed = append(replayed, r)
 		return nil
 	})
@@ -114,8 +115,9 @@
 	return replayed
 }
 
-func describe(to *bytes.Buffer, step string, found store.Found, replayed []store.Record) {
-	fmt.Fprintf(to, "%s: records %d, torn %d, mended %q, removed %q\n", step, found.Records, found.Torn, found.Mended, found.Removed)
+func describe(to *bytes.Buffer, step string, found store.Report, replayed []store.Record) {
+	fmt.Fprintf(to, "%s: records %d, torn %d, mended %q, removed %q\n",
+		step, found.Records, found.TornBytes, found.RepairedBits, found.RemovedFiles)
 	for _, r := range replayed {
 		fmt.Fprintf(to, "  seq %d, kind %d: %s\n", r.Seq, r.Kind, r.Payload)
 	}
@@ -168,7 +170,8 @@
 	}
 }
 
-// goOn plays what comes after an old store was found, and tells the files after each step. It fails where a record is lost.
+// goOn plays what comes after an old store was found, and tells the files after each step. It fails where a record is
+// lost.
 func goOn(t *testing.T, dir string) (transcript []byte, files map[string]map[string][]byte) {
 	t.Helper()
 	var text bytes.Buffer
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -1,134 +1,125 @@
-// Package store is a log that survives a crash: records in segments, each chained to the one before, made durable many at a
-// time, and compacted into checkpoints. What it is told is durable is found again, or the store says which file is damaged
-// where; what was not is dropped whole.
 package store
 
 import (
 	"encoding/binary"
-	"errors"
-	"fmt"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is what a record is of; what it means is its user's.
+// Kind says what a record is about. Its meaning is the caller's; kind 255 is reserved.
 type Kind uint8
 
-// Record is an entry of the log.
+// checkpointEnd is the kind of the last record of a checkpoint.
+const checkpointEnd = Kind(255)
+
+// Record is one entry of the log.
 type Record struct {
-	Seq     uint64 // from 1, without gaps
+	Seq     uint64 // sequence number, from 1 without gaps; set by the log
 	Kind    Kind
-	Payload []byte
-	stable  uint64 // all up to it were durable when this was written
+	Payload []byte // at most MaxPayload bytes
 }
 
-// The form on disk, little endian: length of the payload u32, form u8, kind u8, seq u64, stable u64, checksum of the record before
-// u64, payload, checksum u64 of all that and the life of the store. The chain tells a torn tail from old bytes that look like
-// a record, and a segment of another place or life from the one that belongs here.
+// MaxPayload is the largest payload of a record, in bytes.
+const MaxPayload = 1 << 20
+
+// Layout of a record; see the package documentation.
 const (
-	form        = 1
-	head        = 4 + 1 + 1 + 8 + 8 + 8
-	frame       = head + 8
-	MostPayload = 1 << 20
+	recordFormat     = 1
+	formatOffset     = 4
+	kindOffset       = 5
+	seqOffset        = 6
+	durableOffset    = 14
+	previousOffset   = 22
+	recordHeaderSize = 30
+	checksumSize     = 8
+	recordOverhead   = recordHeaderSize + checksumSize
 )
 
-// life names a store: it is drawn when that is made. Each of its checksums has it in.
-type life [16]byte
+// storeID is the identity of a store, drawn when it is created. It is part of each record's checksum.
+type storeID [16]byte
 
-func sumOf(l life, text []byte) uint64 {
-	d := xxhash.New()
-	d.Write(l[:])
-	d.Write(text)
-	return d.Sum64()
+// chainPosition is a place in the chain of records: the last record before it. The next record has the sequence
+// number seq+1 and refers to the checksum.
+type chainPosition struct {
+	seq      uint64
+	checksum uint64
 }
 
-// write appends a record's form; the sum is what the next is chained to.
-func write(to []byte, l life, r Record, prev uint64) (text []byte, sum uint64) {
-	from := len(to)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(r.Payload)))
-	to = append(to, form, byte(r.Kind))
-	to = binary.LittleEndian.AppendUint64(to, r.Seq)
-	to = binary.LittleEndian.AppendUint64(to, r.stable)
-	to = binary.LittleEndian.AppendUint64(to, prev)
-	to = append(to, r.Payload...)
-	sum = sumOf(l, to[from:])
-	return binary.LittleEndian.AppendUint64(to, sum), sum
+// decodedRecord is a record with what the chain needs of it. The payload is a slice of the decoded text.
+type decodedRecord struct {
+	Record
+	durable  uint64 // all records up to this number were durable when this one was written
+	previous uint64 // checksum of the record before
+	checksum uint64
+	size     int // encoded, in bytes
 }
 
-var (
-	errShort = errors.New("it ends in the midst of a record")
-	errForm  = errors.New("no record")
-	errSum   = errors.New("a record whose checksum is wrong")
-	errChain = errors.New("a record that does not belong here")
-)
-
-// read reads the record at the beginning of a text, without regard to its place in the chain.
-func read(text []byte, l life) (r Record, prev, sum uint64, size int, err error) {
-	if len(text) < head {
-		return r, 0, 0, 0, errShort
-	}
-	n := binary.LittleEndian.Uint32(text)
-	if text[4] != form || n > MostPayload {
-		return r, 0, 0, 0, errForm
-	}
-	size = frame + int(n)
-	if len(text) < size {
-		return r, 0, 0, 0, errShort
-	}
-	sum = binary.LittleEndian.Uint64(text[size-8:])
-	if sumOf(l, text[:size-8]) != sum {
-		return r, 0, 0, 0, errSum
-	}
-	r = Record{Kind: Kind(text[5]), Seq: binary.LittleEndian.Uint64(text[6:]), stable: binary.LittleEndian.Uint64(text[14:]), Payload: text[head : size-8]}
-	return r, binary.LittleEndian.Uint64(text[22:]), sum, size, nil
+func (r decodedRecord) position() chainPosition {
+	return chainPosition{seq: r.Seq, checksum: r.checksum}
 }
 
-// next reads the record that is to follow one.
-func next(text []byte, l life, seq, prev uint64) (r Record, sum uint64, size int, err error) {
-	r, before, sum, size, err := read(text, l)
-	if err == nil && (r.Seq != seq || before != prev) {
-		err = errChain
-	}
-	return r, sum, size, err
+func checksumOf(id storeID, text []byte) uint64 {
+	digest := xxhash.New()
+	_, _ = digest.Write(id[:]) // never fails
+	_, _ = digest.Write(text)
+	return digest.Sum64()
 }
 
-// mostMended bounds what is looked through for a bit.
-const mostMended = 4 << 10
+// appendRecord encodes the record that follows a position and returns its own position. Its number is that of the
+// position plus one; durable is the number up to which all records are durable by now.
+func appendRecord(buffer []byte, id storeID, after chainPosition, durable uint64, r Record) ([]byte, chainPosition) {
+	start := len(buffer)
+	seq := after.seq + 1
+	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(r.Payload)))
+	buffer = append(buffer, recordFormat, byte(r.Kind))
+	buffer = binary.LittleEndian.AppendUint64(buffer, seq)
+	buffer = binary.LittleEndian.AppendUint64(buffer, durable)
+	buffer = binary.LittleEndian.AppendUint64(buffer, after.checksum)
+	buffer = append(buffer, r.Payload...)
+	checksum := checksumOf(id, buffer[start:])
+	buffer = binary.LittleEndian.AppendUint64(buffer, checksum)
+	return buffer, chainPosition{seq: seq, checksum: checksum}
+}
 
-// mend finds the one bit which, turned, makes the record at the beginning of a text the one that is to follow. A record that is
-// the last of all has nobody behind it who could tell that it was durable, so one bit of it must not look like a torn tail.
-func mend(text []byte, l life, seq, prev uint64) (at int, bit byte, is bool) {
-	tries := func(from, to int) bool {
-		for at = from; at < min(to, len(text)); at++ {
-			for b := range 8 {
-				bit = 1 << b
-				text[at] ^= bit
-				_, _, _, err := next(text, l, seq, prev)
-				text[at] ^= bit
-				if err == nil {
-					return true
-				}
-			}
-		}
-		return false
+// decodeRecord decodes the record at the start of a text, wherever it stands in the chain.
+func decodeRecord(text []byte, id storeID) (decodedRecord, error) {
+	if len(text) < recordHeaderSize {
+		return decodedRecord{}, errTruncated
 	}
-	if tries(0, 4) { // the length: where the record ends is not known else
-		return at, bit, true
+	payloadSize := binary.LittleEndian.Uint32(text)
+	if text[formatOffset] != recordFormat || payloadSize > MaxPayload {
+		return decodedRecord{}, errNotARecord
+	}
+	size := recordOverhead + int(payloadSize)
+	if len(text) < size {
+		return decodedRecord{}, errTruncated
 	}
-	if len(text) < head {
-		return 0, 0, false
+	body := text[:size-checksumSize]
+	checksum := binary.LittleEndian.Uint64(text[len(body):])
+	if checksumOf(id, body) != checksum {
+		return decodedRecord{}, errChecksum
 	}
-	size := frame + int(binary.LittleEndian.Uint32(text))
-	return at, bit, size <= mostMended && size <= len(text) && tries(4, size)
+	return decodedRecord{
+		Record: Record{
+			Seq:     binary.LittleEndian.Uint64(text[seqOffset:]),
+			Kind:    Kind(text[kindOffset]),
+			Payload: body[recordHeaderSize:],
+		},
+		durable:  binary.LittleEndian.Uint64(text[durableOffset:]),
+		previous: binary.LittleEndian.Uint64(text[previousOffset:]),
+		checksum: checksum,
+		size:     size,
+	}, nil
 }
 
-// Damage is a place where what was durable cannot be read.
-type Damage struct {
-	File   string
-	Offset int64
-	Why    error
+// decodeNext decodes the record at the start of a text, which must be the one that follows a position.
+func decodeNext(text []byte, id storeID, after chainPosition) (decodedRecord, error) {
+	r, err := decodeRecord(text, id)
+	if err != nil {
+		return decodedRecord{}, err
+	}
+	if r.Seq != after.seq+1 || r.previous != after.checksum {
+		return decodedRecord{}, errOutOfSequence
+	}
+	return r, nil
 }
-
-func (d *Damage) Error() string { return fmt.Sprintf("%s, offset %d: %v", d.File, d.Offset, d.Why) }
-
-func (d *Damage) Unwrap() error { return d.Why }
