--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,57 +1,79 @@
-// Package statement finds what a statement's text tells of where it may run: the group of tables it uses.
+// Package statement reads from the text of a SQL statement what matters for its placement: the group of tables that it
+// uses. It does no more than tell names from strings and comments, and keeps no state.
 package statement
 
 // staging names the schema that belongs to no group.
 const staging = "staging"
 
-// Group finds the number of the group of tables: that at the end of the name of the first schema that has one,
-// after an underscore, as 17 in sales_17.orders. Strings and comments are passed over.
+// maxGroupDigits bounds the digits of a group's number, so that it fits 32 bits.
+const maxGroupDigits = 9
+
+// Group returns the number of the statement's group of tables: the one at the end of the name of the first schema that
+// has a number after an underscore, as 17 in sales_17.orders. Strings and comments do not count. It reports false where
+// no schema has a number.
 func Group(text []byte) (group uint32, found bool) {
 	for at := 0; at < len(text); {
-		switch c := text[at]; {
-		case c == '\'':
-			at = pastQuote(text, at)
-		case c == '-' && follows(text, at+1, '-'):
-			for at < len(text) && text[at] != '\n' {
-				at++
-			}
-		case c == '/' && follows(text, at+1, '*'):
-			at = pastComment(text, at)
-		case c == '"' || isName(c):
-			var name []byte
-			name, at = readName(text, at)
-			if dot := pastSpace(text, at); follows(text, dot, '.') {
-				if n, is := number(name); is {
-					return n, true
-				}
-				_, at = readName(text, pastSpace(text, dot+1)) // the table; a column may follow
-			}
-		default:
+		if end := skipNonCode(text, at); end > at {
+			at = end
+			continue
+		}
+		if text[at] != '"' && !isNameByte(text[at]) {
 			at++
+			continue
 		}
+		name, end := readName(text, at)
+		at = end
+		dot := skipSpace(text, at)
+		if !hasByte(text, dot, '.') {
+			continue
+		}
+		if number, ok := groupNumber(name); ok {
+			return number, true
+		}
+		_, at = readName(text, skipSpace(text, dot+1)) // the table; a column may follow
 	}
 	return 0, false
 }
 
-func follows(text []byte, at int, c byte) bool { return at < len(text) && text[at] == c }
+// skipNonCode returns the end of the string or comment that starts at an offset; the offset itself where none does.
+func skipNonCode(text []byte, at int) int {
+	switch {
+	case text[at] == '\'':
+		return skipQuoted(text, at)
+	case text[at] == '-' && hasByte(text, at+1, '-'):
+		return skipLine(text, at)
+	case text[at] == '/' && hasByte(text, at+1, '*'):
+		return skipComment(text, at)
+	}
+	return at
+}
 
-func isName(c byte) bool {
-	return c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
+func skipLine(text []byte, at int) int {
+	for at < len(text) && text[at] != '\n' {
+		at++
+	}
+	return at
 }
 
-func pastSpace(text []byte, at int) int {
+func hasByte(text []byte, at int, c byte) bool { return at < len(text) && text[at] == c }
+
+func isNameByte(c byte) bool {
+	return c == '_' || isDigit(c) || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
+}
+
+func skipSpace(text []byte, at int) int {
 	for at < len(text) && (text[at] == ' ' || text[at] == '\t' || text[at] == '\n' || text[at] == '\r') {
 		at++
 	}
 	return at
 }
 
-// pastQuote passes over a string or quoted name; a doubled quote stands for one.
-func pastQuote(text []byte, at int) int {
+// skipQuoted returns the end of a string or quoted name; a doubled quote stands for one.
+func skipQuoted(text []byte, at int) int {
 	quote := text[at]
 	for at++; at < len(text); at++ {
 		if text[at] == quote {
-			if !follows(text, at+1, quote) {
+			if !hasByte(text, at+1, quote) {
 				return at + 1
 			}
 			at++
@@ -60,14 +82,18 @@
 	return at
 }
 
-// pastComment passes over a comment, with those inside it.
-func pastComment(text []byte, at int) int {
-	for depth := 0; at < len(text); {
+// skipComment returns the end of a comment, with those nested in it.
+func skipComment(text []byte, at int) int {
+	depth := 0
+	for at < len(text) {
 		switch {
-		case text[at] == '/' && follows(text, at+1, '*'):
-			depth, at = depth+1, at+2
-		case text[at] == '*' && follows(text, at+1, '/'):
-			if depth, at = depth-1, at+2; depth == 0 {
+		case text[at] == '/' && hasByte(text, at+1, '*'):
+			depth++
+			at += 2
+		case text[at] == '*' && hasByte(text, at+1, '/'):
+			depth--
+			at += 2
+			if depth == 0 {
 				return at
 			}
 		default:
@@ -77,30 +103,35 @@
 	return at
 }
 
-// readName reads a name, quoted or not, and gives where it ends.
+// readName returns the name that starts at an offset, quoted or not, and its end.
 func readName(text []byte, at int) ([]byte, int) {
-	if follows(text, at, '"') {
-		end := pastQuote(text, at)
+	if hasByte(text, at, '"') {
+		end := skipQuoted(text, at)
 		return text[at+1 : max(at+1, end-1)], end
 	}
 	end := at
-	for end < len(text) && isName(text[end]) {
+	for end < len(text) && isNameByte(text[end]) {
 		end++
 	}
 	return text[at:end], end
 }
 
-// number gives the digits after the last underscore of a schema's name.
-func number(name []byte) (n uint32, is bool) {
-	at := len(name)
-	for at > 0 && name[at-1] >= '0' && name[at-1] <= '9' {
-		at--
+// groupNumber returns the digits after the last underscore of a schema's name, and whether the schema has a group.
+func groupNumber(schema []byte) (number uint32, ok bool) {
+	digits := len(schema)
+	for digits > 0 && isDigit(schema[digits-1]) {
+		digits--
+	}
+	if digits == len(schema) || len(schema)-digits > maxGroupDigits {
+		return 0, false
 	}
-	if at == len(name) || at < 2 || name[at-1] != '_' || len(name)-at > 9 || string(name[:at-1]) == staging {
+	if digits < 2 || schema[digits-1] != '_' || string(schema[:digits-1]) == staging {
 		return 0, false
 	}
-	for _, d := range name[at:] {
-		n = n*10 + uint32(d-'0')
+	for _, digit := range schema[digits:] {
+		number = number*10 + uint32(digit-'0')
 	}
-	return n, true
+	return number, true
 }
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -24,9 +24,12 @@
 	}
 }
 
-// FuzzGroup: no panic, and what stands in a comment or a string before never sways it.
+// FuzzGroup checks that no text makes Group panic, and that a comment or a string before it never changes the result.
 func FuzzGroup(f *testing.F) {
-	for _, s := range []string{"SELECT * FROM sales_17.orders", "--", "/*/", "'", `"`, "a_1.b", "a_1", "staging_1.x ops_3.y"} {
+	for _, s := range []string{
+		"SELECT * FROM sales_17.orders", "--", "/*/", "'", `"`, "a_1.b", "a_1",
+		"staging_1.x ops_3.y",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
