--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -33,11 +33,11 @@
 func TestLimitIsCoresTimesTwoByShareAndTenants(t *testing.T) {
 	s := newStage(t, plainFacts(), 3)
 	s.arrive(0, 0, 1)
-	want(t, s.c.limit(&bucket{}) == 3*8*2/2, "limit %v", s.c.limit(&bucket{}))
+	want(t, s.c.bucketLimit(&bucket{}) == 3*8*2/2, "limit %v", s.c.bucketLimit(&bucket{}))
 	s.arriveAs(Event{Type: 0, Tenant: 1, TimeLeft: second, Cost: ms, CostKnown: true})
-	want(t, s.c.limit(&bucket{}) == 3*8*2/2/2, "limit %v with two tenants", s.c.limit(&bucket{}))
+	want(t, s.c.bucketLimit(&bucket{}) == 3*8*2/2/2, "limit %v with two tenants", s.c.bucketLimit(&bucket{}))
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
-	want(t, s.c.limit(&bucket{}) == 2*8*2/2/2, "live limit %v", s.c.limit(&bucket{}))
+	want(t, s.c.bucketLimit(&bucket{}) == 2*8*2/2/2, "live limit %v", s.c.bucketLimit(&bucket{}))
 }
 
 func TestPastItsRoomAJobParksAndACompletionDrainsItsBucketFirst(t *testing.T) {
@@ -56,7 +56,7 @@
 func TestAFullQueueThrottlesAtOnceAndTheSweepDropsWhatHasGivenUp(t *testing.T) {
 	s := newStage(t, plainFacts(), 0)
 	short := s.arrive(0, 0, 1)
-	for range bucketDepth {
+	for range maxBucketQueue {
 		s.arrive(1, 0, 1)
 	}
 	id := s.arrive(1, 0, 1)
@@ -68,26 +68,26 @@
 func TestABoundBindsOnlyUnderPressureWidensByOneAndHalves(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
 	e := s.c.engines[0]
-	want(t, e.bound == 4 && !e.pressed, "starts at cores by share")
-	j := &job{typ: s.c.types[1], work: float64(second), bucket: &bucket{}}
-	f := &flight{engine: e, expect: 1e9}
+	want(t, e.concurrencyLimit == 4 && !e.underPressure, "starts at cores by share")
+	j := &job{jobType: s.c.types[1], work: float64(second), bucket: &bucket{}}
+	f := &attempt{engine: e, expectedNanos: 1e9}
 	s.now += second
 	s.c.now = s.now
-	s.c.learn(j, f, Event{Latency: 450 * ms})
-	want(t, e.bound == 5, "widens by a thread near best: %v", e.bound)
+	s.c.observeSuccess(j, f, Event{Latency: 450 * ms})
+	want(t, e.concurrencyLimit == 5, "widens by a thread near best: %v", e.concurrencyLimit)
 	for i := range 80 {
-		if s.c.learn(j, f, Event{Latency: 6 * second}); i == 40 {
-			want(t, !e.pressed && e.bound == 5, "latency that grew with few threads there is no crowding")
-			e.bound, e.threads, e.flights = 8, 9, []*flight{f}
+		if s.c.observeSuccess(j, f, Event{Latency: 6 * second}); i == 40 {
+			want(t, !e.underPressure && e.concurrencyLimit == 5, "latency that grew with few threads there is no crowding")
+			e.concurrencyLimit, e.ownThreads, e.attempts = 8, 9, []*attempt{f}
 		}
 	}
-	want(t, e.pressed && e.bound == 4, "pressed %v, halved once to %v", e.pressed, e.bound)
-	e.threads, j.typ.threads = 3, 3
-	want(t, !s.c.room(j, e), "the bound binds under pressure")
-	e.pressed = false
-	want(t, s.c.room(j, e), "without pressure it does not")
-	j.bucket.used = 100
-	want(t, !s.c.room(j, e), "but for a borrower")
+	want(t, e.underPressure && e.concurrencyLimit == 4, "pressed %v, halved once to %v", e.underPressure, e.concurrencyLimit)
+	e.ownThreads, j.jobType.threads = 3, 3
+	want(t, !s.c.hasCapacity(j, e), "the bound binds under pressure")
+	e.underPressure = false
+	want(t, s.c.hasCapacity(j, e), "without pressure it does not")
+	j.bucket.threadsInUse = 100
+	want(t, !s.c.hasCapacity(j, e), "but for a borrower")
 }
 
 // The failure: a job parked again after a dispatch counted its time there as waiting, and raised the price.
@@ -145,9 +145,9 @@
 	s.now += 2 * second
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	e := s.c.engines[len(s.c.engines)-1]
-	e.sent = append(e.sent, sentWork{s.now, 1})
+	e.slowStartWork = append(e.slowStartWork, timedWork{s.now, 1})
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready}) // the failure: a list that flaps renewed the budget
-	want(t, len(e.sent) > 0, "a list that flaps renews the budget")
+	want(t, len(e.slowStartWork) > 0, "a list that flaps renews the budget")
 }
 
 // The failure: the way to all engines lost a part of the answers, and three in a row set engines aside by chance.
@@ -156,11 +156,11 @@
 	s.c.badMean = 0.3
 	e := s.c.engines[0]
 	for range 5 {
-		s.c.judge(e, TimedOut)
+		s.c.recordOutcome(e, TimedOut)
 	}
-	want(t, !e.aside, "set aside after %d", e.strikes)
-	s.c.judge(e, TimedOut)
-	want(t, e.aside, "six in a row are no chance")
+	want(t, !e.ejected, "set aside after %d", e.consecutiveFailures)
+	s.c.recordOutcome(e, TimedOut)
+	want(t, e.ejected, "six in a row are no chance")
 }
 
 func TestWhenAllFailTheFleetIsNotSetAside(t *testing.T) {
@@ -171,7 +171,7 @@
 			s.finish(id, Failed)
 		}
 	}
-	in := slices.DeleteFunc(slices.Clone(s.c.engines), func(e *engine) bool { return e.aside })
+	in := slices.DeleteFunc(slices.Clone(s.c.engines), func(e *engine) bool { return e.ejected })
 	want(t, len(in) == 4, "%d of 6 left", len(in))
 }
 
@@ -181,9 +181,9 @@
 	f.list("classes")[1].(map[string]any)["idempotency"] = "by_key"
 	s := newStage(t, f, 4)
 	keyed, once := s.arrive(1, 0, 1), s.arrive(2, 1, 2)
-	s.c.setAside(s.c.jobs[keyed].flight.engine, false)
-	s.c.setAside(s.c.jobs[once].flight.engine, true)
-	want(t, s.c.jobs[keyed].flight.called && !s.c.jobs[once].flight.called, "keyed called back, run-once waited for")
+	s.c.eject(s.c.jobs[keyed].attempt.engine, false)
+	s.c.eject(s.c.jobs[once].attempt.engine, true)
+	want(t, s.c.jobs[keyed].attempt.cancelRequested && !s.c.jobs[once].attempt.cancelRequested, "keyed called back, run-once waited for")
 }
 
 // The failure: a bad plan runs many times as long; its own notes project it.
@@ -217,9 +217,9 @@
 			s.finish(id, Done)
 		}
 		id := s.arrive(1, 0, 1)
-		s.now += Nanos(2 * s.c.jobs[id].flight.expect)
+		s.now += Nanos(2 * s.c.jobs[id].attempt.expectedNanos)
 		s.tell(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.5}) // four times in all
-		want(t, s.jobs[id].sends[0].called != rough, "rough=%v: called back=%v, scatter %v", rough, !rough, s.c.scatter())
+		want(t, s.jobs[id].sends[0].called != rough, "rough=%v: called back=%v, scatter %v", rough, !rough, s.c.durationSpread())
 	}
 }
 
@@ -244,14 +244,14 @@
 func TestTheShareFollowsWhatLoadReportsShowWeCarry(t *testing.T) {
 	s := newStage(t, plainFacts().set("balancers", 8.0), 1)
 	e := s.c.engines[0]
-	e.flights, e.threads = []*flight{{job: &job{typ: s.c.types[0]}, sent: s.now + second}}, 2
-	j := &job{typ: s.c.types[1], bucket: &bucket{}}
-	want(t, !s.c.room(j, e), "its even share is one thread")
+	e.attempts, e.ownThreads = []*attempt{{job: &job{jobType: s.c.types[0]}, sentAt: s.now + second}}, 2
+	j := &job{jobType: s.c.types[1], bucket: &bucket{}}
+	want(t, !s.c.hasCapacity(j, e), "its even share is one thread")
 	for range 300 {
-		s.c.report(e, []float64{1})
+		s.c.applyLoadReport(e, []float64{1})
 		s.pass(20 * ms)
 	}
-	want(t, s.c.share > 0.3 && s.c.room(j, e), "share %v though the reports show no others", s.c.share)
+	want(t, s.c.share > 0.3 && s.c.hasCapacity(j, e), "share %v though the reports show no others", s.c.share)
 }
 
 // The failure: while siblings restart one after the other, some seconds each, the controllers left throttled a tenth of
@@ -260,7 +260,7 @@
 	s := newStage(t, plainFacts().set("balancers", 3.0), 6)
 	report := func(others float64) {
 		for _, e := range s.c.engines {
-			s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights)) + others}})
+			s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.attempts)) + others}})
 		}
 	}
 	for range 30 {
@@ -291,12 +291,12 @@
 func TestTheFirstJobHeedsWhatSiblingsHold(t *testing.T) {
 	s := newStage(t, plainFacts().set("balancers", 5.0), 1)
 	e := s.c.engines[0]
-	e.others, e.reported = 18, s.now
+	e.siblingThreads, e.loadKnownAt = 18, s.now
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "siblings hold 18 threads on 8 cores")
-	e.others, e.reported, s.c.outThreads, s.c.outGrants = 8, s.now, 1, 3000
+	e.siblingThreads, e.loadKnownAt, s.c.outThreads, s.c.outGrants = 8, s.now, 1, 3000
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "siblings hold all its memory")
 	s.pass(15 * second)
-	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 1, "an old report fades: %v", e.others)
+	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 1, "an old report fades: %v", e.siblingThreads)
 }
 
 func TestGrantsLearnTheBiasOfEstimates(t *testing.T) {
@@ -349,7 +349,7 @@
 	s := newStage(t, plainFacts().set("balancers", 200.0).set("tariffs", map[string]any{"probe": 0.01}), 40)
 	s.slowProbes = true
 	heavy := s.arrive(1, 0, 1)
-	want(t, len(s.probes) > 0 && len(s.probes) <= looksLeast && len(s.sentTo(heavy)) == 0, "probes %v", s.probes)
+	want(t, len(s.probes) > 0 && len(s.probes) <= minSampleSize && len(s.sentTo(heavy)) == 0, "probes %v", s.probes)
 	for _, e := range s.probes {
 		s.tell(Event{Kind: ProbeCompleted, Engine: e, Result: Done, Load: []float64{3}})
 	}
@@ -399,7 +399,7 @@
 	s := newStage(t, f, 24)
 	s.c.crowd = 3
 	for _, e := range s.c.engines {
-		e.others = 24
+		e.siblingThreads = 24
 	}
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "sent to a fleet that was full when last seen")
 	s.pass(16 * second)
@@ -410,18 +410,18 @@
 func TestAnEngineThatComesBackUntoldIsTakenForJustStarted(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
 	refused, empty := s.c.engines[0], s.c.engines[1]
-	s.c.judge(refused, Unreachable)
-	want(t, s.c.warmth(empty) < 1, "it may have restarted too")
+	s.c.recordOutcome(refused, Unreachable)
+	want(t, s.c.slowStartFraction(empty) < 1, "it may have restarted too")
 	s.tell(Event{Kind: ProbeCompleted, Engine: empty.Engine, Result: Done})
-	want(t, s.c.warmth(empty) == 1, "it is heard of")
+	want(t, s.c.slowStartFraction(empty) == 1, "it is heard of")
 	s.tell(Event{Kind: ProbeCompleted, Engine: refused.Engine, Result: Done})
-	want(t, s.c.warmth(refused) < 1, "it answers again")
-	s.pass(outageLasts)
+	want(t, s.c.slowStartFraction(refused) < 1, "it answers again")
+	s.pass(outageDuration)
 	s.c.crowd = 1
-	s.c.report(empty, []float64{2})
-	want(t, s.c.warmth(empty) == 1, "two of eight jobs")
-	s.c.report(empty, []float64{0})
-	want(t, s.c.warmth(empty) < 1, "empty in a busy fleet")
+	s.c.applyLoadReport(empty, []float64{2})
+	want(t, s.c.slowStartFraction(empty) == 1, "two of eight jobs")
+	s.c.applyLoadReport(empty, []float64{0})
+	want(t, s.c.slowStartFraction(empty) < 1, "empty in a busy fleet")
 	want(t, strings.Count(s.texts, "taken for just started") == 1, "%v", s.texts)
 }
 
@@ -445,10 +445,10 @@
 func TestAnEngineThatLosesAPartOfItsAnswersIsChosenLess(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
 	for range 30 {
-		s.c.judge(s.c.engines[0], Reset)
-		s.c.judge(s.c.engines[0], Done)
+		s.c.recordOutcome(s.c.engines[0], Reset)
+		s.c.recordOutcome(s.c.engines[0], Done)
 	}
-	want(t, !s.c.engines[0].aside && s.sentTo(s.arrive(0, 0, 1))[0] == 101, "chosen though it loses half")
+	want(t, !s.c.engines[0].ejected && s.sentTo(s.arrive(0, 0, 1))[0] == 101, "chosen though it loses half")
 }
 
 // The failure: by even parts a cold engine gets nothing from hundreds of controllers, by looser ones it falls over.
@@ -495,16 +495,16 @@
 	s := newStage(t, plainFacts(), 3)
 	s.c.spare = 5
 	id := s.arrive(0, 0, 1)
-	e := s.c.jobs[id].flight.engine
+	e := s.c.jobs[id].attempt.engine
 	s.pass(500 * ms) // over half its SLA time, four times what it should take
-	want(t, e.strikes == 1 && s.jobs[id].sends[0].called, "lost dispatches count against their engine")
-	s.c.judge(e, TimedOut)
-	s.c.judge(e, TimedOut)
-	want(t, e.aside, "three lost in a row")
+	want(t, e.consecutiveFailures == 1 && s.jobs[id].sends[0].called, "lost dispatches count against their engine")
+	s.c.recordOutcome(e, TimedOut)
+	s.c.recordOutcome(e, TimedOut)
+	want(t, e.ejected, "three lost in a row")
 	s.pass(3 * second)
-	want(t, !e.aside, "not back after probes: %v", s.texts)
-	s.c.judge(e, TimedOut)
-	want(t, e.aside && e.rest == 2*restFirst, "one failure more sets it aside for twice as long")
+	want(t, !e.ejected, "not back after probes: %v", s.texts)
+	s.c.recordOutcome(e, TimedOut)
+	want(t, e.ejected && e.ejectionTime == 2*minEjectionTime, "one failure more sets it aside for twice as long")
 }
 
 // The failure: an engine that had been cold was empty for our own restraint, and taken for just started for ever.
@@ -513,8 +513,8 @@
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
 	s.now += s.c.warmWithin + second
 	s.c.now, s.c.crowd = s.now, 1
-	s.c.report(s.c.engines[0], []float64{0})
-	want(t, s.c.warmth(s.c.engines[0]) == 1, "cold again")
+	s.c.applyLoadReport(s.c.engines[0], []float64{0})
+	want(t, s.c.slowStartFraction(s.c.engines[0]) == 1, "cold again")
 }
 
 // Settings restated in a running controller hold from the next decision on, in both directions; what was taken in
@@ -522,26 +522,26 @@
 func TestRestatedSettingsHoldAtOnceBothWays(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
 	out := s.arrive(1, 0, 1)
-	usual := s.c.types[1].usual
+	usual := s.c.types[1].meanWork
 	barred := plainFacts().set("limits.cancel", false)
 	barred["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
 	s.tell(Event{Kind: Reconfigured, Settings: barred})
-	want(t, s.c.jobs[out].flight != nil && s.c.types[1].usual == usual && !s.c.cancels, "what was out or learned is lost")
+	want(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == usual && !s.c.cancels, "what was out or learned is lost")
 	held := s.arrive(1, 0, 1)
 	want(t, len(s.sentTo(held)) == 0, "sent to an engine of a kind that the restated settings bar")
 	s.tell(Event{Kind: Reconfigured, Settings: plainFacts()})
-	s.pass(lookAgain)
+	s.pass(resampleInterval)
 	want(t, len(s.sentTo(held)) == 1 && s.c.cancels, "the way back does not hold at once")
 	want(t, len(s.sentTo(out)) == 1, "what was out is sent twice")
 	e := s.c.engines[1]
 	memory := plainFacts().set("telemetry.fields", []any{"load_share", "x0"})
 	for range 2 { // from counts of jobs to memory granted, and back
 		s.tell(Event{Kind: Reconfigured, Settings: memory})
-		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{0, (e.grants + 800) / e.memory}})
-		want(t, e.others > 6 && e.others < 10, "others %v of 8 by memory", e.others)
+		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{0, (e.ownMemoryMB + 800) / e.memoryMB}})
+		want(t, e.siblingThreads > 6 && e.siblingThreads < 10, "others %v of 8 by memory", e.siblingThreads)
 		s.tell(Event{Kind: Reconfigured, Settings: plainFacts()})
-		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.flights))}})
-		want(t, e.others == 0, "others %v of 0 by count", e.others)
+		s.tell(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.attempts))}})
+		want(t, e.siblingThreads == 0, "others %v of 0 by count", e.siblingThreads)
 	}
 }
 
@@ -558,22 +558,22 @@
 		if !own {
 			granted = 1.25
 		}
-		s.c.report(e, []float64{0.1, granted * (e.grants + 800) / e.memory}) // jobs here are 200 MB on two threads
-		want(t, e.others > 7.9 && e.others < 8.1 && e.reported == s.now, "others %v of 8", e.others)
-		s.c.report(e, []float64{1, granted * e.grants / e.memory})
-		want(t, e.others < 0.01, "all busy, by ours alone: %v", e.others)
+		s.c.applyLoadReport(e, []float64{0.1, granted * (e.ownMemoryMB + 800) / e.memoryMB}) // jobs here are 200 MB on two threads
+		want(t, e.siblingThreads > 7.9 && e.siblingThreads < 8.1 && e.loadKnownAt == s.now, "others %v of 8", e.siblingThreads)
+		s.c.applyLoadReport(e, []float64{1, granted * e.ownMemoryMB / e.memoryMB})
+		want(t, e.siblingThreads < 0.01, "all busy, by ours alone: %v", e.siblingThreads)
 		s.finish(id, Done)
-		s.c.report(e, []float64{0, 2 * granted})
+		s.c.applyLoadReport(e, []float64{0, 2 * granted})
 		want(t, len(s.sentTo(s.arrive(1, 0, 2))) == 0, "twice its memory is granted")
-		s.c.report(e, []float64{1, 0})
+		s.c.applyLoadReport(e, []float64{1, 0})
 		want(t, len(s.sentTo(s.arrive(1, 0, 3))) == 1, "drained, and used again at the first word of it")
 	}
 	for _, f := range []RawSettings{plainFacts().set("telemetry.fields", []any{"load_share"}), // busy cores alone
 		plainFacts().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.size_mb", []any{})} { // a share of what?
 		s := newStage(t, f, 1)
 		s.arrive(1, 0, 1)
-		s.c.report(s.c.engines[0], []float64{1, 1})
-		want(t, s.c.engines[0].reported == 0, "taken for a report: others %v", s.c.engines[0].others)
+		s.c.applyLoadReport(s.c.engines[0], []float64{1, 1})
+		want(t, s.c.engines[0].loadKnownAt == 0, "taken for a report: others %v", s.c.engines[0].siblingThreads)
 	}
 }
 
@@ -581,7 +581,7 @@
 // is refused for the slowness of its type teaches nothing, so that it was refused for ever.
 func TestWhatItsTypesSlownessWouldLoseIsRefusedAndNotForEver(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
-	s.c.types[1].slow, s.c.types[1].taught = 3, s.now
+	s.c.types[1].slowdown, s.c.types[1].lastLatencyAt = 3, s.now
 	short := func() JobID {
 		return s.arriveAs(Event{Type: 1, TimeLeft: 1500 * ms, Cost: 2 * second, CostKnown: true})
 	}
@@ -592,7 +592,7 @@
 	id = short()
 	want(t, len(s.sentTo(id)) == 0, "sent while its type is known to be slow")
 	s.pass(22 * second) // the first is given up at its job timeout
-	want(t, len(s.sentTo(short())) == 1, "slow %v still, untaught", s.c.types[1].slow)
+	want(t, len(s.sentTo(short())) == 1, "slow %v still, untaught", s.c.types[1].slowdown)
 }
 
 // The failure: heads of a type bound to full engines made the price of all jobs rise, also of those others had room for.
@@ -634,8 +634,8 @@
 			s.tell(Event{Kind: ProbeCompleted, Engine: s.probes[0], Result: Done, Load: []float64{20}})
 		}
 		for _, e := range s.c.engines {
-			if e.others = 1.45 * e.cores; s.now-e.reported < reportFresh {
-				e.others = 2 * e.cores
+			if e.siblingThreads = 1.45 * e.cores; s.now-e.loadKnownAt < reportTTL {
+				e.siblingThreads = 2 * e.cores
 			}
 		}
 		s.c.crowd = 1.45
@@ -647,7 +647,7 @@
 		s.pass(350 * ms)
 	}
 	want(t, len(s.sentTo(id)) == 0, "sent though it might have looked")
-	s.pass(dryAfter)
+	s.pass(probeExhaustedAfter)
 	want(t, len(s.sentTo(id)) == 1, "refused on a guess though nobody can look: %+v", s.jobs[id])
 }
 
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -23,7 +23,7 @@
 }
 
 // knownStart tells whether a controller was told of an engine's start, saw that it came back, or saw it refuse.
-func (e *engine) knownStart() bool { return e.StartedAt > 0 || e.back > 0 || e.down }
+func (e *engine) knownStart() bool { return e.StartedAt > 0 || e.suspectedRestartAt > 0 || e.refusing }
 
 type coldCall struct {
 	at   Nanos
@@ -122,7 +122,7 @@
 				e := ending{at: now + Nanos(j.work/j.threads*(1+0.2*chance.Float64())), of: i, job: a.Job, seq: j.seq, engine: a.Engine, sent: now, result: Done}
 				if a.Engine == coldEngine && now < born {
 					e.at, e.result = now+ms, Unreachable
-				} else if at, _ := o.c.find(coldEngine); a.Engine == coldEngine && o.c.engines[at].knownStart() {
+				} else if at, _ := o.c.findEngine(coldEngine); a.Engine == coldEngine && o.c.engines[at].knownStart() {
 					got = append(got, coldCall{now, j.work})
 					inHand[a.Engine]++
 				} else {
@@ -306,8 +306,8 @@
 			c := &Controller{}
 			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Settings: coldFacts(d, i)})
 			c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: coldEngine, State: Ready}}})
-			c.engines[0].back = start + 3*second + Nanos(chance.Float64()*4*float64(coldWindow))
-			c.types[1].usual, c.types[2].usual = float64(second), longest(chance.Float64())
+			c.engines[0].suspectedRestartAt = start + 3*second + Nanos(chance.Float64()*4*float64(coldWindow))
+			c.types[1].meanWork, c.types[2].meanWork = float64(second), longest(chance.Float64())
 			fleet = append(fleet, c)
 		}
 		some := 0
@@ -315,7 +315,7 @@
 			have := 0
 			for _, c := range fleet {
 				c.now = now
-				if c.coldRoom(&job{typ: c.types[0], work: 1e6}, c.engines[0]) {
+				if c.slowStartAllows(&job{jobType: c.types[0], work: 1e6}, c.engines[0]) {
 					have++
 				}
 			}
@@ -371,8 +371,8 @@
 	s.c.crowd = 2
 	s.pass(100 * ms)
 	for _, e := range s.c.engines {
-		cold := s.c.warmth(e) < 1
-		want(t, cold == (e.others < 0.1), "others hold %v threads of an engine that is cold: %v", e.others, cold)
+		cold := s.c.slowStartFraction(e) < 1
+		want(t, cold == (e.siblingThreads < 0.1), "others hold %v threads of an engine that is cold: %v", e.siblingThreads, cold)
 	}
 	s.pass(12 * second)
 	want(t, s.c.cores == 32, "%v cores once all are warm", s.c.cores)
--- a/choice/elder_test.go
+++ b/choice/elder_test.go
@@ -39,7 +39,9 @@
 	keyed := func(c *Controller, at Nanos) int {
 		return sent(c.Decide(at, Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
 	}
-	sweep := func(c *Controller, at Nanos) int { return sent(c.Decide(at, Event{Kind: TimerFired, TimerID: c.tick})) }
+	sweep := func(c *Controller, at Nanos) int {
+		return sent(c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID}))
+	}
 
 	// Rule 5: a key rests from the elder's end on.
 	if c := begin(false, 0); keyed(c, start+1e7) != 1 {
@@ -75,10 +77,10 @@
 
 	// Rule 7: the free part of the budget may be the elder's for a window.
 	c = begin(true, 0)
-	if c.Decide(start+1e9, Event{Kind: PredecessorChanged}); c.rationed() {
+	if c.Decide(start+1e9, Event{Kind: PredecessorChanged}); c.retryBudgetAllows() {
 		t.Error("the free part is used twice")
 	}
-	if c.now = start + 61e8; !c.rationed() {
+	if c.now = start + 61e8; !c.retryBudgetAllows() {
 		t.Error("the budget never comes back")
 	}
 }
@@ -92,7 +94,7 @@
 		return c
 	}
 	old := begin()
-	old.types[0].TypeStats = TypeStats{usual: 5e6, usualN: 50, costBias: -1.2, costN: 900, memBias: 0.4, memDev: 0.2, memN: 700, best: 1.4, slow: 1.9}
+	old.types[0].TypeStats = TypeStats{meanWork: 5e6, workCount: 50, costBias: -1.2, costCount: 900, memoryBias: 0.4, memoryDeviation: 0.2, memoryCount: 700, bestSlowdown: 1.4, slowdown: 1.9}
 	text, err := json.Marshal(old.TypeStats())
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +103,7 @@
 	if err := json.Unmarshal(text, &told); err != nil {
 		t.Fatal(err)
 	}
-	told[1].slow = math.Inf(1) // torn on the way
+	told[1].slowdown = math.Inf(1) // torn on the way
 	c := begin()
 	fresh := c.types[1].TypeStats
 	c.Decide(1e15+1, Event{Kind: StateTransferred, TypeStats: append(told, told...)})
@@ -118,8 +120,8 @@
 			t.Errorf("%s is read", bad)
 		}
 	}
-	for _, m := range []TypeStats{{}, {usual: -1, best: 1, slow: 1}, {usual: 1, best: 1, slow: 1, costBias: 99}, {usual: math.NaN(), best: 1, slow: 1}} {
-		if m.sound() {
+	for _, m := range []TypeStats{{}, {meanWork: -1, bestSlowdown: 1, slowdown: 1}, {meanWork: 1, bestSlowdown: 1, slowdown: 1, costBias: 99}, {meanWork: math.NaN(), bestSlowdown: 1, slowdown: 1}} {
+		if m.plausible() {
 			t.Errorf("%+v is sound", m)
 		}
 	}
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -18,39 +18,39 @@
 func (c *Controller) EngineHealth() (list []EngineHealth) {
 	for _, e := range c.engines {
 		if e.State == Ready {
-			list = append(list, EngineHealth{e.Engine, e.slow, e.bad, e.aside})
+			list = append(list, EngineHealth{e.Engine, e.latencyRatio, e.failureRate, e.ejected})
 		}
 	}
 	return list
 }
 
 // sound tells whether a process can have learned this.
-func (h EngineHealth) sound() bool {
+func (h EngineHealth) plausible() bool {
 	return h.LatencyRatio > 0 && h.LatencyRatio <= 1000 && h.FailureRate >= 0 && h.FailureRate <= 1
 }
 
 // Carries is what it goes by now of the fleet, of 1: told, or guessed. It decides nothing.
 func (c *Controller) FleetShare() float64 { return c.share }
 
-func (m *TypeStats) parts() [9]*float64 {
-	return [9]*float64{&m.usual, &m.usualN, &m.costBias, &m.costN, &m.memBias, &m.memDev, &m.memN, &m.best, &m.slow}
+func (m *TypeStats) figures() [9]*float64 {
+	return [9]*float64{&m.meanWork, &m.workCount, &m.costBias, &m.costCount, &m.memoryBias, &m.memoryDeviation, &m.memoryCount, &m.bestSlowdown, &m.slowdown}
 }
 
 // sound tells whether a process can have learned this: no mean of jobs is outside these bounds.
-func (m TypeStats) sound() bool {
-	for _, v := range m.parts() {
+func (m TypeStats) plausible() bool {
+	for _, v := range m.figures() {
 		if math.IsNaN(*v) || math.Abs(*v) > float64(3600*second) {
 			return false
 		}
 	}
-	return m.usual > 0 && m.usualN >= 0 && m.costN >= 0 && m.memN >= 0 && m.memDev >= 0 && math.Abs(m.costBias) <= 30 && math.Abs(m.memBias) <= 30 &&
-		m.best > 0 && m.slow > 0 && m.slow <= 1000
+	return m.meanWork > 0 && m.workCount >= 0 && m.costCount >= 0 && m.memoryCount >= 0 && m.memoryDeviation >= 0 && math.Abs(m.costBias) <= 30 && math.Abs(m.memoryBias) <= 30 &&
+		m.bestSlowdown > 0 && m.slowdown > 0 && m.slowdown <= 1000
 }
 
 // MarshalJSON writes the figures as a list, in the order of parts.
 func (m TypeStats) MarshalJSON() ([]byte, error) {
 	var list [9]float64
-	for i, v := range m.parts() {
+	for i, v := range m.figures() {
 		list[i] = *v
 	}
 	return json.Marshal(list)
@@ -62,7 +62,7 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	parts := m.parts()
+	parts := m.figures()
 	if len(list) != len(parts) {
 		return fmt.Errorf("%d figures, %d are known", len(list), len(parts))
 	}
--- a/choice/part_test.go
+++ b/choice/part_test.go
@@ -20,24 +20,24 @@
 		return c
 	}
 	sweep := func(c *Controller, at Nanos) float64 {
-		c.Decide(at, Event{Kind: TimerFired, TimerID: c.tick})
+		c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID})
 		return c.share
 	}
 	inside := func(c *Controller) (n int) {
-		for c.withinShare(0) {
+		for c.withinTenantQuota(0) {
 			n++
 		}
 		return n
 	}
 	c, plain := begin(), begin()
-	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+quotaSaved) {
+	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+tenantBurstJobs) {
 		t.Errorf("told nothing: %v", c.share)
 	}
 	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1, TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
 	if got := sweep(c, start+2e9); got != 0.1 {
 		t.Errorf("share %v", got)
 	}
-	if delete(c.tenants, 0); inside(c) != int(2*100*0.6+quotaSaved) {
+	if delete(c.tenants, 0); inside(c) != int(2*100*0.6+tenantBurstJobs) {
 		t.Error("the tenant's part is not taken")
 	}
 	if got := sweep(c, start+5e9); got != sweep(plain, start+5e9) {
@@ -50,7 +50,7 @@
 	if d := c.share - plain.share; d > 1e-6 || d < -1e-6 {
 		t.Errorf("long past its end %v, without one %v", c.share, plain.share)
 	}
-	if delete(c.tenants, 0); inside(c) != int(2*100*0.25+quotaSaved) {
+	if delete(c.tenants, 0); inside(c) != int(2*100*0.25+tenantBurstJobs) {
 		t.Error("the tenant's part does not end")
 	}
 	if fmt.Sprint(c.EngineViews(start+60e9)) != fmt.Sprint(plain.EngineViews(start+60e9)) {
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -28,7 +28,7 @@
 func TestAPlansSharesAndPreferencesAreFollowedWithinRoom(t *testing.T) {
 	s, _ := planned(t, plainFacts())
 	mean := s.c.cores * 2 * s.c.share
-	want(t, s.c.limit(&bucket{tenant: 1}) == 0.75*mean && s.c.limit(&bucket{tenant: 0}) == 0.25*mean, "limits do not follow")
+	want(t, s.c.bucketLimit(&bucket{tenant: 1}) == 0.75*mean && s.c.bucketLimit(&bucket{tenant: 0}) == 0.25*mean, "limits do not follow")
 	for range 4 {
 		to := s.sentTo(s.arrive(0, 0, 0))
 		want(t, len(to) == 1 && to[0] == 103, "sent to %v", to)
@@ -37,7 +37,7 @@
 		s.arrive(0, 0, 0)
 	}
 	e := s.c.engines[3]
-	want(t, e.threads <= 2.5*e.cores*s.c.share && s.c.engines[0].threads > 0, "%v threads at the engine meant for them", e.threads)
+	want(t, e.ownThreads <= 2.5*e.cores*s.c.share && s.c.engines[0].ownThreads > 0, "%v threads at the engine meant for them", e.ownThreads)
 }
 
 func TestAPlanFadesAsItsEnginesGoAndComesBackLater(t *testing.T) {
@@ -49,35 +49,35 @@
 	}
 	line(100, Draining)
 	s.offer(second, 1)
-	want(t, s.c.hold > 0.4 && s.c.hold < 0.5, "a ninth of its threads gone: hold %v", s.c.hold)
+	want(t, s.c.planWeight > 0.4 && s.c.planWeight < 0.5, "a ninth of its threads gone: hold %v", s.c.planWeight)
 	line(101, Removed)
 	s.offer(second, 1)
-	want(t, s.c.hold == 0 && strings.Count(s.texts, "plan followed=false") == 1, "hold %v, log %q", s.c.hold, s.texts)
-	want(t, s.c.limit(&bucket{tenant: 1}) == s.c.limit(&bucket{tenant: 0}), "limits of a plan set aside")
+	want(t, s.c.planWeight == 0 && strings.Count(s.texts, "plan followed=false") == 1, "hold %v, log %q", s.c.planWeight, s.texts)
+	want(t, s.c.bucketLimit(&bucket{tenant: 1}) == s.c.bucketLimit(&bucket{tenant: 0}), "limits of a plan set aside")
 	line(101, Ready)
 	s.offer(second, 1)
-	want(t, s.c.hold == 0, "back too soon")
+	want(t, s.c.planWeight == 0, "back too soon")
 	line(100, Ready)
 	s.offer(second, 1)
-	want(t, s.c.hold == 1 && strings.Count(s.texts, "plan followed=true") == 1, "hold %v, log %q", s.c.hold, s.texts)
+	want(t, s.c.planWeight == 1 && strings.Count(s.texts, "plan followed=true") == 1, "hold %v, log %q", s.c.planWeight, s.texts)
 	s.list(ListDelta, EngineEntry{Engine: 104, State: Ready}, EngineEntry{Engine: 105, State: Ready})
 	s.offer(second, 1)
-	want(t, s.c.hold == 0, "a third of the fleet is not in the plan: hold %v", s.c.hold)
+	want(t, s.c.planWeight == 0, "a third of the fleet is not in the plan: hold %v", s.c.planWeight)
 	s.tell(Event{Kind: PlanUpdated})
 	s.offer(second, 1)
-	want(t, s.c.hold == 0 && s.c.plan == nil, "a plan taken back")
+	want(t, s.c.planWeight == 0 && s.c.plan == nil, "a plan taken back")
 }
 
 func TestAPlanIsSetAsideWhereDemandIsOff(t *testing.T) {
 	s, _ := planned(t, plainFacts())
 	s.offer(21*second, 1) // 0.1 s of work each 25 ms: 4 threads, as planned
-	want(t, s.c.hold == 1, "as planned: hold %v", s.c.hold)
+	want(t, s.c.planWeight == 1, "as planned: hold %v", s.c.planWeight)
 	s.offer(30*second, 5)
-	want(t, s.c.hold == 0, "five times as much: hold %v", s.c.hold)
+	want(t, s.c.planWeight == 0, "five times as much: hold %v", s.c.planWeight)
 	s.offer(60*second, 1)
-	want(t, s.c.hold == 1, "as planned again: hold %v of %v", s.c.hold, s.c.offered)
+	want(t, s.c.planWeight == 1, "as planned again: hold %v of %v", s.c.planWeight, s.c.offeredThreads)
 	s.pass(40 * second)
-	want(t, s.c.hold == 0, "nothing asked: hold %v", s.c.hold)
+	want(t, s.c.planWeight == 0, "nothing asked: hold %v", s.c.planWeight)
 }
 
 // All rules hold with a plan as without, however wrong it is.
@@ -136,7 +136,7 @@
 		}
 		c.Decide(now, Event{Kind: AttemptEnded, Job: id, Engine: to, Result: Done, IsFinal: true, Latency: 50 * ms})
 		if i%20 == 0 {
-			c.Decide(now, Event{Kind: TimerFired, TimerID: c.tick})
+			c.Decide(now, Event{Kind: TimerFired, TimerID: c.timerID})
 		}
 	}
 }
--- a/choice/recording_test.go
+++ b/choice/recording_test.go
@@ -231,8 +231,8 @@
 		}
 	}
 	r.Means = each(ev.TypeStats, func(m TypeStats) recordedMeans {
-		return recordedMeans{recordedFloat(m.usual), recordedFloat(m.usualN), recordedFloat(m.costBias), recordedFloat(m.costN),
-			recordedFloat(m.memBias), recordedFloat(m.memDev), recordedFloat(m.memN), recordedFloat(m.best), recordedFloat(m.slow)}
+		return recordedMeans{recordedFloat(m.meanWork), recordedFloat(m.workCount), recordedFloat(m.costBias), recordedFloat(m.costCount),
+			recordedFloat(m.memoryBias), recordedFloat(m.memoryDeviation), recordedFloat(m.memoryCount), recordedFloat(m.bestSlowdown), recordedFloat(m.slowdown)}
 	})
 	r.Health = each(ev.EngineHealth, func(h EngineHealth) recordedHealth {
 		return recordedHealth{uint32(h.Engine), recordedFloat(h.LatencyRatio), recordedFloat(h.FailureRate), h.Ejected}
@@ -276,8 +276,8 @@
 		}
 	}
 	ev.TypeStats = each(r.Means, func(m recordedMeans) TypeStats {
-		return TypeStats{usual: float64(m.Usual), usualN: float64(m.UsualN), costBias: float64(m.CostBias), costN: float64(m.CostN),
-			memBias: float64(m.MemBias), memDev: float64(m.MemDev), memN: float64(m.MemN), best: float64(m.Best), slow: float64(m.Slow)}
+		return TypeStats{meanWork: float64(m.Usual), workCount: float64(m.UsualN), costBias: float64(m.CostBias), costCount: float64(m.CostN),
+			memoryBias: float64(m.MemBias), memoryDeviation: float64(m.MemDev), memoryCount: float64(m.MemN), bestSlowdown: float64(m.Best), slowdown: float64(m.Slow)}
 	})
 	ev.EngineHealth = each(r.Health, func(h recordedHealth) EngineHealth {
 		return EngineHealth{EngineID(h.Engine), float64(h.Slow), float64(h.Bad), h.Aside}
@@ -323,21 +323,21 @@
 			fmt.Fprint(h, v, " ")
 		}
 	}
-	put(uint64(c.chance), len(c.live), len(c.jobs), len(c.buckets), len(c.lines), len(c.tenants), len(c.taken), len(c.further))
-	put(c.cores, c.crowd, c.share, c.guess, c.reach, c.outJobs, c.outThreads, c.outGrants, c.off, c.offN)
+	put(uint64(c.random), len(c.liveJobs), len(c.jobs), len(c.buckets), len(c.orderings), len(c.tenants), len(c.taken), len(c.further))
+	put(c.cores, c.crowd, c.share, c.guess, c.sampleSize, c.outJobs, c.outThreads, c.outGrants, c.off, c.offN)
 	put(c.slowMean, c.badMean, c.arrivals, c.worthMean, c.workMean, c.spanMean, c.holdMean)
-	put(c.probesLeft, c.spare, c.hold, c.offered, c.wordsLeft, c.mapsLeft, c.round, c.untold, c.next)
-	put(c.priced, c.pressed, c.tracked)
+	put(c.probesLeft, c.spare, c.planWeight, c.offeredThreads, c.wordsLeft, c.mapsLeft, c.round, c.untold, c.next)
+	put(c.overloadLogged, c.pressed, c.watchingEngines)
 	for _, t := range c.types {
-		put(t.parked, int64(t.taught), t.price)
-		for _, v := range t.parts() {
+		put(t.parkedJobs, int64(t.lastLatencyAt), t.price)
+		for _, v := range t.figures() {
 			put(*v)
 		}
 	}
 	for _, e := range c.engines {
-		put(uint32(e.Engine), len(e.flights), e.threads, e.grants, e.others, e.said, e.failed, e.done, e.toldFailed, e.toldDone)
-		put(e.bound, e.slow, e.bad, int64(e.rest), e.strikes, e.passed, e.place, len(e.sent), fmt.Sprint(e.held))
-		put(e.down, e.pressed, e.aside, e.asked, int64(e.fullUntil), int64(e.back), int64(e.heard), int64(e.reported))
+		put(uint32(e.Engine), len(e.attempts), e.ownThreads, e.ownMemoryMB, e.siblingThreads, e.gossipedThreads, e.newFailures, e.newSuccesses, e.siblingFailures, e.siblingSuccesses)
+		put(e.concurrencyLimit, e.latencyRatio, e.failureRate, int64(e.ejectionTime), e.consecutiveFailures, e.probesPassed, e.index, len(e.slowStartWork), fmt.Sprint(e.lockedTables))
+		put(e.refusing, e.underPressure, e.ejected, e.probePending, int64(e.fullUntil), int64(e.suspectedRestartAt), int64(e.lastSeenAt), int64(e.loadKnownAt))
 	}
 	for _, s := range c.EngineViews(now) {
 		put(uint32(s.Engine), s.Jobs, s.Threads, s.SiblingThreads, int64(s.ReportAge), int64(s.LastSeenAge), s.UnavailableReason)
--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -158,8 +158,8 @@
 	restart(s)
 	r := rand.New(rand.NewSource(9))
 	s.tell(Event{Kind: PredecessorChanged, PredecessorRunning: true})
-	taught := []TypeStats{{usual: 2e8, usualN: 40, costBias: 0.3, costN: 60, memBias: -0.2, memDev: 0.1, memN: 30, best: 0.7, slow: 1.4},
-		{usual: math.NaN(), best: 1, slow: 1}, {usual: 3e9, usualN: 7, best: 1.1, slow: 1.9}}
+	taught := []TypeStats{{meanWork: 2e8, workCount: 40, costBias: 0.3, costCount: 60, memoryBias: -0.2, memoryDeviation: 0.1, memoryCount: 30, bestSlowdown: 0.7, slowdown: 1.4},
+		{meanWork: math.NaN(), bestSlowdown: 1, slowdown: 1}, {meanWork: 3e9, workCount: 7, bestSlowdown: 1.1, slowdown: 1.9}}
 	s.tell(Event{Kind: StateTransferred, TypeStats: taught, EngineHealth: []EngineHealth{{100, 1.3, 0.2, false}, {101, 2.5, 0.4, true}, {102, math.Inf(1), 0, true}}})
 	s.chaos(r, 60)
 	s.tell(Event{Kind: PredecessorChanged})
@@ -217,7 +217,7 @@
 		}
 		f.pass(40 * ms)
 	}
-	said := []byte{mapText, 1, 2, 3, 4}
+	said := []byte{mapMarker, 1, 2, 3, 4}
 	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 2, Payload: said})
 	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 77, Payload: said})
 	f.all[watched].tell(Event{Kind: GossipReceived, Peer: 3, Payload: said[:3]})
@@ -320,7 +320,7 @@
 	case reflect.Struct:
 		if v.Type() == reflect.TypeFor[TypeStats]() {
 			m := v.Addr().Interface().(*TypeStats)
-			for i, part := range m.parts() {
+			for i, part := range m.figures() {
 				*part = float64(i) + 0.1
 			}
 			return
@@ -359,7 +359,7 @@
 	}
 	for i := range 9 {
 		var m TypeStats
-		*m.parts()[i] = math.E
+		*m.figures()[i] = math.E
 		if got := recorded(Event{TypeStats: []TypeStats{m}}).event(t).TypeStats[0]; got != m {
 			t.Errorf("mean %d: %+v is read as %+v", i, m, got)
 		}
--- a/choice/stage_test.go
+++ b/choice/stage_test.go
@@ -24,7 +24,7 @@
 	timers     map[TimerID]Nanos
 	probes     []EngineID
 	slowProbes bool // chaos answers them when it likes
-	cold       map[EngineID][]sentWork
+	cold       map[EngineID][]timedWork
 	nextID     JobID
 	further    []Nanos
 	acts       []Action // of the last event
@@ -98,7 +98,7 @@
 
 func newStage(t testing.TB, f RawSettings, engines int) *stage {
 	s := &stage{t: t, now: Nanos(1e12), facts: f, jobs: map[JobID]*staged{}, lines: map[EngineID]EngineEntry{},
-		told: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{}, cold: map[EngineID][]sentWork{}}
+		told: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{}, cold: map[EngineID][]timedWork{}}
 	s.tell(Event{Kind: Started, Seed: 7, Settings: f})
 	var lines []EngineEntry
 	for i := range engines {
@@ -152,7 +152,7 @@
 	if typ > 0 {
 		cost = Nanos(2e9)
 	}
-	give := s.facts.span(fmt.Sprintf("classes.%d.give_up_ns", typ))
+	give := s.facts.nanos(fmt.Sprintf("classes.%d.give_up_ns", typ))
 	return s.arriveAs(Event{Type: typ, Key: key, Tables: tables, TimeLeft: give, Cost: cost, CostKnown: true, MemoryMB: 200})
 }
 
@@ -175,7 +175,7 @@
 		}
 		d.over, d.result = true, r
 		if r == TimedOut || r == Reset || r == Canceled {
-			j.settle = s.now + s.facts.span("invariants.order_pause_ns")
+			j.settle = s.now + s.facts.nanos("invariants.order_pause_ns")
 		}
 		final := j.ended
 		if r == Done && !j.ended {
@@ -205,7 +205,7 @@
 			s.t.Fatalf("%d timers are set, one is enough", len(s.timers))
 		}
 		for _, j := range s.taken {
-			slack := s.facts.span("invariants.answer_slack_ns")
+			slack := s.facts.nanos("invariants.answer_slack_ns")
 			if lost := j.at + max(0, j.ev.TimeLeft); !j.ended && s.now > lost+slack {
 				s.t.Fatalf("rule 1: job %d of type %d has no final answer", j.ev.Job, j.ev.Type)
 			} else if !j.ended && s.now >= lost && j.out() {
@@ -258,15 +258,15 @@
 		s.t.Fatalf("job %d has two dispatches out", a.Job)
 	case !known:
 		s.t.Fatalf("job %d sent to unknown engine %d", a.Job, a.Engine)
-	case gone && s.now > told+s.facts.span("invariants.drain_grace_ns"):
+	case gone && s.now > told+s.facts.nanos("invariants.drain_grace_ns"):
 		s.t.Fatalf("rule 3: job %d sent to engine %d that drains or is gone", a.Job, a.Engine)
-	case len(j.sends) >= int(s.facts.num("limits.most_tries", 1)):
+	case len(j.sends) >= int(s.facts.number("limits.most_tries", 1)):
 		s.t.Fatalf("job %d sent too often", a.Job)
 	}
 	if effect := s.facts.text(at("idempotency")); j.unsure() && effect != "repeatable" {
 		first := j.sends[slices.IndexFunc(j.sends, (*sending).mayHaveRun)]
 		was, scope := s.lines[first.engine], s.facts.text(at("key_scope"))
-		if effect == "once" || s.now > first.at+s.facts.span(at("repeat_window_ns")) ||
+		if effect == "once" || s.now > first.at+s.facts.nanos(at("repeat_window_ns")) ||
 			(scope == "zone" && was.Zone != line.Zone) || (scope == "cell" && was.Cell != line.Cell) {
 			s.t.Fatalf("rule 2: job %d (%s) sent again though it may have run", a.Job, effect)
 		}
@@ -287,9 +287,9 @@
 		(kinds != nil && !slices.Contains(kinds, any(float64(line.Kind)))) {
 		s.t.Fatalf("rule 6: job %d sent to zone %d, kind %d", a.Job, line.Zone, line.Kind)
 	}
-	if ratio := s.facts.num("invariants.further_ratio", -1); ratio >= 0 && len(j.sends) > 0 {
+	if ratio := s.facts.number("invariants.further_ratio", -1); ratio >= 0 && len(j.sends) > 0 {
 		s.further = append(s.further, s.now)
-		window, n, took := s.facts.span("invariants.extra_window_ns"), 0.0, 0.0
+		window, n, took := s.facts.nanos("invariants.extra_window_ns"), 0.0, 0.0
 		for _, f := range s.further {
 			if f > s.now-window {
 				n++
@@ -300,7 +300,7 @@
 				took++
 			}
 		}
-		if n > s.facts.num("invariants.budget_free", 0)+ratio*took {
+		if n > s.facts.number("invariants.budget_free", 0)+ratio*took {
 			s.t.Fatalf("rule 7: %v further dispatches for %v jobs taken", n, took)
 		}
 	}
@@ -310,18 +310,18 @@
 // checkCold holds rule 4 as far as one controller can break it alone.
 func (s *stage) checkCold(j *staged, line EngineEntry) {
 	f := s.facts
-	if line.StartedAt == 0 || s.now-line.StartedAt >= f.span("invariants.warm_within_ns") {
+	if line.StartedAt == 0 || s.now-line.StartedAt >= f.nanos("invariants.warm_within_ns") {
 		return
 	}
 	sum := 0.0
-	s.cold[line.Engine] = append(s.cold[line.Engine], sentWork{s.now, float64(min(j.ev.Cost, 10*second))})
+	s.cold[line.Engine] = append(s.cold[line.Engine], timedWork{s.now, float64(min(j.ev.Cost, 10*second))})
 	for _, w := range s.cold[line.Engine] {
-		if w.at >= s.now-f.span("invariants.fall_ns") {
+		if w.at >= s.now-f.nanos("invariants.fall_ns") {
 			sum += w.work
 		}
 	}
-	cores := f.num(fmt.Sprintf("domain.cpu_of_kind.%d", line.Kind), 1)
-	most := f.num("invariants.fall_multiple", 1) * f.num("invariants.start_capacity", 1) * cores * f.num("invariants.fall_ns", 0)
+	cores := f.number(fmt.Sprintf("domain.cpu_of_kind.%d", line.Kind), 1)
+	most := f.number("invariants.fall_multiple", 1) * f.number("invariants.start_capacity", 1) * cores * f.number("invariants.fall_ns", 0)
 	if sum > most {
 		s.t.Fatalf("rule 4: cold engine %d was sent %.1f of %.1f s of work", line.Engine, sum/1e9, most/1e9)
 	}
@@ -398,7 +398,7 @@
 		}
 		s.pass(20 * ms)
 	}
-	if n := len(s.c.jobs) + len(s.c.lines) + len(s.c.buckets) + len(s.c.tenants); n != 0 {
+	if n := len(s.c.jobs) + len(s.c.orderings) + len(s.c.buckets) + len(s.c.tenants); n != 0 {
 		s.t.Fatalf("%d entries stay in tables after all is over", n)
 	}
 }
@@ -414,13 +414,13 @@
 // engine's memory, of which alone reports tell. It returns how many of the jobs taken were throttled.
 func (s *stage) hums(span Nanos, siblings float64) (refused int) {
 	s.load = func(id EngineID) []float64 {
-		granted := siblings * s.facts.num("domain.size_mb.0", 1)
+		granted := siblings * s.facts.number("domain.size_mb.0", 1)
 		for _, j := range s.taken {
 			if j.out() && j.sends[len(j.sends)-1].engine == id {
 				granted += j.ev.MemoryMB
 			}
 		}
-		return []float64{1, granted / s.facts.num("domain.size_mb.0", 1)}
+		return []float64{1, granted / s.facts.number("domain.size_mb.0", 1)}
 	}
 	first, end := s.nextID+1, s.now+span
 	for s.now < end {
--- a/choice/types.go
+++ b/choice/types.go
@@ -202,7 +202,7 @@
 }
 
 // of is our part of a tenant's quota; absent: none is told.
-func (p Quota) of(id TenantID, now Nanos, absent float64) float64 {
+func (p Quota) tenantShare(id TenantID, now Nanos, absent float64) float64 {
 	if part, told := p.TenantShares[id]; told && now < p.ExpiresAt {
 		return part
 	}
@@ -210,7 +210,7 @@
 }
 
 // none is a bucket without jobs.
-var none = &bucket{}
+var emptyBucket = &bucket{}
 
 // Plan is what was worked out ahead, as far as it bears on this controller. All rules, bounds and judgements of health
 // stand above it.
@@ -222,24 +222,24 @@
 	DemandThreads  float64      // threads asked for in the whole fleet
 	MaxDemandRatio float64      // where so many times more is asked, or less, it does not hold
 
-	parts   map[TenantID]float64 // the same, to look up
-	engines map[EngineID]planPart
-	all     float64 // threads
-	since   Nanos
+	tenantShares   map[TenantID]float64 // the same, to look up
+	plannedEngines map[EngineID]plannedEngine
+	totalThreads   float64 // threads
+	followedSince  Nanos
 }
 
 // planPart is what a plan has for an engine.
-type planPart struct {
+type plannedEngine struct {
 	weights []float64 // by type
 	threads float64
 }
 
 // of tells it; strange: the plan does not know the engine. Without a plan nothing is strange.
-func (p *Plan) of(id EngineID) (weights []float64, threads float64, strange bool) {
+func (p *Plan) engine(id EngineID) (weights []float64, threads float64, strange bool) {
 	if p == nil {
 		return nil, 0, false
 	}
-	e, known := p.engines[id]
+	e, known := p.plannedEngines[id]
 	return e.weights, e.threads, !known
 }
 
@@ -248,26 +248,26 @@
 	if p == nil {
 		return nil
 	}
-	p.parts, p.engines, p.all = map[TenantID]float64{}, map[EngineID]planPart{}, 0
+	p.tenantShares, p.plannedEngines, p.totalThreads = map[TenantID]float64{}, map[EngineID]plannedEngine{}, 0
 	for _, t := range p.Tenants {
-		p.parts[t.Tenant] = t.Share
+		p.tenantShares[t.Tenant] = t.Share
 	}
 	for _, id := range p.IdleEngines {
-		p.engines[id] = planPart{}
+		p.plannedEngines[id] = plannedEngine{}
 	}
 	for _, e := range p.Engines {
-		p.engines[e.Engine] = planPart{threads: e.Threads}
-		p.all += e.Threads
+		p.plannedEngines[e.Engine] = plannedEngine{threads: e.Threads}
+		p.totalThreads += e.Threads
 	}
 	for _, w := range p.Weights {
-		e := p.engines[w.Engine]
+		e := p.plannedEngines[w.Engine]
 		for len(e.weights) <= int(w.Type) {
 			e.weights = append(e.weights, 0)
 		}
 		e.weights[w.Type] = w.Weight
-		p.engines[w.Engine] = e
+		p.plannedEngines[w.Engine] = e
 	}
-	p.all, p.since = max(1, p.all), now
+	p.totalThreads, p.followedSince = max(1, p.totalThreads), now
 	return p
 }
 
@@ -292,75 +292,75 @@
 
 // Controller decides for one instance.
 type Controller struct {
-	facts                                       RawSettings
-	chance                                      pcg
-	acts                                        []Action
-	tick                                        TimerID // of the last timer set
-	now, booted, swept, asked, until            Nanos   // asked: for changes of the list; until: we stop
-	alone                                       Nanos   // since when no older process of ours runs: far ahead while one does
-	outage, refused, reportedLast               Nanos   // engines refuse since, and last did; last report
-	saved                                       Nanos   // when a probe was last paid for
-	warmWithin, grace, step, period, retryAfter Nanos   // step: between batches; period: between notes
-	zone                                        ZoneID
-	probes, cancels, swaps, grants              bool // grants: ours are heeded
-	priced, pressed, tracked                    bool
-	even, guess, share                          float64 // 1/controllers; what we carry by the reports where more; or as told
-	mostTries, controllers, me                  int
-	reach, concurrentAt, grantedAt              int     // engines looked at; places in a report: jobs in hand, memory
-	crossing, grantMost                         float64 // price of crossing; part of a memory that a job gets at most
-	cores, crowd                                float64 // of ready engines; threads a core over the fleet, by reports
-	outJobs, outThreads, outGrants              float64 // ours out of late
-	off, offN                                   float64 // of answers: log of the time taken over the time expected
-	slowMean, badMean                           float64 // of engines not aside: latency over best, part lost or failed
-	arrivals, worthMean, workMean               float64
-	spanMean, holdMean                          float64 // of jobs taken: work/threads, and memory times that
-	probesLeft, spare                           float64 // probes, and further dispatches of what may have run, paid for
-	types                                       []*jobType
-	engines                                     []*engine                // by id; a gone one leaves once nothing is out
-	jobs                                        map[JobID]*job           // until over and nothing is out
-	live                                        []*job                   // the same, in order of arrival
-	buckets                                     []*bucket                // emptied by completions, dropped once idle
-	lines                                       map[Key]*keyLine         // dropped when empty and rested
-	tenants                                     map[TenantID]*tenantSeen // dropped after tenantMemory
-	taken, further                              []Nanos                  // inside the rationing window
-	part                                        Quota                    // told by the fleet's owner
-	plan                                        *Plan                    // worked out ahead; nil: none
-	hold, offered                               float64                  // how far it is followed; threads asked of us
-	words                                       []word                   // of siblings, by number, at those who gather
-	said                                        string                   // our last word
-	saidAt, mapAt, mapped                       Nanos                    // our last word; last map heard, and sent
-	wordsLeft, mapsLeft                         float64                  // points for them
-	round                                       int
-	untold, next                                int // jobs taken since our word; map's next engine
+	facts                                                  RawSettings
+	random                                                 pcg
+	actions                                                []Action
+	timerID                                                TimerID // of the last timer set
+	now, startedAt, lastSweepAt, watchRequestedAt, stopsAt Nanos   // asked: for changes of the list; until: we stop
+	predecessorEndedAt                                     Nanos   // since when no older process of ours runs: far ahead while one does
+	outage, refused, reportedLast                          Nanos   // engines refuse since, and last did; last report
+	saved                                                  Nanos   // when a probe was last paid for
+	warmWithin, grace, step, period, retryAfter            Nanos   // step: between batches; period: between notes
+	zone                                                   ZoneID
+	probes, cancels, swaps, grants                         bool // grants: ours are heeded
+	overloadLogged, pressed, watchingEngines               bool
+	even, guess, share                                     float64 // 1/controllers; what we carry by the reports where more; or as told
+	mostTries, controllers, me                             int
+	sampleSize, concurrentAt, grantedAt                    int     // engines looked at; places in a report: jobs in hand, memory
+	crossing, grantMost                                    float64 // price of crossing; part of a memory that a job gets at most
+	cores, crowd                                           float64 // of ready engines; threads a core over the fleet, by reports
+	outJobs, outThreads, outGrants                         float64 // ours out of late
+	off, offN                                              float64 // of answers: log of the time taken over the time expected
+	slowMean, badMean                                      float64 // of engines not aside: latency over best, part lost or failed
+	arrivals, worthMean, workMean                          float64
+	spanMean, holdMean                                     float64 // of jobs taken: work/threads, and memory times that
+	probesLeft, spare                                      float64 // probes, and further dispatches of what may have run, paid for
+	types                                                  []*jobType
+	engines                                                []*engine                  // by id; a gone one leaves once nothing is out
+	jobs                                                   map[JobID]*job             // until over and nothing is out
+	liveJobs                                               []*job                     // the same, in order of arrival
+	buckets                                                []*bucket                  // emptied by completions, dropped once idle
+	orderings                                              map[Key]*keyOrder          // dropped when empty and rested
+	tenants                                                map[TenantID]*tenantCredit // dropped after tenantMemory
+	taken, further                                         []Nanos                    // inside the rationing window
+	quota                                                  Quota                      // told by the fleet's owner
+	plan                                                   *Plan                      // worked out ahead; nil: none
+	planWeight, offeredThreads                             float64                    // how far it is followed; threads asked of us
+	words                                                  []peerMessage              // of siblings, by number, at those who gather
+	said                                                   string                     // our last word
+	saidAt, mapAt, mapped                                  Nanos                      // our last word; last map heard, and sent
+	wordsLeft, mapsLeft                                    float64                    // points for them
+	round                                                  int
+	untold, next                                           int // jobs taken since our word; map's next engine
 }
 
 // typeTerms are a reservation type's settings, read at the start and again when they are restated.
-type typeTerms struct {
-	id                    TypeID
-	threads               float64
-	aim, window           Nanos
-	stretch, worth, late  float64
-	repeatable, keyed     bool
-	scope                 string
-	ordered, holds, waits bool
-	zones, kinds          []any
+type typeSettings struct {
+	id                                        TypeID
+	threads                                   float64
+	latencyObjective, repeatWindow            Nanos
+	objectivePerWork, value, lateValueFactor  float64
+	repeatable, repeatableByKey               bool
+	keyScope                                  string
+	orderedByKey, locksTables, waitsForTables bool
+	allowedZones, allowedKinds                []any
 }
 
 // jobType is what is known of a reservation type: its settings, and what answers taught.
 type jobType struct {
-	typeTerms
+	typeSettings
 	TypeStats
-	parked int
-	taught Nanos   // when an answer last told of its slowness
-	price  float64 // in mean billed values for a second of work
+	parkedJobs    int
+	lastLatencyAt Nanos   // when an answer last told of its slowness
+	price         float64 // in mean billed values for a second of work
 }
 
 // Means is what jobs taught of a reservation type.
 type TypeStats struct {
-	usual, usualN         float64 // mean work of a job, ns
-	costBias, costN       float64 // log of true work over estimate
-	memBias, memDev, memN float64 // log of true memory over estimate, its mean deviation
-	best, slow            float64 // latency over (work / threads): the best seen, and lately
+	meanWork, workCount                      float64 // mean work of a job, ns
+	costBias, costCount                      float64 // log of true work over estimate
+	memoryBias, memoryDeviation, memoryCount float64 // log of true memory over estimate, its mean deviation
+	bestSlowdown, slowdown                   float64 // latency over (work / threads): the best seen, and lately
 }
 
 // Health is what jobs taught of an engine.
@@ -372,83 +372,83 @@
 
 // job is a job taken that is not over, or has a dispatch out.
 type job struct {
-	id                        JobID
-	typ                       *jobType
-	bucket                    *bucket
-	key                       Key
-	tables                    TableGroup
-	arrived, ready, due, lost Nanos // ready: its key lets it go; due: the SLA time ends; lost: the job timeout
-	work, memory, worth       float64
-	needs                     Protocols
-	dispatches                int
-	looks                     []*engine // engines that it may go to, drawn at looked
-	looked                    Nanos
-	flight                    *flight // the dispatch that is out: at most one
-	firstAt                   Nanos   // when the first dispatch that may have run was sent, and to whom
-	first, last               *engine
-	mayHaveRun                bool // some dispatch is not proved never to have run
-	parked, over, streaming   bool
+	id                                        JobID
+	jobType                                   *jobType
+	bucket                                    *bucket
+	key                                       Key
+	tables                                    TableGroup
+	arrivedAt, headSince, deadline, expiresAt Nanos // ready: its key lets it go; due: the SLA time ends; lost: the job timeout
+	work, memoryMB, value                     float64
+	requiredProtocols                         Protocols
+	attemptCount                              int
+	candidates                                []*engine // engines that it may go to, drawn at looked
+	sampledAt                                 Nanos
+	attempt                                   *attempt // the dispatch that is out: at most one
+	firstAttemptAt                            Nanos    // when the first dispatch that may have run was sent, and to whom
+	firstEngine, lastEngine                   *engine
+	mayHaveRun                                bool // some dispatch is not proved never to have run
+	parked, finished, streaming               bool
 }
 
 // flight is a dispatch whose outcome has not come.
-type flight struct {
-	job            *job
-	engine         *engine
-	seq            AttemptSeq
-	sent           Nanos
-	noted          Nanos // the last note on it came
-	still          Nanos // of its time that this controller itself stood still
-	expect, memory float64
-	called, blamed bool // retracted; counted as lost
+type attempt struct {
+	job                               *job
+	engine                            *engine
+	seq                               AttemptSeq
+	sentAt                            Nanos
+	lastProgressAt                    Nanos // the last note on it came
+	stalled                           Nanos // of its time that this controller itself stood still
+	expectedNanos, reservedMB         float64
+	cancelRequested, countedAsTimeout bool // retracted; counted as lost
 }
 
 // engine is what is known of an engine.
 type engine struct {
 	EngineEntry
-	cores, memory, threads, grants, others float64 // threads, grants: ours; others: siblings' threads
-	said                                   float64 // threads of ours, by our last word
-	held                                   []byte  // marks of tables that siblings' loads hold, as told at heldAt
-	heldAt                                 Nanos
-	failed, done                           int     // outcomes since our last word
-	toldFailed, toldDone                   float64 // those that siblings told of, of late
-	bound, slow, bad                       float64 // slow: latency over best; bad: part lost or failed
-	flights                                []*flight
-	heard                                  Nanos // of it, by any answer or note
-	back                                   Nanos // it is thought to have started, untold
-	down                                   bool  // refused connections when last tried
-	pressed, aside, asked                  bool  // asked: a probe is out
-	fullUntil, stepped, halved, since      Nanos
-	rest, probed, reported, loaded         Nanos // reported: by itself (loaded) or by siblings
-	strikes, passed, place                 int
-	sent                                   []sentWork
+	cores, memoryMB, ownThreads, ownMemoryMB, siblingThreads float64 // threads, grants: ours; others: siblings' threads
+	gossipedThreads                                          float64 // threads of ours, by our last word
+	lockedTables                                             []byte  // marks of tables that siblings' loads hold, as told at heldAt
+	lockedTablesAt                                           Nanos
+	newFailures, newSuccesses                                int     // outcomes since our last word
+	siblingFailures, siblingSuccesses                        float64 // those that siblings told of, of late
+	concurrencyLimit, latencyRatio, failureRate              float64 // slow: latency over best; bad: part lost or failed
+	attempts                                                 []*attempt
+	lastSeenAt                                               Nanos // of it, by any answer or note
+	suspectedRestartAt                                       Nanos // it is thought to have started, untold
+	refusing                                                 bool  // refused connections when last tried
+	underPressure, ejected, probePending                     bool  // asked: a probe is out
+	fullUntil, limitRaisedAt, limitHalvedAt, ejectedAt       Nanos
+	ejectionTime, lastProbeAt, loadKnownAt, lastReportAt     Nanos // reported: by itself (loaded) or by siblings
+	consecutiveFailures, probesPassed, index                 int
+	slowStartWork                                            []timedWork
 }
 
 // sentWork is usual work sent to a cold engine; forgotten after the window of the rule.
-type sentWork struct {
+type timedWork struct {
 	at   Nanos
 	work float64
 }
 
 // bucket is one reservation type of one tenant.
 type bucket struct {
-	typ    *jobType
-	tenant TenantID
-	used   float64 // threads out
-	waited float64 // its head, for room, in SLA times
-	fifo   []*job
-	seen   Nanos
+	jobType      *jobType
+	tenant       TenantID
+	threadsInUse float64 // threads out
+	headWait     float64 // its head, for room, in SLA times
+	queue        []*job
+	lastUsedAt   Nanos
 }
 
 // keyLine is the order of one key.
-type keyLine struct {
-	jobs []*job
-	rest Nanos
+type keyOrder struct {
+	jobs        []*job
+	pausedUntil Nanos
 }
 
 // tenantSeen is a tenant's share of late.
-type tenantSeen struct {
-	at     Nanos
-	credit float64 // jobs it may still send inside its share
+type tenantCredit struct {
+	updatedAt Nanos
+	tokens    float64 // jobs it may still send inside its share
 }
 
 // Facts are the settings handed over at the start: a plain map of names to values, read by dotted
@@ -476,14 +476,14 @@
 	return v
 }
 
-func (f RawSettings) num(path string, absent float64) float64 {
+func (f RawSettings) number(path string, absent float64) float64 {
 	if v, ok := f.at(path).(float64); ok {
 		return v
 	}
 	return absent
 }
 
-func (f RawSettings) span(path string) Nanos { return Nanos(f.num(path, 0)) }
+func (f RawSettings) nanos(path string) Nanos { return Nanos(f.number(path, 0)) }
 
 func (f RawSettings) flag(path string) bool { v, _ := f.at(path).(bool); return v }
 
--- a/choice/view.go
+++ b/choice/view.go
@@ -19,14 +19,14 @@
 		return now - at
 	}
 	for _, e := range c.engines {
-		s := EngineView{Engine: e.Engine, Jobs: len(e.flights), Threads: e.threads, SiblingThreads: e.others, ReportAge: age(e.reported),
-			LastSeenAge: age(e.heard)}
+		s := EngineView{Engine: e.Engine, Jobs: len(e.attempts), Threads: e.ownThreads, SiblingThreads: e.siblingThreads, ReportAge: age(e.loadKnownAt),
+			LastSeenAge: age(e.lastSeenAt)}
 		switch {
 		case e.State == Removed:
 			s.UnavailableReason = "gone"
 		case e.State == Draining:
 			s.UnavailableReason = "draining"
-		case e.aside:
+		case e.ejected:
 			s.UnavailableReason = "aside"
 		case now < e.fullUntil:
 			s.UnavailableReason = "full"
--- a/choice/word_test.go
+++ b/choice/word_test.go
@@ -29,7 +29,7 @@
 	for _, a := range acts {
 		for to, s := range f.all {
 			if a.Kind == SendGossip && to != from && (a.Peer == PeerID(to) || a.Peer == 1<<32-1) && !f.lost(from, to) {
-				f.cost += wordHead + len(a.Text)
+				f.cost += messageOverhead + len(a.Text)
 				s.tell(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Text)})
 			}
 		}
@@ -69,9 +69,9 @@
 	f.busy([]int{1, 3, 5})
 	f.pass(500 * ms)
 	idle := f.all[0].c.engines
-	want(t, idle[0].others == 6 && idle[1].others == 0, "siblings hold %v and %v of 6 and 0", idle[0].others, idle[1].others)
+	want(t, idle[0].siblingThreads == 6 && idle[1].siblingThreads == 0, "siblings hold %v and %v of 6 and 0", idle[0].siblingThreads, idle[1].siblingThreads)
 	own := f.all[1].c.engines[0]
-	want(t, own.others == 4, "one's own two threads count as siblings': %v of 4", own.others)
+	want(t, own.siblingThreads == 4, "one's own two threads count as siblings': %v of 4", own.siblingThreads)
 	for _, s := range f.all {
 		for id, j := range s.jobs {
 			if j.out() {
@@ -81,7 +81,7 @@
 	}
 	f.busy([]int{0})
 	f.pass(500 * ms)
-	want(t, f.all[2].c.engines[0].others == 2, "siblings hold %v of 2 when three have ended", f.all[2].c.engines[0].others)
+	want(t, f.all[2].c.engines[0].siblingThreads == 2, "siblings hold %v of 2 when three have ended", f.all[2].c.engines[0].siblingThreads)
 }
 
 // The failure: the first gatherer is lost, or cut off, and with it all that is known.
@@ -89,11 +89,11 @@
 	f := newFleet(t, 6, 2)
 	f.lost = func(from, to int) bool { return from == 0 || to == 0 } // gatherers are 0, 2 and 4
 	f.busy([]int{1, 3, 5})
-	f.pass(mapLate + 300*ms)
-	want(t, f.all[5].c.engines[0].others == 4, "siblings hold %v of 4", f.all[5].c.engines[0].others)
+	f.pass(collectorTakeoverDelay + 300*ms)
+	want(t, f.all[5].c.engines[0].siblingThreads == 4, "siblings hold %v of 4", f.all[5].c.engines[0].siblingThreads)
 	want(t, f.all[4].c.mapped == 0, "the third sends maps beside the second")
 	f.lost = func(int, int) bool { return true }
-	f.pass(wordLasts + 5*second) // all goes on as without words: siblings as ourselves
+	f.pass(gossipTTL + 5*second) // all goes on as without words: siblings as ourselves
 	s := f.all[5]
 	want(t, len(s.sentTo(s.arrive(1, 0, 2))) == 1, "nothing is sent when no word comes")
 }
@@ -110,16 +110,16 @@
 	f.busy([]int{2, 3}) // pays, and fills the same engine
 	f.pass(300 * ms)
 	s := f.all[0]
-	want(t, slices.Contains(s.c.engines[0].held, TableGroup(7).mark()), "the load is not told: %v", s.c.engines[0].held)
+	want(t, slices.Contains(s.c.engines[0].lockedTables, TableGroup(7).hash()), "the load is not told: %v", s.c.engines[0].lockedTables)
 	for range 5 {
-		s.c.engines[1].others = 12 // over the other, but it has room
+		s.c.engines[1].siblingThreads = 12 // over the other, but it has room
 		id := s.arrive(0, 0, 7)
 		want(t, s.sentTo(id)[0] == 101, "sent where it stands still")
 		s.finish(id, Done)
 	}
 	f.all[1].finish(load, Done)
-	f.pass(reportFresh + 500*ms) // no map tells of it any more
-	s.c.engines[0].others, s.c.engines[1].others = 0, 12
+	f.pass(reportTTL + 500*ms) // no map tells of it any more
+	s.c.engines[0].siblingThreads, s.c.engines[1].siblingThreads = 0, 12
 	id := s.arrive(0, 0, 7)
 	want(t, s.sentTo(id)[0] == 100, "kept away after the load's end: %+v", s.c.engines[0])
 }
@@ -139,11 +139,11 @@
 	}
 	for i, on := range []bool{true, false, true} {
 		s.tell(Event{Kind: Reconfigured, Settings: s.facts.set("limits.peer_messages", on)})
-		s.c.engines[0].others, s.c.engines[0].reported, told = 0, 0, 0
+		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, told = 0, 0, 0
 		f.busy([]int{0, 1, 2})
 		f.pass(300 * ms)
 		want(t, (told > 0) == on, "step %d: %d messages told", i, told)
-		want(t, (s.c.engines[0].reported > 0) == on, "step %d: a map was heard: %v", i, !on)
+		want(t, (s.c.engines[0].loadKnownAt > 0) == on, "step %d: a map was heard: %v", i, !on)
 		want(t, s.jobs[s.nextID].out(), "step %d: the job was not left where it runs", i)
 	}
 }
@@ -163,7 +163,7 @@
 		f.pass(300 * ms)
 	}
 	s := f.all[0]
-	want(t, s.c.engines[0].bad > 0.5 && s.c.engines[1].bad == 0, "%v and %v of it fail", s.c.engines[0].bad, s.c.engines[1].bad)
+	want(t, s.c.engines[0].failureRate > 0.5 && s.c.engines[1].failureRate == 0, "%v and %v of it fail", s.c.engines[0].failureRate, s.c.engines[1].failureRate)
 }
 
 // Words and maps cost at most what the jobs taken pay for, each.
@@ -178,16 +178,16 @@
 		f.pass(20 * ms)
 	}
 	points := 0.01 / 256 * float64(f.cost) / float64(jobs)
-	want(t, points > 0 && points <= 2.1*wordPoints, "%.4f points a job", points)
+	want(t, points > 0 && points <= 2.1*gossipPointsPerJob, "%.4f points a job", points)
 }
 
 // FuzzWords: whatever a peer says, the rules are kept, and what was encoded is read as it was.
 func FuzzWords(f *testing.F) {
-	f.Add([]byte{mapText, 1, 2, 3, 4}, int64(1))
+	f.Add([]byte{mapMarker, 1, 2, 3, 4}, int64(1))
 	f.Add([]byte{3, 0, 0, 255, 255, 9}, int64(2))
 	f.Fuzz(func(t *testing.T, said []byte, seed int64) {
-		if first, entries, ok := decode(said); ok {
-			if text, _ := encode(first, entries); text != string(said) {
+		if first, entries, ok := decodeGossip(said); ok {
+			if text, _ := encodeGossip(first, entries); text != string(said) {
 				t.Fatalf("%v is read as %v", said, entries)
 			}
 		}
@@ -196,7 +196,7 @@
 		for range 3 {
 			for _, e := range s.c.engines { // in place of marks that it hardly guesses
 				if len(said) > 4 {
-					said[1], said[2] = byte(e.mark()>>8), byte(e.mark())
+					said[1], said[2] = byte(e.gossipHash()>>8), byte(e.gossipHash())
 				}
 				s.tell(Event{Kind: GossipReceived, Peer: PeerID(r.Intn(7)), Payload: said})
 			}
