--- /dev/null
+++ b/choice/action.go
@@ -0,0 +1,39 @@
+package choice
+
+// ActionKind says what is to be done.
+type ActionKind uint8
+
+// The actions that a Controller asks for. The comment names the fields of Action that count.
+const (
+	Dispatch           ActionKind = iota + 1 // start the job's next attempt: Job, Engine, SendDeadline
+	Throttle                                 // final answer, the client may repeat the job: Job, Duration (after which)
+	CancelPermanently                        // final answer, the job may have run: Job
+	CancelAttempt                            // Job, Seq
+	SetDispatchOptions                       // of the dispatch that follows: Job, Priority, MemoryMB
+	SetTimer                                 // Duration, TimerID
+	SendProbe                                // Engine
+	CloseIdle                                // close idle connections: Engine
+	SendGossip                               // Peer, Text
+	WatchEngines                             // ask discovery for changes of the list, or no longer: Enabled
+	ListEngines                              // ask discovery for the full list
+	Log                                      // Text
+	Fault                                    // Text: a fault of this program
+)
+
+// Action is something to be done; Kind says which of the fields count.
+type Action struct {
+	Kind         ActionKind
+	Job          JobID
+	Engine       EngineID
+	Seq          AttemptSeq
+	Duration     Nanos
+	SendDeadline Nanos // after it not one byte of the attempt may go out: it is superseded
+	Priority     uint8 // 1 to 3, the highest
+	MemoryMB     float64
+	TimerID      TimerID
+	Peer         PeerID // math.MaxUint32: all
+	Enabled      bool
+	Text         string
+}
+
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
--- /dev/null
+++ b/choice/bucket.go
@@ -0,0 +1,87 @@
+package choice
+
+import (
+	"maps"
+	"slices"
+)
+
+// bucket holds the jobs of one reservation type of one tenant.
+type bucket struct {
+	jobType      *jobType
+	tenant       TenantID
+	threadsInUse float64
+	headWait     float64 // of the head for capacity, in latency objectives
+	queue        []*job  // parked
+	lastUsedAt   Nanos
+}
+
+// keyOrder is the order of one key's jobs.
+type keyOrder struct {
+	jobs        []*job
+	pausedUntil Nanos
+}
+
+func (c *Controller) bucketFor(t *jobType, tenant TenantID) *bucket {
+	i := slices.IndexFunc(c.buckets, func(b *bucket) bool { return b.jobType == t && b.tenant == tenant })
+	if i < 0 {
+		i = len(c.buckets)
+		c.buckets = append(c.buckets, &bucket{jobType: t, tenant: tenant})
+	}
+	c.buckets[i].lastUsedAt = c.now
+	return c.buckets[i]
+}
+
+// bucketHeads are the heads of all buckets that have one.
+func (c *Controller) bucketHeads() (heads []*job) {
+	for _, b := range c.buckets {
+		if j := c.bucketHead(b); j != nil {
+			heads = append(heads, j)
+		}
+	}
+	return heads
+}
+
+// park puts a job into its bucket's queue at a place.
+func (c *Controller) park(j *job, at int) {
+	j.parked = true
+	j.headSince = 0
+	j.jobType.parkedJobs++
+	j.bucket.queue = slices.Insert(j.bucket.queue, at, j)
+}
+
+func (c *Controller) unpark(j *job) {
+	if !j.parked {
+		return
+	}
+	j.parked = false
+	j.jobType.parkedJobs--
+	j.bucket.queue = slices.DeleteFunc(j.bucket.queue, func(o *job) bool { return o == j })
+}
+
+// longestHeadWait is the longest wait, in latency objectives, of a head whose type may go wherever t may.
+func (c *Controller) longestHeadWait(t *jobType) float64 {
+	longest := 0.0
+	for _, b := range c.buckets {
+		if t.allowedZones.within(b.jobType.allowedZones) && t.allowedKinds.within(b.jobType.allowedKinds) {
+			longest = max(longest, b.headWait)
+		}
+	}
+	return longest
+}
+
+// tenantTokens is a tenant's token bucket, full at first.
+func (c *Controller) tenantTokens(id TenantID, burst float64) *tokenBucket {
+	if c.tenants[id] == nil {
+		c.tenants[id] = &tokenBucket{tokens: burst, updatedAt: c.now}
+	}
+	return c.tenants[id]
+}
+
+// dropIdle drops buckets and tenants that were not used since a time, and orderings that hold nothing back.
+func (c *Controller) dropIdle(since Nanos) {
+	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
+		return len(b.queue) == 0 && b.threadsInUse == 0 && b.lastUsedAt < since
+	})
+	maps.DeleteFunc(c.tenants, func(_ TenantID, t *tokenBucket) bool { return t.updatedAt < since })
+	maps.DeleteFunc(c.orderings, func(_ Key, o *keyOrder) bool { return len(o.jobs) == 0 && c.now >= o.pausedUntil })
+}
--- /dev/null
+++ b/choice/budget.go
@@ -0,0 +1,45 @@
+package choice
+
+import "slices"
+
+// tokenBucket lets a rate of jobs through, and a burst.
+type tokenBucket struct {
+	tokens    float64
+	updatedAt Nanos
+}
+
+// take takes a token if there is one. The rate is in tokens a second.
+func (b *tokenBucket) take(now Nanos, rate, burst float64) bool {
+	b.tokens = min(b.tokens+rate*float64(now-b.updatedAt)/float64(second), burst)
+	b.updatedAt = now
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// retryBudget bounds dispatches beyond a job's first: by tokens that admitted jobs pay for, and by the stated ratio of
+// retries to admitted jobs in a window.
+type retryBudget struct {
+	tokens     float64
+	admittedAt []Nanos // jobs, inside the window
+	retriedAt  []Nanos // dispatches beyond the first, likewise
+}
+
+func (b *retryBudget) admit(now Nanos) { b.admittedAt = append(b.admittedAt, now) }
+
+func (b *retryBudget) retry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
+
+// trim drops what happened at a time or before it.
+func (b *retryBudget) trim(until Nanos) {
+	past := func(at Nanos) bool { return at <= until }
+	b.admittedAt = slices.DeleteFunc(b.admittedAt, past)
+	b.retriedAt = slices.DeleteFunc(b.retriedAt, past)
+}
+
+// probeBudget bounds probes by tokens that admitted jobs pay for.
+type probeBudget struct {
+	tokens       float64
+	lastFundedAt Nanos // when there last was a token
+}
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -70,13 +70,13 @@
 	e := s.c.engines[0]
 	want(t, e.concurrencyLimit == 4 && !e.underPressure, "starts at cores by share")
 	j := &job{jobType: s.c.types[1], work: float64(second), bucket: &bucket{}}
-	f := &attempt{engine: e, expectedNanos: 1e9}
+	f := &attempt{job: j, engine: e, expectedNanos: 1e9}
 	s.now += second
 	s.c.now = s.now
-	s.c.observeSuccess(j, f, Event{Latency: 450 * ms})
+	s.c.observeSuccess(f, Event{Latency: 450 * ms})
 	want(t, e.concurrencyLimit == 5, "widens by a thread near best: %v", e.concurrencyLimit)
 	for i := range 80 {
-		if s.c.observeSuccess(j, f, Event{Latency: 6 * second}); i == 40 {
+		if s.c.observeSuccess(f, Event{Latency: 6 * second}); i == 40 {
 			want(t, !e.underPressure && e.concurrencyLimit == 5, "latency that grew with few threads there is no crowding")
 			e.concurrencyLimit, e.ownThreads, e.attempts = 8, 9, []*attempt{f}
 		}
@@ -93,7 +93,7 @@
 // The failure: a job parked again after a dispatch counted its time there as waiting, and raised the price.
 func TestAJobParkedAgainHasNotWaited(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
-	s.c.spare = 5
+	s.c.retryBudget.tokens = 5
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
 	id := s.arrive(1, 0, 1)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready})
@@ -153,7 +153,7 @@
 // The failure: the way to all engines lost a part of the answers, and three in a row set engines aside by chance.
 func TestWhereAllLoseAPartThreeInARowAreChance(t *testing.T) {
 	s := newStage(t, plainFacts(), 6)
-	s.c.badMean = 0.3
+	s.c.fleet.meanFailureRate = 0.3
 	e := s.c.engines[0]
 	for range 5 {
 		s.c.recordOutcome(e, TimedOut)
@@ -189,7 +189,7 @@
 // The failure: a bad plan runs many times as long; its own notes project it.
 func TestABadPlanIsCalledBackAndSentAgain(t *testing.T) {
 	s := newStage(t, plainFacts(), 2)
-	s.c.spare = 5
+	s.c.retryBudget.tokens = 5
 	id := s.arrive(1, 0, 1)
 	s.now += 500 * ms
 	s.tell(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.3})
@@ -206,7 +206,7 @@
 func TestWhatEstimatesScatterIsNoBadPlan(t *testing.T) {
 	for _, rough := range []bool{false, true} {
 		s := newStage(t, plainFacts(), 2)
-		s.c.spare = 5
+		s.c.retryBudget.tokens = 5
 		for i := range 60 {
 			id := s.arrive(1, 0, TableGroup(i)) // a second is expected
 			if s.now += 500 * ms; rough && i%2 == 0 {
@@ -251,7 +251,7 @@
 		s.c.applyLoadReport(e, []float64{1})
 		s.pass(20 * ms)
 	}
-	want(t, s.c.share > 0.3 && s.c.hasCapacity(j, e), "share %v though the reports show no others", s.c.share)
+	want(t, s.c.fleet.share > 0.3 && s.c.hasCapacity(j, e), "share %v though the reports show no others", s.c.fleet.share)
 }
 
 // The failure: while siblings restart one after the other, some seconds each, the controllers left throttled a tenth of
@@ -270,12 +270,12 @@
 		report(10)
 		s.pass(400 * ms)
 	}
-	want(t, s.c.share < 0.4, "share %v beside two siblings", s.c.share)
+	want(t, s.c.fleet.share < 0.4, "share %v beside two siblings", s.c.fleet.share)
 	for range 3 { // they are gone
 		report(0)
 		s.pass(400 * ms)
 	}
-	want(t, s.c.share > 0.6, "share %v 1.2 s after the siblings left", s.c.share)
+	want(t, s.c.fleet.share > 0.6, "share %v 1.2 s after the siblings left", s.c.fleet.share)
 }
 
 // The failure: a job of many threads never fitted a small share of a small engine beside a single lookup.
@@ -293,7 +293,7 @@
 	e := s.c.engines[0]
 	e.siblingThreads, e.loadKnownAt = 18, s.now
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "siblings hold 18 threads on 8 cores")
-	e.siblingThreads, e.loadKnownAt, s.c.outThreads, s.c.outGrants = 8, s.now, 1, 3000
+	e.siblingThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "siblings hold all its memory")
 	s.pass(15 * second)
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 1, "an old report fades: %v", e.siblingThreads)
@@ -371,7 +371,7 @@
 	}
 	want(t, !s.jobs[id].sends[0].called, "called back for our own stall")
 	s.finish(id, Done)
-	want(t, s.c.slowMean < 1.1 && s.c.types[1].price == 0, "latency/best %v, price %v", s.c.slowMean, s.c.types[1].price)
+	want(t, s.c.fleet.meanLatencyRatio < 1.1 && s.c.types[1].price == 0, "latency/best %v, price %v", s.c.fleet.meanLatencyRatio, s.c.types[1].price)
 }
 
 // The failure: after a stall, a job that had not yet been a head seemed to have waited since the clock's zero.
@@ -397,13 +397,13 @@
 func TestWithNoWordFromEnginesSendingGoesOn(t *testing.T) {
 	f := plainFacts().set("balancers", 150.0).set("limits.probes", false)
 	s := newStage(t, f, 24)
-	s.c.crowd = 3
+	s.c.fleet.contention = 3
 	for _, e := range s.c.engines {
 		e.siblingThreads = 24
 	}
 	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 0, "sent to a fleet that was full when last seen")
 	s.pass(16 * second)
-	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 1, "nothing is sent for ever: %v", s.c.crowd)
+	want(t, len(s.sentTo(s.arrive(1, 0, 1))) == 1, "nothing is sent for ever: %v", s.c.fleet.contention)
 }
 
 // The failure: engines restarted while the list was out of reach, looked emptiest, and were pushed over.
@@ -417,7 +417,7 @@
 	s.tell(Event{Kind: ProbeCompleted, Engine: refused.Engine, Result: Done})
 	want(t, s.c.slowStartFraction(refused) < 1, "it answers again")
 	s.pass(outageDuration)
-	s.c.crowd = 1
+	s.c.fleet.contention = 1
 	s.c.applyLoadReport(empty, []float64{2})
 	want(t, s.c.slowStartFraction(empty) == 1, "two of eight jobs")
 	s.c.applyLoadReport(empty, []float64{0})
@@ -493,7 +493,7 @@
 // The failure: an engine takes jobs and answers none, and looks emptiest.
 func TestASilentEngineIsSetAsideAndComesBackAfterProbes(t *testing.T) {
 	s := newStage(t, plainFacts(), 3)
-	s.c.spare = 5
+	s.c.retryBudget.tokens = 5
 	id := s.arrive(0, 0, 1)
 	e := s.c.jobs[id].attempt.engine
 	s.pass(500 * ms) // over half its SLA time, four times what it should take
@@ -511,8 +511,8 @@
 func TestAnEngineJustWarmAgainIsNotTakenForJustStarted(t *testing.T) {
 	s := newStage(t, plainFacts(), 1)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
-	s.now += s.c.warmWithin + second
-	s.c.now, s.c.crowd = s.now, 1
+	s.now += s.c.settings.slowStartWindow + second
+	s.c.now, s.c.fleet.contention = s.now, 1
 	s.c.applyLoadReport(s.c.engines[0], []float64{0})
 	want(t, s.c.slowStartFraction(s.c.engines[0]) == 1, "cold again")
 }
@@ -526,12 +526,12 @@
 	barred := plainFacts().set("limits.cancel", false)
 	barred["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
 	s.tell(Event{Kind: Reconfigured, Settings: barred})
-	want(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == usual && !s.c.cancels, "what was out or learned is lost")
+	want(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == usual && !s.c.settings.cancelAllowed, "what was out or learned is lost")
 	held := s.arrive(1, 0, 1)
 	want(t, len(s.sentTo(held)) == 0, "sent to an engine of a kind that the restated settings bar")
 	s.tell(Event{Kind: Reconfigured, Settings: plainFacts()})
 	s.pass(resampleInterval)
-	want(t, len(s.sentTo(held)) == 1 && s.c.cancels, "the way back does not hold at once")
+	want(t, len(s.sentTo(held)) == 1 && s.c.settings.cancelAllowed, "the way back does not hold at once")
 	want(t, len(s.sentTo(out)) == 1, "what was out is sent twice")
 	e := s.c.engines[1]
 	memory := plainFacts().set("telemetry.fields", []any{"load_share", "x0"})
@@ -630,7 +630,7 @@
 	want(t, len(s.sentTo(id)) == 1, "not sent to what nobody filled")
 	s.finish(id, Done)
 	crowd := func() { // those reported are full, the others thought to be all alike, over a thread a core
-		for s.c.crowd = 1.45; len(s.probes) > 0; s.probes = s.probes[1:] {
+		for s.c.fleet.contention = 1.45; len(s.probes) > 0; s.probes = s.probes[1:] {
 			s.tell(Event{Kind: ProbeCompleted, Engine: s.probes[0], Result: Done, Load: []float64{20}})
 		}
 		for _, e := range s.c.engines {
@@ -638,11 +638,11 @@
 				e.siblingThreads = 2 * e.cores
 			}
 		}
-		s.c.crowd = 1.45
+		s.c.fleet.contention = 1.45
 	}
 	crowd()
-	s.c.probesLeft = 2
-	for id = s.arrive(1, 0, 1); s.c.probesLeft >= 1; crowd() {
+	s.c.probeBudget.tokens = 2
+	for id = s.arrive(1, 0, 1); s.c.probeBudget.tokens >= 1; crowd() {
 		want(t, len(s.sentTo(id)) == 0, "sent while probes can be had")
 		s.pass(350 * ms)
 	}
@@ -691,5 +691,5 @@
 	want(t, until() == first+400*ms, "the first by %v after its order", until()-first)
 	s.now += 200 * ms
 	s.finish(id, Reset)
-	want(t, until() == first+500*ms-2*s.c.step, "the next by %v after the first", until()-first)
+	want(t, until() == first+500*ms-2*s.c.settings.batchStep, "the next by %v after the first", until()-first)
 }
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -364,16 +364,16 @@
 	f := plainFacts().set("limits.probes", false).set("telemetry", map[string]any{}).set("balancers", 40.0)
 	s := newStage(t, f, 4)
 	s.pass(3 * second)
-	want(t, s.c.cores == 32, "%v cores of four warm engines", s.c.cores)
+	want(t, s.c.fleet.cores == 32, "%v cores of four warm engines", s.c.fleet.cores)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now}, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	s.pass(200 * ms)
-	want(t, s.c.cores == 16, "%v cores take jobs where two of four are cold", s.c.cores)
-	s.c.crowd = 2
+	want(t, s.c.fleet.cores == 16, "%v cores take jobs where two of four are cold", s.c.fleet.cores)
+	s.c.fleet.contention = 2
 	s.pass(100 * ms)
 	for _, e := range s.c.engines {
 		cold := s.c.slowStartFraction(e) < 1
 		want(t, cold == (e.siblingThreads < 0.1), "others hold %v threads of an engine that is cold: %v", e.siblingThreads, cold)
 	}
 	s.pass(12 * second)
-	want(t, s.c.cores == 32, "%v cores once all are warm", s.c.cores)
+	want(t, s.c.fleet.cores == 32, "%v cores once all are warm", s.c.fleet.cores)
 }
--- /dev/null
+++ b/choice/estimates.go
@@ -0,0 +1,158 @@
+package choice
+
+import "math"
+
+// Moving means. What they go by, and how fast, is decided in the policy files.
+
+// ownLoad is the mean of what of ours is out.
+type ownLoad struct{ jobs, threads, memoryMB float64 }
+
+// approach moves the means a step, from 0 to 1, to what is out now.
+func (l *ownLoad) approach(now ownLoad, step float64) {
+	l.jobs += step * (now.jobs - l.jobs)
+	l.threads += step * (now.threads - l.threads)
+	l.memoryMB += step * (now.memoryMB - l.memoryMB)
+}
+
+// demand is the mean of admitted jobs.
+type demand struct {
+	jobs           float64 // that it goes by
+	meanValue      float64
+	meanWork       float64 // ns
+	meanDuration   float64 // ns, of work over threads
+	meanMemoryTime float64 // MB times that
+}
+
+// observe takes in a job; the means go by as many as the last so many.
+func (d *demand) observe(j *job, samples float64) {
+	t := j.jobType
+	d.jobs = min(samples, d.jobs+1)
+	d.meanValue += (j.value - d.meanValue) / d.jobs
+	d.meanWork += (j.work - d.meanWork) / d.jobs
+	d.meanDuration += (j.work/t.threads - d.meanDuration) / d.jobs
+	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.jobs
+}
+
+// meanThreadsPerJob is our own mean, taken for siblings' too.
+func (c *Controller) meanThreadsPerJob() float64 {
+	prior := priorJobs * c.demand.meanWork / c.demand.meanDuration
+	return (c.ownLoad.threads + prior) / (c.ownLoad.jobs + priorJobs)
+}
+
+// meanMemoryPerThread is our own mean in MB, taken for siblings' too.
+func (c *Controller) meanMemoryPerThread() float64 {
+	prior := priorJobs * c.demand.meanMemoryTime / c.demand.meanWork
+	return (c.ownLoad.memoryMB + prior) / (c.ownLoad.threads + priorJobs)
+}
+
+func (c *Controller) longestMeanWork() float64 {
+	longest := 0.0
+	for _, t := range c.types {
+		longest = max(longest, t.meanWork)
+	}
+	return longest
+}
+
+// durationError is the mean of how far actual durations of attempts are from the expected ones, as the log of their
+// ratio.
+type durationError struct{ mean, count float64 }
+
+// observe takes in a duration; the mean goes by the last so many, and at first as if some had come before.
+func (d *durationError) observe(a *attempt, latency Nanos, maxError, priorCount, samples float64) {
+	d.count = min(d.count+1, samples)
+	off := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedNanos)))
+	d.mean += (off - d.mean) / max(d.count, priorCount)
+}
+
+// usage is what an attempt used, as an event tells it.
+type usage uint32
+
+// work is in ns.
+func (u usage) work() float64 { return float64(u>>12) * float64(ms) }
+
+func (u usage) memoryMB() float64 { return float64(u&4095) * 4 }
+
+// fleetTotals sums over engines.
+type fleetTotals struct {
+	own                       ownLoad
+	active                    float64 // engines that are ready and not ejected
+	latencyRatio, failureRate float64 // of these
+	cores                     float64 // of these, but for those in slow start
+	pressed                   int     // engines under pressure
+}
+
+func (t *fleetTotals) add(e *engine, warmCores float64) {
+	t.own.jobs += float64(len(e.attempts))
+	t.own.threads += e.ownThreads
+	t.own.memoryMB += e.ownMemoryMB
+	if e.State == Ready && !e.ejected {
+		t.active++
+		t.latencyRatio += e.latencyRatio
+		t.failureRate += e.failureRate
+		t.cores += warmCores
+	}
+	if e.underPressure {
+		t.pressed++
+	}
+}
+
+// planPresence sums what of a plan is there: threads of its engines that are ready and not ejected, and cores of ready
+// engines that it does not know.
+func (c *Controller) planPresence() (threads, unknownCores float64) {
+	for _, e := range c.engines {
+		planned := c.plan.engine(e.Engine)
+		if e.State == Ready && !planned.known {
+			unknownCores += e.cores
+		} else if e.State == Ready && !e.ejected {
+			threads += planned.threads
+		}
+	}
+	return threads, unknownCores
+}
+
+// observeUsage learns how far off the estimates of a type are, and gives the true work of the job.
+func (t *jobType) observeUsage(j *job, u usage) float64 {
+	work := math.Max(u.work(), float64(ms))
+	t.costCount = min(t.costCount+1, estimateSamples)
+	t.costBias += min(maxCostStep, max(-maxCostStep, math.Log(work/j.work))) / max(t.costCount, priorCosts)
+	if used := u.memoryMB(); used > 0 && j.memoryMB > 0 {
+		t.memoryCount = min(t.memoryCount+1, estimateSamples)
+		off := math.Log(used/j.memoryMB) - t.memoryBias
+		t.memoryBias += off / t.memoryCount
+		t.memoryDeviation += (math.Abs(off) - t.memoryDeviation) / max(t.memoryCount, priorMemories)
+	}
+	t.observeWork(work)
+	return work
+}
+
+// observeWork moves the mean work: a plain mean at first, which a new controller needs, then a moving one.
+func (t *jobType) observeWork(work float64) {
+	t.workCount = min(t.workCount+1, workSamples)
+	t.meanWork += (work - t.meanWork) / (t.workCount + 1)
+}
+
+// observeSlowdown moves the best latency over (work / threads), soon when a better one is seen, and the recent one.
+func (t *jobType) observeSlowdown(slowdown float64, now Nanos) {
+	rate := bestSlowdownRise
+	if slowdown < t.bestSlowdown {
+		rate = bestSlowdownFall
+	}
+	t.bestSlowdown += rate * (min(slowdown, 2*t.bestSlowdown) - t.bestSlowdown)
+	t.lastLatencyAt = now
+	t.slowdown += slowdownStep * (min(slowdown, maxSlowdown) - t.slowdown)
+}
+
+// knownMemoryMB is the memory of an engine that all controllers' jobs hold, as far as is known.
+func (c *Controller) knownMemoryMB(e *engine) float64 {
+	return e.ownMemoryMB + e.siblingThreads*c.meanMemoryPerThread()
+}
+
+// memoryNeed is the memory in MB that a job is thought to use on an engine.
+func (c *Controller) memoryNeed(j *job, e *engine) float64 {
+	return min(j.memoryMB*math.Exp(j.jobType.memoryBias), e.memoryMB*c.settings.maxGrantShare)
+}
+
+// warmCores is the cores of an engine whose slow start is over, else 0: one in slow start is kept almost empty.
+func (c *Controller) warmCores(e *engine) float64 {
+	return e.cores * math.Floor(c.slowStartFraction(e))
+}
--- /dev/null
+++ b/choice/gossip.go
@@ -0,0 +1,84 @@
+package choice
+
+import "math"
+
+const (
+	gossipCollectors   = 3    // controllers that collect messages and send maps
+	gossipPointsPerJob = 0.01 // that an admitted job pays for messages, and at the most for maps
+	minMapPointsShare  = 0.25 // of those for maps: in a calm fleet all engines have capacity
+	gossipUnit         = 256  // bytes that the price of gossip is for
+	tablesEveryRounds  = 3    // one round of maps in so many tells of tables, which cost most
+
+	maxMessageTokens, maxMapTokens          = 0.1, 20.0               // points saved for messages, and in maps
+	gossipRepeatInterval, gossipTTL         = 4 * second, 10 * second // a message is sent anew, is forgotten
+	mapInterval, collectorTakeoverDelay     = 100 * ms, second        // between maps; the next one steps in
+	siblingOutcomeDecay, minSiblingOutcomes = 0.95, 4                 // a map; fewer say nothing of an engine
+)
+
+// sendGossip tells collectors where our jobs are out and how attempts ended, as it changes. One of them sends
+// a map of all reports to all, as often as admitted jobs pay for. What is lost is sent anew.
+func (c *Controller) sendGossip() {
+	message, bytePrice := c.ownMessage(), c.settings.gossipPrice/gossipUnit
+	payload := message[1:] // without the count of jobs
+	changed := payload != c.gossip.lastPayload || c.now-c.gossip.lastSentAt >= gossipRepeatInterval
+	cost := bytePrice * float64((messageOverhead+len(message))*c.collectors())
+	if c.gossip.messageTokens >= cost && changed {
+		c.markReported(payload, cost)
+		c.sendToCollectors(message)
+	}
+	mapSize := min(maxMessageSize, entrySize*len(c.engines))
+	cost = bytePrice * float64((messageOverhead+mapSize)*(c.settings.controllers-1))
+	c.gossip.mapTokens = min(c.gossip.mapTokens, maxMapTokens*cost)
+	if c.gossip.mapTokens >= cost && len(c.engines) > 0 && c.isMapDue() {
+		c.gossip.lastMapSentAt = c.now
+		c.gossip.mapTokens -= cost
+		fleet := c.fleetMap(c.now - gossipTTL)
+		c.receiveGossip(c.settings.ownIndex, []byte(fleet))
+		c.emit(Action{Kind: SendGossip, Peer: math.MaxUint32, Text: fleet})
+	}
+}
+
+// isMapDue tells whether we are a collector, and no collector before us sends maps.
+func (c *Controller) isMapDue() bool {
+	place := c.collectorPlace()
+	return place >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(place)*collectorTakeoverDelay &&
+		c.now-c.gossip.lastMapSentAt >= mapInterval
+}
+
+// receiveGossip takes a message, or a map, which stands in for missing load reports and our own few outcomes.
+func (c *Controller) receiveGossip(peer int, message []byte) {
+	first, entries, ok := decodeGossip(message)
+	if !ok || peer >= len(c.gossip.messages) {
+		return
+	}
+	isMap := first == mapMarker
+	if isMap && peer != c.settings.ownIndex {
+		c.gossip.lastMapReceivedAt = c.now
+	} else if !isMap {
+		points := gossipPointsPerJob * min(1, max(minMapPointsShare, c.fleet.contention/lowContention))
+		c.gossip.messages[peer] = peerMessage{entries, c.now}
+		c.gossip.mapTokens += points * float64(first)
+	}
+	for _, e := range c.engines {
+		if entry, found := entryFor(e, entries); found && isMap {
+			c.applyMapEntry(e, entry)
+		} else if found {
+			e.siblingFailures += float64(entry.failures())
+			e.siblingSuccesses += float64(entry.successes())
+		}
+	}
+}
+
+func (c *Controller) applyMapEntry(e *engine, entry gossipEntry) {
+	if entry.hasTables {
+		e.lockedTables, e.lockedTablesAt = entry.tables, c.now
+	}
+	e.siblingFailures *= siblingOutcomeDecay
+	e.siblingSuccesses *= siblingOutcomeDecay
+	if entry.outcomes != unknownFailures {
+		e.failureRate = float64(entry.outcomes) / maxFailures
+	}
+	if c.now-e.lastReportAt >= reportTTL {
+		c.setSiblingThreads(e, float64(entry.threads)-e.gossipedThreads)
+	}
+}
--- a/choice/part_test.go
+++ b/choice/part_test.go
@@ -21,7 +21,7 @@
 	}
 	sweep := func(c *Controller, at Nanos) float64 {
 		c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID})
-		return c.share
+		return c.fleet.share
 	}
 	inside := func(c *Controller) (n int) {
 		for c.withinTenantQuota(0) {
@@ -31,7 +31,7 @@
 	}
 	c, plain := begin(), begin()
 	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+tenantBurstJobs) {
-		t.Errorf("told nothing: %v", c.share)
+		t.Errorf("told nothing: %v", c.fleet.share)
 	}
 	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1, TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
 	if got := sweep(c, start+2e9); got != 0.1 {
@@ -47,8 +47,8 @@
 		sweep(c, at)
 		sweep(plain, at)
 	}
-	if d := c.share - plain.share; d > 1e-6 || d < -1e-6 {
-		t.Errorf("long past its end %v, without one %v", c.share, plain.share)
+	if d := c.fleet.share - plain.fleet.share; d > 1e-6 || d < -1e-6 {
+		t.Errorf("long past its end %v, without one %v", c.fleet.share, plain.fleet.share)
 	}
 	if delete(c.tenants, 0); inside(c) != int(2*100*0.25+tenantBurstJobs) {
 		t.Error("the tenant's part does not end")
--- /dev/null
+++ b/choice/plan_index.go
@@ -0,0 +1,87 @@
+package choice
+
+// Plan is what was worked out ahead, as far as it bears on this controller. All rules, limits and judgements of health
+// stand above it. A Controller that follows it owns it.
+type Plan struct {
+	Tenants        []PlanTenant // each once
+	Engines        []PlanEngine // those that get threads, each once
+	Weights        []PlanWeight // each pair once
+	IdleEngines    []EngineID   // known to it, without threads
+	DemandThreads  float64      // in the whole fleet
+	MaxDemandRatio float64      // where so many times more is asked for, or less, it does not hold
+
+	tenantShares   map[TenantID]float64
+	plannedEngines map[EngineID]plannedEngine
+	totalThreads   float64 // at least 1
+	followedSince  Nanos
+}
+
+// PlanTenant is a tenant's share of all threads, from 0 to 1.
+type PlanTenant struct {
+	Tenant TenantID
+	Share  float64
+}
+
+// PlanEngine is the threads that a plan counts on at an engine.
+type PlanEngine struct {
+	Engine  EngineID
+	Threads float64
+}
+
+// PlanWeight is how much an engine is meant for a type's jobs, from 0 to 1 at the engine meant for them most.
+type PlanWeight struct {
+	Type   TypeID
+	Engine EngineID
+	Weight float64
+}
+
+// plannedEngine is what a plan has for an engine.
+type plannedEngine struct {
+	weights []float64 // by type
+	threads float64
+	known   bool
+}
+
+// engine is what a plan has for an engine. Without a plan each engine is known, and has nothing.
+func (p *Plan) engine(id EngineID) plannedEngine {
+	if p == nil {
+		return plannedEngine{known: true}
+	}
+	return p.plannedEngines[id]
+}
+
+// indexed is the plan with its tables for looking up, followed from now on; nil for none.
+func (p *Plan) indexed(now Nanos) *Plan {
+	if p == nil {
+		return nil
+	}
+	p.tenantShares = map[TenantID]float64{}
+	p.plannedEngines = map[EngineID]plannedEngine{}
+	for _, t := range p.Tenants {
+		p.tenantShares[t.Tenant] = t.Share
+	}
+	for _, id := range p.IdleEngines {
+		p.plannedEngines[id] = plannedEngine{known: true}
+	}
+	total := 0.0
+	for _, e := range p.Engines {
+		p.plannedEngines[e.Engine] = plannedEngine{threads: e.Threads, known: true}
+		total += e.Threads
+	}
+	for _, w := range p.Weights {
+		p.addWeight(w)
+	}
+	p.totalThreads = max(1, total)
+	p.followedSince = now
+	return p
+}
+
+func (p *Plan) addWeight(w PlanWeight) {
+	planned := p.plannedEngines[w.Engine]
+	for len(planned.weights) <= int(w.Type) {
+		planned.weights = append(planned.weights, 0)
+	}
+	planned.weights[w.Type] = w.Weight
+	planned.known = true
+	p.plannedEngines[w.Engine] = planned
+}
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -27,7 +27,7 @@
 
 func TestAPlansSharesAndPreferencesAreFollowedWithinRoom(t *testing.T) {
 	s, _ := planned(t, plainFacts())
-	mean := s.c.cores * 2 * s.c.share
+	mean := s.c.fleet.cores * 2 * s.c.fleet.share
 	want(t, s.c.bucketLimit(&bucket{tenant: 1}) == 0.75*mean && s.c.bucketLimit(&bucket{tenant: 0}) == 0.25*mean, "limits do not follow")
 	for range 4 {
 		to := s.sentTo(s.arrive(0, 0, 0))
@@ -37,7 +37,7 @@
 		s.arrive(0, 0, 0)
 	}
 	e := s.c.engines[3]
-	want(t, e.ownThreads <= 2.5*e.cores*s.c.share && s.c.engines[0].ownThreads > 0, "%v threads at the engine meant for them", e.ownThreads)
+	want(t, e.ownThreads <= 2.5*e.cores*s.c.fleet.share && s.c.engines[0].ownThreads > 0, "%v threads at the engine meant for them", e.ownThreads)
 }
 
 func TestAPlanFadesAsItsEnginesGoAndComesBackLater(t *testing.T) {
--- a/choice/recording_test.go
+++ b/choice/recording_test.go
@@ -323,11 +323,11 @@
 			fmt.Fprint(h, v, " ")
 		}
 	}
-	put(uint64(c.random), len(c.liveJobs), len(c.jobs), len(c.buckets), len(c.orderings), len(c.tenants), len(c.taken), len(c.further))
-	put(c.cores, c.crowd, c.share, c.guess, c.sampleSize, c.outJobs, c.outThreads, c.outGrants, c.off, c.offN)
-	put(c.slowMean, c.badMean, c.arrivals, c.worthMean, c.workMean, c.spanMean, c.holdMean)
-	put(c.probesLeft, c.spare, c.planWeight, c.offeredThreads, c.wordsLeft, c.mapsLeft, c.round, c.untold, c.next)
-	put(c.overloadLogged, c.pressed, c.watchingEngines)
+	put(uint64(c.random), len(c.liveJobs), len(c.jobs), len(c.buckets), len(c.orderings), len(c.tenants), len(c.retryBudget.admittedAt), len(c.retryBudget.retriedAt))
+	put(c.fleet.cores, c.fleet.contention, c.fleet.share, c.fleet.estimatedShare, c.sampleSize, c.ownLoad.jobs, c.ownLoad.threads, c.ownLoad.memoryMB, c.durationError.mean, c.durationError.count)
+	put(c.fleet.meanLatencyRatio, c.fleet.meanFailureRate, c.demand.jobs, c.demand.meanValue, c.demand.meanWork, c.demand.meanDuration, c.demand.meanMemoryTime)
+	put(c.probeBudget.tokens, c.retryBudget.tokens, c.planWeight, c.offeredThreads, c.gossip.messageTokens, c.gossip.mapTokens, c.gossip.mapRound, c.gossip.unreportedJobs, c.gossip.nextEngine)
+	put(c.overloadLogged, c.fleet.underPressure, c.watchingEngines)
 	for _, t := range c.types {
 		put(t.parkedJobs, int64(t.lastLatencyAt), t.price)
 		for _, v := range t.figures() {
--- /dev/null
+++ b/choice/settings.go
@@ -0,0 +1,221 @@
+package choice
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+// settings are RawSettings read once. What is absent has the value that is said here; it never fails.
+type settings struct {
+	controllers   int     // of the fleet, at least 1
+	ownIndex      int     // our number among them, from 0
+	evenShare     float64 // 1 / controllers
+	zone          ZoneID  // ours
+	batchStep     Nanos   // how late an event may be told
+	gossipAllowed bool
+
+	maxAttempts   int // of a job, at least 1
+	cancelAllowed bool
+	probesAllowed bool
+	retryAfter    Nanos // told with Throttle; 0: not told
+
+	probePrice     float64 // points
+	gossipPrice    float64 // points, 256 bytes
+	crossZonePrice float64 // points, a job
+
+	slowStartWindow      Nanos   // from an engine's start until all its capacity counts
+	startCapacity        float64 // part of its capacity that an engine has at its start; absent: 1
+	overloadWindow       Nanos   // in which an engine in slow start must not be sent too much
+	slowStartWork        float64 // times its capacity that it stands at its start; 0 where that capacity is not said
+	drainGrace           Nanos   // after which a draining engine must not be sent anything; absent: for ever
+	orderPause           Nanos   // of an ordering key after an outcome that is not known
+	retryWindow          Nanos
+	freeRetries          float64 // in a retryWindow
+	retryRatio           float64 // further ones a job admitted in it; absent: no limit
+	overQuotaValueFactor float64 // of a job outside its tenant's quota; absent: 1
+
+	grantsHonored      bool    // engines heed our memory grants
+	takesPriority      bool    // engines heed priorities
+	usageReported      bool    // engines tell what an attempt used
+	memorySwaps        bool    // engines swap where memory is short
+	maxGrantShare      float64 // of an engine's memory that a job is granted; absent: 1
+	progressPeriod     Nanos   // between reports of progress; 0: none come
+	jobCountField      int     // place in a load report, -1: not reported
+	grantedMemoryField int     // likewise
+	subscribesToList   bool    // discovery must be asked to report changes
+
+	types        []typeSettings
+	coresByKind  map[int]float64
+	memoryByKind map[int]float64 // MB
+	tenantQuotas map[int]float64 // jobs a second
+}
+
+// typeSettings are the settings of a reservation type.
+type typeSettings struct {
+	id               TypeID
+	threads          float64 // of a job, at least 1
+	latencyObjective Nanos
+	objectivePerWork float64 // added to it, of a job's work over its threads
+	value            float64 // of a job
+	lateValueFactor  float64 // of it after the objective
+	repeatable       bool    // a job may run any number of times
+	repeatableByKey  bool    // engines drop repeats of its key
+	keyScope         string  // where they do: "all", "zone" or "cell"
+	repeatWindow     Nanos   // for how long they do
+	orderedByKey     bool    // jobs of one key run one after the other
+	locksTables      bool    // a job holds its group of tables, and stands still behind another that does
+	waitsForTables   bool    // a job stands still behind one that holds its group of tables
+	allowedZones     placeSet
+	allowedKinds     placeSet
+}
+
+// placeSet is a list of zones or kinds by number, as the settings have it; nil holds all.
+type placeSet []any
+
+func (s placeSet) contains(number float64) bool { return s == nil || slices.Contains(s, any(number)) }
+
+// within reports whether other holds all that s holds.
+func (s placeSet) within(other placeSet) bool {
+	if other == nil {
+		return true
+	}
+	return s != nil && !slices.ContainsFunc(s, func(place any) bool { return !slices.Contains(other, place) })
+}
+
+// drainGraceUnlimited stands in where no grace is set.
+const drainGraceUnlimited = 1e18
+
+func parseSettings(r RawSettings) settings {
+	s := settings{
+		controllers:   max(1, int(r.number("balancers", 1))),
+		ownIndex:      int(r.number("me", 0)),
+		zone:          ZoneID(r.number("locality", 0)),
+		batchStep:     r.nanos("step_ns"),
+		gossipAllowed: r.flag("limits.peer_messages"),
+
+		maxAttempts:   max(1, int(r.number("limits.most_tries", 1))),
+		cancelAllowed: r.flag("limits.cancel"),
+		probesAllowed: r.flag("limits.probes"),
+
+		probePrice:     r.number("tariffs.probe", 0),
+		gossipPrice:    r.number("tariffs.peer", 0),
+		crossZonePrice: r.number("tariffs.cross_zone", 0),
+
+		slowStartWindow: r.nanos("invariants.warm_within_ns"),
+		startCapacity:   r.number("invariants.start_capacity", 1),
+		overloadWindow:  r.nanos("invariants.fall_ns"),
+		slowStartWork:   r.number("invariants.fall_multiple", 1) * r.number("invariants.start_capacity", 0),
+		drainGrace:      Nanos(r.number("invariants.drain_grace_ns", drainGraceUnlimited)),
+		orderPause:      r.nanos("invariants.order_pause_ns"),
+		retryWindow:     r.nanos("invariants.extra_window_ns"),
+		freeRetries:     r.number("invariants.budget_free", 0),
+		retryRatio:      r.number("invariants.further_ratio", math.Inf(1)),
+
+		overQuotaValueFactor: r.number("over_share_worth", 1),
+
+		grantsHonored:      r.flag("domain.grants_count"),
+		takesPriority:      r.flag("domain.takes_priority"),
+		usageReported:      r.flag("domain.says_cost"),
+		memorySwaps:        r.text("domain.memory_short") == "swap",
+		maxGrantShare:      r.number("domain.max_grant_share", 1),
+		progressPeriod:     r.nanos("domain.note_period_ns"),
+		jobCountField:      slices.Index(r.list("telemetry.fields"), any("concurrent")),
+		grantedMemoryField: slices.Index(r.list("telemetry.fields"), any("x0")),
+		subscribesToList:   r.text("discovery") == "subscribe",
+
+		coresByKind:  r.numbers("domain.cpu_of_kind", ""),
+		memoryByKind: r.numbers("domain.size_mb", ""),
+		tenantQuotas: r.numbers("tenants", "quota_per_s"),
+	}
+	s.evenShare = 1 / float64(s.controllers)
+	if r.flag("limits.retry_after") {
+		s.retryAfter = r.nanos("limits.max_retry_after_ns")
+	}
+	for i := range r.list("classes") {
+		s.types = append(s.types, parseTypeSettings(r, i))
+	}
+	return s
+}
+
+func parseTypeSettings(r RawSettings, i int) typeSettings {
+	class := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
+	domain := func(name string) string { return fmt.Sprintf("domain.%s.%d", name, i) }
+	return typeSettings{
+		id:               TypeID(i),
+		threads:          math.Max(1, r.number(domain("class_threads"), 1)),
+		latencyObjective: r.nanos(class("aim_ns")),
+		objectivePerWork: r.number(class("aim_stretch"), 0),
+		value:            r.number(class("gain"), 1),
+		lateValueFactor:  r.number(class("late_worth"), 0),
+		repeatable:       r.text(class("idempotency")) == "repeatable",
+		repeatableByKey:  r.text(class("idempotency")) == "by_key",
+		keyScope:         r.text(class("key_scope")),
+		repeatWindow:     r.nanos(class("repeat_window_ns")),
+		orderedByKey:     r.flag(class("fifo_by_key")),
+		locksTables:      r.flag(domain("writes_tables")),
+		waitsForTables:   r.flag(domain("waits_for_loads")),
+		allowedZones:     r.list(class("allowed_in")),
+		allowedKinds:     r.list(class("kinds_only")),
+	}
+}
+
+// cores are those of an engine of a kind, at least 1.
+func (s *settings) cores(kind KindID) float64 {
+	cores, known := s.coresByKind[int(kind)]
+	if !known {
+		return 1
+	}
+	return math.Max(1, cores)
+}
+
+// memoryMB is the memory of an engine of a kind; 0: not known.
+func (s *settings) memoryMB(kind KindID) float64 { return s.memoryByKind[int(kind)] }
+
+// unlimitedQuota stands in for a tenant without a quota, in jobs a second.
+const unlimitedQuota = 1e9
+
+// tenantQuota is a tenant's quota over the fleet, in jobs a second.
+func (s *settings) tenantQuota(id TenantID) float64 {
+	quota, limited := s.tenantQuotas[int(id)]
+	if !limited {
+		return unlimitedQuota
+	}
+	return quota
+}
+
+// reportsLoad tells whether load reports tell of siblings' jobs.
+func (s *settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
+
+// jobCount is the jobs that an engine holds by its load report, if that tells.
+func (s *settings) jobCount(load []float64) (jobs float64, reported bool) {
+	return reportField(load, s.jobCountField)
+}
+
+// grantedMemory is the granted part of an engine's memory by its load report, if that tells.
+func (s *settings) grantedMemory(load []float64) (share float64, reported bool) {
+	return reportField(load, s.grantedMemoryField)
+}
+
+func reportField(load []float64, at int) (value float64, reported bool) {
+	if at < 0 || at >= len(load) || !(load[at] >= 0) {
+		return 0, false
+	}
+	return load[at], true
+}
+
+// applySettings takes new settings. What was learned of a type stays; one that is no longer named keeps its settings.
+func (c *Controller) applySettings(raw RawSettings) {
+	c.settings = parseSettings(raw)
+	c.gossip.messages = nil
+	if c.settings.gossipAllowed {
+		c.gossip.messages = make([]peerMessage, c.settings.controllers)
+	}
+	for i, s := range c.settings.types {
+		if i < len(c.types) {
+			c.types[i].typeSettings = s
+		} else {
+			c.types = append(c.types, newJobType(s))
+		}
+	}
+}
--- /dev/null
+++ b/choice/sweep.go
@@ -0,0 +1,54 @@
+package choice
+
+import "slices"
+
+const (
+	sweepInterval  = 20 * ms
+	stallThreshold = 100 * ms // a sweep that is so late shows that this process stood still
+	watchInterval  = second   // between requests to watch the list of engines
+)
+
+// sweep ends what expires, cancels what is overdue, and updates engines, means, shares and prices.
+func (c *Controller) sweep() {
+	c.armTimer()
+	if c.probeBudget.tokens >= 1 {
+		c.probeBudget.lastFundedAt = c.now
+	}
+	c.liveJobs = slices.DeleteFunc(c.liveJobs, func(j *job) bool { return j.finished && j.attempt == nil })
+	if stalled := c.now - c.lastSweepAt - sweepInterval; stalled >= stallThreshold {
+		c.excuseStall(stalled)
+	}
+	c.lastSweepAt = c.now
+	for _, j := range c.liveJobs {
+		c.checkJob(j)
+	}
+	c.measureHeadWaits()
+	if c.gossip.messages != nil {
+		c.sendGossip()
+	}
+	c.updateFleet()
+	c.updateShare()
+	c.updatePrices()
+	c.offeredThreads -= c.offeredThreads * float64(sweepInterval) / float64(offeredWindow)
+	if c.plan != nil {
+		c.updatePlanWeight()
+	}
+	c.dropEngines(c.now - c.settings.overloadWindow)
+	c.dropIdle(c.now - idleStateTTL)
+	c.retryBudget.trim(c.now - c.settings.retryWindow)
+	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
+		c.watchRequestedAt = c.now
+		c.emit(Action{Kind: WatchEngines, Enabled: true})
+	}
+}
+
+// checkJob ends a job that is about to expire or not worth its work any more, and looks after its attempt.
+func (c *Controller) checkJob(j *job) {
+	switch {
+	case j.finished || j.streaming:
+	case c.nearExpiry(j) || (j.attempt == nil && c.shouldShed(j)):
+		c.finishUnserved(j)
+	case j.attempt != nil:
+		c.checkAttempt(j.attempt)
+	}
+}
