--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -244,7 +244,7 @@
 func TestTheShareFollowsWhatLoadReportsShowWeCarry(t *testing.T) {
 	s := newStage(t, plainFacts().set("balancers", 8.0), 1)
 	e := s.c.engines[0]
-	e.attempts, e.ownThreads = []*attempt{{job: &job{jobType: s.c.types[0]}, sentAt: s.now + second}}, 2
+	e.attempts, e.ownThreads = []*attempt{{job: &job{jobType: s.c.types[0]}, dispatchedAt: s.now + second}}, 2
 	j := &job{jobType: s.c.types[1], bucket: &bucket{}}
 	want(t, !s.c.hasCapacity(j, e), "its even share is one thread")
 	for range 300 {
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -51,8 +51,8 @@
 
 // timedWork is work in ns that was sent at a time.
 type timedWork struct {
-	at   Nanos
-	work float64
+	dispatchedAt Nanos
+	work         float64
 }
 
 func (c *Controller) findEngine(id EngineID) (int, bool) {
@@ -106,7 +106,7 @@
 // and goes keeps what it was sent in its slow start.
 func (c *Controller) dropEngines(before Nanos) {
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
-		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool { return w.at < before })
+		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool { return w.dispatchedAt < before })
 		return e.State == Removed && len(e.attempts) == 0 && len(e.slowStartWork) == 0
 	})
 }
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -58,8 +58,8 @@
 // of siblings there is thought like the rest of the fleet, not empty.
 func (c *Controller) updateHealth(e *engine) {
 	if c.now-e.loadKnownAt >= reportTTL {
-		usual := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
-		e.siblingThreads += siblingDrift * (usual - e.siblingThreads)
+		expectedThreads := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
+		e.siblingThreads += siblingDrift * (expectedThreads - e.siblingThreads)
 	}
 	e.latencyRatio += latencyDecay * (1 - e.latencyRatio)
 	e.failureRate *= failureDecay
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -20,7 +20,7 @@
 func (c *Controller) sendGossip() {
 	message, bytePrice := c.ownMessage(), c.settings.gossipPrice/gossipUnit
 	payload := message[1:] // without the count of jobs
-	changed := payload != c.gossip.lastPayload || c.now-c.gossip.lastSentAt >= gossipRepeatInterval
+	changed := payload != c.gossip.lastPayload || c.now-c.gossip.lastMessageAt >= gossipRepeatInterval
 	cost := bytePrice * float64((messageOverhead+len(message))*c.collectors())
 	if c.gossip.messageTokens >= cost && changed {
 		c.markReported(payload, cost)
@@ -30,7 +30,7 @@
 	cost = bytePrice * float64((messageOverhead+mapSize)*(c.settings.controllers-1))
 	c.gossip.mapTokens = min(c.gossip.mapTokens, maxMapTokens*cost)
 	if c.gossip.mapTokens >= cost && len(c.engines) > 0 && c.isMapDue() {
-		c.gossip.lastMapSentAt = c.now
+		c.gossip.lastOwnMapAt = c.now
 		c.gossip.mapTokens -= cost
 		fleet := c.fleetMap(c.now - gossipTTL)
 		c.receiveGossip(c.settings.ownIndex, []byte(fleet))
@@ -42,7 +42,7 @@
 func (c *Controller) isMapDue() bool {
 	place := c.collectorPlace()
 	return place >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(place)*collectorTakeoverDelay &&
-		c.now-c.gossip.lastMapSentAt >= mapInterval
+		c.now-c.gossip.lastOwnMapAt >= mapInterval
 }
 
 // receiveGossip takes a message, or a map, which stands in for missing load reports and our own few outcomes.
--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -81,19 +81,19 @@
 	if len(text) == 0 || len(text) > maxMessageSize {
 		return 0, nil, false
 	}
-	for rest := text[1:]; len(rest) > 0; {
-		if len(rest) < entrySize {
+	for remaining := text[1:]; len(remaining) > 0; {
+		if len(remaining) < entrySize {
 			return 0, nil, false
 		}
-		n := gossipEntry{engine: engineHash(rest[0])<<8 | engineHash(rest[1]), threads: rest[2], outcomes: rest[3] >> 4}
-		count := int(rest[3] & 15)
-		rest = rest[entrySize:]
+		n := gossipEntry{engine: engineHash(remaining[0])<<8 | engineHash(remaining[1]), threads: remaining[2], outcomes: remaining[3] >> 4}
+		count := int(remaining[3] & 15)
+		remaining = remaining[entrySize:]
 		if n.hasTables = count != omittedTables; n.hasTables {
-			if len(rest) < count {
+			if len(remaining) < count {
 				return 0, nil, false
 			}
-			n.tables = slices.Clone(rest[:count])
-			rest = rest[count:]
+			n.tables = slices.Clone(remaining[:count])
+			remaining = remaining[count:]
 		}
 		entries = append(entries, n)
 	}
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -7,10 +7,10 @@
 	mapTokens     float64       // points for maps
 
 	lastPayload    string // of our last message
-	lastSentAt     Nanos  // likewise
+	lastMessageAt  Nanos  // likewise
 	unreportedJobs int    // admitted since then
 
-	lastMapSentAt     Nanos
+	lastOwnMapAt      Nanos
 	lastMapReceivedAt Nanos
 	mapRound          int // of maps over all engines
 	nextEngine        int // the index of the next map's first
@@ -61,7 +61,7 @@
 // markReported notes that a message with a payload was sent, and what it cost.
 func (c *Controller) markReported(payload string, cost float64) {
 	c.gossip.lastPayload = payload
-	c.gossip.lastSentAt = c.now
+	c.gossip.lastMessageAt = c.now
 	c.gossip.messageTokens -= cost
 	c.gossip.unreportedJobs = 0
 	for _, e := range c.engines {
--- a/choice/job.go
+++ b/choice/job.go
@@ -43,7 +43,7 @@
 	job              *job
 	engine           *engine
 	seq              AttemptSeq
-	sentAt           Nanos
+	dispatchedAt     Nanos
 	lastProgressAt   Nanos
 	stalled          Nanos   // of its time, that this process stood still
 	expectedNanos    float64 // its duration
@@ -56,7 +56,7 @@
 func attach(a *attempt) {
 	j, e := a.job, a.engine
 	if !j.mayHaveRun {
-		j.firstAttemptAt = a.sentAt
+		j.firstAttemptAt = a.dispatchedAt
 		j.firstEngine = e
 	}
 	j.attempt = a
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -19,11 +19,11 @@
 	}
 	share, reported := c.settings.grantedMemory(load)
 	if perThread := c.meanMemoryPerThread(); reported && perThread*e.memoryMB > 0 {
-		held := min(share, maxReportedMemory) * e.memoryMB
+		grantedMB := min(share, maxReportedMemory) * e.memoryMB
 		if !c.settings.grantsHonored {
-			held /= engineGrantFactor
+			grantedMB /= engineGrantFactor
 		}
-		c.setSiblingThreads(e, (held-e.ownMemoryMB)/perThread)
+		c.setSiblingThreads(e, (grantedMB-e.ownMemoryMB)/perThread)
 		e.lastReportAt = c.now
 	}
 }
--- a/choice/log.go
+++ b/choice/log.go
@@ -19,13 +19,13 @@
 
 // logPressure logs when pressure on more than half of the engines begins, and when it is on less than a quarter.
 func (c *Controller) logPressure(engines int) {
-	most := 2*engines > len(c.engines)
-	few := 4*engines < len(c.engines)
-	if most == c.fleet.underPressure || !(most || few) {
+	majority := 2*engines > len(c.engines)
+	minority := 4*engines < len(c.engines)
+	if majority == c.fleet.underPressure || !(majority || minority) {
 		return
 	}
-	c.fleet.underPressure = most
-	c.logf("pressure=%v on %d of %d engines, latency/best=%.2f", most, engines, len(c.engines), c.fleet.meanLatencyRatio)
+	c.fleet.underPressure = majority
+	c.logf("pressure=%v on %d of %d engines, latency/best=%.2f", majority, engines, len(c.engines), c.fleet.meanLatencyRatio)
 }
 
 // logOverload logs when an overload begins and ends: work has a price.
@@ -54,10 +54,10 @@
 // restartReason is why an engine seems to have restarted.
 type restartReason string
 
-const answersAgain restartReason = "answers after it refused connections"
+const reconnected restartReason = "answers after it refused connections"
 
-func fewJobs(jobs, usual float64) restartReason {
-	return restartReason(fmt.Sprintf("holds %.0f jobs where %.0f are usual", jobs, usual))
+func fewJobs(jobs, expected float64) restartReason {
+	return restartReason(fmt.Sprintf("holds %.0f jobs where %.0f are usual", jobs, expected))
 }
 
 func (c *Controller) logSuspectedRestart(e *engine, why restartReason) {
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -8,7 +8,7 @@
 
 	overdueFactor        = 4.0    // times its expected time: an attempt is overdue
 	badPlanFactor        = 3.0    // times its expected time, projected from its progress: it has a bad plan
-	minBadPlanRest       = 1.5    // times its expected time that such an attempt must have to go
+	minBadPlanRemainder  = 1.5    // times its expected time that such an attempt must have to go
 	minProgress          = 0.01   // a lower reported fraction counts as this
 	durationErrorFactor  = 2.5    // mean errors of expected times that are chance: later where estimates scatter
 	initialDurationError = 0.4    // of the log of actual over expected time, until the first answers
@@ -71,10 +71,10 @@
 		return
 	}
 	a.lastProgressAt, a.engine.lastSeenAt = c.now, c.now
-	took := float64(c.now - a.sentAt - a.stalled)
+	took := float64(c.now - a.dispatchedAt - a.stalled)
 	projected := took / max(ev.Amount, minProgress)
 	badPlan := projected > badPlanFactor*c.durationSpread()*a.expectedNanos
-	if ev.Progress == ProgressFraction && badPlan && projected-took > minBadPlanRest*a.expectedNanos {
+	if ev.Progress == ProgressFraction && badPlan && projected-took > minBadPlanRemainder*a.expectedNanos {
 		c.cancelToRetry(a)
 	}
 }
@@ -101,7 +101,7 @@
 		return
 	}
 	limit := max(overdueFactor*c.durationSpread()*a.expectedNanos, float64(t.latencyObjective)/2)
-	overdue := float64(c.now-a.sentAt-a.stalled) > limit
+	overdue := float64(c.now-a.dispatchedAt-a.stalled) > limit
 	if a.cancelRequested || (!stopped && !overdue) {
 		return
 	}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -88,61 +88,72 @@
 
 func parseSettings(r RawSettings) settings {
 	s := settings{
-		controllers:   max(1, int(r.number("balancers", 1))),
-		ownIndex:      int(r.number("me", 0)),
-		zone:          ZoneID(r.number("locality", 0)),
-		batchStep:     r.nanos("step_ns"),
-		gossipAllowed: r.flag("limits.peer_messages"),
-
-		maxAttempts:   max(1, int(r.number("limits.most_tries", 1))),
-		cancelAllowed: r.flag("limits.cancel"),
-		probesAllowed: r.flag("limits.probes"),
-
-		probePrice:     r.number("tariffs.probe", 0),
-		gossipPrice:    r.number("tariffs.peer", 0),
-		crossZonePrice: r.number("tariffs.cross_zone", 0),
-
-		slowStartWindow: r.nanos("invariants.warm_within_ns"),
-		startCapacity:   r.number("invariants.start_capacity", 1),
-		overloadWindow:  r.nanos("invariants.fall_ns"),
-		slowStartWork:   r.number("invariants.fall_multiple", 1) * r.number("invariants.start_capacity", 0),
-		drainGrace:      Nanos(r.number("invariants.drain_grace_ns", drainGraceUnlimited)),
-		orderPause:      r.nanos("invariants.order_pause_ns"),
-		retryWindow:     r.nanos("invariants.extra_window_ns"),
-		freeRetries:     r.number("invariants.budget_free", 0),
-		retryRatio:      r.number("invariants.further_ratio", math.Inf(1)),
-
+		controllers: max(1, int(r.number("balancers", 1))),
+		ownIndex:    int(r.number("me", 0)),
+		zone:        ZoneID(r.number("locality", 0)),
+		batchStep:   r.nanos("step_ns"),
+
+		probePrice:           r.number("tariffs.probe", 0),
+		gossipPrice:          r.number("tariffs.peer", 0),
+		crossZonePrice:       r.number("tariffs.cross_zone", 0),
 		overQuotaValueFactor: r.number("over_share_worth", 1),
 
-		grantsHonored:      r.flag("domain.grants_count"),
-		takesPriority:      r.flag("domain.takes_priority"),
-		usageReported:      r.flag("domain.says_cost"),
-		memorySwaps:        r.text("domain.memory_short") == "swap",
-		maxGrantShare:      r.number("domain.max_grant_share", 1),
-		progressPeriod:     r.nanos("domain.note_period_ns"),
 		jobCountField:      slices.Index(r.list("telemetry.fields"), any("concurrent")),
 		grantedMemoryField: slices.Index(r.list("telemetry.fields"), any("x0")),
 		subscribesToList:   r.text("discovery") == "subscribe",
-
-		coresByKind:  r.numbers("domain.cpu_of_kind", ""),
-		memoryByKind: r.numbers("domain.size_mb", ""),
-		tenantQuotas: r.numbers("tenants", "quota_per_s"),
+		tenantQuotas:       r.numbers("tenants", "quota_per_s"),
 	}
 	s.evenShare = 1 / float64(s.controllers)
-	if r.flag("limits.retry_after") {
-		s.retryAfter = r.nanos("limits.max_retry_after_ns")
-	}
+	s.parseLimits(r)
+	s.parseRules(r)
+	s.parseEngines(r)
 	for i := range r.list("classes") {
 		s.types = append(s.types, parseTypeSettings(r, i))
 	}
 	return s
 }
 
-func parseTypeSettings(r RawSettings, i int) typeSettings {
-	class := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
-	domain := func(name string) string { return fmt.Sprintf("domain.%s.%d", name, i) }
+// parseLimits reads what a controller may do.
+func (s *settings) parseLimits(r RawSettings) {
+	s.maxAttempts = max(1, int(r.number("limits.most_tries", 1)))
+	s.cancelAllowed = r.flag("limits.cancel")
+	s.probesAllowed = r.flag("limits.probes")
+	s.gossipAllowed = r.flag("limits.peer_messages")
+	if r.flag("limits.retry_after") {
+		s.retryAfter = r.nanos("limits.max_retry_after_ns")
+	}
+}
+
+// parseRules reads the figures of the rules.
+func (s *settings) parseRules(r RawSettings) {
+	s.slowStartWindow = r.nanos("invariants.warm_within_ns")
+	s.startCapacity = r.number("invariants.start_capacity", 1)
+	s.overloadWindow = r.nanos("invariants.fall_ns")
+	s.slowStartWork = r.number("invariants.fall_multiple", 1) * r.number("invariants.start_capacity", 0)
+	s.drainGrace = Nanos(r.number("invariants.drain_grace_ns", drainGraceUnlimited))
+	s.orderPause = r.nanos("invariants.order_pause_ns")
+	s.retryWindow = r.nanos("invariants.extra_window_ns")
+	s.freeRetries = r.number("invariants.budget_free", 0)
+	s.retryRatio = r.number("invariants.further_ratio", math.Inf(1))
+}
+
+// parseEngines reads what engines are, heed and tell.
+func (s *settings) parseEngines(r RawSettings) {
+	s.grantsHonored = r.flag("domain.grants_count")
+	s.takesPriority = r.flag("domain.takes_priority")
+	s.usageReported = r.flag("domain.says_cost")
+	s.memorySwaps = r.text("domain.memory_short") == "swap"
+	s.maxGrantShare = r.number("domain.max_grant_share", 1)
+	s.progressPeriod = r.nanos("domain.note_period_ns")
+	s.coresByKind = r.numbers("domain.cpu_of_kind", "")
+	s.memoryByKind = r.numbers("domain.size_mb", "")
+}
+
+func parseTypeSettings(r RawSettings, place int) typeSettings {
+	class := func(name string) string { return fmt.Sprintf("classes.%d.%s", place, name) }
+	domain := func(name string) string { return fmt.Sprintf("domain.%s.%d", name, place) }
 	return typeSettings{
-		id:               TypeID(i),
+		id:               TypeID(place),
 		threads:          math.Max(1, r.number(domain("class_threads"), 1)),
 		latencyObjective: r.nanos(class("aim_ns")),
 		objectivePerWork: r.number(class("aim_stretch"), 0),
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -64,10 +64,10 @@
 // suspectRestartByJobs does so for an engine that holds far fewer jobs than is usual. One whose slow start
 // just ended is empty by our own restraint.
 func (c *Controller) suspectRestartByJobs(e *engine, jobs float64) {
-	usual, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
+	expected, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
 	settled := started == 0 || c.now-started >= 2*c.settings.slowStartWindow
-	if jobs < restartSuspectShare*usual && usual > e.cores/4 && !e.ejected && settled {
-		c.suspectRestart(e, fewJobs(jobs, usual))
+	if jobs < restartSuspectShare*expected && expected > e.cores/4 && !e.ejected && settled {
+		c.suspectRestart(e, fewJobs(jobs, expected))
 	}
 }
 
@@ -75,6 +75,6 @@
 func (c *Controller) markSeen(e *engine) {
 	e.lastSeenAt = c.now
 	if e.refusing {
-		c.suspectRestart(e, answersAgain)
+		c.suspectRestart(e, reconnected)
 	}
 }
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -85,10 +85,10 @@
 			return false
 		}
 	}
-	countsSound := s.workCount >= 0 && s.costCount >= 0 && s.memoryCount >= 0
-	biasesSound := math.Abs(s.costBias) <= maxPlausibleBias && math.Abs(s.memoryBias) <= maxPlausibleBias
-	slowdownsSound := s.bestSlowdown > 0 && s.slowdown > 0 && s.slowdown <= maxPlausibleRatio
-	return countsSound && biasesSound && slowdownsSound && s.meanWork > 0 && s.memoryDeviation >= 0
+	neverNegative := min(s.workCount, s.costCount, s.memoryCount, s.memoryDeviation)
+	alwaysPositive := min(s.meanWork, s.bestSlowdown, s.slowdown)
+	largestBias := max(math.Abs(s.costBias), math.Abs(s.memoryBias))
+	return neverNegative >= 0 && alwaysPositive > 0 && largestBias <= maxPlausibleBias && s.slowdown <= maxPlausibleRatio
 }
 
 // MarshalJSON writes the figures as a list.
--- a/choice/stage_test.go
+++ b/choice/stage_test.go
@@ -316,7 +316,7 @@
 	sum := 0.0
 	s.cold[line.Engine] = append(s.cold[line.Engine], timedWork{s.now, float64(min(j.ev.Cost, 10*second))})
 	for _, w := range s.cold[line.Engine] {
-		if w.at >= s.now-f.nanos("invariants.fall_ns") {
+		if w.dispatchedAt >= s.now-f.nanos("invariants.fall_ns") {
 			sum += w.work
 		}
 	}
--- a/choice/word_test.go
+++ b/choice/word_test.go
@@ -91,7 +91,7 @@
 	f.busy([]int{1, 3, 5})
 	f.pass(collectorTakeoverDelay + 300*ms)
 	want(t, f.all[5].c.engines[0].siblingThreads == 4, "siblings hold %v of 4", f.all[5].c.engines[0].siblingThreads)
-	want(t, f.all[4].c.gossip.lastMapSentAt == 0, "the third sends maps beside the second")
+	want(t, f.all[4].c.gossip.lastOwnMapAt == 0, "the third sends maps beside the second")
 	f.lost = func(int, int) bool { return true }
 	f.pass(gossipTTL + 5*second) // all goes on as without words: siblings as ourselves
 	s := f.all[5]
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module behind the simulator's wire: batches on
-// standard input, replies on standard output. It decides nothing.
+// Command adapter hosts instances of the decision module behind the simulator's wire: batches of events on standard
+// input, replies of actions on standard output. It decides nothing. One goroutine does all; it ends with its input.
 package main
 
 import (
@@ -14,6 +14,8 @@
 	"swiftreel/internal/wire"
 )
 
+const readBufferSize = 1 << 16
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -21,63 +23,96 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends between two of them, which is no error.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
-	host := host{instances: map[wire.Instance]*choice.Controller{}, sets: map[wire.SetID][]choice.EngineEntry{}}
+	reader := bufio.NewReaderSize(in, readBufferSize)
+	writer := bufio.NewWriter(out)
+	h := newHost()
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := wire.ReadBatch(reader)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return err
+			return fmt.Errorf("read batch: %w", err)
 		}
-		for _, rec := range batch.Records {
-			if err := host.tell(batch.Now, rec); err != nil {
-				return err
-			}
-		}
-		if _, err := host.reply.WriteTo(w); err != nil {
+		if err := h.answer(batch, writer); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
-			return err
+		if err := writer.Flush(); err != nil {
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
+// host owns the instances and the lists of engines that were handed over for them.
 type host struct {
-	instances map[wire.Instance]*choice.Controller // one for each live instance; Stop removes it
-	sets      map[wire.SetID][]choice.EngineEntry  // numbers are reused, so it stays small
+	instances map[wire.Instance]*choice.Controller // until stopped
+	lists     map[wire.SetID][]choice.EngineEntry  // numbers are reused, so it stays small
 	reply     wire.Reply
 }
 
-// tell hands one record to whom it concerns and gathers the actions.
-func (h *host) tell(now choice.Nanos, rec wire.Record) error {
-	switch rec.Kind {
+func newHost() *host {
+	return &host{
+		instances: map[wire.Instance]*choice.Controller{},
+		lists:     map[wire.SetID][]choice.EngineEntry{},
+	}
+}
+
+// answer hands the records of a batch to whom they concern and writes the actions.
+func (h *host) answer(batch wire.Batch, out io.Writer) error {
+	for _, record := range batch.Records {
+		if err := h.take(batch.Now, record); err != nil {
+			return err
+		}
+	}
+	if _, err := h.reply.WriteTo(out); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	return nil
+}
+
+func (h *host) take(now choice.Nanos, record wire.Record) error {
+	switch record.Kind {
 	case wire.RegisterEngines:
-		h.sets[rec.Set] = rec.Engines
+		h.lists[record.Set] = record.Engines
 		return nil
 	case wire.StopInstance:
-		delete(h.instances, rec.Instance)
+		delete(h.instances, record.Instance)
 		return nil
 	case wire.StartInstance:
-		if err := json.Unmarshal(rec.Settings, &rec.Event.Settings); err != nil {
-			return fmt.Errorf("settings of instance %d: %w", rec.Instance, err)
-		}
-		if err := checkSettings(rec.Event.Settings); err != nil {
-			return fmt.Errorf("settings of instance %d: %w", rec.Instance, err)
+		settings, err := readSettings(record.Settings)
+		if err != nil {
+			return fmt.Errorf("settings of instance %d: %w", record.Instance, err)
 		}
-		h.instances[rec.Instance] = new(choice.Controller)
+		record.Event.Settings = settings
+		h.instances[record.Instance] = new(choice.Controller)
 	}
-	if rec.Event.Kind == choice.EnginesListed {
-		rec.Event.Engines = h.sets[rec.Set]
+	h.decide(now, record)
+	return nil
+}
+
+// decide tells an event to its instance, if that runs, and gathers the actions.
+func (h *host) decide(now choice.Nanos, record wire.Record) {
+	if record.Event.Kind == choice.EnginesListed {
+		record.Event.Engines = h.lists[record.Set]
 	}
-	if c := h.instances[rec.Instance]; c != nil {
-		for _, a := range c.Decide(now, rec.Event) {
-			h.reply.Add(rec.Instance, a)
-		}
+	controller := h.instances[record.Instance]
+	if controller == nil {
+		return
 	}
-	return nil
+	for _, action := range controller.Decide(now, record.Event) {
+		h.reply.Add(record.Instance, action)
+	}
+}
+
+func readSettings(text []byte) (choice.RawSettings, error) {
+	var settings choice.RawSettings
+	if err := json.Unmarshal(text, &settings); err != nil {
+		return nil, err
+	}
+	if err := checkSettings(settings); err != nil {
+		return nil, err
+	}
+	return settings, nil
 }
