--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -3,38 +3,27 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"flag"
-	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
 	"testing"
 
 	"swiftreel/internal/change"
+	"swiftreel/internal/golden"
 	"swiftreel/internal/quota"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
 
-func golden(t *testing.T, name string, got []byte) []byte {
+// checkGolden compares text with a file of testdata, and returns what that holds.
+func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return got
-	}
+	golden.Check(t, name, got)
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%s\nwanted:\n%s", name, got, want)
-	}
-	return want
+	return text
 }
 
 func marshal(t *testing.T, v any) []byte {
@@ -53,7 +42,7 @@
 		Shares: quota.Shares{quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1}, SharesUntil: 123_456_789_000,
 		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, PlanText: text}
 	for name, w := range map[string]Assignment{"word-full.json": full, "word-least.json": {Format: change.Format, Term: 1, Sequence: 1, Leader: "a", Member: "b", Incarnation: "c"}} {
-		got, err := Read(bytes.NewReader(golden(t, name, marshal(t, w))))
+		got, err := Read(bytes.NewReader(checkGolden(t, name, marshal(t, w))))
 		if err != nil || !reflect.DeepEqual(got, w) {
 			t.Errorf("%s is read as %+v, %v", name, got, err)
 		}
@@ -64,7 +53,7 @@
 	}
 	for name, h := range map[string]Accepted{"held-full.json": held, "held-none.json": {}} {
 		var got Accepted
-		if err := json.Unmarshal(golden(t, name, marshal(t, h)), &got); err != nil {
+		if err := json.Unmarshal(checkGolden(t, name, marshal(t, h)), &got); err != nil {
 			t.Fatal(err)
 		}
 		h.PlanText = nil // it is not told in a status
--- a/internal/ilp/golden_test.go
+++ b/internal/ilp/golden_test.go
@@ -2,18 +2,14 @@
 
 import (
 	"bytes"
-	"errors"
-	"flag"
 	"fmt"
-	"io/fs"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"testing"
+
+	"swiftreel/internal/golden"
 )
 
-// The file in testdata was written by the program as it stood at commit 70e2e4b. With -record it is written if it is missing.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
+// The file in testdata was written by the program as it stood at commit 70e2e4b. With -record it is written if missing.
 
 // Each search takes the same nodes to the same answer as before, also where it is stopped.
 func TestSearchesAreThoseOfAnEarlierProgram(t *testing.T) {
@@ -35,18 +31,5 @@
 		fmt.Fprintf(&lines, "%d: lp %d after %d, bound %d %v; %v value %d bound %d done %v nodes %d\n", n, ended, lp.Pivots, bound, known,
 			got.Values, got.Value, got.Bound, got.Complete, got.Nodes)
 	}
-	path := filepath.Join("testdata", "searches.txt")
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, lines.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(lines.Bytes(), want) {
-		t.Errorf("%s\nwanted:\n%s", lines.Bytes(), want)
-	}
+	golden.Check(t, "searches.txt", lines.Bytes())
 }
--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -3,21 +3,16 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"flag"
 	"fmt"
 	"hash/fnv"
-	"io/fs"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"testing"
 
 	"swiftreel/internal/canary"
+	"swiftreel/internal/golden"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
+// The file in testdata was written by the program as it stood at commit 70e2e4b. With -record it is written if missing.
 
 // When the fleet is planned, and for which problem, on drawn input, is what it was before.
 func TestDecisionsAreThoseOfAnEarlierProgram(t *testing.T) {
@@ -25,20 +20,7 @@
 	for seed := range uint64(40) {
 		fmt.Fprintf(&lines, "%d: %s\n", seed, trace(t, seed))
 	}
-	path := filepath.Join("testdata", "decisions.txt")
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, lines.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(lines.Bytes(), want) {
-		t.Errorf("%s\nwanted:\n%s", lines.Bytes(), want)
-	}
+	golden.Check(t, "decisions.txt", lines.Bytes())
 }
 
 // trace is one run: the seconds at which it planned, and a digest of the problems.
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -3,39 +3,28 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"flag"
 	"fmt"
 	"hash/fnv"
-	"io/fs"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"swiftreel/internal/canary"
+	"swiftreel/internal/golden"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
 
-func golden(t *testing.T, name string, got []byte) []byte {
+// checkGolden compares text with a file of testdata, and returns what that holds.
+func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return got
-	}
+	golden.Check(t, name, got)
+	text, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%s\nwanted:\n%s", name, got, want)
-	}
-	return want
+	return text
 }
 
 func marshal(t *testing.T, v any) []byte {
@@ -53,19 +42,19 @@
 	l := NewLedger(Record{}, 5000, 0)
 	first, _ := l.NextRecord(want, 1)
 	var r Record
-	if err := json.Unmarshal(golden(t, "record.json", marshal(t, first)), &r); err != nil {
+	if err := json.Unmarshal(checkGolden(t, "record.json", marshal(t, first)), &r); err != nil {
 		t.Fatal(err)
 	}
 	l = NewLedger(r, 5000, 1000)
 	other := map[string]Shares{"a": {Fleet: 100_000}, "b": {Fleet: 900_000}}
 	next, _ := l.NextRecord(other, 1001)
-	golden(t, "record-next.json", marshal(t, next))
+	checkGolden(t, "record-next.json", marshal(t, next))
 	l.Commit(next)
 	if got := l.Grant("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
 		t.Errorf("%v is given while the part before is out", got)
 	}
 	next, _ = l.NextRecord(other, 1000+5000+250)
-	golden(t, "record-ended.json", marshal(t, next))
+	checkGolden(t, "record-ended.json", marshal(t, next))
 }
 
 // What ledgers and demands decide on drawn input, step by step, is what they decided before.
@@ -75,7 +64,7 @@
 		fmt.Fprintf(&lines, "ledger %d: %s\n", seed, ledgerTrace(t, seed))
 		fmt.Fprintf(&lines, "demand %d: %s\n", seed, demandTrace(t, seed))
 	}
-	golden(t, "decisions.txt", lines.Bytes())
+	checkGolden(t, "decisions.txt", lines.Bytes())
 }
 
 func ledgerTrace(t *testing.T, seed uint64) string {
