--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -603,7 +603,7 @@
 	t.Cleanup(func() {
 		for _, m := range w.Members {
 			for line := range strings.Lines(m.Keeper.Log()) {
-				if t.Failed() && (strings.Contains(line, "owner_") || strings.Contains(line, "rollout_") || strings.Contains(line, "duty_") || strings.Contains(line, "order_")) {
+				if t.Failed() && (strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
 					t.Log(m.Name, line)
 				}
 			}
@@ -620,7 +620,7 @@
 	})
 	first.Keeper.Signal(syscall.SIGCONT)
 	until(t, w, "the one that slept says once that it owns no more", func() bool {
-		return strings.Count(first.Keeper.Log(), "msg=owner_ends reign="+fmt.Sprint(int64(reign))) == 1
+		return strings.Count(first.Keeper.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
 	})
 	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
 	to := state(acts(nil)).To.Digest()
@@ -843,7 +843,7 @@
 	second := acts(first)
 	syscall.Kill(s.PID, syscall.SIGCONT)
 	l := w.NewLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
-	if text := first.Keeper.Log(); !strings.Contains(text, "msg=owner_hands_over") || !strings.Contains(text, `why="its controller does not serve"`) {
+	if text := first.Keeper.Log(); !strings.Contains(text, "msg=leader_handover") || !strings.Contains(text, `reason="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
 	if err := w.Disk(second.Name, "full"); err != nil {
@@ -853,7 +853,7 @@
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
 	c.Run() // it may be begun by the next owner, or not at all
 	third := acts(second)
-	until(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=owner_halted") })
+	until(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=leader_member_halted") })
 	if text := cli(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -3,408 +3,221 @@
 import (
 	"encoding/binary"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"log"
-	"slices"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-	"go.etcd.io/raft/v3/tracker"
-	"google.golang.org/protobuf/proto"
 )
 
-// Pace is a member's: times in its own monotonic time, ns.
+// Timing holds a member's time constants, in nanoseconds of its own monotonic clock.
 type Timing struct {
-	Tick            int64 // from one tick to the next
-	Lease           int64 // a voter that has heard of an owner gives no other its vote for so long
-	LeasePerMille   int64 // of the lease that the owner uses: the rest is for clocks that run unlike
-	RetainedEntries int   // entries of the log beyond which it is compacted
+	Tick            int64 // between two calls of Core.Tick
+	Lease           int64 // a voter that has heard from a leader votes for no other one for this long
+	LeasePerMille   int64 // part of the lease that the leader uses; the rest covers clock drift
+	RetainedEntries int   // the log is compacted once it holds twice as many entries
 }
 
-// Usual is the pace where none is told: clocks may run a tenth unlike, and it leaves as much again.
+// DefaultTiming tolerates clocks whose rates differ by a tenth, with as much again in reserve.
 func DefaultTiming() Timing {
 	return Timing{Tick: 50e6, Lease: 1e9, LeasePerMille: 800, RetainedEntries: 256}
 }
 
-// Disk is all of a member that outlives its process.
-type PersistentState struct {
-	MemberID  uint64 // a member that lost its disk comes back under another
-	HardState *raftpb.HardState
-	Snapshot  *raftpb.Snapshot
-	Entries   []*raftpb.Entry
-}
-
-// Out is what is to be done after a call, in this order: what is to be saved is saved before a message goes out.
-type Output struct {
-	HardState  *raftpb.HardState
-	Entries    []*raftpb.Entry // to be written from the first one's index on, what stood behind it is void
-	Snapshot   *raftpb.Snapshot
-	ReplaceLog bool // the snapshot came from another: entries saved before are void
-	Messages   []*raftpb.Message
-	Results    []Result // of our own commands
-}
-
-// Done is what became of a command of this process.
-type Result struct {
-	CommandID uint64
-	Err       error
-}
+// Raft's parameters that do not depend on Timing.
+const (
+	minElectionTicks      = 3
+	heartbeatsPerElection = 10
+	maxAppendBytes        = 1 << 20 // of one append message
+	maxInflightAppends    = 64      // to one member
+	maxUncommittedBytes   = 64 << 20
+	readRequestBytes      = 8 // a read request's context is the time at which it was made
+)
 
-// Core is a member of the log, free of I/O, clock and chance: times are told.
+// Core is one member: raft, the replicated state, and the leader's lease. It performs no I/O and reads no clock:
+// callers pass the member's own monotonic time in nanoseconds and carry out the returned Output. It is not safe for
+// concurrent use.
 type Core struct {
-	name              string
-	id                uint64
-	timing            Timing
-	rawNode           *raft.RawNode
-	storage           *raft.MemoryStorage
-	state             State
-	membership        *raftpb.ConfState
-	appliedIndex      uint64
-	startedAt         int64 // this process
-	now               int64
-	term              uint64 // since when we lead, if we do
-	quorumAt          int64  // a majority followed us at that time
-	claimedTerm       uint64 // term for which a reign was claimed
-	membersChanged    bool   // members did: who joins needs a snapshot that knows it
-	transferring      bool   // stepping down: nothing is done any more
+	name         string
+	id           uint64
+	timing       Timing
+	rawNode      *raft.RawNode
+	storage      *raft.MemoryStorage
+	state        State
+	membership   *raftpb.ConfState
+	appliedIndex uint64
+	startedAt    int64 // of this process
+	now          int64 // the latest time passed in
+
+	quorumAt    int64  // at this time a quorum followed this member
+	claimedTerm uint64 // the last raft term for which this member proposed its claim
+	ignoreLease bool   // a defect that tests inject to see it detected
+
+	transferring      bool // leadership is being handed over: this member no longer acts
 	transferStartedAt int64
-	ignoreLease       bool // the broken variant of tests
 
-	snapshotSentAt map[uint64]int64 // members that a snapshot is under way to, since when; a member leaves it when it is not
+	membersChanged    bool             // the next snapshot is due at once: a new member needs one that includes it
+	snapshotStartedAt map[uint64]int64 // by member: when the snapshot that is under way to it was first seen
 }
 
-// NewCore starts a member from what its disk holds.
-func NewCore(name string, d PersistentState, p Timing, now int64) (*Core, error) {
-	c := &Core{name: name, id: d.MemberID, timing: p, storage: raft.NewMemoryStorage(), startedAt: now, now: now, quorumAt: now - p.Lease - 1, membership: &raftpb.ConfState{}}
-	if !raft.IsEmptySnap(d.Snapshot) {
-		if err := c.storage.ApplySnapshot(d.Snapshot); err != nil {
-			return nil, err
-		}
-		if err := c.restore(d.Snapshot); err != nil {
-			return nil, err
-		}
+// NewCore starts a member from its persistent state. It follows until it hears of a leader or is elected.
+func NewCore(name string, persistent PersistentState, timing Timing, now int64) (*Core, error) {
+	c := &Core{
+		name:       name,
+		id:         persistent.MemberID,
+		timing:     timing,
+		storage:    raft.NewMemoryStorage(),
+		membership: &raftpb.ConfState{},
+		startedAt:  now,
+		now:        now,
+		quorumAt:   now - timing.Lease - 1, // no quorum yet
 	}
-	if !raft.IsEmptyHardState(d.HardState) {
-		c.storage.SetHardState(d.HardState)
-	}
-	if err := c.storage.Append(d.Entries); err != nil {
+	if err := c.load(persistent); err != nil {
 		return nil, err
 	}
 	return c, c.startRaft()
 }
 
-// begin has the library begin with what is saved, as a follower.
-func (c *Core) startRaft() (err error) {
-	election := max(3, int(c.timing.Lease/c.timing.Tick))
-	c.rawNode, err = raft.NewRawNode(&raft.Config{ID: c.id, ElectionTick: election, HeartbeatTick: max(1, election/10), Storage: c.storage, Applied: c.appliedIndex,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true,
-		StepDownOnRemoval: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
-	return err
-}
-
-// Found is the disk of a member of a new fleet: all of them begin with the same.
-func BootstrapState(id uint64, names map[uint64]string) PersistentState {
-	return RecoveryState(id, names, State{}, 1)
-}
-
-// Refound is that of a fleet that begins anew with what one has kept of an earlier one, at a term over all that anyone has
-// seen of that: reigns go on rising.
-func RecoveryState(id uint64, names map[uint64]string, a State, term uint64) PersistentState {
-	var voters []uint64
-	for n := range names {
-		voters = append(voters, n)
+func (c *Core) load(persistent PersistentState) error {
+	if !raft.IsEmptySnap(persistent.Snapshot) {
+		if err := c.storage.ApplySnapshot(persistent.Snapshot); err != nil {
+			return err
+		}
+		if err := c.restore(persistent.Snapshot); err != nil {
+			return err
+		}
+	}
+	if !raft.IsEmptyHardState(persistent.HardState) {
+		if err := c.storage.SetHardState(persistent.HardState); err != nil {
+			return err
+		}
 	}
-	slices.Sort(voters)
-	a.Members = names
-	one := uint64(1)
-	return PersistentState{MemberID: id, HardState: &raftpb.HardState{Term: &term, Commit: &one},
-		Snapshot: raftpb.EnsureSnapshot(&raftpb.Snapshot{Data: a.encode(), Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &term, ConfState: &raftpb.ConfState{Voters: voters}}})}
+	return c.storage.Append(persistent.Entries)
 }
 
-func (c *Core) restore(s *raftpb.Snapshot) error {
-	var a State
-	if err := json.Unmarshal(s.GetData(), &a); err != nil {
-		return err
-	}
-	c.state, c.appliedIndex, c.membership = a, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	return nil
+// startRaft starts raft as a follower on what the storage holds.
+func (c *Core) startRaft() error {
+	electionTicks := max(minElectionTicks, int(c.timing.Lease/c.timing.Tick))
+	rawNode, err := raft.NewRawNode(&raft.Config{
+		ID:                        c.id,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             max(1, electionTicks/heartbeatsPerElection),
+		Storage:                   c.storage,
+		Applied:                   c.appliedIndex,
+		MaxSizePerMsg:             maxAppendBytes,
+		MaxInflightMsgs:           maxInflightAppends,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+	})
+	c.rawNode = rawNode
+	return err
 }
 
-// Tick is to come every Pace.Tick.
+// Tick advances raft's clock. It is due every Timing.Tick.
 func (c *Core) Tick(now int64) Output {
 	c.now = max(c.now, now)
-	if c.transferring && c.now-c.transferStartedAt > c.timing.Lease { // nobody took over, and word to do so may be on its way: it acts no more
-		c.transferring = false
-		c.startRaft()
+	if c.transferring && c.now-c.transferStartedAt > c.timing.Lease {
+		c.abandonTransfer()
 	}
 	c.rawNode.Tick()
 	if c.isLeader() {
-		c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(c.now))) // who answers followed us at this time, and after
-		if s := c.rawNode.BasicStatus(); s.GetTerm() != c.claimedTerm && !c.transferring {
-			c.claimedTerm = s.GetTerm()
-			c.propose(Command{Proposer: c.id, Term: Term(s.GetTerm()), Candidate: c.name})
-		}
+		c.requestQuorum()
+		c.claimTerm()
 		c.retryLostSnapshots()
 	}
 	return c.collectOutput()
 }
 
-// snapTime is for how many leases word of a snapshot's arrival is waited for: one of mostMessage passes a slow link in it.
-const snapshotTimeoutLeases = 3
+// abandonTransfer restarts as a follower: nobody took over in time, but the request to do so may still be on its way,
+// so this member must not act again in its term.
+func (c *Core) abandonTransfer() {
+	c.transferring = false
+	_ = c.startRaft() // NewCore has accepted the same configuration
+}
 
-// snapshots has those sent again that have not been heard of. The library waits for ever: links here tell nothing of what they
-// have lost, and one that has come but was overtaken by the log's compaction counts as lost.
-func (c *Core) retryLostSnapshots() {
-	was := c.snapshotSentAt
-	c.snapshotSentAt = nil
-	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		if pr.State == tracker.StateSnapshot {
-			if c.snapshotSentAt == nil {
-				c.snapshotSentAt = map[uint64]int64{}
-			}
-			c.snapshotSentAt[id] = c.now
-			if at, is := was[id]; is {
-				c.snapshotSentAt[id] = at
-			}
-		}
-	})
-	for id, at := range c.snapshotSentAt {
-		if c.now-at >= snapshotTimeoutLeases*c.timing.Lease {
-			delete(c.snapshotSentAt, id)
-			c.rawNode.ReportSnapshot(id, raft.SnapshotFailure) // it is probed, and sent what it lacks
-		}
+// requestQuorum asks all members for a confirmation. Who answers followed this member at the time in the request or
+// later.
+func (c *Core) requestQuorum() {
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(c.now)))
+}
+
+// claimTerm proposes, once in each raft term that this member leads, that it becomes the term's leader.
+func (c *Core) claimTerm() {
+	raftTerm := c.rawNode.BasicStatus().GetTerm()
+	if raftTerm == c.claimedTerm || c.transferring {
+		return
 	}
+	c.claimedTerm = raftTerm
+	// A claim that raft drops is not repeated: this member then does not act in this term.
+	_ = c.propose(Command{Proposer: c.id, Term: Term(raftTerm), Candidate: c.name})
 }
 
-// Step takes a message. A vote is not given within a lease of this process's start: it cannot know whom it had promised.
-func (c *Core) Step(now int64, m *raftpb.Message) Output {
+// Step handles a message from another member. Messages that only this process may create are ignored.
+func (c *Core) Step(now int64, message *raftpb.Message) Output {
 	c.now = max(c.now, now)
-	switch m.GetType() {
+	switch message.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
+		// Within a lease of its start a process cannot know to which leader it gave a promise before.
 		if c.now-c.startedAt < c.timing.Lease && !c.ignoreLease {
 			return c.collectOutput()
 		}
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgTransferLeader:
-		return c.collectOutput() // nobody else may ask for these
+		return c.collectOutput()
 	}
-	c.rawNode.Step(m) // an error says that it was of no use
+	_ = c.rawNode.Step(message) // an error means that the message was of no use here
 	return c.collectOutput()
 }
 
 func (c *Core) isLeader() bool { return c.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
-// May tells under which reign this member may act now: it was agreed, and a majority followed within the lease. 0: none.
-// It is to be asked before each act; what cannot be fenced where it arrives must not rest on it, as time passes after it.
+// ActiveTerm returns the term under which this member may act now, or 0: it leads, its claim is committed, and a
+// quorum followed it within the lease. Ask before each act. Time passes between the answer and the act, so what
+// cannot be fenced by the term where it arrives must not rely on it.
 func (c *Core) ActiveTerm(now int64) Term {
 	c.now = max(c.now, now)
-	s := c.rawNode.BasicStatus()
-	if s.RaftState != raft.StateLeader || c.transferring || c.state.Leader != c.name || c.state.Term != Term(s.GetTerm()) {
+	status := c.rawNode.BasicStatus()
+	if status.RaftState != raft.StateLeader || c.transferring {
+		return 0
+	}
+	if c.state.Leader != c.name || c.state.Term != Term(status.GetTerm()) {
 		return 0
 	}
-	if c.now-c.quorumAt >= c.timing.Lease*c.timing.LeasePerMille/1000 && !c.ignoreLease {
+	usableLease := c.timing.Lease * c.timing.LeasePerMille / 1000
+	if c.now-c.quorumAt >= usableLease && !c.ignoreLease {
 		return 0
 	}
 	return c.state.Term
 }
 
-// Propose asks for an item of what is agreed to be written under a reign. What becomes of it comes as Done, or never, where
-// this member leads no more.
-func (c *Core) Propose(id uint64, r Term, name string, value []byte) (Output, error) {
+// Propose asks for an item to be written under a term. The outcome arrives as a Result with the given command ID, or
+// never if this member loses the leadership first.
+func (c *Core) Propose(commandID uint64, term Term, item string, value []byte) (Output, error) {
 	if !c.isLeader() || c.transferring {
-		return Output{}, errors.New("another owns")
+		return Output{}, ErrNotLeader
 	}
-	err := c.propose(Command{ID: id, Proposer: c.id, Term: r, Item: name, Value: value})
+	err := c.propose(Command{ID: commandID, Proposer: c.id, Term: term, Item: item, Value: value})
 	return c.collectOutput(), err
 }
 
-func (c *Core) propose(cmd Command) error {
-	text, err := json.Marshal(cmd)
+func (c *Core) propose(command Command) error {
+	text, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
 	return c.rawNode.Propose(text)
 }
 
-// StepDown ends this member's acts at once, and then hands over: to the voter of that name, or, where none is named, to that
-// which has come furthest.
-func (c *Core) TransferLeadership(to string) (Output, bool) {
-	if !c.isLeader() {
-		return Output{}, false
-	}
-	var best, match uint64
-	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		if id != c.id && !pr.IsLearner && pr.RecentActive && pr.Match >= match && (to == "" || c.state.Members[id] == to) {
-			best, match = id, pr.Match
-		}
-	})
-	if best == 0 {
-		return Output{}, false
-	}
-	c.transferring, c.transferStartedAt = true, c.now
-	c.rawNode.TransferLeader(best)
-	return c.collectOutput(), true
-}
-
-// Forget takes a member out that is gone for good, without another in its place.
-func (c *Core) RemoveMember(name string) (Output, error) {
-	if !c.isLeader() {
-		return Output{}, errors.New("another owns")
-	}
-	cc := &raftpb.ConfChangeV2{}
-	for _, id := range slices.Concat(c.membership.Voters, c.membership.Learners) {
-		if c.state.Members[id] != name {
-			continue
-		}
-		if id == c.id {
-			return Output{}, fmt.Errorf("%s owns: have it step down first", name)
-		}
-		remove := raftpb.ConfChangeRemoveNode
-		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: &remove, NodeId: &id})
-	}
-	if len(cc.Changes) == 0 {
-		return Output{}, fmt.Errorf("%s is no member", name)
-	}
-	err := c.rawNode.ProposeConfChange(cc)
-	return c.collectOutput(), err
-}
-
-// Join takes a member in under a new number, in the place of one of the same name that lost its memory.
-func (c *Core) AddMember(id uint64, name string) (Output, error) {
-	if !c.isLeader() {
-		return Output{}, errors.New("another owns")
-	}
-	context, err := json.Marshal(map[uint64]string{id: name})
-	if err != nil {
-		return Output{}, err
-	}
-	cc := &raftpb.ConfChangeV2{Context: context}
-	add := func(t raftpb.ConfChangeType, n uint64) {
-		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: &t, NodeId: &n})
-	}
-	caught := false
-	c.rawNode.WithProgress(func(n uint64, _ raft.ProgressType, pr tracker.Progress) {
-		caught = caught || n == id && pr.IsLearner && pr.Match+8 >= c.appliedIndex
-	})
-	switch {
-	case slices.Contains(c.membership.Voters, id):
-		return Output{}, nil
-	case !caught: // it hears until it has caught up, and then votes
-		add(raftpb.ConfChangeAddLearnerNode, id)
-	default:
-		add(raftpb.ConfChangeAddNode, id)
-		for n, was := range c.state.Members {
-			if was == name && n != id && slices.Contains(c.membership.Voters, n) {
-				add(raftpb.ConfChangeRemoveNode, n)
-			}
-		}
-	}
-	err = c.rawNode.ProposeConfChange(cc)
-	return c.collectOutput(), err
-}
-
-// Agreed is what is agreed as far as this member knows.
+// State returns the replicated state as far as this member has applied it. The caller must not modify it.
 func (c *Core) State() State { return c.state }
 
-// Voters are the numbers of those that vote.
+// Voters returns the IDs of the voting members.
 func (c *Core) Voters() []uint64 { return c.membership.GetVoters() }
 
-// Leader is the number of who leads, as far as this member knows, and the term.
+// RaftLeader returns the ID of raft's leader (0: none is known) and raft's term.
 func (c *Core) RaftLeader() (id, term uint64) {
-	s := c.rawNode.BasicStatus()
-	return s.Lead, s.GetTerm()
-}
-
-// take gathers what is to be done. Storage in memory follows at once; the disk has it before any message goes out.
-func (c *Core) collectOutput() (out Output) {
-	for c.rawNode.HasReady() {
-		rd := c.rawNode.Ready()
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			c.storage.ApplySnapshot(rd.Snapshot)
-			c.restore(rd.Snapshot)
-			out.Snapshot, out.Entries, out.ReplaceLog = rd.Snapshot, nil, true
-		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			c.storage.SetHardState(rd.HardState)
-			out.HardState = rd.HardState
-		}
-		c.storage.Append(rd.Entries)
-		for _, e := range rd.Entries {
-			for len(out.Entries) > 0 && out.Entries[len(out.Entries)-1].GetIndex() >= e.GetIndex() {
-				out.Entries = out.Entries[:len(out.Entries)-1]
-			}
-			out.Entries = append(out.Entries, e)
-		}
-		for _, r := range rd.ReadStates {
-			if len(r.RequestCtx) == 8 {
-				c.quorumAt = max(c.quorumAt, int64(binary.BigEndian.Uint64(r.RequestCtx)))
-			}
-		}
-		for _, e := range rd.CommittedEntries {
-			c.commit(e, &out)
-		}
-		out.Messages = append(out.Messages, rd.Messages...)
-		c.rawNode.Advance(rd)
-	}
-	if !c.isLeader() {
-		c.transferring = false
-	}
-	if s, ok := c.compact(); ok {
-		out.Snapshot = s
-	}
-	return out
-}
-
-func (c *Core) commit(e *raftpb.Entry, out *Output) {
-	c.appliedIndex = e.GetIndex()
-	switch e.GetType() {
-	case raftpb.EntryNormal:
-		var cmd Command
-		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &cmd) != nil {
-			return
-		}
-		if err := c.state.apply(cmd); cmd.Proposer == c.id && cmd.ID != 0 {
-			out.Results = append(out.Results, Result{cmd.ID, err})
-		}
-	case raftpb.EntryConfChange, raftpb.EntryConfChangeV2:
-		var cc raftpb.ConfChangeV2
-		if e.GetType() == raftpb.EntryConfChange {
-			var one raftpb.ConfChange
-			if proto.Unmarshal(e.GetData(), &one) != nil {
-				return
-			}
-			cc = raftpb.ConfChangeV2{Changes: one.AsV2().Changes, Context: one.Context}
-		} else if proto.Unmarshal(e.GetData(), &cc) != nil {
-			return
-		}
-		var names map[uint64]string
-		json.Unmarshal(cc.Context, &names)
-		for n, name := range names {
-			c.state.Members[n] = name
-		}
-		c.membership, c.membersChanged = c.rawNode.ApplyConfChange(&cc), true
-		for n := range c.state.Members { // those that are gone are forgotten
-			if !slices.Contains(slices.Concat(c.membership.Voters, c.membership.VotersOutgoing, c.membership.Learners, c.membership.LearnersNext), n) {
-				delete(c.state.Members, n)
-			}
-		}
-	}
-}
-
-// compact takes a snapshot once the log is long, or members changed; then what is behind it goes.
-func (c *Core) compact() (*raftpb.Snapshot, bool) {
-	first, _ := c.storage.FirstIndex()
-	if !c.membersChanged && (c.appliedIndex < first || c.appliedIndex-first < uint64(2*c.timing.RetainedEntries)) {
-		return nil, false
-	}
-	c.membersChanged = false
-	s, err := c.storage.CreateSnapshot(c.appliedIndex, c.membership, c.state.encode())
-	if err != nil {
-		return nil, false
-	}
-	if keep := uint64(c.timing.RetainedEntries) / 4; c.appliedIndex > first+keep {
-		c.storage.Compact(c.appliedIndex - keep)
-	}
-	return s, true
+	status := c.rawNode.BasicStatus()
+	return status.Lead, status.GetTerm()
 }
--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"math/rand/v2"
@@ -476,7 +477,7 @@
 	until("one is forgotten", func(c *Core) bool {
 		if out, err := c.RemoveMember(name); err == nil {
 			w.does(c.id, out)
-		} else if err.Error() != "another owns" && !slices.Contains(c.Voters(), gone) {
+		} else if !errors.Is(err, ErrNotLeader) && !slices.Contains(c.Voters(), gone) {
 			return true // it is no member
 		}
 		return false
--- /dev/null
+++ b/internal/leader/duty_handlers.go
@@ -0,0 +1,69 @@
+package leader
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/schema"
+)
+
+// Bounds of requests, in bytes.
+const (
+	maxChangeBytes = 4 << 20
+	maxActionBytes = 1024
+)
+
+// errPlanFile refuses a change whose plan is a file on the operator's machine.
+var errPlanFile = errors.New("/kind: a plan's file is not on the leader's machine; use swiftreel rollout start")
+
+// RegisterHandlers adds what operators request of the leader: to begin a change, and to steer the one under way.
+func (d *Duties) RegisterHandlers(mux *http.ServeMux) {
+	mux.HandleFunc("POST /v1/owner/change", d.onLeader(d.beginChange))
+	mux.HandleFunc("POST /v1/owner/wish", d.onLeader(d.requestAction))
+}
+
+// onLeader refuses requests to a member that is not the active leader.
+func (d *Duties) onLeader(serve func(*http.Request, termStore) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		store := termStore{node: d.node, term: d.node.ActiveTerm()}
+		err := ErrNotLeader
+		if store.term != 0 {
+			err = serve(r, store)
+		}
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusConflict)
+			return
+		}
+		w.WriteHeader(http.StatusNoContent)
+	}
+}
+
+// beginChange begins the rollout of a change.
+func (d *Duties) beginChange(r *http.Request, store termStore) error {
+	var requested change.Change
+	if err := decodeRequest(r, maxChangeBytes, &requested); err != nil {
+		return fmt.Errorf("/: %w", err)
+	}
+	if faults := requested.Faults(); len(faults) > 0 {
+		return &schema.Faults{File: "the change", List: faults}
+	}
+	if requested.Kind == change.Plan {
+		return errPlanFile
+	}
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
+	fleet := coordinator.NewFleet(d.fleet.Members, requestTimeout, requestTimeout)
+	return coordinator.Begin(r.Context(), coordinator.Agreed(store), requested, fleet, false)
+}
+
+// requestAction records what an operator asks of the rollout under way.
+func (d *Duties) requestAction(r *http.Request, store termStore) error {
+	var request coordinator.Wish
+	if err := decodeRequest(r, maxActionBytes, &request); err != nil {
+		return err
+	}
+	return coordinator.Agreed(store).Ask(request.Ask)
+}
--- a/internal/leader/health_test.go
+++ b/internal/leader/fitness_test.go
@@ -16,25 +16,25 @@
 		return h
 	}
 	for why, own := range map[string]Health{
-		"its controller does not serve": bad("a", func(h *Health) { h.Serving = false }), "its controller sees no engine": bad("a", func(h *Health) { h.ReadyEngines = 0 }),
-		"it hears 4 of 10 members": bad("a", func(h *Health) { h.ReachableMembers = 4 })} {
+		"its controller does not serve": bad("a", func(h *Health) { h.Serving = false }), "its controller sees no ready engine": bad("a", func(h *Health) { h.ReadyEngines = 0 }),
+		"reaches 4 of 10 members": bad("a", func(h *Health) { h.ReachableMembers = 4 })} {
 		var f FitnessMonitor
 		others := []Health{bad("b", func(h *Health) { h.Reachable = false }), bad("c", func(h *Health) { h.ReadyEngines = 0 }), well("d")}
-		if to, _ := f.Evaluate(1e9, own, others); to != "" {
+		if to := f.Evaluate(1e9, own, others).To; to != "" {
 			t.Errorf("%s: at once to %s", why, to)
 		}
-		if to, got := f.Evaluate(1e9+handoverDelay, own, others); to != "d" || got != why {
-			t.Errorf("%s: to %q, %q", why, to, got)
+		if got := f.Evaluate(1e9+handoverDelay, own, others); got != (Handover{To: "d", Reason: why}) {
+			t.Errorf("%s: %+v", why, got)
 		}
 		f = FitnessMonitor{}
 		f.Evaluate(1e9, own, others)
 		f.Evaluate(2e9, well("a"), others)
-		if to, _ := f.Evaluate(1e9+handoverDelay, own, others); to != "" {
+		if to := f.Evaluate(1e9+handoverDelay, own, others).To; to != "" {
 			t.Errorf("%s: for a moment, and it hands over to %s", why, to)
 		}
 		f = FitnessMonitor{}
 		f.Evaluate(1e9, own, others[:2])
-		if to, _ := f.Evaluate(100e9, own, others[:2]); to != "" {
+		if to := f.Evaluate(100e9, own, others[:2]).To; to != "" {
 			t.Errorf("%s: to %s, which is no better", why, to)
 		}
 	}
@@ -43,14 +43,14 @@
 	own := well("a")
 	for now := int64(1e9); now < 60e9; now += 5e9 {
 		own.StalledTicks++
-		if to, _ := f.Evaluate(now, own, []Health{well("b")}); to != "" {
+		if to := f.Evaluate(now, own, []Health{well("b")}).To; to != "" {
 			t.Fatalf("one stall in 5 s: %s", to)
 		}
 	}
 	handed := false
 	for now := int64(60e9); now < 70e9 && !handed; now += 1e9 {
 		own.StalledTicks++
-		to, _ := f.Evaluate(now, own, []Health{well("b")})
+		to := f.Evaluate(now, own, []Health{well("b")}).To
 		handed = to == "b"
 	}
 	if !handed {
@@ -81,7 +81,7 @@
 			}
 			all[n] = h
 		}
-		if all[owner].unfit() != "" {
+		if all[owner].unfitReason() != "" {
 			unfit++
 		}
 		var others []Health
@@ -90,7 +90,7 @@
 				others = append(others, all[n])
 			}
 		}
-		if to, _ := fit[owner].Evaluate(now, all[owner], others); to != "" {
+		if to := fit[owner].Evaluate(now, all[owner], others).To; to != "" {
 			owner, changes = to, changes+1
 		}
 	}
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -7,10 +7,8 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"io/fs"
 	"maps"
 	"net/http"
 	"net/http/httptest"
@@ -29,6 +27,7 @@
 	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
 	"swiftreel/internal/coordinator"
+	"swiftreel/internal/golden"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/quota"
 	"swiftreel/internal/rollout"
@@ -37,26 +36,6 @@
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that a
 // change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
-
-// golden compares text with a file of testdata. With -record a missing file is written; one that is there stays.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%s\nwanted:\n%s", name, got, want)
-	}
-}
 
 // fixtureNames are the members whose files stand in testdata; v3 is the second of its name, with another number.
 var fixtureNames = []string{"v1", "v2", "v3"}
@@ -336,7 +315,7 @@
 	}
 	a := f.settle()
 	f.close()
-	golden(t, "agreed.json", append(a.encode(), '\n'))
+	golden.Check(t, "agreed.json", append(a.encode(), '\n'))
 	for _, name := range fixtureNames {
 		text, err := os.ReadFile(filepath.Join(dir, name+".db"))
 		if err != nil {
@@ -357,7 +336,7 @@
 // fixtureFolder is a copy of the recorded members' files.
 func fixtureFolder(t *testing.T) string {
 	t.Helper()
-	if _, err := os.Stat("testdata/agreed.json"); *record && errors.Is(err, fs.ErrNotExist) {
+	if golden.Missing("testdata/agreed.json") {
 		recordFixture(t)
 	}
 	dir := t.TempDir()
@@ -423,7 +402,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, name+".disk.txt", diskText(d))
+		golden.Check(t, name+".disk.txt", diskText(d))
 		if len(d.Entries) == 0 || len(d.Snapshot.GetData()) == 0 {
 			t.Errorf("%s: %d entries, a snapshot of %d bytes: it shows nothing", name, len(d.Entries), len(d.Snapshot.GetData()))
 		}
@@ -446,7 +425,7 @@
 			t.Errorf("%s: keys %s, %s", name, a, b)
 		}
 	}
-	golden(t, "keys.txt", []byte(keysOf(t, filepath.Join(dir, "v1.db"))+"\n"))
+	golden.Check(t, "keys.txt", []byte(keysOf(t, filepath.Join(dir, "v1.db"))+"\n"))
 }
 
 // keysOf are the buckets of a file and their keys; those of entries are numbers.
@@ -536,7 +515,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, "word-"+name+".json", append(text, '\n'))
+		golden.Check(t, "word-"+name+".json", append(text, '\n'))
 		if err := json.Unmarshal(k.taken()[1], &w); err != nil || w["plan_text"] == nil && w["plan"] == nil {
 			t.Errorf("the second word says nothing of the plan: %s, %v", k.taken()[1], err)
 		}
--- /dev/null
+++ b/internal/leader/health_watch.go
@@ -0,0 +1,92 @@
+package leader
+
+import (
+	"context"
+	"log/slog"
+	"slices"
+	"time"
+
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/operator"
+)
+
+// healthInterval is the time between two polls of the voters' health.
+const healthInterval = 500 * time.Millisecond
+
+// healthWatch polls the voters' supervisors and remembers when each last replied.
+type healthWatch struct {
+	fleet     *coordinator.Fleet
+	repliedAt []time.Time // by the voter's index
+	latest    []Health
+}
+
+// watchHealth hands the leadership over where another voter is fitter, until ctx ends. It polls the voters only; how
+// many of all members are reachable it learns from the duties that poll all of them.
+func (d *Duties) watchHealth(ctx context.Context, term Term) {
+	watch := d.newHealthWatch()
+	for ctx.Err() == nil {
+		watch.poll(ctx)
+		own, others := watch.split(d.node.name)
+		own.Reachable = true
+		own.StalledTicks = d.node.StalledTicks()
+		own.ReachableMembers, own.Members = d.reachableMembers()
+		handover := d.fitness.Evaluate(d.node.now(), own, others)
+		if handover.To != "" && d.node.ActiveTerm() == term {
+			slog.Warn("leader_handover", "term", term, "to", handover.To, "reason", handover.Reason)
+			d.node.TransferLeadership(handover.To)
+		}
+		pause(ctx, healthInterval)
+	}
+}
+
+func (d *Duties) newHealthWatch() *healthWatch {
+	var voters []operator.Member
+	for _, member := range d.fleet.Members {
+		if slices.Contains(d.fleet.Voters, member.Name) {
+			voters = append(voters, member)
+		}
+	}
+	return &healthWatch{
+		fleet:     coordinator.NewFleet(voters, requestTimeout, healthInterval),
+		repliedAt: make([]time.Time, len(voters)),
+		latest:    make([]Health, len(voters)),
+	}
+}
+
+// poll asks all voters once. One that does not answer counts as reachable until requestTimeout after its last answer.
+func (w *healthWatch) poll(ctx context.Context) {
+	now := time.Now()
+	for i, answer := range w.fleet.Ask(ctx) {
+		if answer.Err == nil {
+			w.repliedAt[i] = now
+			w.latest[i] = Health{Serving: answer.Status.Serves, ReadyEngines: answer.Status.EngineCount}
+		}
+		w.latest[i].Name = w.fleet.Members[i].Name
+		w.latest[i].Reachable = !w.repliedAt[i].IsZero() && now.Sub(w.repliedAt[i]) < requestTimeout
+	}
+}
+
+// split returns the health of the voter of that name, and that of all others.
+func (w *healthWatch) split(name string) (own Health, others []Health) {
+	for _, health := range w.latest {
+		if health.Name == name {
+			own = health
+		} else {
+			others = append(others, health)
+		}
+	}
+	return own, others
+}
+
+// reachableMembers returns the worst figure of all duties that poll the members: how many replied, of how many; 0 of
+// 0 if no duty has polled yet.
+func (d *Duties) reachableMembers() (reachable, members int) {
+	for _, poll := range d.activePolls() {
+		n, of := poll.Heard()
+		if of > 0 && (members == 0 || n < reachable) {
+			reachable = n
+			members = of
+		}
+	}
+	return reachable, members
+}
--- a/internal/leader/http_test.go
+++ b/internal/leader/http_test.go
@@ -15,6 +15,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"swiftreel/internal/golden"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/solve"
 )
@@ -110,10 +111,10 @@
 	await(t, "it acts", func() bool { return d.node.ActiveTerm() != 0 })
 	tell("agreed after that", d.ask("GET", "/v1/owner/agreed", "", http.StatusOK))
 	d.node.mu.Lock()
-	d.node.halted = errors.New("no space left")
+	d.node.storeError = errors.New("no space left")
 	d.node.mu.Unlock()
 	tell("its disk failed", d.ask("GET", "/v1/owner", "", http.StatusOK))
-	golden(t, "bodies.txt", got.Bytes())
+	golden.Check(t, "bodies.txt", got.Bytes())
 }
 
 // What goes to another member: its path, its header, and a message of the library as it is.
@@ -180,5 +181,5 @@
 	put(Status{Name: "v1", ID: 7, Term: 5, Leader: "v1", Active: true, RaftLeader: "v1", RaftTerm: 6, Voters: []string{"v1"}, Halted: "no space"}, &Status{})
 	put(bootstrapRequest{ID: 7, Members: map[uint64]string{7: "v1"}, Recover: true, State: State{Term: 5}, RaftTerm: 6}, &bootstrapRequest{})
 	put(planRecord{Term: 5, Sequence: 2, Digest: "ab", Reason: "the first", Answer: solve.Answer{Method: "m", Status: "optimal"}}, &planRecord{})
-	golden(t, "stored.txt", got.Bytes())
+	golden.Check(t, "stored.txt", got.Bytes())
 }
--- a/internal/leader/node.go
+++ b/internal/leader/node.go
@@ -1,407 +1,300 @@
 package leader
 
 import (
-	"bytes"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net/http"
 	"sync"
 	"time"
 
 	"go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of what passes between members.
 const (
-	maxMessageBytes = 8 << 20
-	sendQueueLength = 64 // messages to one member; more are dropped, as a link may drop them
+	// stallsPerLease: a tick that comes later than this part of a lease counts as a stall.
+	stallsPerLease = 4
+	// proposeTimeout is for how long Node.Propose waits for the outcome.
+	proposeTimeout = 3 * time.Second
 )
 
-// stallPart of a lease is how late a tick may be.
-const stallsPerLease = 4
-
-// Stalls counts the ticks that were later.
-func (n *Node) StalledTicks() int64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.stalledTicks
-}
-
-// nameHeader tells a message's sender by name.
-const memberNameHeader = "Owner-Name"
-
-// Node is a member as a process has it: its core under one lock, its disk, its links.
+// Node runs a member in a process: its Core, its Store, its clock and its links. All methods are safe for concurrent
+// use.
 type Node struct {
-	name       string
-	addresses  map[string]string // by name
-	store      *Store
-	timing     Timing
-	client     http.Client
-	startedAt  time.Time
-	closed     chan struct{}
-	goroutines sync.WaitGroup
-
-	mu           sync.Mutex
-	core         *Core // nil: of no fleet yet
-	halted       error // its disk failed: it says nothing any more
-	stalledTicks int64 // ticks that came so late that a lease would have suffered
+	name      string
+	addresses map[string]string // of members' supervisors, by name
+	store     *Store
+	timing    Timing
+	client    http.Client
+	startedAt time.Time
+	closed    chan struct{}
+	senders   sync.WaitGroup // the ticker and one sender per member; they end when closed is closed
 
+	mu              sync.Mutex
+	core            *Core // nil: not a member of any fleet yet
+	storeError      error // the store failed: the node sends nothing any more
+	stalledTicks    int64
 	lastTick        int64
 	lastCommandID   uint64
-	pending         map[uint64]chan error // commands under way, until their time is over
-	sendQueues      map[string]chan []byte
-	unlistedSenders map[uint64]string // who has written, while what is agreed does not name them yet: one that joins must answer
+	pending         map[uint64]chan<- error // callers of Propose, by command ID
+	sendQueues      map[string]chan []byte  // by member name
+	unlistedSenders map[uint64]string       // by ID, while the state lists no members: a joining one must reply
 }
 
-// Open starts a member with its disk; addr tells where members' keepers are.
-func Open(name, path string, addr map[string]string, p Timing) (*Node, error) {
+// Open starts a member on its file. addresses are those of the members' supervisors, by name.
+func Open(name, path string, addresses map[string]string, timing Timing) (*Node, error) {
 	store, err := OpenStore(path)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{name: name, addresses: addr, store: store, timing: p, startedAt: time.Now(), closed: make(chan struct{}), pending: map[uint64]chan error{}, sendQueues: map[string]chan []byte{}, unlistedSenders: map[uint64]string{},
-		client: http.Client{Timeout: time.Duration(p.Lease), Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}}}
-	d, err := store.Load()
-	if err == nil && d.MemberID != 0 {
-		n.core, err = NewCore(name, d, p, n.now())
+	n := &Node{
+		name:            name,
+		addresses:       addresses,
+		store:           store,
+		timing:          timing,
+		client:          newClient(timing),
+		startedAt:       time.Now(),
+		closed:          make(chan struct{}),
+		pending:         map[uint64]chan<- error{},
+		sendQueues:      map[string]chan []byte{},
+		unlistedSenders: map[uint64]string{},
 	}
-	if err != nil {
-		store.Close()
+	if err := n.loadCore(); err != nil {
+		_ = store.Close() // the first error is the cause
 		return nil, err
 	}
-	n.goroutines.Go(n.tick)
+	n.senders.Go(n.runTicker)
 	return n, nil
 }
 
+func (n *Node) loadCore() error {
+	persistent, err := n.store.Load()
+	if err != nil {
+		return err
+	}
+	if persistent.MemberID == 0 {
+		return nil
+	}
+	n.core, err = NewCore(n.name, persistent, n.timing, n.now())
+	return err
+}
+
+// Close stops the node and closes its file.
+func (n *Node) Close() {
+	close(n.closed)
+	n.senders.Wait()
+	if err := n.store.Close(); err != nil {
+		slog.Warn("leader_store_not_closed", "reason", err)
+	}
+}
+
+// now returns the node's monotonic time in nanoseconds.
 func (n *Node) now() int64 { return int64(time.Since(n.startedAt)) }
 
-func (n *Node) tick() {
-	t := time.NewTicker(time.Duration(n.timing.Tick))
-	defer t.Stop()
+func (n *Node) runTicker() {
+	ticker := time.NewTicker(time.Duration(n.timing.Tick))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-n.closed:
 			return
-		case <-t.C:
-			now := n.now()
-			n.mu.Lock()
-			if n.lastTick != 0 && now-n.lastTick > n.timing.Lease/stallsPerLease {
-				n.stalledTicks++
-			}
-			n.lastTick = now
-			n.mu.Unlock()
+		case <-ticker.C:
+			n.countStall(n.now())
 			n.update(func(c *Core) Output { return c.Tick(n.now()) })
 		}
 	}
 }
 
-// with has the core do something, saves what is to be saved, and only then lets messages go.
-func (n *Node) update(do func(*Core) Output) bool {
+func (n *Node) countStall(now int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.core == nil || n.halted != nil {
-		return false
-	}
-	out := do(n.core)
-	if err := n.store.Save(out); err != nil {
-		n.halted = err // what it would say now it may not have on disk: it is silent, and others take over
-		slog.Error("owner_halted", "reason", err)
-		last, _ := n.core.TransferLeadership("")
-		for _, m := range last.Messages {
-			if m.GetType() == raftpb.MsgTimeoutNow { // "lead you" promises nothing
-				n.send(m)
-			}
-		}
-		return false
-	}
-	for _, m := range out.Messages {
-		n.send(m)
+	if n.lastTick != 0 && now-n.lastTick > n.timing.Lease/stallsPerLease {
+		n.stalledTicks++
 	}
-	for _, d := range out.Results {
-		if c := n.pending[d.CommandID]; c != nil {
-			c <- d.Err // it has a place
-			delete(n.pending, d.CommandID)
-		}
-	}
-	return true
+	n.lastTick = now
 }
 
-// send puts a message into its member's queue. The lock is held.
-func (n *Node) send(m *raftpb.Message) {
-	name := n.core.state.Members[m.GetTo()]
-	if name == "" {
-		name = n.unlistedSenders[m.GetTo()]
-	}
-	to := n.addresses[name]
-	if to == "" {
+// StalledTicks returns how many ticks came so late that the lease suffered from it.
+func (n *Node) StalledTicks() int64 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.stalledTicks
+}
+
+// update calls the core, persists its output, and only then sends its messages and delivers its results. It does
+// nothing if the process is not a member or its store has failed.
+func (n *Node) update(call func(*Core) Output) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.core == nil || n.storeError != nil {
 		return
 	}
-	text, err := proto.Marshal(m)
-	if err != nil {
+	out := call(n.core)
+	if err := n.store.Save(out); err != nil {
+		n.halt(err)
 		return
 	}
-	q := n.sendQueues[name]
-	if q == nil {
-		q = make(chan []byte, sendQueueLength)
-		n.sendQueues[name] = q
-		n.goroutines.Go(func() { n.runSender(to, q) })
+	for _, message := range out.Messages {
+		n.send(message)
 	}
-	select {
-	case q <- text:
-	default:
+	for _, result := range out.Results {
+		n.deliver(result)
 	}
 }
 
-func (n *Node) runSender(to string, q chan []byte) {
-	for {
-		select {
-		case <-n.closed:
-			return
-		case text := <-q:
-			r, err := http.NewRequest(http.MethodPost, "http://"+to+"/v1/owner/message", bytes.NewReader(text))
-			if err != nil {
-				continue
-			}
-			r.Header.Set(memberNameHeader, n.name)
-			if a, err := n.client.Do(r); err == nil {
-				io.Copy(io.Discard, io.LimitReader(a.Body, 1024))
-				a.Body.Close()
-			}
+// halt silences the node: what it would send might not be in its store. It only asks another voter to take over,
+// which promises nothing. The caller holds the lock.
+func (n *Node) halt(cause error) {
+	n.storeError = cause
+	slog.Error("leader_member_halted", "reason", cause)
+	out, _ := n.core.TransferLeadership("")
+	for _, message := range out.Messages {
+		if message.GetType() == raftpb.MsgTimeoutNow {
+			n.send(message)
 		}
 	}
 }
 
-// May tells under which reign this process may act, now.
-func (n *Node) ActiveTerm() (r Term) {
+// deliver hands a result to the caller of Propose. The caller holds the lock.
+func (n *Node) deliver(result Result) {
+	if outcome := n.pending[result.CommandID]; outcome != nil {
+		outcome <- result.Err // buffered
+		delete(n.pending, result.CommandID)
+	}
+}
+
+// ActiveTerm returns the term under which this process may act as leader now, or 0. See Core.ActiveTerm.
+func (n *Node) ActiveTerm() Term {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.core != nil && n.halted == nil {
-		r = n.core.ActiveTerm(n.now())
+	if n.core == nil || n.storeError != nil {
+		return 0
 	}
-	return r
+	return n.core.ActiveTerm(n.now())
 }
 
-// proposeTime is for how long a command's outcome is waited for.
-const proposeTimeout = 3 * time.Second
-
-// Propose has an item written under a reign, and waits until it is agreed.
-func (n *Node) Propose(r Term, name string, value []byte) error {
-	done := make(chan error, 1)
-	err := errors.New("not a member")
+// Propose writes an item under a term and waits until it is committed, or until it is known that it was not. After
+// ErrProposalTimeout or ErrClosed the item may still be written later.
+func (n *Node) Propose(term Term, item string, value []byte) error {
+	outcome := make(chan error, 1)
+	err := ErrNotMember
 	var id uint64
-	n.update(func(c *Core) (out Output) {
+	n.update(func(c *Core) Output {
 		n.lastCommandID++
 		id = n.lastCommandID
-		n.pending[id] = done
-		out, err = c.Propose(id, r, name, value)
+		n.pending[id] = outcome
+		var out Output
+		out, err = c.Propose(id, term, item, value)
 		return out
 	})
 	if err == nil {
 		select {
-		case err = <-done:
+		case err := <-outcome:
 			return err
 		case <-time.After(proposeTimeout):
-			err = errors.New("not agreed in its time: it may be yet")
+			err = ErrProposalTimeout
 		case <-n.closed:
-			err = errors.New("ended")
+			err = ErrClosed
 		}
 	}
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	delete(n.pending, id)
-	n.mu.Unlock()
 	return err
 }
 
-// Item reads what is agreed as far as this member knows; an owner, that has claimed its reign, knows all before it.
-func (n *Node) Item(name string) (value []byte, is bool) {
+// Item returns a replicated item as far as this member has applied the log. The active leader has applied everything
+// that was committed before its term.
+func (n *Node) Item(name string) (value []byte, isPresent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.core != nil {
-		value, is = n.core.state.Items[name]
+	if n.core == nil {
+		return nil, false
 	}
-	return value, is
+	value, isPresent = n.core.state.Items[name]
+	return value, isPresent
 }
 
-// View is what a member tells of itself.
+// Status describes a member to operators and to other programs.
 type Status struct {
 	Name       string   `json:"name"`
-	ID         uint64   `json:"id"` // 0: of no fleet yet
+	ID         uint64   `json:"id"` // 0: not a member of any fleet yet
 	Term       Term     `json:"reign"`
-	Leader     string   `json:"owner"` // of that reign
-	Active     bool     `json:"may"`   // it acts, now
-	RaftLeader string   `json:"leader"`
+	Leader     string   `json:"owner"`  // of Term
+	Active     bool     `json:"may"`    // this member acts as leader now
+	RaftLeader string   `json:"leader"` // as far as this member knows
 	RaftTerm   uint64   `json:"term"`
 	Voters     []string `json:"voters"`
-	Halted     string   `json:"halted,omitempty"`
+	Halted     string   `json:"halted,omitempty"` // why its store failed
 }
 
-// View tells it.
+// Status returns the member's status.
 func (n *Node) Status() Status {
-	v := Status{Name: n.name, Active: n.ActiveTerm() != 0}
+	status := Status{Name: n.name, Active: n.ActiveTerm() != 0}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.halted != nil {
-		v.Halted = n.halted.Error()
+	if n.storeError != nil {
+		status.Halted = n.storeError.Error()
 	}
-	if c := n.core; c != nil {
-		lead, term := c.RaftLeader()
-		v.ID, v.Term, v.Leader, v.RaftLeader, v.RaftTerm = c.id, c.state.Term, c.state.Leader, c.state.Members[lead], term
-		for _, id := range c.Voters() {
-			v.Voters = append(v.Voters, c.state.Members[id])
-		}
+	if n.core == nil {
+		return status
 	}
-	return v
-}
-
-// founding is how a fleet begins, or a member joins one.
-type bootstrapRequest struct {
-	ID       uint64            `json:"id"`
-	Members  map[uint64]string `json:"names"`
-	Recover  bool              `json:"again"` // in place of the fleet that it is a member of, whose majority is lost
-	State    State             `json:"kept"`  // again: what one member has kept
-	RaftTerm uint64            `json:"term"`  // again: over all that anyone has seen
+	state := n.core.State()
+	raftLeader, raftTerm := n.core.RaftLeader()
+	status.ID = n.core.id
+	status.Term = state.Term
+	status.Leader = state.Leader
+	status.RaftLeader = state.Members[raftLeader]
+	status.RaftTerm = raftTerm
+	for _, id := range n.core.Voters() {
+		status.Voters = append(status.Voters, state.Members[id])
+	}
+	return status
 }
 
-// Found makes this process a member: of a new fleet, or, without names, of one that is to take it in. It must be none yet,
-// unless the fleet begins again.
-func (n *Node) bootstrap(f bootstrapRequest) error {
-	id, names := f.ID, f.Members
+// bootstrap makes this process a member as requested.
+func (n *Node) bootstrap(request bootstrapRequest) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if f.Recover && (f.RaftTerm == 0 || Term(f.RaftTerm) <= f.State.Term || n.core != nil && Term(f.RaftTerm) <= n.core.state.Term) {
-		return fmt.Errorf("term %d is not over reign %d", f.RaftTerm, f.State.Term)
-	}
-	if n.core != nil && !f.Recover {
-		return fmt.Errorf("%s is a member already, number %d", n.name, n.core.id)
-	}
-	if id == 0 || len(names) > 0 && names[id] != n.name {
-		return fmt.Errorf("number %d is not %s", id, n.name)
-	}
-	d := PersistentState{MemberID: id, HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
-	switch {
-	case f.Recover:
-		d = RecoveryState(id, names, f.State, f.RaftTerm)
-	case len(names) > 0:
-		d = BootstrapState(id, names)
+	if err := n.checkBootstrap(request); err != nil {
+		return err
 	}
-	if err := n.store.Initialize(d); err != nil {
+	persistent := request.initialState()
+	if err := n.store.Initialize(persistent); err != nil {
 		return err
 	}
 	var err error
-	n.core, err = NewCore(n.name, d, n.timing, n.now())
-	n.halted = nil
-	slog.Info("owner_member", "name", n.name, "number", id, "voters", len(names), "again", f.Recover)
+	n.core, err = NewCore(n.name, persistent, n.timing, n.now())
+	n.storeError = nil
+	slog.Info("leader_member_started", "name", n.name, "member_id", request.ID,
+		"voters", len(request.Members), "recover", request.Recover)
 	return err
 }
 
-// StepDown hands over, to one of a name or, without one, to any.
-func (n *Node) TransferLeadership(to string) (is bool) {
-	n.update(func(c *Core) (out Output) {
-		out, is = c.TransferLeadership(to)
-		return out
-	})
-	return is
-}
-
-// Close ends it.
-func (n *Node) Close() {
-	close(n.closed)
-	n.goroutines.Wait()
-	n.store.Close()
-}
-
-// Handle adds what members and operators ask of a member.
-func (n *Node) RegisterHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/owner/message", func(w http.ResponseWriter, r *http.Request) {
-		text, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
-		m := &raftpb.Message{}
-		if err != nil || len(text) > maxMessageBytes || proto.Unmarshal(text, m) != nil {
-			http.Error(w, "no message", http.StatusUnprocessableEntity)
-			return
-		}
-		n.update(func(c *Core) Output {
-			if name := r.Header.Get(memberNameHeader); len(c.state.Members) == 0 && n.addresses[name] != "" && len(n.unlistedSenders) < sendQueueLength {
-				n.unlistedSenders[m.GetFrom()] = name
-			}
-			if m.GetTo() != c.id { // for who had this address before, or lost its memory here
-				return Output{}
-			}
-			return c.Step(n.now(), m)
-		})
-		w.WriteHeader(http.StatusNoContent)
-	})
-	answer := func(w http.ResponseWriter, v any, err error) {
-		if err != nil {
-			http.Error(w, err.Error(), http.StatusConflict)
-			return
+// checkBootstrap refuses a request that would break what this process has promised. The caller holds the lock.
+func (n *Node) checkBootstrap(request bootstrapRequest) error {
+	if request.Recover {
+		term := Term(request.RaftTerm)
+		if term == 0 || term <= request.State.Term || n.core != nil && term <= n.core.state.Term {
+			return fmt.Errorf("term %d is not above the known terms, %d is one of them", request.RaftTerm, request.State.Term)
 		}
-		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(v)
 	}
-	mux.HandleFunc("GET /v1/owner", func(w http.ResponseWriter, _ *http.Request) { answer(w, n.Status(), nil) })
-	mux.HandleFunc("GET /v1/owner/agreed", func(w http.ResponseWriter, _ *http.Request) {
-		n.mu.Lock()
-		var a State
-		if n.core != nil {
-			a = n.core.state
-		}
-		text := a.encode()
-		n.mu.Unlock()
-		w.Write(text)
-	})
-	mux.HandleFunc("GET /v1/owner/item", func(w http.ResponseWriter, r *http.Request) {
-		if value, is := n.Item(r.URL.Query().Get("name")); is {
-			w.Write(value)
-		} else {
-			http.Error(w, "there is none", http.StatusNotFound)
-		}
-	})
-	mux.HandleFunc("POST /v1/owner/found", func(w http.ResponseWriter, r *http.Request) {
-		var f bootstrapRequest
-		err := json.NewDecoder(io.LimitReader(r.Body, 2*maxItems*maxItemBytes)).Decode(&f)
-		if err == nil {
-			err = n.bootstrap(f)
-		}
-		answer(w, n.Status(), err)
-	})
-	mux.HandleFunc("POST /v1/owner/join", func(w http.ResponseWriter, r *http.Request) {
-		var f bootstrapRequest
-		err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&f)
-		for id, name := range f.Members {
-			if err == nil && n.addresses[name] == "" {
-				err = fmt.Errorf("no member %q", name)
-			}
-			if err == nil {
-				err = errors.New("not a member")
-				n.update(func(c *Core) (out Output) {
-					out, err = c.AddMember(id, name)
-					return out
-				})
-			}
-		}
-		answer(w, n.Status(), err)
-	})
-	mux.HandleFunc("POST /v1/owner/forget", func(w http.ResponseWriter, r *http.Request) {
-		var name string
-		err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&name)
-		if err == nil {
-			err = errors.New("not a member")
-			n.update(func(c *Core) (out Output) {
-				out, err = c.RemoveMember(name)
-				return out
-			})
-		}
-		answer(w, n.Status(), err)
-	})
-	mux.HandleFunc("POST /v1/owner/step-down", func(w http.ResponseWriter, _ *http.Request) {
-		var err error
-		if !n.TransferLeadership("") {
-			err = errors.New("it owns nothing, or nobody else can")
-		}
-		answer(w, n.Status(), err)
+	if n.core != nil && !request.Recover {
+		return fmt.Errorf("%s: %w, with ID %d", n.name, ErrAlreadyMember, n.core.id)
+	}
+	if request.ID == 0 || len(request.Members) > 0 && request.Members[request.ID] != n.name {
+		return fmt.Errorf("member ID %d is not that of %s", request.ID, n.name)
+	}
+	return nil
+}
+
+// TransferLeadership hands the leadership over to the voter of that name, or with an empty name to any. It reports
+// false if this member does not lead or there is none to hand over to.
+func (n *Node) TransferLeadership(name string) bool {
+	isTransferring := false
+	n.update(func(c *Core) Output {
+		var out Output
+		out, isTransferring = c.TransferLeadership(name)
+		return out
 	})
+	return isTransferring
 }
--- /dev/null
+++ b/internal/leader/store.go
@@ -0,0 +1,171 @@
+package leader
+
+import (
+	"encoding/binary"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"swiftreel/internal/failpoint"
+)
+
+// Buckets and keys of the file. Entries are stored by their index, big-endian.
+var (
+	metaBucket    = []byte("meta")
+	entriesBucket = []byte("entries")
+	memberIDKey   = []byte("id")
+	hardStateKey  = []byte("hard")
+	snapshotKey   = []byte("snapshot")
+)
+
+const (
+	storeFileMode    = 0o600
+	storeLockTimeout = time.Second // while another process has the file open
+	memberIDBytes    = 8
+)
+
+// Store is a member's persistent state in a file that one process has open. Every change is synced before it returns.
+type Store struct{ db *bbolt.DB }
+
+// OpenStore opens a member's file, or creates it.
+func OpenStore(path string) (*Store, error) {
+	db, err := bbolt.Open(path, storeFileMode, &bbolt.Options{Timeout: storeLockTimeout})
+	if err != nil {
+		return nil, err
+	}
+	err = db.Update(func(tx *bbolt.Tx) error {
+		if _, err := tx.CreateBucketIfNotExists(metaBucket); err != nil {
+			return err
+		}
+		_, err := tx.CreateBucketIfNotExists(entriesBucket)
+		return err
+	})
+	return &Store{db}, err
+}
+
+// Close closes the file.
+func (s *Store) Close() error { return s.db.Close() }
+
+// Load reads the persistent state. Its MemberID is 0 if the store was never initialized.
+func (s *Store) Load() (PersistentState, error) {
+	state := PersistentState{HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
+	err := s.db.View(func(tx *bbolt.Tx) error {
+		meta := tx.Bucket(metaBucket)
+		if id := meta.Get(memberIDKey); len(id) == memberIDBytes {
+			state.MemberID = binary.BigEndian.Uint64(id)
+		}
+		if err := proto.Unmarshal(meta.Get(hardStateKey), state.HardState); err != nil {
+			return err
+		}
+		if err := proto.Unmarshal(meta.Get(snapshotKey), state.Snapshot); err != nil {
+			return err
+		}
+		return tx.Bucket(entriesBucket).ForEach(func(_, text []byte) error {
+			entry := &raftpb.Entry{}
+			state.Entries = append(state.Entries, entry)
+			return proto.Unmarshal(text, entry)
+		})
+	})
+	return state, err
+}
+
+// Initialize writes the state with which a member starts, in place of everything stored before.
+func (s *Store) Initialize(state PersistentState) error {
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		if err := tx.DeleteBucket(entriesBucket); err != nil {
+			return err
+		}
+		if _, err := tx.CreateBucket(entriesBucket); err != nil {
+			return err
+		}
+		id := binary.BigEndian.AppendUint64(nil, state.MemberID)
+		if err := tx.Bucket(metaBucket).Put(memberIDKey, id); err != nil {
+			return err
+		}
+		return saveOutput(tx, Output{HardState: state.HardState, Snapshot: state.Snapshot})
+	})
+}
+
+// Save persists what a call of Core has returned, all or nothing.
+func (s *Store) Save(out Output) error {
+	if out.HardState == nil && out.Snapshot == nil && len(out.Entries) == 0 {
+		return nil
+	}
+	if err := failpoint.Write(); err != nil {
+		return err
+	}
+	return s.db.Update(func(tx *bbolt.Tx) error { return saveOutput(tx, out) })
+}
+
+func saveOutput(tx *bbolt.Tx, out Output) error {
+	if out.HardState != nil {
+		if err := putMeta(tx, hardStateKey, out.HardState); err != nil {
+			return err
+		}
+	}
+	if out.Snapshot != nil {
+		if err := saveSnapshot(tx, out.Snapshot, out.ReplaceLog); err != nil {
+			return err
+		}
+	}
+	return saveEntries(tx, out.Entries, out.Snapshot.GetMetadata().GetIndex())
+}
+
+// saveSnapshot writes a snapshot and deletes the entries that it covers, or all of them.
+func saveSnapshot(tx *bbolt.Tx, snapshot *raftpb.Snapshot, replaceLog bool) error {
+	if err := putMeta(tx, snapshotKey, snapshot); err != nil {
+		return err
+	}
+	last := snapshot.GetMetadata().GetIndex()
+	return deleteEntries(tx, func(index uint64) bool { return replaceLog || index <= last })
+}
+
+// saveEntries writes entries in place of all stored ones from the first one's index on, without those that a snapshot
+// up to the index covered includes (0: there is no new snapshot).
+func saveEntries(tx *bbolt.Tx, entries []*raftpb.Entry, covered uint64) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	first := entries[0].GetIndex()
+	if err := deleteEntries(tx, func(index uint64) bool { return index >= first }); err != nil {
+		return err
+	}
+	bucket := tx.Bucket(entriesBucket)
+	for _, entry := range entries {
+		if entry.GetIndex() <= covered {
+			continue
+		}
+		text, err := proto.Marshal(entry)
+		if err != nil {
+			return err
+		}
+		key := binary.BigEndian.AppendUint64(nil, entry.GetIndex())
+		if err := bucket.Put(key, text); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func putMeta(tx *bbolt.Tx, key []byte, message proto.Message) error {
+	text, err := proto.Marshal(message)
+	if err != nil {
+		return err
+	}
+	return tx.Bucket(metaBucket).Put(key, text)
+}
+
+func deleteEntries(tx *bbolt.Tx, matches func(index uint64) bool) error {
+	cursor := tx.Bucket(entriesBucket).Cursor()
+	for key, _ := cursor.First(); key != nil; key, _ = cursor.Next() {
+		if !matches(binary.BigEndian.Uint64(key)) {
+			continue
+		}
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/leader/transport.go
@@ -0,0 +1,106 @@
+package leader
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+const (
+	maxMessageBytes  = 8 << 20
+	maxReplyBytes    = 1024 // read of a reply, so that its connection can be used again
+	sendQueueLength  = 64   // messages to one member; further ones are dropped, as a link may drop them
+	maxUnlisted      = sendQueueLength
+	messagePath      = "/v1/owner/message"
+	memberNameHeader = "Owner-Name" // the sender's name
+	idleConnections  = 2            // to one member
+	idleTimeout      = 30 * time.Second
+)
+
+func newClient(timing Timing) http.Client {
+	transport := &http.Transport{MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout}
+	return http.Client{Timeout: time.Duration(timing.Lease), Transport: transport}
+}
+
+// send queues a message for its receiver, and drops it if the queue is full or the receiver's address is unknown. The
+// caller holds the lock.
+func (n *Node) send(message *raftpb.Message) {
+	name := n.core.state.Members[message.GetTo()]
+	if name == "" {
+		name = n.unlistedSenders[message.GetTo()]
+	}
+	address := n.addresses[name]
+	if address == "" {
+		return
+	}
+	text, err := proto.Marshal(message)
+	if err != nil {
+		return
+	}
+	queue := n.sendQueues[name]
+	if queue == nil {
+		queue = make(chan []byte, sendQueueLength)
+		n.sendQueues[name] = queue
+		n.senders.Go(func() { n.runSender(address, queue) })
+	}
+	select {
+	case queue <- text:
+	default:
+	}
+}
+
+// runSender sends the queued messages to one member, one at a time, until the node is closed.
+func (n *Node) runSender(address string, queue <-chan []byte) {
+	for {
+		select {
+		case <-n.closed:
+			return
+		case text := <-queue:
+			n.post(address, text)
+		}
+	}
+}
+
+// post sends a message. An error means that it is lost, which raft provides for.
+func (n *Node) post(address string, text []byte) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+address+messagePath, bytes.NewReader(text))
+	if err != nil {
+		return
+	}
+	request.Header.Set(memberNameHeader, n.name)
+	response, err := n.client.Do(request)
+	if err != nil {
+		return
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // else its connection is not used again
+}
+
+// serveMessage takes a message from another member.
+func (n *Node) serveMessage(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
+	message := &raftpb.Message{}
+	if err != nil || len(text) > maxMessageBytes || proto.Unmarshal(text, message) != nil {
+		http.Error(w, "not a raft message", http.StatusUnprocessableEntity)
+		return
+	}
+	n.update(func(c *Core) Output {
+		n.rememberSender(message.GetFrom(), r.Header.Get(memberNameHeader))
+		if message.GetTo() != c.id { // for an earlier member of this name or address
+			return Output{}
+		}
+		return c.Step(n.now(), message)
+	})
+	w.WriteHeader(http.StatusNoContent)
+}
+
+// rememberSender notes a sender's name as long as the state lists no members. The caller holds the lock.
+func (n *Node) rememberSender(id uint64, name string) {
+	if len(n.core.state.Members) == 0 && n.addresses[name] != "" && len(n.unlistedSenders) < maxUnlisted {
+		n.unlistedSenders[id] = name
+	}
+}
