--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,172 +1,174 @@
-// Package quota works out what each controller carries of the fleet and of tenants' quotas, and holds that what is out never
-// passes the whole, also while a part is taken back from one that cannot be reached, and past the loss of who hands them
-// out. Free of I/O and clock: times are told.
 package quota
 
 import (
 	"maps"
 	"slices"
-	"strings"
 )
 
-// Whole is all of what is parted.
-const FullShare = 1_000_000
-
-// Of is what is parted: the fleet, or a tenant's quota.
-type Resource string
-
-// Fleet is the threads of all engines.
-const Fleet = Resource("fleet")
-
-const tenantQuotaPrefix = "quota of "
-
-// Quota is that of a tenant.
-func TenantQuota(tenant string) Resource { return Resource(tenantQuotaPrefix + tenant) }
-
-// Tenant is whose quota it is.
-func (o Resource) Tenant() (name string, is bool) {
-	return strings.CutPrefix(string(o), tenantQuotaPrefix)
-}
-
-// Share is parts of the whole, by what is parted.
-type Shares map[Resource]int64
-
-// Record is what is agreed: the most that each member may have been given. It is agreed before anything of it is given.
+// Record is the replicated part of a Ledger: the upper limit of what each member may have been granted. It is
+// committed before anything of it is granted.
 type Record struct {
-	Limits map[string]Shares `json:"caps"`
+	Limits map[string]Shares `json:"caps"` // by member
 }
 
-// DriftPerMille is how unlike two machines' clocks may run.
+// MaxClockDriftPerMille is by how much the rates of two machines' clocks may differ.
 const MaxClockDriftPerMille = 50
 
-// Ledger is an owner's view: what is agreed, and what may still be out.
+// Ledger is a leader's view of the shares: the committed record, and what may still be in use.
 type Ledger struct {
 	record      Record
-	lifetime    int64 // of a part, by its holder's clock, ns
-	outstanding map[string]grant
-	uncertain   bool // a record that was not known to be agreed may be yet, until a later one is
+	lifetime    int64 // of a grant, in ns of its holder's clock
+	grants      map[string]grant
+	isUncertain bool // a record whose commit failed may still be committed, until a later one is
 }
 
-// held is what a member may hold: the most of all that it was given and that has not ended.
+// grant is what a member may be using.
 type grant struct {
-	upperBound Shares
+	upperBound Shares // over all its grants that have not expired
 	expiresAt  int64
-	latest     Shares // given last
-	sequence   int64  // of the word that gave it
+	latest     Shares
+	sequence   int64 // of the assignment that carried latest
 }
 
-// NewLedger takes over from an owner before: all that was agreed may be out until one life from now on.
-func NewLedger(r Record, life, now int64) *Ledger {
-	l := &Ledger{record: Record{Limits: map[string]Shares{}}, lifetime: life, outstanding: map[string]grant{}, uncertain: true}
-	for m, s := range r.Limits {
-		l.record.Limits[m] = maps.Clone(s)
-		l.outstanding[m] = grant{upperBound: maps.Clone(s), expiresAt: now + l.worstCaseLifetime()}
+// NewLedger takes over from an earlier leader. Everything that its record allows may be in use until a lifetime from
+// now.
+func NewLedger(record Record, lifetime, now int64) *Ledger {
+	l := &Ledger{
+		record:      Record{Limits: map[string]Shares{}},
+		lifetime:    lifetime,
+		grants:      map[string]grant{},
+		isUncertain: true,
+	}
+	for member, limits := range record.Limits {
+		l.record.Limits[member] = maps.Clone(limits)
+		l.grants[member] = grant{upperBound: maps.Clone(limits), expiresAt: now + l.worstCaseLifetime()}
 	}
 	return l
 }
 
-// outlives is how long a part lasts at the most by the owner's clock.
+// worstCaseLifetime is how long a grant may last by the leader's clock.
 func (l *Ledger) worstCaseLifetime() int64 { return l.lifetime + l.lifetime*MaxClockDriftPerMille/1000 }
 
-// Clone is another that goes its own way.
+// Clone returns an independent copy.
 func (l *Ledger) Clone() *Ledger {
-	c := *l
-	c.outstanding = maps.Clone(l.outstanding) // shares in it are never written to
-	return &c
+	clone := *l
+	clone.grants = maps.Clone(l.grants) // the shares in it are never modified
+	return &clone
 }
 
-// Record is what is agreed.
+// Record returns the committed record. The caller must not modify it.
 func (l *Ledger) Record() Record { return l.record }
 
-// Holds takes in that a member says by which word's part it goes, controller and all: what was given before is over.
-func (l *Ledger) Confirm(member string, count int64) {
-	if h := l.outstanding[member]; h.sequence > 0 && count == h.sequence {
-		h.upperBound = h.latest
-		l.outstanding[member] = h
+// Confirm notes that a member, its controller included, uses the shares of the assignment with that sequence number:
+// its earlier grants are over.
+func (l *Ledger) Confirm(member string, sequence int64) {
+	granted := l.grants[member]
+	if granted.sequence > 0 && sequence == granted.sequence {
+		granted.upperBound = granted.latest
+		l.grants[member] = granted
 	}
 }
 
-// Next is the record that comes closest to what is wanted now: a cap falls to what may still be out, and rises into what is
-// free by the record as it stands. It tells whether it differs, or one is in doubt; then it has to be agreed, and taken, before it counts.
-func (l *Ledger) NextRecord(want map[string]Shares, now int64) (r Record, differs bool) {
-	r.Limits = map[string]Shares{}
-	free := map[Resource]int64{}
-	all := map[string]bool{}
-	for m := range l.record.Limits {
-		all[m] = true
+// NextRecord returns the record that comes closest to the targets now, and whether it must be committed: it differs
+// from the committed one, or that is uncertain. It counts only after Commit. A limit falls as far as to what may
+// still be in use, and rises into what the committed record leaves free.
+func (l *Ledger) NextRecord(targets map[string]Shares, now int64) (next Record, isChanged bool) {
+	next.Limits = map[string]Shares{}
+	free := map[Resource]int64{} // below FullShare
+	members := l.members(targets)
+	for _, member := range members {
+		limits := l.lowered(member, targets[member], now)
+		next.Limits[member] = limits
+		for resource, limit := range limits {
+			free[resource] -= limit
+		}
 	}
-	for m := range want {
-		all[m] = true
+	for _, member := range members {
+		raise(next.Limits[member], targets[member], free)
 	}
-	names := slices.Sorted(maps.Keys(all))
-	for _, m := range names {
-		r.Limits[m] = Shares{}
-		for _, of := range resources(l.record.Limits[m], want[m]) {
-			cap := l.record.Limits[m][of]
-			if h := l.outstanding[m]; now < h.expiresAt {
-				cap = min(cap, max(want[m][of], h.upperBound[of]))
-			} else {
-				cap = min(cap, want[m][of])
-			}
-			r.Limits[m][of] = cap
-			free[of] -= cap
+	removeEmpty(next.Limits)
+	isEqual := maps.EqualFunc(next.Limits, l.record.Limits, maps.Equal[Shares, Shares])
+	return next, l.isUncertain || !isEqual
+}
+
+// members returns the members of the record and of the targets, sorted.
+func (l *Ledger) members(targets map[string]Shares) []string {
+	names := slices.AppendSeq(slices.Collect(maps.Keys(l.record.Limits)), maps.Keys(targets))
+	slices.Sort(names)
+	return slices.Compact(names)
+}
+
+// lowered returns a member's limits, lowered towards its target as far as its grants allow.
+func (l *Ledger) lowered(member string, target Shares, now int64) Shares {
+	limits := Shares{}
+	granted := l.grants[member]
+	for _, resource := range resources(l.record.Limits[member], target) {
+		lowest := target[resource]
+		if now < granted.expiresAt {
+			lowest = max(lowest, granted.upperBound[resource])
 		}
+		limits[resource] = min(l.record.Limits[member][resource], lowest)
 	}
-	for _, m := range names {
-		for _, of := range resources(want[m]) {
-			if more := min(want[m][of]-r.Limits[m][of], FullShare+free[of]); more > 0 {
-				r.Limits[m][of], free[of] = r.Limits[m][of]+more, free[of]-more
-			}
+	return limits
+}
+
+// raise raises limits towards a target, as far as there is something free.
+func raise(limits, target Shares, free map[Resource]int64) {
+	for _, resource := range resources(target) {
+		more := min(target[resource]-limits[resource], FullShare+free[resource])
+		if more > 0 {
+			limits[resource] += more
+			free[resource] -= more
 		}
 	}
-	for m, s := range r.Limits {
-		maps.DeleteFunc(s, func(_ Resource, n int64) bool { return n <= 0 })
-		if len(s) == 0 {
-			delete(r.Limits, m)
+}
+
+func removeEmpty(limits map[string]Shares) {
+	for member, shares := range limits {
+		maps.DeleteFunc(shares, func(_ Resource, share int64) bool { return share <= 0 })
+		if len(shares) == 0 {
+			delete(limits, member)
 		}
 	}
-	return r, l.uncertain || !maps.EqualFunc(r.Limits, l.record.Limits, maps.Equal[Shares, Shares])
 }
 
-// Agreed takes a record that was agreed.
-func (l *Ledger) Commit(r Record) { l.record, l.uncertain = r, false }
-
-// Doubt takes in that a record may be agreed later, or never. Until one behind it is agreed nothing may be given: who takes
-// over might go by that one.
-func (l *Ledger) MarkUncertain() { l.uncertain = true }
+// Commit takes in that a record was committed.
+func (l *Ledger) Commit(record Record) {
+	l.record = record
+	l.isUncertain = false
+}
 
-// Give is what a member is given now, with a word of that number: no more than is agreed. heard is when its own time, from
-// which its part's life counts, came to be known. What is over is forgotten.
-func (l *Ledger) Grant(member string, want Shares, heard, count int64) Shares {
-	give := Shares{}
-	for of, n := range want {
-		if n = min(n, l.record.Limits[member][of]); n > 0 {
-			give[of] = n
+// MarkUncertain takes in that a record may be committed later, or never. Another one must be committed before
+// anything is granted again: the next leader might go by the uncertain one.
+func (l *Ledger) MarkUncertain() { l.isUncertain = true }
+
+// Grant returns the shares that a member is granted with an assignment of that sequence number: its target within its
+// committed limits. clockReadAt is when the member's clock, from which the lifetime counts, was read.
+func (l *Ledger) Grant(member string, target Shares, clockReadAt, sequence int64) Shares {
+	granted := Shares{}
+	for resource, share := range target {
+		share = min(share, l.record.Limits[member][resource])
+		if share > 0 {
+			granted[resource] = share
 		}
 	}
-	h := l.outstanding[member]
-	most := maps.Clone(give)
-	if heard < h.expiresAt {
-		for of, n := range h.upperBound {
-			most[of] = max(most[of], n)
+	previous := l.grants[member]
+	upperBound := maps.Clone(granted)
+	if clockReadAt < previous.expiresAt {
+		for resource, share := range previous.upperBound {
+			upperBound[resource] = max(upperBound[resource], share)
 		}
 	}
-	l.outstanding[member] = grant{upperBound: most, latest: give, sequence: count, expiresAt: max(h.expiresAt, heard+l.worstCaseLifetime())}
-	return give
+	l.grants[member] = grant{
+		upperBound: upperBound,
+		expiresAt:  max(previous.expiresAt, clockReadAt+l.worstCaseLifetime()),
+		latest:     granted,
+		sequence:   sequence,
+	}
+	return granted
 }
 
-// Forget drops members that hold nothing any more.
+// DropExpired drops the grants that have expired.
 func (l *Ledger) DropExpired(now int64) {
-	maps.DeleteFunc(l.outstanding, func(_ string, h grant) bool { return now >= h.expiresAt })
-}
-
-// ofs are what shares speak of, in order.
-func resources(shares ...Shares) (list []Resource) {
-	for _, s := range shares {
-		for of := range s {
-			list = append(list, of)
-		}
-	}
-	slices.Sort(list)
-	return slices.Compact(list)
+	maps.DeleteFunc(l.grants, func(_ string, granted grant) bool { return now >= granted.expiresAt })
 }
