--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -35,21 +35,21 @@
 	}
 	usual := seen(100, 5, "e1", "e2", "e3")
 	want(5e9, usual, "")
-	q := want(11e9, usual, "the first")
+	q := want(11e9, usual, "first plan")
 	if len(q.Engines) != 3 || len(q.Demand) != 2 || q.Demand[0] != (solve.Demand{Type: "lookup", Tenant: "acme", Zone: "east", JobsPer1000S: 120_000}) {
 		t.Errorf("%+v", q)
 	}
 	want(30e9, seen(110, 5, "e1", "e2", "e3"), "")
-	want(40e9, seen(100, 8, "e1", "e2", "e3"), `report from "east" asks for 16.0 threads, planned for were 10.0`)
+	want(40e9, seen(100, 8, "e1", "e2", "e3"), `report from "east" needs 16.0 threads, planned for 10.0`)
 	want(45e9, usual, "") // too soon
 	want(46e9, seen(1, 8, "e1", "e2", "e3"), "")
 	want(60e9, seen(100, 8, "e1", "e3"), "") // one look may be chance
-	q = want(61e9, seen(100, 8, "e1", "e3"), "2 engines, planned for were 3")
+	q = want(61e9, seen(100, 8, "e1", "e3"), "2 engines, planned for 3")
 	if len(q.Engines) != 2 || q.Engines[1].Name != "e3" {
 		t.Errorf("%+v", q.Engines)
 	}
 	want(100e9, seen(100, 8, "e1", "e3"), "")
-	want(242e9, seen(100, 8, "e1", "e3"), "it is time")
+	want(242e9, seen(100, 8, "e1", "e3"), "interval elapsed")
 	want(260e9, Observation{}, "") // nobody tells: nothing is planned for no engines
 	if len(base.Demand) != 0 || len(base.Engines) != 3 {
 		t.Error("the operator's problem is written to")
