--- a/internal/ilp/program.go
+++ b/internal/ilp/program.go
@@ -1,15 +1,12 @@
-// Package ilp solves integer programs exactly: a floating-point simplex leads the way, and every bound it suggests
-// is worked out again in whole numbers, so that rounding can cost time but never make an answer wrong.
+// Package ilp solves integer linear programs exactly. A floating-point simplex guides a branch and bound search;
+// every bound that it suggests is computed again in integers, so rounding can cost time but never makes an answer
+// wrong.
 //
-// No I/O, no clock: who calls says when to stop. The same program gives the same search at every run.
+// The package is free of I/O and clock: callers decide when to stop. The same program always gives the same search.
+// Its types are not safe for concurrent use.
 package ilp
 
-import (
-	"math"
-	"math/bits"
-)
-
-// Sense is how a row is held.
+// Sense is how a row's sum is compared with its bound.
 type Sense uint8
 
 // The senses.
@@ -22,113 +19,80 @@
 type Row struct {
 	Sense  Sense
 	Bound  int64
-	Convex bool // columns of it have coefficient 1 here and stand in no other such row: its multiplier may cover them
+	Convex bool // its columns have coefficient 1 here and are in no other such row, so its multiplier may cover them
 }
 
-// Col is a whole variable from Lo to Hi, both in force. It is worth Obj a unit.
+// Column is an integer variable with the bounds Lower and Upper, both included.
 type Column struct {
-	Objective    int64
-	Lower, Upper int64
-	Rows         []int32 // where it has a coefficient, each once
-	Coefficients []int64 // the coefficients
-	BranchFirst  bool    // branched on before the others
+	Objective    int64 // per unit
+	Lower        int64
+	Upper        int64
+	Rows         []int32 // in which it has a coefficient, each once
+	Coefficients []int64 // by the index in Rows
+	BranchFirst  bool    // branched on before other columns
 }
 
-// Program is: the greatest sum of Obj, within all rows.
+// Program is to maximize the sum of the columns' objectives subject to all rows.
 type Program struct {
 	Rows    []Row
 	Columns []Column
 }
 
-// Largest bounds each figure of a program, and what sums of them may reach; beyond it all is refused.
-const MaxMagnitude = 1 << 62
-
-// Value is the objective at x; false where x breaks a row or a bound, or a sum leaves Largest.
-func (p *Program) Value(x []int64) (int64, bool) {
-	if len(x) != len(p.Columns) {
+// Value returns the objective of a solution; false: it violates a row or a bound, or a sum exceeds MaxMagnitude.
+func (p *Program) Value(solution []int64) (int64, bool) {
+	if len(solution) != len(p.Columns) {
 		return 0, false
 	}
 	sums := make([]sum, len(p.Rows))
-	var value sum
-	for j, c := range p.Columns {
-		if x[j] < c.Lower || x[j] > c.Upper {
+	var objective sum
+	for j, column := range p.Columns {
+		value := solution[j]
+		if value < column.Lower || value > column.Upper {
 			return 0, false
 		}
-		if x[j] == 0 {
+		if value == 0 {
 			continue
 		}
-		value.add(c.Objective, x[j])
-		for k, r := range c.Rows {
-			sums[r].add(c.Coefficients[k], x[j])
+		objective.add(column.Objective, value)
+		for k, row := range column.Rows {
+			sums[row].add(column.Coefficients[k], value)
 		}
 	}
-	for i, r := range p.Rows {
-		if got, whole := sums[i].got(); !whole || (r.Sense == LessOrEqual && got > r.Bound) || (r.Sense == GreaterOrEqual && got < r.Bound) {
+	for i, row := range p.Rows {
+		if !row.isSatisfied(sums[i]) {
 			return 0, false
 		}
 	}
-	return value.got()
-}
-
-// sum adds products, and knows when it left what it can hold.
-type sum struct {
-	at  int64
-	out bool
-}
-
-func (s *sum) add(a, b int64) {
-	product, whole := times(a, b)
-	total := s.at + product
-	s.out = s.out || !whole || total > MaxMagnitude || total < -MaxMagnitude
-	s.at = total
+	return objective.result()
 }
 
-func (s *sum) got() (int64, bool) { return s.at, !s.out }
-
-// times multiplies; false beyond Largest.
-func times(a, b int64) (int64, bool) {
-	hi, lo := bits.Mul64(magnitude(a), magnitude(b))
-	if hi != 0 || lo > MaxMagnitude {
-		return 0, false
+func (r Row) isSatisfied(rowSum sum) bool {
+	value, isExact := rowSum.result()
+	if !isExact {
+		return false
 	}
-	if (a < 0) != (b < 0) {
-		return -int64(lo), true
+	if r.Sense == LessOrEqual {
+		return value <= r.Bound
 	}
-	return int64(lo), true
+	return value >= r.Bound
 }
 
-func magnitude(a int64) uint64 {
-	if a < 0 {
-		return uint64(-(a + 1)) + 1
-	}
-	return uint64(a)
-}
-
-// grain is what every value of the objective is a multiple of, at least 1.
-func (p *Program) grain() int64 {
-	var g int64
-	for _, c := range p.Columns {
-		for a, b := g, int64(magnitude(c.Objective)); ; a, b = b, a%b {
-			if b == 0 {
-				g = a
-				break
-			}
-		}
-		if g == 1 {
+// granularity returns the greatest common divisor of the objective's coefficients, at least 1: every value of the
+// objective is a multiple of it.
+func (p *Program) granularity() int64 {
+	var divisor int64
+	for _, column := range p.Columns {
+		divisor = greatestCommonDivisor(divisor, int64(magnitude(column.Objective)))
+		if divisor == 1 {
 			break
 		}
 	}
-	return max(1, g)
+	return max(1, divisor)
 }
 
-// down rounds to a multiple of g, towards less.
-func down(v, g int64) int64 {
-	if v == math.MaxInt64 {
-		return v
-	}
-	if rest := v % g; rest < 0 {
-		return v - rest - g
-	} else {
-		return v - rest
+func greatestCommonDivisor(a, b int64) int64 {
+	for b != 0 {
+		a, b = b, a%b
 	}
+	return a
 }
