--- a/internal/sparql/decide/guess.go
+++ b/internal/sparql/decide/guess.go
@@ -50,7 +50,7 @@
 // Of guesses the work of a text. Known: answers to its shape stand behind it.
 func (g *Guesses) Of(s *syntax.Statement) (work choice.Nanos, known bool) {
 	first := math.Log(first(s)) + g.off
-	e := g.known[s.Shape]
+	e := g.known[s.Fingerprint]
 	if e == nil {
 		return bounded(first), false
 	}
@@ -70,15 +70,15 @@
 	told := math.Log(float64(min(work, mostWork)))
 	g.offN = min(g.offN+1, overall)
 	g.off += (told - math.Log(first(s)) - g.off) / g.offN
-	e := g.known[s.Shape]
+	e := g.known[s.Fingerprint]
 	if e == nil {
 		if g.order.Len() >= g.most {
 			last := g.order.Back()
 			delete(g.known, last.Value.(*shape).id)
 			g.order.Remove(last)
 		}
-		e = g.order.PushFront(&shape{id: s.Shape})
-		g.known[s.Shape] = e
+		e = g.order.PushFront(&shape{id: s.Fingerprint})
+		g.known[s.Fingerprint] = e
 	}
 	g.order.MoveToFront(e)
 	k := e.Value.(*shape)
--- a/internal/sparql/front/request.go
+++ b/internal/sparql/front/request.go
@@ -39,7 +39,7 @@
 }
 
 // mostBody bounds a request's body; a text is bounded by the grammar's reader.
-const mostBody = 2 * syntax.MostBytes
+const mostBody = 2 * syntax.MaxBytes
 
 // graphNames are the protocol's parameters for graphs: of queries, and of updates.
 var graphNames = map[bool][]string{false: {"default-graph-uri", "named-graph-uri"}, true: {"using-graph-uri", "using-named-graph-uri"}}
--- a/internal/sparql/syntax/expression.go
+++ b/internal/sparql/syntax/expression.go
@@ -2,37 +2,23 @@
 
 import "strings"
 
-// builtIns by their names: how many arguments at least and at most; -1: any number.
-var builtIns = map[string][2]int{
-	"STR": {1, 1}, "LANG": {1, 1}, "LANGMATCHES": {2, 2}, "DATATYPE": {1, 1}, "BOUND": {1, 1}, "IRI": {1, 1}, "URI": {1, 1}, "BNODE": {0, 1},
-	"RAND": {0, 0}, "ABS": {1, 1}, "CEIL": {1, 1}, "FLOOR": {1, 1}, "ROUND": {1, 1}, "CONCAT": {0, -1}, "STRLEN": {1, 1}, "UCASE": {1, 1},
-	"LCASE": {1, 1}, "ENCODE_FOR_URI": {1, 1}, "CONTAINS": {2, 2}, "STRSTARTS": {2, 2}, "STRENDS": {2, 2}, "STRBEFORE": {2, 2},
-	"STRAFTER": {2, 2}, "YEAR": {1, 1}, "MONTH": {1, 1}, "DAY": {1, 1}, "HOURS": {1, 1}, "MINUTES": {1, 1}, "SECONDS": {1, 1},
-	"TIMEZONE": {1, 1}, "TZ": {1, 1}, "NOW": {0, 0}, "UUID": {0, 0}, "STRUUID": {0, 0}, "MD5": {1, 1}, "SHA1": {1, 1}, "SHA256": {1, 1},
-	"SHA384": {1, 1}, "SHA512": {1, 1}, "COALESCE": {0, -1}, "IF": {3, 3}, "STRLANG": {2, 2}, "STRDT": {2, 2}, "SAMETERM": {2, 2},
-	"ISIRI": {1, 1}, "ISURI": {1, 1}, "ISBLANK": {1, 1}, "ISLITERAL": {1, 1}, "ISNUMERIC": {1, 1}, "REGEX": {2, 3}, "SUBSTR": {2, 3},
-	"REPLACE": {3, 4},
-}
-
-var aggregates = map[string]bool{"COUNT": true, "SUM": true, "MIN": true, "MAX": true, "AVG": true, "SAMPLE": true, "GROUP_CONCAT": true}
-
-// isCall tells whether a BuiltInCall or FunctionCall begins here.
+// isCall reports whether a BuiltInCall or FunctionCall begins here.
 func (p *parser) isCall() bool {
 	if p.isIRI() {
 		return true
 	}
-	if p.tok.kind != word {
+	if p.token.kind != keyword {
 		return false
 	}
-	up := strings.ToUpper(p.tok.text)
-	_, known := builtIns[up]
-	return known || aggregates[up] || up == "EXISTS" || up == "NOT"
+	name := strings.ToUpper(p.token.text)
+	_, known := builtIns[name]
+	return known || aggregates[name] || name == "EXISTS" || name == "NOT"
 }
 
 // Constraint ::= BrackettedExpression | BuiltInCall | FunctionCall
 func (p *parser) constraint() {
-	if p.is("(") {
-		p.bracketted()
+	if p.isPunct("(") {
+		p.bracketed()
 		return
 	}
 	if !p.isCall() {
@@ -41,86 +27,87 @@
 	p.call()
 }
 
-func (p *parser) bracketted() {
-	p.want("(")
+func (p *parser) bracketed() {
+	p.expect("(")
 	p.expression()
-	p.want(")")
+	p.expect(")")
 }
 
 // call ::= BuiltInCall | iri ArgList
 func (p *parser) call() {
 	if p.isIRI() {
 		p.iri()
-		p.arguments(0, -1, true)
+		p.arguments(anyCount, true)
 		return
 	}
-	up := strings.ToUpper(p.tok.text)
+	name := strings.ToUpper(p.token.text)
 	p.advance()
-	switch limits, known := builtIns[up]; {
-	case up == "NOT":
-		p.wantWord("EXISTS")
-		p.s.Cost.Joins++
+	count, known := builtIns[name]
+	switch {
+	case name == "NOT":
+		p.expectKeyword("EXISTS")
+		p.statement.Cost.Joins++
 		p.group()
-	case up == "EXISTS":
-		p.s.Cost.Joins++
+	case name == "EXISTS":
+		p.statement.Cost.Joins++
 		p.group()
-	case aggregates[up]:
-		p.aggregate(up)
-	case up == "BOUND":
-		p.want("(")
-		p.wantVariable()
-		p.want(")")
+	case aggregates[name]:
+		p.aggregate(name)
+	case name == "BOUND":
+		p.expect("(")
+		p.expectVariable()
+		p.expect(")")
 	case known:
-		p.arguments(limits[0], limits[1], false)
+		p.arguments(count, false)
 	}
 }
 
 // arguments ::= NIL | '(' 'DISTINCT'? Expression ( ',' Expression )* ')'
-func (p *parser) arguments(least, most int, distinct bool) {
-	at := p.tok.at
-	p.want("(")
-	n := 0
+func (p *parser) arguments(count argumentCount, distinct bool) {
+	at := p.token.at
+	p.expect("(")
 	if distinct {
-		p.hasWord("DISTINCT")
+		p.acceptKeyword("DISTINCT")
 	}
-	if !p.has(")") {
-		for {
+	arguments := 0
+	if !p.accept(")") {
+		p.expression()
+		arguments++
+		for p.accept(",") {
 			p.expression()
-			if n++; !p.has(",") {
-				break
-			}
+			arguments++
 		}
-		p.want(")")
+		p.expect(")")
 	}
-	if n < least || most >= 0 && n > most {
-		p.fail(at, "%d arguments", n)
+	if !count.allows(arguments) {
+		p.fail(at, "%d arguments", arguments)
 	}
 }
 
 // Aggregate ::= NAME '(' 'DISTINCT'? ( '*' | Expression ) ')', and GROUP_CONCAT with its separator
-func (p *parser) aggregate(up string) {
-	p.s.Cost.Aggregates++
-	p.want("(")
-	p.hasWord("DISTINCT")
-	if up != "COUNT" || !p.has("*") {
+func (p *parser) aggregate(name string) {
+	p.statement.Cost.Aggregates++
+	p.expect("(")
+	p.acceptKeyword("DISTINCT")
+	if name != "COUNT" || !p.accept("*") {
 		p.expression()
 	}
-	if up == "GROUP_CONCAT" && p.has(";") {
-		p.wantWord("SEPARATOR")
-		p.want("=")
-		if p.tok.kind != literal {
+	if name == "GROUP_CONCAT" && p.accept(";") {
+		p.expectKeyword("SEPARATOR")
+		p.expect("=")
+		if p.token.kind != literal {
 			p.unexpected("a string")
 		}
 		p.advance()
 	}
-	p.want(")")
+	p.expect(")")
 }
 
 // Expression ::= ConditionalOrExpression, by precedence: || && relation + - * / unary
 func (p *parser) expression() {
-	p.within(func() {
+	p.nested(func() {
 		p.and()
-		for p.has("||") {
+		for p.accept("||") {
 			p.and()
 		}
 	})
@@ -128,7 +115,7 @@
 
 func (p *parser) and() {
 	p.relation()
-	for p.has("&&") {
+	for p.accept("&&") {
 		p.relation()
 	}
 }
@@ -136,52 +123,53 @@
 func (p *parser) relation() {
 	p.sum()
 	for _, sign := range []string{"=", "!=", "<=", ">=", "<", ">"} {
-		if p.has(sign) {
+		if p.accept(sign) {
 			p.sum()
 			return
 		}
 	}
-	if p.hasWord("NOT") {
-		p.wantWord("IN")
-		p.arguments(0, -1, false)
-	} else if p.hasWord("IN") {
-		p.arguments(0, -1, false)
+	if p.acceptKeyword("NOT") {
+		p.expectKeyword("IN")
+		p.arguments(anyCount, false)
+	} else if p.acceptKeyword("IN") {
+		p.arguments(anyCount, false)
 	}
 }
 
 func (p *parser) sum() {
 	p.product()
-	for p.has("+") || p.has("-") {
+	for p.accept("+") || p.accept("-") {
 		p.product()
 	}
 }
 
 func (p *parser) product() {
 	p.unary()
-	for p.has("*") || p.has("/") {
+	for p.accept("*") || p.accept("/") {
 		p.unary()
 	}
 }
 
 func (p *parser) unary() {
-	if !p.has("!") && !p.has("+") {
-		p.has("-")
+	if !p.accept("!") && !p.accept("+") {
+		p.accept("-")
 	}
 	p.primary()
 }
 
-// PrimaryExpression ::= BrackettedExpression | BuiltInCall | iriOrFunction | RDFLiteral | NumericLiteral | BooleanLiteral | Var
+// PrimaryExpression ::= BrackettedExpression | BuiltInCall | iriOrFunction | RDFLiteral |
+// NumericLiteral | BooleanLiteral | Var.
 func (p *parser) primary() {
 	switch {
-	case p.is("("):
-		p.bracketted()
-	case p.tok.kind == literal:
+	case p.isPunct("("):
+		p.bracketed()
+	case p.token.kind == literal:
 		p.literal()
-	case p.tok.kind == number || p.tok.kind == variable || p.oneOf("true", "false"):
+	case p.token.kind == number || p.token.kind == variable || p.isAnyKeyword("true", "false"):
 		p.advance()
 	case p.isIRI():
-		if p.iri(); p.is("(") {
-			p.arguments(0, -1, true)
+		if p.iri(); p.isPunct("(") {
+			p.arguments(anyCount, true)
 		}
 	case p.isCall():
 		p.call()
--- a/internal/sparql/syntax/parser.go
+++ b/internal/sparql/syntax/parser.go
@@ -7,420 +7,212 @@
 	"strings"
 )
 
-// parser goes by the grammar's productions, which stand at its functions.
+// parser is a recursive descent parser: a function for each production of the grammar, which stands above it. Its
+// functions leave by panic with a parseFailure, which Parse recovers.
 type parser struct {
 	lexer
-	s        *Statement
-	base     string
-	prefixes map[string]string
-	shape    hash.Hash64
-	depth    int
-	graphs   int
-	outer    int // subqueries around; limits count at 0
+	statement     *Statement
+	base          string
+	prefixes      map[string]string
+	fingerprint   hash.Hash64
+	depth         int // of nested groups, paths, expressions and lists
+	graphs        int // named so far
+	subqueryDepth int // only limits at 0 count
 }
 
+// advance reads the next token and adds the one that it stands for to the fingerprint.
 func (p *parser) advance() {
-	p.next()
-	mark := p.tok.text
-	switch p.tok.kind {
+	p.readToken()
+	p.fingerprint.Write([]byte{byte(p.token.kind)})
+	p.fingerprint.Write([]byte(p.token.normalized()))
+	p.fingerprint.Write([]byte{0})
+}
+
+// normalized is the text of a token without what texts of one fingerprint may differ in.
+func (t token) normalized() string {
+	switch t.kind {
 	case literal, langTag:
-		mark = "L"
+		return "L"
 	case number:
-		mark = "N"
+		return "N"
 	case variable, blank:
-		mark = "V"
-	case word:
-		mark = strings.ToUpper(mark)
+		return "V"
+	case keyword:
+		return strings.ToUpper(t.text)
 	}
-	p.shape.Write([]byte{byte(p.tok.kind)})
-	p.shape.Write([]byte(mark))
-	p.shape.Write([]byte{0})
+	return t.text
 }
 
+// maxQuoted bounds how many bytes of the text an error quotes.
+const maxQuoted = 30
+
+// unexpected fails at the present token.
 func (p *parser) unexpected(wanted string) {
 	found := "the end"
-	if p.tok.kind != end {
-		stop := p.pos
-		if stop-p.tok.at > 30 {
-			stop = p.tok.at + 30
-		}
-		found = strconv.Quote(p.text[p.tok.at:stop])
+	if p.token.kind != end {
+		stop := min(p.pos, p.token.at+maxQuoted)
+		found = strconv.Quote(p.text[p.token.at:stop])
 	}
-	p.fail(p.tok.at, "%s where %s is wanted", found, wanted)
+	p.fail(p.token.at, "%s where %s is wanted", found, wanted)
 }
 
-func (p *parser) is(sign string) bool  { return p.tok.kind == punct && p.tok.text == sign }
-func (p *parser) isWord(w string) bool { return p.tok.kind == word && strings.EqualFold(p.tok.text, w) }
+func (p *parser) isPunct(sign string) bool { return p.token.kind == punct && p.token.text == sign }
+
+func (p *parser) isKeyword(name string) bool {
+	return p.token.kind == keyword && strings.EqualFold(p.token.text, name)
+}
 
-func (p *parser) oneOf(words ...string) bool {
-	for _, w := range words {
-		if p.isWord(w) {
+func (p *parser) isAnyKeyword(names ...string) bool {
+	for _, name := range names {
+		if p.isKeyword(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// has takes a sign if it stands here.
-func (p *parser) has(sign string) bool {
-	if p.is(sign) {
-		p.advance()
-		return true
+func (p *parser) isIRI() bool { return p.token.kind == iriRef || p.token.kind == prefixedName }
+
+// accept reads a sign if it is the present token.
+func (p *parser) accept(sign string) bool {
+	if !p.isPunct(sign) {
+		return false
 	}
-	return false
+	p.advance()
+	return true
 }
 
-func (p *parser) hasWord(w string) bool {
-	if p.isWord(w) {
-		p.advance()
-		return true
+// acceptKeyword reads a keyword if it is the present token.
+func (p *parser) acceptKeyword(name string) bool {
+	if !p.isKeyword(name) {
+		return false
 	}
-	return false
+	p.advance()
+	return true
 }
 
-func (p *parser) want(sign string) {
-	if !p.has(sign) {
+func (p *parser) expect(sign string) {
+	if !p.accept(sign) {
 		p.unexpected(strconv.Quote(sign))
 	}
 }
 
-func (p *parser) wantWord(w string) {
-	if !p.hasWord(w) {
-		p.unexpected(w)
+func (p *parser) expectKeyword(name string) {
+	if !p.acceptKeyword(name) {
+		p.unexpected(name)
 	}
 }
 
-// within counts what stands in each other.
-func (p *parser) within(inner func()) {
-	if p.depth++; p.depth > MostDepth {
-		p.fail(p.tok.at, "over %d levels in each other", MostDepth)
+func (p *parser) expectVariable() {
+	if p.token.kind != variable {
+		p.unexpected("a variable")
+	}
+	p.advance()
+}
+
+func (p *parser) expectIRIRef() string {
+	if p.token.kind != iriRef {
+		p.unexpected("an IRI in <>")
+	}
+	iri := p.resolve(p.token.text, p.token.at)
+	p.advance()
+	return iri
+}
+
+// nested parses what stands inside something else, and bounds how deep.
+func (p *parser) nested(inner func()) {
+	p.depth++
+	if p.depth > MaxDepth {
+		p.fail(p.token.at, "over %d levels in each other", MaxDepth)
 	}
 	inner()
 	p.depth--
 }
 
-// iri takes one, and gives it whole: prefixes and base resolved.
+// iri reads an IRI and returns it with prefix and base resolved.
 func (p *parser) iri() string {
-	switch p.tok.kind {
+	switch p.token.kind {
 	case iriRef:
-		text := p.resolve(p.tok.text, p.tok.at)
-		p.advance()
-		return text
-	case name:
-		prefix, local, _ := strings.Cut(p.tok.text, ":")
-		full, known := p.prefixes[prefix]
+		return p.expectIRIRef()
+	case prefixedName:
+		prefix, local, _ := strings.Cut(p.token.text, ":")
+		namespace, known := p.prefixes[prefix]
 		if !known {
-			p.fail(p.tok.at, "prefix %q is not declared", prefix+":")
+			p.fail(p.token.at, "prefix %q is not declared", prefix+":")
 		}
 		p.advance()
-		return full + unescape(local)
+		return namespace + unescape(local)
 	}
 	p.unexpected("an IRI")
 	return ""
 }
 
+// unescape removes the backslashes of a local name.
 func unescape(local string) string {
 	if strings.IndexByte(local, '\\') < 0 {
 		return local
 	}
-	var b strings.Builder
+	var unescaped strings.Builder
 	for i := 0; i < len(local); i++ {
 		if local[i] == '\\' && i+1 < len(local) {
 			i++
 		}
-		b.WriteByte(local[i])
+		unescaped.WriteByte(local[i])
 	}
-	return b.String()
+	return unescaped.String()
 }
 
+// resolve returns a reference resolved against the base, if there is one.
 func (p *parser) resolve(ref string, at int) string {
 	if p.base == "" {
 		return ref
 	}
-	base, err := url.Parse(p.base)
-	if err == nil {
-		var u *url.URL
-		if u, err = base.Parse(ref); err == nil {
-			if strings.HasSuffix(ref, "#") { // net/url drops an empty fragment, which namespaces end in
-				return u.String() + "#"
-			}
-			return u.String()
-		}
-	}
-	p.fail(at, "an IRI that cannot be resolved")
-	return ""
-}
-
-func (p *parser) isIRI() bool { return p.tok.kind == iriRef || p.tok.kind == name }
-
-// Prologue ::= ( BaseDecl | PrefixDecl )*
-func (p *parser) prologue() {
-	for {
-		switch {
-		case p.hasWord("BASE"):
-			if p.tok.kind != iriRef {
-				p.unexpected("an IRI in <>")
-			}
-			p.base = p.resolve(p.tok.text, p.tok.at)
-			p.advance()
-		case p.hasWord("PREFIX"):
-			if p.tok.kind != name || !strings.HasSuffix(p.tok.text, ":") || strings.Count(p.tok.text, ":") != 1 {
-				p.unexpected("a prefix with its colon")
-			}
-			prefix := strings.TrimSuffix(p.tok.text, ":")
-			if len(p.prefixes) >= MostGraphs {
-				p.fail(p.tok.at, "over %d prefixes", MostGraphs)
-			}
-			if p.advance(); p.tok.kind != iriRef {
-				p.unexpected("an IRI in <>")
-			}
-			p.prefixes[prefix] = p.resolve(p.tok.text, p.tok.at)
-			p.advance()
-		default:
-			return
-		}
-	}
-}
-
-// Query ::= Prologue ( SelectQuery | ConstructQuery | DescribeQuery | AskQuery ) ValuesClause
-func (p *parser) query() {
-	p.prologue()
-	switch {
-	case p.isWord("SELECT"):
-		p.s.Form = Select
-		p.selectClause()
-		p.dataset("FROM")
-		p.where()
-	case p.hasWord("CONSTRUCT"):
-		p.s.Form = Construct
-		p.construct()
-	case p.hasWord("DESCRIBE"):
-		p.s.Form = Describe
-		if !p.has("*") {
-			p.varOrIRI()
-			for p.tok.kind == variable || p.isIRI() {
-				p.varOrIRI()
-			}
-		}
-		p.dataset("FROM")
-		if p.isWord("WHERE") || p.is("{") {
-			p.where()
-		}
-	case p.hasWord("ASK"):
-		p.s.Form = Ask
-		p.dataset("FROM")
-		p.where()
-	default:
-		p.unexpected("SELECT, CONSTRUCT, DESCRIBE or ASK")
-	}
-	p.modifiers()
-	p.values()
-	if len(p.s.Reads) == 0 {
-		p.s.ReadsDefault = true
+	resolved, err := resolveReference(p.base, ref)
+	if err != nil {
+		p.fail(at, "an IRI that cannot be resolved")
 	}
+	return resolved
 }
 
-// SelectClause ::= 'SELECT' ( 'DISTINCT' | 'REDUCED' )? ( ( Var | '(' Expression 'AS' Var ')' )+ | '*' )
-func (p *parser) selectClause() {
-	p.wantWord("SELECT")
-	if p.hasWord("DISTINCT") {
-		p.s.Cost.Sorts++
-	} else {
-		p.hasWord("REDUCED")
-	}
-	if p.has("*") {
-		return
+func resolveReference(base, ref string) (string, error) {
+	parsed, err := url.Parse(base)
+	if err != nil {
+		return "", err
 	}
-	for n := 0; ; n++ {
-		switch {
-		case p.tok.kind == variable:
-			p.advance()
-		case p.has("("):
-			p.expression()
-			p.as()
-			p.want(")")
-		case n == 0:
-			p.unexpected("a variable or *")
-		default:
-			return
-		}
+	resolved, err := parsed.Parse(ref)
+	if err != nil {
+		return "", err
 	}
-}
-
-func (p *parser) as() {
-	p.wantWord("AS")
-	p.wantVariable()
-}
-
-func (p *parser) wantVariable() {
-	if p.tok.kind != variable {
-		p.unexpected("a variable")
+	if strings.HasSuffix(ref, "#") { // net/url drops an empty fragment, which namespaces end in
+		return resolved.String() + "#", nil
 	}
-	p.advance()
+	return resolved.String(), nil
 }
 
-// ConstructQuery ::= 'CONSTRUCT' ( ConstructTemplate DatasetClause* WhereClause SolutionModifier |
-// DatasetClause* 'WHERE' '{' TriplesTemplate? '}' SolutionModifier )
-func (p *parser) construct() {
-	if p.has("{") {
-		p.triples(terms{vars: true, blanks: true}, false)
-		p.want("}")
-		p.dataset("FROM")
-		p.where()
-		return
-	}
-	p.dataset("FROM")
-	p.wantWord("WHERE")
-	p.want("{")
-	p.triples(terms{vars: true, blanks: true}, true)
-	p.want("}")
+// addRead adds a graph that the statement reads.
+func (p *parser) addRead(graph string) {
+	p.statement.Reads = append(p.statement.Reads, p.countGraph(graph))
 }
 
-// DatasetClause ::= 'FROM' ( iri | 'NAMED' iri ), and UsingClause
-func (p *parser) dataset(word string) {
-	for p.hasWord(word) {
-		p.s.Dataset = true
-		p.hasWord("NAMED")
-		p.reads(p.iri())
-	}
+// addWrite adds a graph that the statement writes.
+func (p *parser) addWrite(graph string) {
+	p.statement.Writes = append(p.statement.Writes, p.countGraph(graph))
 }
 
-func (p *parser) reads(graph string)  { p.s.Reads = append(p.s.Reads, p.one(graph)) }
-func (p *parser) writes(graph string) { p.s.Writes = append(p.s.Writes, p.one(graph)) }
-
-func (p *parser) one(graph string) string {
-	if p.graphs++; p.graphs > MostGraphs {
-		p.fail(p.tok.at, "over %d graphs", MostGraphs)
+// countGraph bounds how many graphs and services a text names.
+func (p *parser) countGraph(graph string) string {
+	p.graphs++
+	if p.graphs > MaxGraphs {
+		p.fail(p.token.at, "over %d graphs", MaxGraphs)
 	}
 	return graph
 }
 
-// WhereClause ::= 'WHERE'? GroupGraphPattern
-func (p *parser) where() {
-	p.hasWord("WHERE")
-	p.group()
-}
-
-// SolutionModifier ::= GroupClause? HavingClause? OrderClause? LimitOffsetClauses?
-func (p *parser) modifiers() {
-	if p.hasWord("GROUP") {
-		p.s.Cost.Sorts++
-		p.wantWord("BY")
-		for n := 0; ; n++ {
-			switch {
-			case p.tok.kind == variable:
-				p.advance()
-			case p.has("("):
-				p.expression()
-				if p.isWord("AS") {
-					p.as()
-				}
-				p.want(")")
-			case p.isCall():
-				p.call()
-			case n == 0:
-				p.unexpected("what to group by")
-			default:
-				n = -2
-			}
-			if n < 0 {
-				break
-			}
-		}
-	}
-	if p.hasWord("HAVING") {
-		p.constraint()
-		for p.is("(") || p.isCall() {
-			p.constraint()
-		}
-	}
-	if p.hasWord("ORDER") {
-		p.s.Cost.Sorts++
-		p.wantWord("BY")
-		for n := 0; ; n++ {
-			switch {
-			case p.tok.kind == variable:
-				p.advance()
-				continue
-			case p.oneOf("ASC", "DESC"):
-				p.advance()
-				p.bracketted()
-				continue
-			case p.is("(") || p.isCall():
-				p.constraint()
-				continue
-			case n == 0:
-				p.unexpected("what to order by")
-			}
-			break
-		}
-	}
-	for limit, offset := false, false; ; {
-		switch {
-		case !limit && p.hasWord("LIMIT"):
-			limit = true
-			if n := p.integer(); p.outer == 0 {
-				p.s.Cost.Limit = n
-			}
-			continue
-		case !offset && p.hasWord("OFFSET"):
-			offset = true
-			p.integer()
-			continue
-		}
-		return
-	}
-}
-
 func (p *parser) integer() int64 {
-	n, err := strconv.ParseInt(p.tok.text, 10, 64)
-	if p.tok.kind != number || err != nil {
+	value, err := strconv.ParseInt(p.token.text, 10, 64)
+	if p.token.kind != number || err != nil {
 		p.unexpected("a whole number")
 	}
 	p.advance()
-	return n
-}
-
-// ValuesClause ::= ( 'VALUES' DataBlock )?
-func (p *parser) values() {
-	if p.hasWord("VALUES") {
-		p.dataBlock()
-	}
-}
-
-// DataBlock ::= Var '{' DataBlockValue* '}' | ( NIL | '(' Var* ')' ) '{' ( '(' DataBlockValue* ')' | NIL )* '}'
-func (p *parser) dataBlock() {
-	value := func() {
-		if p.hasWord("UNDEF") {
-			return
-		}
-		p.term(terms{}, false)
-	}
-	if p.tok.kind == variable {
-		p.advance()
-		p.want("{")
-		for !p.has("}") {
-			p.s.Cost.Rows++
-			value()
-		}
-		return
-	}
-	p.want("(")
-	wide := 0
-	for ; p.tok.kind == variable; wide++ {
-		p.advance()
-	}
-	p.want(")")
-	p.want("{")
-	for !p.has("}") {
-		at, n := p.tok.at, 0
-		p.want("(")
-		for ; !p.has(")"); n++ {
-			value()
-		}
-		if n != wide {
-			p.fail(at, "%d values for %d variables", n, wide)
-		}
-		p.s.Cost.Rows++
-	}
+	return value
 }
--- a/internal/sparql/syntax/pattern.go
+++ b/internal/sparql/syntax/pattern.go
@@ -2,78 +2,65 @@
 
 // GroupGraphPattern ::= '{' ( SubSelect | GroupGraphPatternSub ) '}'
 func (p *parser) group() {
-	p.want("{")
-	p.within(func() {
-		if p.isWord("SELECT") {
+	p.expect("{")
+	p.nested(func() {
+		if p.isKeyword("SELECT") {
 			p.subSelect()
 			return
 		}
 		p.groupInner()
 	})
-	p.want("}")
+	p.expect("}")
 }
 
 // SubSelect ::= SelectClause WhereClause SolutionModifier ValuesClause
 func (p *parser) subSelect() {
-	p.s.Cost.Subqueries++
-	p.outer++
+	p.statement.Cost.Subqueries++
+	p.subqueryDepth++
 	p.selectClause()
 	p.where()
-	p.modifiers()
+	p.solutionModifiers()
 	p.values()
-	p.outer--
+	p.subqueryDepth--
 }
 
 // GroupGraphPatternSub ::= TriplesBlock? ( GraphPatternNotTriples '.'? TriplesBlock? )*
 func (p *parser) groupInner() {
-	in := terms{vars: true, blanks: true, paths: true}
-	p.triples(in, true)
+	allowed := terms{vars: true, blanks: true, paths: true}
+	p.triples(allowed, true)
 	for p.notTriples() {
-		p.has(".")
-		p.triples(in, true)
+		p.accept(".")
+		p.triples(allowed, true)
 	}
 }
 
 // GraphPatternNotTriples ::= GroupOrUnionGraphPattern | OptionalGraphPattern | MinusGraphPattern | GraphGraphPattern |
-// ServiceGraphPattern | Filter | Bind | InlineData
+// ServiceGraphPattern | Filter | Bind | InlineData.
 func (p *parser) notTriples() bool {
 	switch {
-	case p.is("{"):
+	case p.isPunct("{"):
 		p.group()
-		for p.hasWord("UNION") {
-			p.s.Cost.Unions++
+		for p.acceptKeyword("UNION") {
+			p.statement.Cost.Unions++
 			p.group()
 		}
-	case p.oneOf("OPTIONAL", "MINUS"):
-		p.s.Cost.Joins++
+	case p.isAnyKeyword("OPTIONAL", "MINUS"):
+		p.statement.Cost.Joins++
 		p.advance()
 		p.group()
-	case p.hasWord("GRAPH"):
-		if p.tok.kind == variable {
-			p.s.ReadsAny = true
-			p.advance()
-		} else {
-			p.reads(p.iri())
-		}
-		p.group()
-	case p.hasWord("SERVICE"):
-		p.hasWord("SILENT")
-		if p.tok.kind == variable {
-			p.s.Services = append(p.s.Services, p.one(""))
-			p.advance()
-		} else {
-			p.s.Services = append(p.s.Services, p.one(p.iri()))
-		}
-		p.group()
-	case p.hasWord("FILTER"):
-		p.s.Cost.Filters++
+	case p.acceptKeyword("GRAPH"):
+		p.graphPattern()
+	case p.acceptKeyword("SERVICE"):
+		p.servicePattern()
+	case p.acceptKeyword("FILTER"):
+		p.statement.Cost.Filters++
 		p.constraint()
-	case p.hasWord("BIND"):
-		p.want("(")
+	case p.acceptKeyword("BIND"):
+		p.expect("(")
 		p.expression()
 		p.as()
-		p.want(")")
-	case p.hasWord("VALUES"):
+		p.expect(")")
+	case p.acceptKeyword("VALUES"):
 		p.dataBlock()
 	default:
 		return false
@@ -81,76 +68,103 @@
 	return true
 }
 
-// terms is what may stand in triples.
+// GraphGraphPattern ::= 'GRAPH' VarOrIri GroupGraphPattern, from the graph on.
+func (p *parser) graphPattern() {
+	if p.token.kind == variable {
+		p.statement.ReadsAny = true
+		p.advance()
+	} else {
+		p.addRead(p.iri())
+	}
+	p.group()
+}
+
+// ServiceGraphPattern ::= 'SERVICE' 'SILENT'? VarOrIri GroupGraphPattern, behind the first keyword.
+func (p *parser) servicePattern() {
+	p.acceptKeyword("SILENT")
+	service := ""
+	if p.token.kind == variable {
+		p.countGraph("")
+		p.advance()
+	} else {
+		service = p.countGraph(p.iri())
+	}
+	p.statement.Services = append(p.statement.Services, service)
+	p.group()
+}
+
+// terms says which terms are allowed in triples, and how the triples count.
 type terms struct {
-	vars, blanks, paths bool
-	data                bool // counts as rows, not as patterns
+	vars   bool
+	blanks bool
+	paths  bool
+	data   bool // triples count as rows, not as patterns
 }
 
 // triples ::= ( TriplesSameSubject ( '.' triples? )? )?, as TriplesBlock, TriplesTemplate and ConstructTriples have it.
-func (p *parser) triples(in terms, counted bool) {
+func (p *parser) triples(allowed terms, counted bool) {
 	for p.startsTerm() {
-		p.subject(in, counted)
-		if !p.has(".") {
+		p.subject(allowed, counted)
+		if !p.accept(".") {
 			return
 		}
 	}
 }
 
-// startsTerm tells whether a term, list or blank node begins here.
+// startsTerm reports whether a term, list or blank node begins here.
 func (p *parser) startsTerm() bool {
-	switch p.tok.kind {
-	case iriRef, name, blank, variable, literal, number:
+	switch p.token.kind {
+	case iriRef, prefixedName, blank, variable, literal, number:
 		return true
-	case word:
-		return p.oneOf("true", "false")
+	case keyword:
+		return p.isAnyKeyword("true", "false")
 	}
-	return p.is("(") || p.is("[") || p.is("+") || p.is("-")
+	return p.isPunct("(") || p.isPunct("[") || p.isPunct("+") || p.isPunct("-")
 }
 
 // TriplesSameSubjectPath ::= VarOrTerm PropertyListPathNotEmpty | TriplesNodePath PropertyListPath
-func (p *parser) subject(in terms, counted bool) {
-	free, node := p.node(in, counted)
-	if node && !p.startsVerb(in) {
+func (p *parser) subject(allowed terms, counted bool) {
+	free, node := p.node(allowed, counted)
+	if node && !p.startsVerb(allowed) {
 		return
 	}
-	p.properties(in, free, counted)
+	p.properties(allowed, free, counted)
 }
 
 // PropertyListPathNotEmpty ::= Verb ObjectList ( ';' ( Verb ObjectList )? )*
-func (p *parser) properties(in terms, free int, counted bool) {
-	p.verbObjects(in, free, counted)
-	for p.has(";") {
-		if p.startsVerb(in) {
-			p.verbObjects(in, free, counted)
+func (p *parser) properties(allowed terms, free int, counted bool) {
+	p.verbObjects(allowed, free, counted)
+	for p.accept(";") {
+		if p.startsVerb(allowed) {
+			p.verbObjects(allowed, free, counted)
 		}
 	}
 }
 
-func (p *parser) startsVerb(in terms) bool {
-	return p.isIRI() || p.tok.kind == variable || p.tok.kind == word && p.tok.text == "a" ||
-		in.paths && (p.is("^") || p.is("!") || p.is("("))
+func (p *parser) startsVerb(allowed terms) bool {
+	return p.isIRI() || p.token.kind == variable || p.token.kind == keyword && p.token.text == "a" ||
+		allowed.paths && (p.isPunct("^") || p.isPunct("!") || p.isPunct("("))
 }
 
-func (p *parser) verbObjects(in terms, free int, counted bool) {
-	if p.tok.kind == variable {
-		p.mayVar(in)
+func (p *parser) verbObjects(allowed terms, free int, counted bool) {
+	if p.token.kind == variable {
+		p.requireVariableAllowed(allowed)
 		p.advance()
 		free++
-	} else if in.paths {
+	} else if allowed.paths {
 		p.path()
 	} else {
 		p.verb()
 	}
 	for {
-		object, _ := p.node(in, counted)
-		if in.data {
-			p.s.Cost.Rows++
+		object, _ := p.node(allowed, counted)
+		if allowed.data {
+			p.statement.Cost.Rows++
 		} else if counted {
-			p.s.Cost.Patterns++
-			p.s.Cost.Free[free+object]++
+			p.statement.Cost.Patterns++
+			p.statement.Cost.Free[free+object]++
 		}
-		if !p.has(",") {
+		if !p.accept(",") {
 			return
 		}
 	}
@@ -158,69 +172,70 @@
 
 // verb ::= iri | 'a'
 func (p *parser) verb() {
-	if p.tok.kind == word && p.tok.text == "a" {
+	if p.token.kind == keyword && p.token.text == "a" {
 		p.advance()
 		return
 	}
 	p.iri()
 }
 
-// node ::= VarOrTerm | Collection | BlankNodePropertyList; free: 1 where it is not bound; node: it has triples of its own.
-func (p *parser) node(in terms, counted bool) (free int, node bool) {
+// node ::= VarOrTerm | Collection | BlankNodePropertyList. Returns 1 where it is not bound, and whether it has triples
+// of its own.
+func (p *parser) node(allowed terms, counted bool) (free int, node bool) {
 	switch {
-	case p.is("("):
-		p.within(func() {
+	case p.isPunct("("):
+		p.nested(func() {
 			p.advance()
-			for n := 0; !p.has(")"); n++ {
-				p.node(in, counted)
+			for n := 0; !p.accept(")"); n++ {
+				p.node(allowed, counted)
 				node = true
 			}
 		})
 		return 1, node
-	case p.is("["):
-		at := p.tok.at
-		p.within(func() {
+	case p.isPunct("["):
+		at := p.token.at
+		p.nested(func() {
 			p.advance()
-			if p.has("]") {
+			if p.accept("]") {
 				return
 			}
-			p.properties(in, 1, counted)
-			p.want("]")
+			p.properties(allowed, 1, counted)
+			p.expect("]")
 			node = true
 		})
-		if !in.blanks {
+		if !allowed.blanks {
 			p.fail(at, "no blank node may stand here")
 		}
 		return 1, node
 	}
-	return p.term(in, true), false
+	return p.term(allowed), false
 }
 
 // term ::= iri | RDFLiteral | NumericLiteral | BooleanLiteral | BlankNode | Var, as far as they may stand here
-func (p *parser) term(in terms, nodes bool) (free int) {
+func (p *parser) term(allowed terms) (free int) {
 	switch {
-	case p.tok.kind == variable:
-		p.mayVar(in)
+	case p.token.kind == variable:
+		p.requireVariableAllowed(allowed)
 		p.advance()
 		return 1
-	case p.tok.kind == blank:
-		if !in.blanks {
-			p.fail(p.tok.at, "no blank node may stand here")
+	case p.token.kind == blank:
+		if !allowed.blanks {
+			p.fail(p.token.at, "no blank node may stand here")
 		}
 		p.advance()
 		return 1
 	case p.isIRI():
 		p.iri()
-	case p.tok.kind == literal:
+	case p.token.kind == literal:
 		p.literal()
-	case p.tok.kind == number:
+	case p.token.kind == number:
 		p.advance()
-	case p.is("+") || p.is("-"):
-		if p.advance(); p.tok.kind != number || p.tok.spaced {
+	case p.isPunct("+") || p.isPunct("-"):
+		if p.advance(); p.token.kind != number || p.token.spaced {
 			p.unexpected("a number")
 		}
 		p.advance()
-	case p.oneOf("true", "false"):
+	case p.isAnyKeyword("true", "false"):
 		p.advance()
 	default:
 		p.unexpected("a term")
@@ -228,24 +243,24 @@
 	return 0
 }
 
-func (p *parser) mayVar(in terms) {
-	if !in.vars {
-		p.fail(p.tok.at, "no variable may stand here")
+func (p *parser) requireVariableAllowed(allowed terms) {
+	if !allowed.vars {
+		p.fail(p.token.at, "no variable may stand here")
 	}
 }
 
 // RDFLiteral ::= String ( LANGTAG | ( '^^' iri ) )?
 func (p *parser) literal() {
 	p.advance()
-	if p.tok.kind == langTag {
+	if p.token.kind == langTag {
 		p.advance()
-	} else if p.has("^^") {
+	} else if p.accept("^^") {
 		p.iri()
 	}
 }
 
 func (p *parser) varOrIRI() {
-	if p.tok.kind == variable {
+	if p.token.kind == variable {
 		p.advance()
 		return
 	}
@@ -256,19 +271,19 @@
 func (p *parser) path() {
 	for {
 		for {
-			p.has("^")
+			p.accept("^")
 			p.pathPrimary()
 			switch {
-			case p.has("*"), p.has("+"):
-				p.s.Cost.Paths++
+			case p.accept("*"), p.accept("+"):
+				p.statement.Cost.Paths++
 			default:
-				p.has("?")
+				p.accept("?")
 			}
-			if !p.has("/") {
+			if !p.accept("/") {
 				break
 			}
 		}
-		if !p.has("|") {
+		if !p.accept("|") {
 			return
 		}
 	}
@@ -277,29 +292,29 @@
 // PathPrimary ::= iri | 'a' | '!' PathNegatedPropertySet | '(' Path ')'
 func (p *parser) pathPrimary() {
 	switch {
-	case p.is("("):
-		p.within(func() {
+	case p.isPunct("("):
+		p.nested(func() {
 			p.advance()
 			p.path()
 		})
-		p.want(")")
-	case p.has("!"):
+		p.expect(")")
+	case p.accept("!"):
 		one := func() {
-			p.has("^")
+			p.accept("^")
 			p.verb()
 		}
-		if !p.has("(") {
+		if !p.accept("(") {
 			one()
 			return
 		}
-		if p.has(")") {
+		if p.accept(")") {
 			return
 		}
 		one()
-		for p.has("|") {
+		for p.accept("|") {
 			one()
 		}
-		p.want(")")
+		p.expect(")")
 	default:
 		p.verb()
 	}
--- a/internal/sparql/syntax/statement.go
+++ b/internal/sparql/syntax/statement.go
@@ -1,11 +1,26 @@
+// Package syntax reads SPARQL 1.1 queries and updates (W3C Recommendation of 2013-03-21, section 19) far enough to know
+// what they are and what they touch. It runs nothing, and retains nothing of a text but names of graphs and counts. Its
+// functions are safe for concurrent use.
 package syntax
 
 import (
+	"fmt"
 	"hash/fnv"
 	"slices"
 )
 
-// Form is what a text asks for.
+// Error says where and why a text is no SPARQL, or none that is accepted here.
+type Error struct {
+	Line, Column int // from 1; columns count characters
+	Reason       string
+}
+
+// Error returns the place and the reason.
+func (e *Error) Error() string {
+	return fmt.Sprintf("line %d column %d: %s", e.Line, e.Column, e.Reason)
+}
+
+// Form is the form of a query, or Update.
 type Form uint8
 
 // The forms.
@@ -17,18 +32,19 @@
 	Update
 )
 
+// String returns the keyword of the form.
 func (f Form) String() string {
 	return [...]string{"SELECT", "CONSTRUCT", "DESCRIBE", "ASK", "UPDATE"}[f]
 }
 
-// Bounds of a text, beyond which it is refused before it is read further.
+// Bounds of a text; beyond them it is refused before it is read further.
 const (
-	MostBytes  = 1 << 20
-	MostDepth  = 128  // of groups, paths, expressions and lists in each other
-	MostGraphs = 1000 // named in one text
+	MaxBytes  = 1 << 20
+	MaxDepth  = 128  // of groups, paths, expressions and lists in each other
+	MaxGraphs = 1000 // named in one text
 )
 
-// Statement is what is known of a text.
+// Statement is what is known of a text. IRIs are resolved against the prefixes and the base of the text.
 type Statement struct {
 	Form Form
 
@@ -41,11 +57,11 @@
 	Dataset                     bool     // FROM, USING or WITH names graphs in the text
 	Loads                       bool     // LOAD fetches from elsewhere
 
-	Shape uint64 // the same for texts that differ in literals, numbers, names of variables and white space only
-	Cost  Counts
+	Fingerprint uint64 // equal for texts that differ in literals, numbers, names of variables and white space only
+	Cost        Counts
 }
 
-// Counts are what a guess of the cost goes by.
+// Counts are what an estimate of the cost is based on.
 type Counts struct {
 	Patterns   int    // triple patterns
 	Free       [4]int // of them, by how many of their three places are variables
@@ -61,19 +77,25 @@
 }
 
 // Parse reads a query, or an update. The error is an *Error.
-func Parse(text string, update bool) (s *Statement, err error) {
-	if len(text) > MostBytes {
+func Parse(text string, update bool) (statement *Statement, err error) {
+	if len(text) > MaxBytes {
 		return nil, &Error{1, 1, "longer than a text may be"}
 	}
-	p := &parser{lexer: lexer{text: text}, s: &Statement{Cost: Counts{Limit: -1}}, prefixes: map[string]string{}, shape: fnv.New64a()}
+	p := &parser{
+		lexer:       lexer{text: text},
+		statement:   &Statement{Cost: Counts{Limit: -1}},
+		prefixes:    map[string]string{},
+		fingerprint: fnv.New64a(),
+	}
 	defer func() {
 		if thrown := recover(); thrown != nil {
-			f, is := thrown.(fault)
-			if !is {
+			failure, ok := thrown.(parseFailure)
+			if !ok {
 				panic(thrown)
 			}
-			line, column := place(text, f.at)
-			s, err = nil, &Error{line, column, f.reason}
+			line, column := lineAndColumn(text, failure.at)
+			statement = nil
+			err = &Error{line, column, failure.reason}
 		}
 	}()
 	p.advance()
@@ -82,13 +104,13 @@
 	} else {
 		p.query()
 	}
-	if p.tok.kind != end {
+	if p.token.kind != end {
 		p.unexpected("the end")
 	}
-	p.s.Shape = p.shape.Sum64()
-	for _, list := range []*[]string{&p.s.Reads, &p.s.Writes, &p.s.Services} {
+	p.statement.Fingerprint = p.fingerprint.Sum64()
+	for _, list := range []*[]string{&p.statement.Reads, &p.statement.Writes, &p.statement.Services} {
 		slices.Sort(*list)
 		*list = slices.Compact(*list)
 	}
-	return p.s, nil
+	return p.statement, nil
 }
--- a/internal/sparql/syntax/syntax_test.go
+++ b/internal/sparql/syntax/syntax_test.go
@@ -11,12 +11,19 @@
 // Queries that go through every production of the grammar at least once.
 var queries = []string{
 	`SELECT * WHERE { ?s ?p ?o }`,
-	`BASE <http://x/> PREFIX t: <terms#> PREFIX : <http://y/> SELECT DISTINCT ?a (COUNT(*) AS ?n) FROM <g1> FROM NAMED t:g2 { ?a t:b ?c . ?c a :k } GROUP BY ?a HAVING (COUNT(?c) > 3) ORDER BY DESC(?n) ?a LIMIT 10 OFFSET 5`,
-	`SELECT REDUCED ?x { ?x <p>/<q>|^<r>* ?y ; <s>+ [ <t> 1, 2.5, -3e4 ] ; (<u>/!(<v>|^a))? "z"@en-GB . OPTIONAL { ?x <w> '''long
+	`BASE <http://x/> PREFIX t: <terms#> PREFIX : <http://y/> SELECT DISTINCT ?a (COUNT(*) AS ?n) FROM <g1> ` +
+		`FROM NAMED t:g2 { ?a t:b ?c . ?c a :k } GROUP BY ?a HAVING (COUNT(?c) > 3) ORDER BY DESC(?n) ?a LIMIT ` +
+		`10 OFFSET 5`,
+	`SELECT REDUCED ?x { ?x <p>/<q>|^<r>* ?y ; <s>+ [ <t> 1, 2.5, -3e4 ] ; (<u>/!(<v>|^a))? "z"@en-GB . ` +
+		`OPTIONAL { ?x <w> '''long
 'quoted' text''' } MINUS { ?x a <k> } }`,
-	`SELECT ?x { { ?x <a> 1 } UNION { ?x <b> 2 } UNION { ?x <c> true } FILTER (?x != <y> && !BOUND(?z) || STRLEN(STR(?x)) + 1 * 2 >= 3) FILTER NOT EXISTS { ?x <d> ?e } }`,
-	`SELECT ?x { GRAPH ?g { ?x ?y ?z } GRAPH <g> { ?x <p> (1 2 (?x)) } BIND (IF(?a IN (1, 2), "x"^^<t>, COALESCE(?b, REGEX(?c, "d", "i"))) AS ?f) VALUES ?x { <a> UNDEF 1 } VALUES (?x ?y) { (1 2) (UNDEF "a") } }`,
-	`SELECT ?x { { SELECT ?x (SUM(?y) AS ?s) (GROUP_CONCAT(DISTINCT ?z; SEPARATOR=", ") AS ?c) WHERE { ?x <p> ?y, ?z } GROUP BY ?x LIMIT 3 } SERVICE SILENT <http://far/sparql> { ?x <q> ?r } } VALUES () { () }`,
+	`SELECT ?x { { ?x <a> 1 } UNION { ?x <b> 2 } UNION { ?x <c> true } FILTER (?x != <y> && !BOUND(?z) || ` +
+		`STRLEN(STR(?x)) + 1 * 2 >= 3) FILTER NOT EXISTS { ?x <d> ?e } }`,
+	`SELECT ?x { GRAPH ?g { ?x ?y ?z } GRAPH <g> { ?x <p> (1 2 (?x)) } BIND (IF(?a IN (1, 2), "x"^^<t>, ` +
+		`COALESCE(?b, REGEX(?c, "d", "i"))) AS ?f) VALUES ?x { <a> UNDEF 1 } VALUES (?x ?y) { (1 2) (UNDEF "a") ` +
+		`} }`,
+	`SELECT ?x { { SELECT ?x (SUM(?y) AS ?s) (GROUP_CONCAT(DISTINCT ?z; SEPARATOR=", ") AS ?c) WHERE { ?x ` +
+		`<p> ?y, ?z } GROUP BY ?x LIMIT 3 } SERVICE SILENT <http://far/sparql> { ?x <q> ?r } } VALUES () { () }`,
 	`CONSTRUCT { ?s <p> [] . _:b <q> ?o } WHERE { ?s <r> ?o } LIMIT 3`,
 	`CONSTRUCT FROM <g> WHERE { ?s <r> ?o . ?o <t> 1 }`,
 	`DESCRIBE <a> ?b FROM <g> WHERE { ?b <p> <a> }`,
@@ -31,9 +38,11 @@
 	`INSERT DATA { <a> <b> 1 . GRAPH <g> { <a> <b> _:c } . <d> <e> "f" }`,
 	`DELETE DATA { GRAPH <g> { <a> <b> 1, 2 } }; INSERT DATA { <a> <b> 3 } ;`,
 	`DELETE WHERE { GRAPH ?g { ?s <p> ?o } }`,
-	`PREFIX : <http://x/> WITH :g DELETE { ?s :p ?o } INSERT { ?s :q ?o . GRAPH :h { ?s :r [] } } USING :a USING NAMED :b WHERE { ?s :p ?o }`,
+	`PREFIX : <http://x/> WITH :g DELETE { ?s :p ?o } INSERT { ?s :q ?o . GRAPH :h { ?s :r [] } } USING :a ` +
+		`USING NAMED :b WHERE { ?s :p ?o }`,
 	`INSERT { ?s <p> 1 } WHERE { SELECT ?s { ?s a <k> } }`,
-	`LOAD SILENT <http://x/data> INTO GRAPH <g>; CLEAR SILENT GRAPH <g>; DROP ALL; CREATE GRAPH <h>; ADD <a> TO DEFAULT; MOVE GRAPH <b> TO <c>; COPY DEFAULT TO <d>`,
+	`LOAD SILENT <http://x/data> INTO GRAPH <g>; CLEAR SILENT GRAPH <g>; DROP ALL; CREATE GRAPH <h>; ADD <a> ` +
+		`TO DEFAULT; MOVE GRAPH <b> TO <c>; COPY DEFAULT TO <d>`,
 	`CLEAR DEFAULT; CLEAR NAMED; PREFIX x: <y> DROP GRAPH x:z`,
 }
 
@@ -96,7 +105,9 @@
 }
 
 func TestDepthAndLengthAreBounded(t *testing.T) {
-	for _, deep := range [][3]string{{"ASK ", "{", "}"}, {"ASK { FILTER ", "(", ")"}, {"ASK { ?x <p> ", "(", ")"}, {"ASK { ?x ", "(", ")"},
+	for _, deep := range [][3]string{
+		{"ASK ", "{", "}"}, {"ASK { FILTER ", "(", ")"},
+		{"ASK { ?x <p> ", "(", ")"}, {"ASK { ?x ", "(", ")"},
 		{"ASK { ?x <p> ", "[<q> ", "]"}, {"ASK { FILTER ", "EXISTS { FILTER ", "}"}, {"SELECT * ", "{ SELECT * ", "}"}} {
 		_, err := Parse(deep[0]+strings.Repeat(deep[1], 10_000)+strings.Repeat(deep[2], 10_000), false)
 		if err == nil || !strings.Contains(err.Error(), "over 128 levels") {
@@ -106,10 +117,10 @@
 	if _, err := Parse("ASK "+strings.Repeat("{", 100)+strings.Repeat("}", 100), false); err != nil {
 		t.Error(err)
 	}
-	if _, err := Parse(strings.Repeat(" ", MostBytes)+"ASK {}", false); err == nil {
+	if _, err := Parse(strings.Repeat(" ", MaxBytes)+"ASK {}", false); err == nil {
 		t.Error("a text too long is read")
 	}
-	if _, err := Parse(strings.Repeat("CLEAR GRAPH <g>;", MostGraphs+1), true); err == nil {
+	if _, err := Parse(strings.Repeat("CLEAR GRAPH <g>;", MaxGraphs+1), true); err == nil {
 		t.Error("any number of graphs is taken")
 	}
 }
@@ -124,33 +135,39 @@
 		return s
 	}
 	s := read(queries[1], false)
-	if s.Form != Select || !slices.Equal(s.Reads, []string{"http://x/g1", "http://x/terms#g2"}) || s.ReadsDefault || s.Cost.Limit != 10 || s.Cost.Sorts != 3 || s.Cost.Aggregates != 2 {
+	if s.Form != Select || !slices.Equal(s.Reads, []string{"http://x/g1", "http://x/terms#g2"}) || s.ReadsDefault ||
+		s.Cost.Limit != 10 || s.Cost.Sorts != 3 || s.Cost.Aggregates != 2 {
 		t.Errorf("%+v", s)
 	}
 	s = read(queries[5], false)
-	if !slices.Equal(s.Services, []string{"http://far/sparql"}) || s.Cost.Limit != -1 || s.Cost.Subqueries != 1 || !s.ReadsDefault {
+	if !slices.Equal(s.Services, []string{"http://far/sparql"}) || s.Cost.Limit != -1 ||
+		s.Cost.Subqueries != 1 || !s.ReadsDefault {
 		t.Errorf("%+v", s)
 	}
 	s = read(updates[3], true)
-	if s.Form != Update || !slices.Equal(s.Writes, []string{"http://x/g", "http://x/h"}) || !slices.Equal(s.Reads, []string{"http://x/a", "http://x/b"}) || s.WritesAny || s.WritesDefault {
+	if s.Form != Update || !slices.Equal(s.Writes, []string{"http://x/g", "http://x/h"}) ||
+		!slices.Equal(s.Reads, []string{"http://x/a", "http://x/b"}) || s.WritesAny || s.WritesDefault {
 		t.Errorf("%+v", s)
 	}
 	s = read(updates[5], true)
-	if !s.Loads || !s.WritesAny || !s.WritesDefault || !slices.Equal(s.Writes, []string{"b", "c", "d", "g", "h"}) || !slices.Equal(s.Reads, []string{"a", "b"}) {
+	if !s.Loads || !s.WritesAny || !s.WritesDefault || !slices.Equal(s.Writes, []string{"b", "c", "d", "g", "h"}) ||
+		!slices.Equal(s.Reads, []string{"a", "b"}) {
 		t.Errorf("%+v", s)
 	}
 	s = read(updates[2], true)
 	if !s.WritesAny || s.Cost.Patterns != 1 || s.Cost.Free[2] != 1 {
 		t.Errorf("%+v", s)
 	}
-	if s = read(`SELECT * { ?a <p> ?b . ?b ?q ?c . <x> <p>* ?a OPTIONAL { <x> <y> 1 } }`, false); s.Cost.Free != [4]int{1, 1, 1, 1} || s.Cost.Paths != 1 || s.Cost.Joins != 1 {
+	s = read(`SELECT * { ?a <p> ?b . ?b ?q ?c . <x> <p>* ?a OPTIONAL { <x> <y> 1 } }`, false)
+	if s.Cost.Free != [4]int{1, 1, 1, 1} ||
+		s.Cost.Paths != 1 || s.Cost.Joins != 1 {
 		t.Errorf("%+v", s)
 	}
 	a := read(`SELECT ?x { ?x <p> "a"@en, 3 }`, false)
-	if b := read("# other\nselect  ?name\n{ ?name <p> 'b'@de , 4.5 }", false); a.Shape != b.Shape {
+	if b := read("# other\nselect  ?name\n{ ?name <p> 'b'@de , 4.5 }", false); a.Fingerprint != b.Fingerprint {
 		t.Error("literals, names of variables and white space change the shape")
 	}
-	if b := read(`SELECT ?x { ?x <q> "a"@en, 3 }`, false); a.Shape == b.Shape {
+	if b := read(`SELECT ?x { ?x <q> "a"@en, 3 }`, false); a.Fingerprint == b.Fingerprint {
 		t.Error("another predicate has the same shape")
 	}
 }
@@ -163,13 +180,13 @@
 		r := rand.New(rand.NewPCG(seed, 1))
 		for _, update := range []bool{false, true} {
 			s, err := Parse(text, update)
-			var told *Error
-			if err != nil && (!errors.As(err, &told) || told.Line < 1 || told.Column < 1) {
+			var parseError *Error
+			if err != nil && (!errors.As(err, &parseError) || parseError.Line < 1 || parseError.Column < 1) {
 				t.Fatalf("%v", err)
 			}
 			if s != nil && len(text) > 0 { // a part of it must not end the program either
-				Parse(text[:r.IntN(len(text))], update)
-				if again, _ := Parse(text, update); again == nil || again.Shape != s.Shape {
+				_, _ = Parse(text[:r.IntN(len(text))], update) // an error is as good as none
+				if again, _ := Parse(text, update); again == nil || again.Fingerprint != s.Fingerprint {
 					t.Fatal("read twice it differs")
 				}
 			}
--- a/internal/sparql/syntax/update.go
+++ b/internal/sparql/syntax/update.go
@@ -2,14 +2,14 @@
 
 // Update ::= Prologue ( Update1 ( ';' Update )? )?
 func (p *parser) update() {
-	p.s.Form = Update
-	for n := 0; ; n++ {
+	p.statement.Form = Update
+	for operations := 0; ; operations++ {
 		p.prologue()
-		if p.tok.kind == end && n > 0 {
+		if p.token.kind == end && operations > 0 {
 			return
 		}
 		p.operation()
-		if !p.has(";") {
+		if !p.accept(";") {
 			return
 		}
 	}
@@ -18,84 +18,111 @@
 // Update1 ::= Load | Clear | Drop | Add | Move | Copy | Create | InsertData | DeleteData | DeleteWhere | Modify
 func (p *parser) operation() {
 	switch {
-	case p.hasWord("LOAD"):
-		p.s.Loads = true
-		p.hasWord("SILENT")
-		p.iri()
-		if p.hasWord("INTO") {
-			p.wantWord("GRAPH")
-			p.writes(p.iri())
-		} else {
-			p.s.WritesDefault = true
-		}
-	case p.oneOf("CLEAR", "DROP"):
+	case p.acceptKeyword("LOAD"):
+		p.load()
+	case p.isAnyKeyword("CLEAR", "DROP"):
 		p.advance()
-		p.hasWord("SILENT")
-		switch {
-		case p.hasWord("DEFAULT"):
-			p.s.WritesDefault = true
-		case p.hasWord("NAMED"):
-			p.s.WritesAny = true
-		case p.hasWord("ALL"):
-			p.s.WritesAny, p.s.WritesDefault = true, true
-		default:
-			p.wantWord("GRAPH")
-			p.writes(p.iri())
-		}
-	case p.hasWord("CREATE"):
-		p.hasWord("SILENT")
-		p.wantWord("GRAPH")
-		p.writes(p.iri())
-	case p.oneOf("ADD", "MOVE", "COPY"):
-		move := p.isWord("MOVE")
+		p.clearOrDrop()
+	case p.acceptKeyword("CREATE"):
+		p.acceptKeyword("SILENT")
+		p.expectKeyword("GRAPH")
+		p.addWrite(p.iri())
+	case p.isAnyKeyword("ADD", "MOVE", "COPY"):
+		move := p.isKeyword("MOVE")
 		p.advance()
-		p.hasWord("SILENT")
+		p.acceptKeyword("SILENT")
 		p.graphOrDefault(true, move)
-		p.wantWord("TO")
+		p.expectKeyword("TO")
 		p.graphOrDefault(false, true)
-	case p.hasWord("INSERT"):
-		if p.hasWord("DATA") {
-			p.quads(terms{blanks: true, data: true}, "")
-			return
-		}
-		p.modify("", true)
-	case p.hasWord("DELETE"):
-		switch {
-		case p.hasWord("DATA"):
-			p.quads(terms{data: true}, "")
-		case p.hasWord("WHERE"):
-			p.s.ReadsDefault = true
-			p.quads(terms{vars: true}, "")
-		default:
-			p.modify("", false)
-		}
-	case p.hasWord("WITH"):
-		with := p.iri()
-		p.s.Dataset = true
-		insert := p.isWord("INSERT")
-		if !insert && !p.isWord("DELETE") {
-			p.unexpected("INSERT or DELETE")
-		}
-		p.advance()
-		p.modify(with, insert)
+	case p.acceptKeyword("INSERT"):
+		p.insert()
+	case p.acceptKeyword("DELETE"):
+		p.delete()
+	case p.acceptKeyword("WITH"):
+		p.with()
 	default:
 		p.unexpected("an update")
 	}
 }
 
+// Load ::= 'LOAD' 'SILENT'? iri ( 'INTO' GraphRef )?, behind the first keyword.
+func (p *parser) load() {
+	p.statement.Loads = true
+	p.acceptKeyword("SILENT")
+	p.iri()
+	if !p.acceptKeyword("INTO") {
+		p.statement.WritesDefault = true
+		return
+	}
+	p.expectKeyword("GRAPH")
+	p.addWrite(p.iri())
+}
+
+// clearOrDrop ::= 'SILENT'? GraphRefAll
+func (p *parser) clearOrDrop() {
+	p.acceptKeyword("SILENT")
+	switch {
+	case p.acceptKeyword("DEFAULT"):
+		p.statement.WritesDefault = true
+	case p.acceptKeyword("NAMED"):
+		p.statement.WritesAny = true
+	case p.acceptKeyword("ALL"):
+		p.statement.WritesAny = true
+		p.statement.WritesDefault = true
+	default:
+		p.expectKeyword("GRAPH")
+		p.addWrite(p.iri())
+	}
+}
+
+// insert parses InsertData, or a Modify that begins with INSERT, behind that keyword.
+func (p *parser) insert() {
+	if p.acceptKeyword("DATA") {
+		p.quads(terms{blanks: true, data: true}, "")
+		return
+	}
+	p.modify("", true)
+}
+
+// delete parses DeleteData, DeleteWhere, or a Modify that begins with DELETE, behind that keyword.
+func (p *parser) delete() {
+	switch {
+	case p.acceptKeyword("DATA"):
+		p.quads(terms{data: true}, "")
+	case p.acceptKeyword("WHERE"):
+		p.statement.ReadsDefault = true
+		p.quads(terms{vars: true}, "")
+	default:
+		p.modify("", false)
+	}
+}
+
+// with parses a Modify that begins with WITH, behind that keyword.
+func (p *parser) with() {
+	graph := p.iri()
+	p.statement.Dataset = true
+	insert := p.isKeyword("INSERT")
+	if !insert && !p.isKeyword("DELETE") {
+		p.unexpected("INSERT or DELETE")
+	}
+	p.advance()
+	p.modify(graph, insert)
+}
+
 // GraphOrDefault ::= 'DEFAULT' | 'GRAPH'? iri
 func (p *parser) graphOrDefault(read, write bool) {
-	if p.hasWord("DEFAULT") {
-		p.s.ReadsDefault, p.s.WritesDefault = p.s.ReadsDefault || read, p.s.WritesDefault || write
+	if p.acceptKeyword("DEFAULT") {
+		p.statement.ReadsDefault = p.statement.ReadsDefault || read
+		p.statement.WritesDefault = p.statement.WritesDefault || write
 		return
 	}
-	p.hasWord("GRAPH")
+	p.acceptKeyword("GRAPH")
 	graph := p.iri()
 	if read {
-		p.reads(graph)
+		p.addRead(graph)
 	}
 	if write {
-		p.writes(graph)
+		p.addWrite(graph)
 	}
 }
 
@@ -105,52 +132,54 @@
 		p.quads(terms{vars: true, blanks: true}, with)
 	} else {
 		p.quads(terms{vars: true}, with)
-		if p.hasWord("INSERT") {
+		if p.acceptKeyword("INSERT") {
 			p.quads(terms{vars: true, blanks: true}, with)
 		}
 	}
-	before := len(p.s.Reads)
-	p.dataset("USING")
-	if len(p.s.Reads) == before {
+	before := len(p.statement.Reads)
+	p.datasetClauses("USING")
+	if len(p.statement.Reads) == before {
 		if with != "" {
-			p.reads(with)
+			p.addRead(with)
 		} else {
-			p.s.ReadsDefault = true
+			p.statement.ReadsDefault = true
 		}
 	}
-	p.wantWord("WHERE")
+	p.expectKeyword("WHERE")
 	p.group()
 }
 
-// Quads ::= '{' TriplesTemplate? ( 'GRAPH' VarOrIri '{' TriplesTemplate? '}' '.'? TriplesTemplate? )* '}'; what stands in
-// no GRAPH goes to the graph of WITH, or the default one.
-func (p *parser) quads(in terms, with string) {
-	p.want("{")
-	own := func() {
-		if !p.startsTerm() {
-			return
-		}
-		if with != "" {
-			p.writes(with)
-		} else {
-			p.s.WritesDefault = true
-		}
-		p.triples(in, true)
-	}
-	own()
-	for p.hasWord("GRAPH") {
-		if p.tok.kind == variable {
-			p.mayVar(in)
-			p.s.WritesAny = true
+// Quads ::= '{' TriplesTemplate? ( 'GRAPH' VarOrIri '{' TriplesTemplate? '}' '.'? TriplesTemplate? )* '}'.
+// What stands in no GRAPH goes to the graph of WITH, or the default one.
+func (p *parser) quads(allowed terms, with string) {
+	p.expect("{")
+	p.quadsOutsideGraph(allowed, with)
+	for p.acceptKeyword("GRAPH") {
+		if p.token.kind == variable {
+			p.requireVariableAllowed(allowed)
+			p.statement.WritesAny = true
 			p.advance()
 		} else {
-			p.writes(p.iri())
+			p.addWrite(p.iri())
 		}
-		p.want("{")
-		p.triples(in, true)
-		p.want("}")
-		p.has(".")
-		own()
+		p.expect("{")
+		p.triples(allowed, true)
+		p.expect("}")
+		p.accept(".")
+		p.quadsOutsideGraph(allowed, with)
+	}
+	p.expect("}")
+}
+
+// quadsOutsideGraph ::= TriplesTemplate?, into the graph of WITH, or the default one.
+func (p *parser) quadsOutsideGraph(allowed terms, with string) {
+	if !p.startsTerm() {
+		return
+	}
+	if with != "" {
+		p.addWrite(with)
+	} else {
+		p.statement.WritesDefault = true
 	}
-	p.want("}")
+	p.triples(allowed, true)
 }
