--- a/choice/log.go
+++ b/choice/log.go
@@ -14,7 +14,7 @@
 	if followed == (c.planWeight > 0) {
 		return
 	}
-	c.logf("plan followed=%v threads gone=%.2f asked/planned=%.2f", followed, missing, demandRatio)
+	c.logf("plan followed=%v missing_share=%.2f demand_ratio=%.2f", followed, missing, demandRatio)
 }
 
 // logPressure logs when pressure on more than half of the engines begins, and when it is on less than a quarter.
@@ -25,7 +25,8 @@
 		return
 	}
 	c.fleet.underPressure = majority
-	c.logf("pressure=%v on %d of %d engines, latency/best=%.2f", majority, engines, len(c.engines), c.fleet.meanLatencyRatio)
+	c.logf("fleet pressure=%v pressed_engines=%d engines=%d latency_ratio=%.2f", majority, engines, len(c.engines),
+		c.fleet.meanLatencyRatio)
 }
 
 // logOverload logs when an overload begins and ends: work has a price.
@@ -35,31 +36,31 @@
 		return
 	}
 	c.overloadLogged = on
-	c.logf("overload=%v price=%.2f head waited=%.2f of SLA time", on, price, headWait)
+	c.logf("overload=%v price=%.2f head_wait=%.2f", on, price, headWait)
 }
 
 func (c *Controller) logOutage(e *engine) {
-	c.logf("outage: engine %d refused a connection", e.Engine)
+	c.logf("outage began engine=%d", e.Engine)
 }
 
 func (c *Controller) logEjection(e *engine) {
-	c.logf("engine %d aside: %d failed or lost in a row, latency/best=%.2f out=%d", e.Engine, e.consecutiveFailures,
+	c.logf("engine ejected engine=%d consecutive_failures=%d latency_ratio=%.2f attempts_out=%d", e.Engine, e.consecutiveFailures,
 		e.latencyRatio, len(e.attempts))
 }
 
 func (c *Controller) logRestoration(e *engine) {
-	c.logf("engine %d open: %d probes answered after %.1f s", e.Engine, e.probesPassed, float64(c.now-e.ejectedAt)/1e9)
+	c.logf("engine restored engine=%d probes_passed=%d ejected_seconds=%.1f", e.Engine, e.probesPassed, float64(c.now-e.ejectedAt)/1e9)
 }
 
-// restartReason is why an engine seems to have restarted.
+// restartReason is why an engine seems to have restarted, with keys of its own.
 type restartReason string
 
-const reconnected restartReason = "answers after it refused connections"
+const reconnected restartReason = "reconnected"
 
 func fewJobs(jobs, expected float64) restartReason {
-	return restartReason(fmt.Sprintf("holds %.0f jobs where %.0f are usual", jobs, expected))
+	return restartReason(fmt.Sprintf("few_jobs jobs=%.0f expected_jobs=%.0f", jobs, expected))
 }
 
-func (c *Controller) logSuspectedRestart(e *engine, why restartReason) {
-	c.logf("engine %d taken for just started: %s", e.Engine, why)
+func (c *Controller) logSuspectedRestart(e *engine, reason restartReason) {
+	c.logf("engine restart suspected engine=%d reason=%s", e.Engine, reason)
 }
