--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -43,10 +43,10 @@
 }
 
 // serve is what swiftreel does without a command.
-func serve(s command.Serving) error {
+func serve(s command.ServeOptions) error {
 	reload := make(chan os.Signal, 1) // caught before anything else: the signal never ends the program
 	signal.Notify(reload, syscall.SIGHUP)
-	logging.To(os.Stderr)
+	logging.Setup(os.Stderr)
 	if s.Operator == "" {
 		s.Operator = os.Getenv("ROUTER_OPERATOR")
 	}
@@ -54,17 +54,17 @@
 	if err != nil {
 		return err
 	}
-	if len(file.Unread) > 0 {
-		slog.Warn("config_unread", "names", strings.Join(file.Unread, ","))
+	if len(file.UnknownNames) > 0 {
+		slog.Warn("config_unread", "names", strings.Join(file.UnknownNames, ","))
 	}
 	own, err := operator.Load(s.Operator)
 	if err != nil {
 		return err
 	}
-	failpoint.Early()
+	failpoint.DelayStart()
 	stop := make(chan os.Signal, 1) // caught before clients can connect: who did is answered
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	listener, err := listen(file.Listen, own.Tally != nil)
+	listener, err := listen(file.Listen, own.Stats != nil)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 }
 
 // run serves until it is told to stop and nothing is owed. At a reload both files are read anew.
-func run(file config.File, listener net.Listener, s command.Serving, stop, reload <-chan os.Signal) error {
+func run(file config.File, listener net.Listener, s command.ServeOptions, stop, reload <-chan os.Signal) error {
 	known, err := events(file)
 	if err != nil {
 		return err
@@ -85,34 +85,34 @@
 	if err != nil {
 		return err
 	}
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.Apply(side.leaves(file.Limits))
-	facts, err := own.Shape.Over(file.Facts)
+	facts, err := own.Topology.Apply(file.Settings)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Operator, err)
 	}
 	gate := gateway.New(choice.Facts(facts), file.Seed, parts, s.Trace, side.speak())
 	side.join(gate)
-	told, err := newTeller(own.Tally, gate)
+	told, err := newTeller(own.Stats, gate)
 	if err != nil {
 		return err
 	}
-	told.force(own.Tally, facts)
+	told.force(own.Stats, facts)
 	if elder(own) {
-		gate.Elder(true)
+		gate.SetPredecessor(true)
 	}
 	for _, ev := range known {
-		gate.List(ev, true)
+		gate.UpdateEngines(ev, true)
 	}
-	teach(own.Tally, gate)
+	teach(own.Stats, gate)
 	followed := &plans{gate: gate}
 	followed.follow(own)
-	follower := discovery.Follow(file.Feed, file.Known.N, func(ev discovery.Event) { gate.List(ev, false) })
+	follower := discovery.Follow(file.Feed, file.CachedEvents.LastNumber, func(ev discovery.Event) { gate.UpdateEngines(ev, false) })
 	reloads := reloader{file: file, own: own, leaves: side.leaves, follower: follower, parts: parts, load: func() (config.File, error) { return config.Load(os.Getenv) },
 		operator: func() (operator.File, error) { return operator.Load(s.Operator) },
 		follow:   followed.follow,
-		restate:  func(facts map[string]any) { gate.Restate(facts) },
-		force:    told.force, elder: gate.Elder,
+		restate:  func(facts map[string]any) { gate.Reconfigure(facts) },
+		force:    told.force, elder: gate.SetPredecessor,
 		done: make(chan struct{}), ended: make(chan struct{})}
 	go reloads.run(reload)
 	front := client.NewFront(gate, parts)
@@ -121,8 +121,8 @@
 	side.serve()
 	debug.FreeOSMemory() // what the libraries of the command line left behind when they were set up
 	gate.Start()
-	failpoint.Start()
-	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.Known.N, "settings", change.OfJSON(facts))
+	failpoint.StartFaults()
+	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.CachedEvents.LastNumber, "settings", change.OfJSON(facts))
 
 	signal := <-stop
 	at := time.Now()
--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -106,7 +106,7 @@
 	}
 	w.address = l.Addr().String()
 	go func() {
-		w.ended <- run(file, l, command.Serving{Operator: os.Getenv("ROUTER_OPERATOR")}, w.stop, w.reload)
+		w.ended <- run(file, l, command.ServeOptions{Operator: os.Getenv("ROUTER_OPERATOR")}, w.stop, w.reload)
 	}()
 	w.caller = w.dial()
 	settle(t, "not ready", func() bool { ready, err := w.caller.Ready(); return ready && err == nil })
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -26,7 +26,7 @@
 func line(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	code := command.Run(args, &out, &out, func(command.Serving) error { t.Error("it serves"); return nil })
+	code := command.Run(args, &out, &out, func(command.ServeOptions) error { t.Error("it serves"); return nil })
 	return code, out.String()
 }
 
--- a/cmd/swiftreel/plans.go
+++ b/cmd/swiftreel/plans.go
@@ -55,9 +55,9 @@
 	switch {
 	case plan == nil && was == nil:
 	case plan == nil:
-		p.gate.Follow(nil)
+		p.gate.FollowPlan(nil)
 	case was == nil || was.DemandFactor != plan.DemandFactor || !reflect.DeepEqual(was.Answer, plan.Answer):
-		p.gate.Follow(&gateway.Plan{Steps: plan.Answer.Steps, Factor: plan.DemandFactor})
+		p.gate.FollowPlan(&gateway.Plan{Steps: plan.Answer.Steps, DemandFactor: plan.DemandFactor})
 	}
 }
 
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -25,10 +25,10 @@
 	operator func() (operator.File, error)
 	follow   func(operator.File) // a file taken over
 	restate  func(facts map[string]any)
-	force    func(*operator.Tally, map[string]any) // what is in force from now on
+	force    func(*operator.Stats, map[string]any) // what is in force from now on
 	elder    func(bool)
 	follower *discovery.Follower
-	parts    *limits.Parts
+	parts    *limits.Budget
 
 	done, ended chan struct{}
 }
@@ -64,7 +64,7 @@
 	}
 	var facts map[string]any
 	if err == nil {
-		facts, err = own.Shape.Over(r.file.Facts) // the settings as at the start: others need a restart
+		facts, err = own.Topology.Apply(r.file.Settings) // the settings as at the start: others need a restart
 	}
 	if err != nil {
 		counters.Increment("reloads_failed")
@@ -75,8 +75,8 @@
 	if !reflect.DeepEqual(own.SPARQL, r.own.SPARQL) {
 		restart, own.SPARQL = append(restart, "operator.sparql"), r.own.SPARQL
 	}
-	if (own.Tally == nil) != (r.own.Tally == nil) || own.Tally != nil && own.Tally.Listen != r.own.Tally.Listen {
-		restart, own.Tally = append(restart, "operator.tally"), r.own.Tally
+	if (own.Stats == nil) != (r.own.Stats == nil) || own.Stats != nil && own.Stats.Listen != r.own.Stats.Listen {
+		restart, own.Stats = append(restart, "operator.tally"), r.own.Stats
 	}
 	moved := r.follower.Move(file.Feed, known)
 	last, _ := r.follower.Last()
@@ -84,7 +84,7 @@
 	if file.Limits != r.file.Limits {
 		r.parts.Apply(r.leaves(file.Limits))
 	}
-	if !reflect.DeepEqual(own.Shape, r.own.Shape) {
+	if !reflect.DeepEqual(own.Topology, r.own.Topology) {
 		r.restate(facts)
 	}
 	if !reflect.DeepEqual(own.Plan, r.own.Plan) { // the same plan once more is no new one
@@ -93,9 +93,9 @@
 	if elder(own) != elder(r.own) {
 		r.elder(elder(own))
 	}
-	r.force(own.Tally, facts)
+	r.force(own.Stats, facts)
 	r.own = own
-	r.file.Feed, r.file.Known, r.file.Limits = file.Feed, file.Known, file.Limits
+	r.file.Feed, r.file.CachedEvents, r.file.Limits = file.Feed, file.CachedEvents, file.Limits
 	counters.Increment("reloads")
 }
 
@@ -106,13 +106,13 @@
 			names = append(names, name)
 		}
 	}
-	for name := range file.Facts {
-		if !reflect.DeepEqual(file.Facts[name], r.file.Facts[name]) {
+	for name := range file.Settings {
+		if !reflect.DeepEqual(file.Settings[name], r.file.Settings[name]) {
 			names = append(names, "settings."+name)
 		}
 	}
-	for name := range r.file.Facts {
-		if _, is := file.Facts[name]; !is {
+	for name := range r.file.Settings {
+		if _, is := file.Settings[name]; !is {
 			names = append(names, "settings."+name)
 		}
 	}
@@ -122,8 +122,8 @@
 
 // events reads what a file knows of the feed.
 func events(file config.File) ([]discovery.Event, error) {
-	known := make([]discovery.Event, len(file.Known.Events))
-	for i, text := range file.Known.Events {
+	known := make([]discovery.Event, len(file.CachedEvents.Events))
+	for i, text := range file.CachedEvents.Events {
 		var err error
 		if known[i], err = discovery.Parse(text); err != nil {
 			return nil, fmt.Errorf("known event %d: %w", i, err)
--- a/cmd/swiftreel/shape_test.go
+++ b/cmd/swiftreel/shape_test.go
@@ -72,7 +72,7 @@
 	defer l.Close()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- run(file, l, command.Serving{Operator: own}, make(chan os.Signal), make(chan os.Signal))
+		ended <- run(file, l, command.ServeOptions{Operator: own}, make(chan os.Signal), make(chan os.Signal))
 	}()
 	select {
 	case err = <-ended:
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -56,12 +56,12 @@
 }
 
 // speak is what speaks with engines, by their protocol.
-func (s *side) speak() map[backend.Protocol]backend.Make {
-	list := map[backend.Protocol]backend.Make{backend.Line: func(b backend.Bounds) backend.Engines { return engine.NewPool(b) }}
+func (s *side) speak() map[backend.Protocol]backend.Factory {
+	list := map[backend.Protocol]backend.Factory{backend.Line: func(b backend.Limits) backend.Engines { return engine.NewPool(b) }}
 	if s.o != nil {
-		list[backend.SPARQL] = func(b backend.Bounds) backend.Engines {
+		list[backend.SPARQL] = func(b backend.Limits) backend.Engines {
 			b.Conns = &s.conns
-			return endpoint.New(b, func(name string, w decide.Word) { s.gate.Heard(name, w) })
+			return endpoint.New(b, func(name string, w decide.Word) { s.gate.UpdateDrain(name, w) })
 		}
 	}
 	return list
@@ -73,11 +73,11 @@
 		return
 	}
 	s.gate = g
-	g.Endpoints(s.o.Endpoints)
+	g.SetSPARQLEndpoints(s.o.Endpoints)
 	s.front = front.New(front.Options{Path: s.o.Path, Tenant: s.o.Tenant, TenantHeader: s.o.TenantHeader, Rules: s.o.Rules(),
-		Usual: time.Duration(s.o.TimeoutMS) * time.Millisecond, Most: time.Duration(s.o.MostTimeoutMS) * time.Millisecond,
-		Services: s.o.Services, Conns: s.o.Connections, Shapes: mostShapes, Marks: s.o.Marks,
-		Window: time.Duration(s.o.MarkWindowMS) * time.Millisecond}, g)
+		Usual: time.Duration(s.o.TimeoutMS) * time.Millisecond, Most: time.Duration(s.o.MaxTimeoutMS) * time.Millisecond,
+		Services: s.o.Services, Conns: s.o.Connections, Shapes: mostShapes, Marks: s.o.IdempotencyKeys,
+		Window: time.Duration(s.o.IdempotencyWindowMS) * time.Millisecond}, g)
 }
 
 func (s *side) serve() {
--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -33,23 +33,23 @@
 // force is what a controller runs with.
 type force struct{ spec, settings change.Digest }
 
-func newTeller(o *operator.Tally, gate *gateway.Gateway) (*teller, error) {
+func newTeller(o *operator.Stats, gate *gateway.Gateway) (*teller, error) {
 	t := &teller{}
 	t.inForce.Store(&force{})
 	if o == nil {
 		return t, nil
 	}
-	book, began := jobstats.NewBook(), failpoint.Wall().UnixNano()
-	gate.Count(book)
+	book, began := jobstats.NewBook(), failpoint.WallClock().UnixNano()
+	gate.SetStats(book)
 	var err error
 	t.server, err = jobstats.Serve(o.Listen, func() (r jobstats.Report) {
 		book.Fill(&r)
 		now := t.inForce.Load()
 		r.Started, r.Version, r.Spec, r.Settings = began, version.Name, now.spec, now.settings
-		r.Ready, r.Refused, r.Aside = gate.Ready(), counters.Value("reloads_failed"), gate.Aside()
-		r.Health, _ = json.Marshal(gate.Health())
-		r.Engines, r.Carries = gate.Engines(), int64(1e6*gate.Carries())
-		r.Learned, _ = json.Marshal(gate.Learned()) // figures that JSON cannot hold are not told
+		r.Ready, r.Refused, r.Aside = gate.Ready(), counters.Value("reloads_failed"), gate.EjectedEngines()
+		r.Health, _ = json.Marshal(gate.EngineHealth())
+		r.Engines, r.Carries = gate.ReadyEngines(), int64(1e6*gate.Share())
+		r.Learned, _ = json.Marshal(gate.TypeEstimates()) // figures that JSON cannot hold are not told
 		if owed, is := t.owed.Load().(func() int64); is {
 			r.Owed = owed()
 		}
@@ -60,7 +60,7 @@
 			quotas[name] = float64(n) / 1e6
 		}
 		if left := p.UntilNS - monotonic.Now(); left > 0 {
-			gate.Part(float64(p.PerMillion)/1e6, quotas, time.Duration(left))
+			gate.AssignShare(float64(p.PerMillion)/1e6, quotas, time.Duration(left))
 		}
 	})
 	if err == nil {
@@ -70,7 +70,7 @@
 }
 
 // force takes what is in force now: what the file in force says of its spec, and the settings as the module has them.
-func (t *teller) force(o *operator.Tally, facts map[string]any) {
+func (t *teller) force(o *operator.Stats, facts map[string]any) {
 	f := force{settings: change.OfJSON(facts)}
 	if o != nil {
 		f.spec = o.Spec
@@ -85,24 +85,24 @@
 }
 
 // teach takes over what an older process has learned. Of another version, or spoilt, it teaches nothing.
-func teach(o *operator.Tally, gate *gateway.Gateway) {
-	if o == nil || len(o.Learned) == 0 || failpoint.Untaught() {
+func teach(o *operator.Stats, gate *gateway.Gateway) {
+	if o == nil || len(o.TypeEstimates) == 0 || failpoint.IgnoreSnapshot() {
 		return
 	}
 	var named map[string]choice.Means
-	if err := json.Unmarshal(o.Learned, &named); err != nil {
+	if err := json.Unmarshal(o.TypeEstimates, &named); err != nil {
 		slog.Warn("not_taught", "reason", err)
 		return
 	}
-	var engines map[string]gateway.Health
-	if len(o.Health) > 0 && json.Unmarshal(o.Health, &engines) != nil {
+	var engines map[string]gateway.EngineHealth
+	if len(o.EngineHealth) > 0 && json.Unmarshal(o.EngineHealth, &engines) != nil {
 		engines = nil // of another form: they are seen anew
 	}
-	gate.Teach(named, engines)
+	gate.Restore(named, engines)
 }
 
 // elder tells whether a file says that an older process of this controller still runs.
-func elder(f operator.File) bool { return f.Tally != nil && f.Tally.Elder }
+func elder(f operator.File) bool { return f.Stats != nil && f.Stats.Predecessor }
 
 // listen listens for clients. Where a keeper starts one program beside the other, both have the address for a while: the
 // kernel gives each new connection to one of them.
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -35,9 +35,9 @@
 func (e scriptedEngines) Start(_ backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	switch {
 	case strings.Contains(string(r.Statement), "ends"):
-		go reply(backend.Reply{End: backend.Done, Pages: [][]byte{{1}}, WorkMS: 35, RoomMB: 76})
+		go reply(backend.Reply{Outcome: backend.Done, Pages: [][]byte{{1}}, WorkMS: 35, MemoryMB: 76})
 	case strings.Contains(string(r.Statement), "breaks"):
-		go reply(backend.Reply{End: backend.Reset})
+		go reply(backend.Reply{Outcome: backend.Reset})
 	case strings.Contains(string(r.Statement), "stays"):
 		e.stays <- struct{}{}
 	}
@@ -46,20 +46,20 @@
 
 func (scriptedEngines) Probe(to backend.Host, _ bool, _ time.Duration, reply func(backend.Reply)) {
 	if to.Name == "e1" {
-		go reply(backend.Reply{End: backend.Done, Load: "concurrent:0"})
+		go reply(backend.Reply{Outcome: backend.Done, Load: "concurrent:0"})
 	} else {
-		go reply(backend.Reply{End: backend.NotConnected})
+		go reply(backend.Reply{Outcome: backend.NotConnected})
 	}
 }
-func (scriptedEngines) CloseIdle(string)      {}
-func (scriptedEngines) Out(string) (int, int) { return 0, 0 }
-func (scriptedEngines) Free([][]byte)         {}
-func (scriptedEngines) Close()                {}
+func (scriptedEngines) CloseIdle(string)           {}
+func (scriptedEngines) InFlight(string) (int, int) { return 0, 0 }
+func (scriptedEngines) Release([][]byte)           {}
+func (scriptedEngines) Close()                     {}
 
 type scriptedDispatch struct{}
 
-func (scriptedDispatch) GiveUp(done func()) bool { done(); return true }
-func (scriptedDispatch) Renice(uint8)            {}
+func (scriptedDispatch) Cancel(done func()) bool { done(); return true }
+func (scriptedDispatch) SetPriority(uint8)       {}
 
 // answers is a client that keeps what it was answered.
 type answers struct {
@@ -67,11 +67,11 @@
 	leave func(left func())
 }
 
-func (a answers) Done([][]byte)           { a.list <- "done" }
-func (a answers) Throttled(time.Duration) { a.list <- "throttled" }
-func (a answers) Failed(reason string)    { a.list <- reason }
-func (a answers) OnLeave(left func())     { a.leave(left) }
-func (a answers) Here() bool              { return true }
+func (a answers) Done([][]byte)            { a.list <- "done" }
+func (a answers) Throttled(time.Duration)  { a.list <- "throttled" }
+func (a answers) Failed(reason string)     { a.list <- reason }
+func (a answers) OnDisconnect(left func()) { a.leave(left) }
+func (a answers) Connected() bool          { return true }
 
 // patient are the facts with SLA times that no machine is too slow for.
 var patient = strings.NewReplacer(`"aim_ns":5e8`, `"aim_ns":5e12`, `"aim_ns":3e9`, `"aim_ns":3e12`).Replace(facts)
@@ -88,24 +88,24 @@
 	if err := json.Unmarshal([]byte(patient), &settings); err != nil {
 		t.Fatal(err)
 	}
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
 	gate = gateway.New(choice.Facts(settings), 1, parts, false,
-		map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return engines }})
+		map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }})
 	t.Cleanup(gate.Close)
-	told, err := newTeller(own.Tally, gate)
+	told, err := newTeller(own.Stats, gate)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(told.close)
-	told.force(own.Tally, settings)
+	told.force(own.Stats, settings)
 	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate.List(ev, true)
-	teach(own.Tally, gate)
+	gate.UpdateEngines(ev, true)
+	teach(own.Stats, gate)
 	return gate, told.server.Address(), engines.stays
 }
 
@@ -113,7 +113,7 @@
 // of figures.
 func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
 	gate, _, _ := taught(t)
-	means, health := gate.Learned(), gate.Health()
+	means, health := gate.TypeEstimates(), gate.EngineHealth()
 	list := func(m choice.Means) (v []float64) {
 		text, err := json.Marshal(m)
 		if err == nil {
@@ -131,11 +131,11 @@
 	if got := fmt.Sprint(lookup[:8]); got != "[5.1e+07 50 -0.25 88 0.125 0.0625 70 1.25]" || lookup[8] <= 1 || lookup[8] > 1.75 {
 		t.Errorf("lookup: %v, latency over best %v", got, lookup[8])
 	}
-	if h := health["e1"]; h.Slow <= 1 || h.Slow > 2.5 || h.Bad <= 0 || h.Bad > 0.25 || h.Aside {
+	if h := health["e1"]; h.LatencyRatio <= 1 || h.LatencyRatio > 2.5 || h.FailureRate <= 0 || h.FailureRate > 0.25 || h.Ejected {
 		t.Errorf("e1: %+v", h)
 	}
-	if h := health["e2"]; !h.Aside || len(means) != 2 || len(health) != 2 || gate.Aside() != 1 {
-		t.Errorf("e2: %+v of %d, %d types, %d aside", h, len(health), len(means), gate.Aside())
+	if h := health["e2"]; !h.Ejected || len(means) != 2 || len(health) != 2 || gate.EjectedEngines() != 1 {
+		t.Errorf("e2: %+v of %d, %d types, %d aside", h, len(health), len(means), gate.EjectedEngines())
 	}
 }
 
@@ -146,20 +146,20 @@
 		t.Fatal(err)
 	}
 	var means map[string]choice.Means
-	var health map[string]gateway.Health
-	if err := json.Unmarshal(own.Tally.Learned, &means); err != nil {
+	var health map[string]gateway.EngineHealth
+	if err := json.Unmarshal(own.Stats.TypeEstimates, &means); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(own.Tally.Health, &health); err != nil {
+	if err := json.Unmarshal(own.Stats.EngineHealth, &health); err != nil {
 		t.Fatal(err)
 	}
-	if own.Tally.Learned, err = json.Marshal(means); err != nil {
+	if own.Stats.TypeEstimates, err = json.Marshal(means); err != nil {
 		t.Fatal(err)
 	}
-	if own.Tally.Health, err = json.Marshal(health); err != nil {
+	if own.Stats.EngineHealth, err = json.Marshal(health); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(own.Tally)
+	text, err := json.Marshal(own.Stats)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,32 +169,32 @@
 // A snapshot that cannot be read teaches nothing; of its two parts each is taken by itself.
 func TestASnapshotThatCannotBeReadTeachesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		tally  operator.Tally
+		tally  operator.Stats
 		usual  float64
 		health bool
 	}{
-		"no snapshot":               {operator.Tally{}, 2.5e12, false},
-		"figures of another length": {operator.Tally{Learned: json.RawMessage(`{"lookup":[1,2,3]}`), Health: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
-		"health of another form":    {operator.Tally{Learned: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), Health: json.RawMessage(`[1]`)}, 7e6, false},
-		"both":                      {operator.Tally{Learned: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), Health: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
+		"no snapshot":               {operator.Stats{}, 2.5e12, false},
+		"figures of another length": {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[1,2,3]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
+		"health of another form":    {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`[1]`)}, 7e6, false},
+		"both":                      {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var settings map[string]any
 			if err := json.Unmarshal([]byte(patient), &settings); err != nil {
 				t.Fatal(err)
 			}
-			parts := new(limits.Parts)
+			parts := new(limits.Budget)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 			gate := gateway.New(choice.Facts(settings), 1, parts, false,
-				map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return scriptedEngines{} }})
+				map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }})
 			defer gate.Close()
 			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
-			gate.List(ev, true)
+			gate.UpdateEngines(ev, true)
 			teach(&c.tally, gate)
-			text, err := json.Marshal(gate.Learned()["lookup"])
+			text, err := json.Marshal(gate.TypeEstimates()["lookup"])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -202,8 +202,8 @@
 			if err := json.Unmarshal(text, &figures); err != nil {
 				t.Fatal(err)
 			}
-			if figures[0] != c.usual || gate.Health()["e2"].Aside != c.health {
-				t.Errorf("usual work %v, health %+v", figures[0], gate.Health())
+			if figures[0] != c.usual || gate.EngineHealth()["e2"].Ejected != c.health {
+				t.Errorf("usual work %v, health %+v", figures[0], gate.EngineHealth())
 			}
 		})
 	}
@@ -240,8 +240,8 @@
 func TestTheTallyOverHTTP(t *testing.T) {
 	gate, address, stays := taught(t)
 	a := answers{make(chan string, 10), func(func()) {}}
-	ask := func(id byte, typ, statement string, left time.Duration, from gateway.Asker) {
-		gate.Take(gateway.Ask{Type: []byte(typ), ID: []byte{id}, Tenant: []byte("acme"), Statement: []byte(statement), At: time.Now(), Left: left, From: from})
+	ask := func(id byte, typ, statement string, left time.Duration, from gateway.Client) {
+		gate.Submit(gateway.Request{Type: []byte(typ), ID: []byte{id}, Tenant: []byte("acme"), Statement: []byte(statement), ArrivedAt: time.Now(), Timeout: left, Client: from})
 	}
 	heard := func(want string) {
 		t.Helper()
@@ -253,7 +253,7 @@
 	ask(1, "lookup", "SELECT 1 FROM sales_17.ends", time.Hour, a)
 	heard("done")
 	ask(2, "import", "INSERT INTO sales_17.breaks SELECT 1 FROM a_1.b", time.Minute, a)
-	heard(gateway.ForGood)
+	heard(gateway.ReasonCancelled)
 	ask(3, "lookup", "SELECT 1 FROM sales_17.late", time.Millisecond, a)
 	heard("throttled")
 	var leave func()
@@ -294,7 +294,7 @@
 			t.Errorf("%s: %s", body, r.Status)
 		}
 	}
-	settle(t, "the part is not gone by", func() bool { return gate.Carries() == 0.25 })
+	settle(t, "the part is not gone by", func() bool { return gate.Share() == 0.25 })
 }
 
 // addressLog is a log handler that passes on where the stats server listens.
--- a/internal/backend/each.go
+++ b/internal/backend/each.go
@@ -6,18 +6,18 @@
 	"swiftreel/internal/counters"
 )
 
-// Each is the engines of all protocols: what concerns an engine goes to the implementation of its own. One of a protocol
+// Mux is the engines of all protocols: what concerns an engine goes to the implementation of its own. One of a protocol
 // that nothing here speaks cannot be reached.
-type Each struct {
+type Mux struct {
 	by map[Protocol]Engines
 }
 
-// Make makes the engines of one protocol.
-type Make func(Bounds) Engines
+// Factory makes the engines of one protocol.
+type Factory func(Limits) Engines
 
-// NewEach makes all.
-func NewEach(makes map[Protocol]Make, b Bounds) *Each {
-	e := &Each{by: map[Protocol]Engines{}}
+// NewMux makes all.
+func NewMux(makes map[Protocol]Factory, b Limits) *Mux {
+	e := &Mux{by: map[Protocol]Engines{}}
 	for p, of := range makes {
 		e.by[p] = of(b)
 	}
@@ -25,51 +25,51 @@
 }
 
 // Start implements Engines.
-func (e *Each) Start(to Host, r Request, reply func(Reply)) Dispatch {
+func (e *Mux) Start(to Host, r Request, reply func(Reply)) Dispatch {
 	if of := e.by[to.Protocol]; of != nil {
 		return of.Start(to, r, reply)
 	}
 	counters.Increment("protocols_unknown")
-	reply(Reply{End: NotConnected})
+	reply(Reply{Outcome: NotConnected})
 	return ended{}
 }
 
 // Probe implements Engines.
-func (e *Each) Probe(to Host, load bool, limit time.Duration, reply func(Reply)) {
+func (e *Mux) Probe(to Host, load bool, limit time.Duration, reply func(Reply)) {
 	if of := e.by[to.Protocol]; of != nil {
 		of.Probe(to, load, limit, reply)
 		return
 	}
 	counters.Increment("protocols_unknown")
-	reply(Reply{End: NotConnected})
+	reply(Reply{Outcome: NotConnected})
 }
 
 // CloseIdle implements Engines.
-func (e *Each) CloseIdle(name string) {
+func (e *Mux) CloseIdle(name string) {
 	for _, of := range e.by {
 		of.CloseIdle(name)
 	}
 }
 
-// Out implements Engines.
-func (e *Each) Out(name string) (open, givenUp int) {
+// InFlight implements Engines.
+func (e *Mux) InFlight(name string) (open, givenUp int) {
 	for _, of := range e.by {
-		o, g := of.Out(name)
+		o, g := of.InFlight(name)
 		open, givenUp = open+o, givenUp+g
 	}
 	return open, givenUp
 }
 
-// Free implements Engines: all charge one count of bytes.
-func (e *Each) Free(pages [][]byte) {
+// Release implements Engines: all charge one count of bytes.
+func (e *Mux) Release(pages [][]byte) {
 	for _, of := range e.by {
-		of.Free(pages)
+		of.Release(pages)
 		return
 	}
 }
 
 // Close implements Engines.
-func (e *Each) Close() {
+func (e *Mux) Close() {
 	for _, of := range e.by {
 		of.Close()
 	}
@@ -78,5 +78,5 @@
 // ended is a dispatch whose end was told before it began.
 type ended struct{}
 
-func (ended) GiveUp(func()) bool { return false }
-func (ended) Renice(uint8)       {}
+func (ended) Cancel(func()) bool { return false }
+func (ended) SetPriority(uint8)  {}
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -82,7 +82,7 @@
 		c.To.Plan = filepath.Join(filepath.Dir(path), c.To.Plan)
 	}
 	if list := c.Faults(); len(list) > 0 {
-		return Change{}, &schema.Faults{File: path, List: list}
+		return Change{}, &schema.ValidationError{File: path, Problems: list}
 	}
 	return c, nil
 }
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -19,19 +19,19 @@
 }
 
 // newAsk copies what must outlive the buffer, in one piece.
-func newAsk(from *call, m message, r request, at time.Time) gateway.Ask {
+func newAsk(from *call, m message, r request, at time.Time) gateway.Request {
 	b := make([]byte, 0, len(m.method)+len(r.call)+len(r.tenant)+len(r.key)+len(r.idempotency)+len(r.body))
 	keep := func(part []byte) []byte {
 		from := len(b)
 		b = append(b, part...)
 		return b[from:len(b):len(b)]
 	}
-	return gateway.Ask{Type: keep(m.method), ID: keep(r.call), Tenant: keep(r.tenant), Key: keep(r.key), Idempotency: keep(r.idempotency),
-		Statement: keep(r.body), Left: r.left, At: at, Repeat: r.repeat, Work: r.work, MemoryMB: r.memoryMB, From: from}
+	return gateway.Request{Type: keep(m.method), ID: keep(r.call), Tenant: keep(r.tenant), Key: keep(r.key), IdempotencyKey: keep(r.idempotency),
+		Statement: keep(r.body), Timeout: r.left, ArrivedAt: at, ClientRetry: r.repeat, EstimatedWork: r.work, EstimatedMemoryMB: r.memoryMB, Client: from}
 }
 
-// OnLeave sets what is told if the client leaves, at once if it has.
-func (l *call) OnLeave(left func()) {
+// OnDisconnect sets what is told if the client leaves, at once if it has.
+func (l *call) OnDisconnect(left func()) {
 	l.conn.mu.Lock()
 	l.left = left
 	gone := l.gone
@@ -86,9 +86,9 @@
 	}
 }
 
-// Here looks whether the client is still there, as far as its connection shows: also where the reader has not come to
+// Connected looks whether the client is still there, as far as its connection shows: also where the reader has not come to
 // its close, behind all that it sent before.
-func (l *call) Here() bool { return !socketstate.PeerClosed(l.conn.nc) }
+func (l *call) Connected() bool { return !socketstate.PeerClosed(l.conn.nc) }
 
 // answer writes the one answer of a call, unless the client left before.
 func (l *call) answer(parts net.Buffers) {
--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -69,7 +69,7 @@
 // pending is a call that was read; if it is revoked in the same breath it is never taken.
 type pending struct {
 	call *call
-	ask  gateway.Ask
+	ask  gateway.Request
 }
 
 // serve reads calls until the connection ends.
@@ -165,7 +165,7 @@
 		if len(c.buf) >= maxFrame {
 			return errBad
 		}
-		if !c.front.parts.Reads.Take(len(c.buf)) {
+		if !c.front.parts.ReadBytes.Reserve(len(c.buf)) {
 			return errMemory
 		}
 		larger := make([]byte, 2*len(c.buf))
@@ -211,7 +211,7 @@
 // giveBuffer gives the buffer back while nothing is in it.
 func (c *conn) giveBuffer() {
 	if len(c.buf) > firstBuffer {
-		c.front.parts.Reads.Give(len(c.buf) - firstBuffer)
+		c.front.parts.ReadBytes.Release(len(c.buf) - firstBuffer)
 	} else if c.buf != nil {
 		c.front.buffers.Put(c.buf)
 	}
@@ -243,7 +243,7 @@
 		c.front.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", c.nc.RemoteAddr(), "reason", err)
 		return c.refuse(m.id, wordFailed, "reason", err.Error())
 	}
-	if !c.front.parts.Bytes.Take(len(r.body)) {
+	if !c.front.parts.MessageBytes.Reserve(len(r.body)) {
 		return c.refuse(m.id, wordThrottle, "", "")
 	}
 	call := &call{conn: c, id: m.id, held: len(r.body)}
@@ -257,13 +257,13 @@
 	c.mu.Unlock()
 	switch {
 	case closing: // it crossed our half-close: its client sees that, and nothing was sent on
-		c.front.parts.Bytes.Give(call.held)
+		c.front.parts.MessageBytes.Release(call.held)
 		counters.Increment("calls_crossed")
 	case twice:
-		c.front.parts.Bytes.Give(call.held)
+		c.front.parts.MessageBytes.Release(call.held)
 		return fmt.Errorf("id %d is still open and was used again", m.id)
 	case many: // it never ran
-		c.front.parts.Bytes.Give(call.held)
+		c.front.parts.MessageBytes.Release(call.held)
 		return c.refuse(m.id, wordThrottle, "", "")
 	default:
 		c.pending = append(c.pending, pending{call, newAsk(call, m, r, at)})
@@ -290,7 +290,7 @@
 			counters.Increment("calls_after_stop")
 			p.call.Throttled(0)
 		default:
-			c.front.taker.Take(p.ask)
+			c.front.taker.Submit(p.ask)
 		}
 	}
 	clear(c.pending)
@@ -353,7 +353,7 @@
 	delete(c.open, call.id)
 	c.results += results
 	c.used = time.Now()
-	c.front.parts.Bytes.Give(call.held)
+	c.front.parts.MessageBytes.Release(call.held)
 	return true
 }
 
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -18,19 +18,19 @@
 
 // taker hands on what is taken; held, it keeps the reader in its first Take until it is let go.
 type taker struct {
-	asks chan gateway.Ask
+	asks chan gateway.Request
 	held chan struct{}
 }
 
 func (t *taker) Ready() bool { return true }
-func (t *taker) Take(a gateway.Ask) {
+func (t *taker) Submit(a gateway.Request) {
 	t.asks <- a
 	if t.held != nil {
 		<-t.held
 	}
 }
 
-func (t *taker) got(test *testing.T) gateway.Ask {
+func (t *taker) got(test *testing.T) gateway.Request {
 	test.Helper()
 	select {
 	case a := <-t.asks:
@@ -38,7 +38,7 @@
 	case <-time.After(20 * time.Second):
 		test.Fatal("nothing is taken")
 	}
-	return gateway.Ask{}
+	return gateway.Request{}
 }
 
 // door accepts a connection once it is opened, and has it made with small buffers.
@@ -65,14 +65,14 @@
 }
 
 func newStand(t *testing.T, most int64) *stand {
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.ClientConns.Store(most)
-	parts.Bytes.Allow(1 << 20)
+	parts.MessageBytes.SetCapacity(1 << 20)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stand{t: t, taker: &taker{asks: make(chan gateway.Ask, 1000)}, door: door{l.(*net.TCPListener), make(chan struct{})}}
+	s := &stand{t: t, taker: &taker{asks: make(chan gateway.Request, 1000)}, door: door{l.(*net.TCPListener), make(chan struct{})}}
 	s.front = NewFront(s.taker, parts)
 	t.Cleanup(func() {
 		l.Close()
@@ -161,9 +161,9 @@
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
 	one, two := s.taker.got(t), s.taker.got(t)
 	left := make(chan struct{})
-	two.From.OnLeave(func() { close(left) })
+	two.Client.OnDisconnect(func() { close(left) })
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // far past what the system takes of it
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // far past what the system takes of it
 	defer wrote.Wait()
 	defer c.Close()
 	s.until("no answer is being written", func() bool { return s.front.writing() })
@@ -269,7 +269,7 @@
 	one := s.taker.got(t)
 	const size = 8 << 20
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, size)}) })
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, size)}) })
 	s.until("no answer is being written", func() bool { return s.front.writing() })
 	full := counters.Value("client_conns_full")
 	other := s.dial()
@@ -294,7 +294,7 @@
 	one := s.taker.got(t) // the reader stands still
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
 	s.until("the second call has not come", s.front.Unread)
-	one.From.Done([][]byte{[]byte("a\tb\tc\n")})
+	one.Client.Done([][]byte{[]byte("a\tb\tc\n")})
 	ended := make(chan struct{})
 	go func() {
 		s.front.Close()
@@ -341,7 +341,7 @@
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	one := s.taker.got(t)
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
 	s.until("no answer is being written", func() bool { return s.front.writing() })
 	owed := s.front.Owed()
 	c.Write(AppendHeartbeat(nil, 2))
--- a/internal/client/front.go
+++ b/internal/client/front.go
@@ -17,10 +17,10 @@
 	"swiftreel/internal/socketstate"
 )
 
-// Taker is who the calls are for.
-type Taker interface {
+// Submitter is who the calls are for.
+type Submitter interface {
 	Ready() bool
-	Take(gateway.Ask) // does not wait; those of one connection come in their order
+	Submit(gateway.Request) // does not wait; those of one connection come in their order
 }
 
 const (
@@ -31,8 +31,8 @@
 
 // Front is all client connections.
 type Front struct {
-	taker   Taker
-	parts   *limits.Parts
+	taker   Submitter
+	parts   *limits.Budget
 	buffers sync.Pool
 
 	bad, unusable ratelog.Logger
@@ -52,7 +52,7 @@
 }
 
 // NewFront serves a taker within its part of the limits.
-func NewFront(taker Taker, parts *limits.Parts) *Front {
+func NewFront(taker Submitter, parts *limits.Budget) *Front {
 	f := &Front{taker: taker, parts: parts, conns: map[*conn]struct{}{},
 		buffers: sync.Pool{New: func() any { return make([]byte, firstBuffer) }},
 		pulse:   newPulse(time.Now()), done: make(chan struct{})}
@@ -98,7 +98,7 @@
 func (f *Front) makeRoom() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for len(f.conns) >= f.parts.ClientConns.Most() && !f.ended {
+	for len(f.conns) >= f.parts.ClientConns.Max() && !f.ended {
 		counters.Increment("client_conns_full")
 		if c := f.spare(time.Now()); c != nil {
 			if c.leaveIdle() { // else a call came just now: it stays, and another makes way
@@ -146,7 +146,7 @@
 func (f *Front) linger(c *conn) {
 	delete(f.conns, c)
 	f.lingering = append(f.lingering, c)
-	if len(f.lingering) > max(1, f.parts.Lingering.Most()) {
+	if len(f.lingering) > max(1, f.parts.Lingering.Max()) {
 		counters.Increment("lingering_full")
 		f.lingering[0].nc.Close()
 		f.lingering = slices.Delete(f.lingering, 0, 1)
--- a/internal/client/front_test.go
+++ b/internal/client/front_test.go
@@ -13,13 +13,13 @@
 // sink takes calls and answers none.
 type sink struct{}
 
-func (sink) Ready() bool      { return true }
-func (sink) Take(gateway.Ask) {}
+func (sink) Ready() bool            { return true }
+func (sink) Submit(gateway.Request) {}
 
 func startFront(t *testing.T, most int64) (dial func() net.Conn) {
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.ClientConns.Store(most)
-	parts.Bytes.Allow(1 << 20)
+	parts.MessageBytes.SetCapacity(1 << 20)
 	f := NewFront(sink{}, parts)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/client/golden_test.go
+++ b/internal/client/golden_test.go
@@ -17,22 +17,22 @@
 
 func (b byType) Ready() bool { return b.ready }
 
-func (byType) Take(a gateway.Ask) {
+func (byType) Submit(a gateway.Request) {
 	switch string(a.Type) {
 	case "rows":
-		a.From.Done([][]byte{[]byte("a\tb\tc\n"), []byte("d\te\tf\n")})
+		a.Client.Done([][]byte{[]byte("a\tb\tc\n"), []byte("d\te\tf\n")})
 	case "none":
-		a.From.Done(nil)
+		a.Client.Done(nil)
 	case "middle":
-		a.From.Done([][]byte{bytes.Repeat([]byte("x"), 300)})
+		a.Client.Done([][]byte{bytes.Repeat([]byte("x"), 300)})
 	case "large":
-		a.From.Done([][]byte{bytes.Repeat([]byte("x"), 70_000)})
+		a.Client.Done([][]byte{bytes.Repeat([]byte("x"), 70_000)})
 	case "throttled":
-		a.From.Throttled(0)
+		a.Client.Throttled(0)
 	case "later":
-		a.From.Throttled(250 * time.Millisecond)
+		a.Client.Throttled(250 * time.Millisecond)
 	case "failed":
-		a.From.Failed("may_have_run")
+		a.Client.Failed("may_have_run")
 	}
 }
 
@@ -104,12 +104,12 @@
 	}
 }
 
-func dialFront(t *testing.T, taker Taker) net.Conn {
+func dialFront(t *testing.T, taker Submitter) net.Conn {
 	t.Helper()
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.ClientConns.Store(10)
-	parts.Bytes.Allow(1 << 20)
-	parts.Reads.Allow(1 << 20)
+	parts.MessageBytes.SetCapacity(1 << 20)
+	parts.ReadBytes.SetCapacity(1 << 20)
 	front := NewFront(taker, parts)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -38,7 +38,7 @@
 			case schema.Plan:
 				_, err = plan.Load(args[0])
 			case schema.Problem:
-				_, err = plan.Problem(args[0])
+				_, err = plan.LoadProblem(args[0])
 			case schema.Change:
 				_, err = change.Load(args[0])
 			case "config":
@@ -47,9 +47,9 @@
 				return badInput(fmt.Errorf("--kind %q is none of operator, problem, plan, change, config", kind))
 			}
 			r := report{File: args[0], Kind: kind, Faults: []string{}}
-			var faults *schema.Faults
+			var faults *schema.ValidationError
 			if errors.As(err, &faults) {
-				r.Faults = faults.List
+				r.Faults = faults.Problems
 			} else if err != nil {
 				return badInput(err)
 			}
--- a/internal/command/cli.go
+++ b/internal/command/cli.go
@@ -31,20 +31,20 @@
 
 func badInput(err error) error { return exit{code: ExitBadInput, err: err} }
 
-// Serving is what the flags say of serving.
-type Serving struct {
+// ServeOptions is what the flags say of serving.
+type ServeOptions struct {
 	Trace    bool
 	Operator string // the operator's file, or ""
 }
 
 // Run carries a command line out and gives the exit code. Without a command it serves.
-func Run(args []string, out, errs io.Writer, serve func(Serving) error) int {
+func Run(args []string, out, errs io.Writer, serve func(ServeOptions) error) int {
 	for i, a := range args {
 		if a == "-trace" { // as it was before there were commands
 			args[i] = "--trace"
 		}
 	}
-	var s Serving
+	var s ServeOptions
 	root := &cobra.Command{
 		Use:   "swiftreel",
 		Short: "A front for query engines with limited memory",
@@ -86,17 +86,17 @@
 	return e.code
 }
 
-// Failed is an error with an exit code.
-func Failed(code int, err error) error { return exit{code: code, err: err} }
+// Failure is an error with an exit code.
+func Failure(code int, err error) error { return exit{code: code, err: err} }
 
-// Said is one whose text is out already.
-func Said(code int, err error) error { return exit{code: code, err: err, said: true} }
+// SilentFailure is one whose text is out already.
+func SilentFailure(code int, err error) error { return exit{code: code, err: err, said: true} }
 
 // BadInput is one of a file or a flag.
 func BadInput(err error) error { return badInput(err) }
 
-// AsJSON writes a value for scripts.
-func AsJSON(out io.Writer, v any) error { return asJSON(out, v) }
+// WriteJSON writes a value for scripts.
+func WriteJSON(out io.Writer, v any) error { return asJSON(out, v) }
 
 // asJSON writes a value for scripts.
 func asJSON(out io.Writer, v any) error {
--- a/internal/command/fleet/fleet.go
+++ b/internal/command/fleet/fleet.go
@@ -42,7 +42,7 @@
 				rows = append(rows, r)
 			}
 			if forScripts {
-				err = command.AsJSON(c.OutOrStdout(), rows)
+				err = command.WriteJSON(c.OutOrStdout(), rows)
 			} else {
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "CONTROLLER\tVERSION\tSPEC\tSERVES\tOWED\tLAST ORDER\tENDS\tMB\tNOTE")
@@ -56,7 +56,7 @@
 				err = w.Flush()
 			}
 			if err == nil && !well {
-				return command.Said(command.ExitNoFit, fmt.Errorf("not all controllers answer and serve"))
+				return command.SilentFailure(command.ExitNoFit, fmt.Errorf("not all controllers answer and serve"))
 			}
 			return err
 		}}
--- a/internal/command/fleet/keep.go
+++ b/internal/command/fleet/keep.go
@@ -28,7 +28,7 @@
 		Long: `Starts the controller that ROUTER_* describes and keeps it. Orders come over HTTP at the address that the part fleet of
 the operator's file gives for ROUTER_NAME. SIGTERM lets the controller drain.`,
 		RunE: func(*cobra.Command, []string) error {
-			logging.To(os.Stderr)
+			logging.Setup(os.Stderr)
 			if name == "" {
 				name = os.Getenv("ROUTER_NAME")
 			}
@@ -39,25 +39,25 @@
 			if err != nil {
 				return err
 			}
-			m, is := f.Find(name)
+			m, is := f.Member(name)
 			if !is {
 				return command.BadInput(fmt.Errorf("%s: /fleet/members: no %q", file, name))
 			}
 			if f.Program == "" {
 				own, err := os.Executable()
 				if err != nil {
-					return command.Failed(command.ExitFailed, err)
+					return command.Failure(command.ExitFailed, err)
 				}
 				f.Program = filepath.Join(filepath.Dir(own), "swiftreel")
 			}
 			k, err := supervisor.New(supervisor.Options{Name: name, State: state, Operator: file, Program: f.Program, Drain: time.Duration(f.DrainMS) * time.Millisecond,
 				Env: os.Environ(), Log: os.Stderr})
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			l, err := net.Listen("tcp4", m.Listen)
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
@@ -65,11 +65,11 @@
 			if slices.Contains(f.Voters, name) {
 				addr := map[string]string{}
 				for _, m := range f.Members {
-					addr[m.Name] = m.At()
+					addr[m.Name] = m.Address()
 				}
 				node, err := leader.Open(name, filepath.Join(state, "owner.db"), addr, leader.Usual())
 				if err != nil {
-					return command.Failed(command.ExitFailed, err)
+					return command.Failure(command.ExitFailed, err)
 				}
 				defer node.Close()
 				duties, err := leader.NewDuties(node, f, filepath.Dir(file))
@@ -85,7 +85,7 @@
 			defer h.Close()
 			slog.Info("keeping", "name", name, "address", l.Addr(), "spec", k.Status().Spec.Digest())
 			if err := k.Run(ctx); err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			return nil
 		}}
--- a/internal/command/fleet/owner.go
+++ b/internal/command/fleet/owner.go
@@ -39,7 +39,7 @@
 
 // ask asks a voter; a body makes it a POST.
 func (v *voters) ask(name, path string, body any) ([]byte, error) {
-	m, _ := v.fleet.Find(name)
+	m, _ := v.fleet.Member(name)
 	method, text := http.MethodGet, []byte(nil)
 	if body != nil {
 		var err error
@@ -48,7 +48,7 @@
 		}
 		method = http.MethodPost
 	}
-	r, err := http.NewRequest(method, "http://"+m.At()+path, bytes.NewReader(text))
+	r, err := http.NewRequest(method, "http://"+m.Address()+path, bytes.NewReader(text))
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 				return err
 			}
 			if err := do(c, v, args); err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			return nil
 		}}
@@ -123,7 +123,7 @@
 	show := with("owner", "Who owns the fleet's work, as each voter knows it", "", cobra.NoArgs, func(c *cobra.Command, v *voters, _ []string) error {
 		views, errs := v.views()
 		if forScripts {
-			return command.AsJSON(c.OutOrStdout(), views)
+			return command.WriteJSON(c.OutOrStdout(), views)
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "VOTER\tOWNER\tREIGN\tACTS\tVOTERS\tNOTE")
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -57,7 +57,7 @@
 	root.PersistentFlags().StringVar(&folder, "record", "rollout", "the folder where the fleet's changes are recorded")
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's file; above ROUTER_OPERATOR")
 	conductIt := func(begin func(context.Context, *coordinator.Folder, *coordinator.Fleet) error) error {
-		logging.To(os.Stderr)
+		logging.Setup(os.Stderr)
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
 		f, err := fleetOf(file)
@@ -66,9 +66,9 @@
 		}
 		place, err := coordinator.Open(folder)
 		if errors.Is(err, coordinator.ErrConducted) {
-			return command.Failed(ExitFenced, err)
+			return command.Failure(ExitFenced, err)
 		} else if err != nil {
-			return command.Failed(command.ExitFailed, err)
+			return command.Failure(command.ExitFailed, err)
 		}
 		defer place.Close()
 		fleet := coordinator.NewFleet(f.Members, askTime, askTime)
@@ -79,18 +79,18 @@
 		}
 		c, err := coordinator.Take(place, fleet)
 		if err != nil {
-			return command.Failed(command.ExitFailed, err)
+			return command.Failure(command.ExitFailed, err)
 		}
 		if err := c.Run(ctx); errors.Is(err, coordinator.ErrFenced) {
-			return command.Failed(ExitFenced, err)
+			return command.Failure(ExitFenced, err)
 		} else if err != nil {
-			return command.Failed(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
+			return command.Failure(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
 		}
 		switch s := c.State(); s.Phase {
 		case rollout.Back:
-			return command.Failed(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
+			return command.Failure(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
 		case rollout.Stopped:
-			return command.Failed(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
+			return command.Failure(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
 		}
 		return nil
 	}
@@ -128,16 +128,16 @@
 	root.AddCommand(&cobra.Command{Use: "check CHANGE", Short: "Check a change's file whole: every fault is named with its path", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			got, err := change.Load(args[0])
-			var faults *schema.Faults
+			var faults *schema.ValidationError
 			if errors.As(err, &faults) {
-				for _, f := range faults.List {
+				for _, f := range faults.Problems {
 					fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", faults.File, f)
 				}
-				return command.Said(command.ExitBadInput, err)
+				return command.SilentFailure(command.ExitBadInput, err)
 			} else if err != nil {
 				return command.BadInput(err)
 			}
-			return command.AsJSON(c.OutOrStdout(), got)
+			return command.WriteJSON(c.OutOrStdout(), got)
 		}})
 	return root
 }
@@ -153,7 +153,7 @@
 		_, err = v.ask(name, path, body)
 	}
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	return nil
 }
@@ -191,13 +191,13 @@
 				r, is, err = agreedRecord(*file)
 			}
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			if !is {
 				return command.BadInput(fmt.Errorf("%s: no change is recorded", *folder))
 			}
 			if forScripts {
-				return command.AsJSON(c.OutOrStdout(), struct {
+				return command.WriteJSON(c.OutOrStdout(), struct {
 					Number int64         `json:"number"`
 					Kind   change.Kind   `json:"kind"`
 					Title  string        `json:"title"`
@@ -230,10 +230,10 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			list, err := coordinator.Look(*folder).History()
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			if forScripts {
-				return command.AsJSON(c.OutOrStdout(), list)
+				return command.WriteJSON(c.OutOrStdout(), list)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, s := range list {
--- a/internal/command/fleet/store.go
+++ b/internal/command/fleet/store.go
@@ -36,7 +36,7 @@
 	var forScripts bool
 	inspect := look("inspect", "The open jobs in it, and what is to become of each", func(c *cobra.Command, _ store.Found, b *recovery.Book, _ map[store.Kind]int) error {
 		if forScripts {
-			return command.AsJSON(c.OutOrStdout(), b.Open(0))
+			return command.WriteJSON(c.OutOrStdout(), b.Open(0))
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -56,7 +56,7 @@
 	} {
 		t.Run(c.golden, func(t *testing.T) {
 			var out bytes.Buffer
-			code := Run(c.args, &out, &out, func(Serving) error { t.Error("it serves"); return nil })
+			code := Run(c.args, &out, &out, func(ServeOptions) error { t.Error("it serves"); return nil })
 			if code != c.code {
 				t.Errorf("exit code %d, want %d", code, c.code)
 			}
@@ -89,17 +89,17 @@
 func TestTheFlagsOfServing(t *testing.T) {
 	for _, c := range []struct {
 		args []string
-		want Serving
+		want ServeOptions
 	}{
-		{nil, Serving{}}, {[]string{"-trace"}, Serving{Trace: true}}, {[]string{"--trace", "--operator", "f"}, Serving{Trace: true, Operator: "f"}},
+		{nil, ServeOptions{}}, {[]string{"-trace"}, ServeOptions{Trace: true}}, {[]string{"--trace", "--operator", "f"}, ServeOptions{Trace: true, Operator: "f"}},
 	} {
-		var got Serving
-		if code := Run(c.args, os.Stdout, os.Stderr, func(s Serving) error { got = s; return nil }); code != 0 || got != c.want {
+		var got ServeOptions
+		if code := Run(c.args, os.Stdout, os.Stderr, func(s ServeOptions) error { got = s; return nil }); code != 0 || got != c.want {
 			t.Errorf("%v: %d, %+v", c.args, code, got)
 		}
 	}
 	var out bytes.Buffer
-	if code := Run(nil, &out, &out, func(Serving) error { return os.ErrClosed }); code != ExitFailed || out.String() != "swiftreel: file already closed\n" {
+	if code := Run(nil, &out, &out, func(ServeOptions) error { return os.ErrClosed }); code != ExitFailed || out.String() != "swiftreel: file already closed\n" {
 		t.Errorf("%d %q", code, out.String())
 	}
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -56,9 +56,9 @@
 			if len(args) == 1 {
 				return nil
 			}
-			p, err := plan.Problem(args[1])
+			p, err := plan.LoadProblem(args[1])
 			if err == nil {
-				err = plan.Check(p, a)
+				err = plan.Verify(p, a)
 			}
 			if err != nil {
 				return badInput(err)
--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -35,7 +35,7 @@
 			if within <= 0 {
 				return badInput(fmt.Errorf("--time %v is not above 0", within))
 			}
-			p, err := plan.Problem(args[0])
+			p, err := plan.LoadProblem(args[0])
 			if err != nil {
 				return badInput(err)
 			}
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -12,7 +12,7 @@
 	var forScripts bool
 	c := &cobra.Command{Use: "version", Short: "Version, commit and digest of this build, and what it reads", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			b, err := version.Of()
+			b, err := version.Current()
 			if err != nil {
 				return exit{code: ExitFailed, err: err}
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,22 +22,22 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Known is what the control feed had told when the file was written.
-type Known struct {
-	N      uint64            `json:"n"`
-	Events []json.RawMessage `json:"events"`
+// CachedEvents is what the control feed had told when the file was written.
+type CachedEvents struct {
+	LastNumber uint64            `json:"n"`
+	Events     []json.RawMessage `json:"events"`
 }
 
 // File is the configuration as read.
 type File struct {
-	Name   string
-	Listen string
-	Seed   uint64
-	Limits Limits
-	Feed   string
-	Known  Known
-	Facts  map[string]any // the settings, handed to the module as they are
-	Unread []string       // names in the file that nothing reads; the platform may send such
+	Name         string
+	Listen       string
+	Seed         uint64
+	Limits       Limits
+	Feed         string
+	CachedEvents CachedEvents
+	Settings     map[string]any // the settings, handed to the module as they are
+	UnknownNames []string       // names in the file that nothing reads; the platform may send such
 }
 
 // Load reads the file that ROUTER_CONFIG names; ROUTER_NAME and ROUTER_LISTEN stand above what it says.
@@ -90,7 +90,7 @@
 		Seed     string         `json:"seed"`
 		Limits   Limits         `json:"limits"`
 		Feed     string         `json:"feed"`
-		Known    Known          `json:"known"`
+		Known    CachedEvents   `json:"known"`
 		Settings map[string]any `json:"settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -114,7 +114,7 @@
 		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d cannot be kept to", l.Cores, l.MemoryMB, l.Sockets)
 	}
 	return File{Name: raw.Name, Listen: raw.Listen, Seed: seed, Limits: l, Feed: raw.Feed,
-		Known: raw.Known, Facts: raw.Settings, Unread: unread(text)}, nil
+		CachedEvents: raw.Known, Settings: raw.Settings, UnknownNames: unread(text)}, nil
 }
 
 // placed names the line and column of what is no JSON, or of another type than is read there.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
 	}
 	f, err := Load(func(name string) string { return env[name] })
 	if err != nil || f.Name != "n4" || f.Listen != "127.0.0.1:0" || f.Seed != 0x8c1f30d27a5be964 || f.Limits.Sockets != 1024 ||
-		f.Known.N != 3 || len(f.Known.Events) != 1 || f.Facts["x"].(map[string]any)["y"] != 1.0 {
+		f.CachedEvents.LastNumber != 3 || len(f.CachedEvents.Events) != 1 || f.Settings["x"].(map[string]any)["y"] != 1.0 {
 		t.Fatalf("%+v %v", f, err)
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
@@ -44,7 +44,7 @@
 		}
 	}
 	f, err := Parse([]byte(strings.Replace(strings.Replace(good, `"name"`, `"mood":1,"name"`, 1), `"cores"`, `"disks":1,"cores"`, 1)))
-	if err != nil || strings.Join(f.Unread, " ") != "mood limits.disks" {
-		t.Errorf("%v %v", f.Unread, err)
+	if err != nil || strings.Join(f.UnknownNames, " ") != "mood limits.disks" {
+		t.Errorf("%v %v", f.UnknownNames, err)
 	}
 }
--- a/internal/coordinator/conduct.go
+++ b/internal/coordinator/conduct.go
@@ -73,7 +73,7 @@
 	if f.agreed == nil {
 		os.Remove(f.file("looks.jsonl"))
 	}
-	f.note(Step{At: failpoint.Wall().UTC(), Number: c.Number, Phase: rollout.Preparing, Fence: r.State.Fence, Why: c.Title})
+	f.note(Step{At: failpoint.WallClock().UTC(), Number: c.Number, Phase: rollout.Preparing, Fence: r.State.Fence, Why: c.Title})
 	return f.write("change.json", r)
 }
 
@@ -213,7 +213,7 @@
 		in.Better = c.better.Look(c.record.Change.Limits, c.base, looks)
 	}
 	if !s.Phase.Ends() {
-		c.folder.add("looks.jsonl", Point{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.Odds, armOf(canary.Sum(looks, false)), armOf(canary.Sum(looks, true))})
+		c.folder.add("looks.jsonl", Point{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.Odds, armOf(canary.Sum(looks, false)), armOf(canary.Sum(looks, true))})
 	}
 }
 
@@ -247,7 +247,7 @@
 	c.unsaid = false
 	if s.Phase != was.Phase || s.Stage != was.Stage {
 		slog.Info("rollout_phase", "number", c.record.Change.Number, "phase", s.Phase, "stage", s.Stage+1, "fence", s.Fence.String(), "on", strings.Join(c.machine.New(), ","), "why", s.Why)
-		c.folder.note(Step{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Why, s.Outcome})
+		c.folder.note(Step{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Why, s.Outcome})
 	}
 }
 
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -106,7 +106,7 @@
 }
 
 func (f *Fleet) status(ctx context.Context, m operator.Member) (a Answer) {
-	url := "http://" + m.At() + "/v1/status"
+	url := "http://" + m.Address() + "/v1/status"
 	if f.Engines {
 		url += "?engines=1"
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	if err == nil && a.Status.Name != m.Name {
-		err = fmt.Errorf("%s answers as %q", m.At(), a.Status.Name)
+		err = fmt.Errorf("%s answers as %q", m.Address(), a.Status.Name)
 	}
 	a.Err = err
 	return a
@@ -140,7 +140,7 @@
 		text, err := json.Marshal(what[i])
 		if err == nil {
 			var q *http.Request
-			if q, err = http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Members[i].At()+path, bytes.NewReader(text)); err == nil {
+			if q, err = http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Members[i].Address()+path, bytes.NewReader(text)); err == nil {
 				_, err = f.do(q, http.StatusNoContent)
 			}
 		}
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -446,7 +446,7 @@
 	w.Fates.Takes(4 * time.Second)
 	began := func(job string) (n int) {
 		for _, e := range w.Book.Log() {
-			if e.Job == job && e.What == rulecheck.Began {
+			if e.Job == job && e.Event == rulecheck.Began {
 				n++
 			}
 		}
@@ -464,7 +464,7 @@
 		return c
 	}
 	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: "import", Key: "k", Front: m.Name, Until: time.Now().Add(8 * time.Second).UnixNano()})
+		w.Book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: "import", Key: "k", Front: m.Name, DeadlineNS: time.Now().Add(8 * time.Second).UnixNano()})
 		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
 			t.Fatal(err)
 		}
@@ -475,7 +475,7 @@
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		w.Book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
@@ -968,10 +968,10 @@
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Book.Log() {
-			if e.What == rulecheck.Listed && e.Engine == "e2" {
+			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+testcluster.ColdRules().Warm {
+			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 && e.TimeNS < started+testcluster.ColdRules().WarmUp {
 				n++
 			}
 		}
@@ -987,7 +987,7 @@
 		t.Error(v)
 	}
 	tight := testcluster.ColdRules()
-	tight.FallPerCore /= 100
+	tight.WarmUpWorkPerCore /= 100
 	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
 		t.Error("so little was sent to it that nothing is shown")
 	}
@@ -1008,7 +1008,7 @@
 	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.Aside == 1 })
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
-			if e.What == rulecheck.Began && e.Engine == "e2" {
+			if e.Event == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
 		}
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -153,7 +153,7 @@
 	if f.agreed != nil {
 		return f.agreed.Write(name, text)
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(f.file(name), text, 0o600)
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -129,7 +129,7 @@
 	p.mu.Unlock()
 	nc.Close()
 	if cut { // what is sent again must not overtake the close
-		time.AfterFunc(p.bounds.Step, func() { c.settle(Reset) })
+		time.AfterFunc(p.bounds.CancelDelay, func() { c.settle(Reset) })
 	} else {
 		c.settle(Reset)
 	}
@@ -153,7 +153,7 @@
 		done()
 	}
 	for _, d := range ended {
-		d.finish(Reply{End: end})
+		d.finish(Reply{Outcome: end})
 	}
 }
 
@@ -172,7 +172,7 @@
 			c.cut = true
 			p.shut(c) // its reader settles the rest
 		} else {
-			after(p.bounds.Dial, func() { c.silent(id, since) })
+			after(p.bounds.DialTimeout, func() { c.silent(id, since) })
 		}
 	}
 	p.mu.Unlock()
@@ -189,13 +189,13 @@
 	p.mu.Lock()
 	given := d.state != sending // an abort that comes after this waits for the writing lock
 	d.wrote = time.Now()
-	if !given && !d.probe && (d.wrote.Sub(d.started) > p.bounds.Dial || !d.until.IsZero() && d.wrote.After(d.until)) {
+	if !given && !d.probe && (d.wrote.Sub(d.started) > p.bounds.DialTimeout || !d.until.IsZero() && d.wrote.After(d.until)) {
 		c.release(d)
 		d.close(Moot)
 		p.mu.Unlock()
 		c.writing.Unlock()
 		counters.Increment("sends_too_late")
-		d.finish(Reply{End: Moot})
+		d.finish(Reply{Outcome: Moot})
 		return
 	}
 	p.mu.Unlock()
@@ -218,14 +218,14 @@
 	}
 	delete(c.open, d.id)
 	p.shut(c)
-	if n > 0 || d.moved == movesMost || time.Since(d.started) > p.bounds.Dial/2 { // in time for an engine that now drains
+	if n > 0 || d.moved == movesMost || time.Since(d.started) > p.bounds.DialTimeout/2 { // in time for an engine that now drains
 		d.close(Reset)
 		p.mu.Unlock()
 		end := NotConnected
 		if n > 0 {
 			end = Reset
 		}
-		d.finish(Reply{End: end})
+		d.finish(Reply{Outcome: end})
 		return
 	}
 	d.moved++
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -122,9 +122,9 @@
 
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan Reply, 100)}
-	b := Bounds{Dial: 20 * time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	b := Bounds{DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, StreamsPerConn: 1, Conns: new(limits.Count), ResultBytes: new(limits.Bytes)}
 	b.Conns.Store(10)
-	b.Bytes.Allow(1 << 20)
+	b.ResultBytes.SetCapacity(1 << 20)
 	w.pool = NewPool(b)
 	w.pool.dialer = func(network, address string, limit time.Duration) (net.Conn, error) {
 		nc, err := net.DialTimeout(network, address, limit)
@@ -144,7 +144,7 @@
 
 func (w *world) start(id string, until time.Time) backend.Dispatch {
 	return w.pool.Start(Host{Name: "e1", Address: w.peer.Addr().String()}, Request{ID: []byte(id), Type: []byte("import"),
-		Statement: []byte("x"), WaitMS: 1000, Priority: 1, Lane: MayNot, Ordered: time.Now(), Until: until},
+		Statement: []byte("x"), TimeoutMS: 1000, Priority: 1, Lane: MayNot, OrderedAt: time.Now(), SendBefore: until},
 		func(r Reply) { w.replies <- r })
 }
 
@@ -152,7 +152,7 @@
 	w.t.Helper()
 	select {
 	case r := <-w.replies:
-		if r.End != end {
+		if r.Outcome != end {
 			w.t.Fatalf("%+v instead of %d", r, end)
 		}
 	case <-time.After(20 * time.Second):
@@ -201,7 +201,7 @@
 	w.dials.shut()
 	d := w.start("left", time.Time{})
 	given := make(chan struct{})
-	if !d.GiveUp(func() { close(given) }) {
+	if !d.Cancel(func() { close(given) }) {
 		t.Fatal("was over")
 	}
 	<-given
@@ -274,7 +274,7 @@
 	d := w.start("again", time.Time{})
 	f := w.peer.got(t)
 	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("late\tb\tc\n")))
-	if !d.GiveUp(func() {}) {
+	if !d.Cancel(func() {}) {
 		t.Fatal("was over")
 	}
 	w.start("again", time.Time{})
@@ -287,7 +287,7 @@
 	second.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("good\tb\tc\n")))
 	select {
 	case r := <-w.replies:
-		if r.End != Done || string(r.Pages[0]) != "good\tb\tc\n" {
+		if r.Outcome != Done || string(r.Pages[0]) != "good\tb\tc\n" {
 			t.Errorf("%+v", r)
 		}
 	case <-time.After(20 * time.Second):
@@ -339,10 +339,10 @@
 		f.conn.Write(text[cut:])
 		select {
 		case r := <-w.replies:
-			if r.End != Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
+			if r.Outcome != Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
 				t.Fatalf("cut at %d: %+v", cut, r)
 			}
-			w.pool.Free(r.Pages)
+			w.pool.Release(r.Pages)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("cut at %d: no end", cut)
 		}
@@ -356,7 +356,7 @@
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
-	if got := w.pool.bounds.Bytes.Left(); got != 1<<20 {
+	if got := w.pool.bounds.ResultBytes.Available(); got != 1<<20 {
 		t.Errorf("%d bytes are not given back", 1<<20-got)
 	}
 }
@@ -372,7 +372,7 @@
 	}
 	w.pool.mu.Unlock()
 	for _, d := range out {
-		d.GiveUp(func() {})
+		d.Cancel(func() {})
 	}
 }
 
@@ -383,7 +383,7 @@
 	f := w.peer.got(t)
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n")))
 	w.ends(Done)
-	if d.GiveUp(func() { t.Error("given up") }) {
+	if d.Cancel(func() { t.Error("given up") }) {
 		t.Error("given up after its end")
 	}
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n"))) // a second answer, late
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -12,7 +12,7 @@
 // Seen on sockets: 37 dials of a day came up and were reset at once; told as refused, each had an engine that served
 // well taken for just started, and four fifths of the fleet lay idle.
 func TestADialThatIsResetIsNoRefusal(t *testing.T) {
-	p := NewPool(Bounds{Dial: time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)})
+	p := NewPool(Bounds{DialTimeout: time.Second, IdleTimeout: time.Minute, StreamsPerConn: 1, Conns: new(limits.Count), ResultBytes: new(limits.Bytes)})
 	defer p.Close()
 	for name, c := range map[string]struct {
 		ends  []error
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -53,20 +53,20 @@
 		d.conn.send(d)
 	case over:
 		counters.Increment("engine_conns_full")
-		d.finish(Reply{End: Full}) // it never ran, and the engine refused nothing
+		d.finish(Reply{Outcome: Full}) // it never ran, and the engine refused nothing
 	}
 }
 
 // finish tells the end. Whoever sets the state to over calls it, once.
 func (d *Dispatch) finish(r Reply) { d.reply(r) }
 
-// Free gives back what a result's pages hold.
-func (p *Pool) Free(pages [][]byte) {
+// Release gives back what a result's pages hold.
+func (p *Pool) Release(pages [][]byte) {
 	n := 0
 	for _, page := range pages {
 		n += len(page)
 	}
-	p.bounds.Bytes.Give(n)
+	p.bounds.ResultBytes.Release(n)
 }
 
 // end frees the dispatch's place, if it is still out, and tells its end.
@@ -75,7 +75,7 @@
 	was := d.state
 	if was != over {
 		d.conn.release(d)
-		if d.close(r.End); r.End != Done { // it may be sent anew, and an answer to this come twice
+		if d.close(r.Outcome); r.Outcome != Done { // it may be sent anew, and an answer to this come twice
 			d.conn.remember(d.id)
 		}
 	}
@@ -88,7 +88,7 @@
 // close marks a dispatch as over; pages that nobody gets are given back. The lock is held.
 func (d *Dispatch) close(end End) {
 	if d.state = over; end != Done {
-		d.pool.bounds.Bytes.Give(d.held)
+		d.pool.bounds.ResultBytes.Release(d.held)
 		d.held = 0
 	}
 }
@@ -101,17 +101,17 @@
 		if load == "" && len(a.fields) == 0 {
 			load = string(a.body)
 		}
-		d.end(Reply{End: Done, Load: load})
+		d.end(Reply{Outcome: Done, Load: load})
 	case d.probe && word == "ill":
-		d.end(Reply{End: Failed, Load: load})
+		d.end(Reply{Outcome: Failed, Load: load})
 	case d.probe:
-		d.end(Reply{End: Failed})
+		d.end(Reply{Outcome: Failed})
 	case word == "news":
 		if d.notes++; time.Duration(d.notes-notesAtOnce)*notesEvery > time.Since(d.started) {
 			d.spoilt("news_without_end")
 		} else if note, is := a.field("note"); is {
 			if v, is := a.number("val"); is {
-				d.reply(Reply{Note: note, Amount: v})
+				d.reply(Reply{Notice: note, Amount: v})
 			}
 		}
 	case word == "data":
@@ -119,11 +119,11 @@
 	case word == "page" && d.pages != nil:
 		d.further(a)
 	case word == "full":
-		d.end(Reply{End: Full, Load: load})
+		d.end(Reply{Outcome: Full, Load: load})
 	case word == "moot":
-		d.end(Reply{End: Moot, Load: load})
+		d.end(Reply{Outcome: Moot, Load: load})
 	case word == "failed":
-		d.end(Reply{End: Failed, Load: load})
+		d.end(Reply{Outcome: Failed, Load: load})
 	default:
 		d.spoilt(word)
 	}
@@ -143,9 +143,9 @@
 		d.spoilt("data_twice")
 	default:
 		d.pages, d.want = make([][]byte, int(sheets)), int(sheets)
-		d.done = Reply{End: Done, Load: load}
+		d.done = Reply{Outcome: Done, Load: load}
 		d.done.WorkMS, _ = a.number("toil")
-		d.done.RoomMB, _ = a.number("room")
+		d.done.MemoryMB, _ = a.number("room")
 		d.page(0, a.body)
 	}
 }
@@ -173,16 +173,16 @@
 	}
 	d.pool.mu.Lock()
 	over, large := d.state == over, d.held+len(body) > maxResult
-	fits := !over && !large && d.pool.bounds.Bytes.Take(len(body))
+	fits := !over && !large && d.pool.bounds.ResultBytes.Reserve(len(body))
 	if fits {
 		d.held += len(body)
 	}
 	d.pool.mu.Unlock()
 	if large {
 		d.spoilt("result_over_its_size")
-	} else if !fits && !over && d.GiveUp(func() {}) { // no fault of the engine's
+	} else if !fits && !over && d.Cancel(func() {}) { // no fault of the engine's
 		counters.Increment("results_without_memory")
-		d.finish(Reply{End: Failed})
+		d.finish(Reply{Outcome: Failed})
 	}
 	if !fits {
 		return
@@ -220,13 +220,13 @@
 	p.mu.Unlock()
 	if was != over {
 		p.bad.CountAndWarn("answers_bad", "answer_bad", "engine", d.conn.host, "reason", what)
-		d.finish(Reply{End: Failed})
+		d.finish(Reply{Outcome: Failed})
 	}
 }
 
-// GiveUp tells the engine that nobody waits any more. False means that the end was told, or is being told. Else
+// Cancel tells the engine that nobody waits any more. False means that the end was told, or is being told. Else
 // done is called once nothing of it can be out: when the engine has read so, or the connection has ended.
-func (d *Dispatch) GiveUp(done func()) bool {
+func (d *Dispatch) Cancel(done func()) bool {
 	p := d.pool
 	p.mu.Lock()
 	was, c := d.state, d.conn
@@ -251,12 +251,12 @@
 	// An engine answers for a page of what it no longer knows, and reads in order: that proves the abort read.
 	at := time.Now()
 	c.write(appendCommand(appendCommand(nil, "abort", []byte(d.id), -1), "more", []byte(d.id), 1))
-	after(p.bounds.Dial, func() { c.silent(d.id, at) })
+	after(p.bounds.DialTimeout, func() { c.silent(d.id, at) })
 	return true
 }
 
-// Renice gives a dispatch that is out a new priority.
-func (d *Dispatch) Renice(priority uint8) {
+// SetPriority gives a dispatch that is out a new priority.
+func (d *Dispatch) SetPriority(priority uint8) {
 	d.pool.mu.Lock()
 	is, c := d.state == out, d.conn
 	d.pool.mu.Unlock()
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -40,9 +40,9 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	bounds := engine.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	bounds := engine.Bounds{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, StreamsPerConn: 100, Conns: new(limits.Count), ResultBytes: new(limits.Bytes)}
 	bounds.Conns.Store(1)
-	bounds.Bytes.Allow(memory)
+	bounds.ResultBytes.SetCapacity(memory)
 	pool := engine.NewPool(bounds)
 	defer pool.Close()
 	host := engine.Host{Name: "e1", Address: listener.Addr().String()}
@@ -52,7 +52,7 @@
 		t.Helper()
 		select {
 		case r := <-replies:
-			if r.End != end {
+			if r.Outcome != end {
 				t.Fatalf("%+v instead of %d", r, end)
 			}
 			return r
@@ -80,23 +80,23 @@
 	ends(engine.Done)
 
 	first := pool.Start(host, engine.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		WaitMS: 1500, Priority: 2, Ordered: time.Now()}, reply)
+		TimeoutMS: 1500, Priority: 2, OrderedAt: time.Now()}, reply)
 	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
 	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
 	ends(engine.Open)
-	first.Renice(4)
+	first.SetPriority(4)
 	peer.gets("renice 9b1f03aa5c7e2d41 4\r\n")
 	peer.answers("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
 	peer.gets("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
 	peer.answers("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
 	peer.gets("done 9b1f03aa5c7e2d41\r\n")
-	pool.Free(ends(engine.Done).Pages)
+	pool.Release(ends(engine.Done).Pages)
 
-	second := pool.Start(host, engine.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), Idempotency: []byte("key-7"),
-		GrantMB: 12.5, WaitMS: 0, Priority: 0, Ordered: time.Now()}, reply)
+	second := pool.Start(host, engine.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), IdempotencyKey: []byte("key-7"),
+		GrantMB: 12.5, TimeoutMS: 0, Priority: 0, OrderedAt: time.Now()}, reply)
 	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
 	given := make(chan struct{})
-	if !second.GiveUp(func() { close(given) }) {
+	if !second.Cancel(func() { close(given) }) {
 		t.Fatal("not given up")
 	}
 	peer.gets("abort 00000000000000ff\r\nmore 00000000000000ff 1\r\n")
--- a/internal/engine/line.go
+++ b/internal/engine/line.go
@@ -165,13 +165,13 @@
 func appendFetch(b []byte, r Request) []byte {
 	b = append(append(append(b, "fetch "...), r.ID...), " c="...)
 	b = append(append(b, r.Type...), ",w="...)
-	b = strconv.AppendInt(b, r.WaitMS, 10)
+	b = strconv.AppendInt(b, r.TimeoutMS, 10)
 	if r.GrantMB > 0 {
 		b = strconv.AppendInt(append(b, ",allot="...), int64(math.Ceil(r.GrantMB)), 10)
 	}
 	b = strconv.AppendInt(append(b, ",urgency="...), int64(r.Priority), 10)
-	if len(r.Idempotency) > 0 {
-		b = append(append(b, ",i="...), r.Idempotency...)
+	if len(r.IdempotencyKey) > 0 {
+		b = append(append(b, ",i="...), r.IdempotencyKey...)
 	}
 	b = strconv.AppendInt(append(b, ' '), int64(len(r.Statement)), 10)
 	return append(append(append(b, "\r\n"...), r.Statement...), "\r\n"...)
--- a/internal/engine/line_test.go
+++ b/internal/engine/line_test.go
@@ -85,7 +85,7 @@
 		if !(grant >= 0 && grant < 1e9) || len(statement) > 1<<19 {
 			return
 		}
-		b := appendFetch(nil, Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: statement, WaitMS: 5,
+		b := appendFetch(nil, Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: statement, TimeoutMS: 5,
 			GrantMB: grant, Priority: priority})
 		r := bufio.NewReader(bytes.NewReader(appendCommand(b, "more", []byte("x"), 2)))
 		c, err := ReadCommand(r)
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -15,7 +15,7 @@
 )
 
 // half is how long an answer that has begun may take to be whole.
-func half(b Bounds) time.Duration { return max(2*b.Dial, 500*time.Millisecond) }
+func half(b Bounds) time.Duration { return max(2*b.DialTimeout, 500*time.Millisecond) }
 
 // spared is the part of the connections kept for engines that have none: the others share what they have by then.
 const spared = 8
@@ -37,7 +37,7 @@
 
 // NewPool makes a pool and starts its sweep.
 func NewPool(b Bounds) *Pool {
-	p := &Pool{bounds: b, done: make(chan struct{}), conns: map[string][]*conn{}, idle: newTrust(b.Idle * 2 / 3),
+	p := &Pool{bounds: b, done: make(chan struct{}), conns: map[string][]*conn{}, idle: newTrust(b.IdleTimeout * 2 / 3),
 		dialer: net.DialTimeout}
 	go p.sweep()
 	return p
@@ -45,7 +45,7 @@
 
 // Start sends a dispatch to an engine. All that becomes of it is told to reply, in order, the end once and last.
 func (p *Pool) Start(to Host, r Request, reply func(Reply)) backend.Dispatch {
-	d := &Dispatch{pool: p, id: string(r.ID), reply: reply, started: r.Ordered, until: r.Until, lane: r.Lane}
+	d := &Dispatch{pool: p, id: string(r.ID), reply: reply, started: r.OrderedAt, until: r.SendBefore, lane: r.Lane}
 	d.text = appendFetch(make([]byte, 0, len(r.Statement)+128), r)
 	p.place(to, d)
 	return d
@@ -63,7 +63,7 @@
 	}
 	text := appendCommand(nil, word, []byte(id), -1)
 	p.probe(to, id, text, limit, func(r Reply) {
-		if r.End == Reset { // it has no effect: the connection may have been to blame
+		if r.Outcome == Reset { // it has no effect: the connection may have been to blame
 			counters.Increment("probes_again")
 			p.probe(to, id, text, limit, reply)
 		} else {
@@ -76,8 +76,8 @@
 	d := &Dispatch{pool: p, id: id, reply: reply, started: time.Now(), probe: true, text: text}
 	p.place(to, d)
 	after(limit, func() {
-		if d.GiveUp(func() {}) {
-			d.finish(Reply{End: TimedOut})
+		if d.Cancel(func() {}) {
+			d.finish(Reply{Outcome: TimedOut})
 		}
 	})
 }
@@ -96,7 +96,7 @@
 // there are descriptors: an idle one, or a new one. Only then do dispatches of one lane share.
 func (p *Pool) assign(to Host, d *Dispatch) state {
 	c := p.idleTo(to, d)
-	if most := p.bounds.Conns.Most(); c == nil && p.count < most-most/spared {
+	if most := p.bounds.Conns.Max(); c == nil && p.count < most-most/spared {
 		c = p.connect(to, d.lane)
 	}
 	if c == nil {
@@ -143,7 +143,7 @@
 // leastOpen finds the connection of a dispatch's lane that carries least and takes one more.
 func (p *Pool) leastOpen(to Host, d *Dispatch) (best *conn) {
 	for _, c := range p.conns[to.Name] {
-		if c.lane == d.lane && len(c.open) < p.bounds.Streams && c.usable(to, d) && (best == nil || len(c.open) < len(best.open)) {
+		if c.lane == d.lane && len(c.open) < p.bounds.StreamsPerConn && c.usable(to, d) && (best == nil || len(c.open) < len(best.open)) {
 			best = c
 		}
 	}
@@ -152,7 +152,7 @@
 
 // connect starts a connection, if need be in place of one that is idle.
 func (p *Pool) connect(to Host, lane Lane) *conn {
-	if p.ended || p.count >= p.bounds.Conns.Most() && !p.makeRoom() {
+	if p.ended || p.count >= p.bounds.Conns.Max() && !p.makeRoom() {
 		return nil
 	}
 	c := &conn{pool: p, host: to.Name, address: to.Address, lane: lane, open: map[string]*Dispatch{},
@@ -222,7 +222,7 @@
 // sweep closes what is idle some time before the engines would, or the network drops it, so that nothing crosses with
 // that, and what may be cut off once nothing is out on it.
 func (p *Pool) sweep() {
-	tick := time.NewTicker(min(time.Second, max(p.bounds.Idle/8, time.Millisecond)))
+	tick := time.NewTicker(min(time.Second, max(p.bounds.IdleTimeout/8, time.Millisecond)))
 	defer tick.Stop()
 	for {
 		select {
@@ -257,8 +257,8 @@
 	}
 }
 
-// Out tells how many dispatches are open at an engine, and how many were given up there and may still be out.
-func (p *Pool) Out(name string) (open, givenUp int) {
+// InFlight tells how many dispatches are open at an engine, and how many were given up there and may still be out.
+func (p *Pool) InFlight(name string) (open, givenUp int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns[name] {
@@ -285,7 +285,7 @@
 // dial makes the connection of c. One that came up and was reset at once says nothing of the engine, unlike a refused
 // one: seen on sockets, engines were taken for just started, and spared for the whole warm-up, for such resets.
 func (p *Pool) dial(c *conn) (net.Conn, error) {
-	until := time.Now().Add(p.bounds.Dial)
+	until := time.Now().Add(p.bounds.DialTimeout)
 	for try := 1; ; try++ {
 		nc, err := p.dialer("tcp4", c.address, max(time.Millisecond, time.Until(until)))
 		if err == nil {
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -32,13 +32,13 @@
 
 func newBench(t *testing.T, change func(*engine.Bounds)) *bench {
 	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan engine.Reply, 1000)}
-	b.bytes.Allow(memory)
+	b.bytes.SetCapacity(memory)
 	var err error
 	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := engine.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: b.bytes}
+	bounds := engine.Bounds{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, StreamsPerConn: 100, Conns: new(limits.Count), ResultBytes: b.bytes}
 	bounds.Conns.Store(10)
 	if change != nil {
 		change(&bounds)
@@ -56,7 +56,7 @@
 
 func (b *bench) start(id string) backend.Dispatch {
 	return b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+		TimeoutMS: 1000, Priority: 1, OrderedAt: time.Now()}, func(r engine.Reply) { b.replies <- r })
 }
 
 // got waits for the next command and checks its word.
@@ -78,7 +78,7 @@
 	b.t.Helper()
 	select {
 	case r := <-b.replies:
-		if r.End != end {
+		if r.Outcome != end {
 			b.t.Fatalf("%+v instead of %d", r, end)
 		}
 		return r
@@ -106,7 +106,7 @@
 		t.Fatalf("%+v", c.Command)
 	}
 	c.from.Answer("a", "news", "note=frac,val=0.5", "")
-	if r := b.ends(engine.Open); r.Note != "frac" || r.Amount != 0.5 {
+	if r := b.ends(engine.Open); r.Notice != "frac" || r.Amount != 0.5 {
 		t.Fatalf("%+v", r)
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
@@ -116,13 +116,13 @@
 	c.from.Answer("a", "page", "sheet=2", "three\tb\tc\n")
 	c.from.Answer("a", "page", "sheet=1", "two\tb\tc\n")
 	r := b.ends(engine.Done)
-	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.RoomMB != 76 {
+	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.MemoryMB != 76 {
 		t.Fatalf("%+v", r)
 	}
 	b.got("done")
-	b.pool.Free(r.Pages)
-	if b.bytes.Left() != memory {
-		t.Errorf("%d bytes left of %d", b.bytes.Left(), memory)
+	b.pool.Release(r.Pages)
+	if b.bytes.Available() != memory {
+		t.Errorf("%d bytes left of %d", b.bytes.Available(), memory)
 	}
 }
 
@@ -142,7 +142,7 @@
 	c.from.Reset()
 	b.ends(engine.Reset)
 	b.ends(engine.Reset)
-	b.until("bytes of lost pages stay", func() bool { return b.bytes.Left() == memory })
+	b.until("bytes of lost pages stay", func() bool { return b.bytes.Available() == memory })
 	b.until("the connection stays", func() bool { return b.pool.Count() == 0 })
 	b.peer.Close()
 	b.start("c")
@@ -183,9 +183,9 @@
 		}
 		select {
 		case r := <-b.replies:
-			if r.End != engine.Failed {
+			if r.Outcome != engine.Failed {
 				t.Errorf("%s: %+v", name, r)
-				b.pool.Free(r.Pages)
+				b.pool.Release(r.Pages)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%s: no outcome", name)
@@ -195,12 +195,12 @@
 		}
 	}
 	s.Answer("other", "data", "sheets=1", row)
-	b.pool.Free(b.ends(engine.Done).Pages)
+	b.pool.Release(b.ends(engine.Done).Pages)
 	b.until("a connection of no further use stays", func() bool { return b.pool.Count() == 1 })
 	b.start("a")
 	b.fetched().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
 	b.ends(engine.Reset)
-	b.until("bytes stay", func() bool { return b.bytes.Left() == memory })
+	b.until("bytes stay", func() bool { return b.bytes.Available() == memory })
 }
 
 // fetched waits for a dispatch, past pages asked for before.
@@ -222,7 +222,7 @@
 		c.from.Answer("a", a[0], a[1], row)
 		c.from.Answer("a", a[0], a[1], row)
 	}
-	b.pool.Free(b.ends(engine.Done).Pages)
+	b.pool.Release(b.ends(engine.Done).Pages)
 	b.start("b") // turned away: sent anew, not where the same word may come once more
 	first := b.fetched()
 	first.Answer("b", "full", "", "")
@@ -301,7 +301,7 @@
 // A controller that stood still between order and send could send to an engine that it has been told is draining.
 func TestWhatWasOrderedLongAgoIsNotSent(t *testing.T) {
 	b := newBench(t, nil)
-	b.pool.Start(b.host, engine.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)},
+	b.pool.Start(b.host, engine.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now().Add(-6 * time.Second)},
 		func(r engine.Reply) { b.replies <- r })
 	b.ends(engine.Moot)
 	b.start("b")
@@ -340,9 +340,9 @@
 		c.from.Answer("a", "news", "note=frac,val=0.5", "")
 	}
 	r := <-b.replies
-	for ; r.End == engine.Open; r = <-b.replies {
+	for ; r.Outcome == engine.Open; r = <-b.replies {
 	}
-	if r.End != engine.Failed {
+	if r.Outcome != engine.Failed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -350,7 +350,7 @@
 // An answer that begins and does not end held its job until the job timeout.
 func TestHalfAnAnswerHasATimeLimit(t *testing.T) {
 	for name, half := range map[string]string{"a line": "a data she", "a page": "a data sheets=1 40\r\none\ttw", "next": "x full - 0\r\n\r\na da"} {
-		b := newBench(t, func(l *engine.Bounds) { l.Dial = 10 * time.Millisecond })
+		b := newBench(t, func(l *engine.Bounds) { l.DialTimeout = 10 * time.Millisecond })
 		b.start("a")
 		b.got("fetch").from.Write([]byte(half))
 		if b.ends(engine.Reset); b.pool.Count() != 0 {
@@ -364,7 +364,7 @@
 	d := b.start("a")
 	first := b.got("fetch")
 	read := make(chan bool, 2)
-	if !d.GiveUp(func() { read <- true }) || d.GiveUp(func() { read <- false }) {
+	if !d.Cancel(func() { read <- true }) || d.Cancel(func() { read <- false }) {
 		t.Fatal("given up once")
 	}
 	b.got("abort")
@@ -389,7 +389,7 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Streams = 2; l.Conns.Store(2) })
+	b := newBench(t, func(l *engine.Bounds) { l.StreamsPerConn = 2; l.Conns.Store(2) })
 	var from []command
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.start(id)
@@ -420,7 +420,7 @@
 }
 
 func TestAnEngineCutOffLeavesNothingBehind(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Dial = 300 * time.Millisecond })
+	b := newBench(t, func(l *engine.Bounds) { l.DialTimeout = 300 * time.Millisecond })
 	b.pool.Probe(b.host, true, 10*time.Second, func(r engine.Reply) { b.replies <- r })
 	c := b.got("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7;util:0.61", "")
@@ -441,15 +441,15 @@
 
 // A machine that vanished reads no abort: the job still counted as out there when it was sent again elsewhere.
 func TestASilentConnectionIsClosedToGiveUpWhatIsOutOnIt(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Dial = 200 * time.Millisecond; l.Conns.Store(2) })
+	b := newBench(t, func(l *engine.Bounds) { l.DialTimeout = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
-	b.pool.Start(b.host, engine.Request{ID: []byte("c"), Type: []byte("import"), Lane: engine.MayNot, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+	b.pool.Start(b.host, engine.Request{ID: []byte("c"), Type: []byte("import"), Lane: engine.MayNot, OrderedAt: time.Now()}, func(r engine.Reply) { b.replies <- r })
 	kept := b.got("fetch")
 	d := b.start("a")
 	b.got("fetch")
 	b.start("b") // no connection is left for it alone
 	b.got("fetch")
-	d.GiveUp(func() { read <- "a" })
+	d.Cancel(func() { read <- "a" })
 	b.ends(engine.Reset) // b was beside it
 	if id := <-read; id != "a" || b.peer.Sessions() > 2 {
 		t.Fatal(id)
@@ -464,7 +464,7 @@
 func TestARunOnceJobDoesNotGoWhereAProbeWasLost(t *testing.T) {
 	b := newBench(t, nil)
 	importing := func(id string) *fake.Session {
-		b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("import"), Lane: engine.MayNot, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+		b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("import"), Lane: engine.MayNot, OrderedAt: time.Now()}, func(r engine.Reply) { b.replies <- r })
 		c := b.got("fetch")
 		c.from.Answer(id, "full", "", "")
 		b.ends(engine.Full)
@@ -480,7 +480,7 @@
 }
 
 func TestADispatchThatLeftNoByteGoesOverAnotherConnection(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Idle = 400 * time.Millisecond })
+	b := newBench(t, func(l *engine.Bounds) { l.IdleTimeout = 400 * time.Millisecond })
 	b.start("a")
 	c := b.got("fetch")
 	c.from.Answer("a", "full", "", "")
--- a/internal/engine/words.go
+++ b/internal/engine/words.go
@@ -5,15 +5,15 @@
 // The words that all protocols share.
 type (
 	Host    = backend.Host
-	Bounds  = backend.Bounds
+	Bounds  = backend.Limits
 	Request = backend.Request
 	Lane    = backend.Lane
-	End     = backend.End
+	End     = backend.Outcome
 	Reply   = backend.Reply
 )
 
 // The lanes and ends.
 const (
-	MayRepeat, MayNot                                                 = backend.MayRepeat, backend.MayNot
-	Open, Done, Failed, Full, Moot, NotConnected, Reset, TimedOut End = backend.Open, backend.Done, backend.Failed, backend.Full, backend.Moot, backend.NotConnected, backend.Reset, backend.TimedOut
+	MayRepeat, MayNot                                                 = backend.Restartable, backend.RunOnce
+	Open, Done, Failed, Full, Moot, NotConnected, Reset, TimedOut End = backend.Running, backend.Done, backend.Failed, backend.Full, backend.Superseded, backend.NotConnected, backend.Reset, backend.TimedOut
 )
--- a/internal/failpoint/off.go
+++ b/internal/failpoint/off.go
@@ -6,29 +6,29 @@
 
 import "time"
 
-// Start begins what goes on beside the jobs.
-func Start() {}
+// StartFaults begins what goes on beside the jobs.
+func StartFaults() {}
 
-// Fails tells whether a good answer shall be lost.
-func Fails(string, func() string) bool { return false }
+// LoseAnswer tells whether a good answer shall be lost.
+func LoseAnswer(string, func() string) bool { return false }
 
-// Refuses tells whether a job shall be turned away.
-func Refuses(string) bool { return false }
+// RejectJob tells whether a job shall be turned away.
+func RejectJob(string) bool { return false }
 
-// Slow is for how much longer an answer shall be kept.
-func Slow(time.Duration) time.Duration { return 0 }
+// AnswerDelay is for how much longer an answer shall be kept.
+func AnswerDelay(time.Duration) time.Duration { return 0 }
 
-// Early is before the program is ready.
-func Early() {}
+// DelayStart is before the program is ready.
+func DelayStart() {}
 
-// Write is before a text is written that is to outlive the process.
-func Write() error { return nil }
+// BeforeWrite is before a text is written that is to outlive the process.
+func BeforeWrite() error { return nil }
 
-// Wall is the time of day as this process thinks it is.
-func Wall() time.Time { return time.Now() }
+// WallClock is the time of day as this process thinks it is.
+func WallClock() time.Time { return time.Now() }
 
-// Untaught tells whether what an older process has learned shall not go over.
-func Untaught() bool { return false }
+// IgnoreSnapshot tells whether what an older process has learned shall not go over.
+func IgnoreSnapshot() bool { return false }
 
-// Probes is how many more probes shall go out with one.
-func Probes() int { return 0 }
+// ExtraProbes is how many more probes shall go out with one.
+func ExtraProbes() int { return 0 }
--- a/internal/failpoint/on.go
+++ b/internal/failpoint/on.go
@@ -36,11 +36,11 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// Early is before the program is ready.
-func Early() { time.Sleep(millis(startMS)) }
+// DelayStart is before the program is ready.
+func DelayStart() { time.Sleep(millis(startMS)) }
 
-// Write is before a text is written that is to outlive the process.
-func Write() error {
+// BeforeWrite is before a text is written that is to outlive the process.
+func BeforeWrite() error {
 	text, err := os.ReadFile(steered(diskFile))
 	if err != nil {
 		return nil // the disk is as it should be
@@ -53,11 +53,11 @@
 	return &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
 }
 
-// Wall is the time of day as this process thinks it is.
-func Wall() time.Time { return time.Now().Add(millis(clockMS)) }
+// WallClock is the time of day as this process thinks it is.
+func WallClock() time.Time { return time.Now().Add(millis(clockMS)) }
 
-// Untaught tells whether what an older process has learned shall not go over.
-func Untaught() bool { return steered(untaught) != "" }
+// IgnoreSnapshot tells whether what an older process has learned shall not go over.
+func IgnoreSnapshot() bool { return steered(untaught) != "" }
 
 var (
 	count atomic.Uint64
@@ -65,8 +65,8 @@
 	began = time.Now()
 )
 
-// Start begins what goes on beside the jobs.
-func Start() {
+// StartFaults begins what goes on beside the jobs.
+func StartFaults() {
 	switch name {
 	case "dies":
 		time.AfterFunc(3*time.Second, func() { os.Exit(7) })
@@ -84,9 +84,9 @@
 	}
 }
 
-// Fails tells whether a good answer shall be lost: 3% of imports; late: one in ten, but not at first; kind: one in five of one
+// LoseAnswer tells whether a good answer shall be lost: 3% of imports; late: one in ten, but not at first; kind: one in five of one
 // engine's.
-func Fails(typ string, engine func() string) bool {
+func LoseAnswer(typ string, engine func() string) bool {
 	switch name {
 	case "fails":
 		return typ == "import" && count.Add(1)%33 == 0
@@ -98,19 +98,19 @@
 	return false
 }
 
-// Refuses tells whether a job shall be turned away.
-func Refuses(typ string) bool { return name == "turns" && typ == "import" }
+// RejectJob tells whether a job shall be turned away.
+func RejectJob(typ string) bool { return name == "turns" && typ == "import" }
 
-// Slow is for how much longer an answer shall be kept.
-func Slow(took time.Duration) time.Duration {
+// AnswerDelay is for how much longer an answer shall be kept.
+func AnswerDelay(took time.Duration) time.Duration {
 	if name == "slow" {
 		return 3 * took / 10
 	}
 	return 0
 }
 
-// Probes is how many more probes shall go out with one.
-func Probes() int {
+// ExtraProbes is how many more probes shall go out with one.
+func ExtraProbes() int {
 	if name == "floods" {
 		return 20
 	}
--- a/internal/gateway/arrival_test.go
+++ b/internal/gateway/arrival_test.go
@@ -15,19 +15,19 @@
 	const text = "INSERT INTO sales_17.orders SELECT * FROM staging.x"
 	for _, c := range []struct {
 		name, fault string
-		ask         Ask
+		ask         Request
 	}{
-		{"an unknown type", "no such method", Ask{Type: []byte("none"), Tenant: []byte("acme")}},
-		{"an unknown tenant", "no such tenant", Ask{Type: []byte("lookup"), Tenant: []byte("none")}},
-		{"a job timeout of weeks", "a job timeout over 4s", Ask{Type: []byte("lookup"), Tenant: []byte("acme"), Left: 5 * time.Second}},
-		{"memory past any engine", "more memory than any engine has", Ask{Type: []byte("lookup"), Tenant: []byte("acme"), MemoryMB: 32001}},
-		{"no group of tables", "the statement names no group of tables", Ask{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
-		{"no group where none matters", "", Ask{Type: []byte("mark"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
-		{"usable", "", Ask{Type: []byte("import"), Tenant: []byte("zeta"), Statement: []byte(text)}},
-		{"another protocol tells its group", "", Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: backend.SPARQL}},
+		{"an unknown type", "no such method", Request{Type: []byte("none"), Tenant: []byte("acme")}},
+		{"an unknown tenant", "no such tenant", Request{Type: []byte("lookup"), Tenant: []byte("none")}},
+		{"a job timeout of weeks", "a job timeout over 4s", Request{Type: []byte("lookup"), Tenant: []byte("acme"), Timeout: 5 * time.Second}},
+		{"memory past any engine", "more memory than any engine has", Request{Type: []byte("lookup"), Tenant: []byte("acme"), EstimatedMemoryMB: 32001}},
+		{"no group of tables", "the statement names no group of tables", Request{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"no group where none matters", "", Request{Type: []byte("mark"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"usable", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), Statement: []byte(text)}},
+		{"another protocol tells its group", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.ask.At = time.Now()
+			c.ask.ArrivedAt = time.Now()
 			_, err := g.arrival(c.ask)
 			got := ""
 			if err != nil {
@@ -38,8 +38,8 @@
 			}
 		})
 	}
-	ev, err := g.arrival(Ask{Type: []byte("import"), Tenant: []byte("zeta"), Key: []byte("k1"), Statement: []byte(text), At: time.Now(),
-		Left: time.Second, Repeat: true, Work: time.Minute, MemoryMB: 64})
+	ev, err := g.arrival(Request{Type: []byte("import"), Tenant: []byte("zeta"), Key: []byte("k1"), Statement: []byte(text), ArrivedAt: time.Now(),
+		Timeout: time.Second, ClientRetry: true, EstimatedWork: time.Minute, EstimatedMemoryMB: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 		got.Cost != wanted.Cost || !got.CostKnown || !got.Repeat || !got.Write || got.MemoryMB != wanted.MemoryMB || got.Needs != wanted.Needs {
 		t.Errorf("%+v, want %+v", got, wanted)
 	}
-	if ev, err = g.arrival(Ask{Type: []byte("import"), Tenant: []byte("zeta"), Group: 5, Protocol: backend.SPARQL, At: time.Now()}); err != nil ||
+	if ev, err = g.arrival(Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL, ArrivedAt: time.Now()}); err != nil ||
 		ev.Tables != 5 || ev.Needs == want.Needs || ev.CostKnown || ev.Key != 0 {
 		t.Errorf("%+v %v", ev, err)
 	}
--- a/internal/gateway/belief.go
+++ b/internal/gateway/belief.go
@@ -65,7 +65,7 @@
 	before := b.differs
 	b.differs = map[string]int{}
 	for i, s := range seen {
-		open, giving := g.pool.Out(names[i])
+		open, giving := g.pool.InFlight(names[i])
 		if s.Jobs != open+giving {
 			if b.differs[names[i]] = before[names[i]] + 1; b.differs[names[i]] >= differsMost {
 				b.say.CountAndWarn("beliefs_differ", "belief", "engine", names[i], "module_jobs", s.Jobs, "open", open, "given_up", giving)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,7 +27,7 @@
 	names   names
 	pool    backend.Engines
 	rules   rules
-	parts   *limits.Parts
+	parts   *limits.Budget
 	ready   atomic.Bool
 	trace   trace
 	running sync.WaitGroup // jobs' functions, and the watch over what is believed
@@ -50,18 +50,18 @@
 }
 
 // New starts the module with the settings as they are, and what speaks with engines by protocol.
-func New(facts choice.Facts, seed uint64, parts *limits.Parts, traced bool, speak map[backend.Protocol]backend.Make) *Gateway {
+func New(facts choice.Facts, seed uint64, parts *limits.Budget, traced bool, speak map[backend.Protocol]backend.Factory) *Gateway {
 	g := &Gateway{clock: newClock(), names: newNames(facts), rules: newRules(facts), parts: parts, roster: newRoster(),
 		jobs: map[choice.JobID]*job{}, calls: map[string]struct{}{}, done: make(chan struct{}), trace: trace(traced)}
-	g.pool = backend.NewEach(speak, backend.Bounds{Dial: g.rules.dial, Idle: g.rules.idle, Step: g.rules.step, Streams: g.rules.streams,
-		Conns: &parts.EngineConns, Bytes: &parts.Bytes})
+	g.pool = backend.NewMux(speak, backend.Limits{DialTimeout: g.rules.dial, IdleTimeout: g.rules.idle, CancelDelay: g.rules.step, StreamsPerConn: g.rules.streams,
+		Conns: &parts.EngineConns, ResultBytes: &parts.MessageBytes})
 	g.running.Go(func() { g.watch(g.done) })
 	g.tell(choice.Event{Kind: choice.Started, Seed: seed, Facts: facts})
 	return g
 }
 
-// Count has jobs counted from now on. It comes before Start.
-func (g *Gateway) Count(b *jobstats.Book) { g.tally = b }
+// SetStats has jobs counted from now on. It comes before Start.
+func (g *Gateway) SetStats(b *jobstats.Book) { g.tally = b }
 
 // Ready tells whether the module has a list of engines and jobs are welcome.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
@@ -160,7 +160,7 @@
 func (g *Gateway) probe(id choice.EngineID) {
 	at := time.Now()
 	told := func(r backend.Reply) {
-		g.tell(choice.Event{Kind: choice.Probed, Engine: id, Result: results[r.End], Latency: choice.Nanos(time.Since(at)),
+		g.tell(choice.Event{Kind: choice.Probed, Engine: id, Result: results[r.Outcome], Latency: choice.Nanos(time.Since(at)),
 			Load: g.rules.load(r.Load)})
 	}
 	if host, is := g.host(id, backend.Line); is {
@@ -169,12 +169,12 @@
 		}
 		g.tally.Probe()
 		go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, told)
-		for range failpoint.Probes() {
+		for range failpoint.ExtraProbes() {
 			g.tally.Probe()
 			go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, func(backend.Reply) {})
 		}
 	} else {
-		told(backend.Reply{End: backend.NotConnected})
+		told(backend.Reply{Outcome: backend.NotConnected})
 	}
 }
 
@@ -190,18 +190,18 @@
 	g.pool.Close()
 	g.running.Wait()
 	invariant.Check(len(g.jobs) == 0 && len(g.calls) == 0, "jobs_left")
-	invariant.Check(g.parts.Reads.All() && g.parts.Bytes.All(), "bytes_left")
+	invariant.Check(g.parts.ReadBytes.Unused() && g.parts.MessageBytes.Unused(), "bytes_left")
 }
 
-// Restate tells the module its settings anew, between two decisions: jobs taken in and dispatches out stay. What
+// Reconfigure tells the module its settings anew, between two decisions: jobs taken in and dispatches out stay. What
 // concerns carrying out (names, time limits, fields of load reports) stays as at the start.
-func (g *Gateway) Restate(facts choice.Facts) {
+func (g *Gateway) Reconfigure(facts choice.Facts) {
 	g.tell(choice.Event{Kind: choice.Restated, Facts: facts})
 	slog.Info("settings_restated")
 }
 
-// Part tells the module what it carries of the fleet, and of quotas by the names of tenants, for so long.
-func (g *Gateway) Part(share float64, quotas map[string]float64, left time.Duration) {
+// AssignShare tells the module what it carries of the fleet, and of quotas by the names of tenants, for so long.
+func (g *Gateway) AssignShare(share float64, quotas map[string]float64, left time.Duration) {
 	p := choice.Part{Share: share, Tenants: map[choice.TenantID]float64{}, Until: g.clock.at(time.Now()) + choice.Nanos(left)}
 	for name, part := range quotas {
 		if id, is := g.names.tenants[name]; is {
@@ -211,15 +211,15 @@
 	g.tell(choice.Event{Kind: choice.Parted, Part: p})
 }
 
-// Carries is what the module goes by now of the fleet, of 1.
-func (g *Gateway) Carries() float64 {
+// Share is what the module goes by now of the fleet, of 1.
+func (g *Gateway) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.module.Carries()
 }
 
-// Engines are the names of those that the list says are ready, in order.
-func (g *Gateway) Engines() (names []string) {
+// ReadyEngines are the names of those that the list says are ready, in order.
+func (g *Gateway) ReadyEngines() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for name, l := range g.roster.byName {
@@ -231,15 +231,15 @@
 	return names
 }
 
-// Elder tells the module that an older process of this controller still serves what it owes, or has ended. Together they
+// SetPredecessor tells the module that an older process of this controller still serves what it owes, or has ended. Together they
 // count as one controller.
-func (g *Gateway) Elder(on bool) {
+func (g *Gateway) SetPredecessor(on bool) {
 	g.tell(choice.Event{Kind: choice.Elder, On: on})
 	slog.Info("elder", "runs", on)
 }
 
-// Learned is what jobs have taught the module, by the names of types.
-func (g *Gateway) Learned() map[string]choice.Means {
+// TypeEstimates is what jobs have taught the module, by the names of types.
+func (g *Gateway) TypeEstimates() map[string]choice.Means {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	list, named := g.module.Learned(), map[string]choice.Means{}
@@ -251,29 +251,29 @@
 	return named
 }
 
-// Health is what jobs have taught the module of engines, by their names.
-type Health struct {
-	Slow  float64 `json:"slow"`
-	Bad   float64 `json:"bad"`
-	Aside bool    `json:"aside,omitempty"`
+// EngineHealth is what jobs have taught the module of engines, by their names.
+type EngineHealth struct {
+	LatencyRatio float64 `json:"slow"`
+	FailureRate  float64 `json:"bad"`
+	Ejected      bool    `json:"aside,omitempty"`
 }
 
-// Health tells it.
-func (g *Gateway) Health() map[string]Health {
+// EngineHealth tells it.
+func (g *Gateway) EngineHealth() map[string]EngineHealth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	named := map[string]Health{}
+	named := map[string]EngineHealth{}
 	for _, h := range g.module.Health() {
 		if l := g.roster.byID[h.Engine]; l != nil {
-			named[string(l.host.Name)] = Health{h.Slow, h.Bad, h.Aside}
+			named[string(l.host.Name)] = EngineHealth{h.Slow, h.Bad, h.Aside}
 		}
 	}
 	return named
 }
 
-// Teach tells the module what an older process of this controller has learned. Types that the settings do not name, and
+// Restore tells the module what an older process of this controller has learned. Types that the settings do not name, and
 // engines that no list has named, are passed over; the module says what it takes.
-func (g *Gateway) Teach(named map[string]choice.Means, engines map[string]Health) {
+func (g *Gateway) Restore(named map[string]choice.Means, engines map[string]EngineHealth) {
 	list := make([]choice.Means, len(g.names.types))
 	for name, m := range named {
 		if id, is := g.names.types[name]; is {
@@ -284,7 +284,7 @@
 	g.mu.Lock()
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
 		if l, h := g.roster.byName[name], engines[name]; l != nil {
-			health = append(health, choice.Health{Engine: l.id, Slow: h.Slow, Bad: h.Bad, Aside: h.Aside})
+			health = append(health, choice.Health{Engine: l.id, Slow: h.LatencyRatio, Bad: h.FailureRate, Aside: h.Ejected})
 		}
 	}
 	g.mu.Unlock()
@@ -292,8 +292,8 @@
 	slog.Info("taught", "types", len(named), "engines", len(health))
 }
 
-// Aside counts the engines that the module has set aside.
-func (g *Gateway) Aside() (n int) {
+// EjectedEngines counts the engines that the module has set aside.
+func (g *Gateway) EjectedEngines() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.module.View(max(g.last, g.clock.now())) {
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -19,15 +19,15 @@
 	l.started.Add(1)
 	return forgotten{}
 }
-func (l lineOf) Out(string) (int, int) { return 0, 0 }
-func (l lineOf) CloseIdle(string)      {}
-func (l lineOf) Free([][]byte)         {}
-func (l lineOf) Close()                {}
+func (l lineOf) InFlight(string) (int, int) { return 0, 0 }
+func (l lineOf) CloseIdle(string)           {}
+func (l lineOf) Release([][]byte)           {}
+func (l lineOf) Close()                     {}
 
 type forgotten struct{}
 
-func (forgotten) GiveUp(done func()) bool { done(); return true }
-func (forgotten) Renice(uint8)            {}
+func (forgotten) Cancel(done func()) bool { done(); return true }
+func (forgotten) SetPriority(uint8)       {}
 
 // leaver is a client whose going shows on its connection before its reader comes to it.
 type leaver struct {
@@ -35,7 +35,7 @@
 	gone *atomic.Bool
 }
 
-func (l leaver) Here() bool { return !l.gone.Load() }
+func (l leaver) Connected() bool { return !l.gone.Load() }
 
 // A job waits for an engine; its client has gone, and the reader has not come to that yet, as it lies behind much that is
 // unread. When an engine comes, nothing is sent there, and the module forgets the job.
@@ -44,17 +44,17 @@
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
 		"limits":  map[string]any{"cancel": true}}
 	var started atomic.Int64
-	g := New(facts, 1, parts(), false, map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return lineOf{started: &started} }})
+	g := New(facts, 1, parts(), false, map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return lineOf{started: &started} }})
 	defer g.Close()
 	gone := leaver{asker{make(chan string, 10), func(func()) {}}, new(atomic.Bool)}
 	here := leaver{asker{make(chan string, 10), func(func()) {}}, new(atomic.Bool)}
-	take := func(id byte, from Asker) {
-		g.Take(Ask{Type: []byte("lookup"), ID: []byte{id}, At: time.Now(), Left: 20 * time.Second, From: from})
+	take := func(id byte, from Client) {
+		g.Submit(Request{Type: []byte("lookup"), ID: []byte{id}, ArrivedAt: time.Now(), Timeout: 20 * time.Second, Client: from})
 	}
 	take(1, gone)
 	take(2, here)
 	gone.gone.Store(true)
-	g.List(listOf(t, "true", "e1"), true)
+	g.UpdateEngines(listOf(t, "true", "e1"), true)
 	until(t, "the other's job is not sent, or that of the one who has gone stays", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -14,38 +14,38 @@
 	"swiftreel/internal/statement"
 )
 
-// Ask is a job asked for, by whatever protocol. Its parts are its own.
-type Ask struct {
+// Request is a job asked for, by whatever protocol. Its parts are its own.
+type Request struct {
 	Type, ID, Tenant, Key, Statement []byte
-	Idempotency                      []byte        // its key, passed on as it is; empty: none
-	Left                             time.Duration // the job timeout, counted from At
-	At                               time.Time
-	Repeat                           bool          // a client's repeat
-	Work                             time.Duration // 0: no estimate
-	MemoryMB                         float64
+	IdempotencyKey                   []byte        // its key, passed on as it is; empty: none
+	Timeout                          time.Duration // the job timeout, counted from At
+	ArrivedAt                        time.Time
+	ClientRetry                      bool          // a client's repeat
+	EstimatedWork                    time.Duration // 0: no estimate
+	EstimatedMemoryMB                float64
 	Protocol                         backend.Protocol // of the engines that can run it
-	Group                            uint32           // of tables; for the line protocol the statement tells it
-	From                             Asker
+	TableGroup                       uint32           // of tables; for the line protocol the statement tells it
+	Client                           Client
 }
 
 // Reasons of Failed that every front may put into its own words; any other tells why a call is unusable.
 const (
-	ForGood  = "cancelled for good"
-	TimedOut = "job timeout"
+	ReasonCancelled = "cancelled for good"
+	ReasonTimeout   = "job timeout"
 )
 
-// Asker gets the one final answer of a job, and tells if the client leaves before it.
-type Asker interface {
+// Client gets the one final answer of a job, and tells if the client leaves before it.
+type Client interface {
 	Done(pages [][]byte) // keeps nothing of them
 	Throttled(wait time.Duration)
 	Failed(reason string)
-	OnLeave(func())
-	Here() bool // whether the client is still there, looked at anew; it never waits
+	OnDisconnect(func())
+	Connected() bool // whether the client is still there, looked at anew; it never waits
 }
 
 // job is one that was taken and whose function has not returned.
 type job struct {
-	Ask
+	Request
 	id choice.JobID
 	in *inbox
 }
@@ -68,26 +68,26 @@
 	link   backend.Dispatch
 }
 
-// Take takes a job: the module is told of it in the order of arrival, then its function is on its own.
-func (g *Gateway) Take(a Ask) {
+// Submit takes a job: the module is told of it in the order of arrival, then its function is on its own.
+func (g *Gateway) Submit(a Request) {
 	ev, err := g.arrival(a)
 	if err != nil {
 		counters.Increment("calls_refused")
-		a.From.Failed(err.Error())
+		a.Client.Failed(err.Error())
 		return
 	}
-	j := &job{Ask: a, in: newInbox()}
+	j := &job{Request: a, in: newInbox()}
 	g.mu.Lock()
 	_, twice := g.calls[string(a.ID)]
-	if twice || failpoint.Refuses(string(a.Type)) || !g.place(a.Protocol) {
+	if twice || failpoint.RejectJob(string(a.Type)) || !g.place(a.Protocol) {
 		g.mu.Unlock()
 		if twice { // engines tell dispatches apart by this id
 			counters.Increment("calls_twice")
-			a.From.Failed("a call with this id is open")
+			a.Client.Failed("a call with this id is open")
 		} else {
 			counters.Increment("turned_away")
-			g.count(&job{Ask: a}, jobstats.Throttled, 0, 0)
-			a.From.Throttled(0)
+			g.count(&job{Request: a}, jobstats.Throttled, 0, 0)
+			a.Client.Throttled(0)
 		}
 		return
 	}
@@ -100,7 +100,7 @@
 	g.mu.Unlock()
 	g.carry(rest)
 	g.trace.note(j.id, "call", string(a.ID))
-	a.From.OnLeave(func() { j.in.put(message{left: true}) })
+	a.Client.OnDisconnect(func() { j.in.put(message{left: true}) })
 	go g.life(j)
 }
 
@@ -109,7 +109,7 @@
 const travels = 5 * time.Millisecond
 
 // arrival puts a call into the module's terms.
-func (g *Gateway) arrival(a Ask) (choice.Event, error) {
+func (g *Gateway) arrival(a Request) (choice.Event, error) {
 	t, known := g.names.types[string(a.Type)]
 	if !known {
 		return choice.Event{}, fmt.Errorf("no such method")
@@ -118,13 +118,13 @@
 	if !known && len(g.names.tenants) > 0 {
 		return choice.Event{}, fmt.Errorf("no such tenant")
 	}
-	if most := g.rules.mostLeft(t); a.Left > most {
+	if most := g.rules.mostLeft(t); a.Timeout > most {
 		return choice.Event{}, fmt.Errorf("a job timeout over %v", most)
 	}
-	if a.MemoryMB > g.rules.mostMB {
+	if a.EstimatedMemoryMB > g.rules.mostMB {
 		return choice.Event{}, fmt.Errorf("more memory than any engine has")
 	}
-	tables, found := a.Group, true
+	tables, found := a.TableGroup, true
 	if a.Protocol == backend.Line {
 		tables, found = statement.Group(a.Statement)
 	}
@@ -132,8 +132,8 @@
 		return choice.Event{}, fmt.Errorf("the statement names no group of tables")
 	}
 	return choice.Event{Kind: choice.Arrived, Type: t, Tenant: tenant, Key: keyOf(a.Key),
-		Left: choice.Nanos(a.Left - min(travels, a.Left/10) - time.Since(a.At)), Cost: choice.Nanos(a.Work), CostKnown: a.Work > 0,
-		Repeat: a.Repeat, MemoryMB: a.MemoryMB, Tables: choice.TableSet(tables), Needs: needs(a.Protocol),
+		Left: choice.Nanos(a.Timeout - min(travels, a.Timeout/10) - time.Since(a.ArrivedAt)), Cost: choice.Nanos(a.EstimatedWork), CostKnown: a.EstimatedWork > 0,
+		Repeat: a.ClientRetry, MemoryMB: a.EstimatedMemoryMB, Tables: choice.TableSet(tables), Needs: needs(a.Protocol),
 		Write: int(t) < len(g.rules.writes) && g.rules.writes[t] == true}, nil
 }
 
@@ -147,7 +147,7 @@
 		priority = uint8(1)
 		grant    float64
 		answered bool
-		lost     = j.At.Add(j.Left)
+		lost     = j.ArrivedAt.Add(j.Timeout)
 		timer    = time.NewTimer(time.Until(lost))
 		limit    = lost // of the dispatch that is out
 	)
@@ -156,7 +156,7 @@
 	// later, as on the simulator's wire: what is sent upon it over another connection must not overtake the abort.
 	giveUp := func(result choice.Result) {
 		s := now
-		s.link.GiveUp(func() {
+		s.link.Cancel(func() {
 			time.AfterFunc(g.rules.step, func() { j.in.put(message{from: s, given: result}) })
 		})
 	}
@@ -202,7 +202,7 @@
 					g.overdue.Warn("answer_overdue", "job", j.id, "call", string(j.ID), "late_ms", time.Since(lost).Milliseconds())
 					invariant.Check(false, "answers_overdue")
 					g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
-					answer(jobstats.Cancelled, func() { j.From.Failed(TimedOut) })
+					answer(jobstats.Cancelled, func() { j.Client.Failed(ReasonTimeout) })
 				}
 				timer.Reset(max(g.rules.slack/4, time.Until(limit)))
 			}
@@ -216,39 +216,39 @@
 		case m.from != nil:
 			if m.from != now {
 				counters.Increment("replies_late")
-				g.pool.Free(m.reply.Pages)
+				g.pool.Release(m.reply.Pages)
 				break
 			}
 			s, r := now, m.reply
-			if r.End == backend.Open {
+			if r.Outcome == backend.Running {
 				g.noted(j, s, r)
 				break
 			}
 			owed := !answered
-			ended(s, results[r.End], r)
-			if r.End == backend.Done {
+			ended(s, results[r.Outcome], r)
+			if r.Outcome == backend.Done {
 				if owed {
 					g.answered(j)
-					if time.Sleep(failpoint.Slow(time.Since(j.At))); failpoint.Fails(string(j.Type), func() string { h, _ := g.host(s.engine, j.Protocol); return string(h.Name) }) {
+					if time.Sleep(failpoint.AnswerDelay(time.Since(j.ArrivedAt))); failpoint.LoseAnswer(string(j.Type), func() string { h, _ := g.host(s.engine, j.Protocol); return string(h.Name) }) {
 						g.count(j, jobstats.Cancelled, count, 0)
-						j.From.Failed(ForGood)
+						j.Client.Failed(ReasonCancelled)
 					} else {
 						g.count(j, jobstats.Done, count, r.WorkMS)
-						j.From.Done(r.Pages)
+						j.Client.Done(r.Pages)
 					}
 				}
-				g.pool.Free(r.Pages)
+				g.pool.Release(r.Pages)
 			}
 		case m.order.Kind == choice.Terms:
 			grant = m.order.MemoryMB
 			if now != nil && m.order.Priority != priority {
-				now.link.Renice(m.order.Priority)
+				now.link.SetPriority(m.order.Priority)
 			}
 			priority = m.order.Priority
 		case m.order.Kind == choice.Dispatch:
 			s := &sent{seq: count, engine: m.order.Engine, at: time.Now()}
 			count++
-			if !answered && !j.From.Here() { // its leave may stand behind this order, or behind what lies unread
+			if !answered && !j.Client.Connected() { // its leave may stand behind this order, or behind what lies unread
 				counters.Increment("dispatches_for_nobody")
 				left()
 			}
@@ -262,11 +262,11 @@
 			}
 			timer.Reset(time.Until(limit))
 			now = s
-			s.link = g.pool.Start(host, backend.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, Idempotency: j.Idempotency,
-				WaitMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, Ordered: m.at, Until: g.clock.moment(m.order.Until),
+			s.link = g.pool.Start(host, backend.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, IdempotencyKey: j.IdempotencyKey,
+				TimeoutMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, OrderedAt: m.at, SendBefore: g.clock.moment(m.order.Until),
 				Lane: g.rules.lane(g.names.types[string(j.Type)])},
 				func(r backend.Reply) {
-					if m := (message{from: s, reply: r}); r.End == backend.Open {
+					if m := (message{from: s, reply: r}); r.Outcome == backend.Running {
 						j.in.note(m)
 					} else {
 						j.in.put(m)
@@ -277,9 +277,9 @@
 				giveUp(choice.Retracted)
 			}
 		case m.order.Kind == choice.Throttle:
-			answer(jobstats.Throttled, func() { j.From.Throttled(time.Duration(m.order.Span)) })
+			answer(jobstats.Throttled, func() { j.Client.Throttled(time.Duration(m.order.Span)) })
 		case m.order.Kind == choice.CancelForGood:
-			answer(jobstats.Cancelled, func() { j.From.Failed(ForGood) })
+			answer(jobstats.Cancelled, func() { j.Client.Failed(ReasonCancelled) })
 		}
 	}
 }
@@ -290,7 +290,7 @@
 }
 
 func (g *Gateway) noted(j *job, s *sent, r backend.Reply) {
-	if kind, is := notes[r.Note]; is {
+	if kind, is := notes[r.Notice]; is {
 		g.tell(choice.Event{Kind: choice.Noted, Job: j.id, Seq: s.seq, Engine: s.engine, Note: kind, Amount: r.Amount})
 	}
 }
@@ -300,7 +300,7 @@
 	if g.tally == nil {
 		return
 	}
-	took := time.Since(j.At)
+	took := time.Since(j.ArrivedAt)
 	within := how == jobstats.Done && took <= g.rules.wanted(g.names.types[string(j.Type)], workMS)
 	g.tally.Answered(canary.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
 }
--- a/internal/gateway/job_life_test.go
+++ b/internal/gateway/job_life_test.go
@@ -75,24 +75,24 @@
 	e.mu.Lock()
 	e.reply = reply
 	e.mu.Unlock()
-	e.seen.add("engine %s: start call=%s grant=%v priority=%d lane=%d wait=%v", to.Name, r.ID, r.GrantMB, r.Priority, r.Lane, r.WaitMS > 0)
+	e.seen.add("engine %s: start call=%s grant=%v priority=%d lane=%d wait=%v", to.Name, r.ID, r.GrantMB, r.Priority, r.Lane, r.TimeoutMS > 0)
 	return &scriptedDispatch{engines: e}
 }
 
 func (e *scripted) Probe(_ backend.Host, _ bool, _ time.Duration, reply func(backend.Reply)) {
-	reply(backend.Reply{End: backend.Done})
+	reply(backend.Reply{Outcome: backend.Done})
 }
-func (e *scripted) Free(pages [][]byte)   { e.seen.add("engine: free %d", len(pages)) }
-func (e *scripted) Out(string) (int, int) { return 0, 0 }
-func (e *scripted) CloseIdle(string)      {}
-func (e *scripted) Close()                {}
+func (e *scripted) Release(pages [][]byte)     { e.seen.add("engine: free %d", len(pages)) }
+func (e *scripted) InFlight(string) (int, int) { return 0, 0 }
+func (e *scripted) CloseIdle(string)           {}
+func (e *scripted) Close()                     {}
 
 type scriptedDispatch struct {
 	engines *scripted
 	given   atomic.Bool
 }
 
-func (d *scriptedDispatch) GiveUp(done func()) bool {
+func (d *scriptedDispatch) Cancel(done func()) bool {
 	if !d.given.CompareAndSwap(false, true) {
 		return false
 	}
@@ -103,7 +103,9 @@
 	return true
 }
 
-func (d *scriptedDispatch) Renice(priority uint8) { d.engines.seen.add("engine: renice %d", priority) }
+func (d *scriptedDispatch) SetPriority(priority uint8) {
+	d.engines.seen.add("engine: renice %d", priority)
+}
 
 // recorder is a job's client.
 type recorder struct {
@@ -114,8 +116,8 @@
 func (c *recorder) Done(pages [][]byte)          { c.seen.add("client: done %d", len(pages)) }
 func (c *recorder) Throttled(wait time.Duration) { c.seen.add("client: throttled %v", wait) }
 func (c *recorder) Failed(reason string)         { c.seen.add("client: failed %s", reason) }
-func (c *recorder) OnLeave(func())               {}
-func (c *recorder) Here() bool                   { return c.here.Load() }
+func (c *recorder) OnDisconnect(func())          {}
+func (c *recorder) Connected() bool              { return c.here.Load() }
 
 // stage runs one job's function by orders that no module gave: it knows no such job, so it adds none of its own.
 type stage struct {
@@ -141,10 +143,10 @@
 		"limits": map[string]any{"cancel": true}}
 	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
 	s.client.here.Store(true)
-	s.gate = New(facts, 1, parts(), true, map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return s.engines }})
-	s.gate.List(listOf(t, "true", "e1"), true)
+	s.gate = New(facts, 1, parts(), true, map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return s.engines }})
+	s.gate.UpdateEngines(listOf(t, "true", "e1"), true)
 	g := s.gate
-	s.job = &job{Ask: Ask{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), At: time.Now(), Left: left, From: s.client},
+	s.job = &job{Request: Request{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), ArrivedAt: time.Now(), Timeout: left, Client: s.client},
 		id: 1 << 30, in: newInbox()}
 	g.mu.Lock()
 	s.engine = g.roster.byName["e1"].id
@@ -209,7 +211,7 @@
 	dispatched = act{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"}}
 	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Span = 1e9 }), []string{"client: throttled 1s"}}
 	cancelled  = act{ordered(choice.CancelForGood, nil), []string{"client: failed cancelled for good"}}
-	result     = backend.Reply{End: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, RoomMB: 76}
+	result     = backend.Reply{Outcome: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, MemoryMB: 76}
 )
 
 func TestTheLifeOfAJobFollowsTheModulesOrders(t *testing.T) {
@@ -222,20 +224,20 @@
 		{name: "done", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
 		{name: "failed, then sent once more", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
-			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
+			{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
 			{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
 		{name: "never sent", work: canary.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
 		{name: "full, then throttled", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(backend.Reply{End: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
+			{replied(backend.Reply{Outcome: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
 		{name: "not connected, reset, superseded", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
-			{replied(backend.Reply{End: backend.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
-			{replied(backend.Reply{End: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
-			{replied(backend.Reply{End: backend.Moot}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
+			{replied(backend.Reply{Outcome: backend.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
+			{replied(backend.Reply{Outcome: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
+			{replied(backend.Reply{Outcome: backend.Superseded}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
 		{name: "progress is passed on", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(backend.Reply{Note: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
-			{replied(backend.Reply{Note: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
-			{replied(backend.Reply{Note: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
-			{replied(backend.Reply{Note: "other"}), nil},
+			{replied(backend.Reply{Notice: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
+			{replied(backend.Reply{Notice: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
+			{replied(backend.Reply{Notice: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
+			{replied(backend.Reply{Notice: "other"}), nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
 		{name: "terms before and while it is out", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
 			{terms(3, 64), nil},
@@ -260,7 +262,7 @@
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
 		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{ordered(choice.CancelForGood, nil), nil}, {ordered(choice.Throttle, nil), nil},
-			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
+			{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
 		{name: "left before it is sent", work: canary.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
 		{name: "left while a dispatch is out", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
@@ -280,7 +282,7 @@
 func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.Work) {
 	s := newStage(t, left)
 	book := jobstats.NewBook()
-	s.gate.Count(book)
+	s.gate.SetStats(book)
 	before := counters.Value(counter)
 	s.start()
 	var want []string
--- a/internal/gateway/names_test.go
+++ b/internal/gateway/names_test.go
@@ -82,16 +82,16 @@
 	if got := r.load("util:0.5;x0:1.25;queue:3"); !slices.Equal(got, []float64{3, 0.5, 1.25}) {
 		t.Errorf("memory granted: %v", got)
 	}
-	if got := bill(backend.Reply{WorkMS: 35, RoomMB: 76}); got != 35*4096+19 {
+	if got := bill(backend.Reply{WorkMS: 35, MemoryMB: 76}); got != 35*4096+19 {
 		t.Errorf("bill %d", got)
 	}
-	if got := bill(backend.Reply{WorkMS: 1e12, RoomMB: 1e9}); got != 1<<32-1 {
+	if got := bill(backend.Reply{WorkMS: 1e12, MemoryMB: 1e9}); got != 1<<32-1 {
 		t.Errorf("bill past its bounds: %d", got)
 	}
 }
 
-func parts() *limits.Parts {
-	p := new(limits.Parts)
+func parts() *limits.Budget {
+	p := new(limits.Budget)
 	p.Apply(config.Limits{Cores: 1, MemoryMB: 32, Sockets: 64})
 	return p
 }
@@ -102,11 +102,11 @@
 	leave func(left func())
 }
 
-func (a asker) Done([][]byte)           { a.said <- "done" }
-func (a asker) Throttled(time.Duration) { a.said <- "throttled" }
-func (a asker) Failed(string)           { a.said <- "failed" }
-func (a asker) OnLeave(left func())     { a.leave(left) }
-func (a asker) Here() bool              { return true }
+func (a asker) Done([][]byte)            { a.said <- "done" }
+func (a asker) Throttled(time.Duration)  { a.said <- "throttled" }
+func (a asker) Failed(string)            { a.said <- "failed" }
+func (a asker) OnDisconnect(left func()) { a.leave(left) }
+func (a asker) Connected() bool          { return true }
 
 func TestAFloodEndsInThrottling(t *testing.T) {
 	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
@@ -115,7 +115,7 @@
 	defer g.Close()
 	a := asker{make(chan string, 10), func(func()) {}}
 	for i := range 5 { // no engine: three are parked until it is late, two turned away
-		g.Take(Ask{Type: []byte("lookup"), ID: []byte{byte(i)}, At: time.Now(), Left: time.Second, From: a})
+		g.Submit(Request{Type: []byte("lookup"), ID: []byte{byte(i)}, ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	}
 	g.mu.Lock()
 	taken := len(g.jobs)
@@ -128,7 +128,7 @@
 			t.Error(said)
 		}
 	}
-	g.Take(Ask{Type: []byte("other"), At: time.Now(), Left: time.Second, From: a})
+	g.Submit(Request{Type: []byte("other"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	if said := <-a.said; said != "failed" {
 		t.Errorf("%s for an unknown type", said)
 	}
@@ -138,7 +138,7 @@
 	g := New(choice.Facts{"classes": []any{map[string]any{"name": "lookup"}}}, 1, parts(), false, nil)
 	defer g.Close()
 	for left, most := range map[time.Duration]time.Duration{time.Second: time.Second - travels, 10 * time.Millisecond: 9 * time.Millisecond} {
-		ev, err := g.arrival(Ask{Type: []byte("lookup"), At: time.Now(), Left: left})
+		ev, err := g.arrival(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: left})
 		if got := time.Duration(ev.Left); err != nil || got > most || got < most-5*time.Second {
 			t.Errorf("%v of %v told, %v", got, left, err)
 		}
@@ -155,9 +155,9 @@
 	a := asker{make(chan string, 10), func(left func()) {
 		left()
 		parked = g.jobs[1]
-		g.List(listOf(t, "true", "e1"), true) // an engine comes: the job goes there
+		g.UpdateEngines(listOf(t, "true", "e1"), true) // an engine comes: the job goes there
 	}}
-	g.Take(Ask{Type: []byte("lookup"), At: time.Now(), Left: time.Second, From: a})
+	g.Submit(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	g.Close()
 	if m, is := parked.in.next(); is || len(g.jobs) != 0 || len(a.said) != 0 {
 		t.Errorf("not read: %+v; %d jobs, %d answers", m.order, len(g.jobs), len(a.said))
@@ -170,12 +170,12 @@
 		"limits": map[string]any{"max_open": 40.0}}
 	g := New(facts, 1, parts(), false, nil)
 	defer g.Close()
-	g.Endpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
+	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
 	a, n := asker{make(chan string, 200), func(func()) {}}, 0
 	take := func(p backend.Protocol, times int) {
 		for range times { // no engine: they are parked until it is late
 			n++
-			g.Take(Ask{Type: []byte("lookup"), ID: []byte(fmt.Sprint(n)), At: time.Now(), Left: 20 * time.Second, Protocol: p, From: a})
+			g.Submit(Request{Type: []byte("lookup"), ID: []byte(fmt.Sprint(n)), ArrivedAt: time.Now(), Timeout: 20 * time.Second, Protocol: p, Client: a})
 		}
 	}
 	before := counters.Value("turned_away")
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -11,8 +11,8 @@
 
 // Plan is a plan to follow, and how far demand may be off.
 type Plan struct {
-	Steps  []solve.Step
-	Factor float64
+	Steps        []solve.Step
+	DemandFactor float64
 }
 
 // following is the plan at hand; the timer of its next step empties with it.
@@ -21,9 +21,9 @@
 	timer *time.Timer
 }
 
-// Follow takes a plan over from now on, its steps in their time; nil: none is followed any more. All that a plan knows
+// FollowPlan takes a plan over from now on, its steps in their time; nil: none is followed any more. All that a plan knows
 // by names is numbered here: engines by their names as the roster does, so that a plan may come before its engines.
-func (g *Gateway) Follow(p *Plan) {
+func (g *Gateway) FollowPlan(p *Plan) {
 	g.mu.Lock()
 	g.following.turn++
 	turn := g.following.turn
@@ -42,7 +42,7 @@
 
 // step tells the module of a step, and waits for the next.
 func (g *Gateway) step(p *Plan, i, turn int, began time.Time) {
-	told := g.planned(p.Steps[i], p.Factor)
+	told := g.planned(p.Steps[i], p.DemandFactor)
 	g.mu.Lock()
 	if g.ended || turn != g.following.turn {
 		g.mu.Unlock()
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -88,8 +88,8 @@
 	return lines, gone
 }
 
-// List takes an event of the feed. A whole list from the configuration may be out of date.
-func (g *Gateway) List(ev discovery.Event, cached bool) {
+// UpdateEngines takes an event of the feed. A whole list from the configuration may be out of date.
+func (g *Gateway) UpdateEngines(ev discovery.Event, cached bool) {
 	if ev.Members == nil {
 		counters.Increment("feed_events_passed_over")
 		return
--- a/internal/gateway/rules.go
+++ b/internal/gateway/rules.go
@@ -107,9 +107,9 @@
 // lane tells which connections a type's jobs go over.
 func (r rules) lane(t choice.TypeID) backend.Lane {
 	if int(t) < len(r.once) && r.once[t] {
-		return backend.MayNot
+		return backend.RunOnce
 	}
-	return backend.MayRepeat
+	return backend.Restartable
 }
 
 // tables tells whether a type's group of tables bears on where it runs.
@@ -119,8 +119,8 @@
 }
 
 // results are the module's words for the ends of dispatches and probes.
-var results = map[backend.End]choice.Result{
-	backend.Done: choice.Done, backend.Failed: choice.Failed, backend.Full: choice.Full, backend.Moot: choice.Moot,
+var results = map[backend.Outcome]choice.Result{
+	backend.Done: choice.Done, backend.Failed: choice.Failed, backend.Full: choice.Full, backend.Superseded: choice.Moot,
 	backend.NotConnected: choice.Unreachable, backend.Reset: choice.Reset, backend.TimedOut: choice.TimedOut,
 }
 
@@ -165,7 +165,7 @@
 // bill packs what an answer tells of work and memory as the module reads it.
 func bill(r backend.Reply) uint32 {
 	work := min(math.Round(r.WorkMS), 1<<20-1)
-	room := min(math.Round(r.RoomMB/4), 1<<12-1)
+	room := min(math.Round(r.MemoryMB/4), 1<<12-1)
 	return uint32(work)<<12 | uint32(room)
 }
 
--- a/internal/gateway/speech.go
+++ b/internal/gateway/speech.go
@@ -51,15 +51,15 @@
 // drainStale is for how long an engine's own word that it drains counts without another: the list has followed by then.
 const drainStale = choice.Nanos(20e9)
 
-// Endpoints says where engines are reached over SPARQL, by their names. It comes before any list.
-func (g *Gateway) Endpoints(urls map[string]string) {
+// SetSPARQLEndpoints says where engines are reached over SPARQL, by their names. It comes before any list.
+func (g *Gateway) SetSPARQLEndpoints(urls map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.roster.urls, g.drains, g.guard = urls, decide.NewDrain(drainStale), decide.NewGuard(2)
 }
 
-// Heard takes what an engine says of itself, which the list may not say, or not yet.
-func (g *Gateway) Heard(name string, w decide.Word) {
+// UpdateDrain takes what an engine says of itself, which the list may not say, or not yet.
+func (g *Gateway) UpdateDrain(name string, w decide.Word) {
 	g.mu.Lock()
 	var rest []choice.Action
 	if l := g.roster.byName[name]; l != nil && g.drains != nil {
@@ -97,6 +97,6 @@
 // place takes a place for one more job. With two protocols a burst of one leaves the other what it used of late. The
 // lock is held.
 func (g *Gateway) place(p backend.Protocol) bool {
-	most := min(g.rules.open, g.parts.Jobs.Most())
+	most := min(g.rules.open, g.parts.Jobs.Max())
 	return len(g.jobs) < most && (g.guard == nil || g.guard.Take(g.clock.now(), lane(p), most))
 }
--- a/internal/leader/disk.go
+++ b/internal/leader/disk.go
@@ -85,7 +85,7 @@
 	if o.Hard == nil && o.Snapshot == nil && len(o.Entries) == 0 {
 		return nil
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error { return save(tx, o) })
--- a/internal/leader/duty.go
+++ b/internal/leader/duty.go
@@ -91,7 +91,7 @@
 	a := agreement{d.node, r}
 	var others sync.WaitGroup
 	defer others.Wait()
-	if d.fleet.Parts != nil || d.fleet.Planning != nil {
+	if d.fleet.Shares != nil || d.fleet.Planning != nil {
 		h, err := newHands(d, a)
 		if err != nil {
 			slog.Error("duty_ended", "reign", r, "reason", err)
@@ -215,7 +215,7 @@
 			return fmt.Errorf("/: %w", err)
 		}
 		if list := c.Faults(); len(list) > 0 {
-			return &schema.Faults{File: "the change", List: list}
+			return &schema.ValidationError{File: "the change", Problems: list}
 		}
 		if c.Kind == change.Plan {
 			return errors.New("/kind: a plan's file stands where it was written; conduct it with swiftreel rollout start")
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -205,8 +205,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	m, _ := f.fleet.Find(name)
-	a, err := http.Post("http://"+m.At()+path, "application/json", bytes.NewReader(text))
+	m, _ := f.fleet.Member(name)
+	a, err := http.Post("http://"+m.Address()+path, "application/json", bytes.NewReader(text))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -254,8 +254,8 @@
 // agreed is what a member tells of what is agreed.
 func (f *testFleet) agreed(name string) (a Agreed) {
 	f.t.Helper()
-	m, _ := f.fleet.Find(name)
-	answer, err := http.Get("http://" + m.At() + "/v1/owner/agreed")
+	m, _ := f.fleet.Member(name)
+	answer, err := http.Get("http://" + m.Address() + "/v1/owner/agreed")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -286,8 +286,8 @@
 func recordFixture(t *testing.T) {
 	dir := t.TempDir()
 	f := openFleet(t, dir, map[string]uint64{"v1": 300, "v2": 100, "v3": 20})
-	f.fleet.Parts = &operator.Parts{LifeMS: 3000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 1, LifeMS: 60_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 3000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 1, LeaseMS: 60_000, SolveTimeoutMS: 1000}
 	names := map[uint64]string{1: "v1", 2: "v2", 3: "v3"}
 	for id, name := range names {
 		if code, text := f.post(name, "/v1/owner/found", map[string]any{"id": id, "names": names}); code != http.StatusOK {
@@ -512,8 +512,8 @@
 	dir := fixtureFolder(t)
 	was := fixtureAgreed(t)
 	f := openFleet(t, dir, nil)
-	f.fleet.Parts = &operator.Parts{LifeMS: 600_000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: 600_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 600_000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 3_600_000, LeaseMS: 600_000, SolveTimeoutMS: 1000}
 	f.settle()
 	defer f.runDuties()()
 	for _, name := range fixtureNames {
--- a/internal/leader/hand.go
+++ b/internal/leader/hand.go
@@ -70,16 +70,16 @@
 
 func newHands(d *Duties, a agreement) (*hands, error) {
 	h := &hands{d: d, a: a, fleet: coordinator.NewFleet(d.fleet.Members, askTime, handEvery/2), began: time.Now(), seen: make([]seen, len(d.fleet.Members)), demand: quota.NewDemand()}
-	if p := d.fleet.Parts; p != nil {
+	if p := d.fleet.Shares; p != nil {
 		var r quota.Record
 		if err := h.read(partsItem, &r); err != nil {
 			return nil, err
 		}
-		h.ledger = quota.NewLedger(r, p.LifeMS*1e6, h.time())
+		h.ledger = quota.NewLedger(r, p.LeaseMS*1e6, h.time())
 	}
 	if p := d.fleet.Planning; p != nil {
 		h.fleet.Engines = true
-		h.plans = planner.New(*d.problem, planner.Pace{Every: p.EveryMS * 1e6, Least: p.LeastMS * 1e6}, h.time())
+		h.plans = planner.New(*d.problem, planner.Pace{Every: p.IntervalMS * 1e6, Least: p.MinIntervalMS * 1e6}, h.time())
 		if err := h.read(planItem, &h.now); err != nil {
 			return nil, err
 		}
@@ -157,11 +157,11 @@
 		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Life}
 		if h.ledger != nil {
 			if w.Part = h.ledger.Give(m.Name, want[m.Name], now, w.Count); len(w.Part) > 0 {
-				w.PartUntil = s.status.BootNS + h.d.fleet.Parts.LifeMS*1e6
+				w.PartUntil = s.status.BootNS + h.d.fleet.Shares.LeaseMS*1e6
 			}
 		}
 		if h.now.Digest != "" && h.d.fleet.Planning != nil {
-			w.Plan, w.PlanUntil = h.now.Digest, s.status.BootNS+h.d.fleet.Planning.LifeMS*1e6
+			w.Plan, w.PlanUntil = h.now.Digest, s.status.BootNS+h.d.fleet.Planning.LeaseMS*1e6
 			if s.status.Word.Plan != w.Plan {
 				w.Text = h.text
 			}
@@ -206,7 +206,7 @@
 	h.demand.Look(now, list, func(took []uint64) float64 { return float64(jobstats.Quantile(took, 50)) })
 	rates = map[string]map[canary.Group]float64{}
 	for name, by := range h.demand.Rates() {
-		m, _ := h.d.fleet.Find(name)
+		m, _ := h.d.fleet.Member(name)
 		if rates[m.Zone] == nil {
 			rates[m.Zone] = map[canary.Group]float64{}
 		}
@@ -262,11 +262,11 @@
 	h.solved = done
 	go func() {
 		from := time.Now()
-		within := time.Duration(h.d.fleet.Planning.SolveMS) * time.Millisecond
+		within := time.Duration(h.d.fleet.Planning.SolveTimeoutMS) * time.Millisecond
 		a := solve.Solve(p, solve.Options{Method: solve.Solver{}, Stop: func(perMille int) bool {
 			return ctx.Err() != nil || time.Since(from) >= within*time.Duration(perMille)/1000
 		}})
-		if len(a.Steps) > 0 && plan.Check(p, a) != nil {
+		if len(a.Steps) > 0 && plan.Verify(p, a) != nil {
 			a.Steps = nil
 		}
 		done <- outcome{a, why, time.Since(from)}
@@ -283,5 +283,5 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(folder, path)
 	}
-	return plan.Problem(path)
+	return plan.LoadProblem(path)
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,23 +7,23 @@
 )
 
 func TestThePartsStayWithinTheWhole(t *testing.T) {
-	var p Parts
+	var p Budget
 	for _, sockets := range []int{64, 100, 256, 1024, 65536} {
 		p.Apply(config.Limits{Cores: 0.5, MemoryMB: 192, Sockets: sockets})
-		clients, engines := p.ClientConns.Most(), p.EngineConns.Most()
+		clients, engines := p.ClientConns.Max(), p.EngineConns.Max()
 		if clients < sockets/3 || engines < sockets/3 || clients+engines+reserve(sockets) > sockets || reserve(sockets) < 14 {
 			t.Errorf("%d sockets: %d for clients, %d for engines", sockets, clients, engines)
 		}
 	}
 	var b Bytes
-	b.Allow(10)
-	if !b.Take(6) || b.Take(5) || !b.Take(4) || b.Left() != 0 {
-		t.Errorf("%d bytes left", b.Left())
+	b.SetCapacity(10)
+	if !b.Reserve(6) || b.Reserve(5) || !b.Reserve(4) || b.Available() != 0 {
+		t.Errorf("%d bytes left", b.Available())
 	}
-	if b.Allow(5); b.Take(1) { // shrunk under what is held
-		t.Errorf("%d bytes left", b.Left())
+	if b.SetCapacity(5); b.Reserve(1) { // shrunk under what is held
+		t.Errorf("%d bytes left", b.Available())
 	}
-	if b.Give(10); b.Left() != 5 {
-		t.Errorf("%d bytes left", b.Left())
+	if b.Release(10); b.Available() != 5 {
+		t.Errorf("%d bytes left", b.Available())
 	}
 }
--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// To has all that is logged from now on written there, times in UTC with microseconds.
-func To(out io.Writer) {
+// Setup has all that is logged from now on written there, times in UTC with microseconds.
+func Setup(out io.Writer) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey && len(groups) == 0 {
 			a.Value = slog.StringValue(a.Value.Time().UTC().Format("2006-01-02T15:04:05.000000Z07:00"))
--- a/internal/operator/files_test.go
+++ b/internal/operator/files_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, err := f.Shape.Over(settings)
+	over, err := f.Topology.Apply(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,14 +10,14 @@
 	"swiftreel/internal/change"
 )
 
-// Tally has the controller count what becomes of its jobs and tell it over HTTP. A keeper writes this part.
-type Tally struct {
-	Listen string        `json:"listen"`
-	Spec   change.Digest `json:"spec"`  // told as it stands: which spec this file is of
-	Elder  bool          `json:"elder"` // an older process of this controller serves on what it owes
+// Stats has the controller count what becomes of its jobs and tell it over HTTP. A keeper writes this part.
+type Stats struct {
+	Listen      string        `json:"listen"`
+	Spec        change.Digest `json:"spec"`  // told as it stands: which spec this file is of
+	Predecessor bool          `json:"elder"` // an older process of this controller serves on what it owes
 
-	Learned json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
-	Health  json.RawMessage `json:"health,omitempty"`  // the same of engines
+	TypeEstimates json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
+	EngineHealth  json.RawMessage `json:"health,omitempty"`  // the same of engines
 }
 
 // Fleet is the controllers that changes go through in stages. Keepers and conductors read it; a controller does not.
@@ -27,22 +27,22 @@
 	Voters  []string `json:"voters,omitempty"`   // members that agree on an owner: three or five
 	Program string   `json:"program,omitempty"`  // that a keeper starts with no order; its own where absent
 
-	Parts    *Parts    `json:"parts,omitempty"`
+	Shares   *Shares   `json:"parts,omitempty"`
 	Planning *Planning `json:"planning,omitempty"`
 }
 
-// Parts has the owner hand out what each controller carries.
-type Parts struct {
-	LifeMS int64 `json:"life_ms,omitempty"`
+// Shares has the owner hand out what each controller carries.
+type Shares struct {
+	LeaseMS int64 `json:"life_ms,omitempty"`
 }
 
 // Planning has the owner plan.
 type Planning struct {
-	Problem string `json:"problem"` // a file
-	EveryMS int64  `json:"every_ms,omitempty"`
-	LeastMS int64  `json:"least_ms,omitempty"`
-	LifeMS  int64  `json:"life_ms,omitempty"`
-	SolveMS int64  `json:"solve_ms,omitempty"`
+	Problem        string `json:"problem"` // a file
+	IntervalMS     int64  `json:"every_ms,omitempty"`
+	MinIntervalMS  int64  `json:"least_ms,omitempty"`
+	LeaseMS        int64  `json:"life_ms,omitempty"`
+	SolveTimeoutMS int64  `json:"solve_ms,omitempty"`
 }
 
 // Member is a controller with its keeper.
@@ -61,14 +61,14 @@
 	if f.DrainMS == 0 {
 		f.DrainMS = usualDrain
 	}
-	if f.Parts != nil {
-		f.Parts.LifeMS = cmp.Or(f.Parts.LifeMS, 5000)
+	if f.Shares != nil {
+		f.Shares.LeaseMS = cmp.Or(f.Shares.LeaseMS, 5000)
 	}
 	if p := f.Planning; p != nil {
-		p.EveryMS = cmp.Or(p.EveryMS, 180_000)
-		p.LeastMS, p.LifeMS, p.SolveMS = cmp.Or(p.LeastMS, p.EveryMS/10), cmp.Or(p.LifeMS, 600_000), cmp.Or(p.SolveMS, 1000)
+		p.IntervalMS = cmp.Or(p.IntervalMS, 180_000)
+		p.MinIntervalMS, p.LeaseMS, p.SolveTimeoutMS = cmp.Or(p.MinIntervalMS, p.IntervalMS/10), cmp.Or(p.LeaseMS, 600_000), cmp.Or(p.SolveTimeoutMS, 1000)
 	}
-	if (f.Parts != nil || f.Planning != nil) && len(f.Voters) == 0 {
+	if (f.Shares != nil || f.Planning != nil) && len(f.Voters) == 0 {
 		faults = append(faults, "/fleet: parts and planning are an owner's work: name voters")
 	}
 	names, places := map[string]bool{}, map[string]bool{}
@@ -96,16 +96,16 @@
 	return faults
 }
 
-// At is where others reach a member's keeper.
-func (m Member) At() string {
+// Address is where others reach a member's keeper.
+func (m Member) Address() string {
 	if m.Reach != "" {
 		return m.Reach
 	}
 	return m.Listen
 }
 
-// Find is a member by name.
-func (f *Fleet) Find(name string) (Member, bool) {
+// Member is a member by name.
+func (f *Fleet) Member(name string) (Member, bool) {
 	for _, m := range f.Members {
 		if m.Name == name {
 			return m, true
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -12,11 +12,11 @@
 
 // File is the operator's file with what it names.
 type File struct {
-	Plan   *Plan   `json:"plan"`
-	SPARQL *SPARQL `json:"sparql"`
-	Shape  *Shape  `json:"shape"`
-	Tally  *Tally  `json:"tally"`
-	Fleet  *Fleet  `json:"fleet"`
+	Plan     *Plan     `json:"plan"`
+	SPARQL   *SPARQL   `json:"sparql"`
+	Topology *Topology `json:"shape"`
+	Stats    *Stats    `json:"tally"`
+	Fleet    *Fleet    `json:"fleet"`
 }
 
 // Plan is a plan to follow.
@@ -41,12 +41,12 @@
 	}
 	if f.SPARQL != nil {
 		if list := f.SPARQL.complete(); len(list) > 0 {
-			return File{}, &schema.Faults{File: path, List: list}
+			return File{}, &schema.ValidationError{File: path, Problems: list}
 		}
 	}
 	if f.Fleet != nil {
 		if list := f.Fleet.complete(); len(list) > 0 {
-			return File{}, &schema.Faults{File: path, List: list}
+			return File{}, &schema.ValidationError{File: path, Problems: list}
 		}
 	}
 	if f.Plan != nil {
--- a/internal/operator/shape.go
+++ b/internal/operator/shape.go
@@ -7,30 +7,30 @@
 	"sort"
 )
 
-// Shape is what the operator's file says of the deployment's shape. Each field given stands above the setting
+// Topology is what the operator's file says of the deployment's shape. Each field given stands above the setting
 // of that name that ROUTER_CONFIG gives the module; one absent leaves it as it is, so that a file without this
 // part changes nothing. It is taken over at SIGHUP without a restart, and taking it out is the way back.
-type Shape struct {
-	Cancel         *bool                `json:"cancel"`           // limits.cancel: dispatches may be retracted
-	PeerMessages   *bool                `json:"peer_messages"`    // limits.peer_messages; no channel on sockets yet
-	GrantsCount    *bool                `json:"grants_count"`     // domain.grants_count: memory grants are heeded
-	TakesPriority  *bool                `json:"takes_priority"`   // domain.takes_priority
-	SaysCost       *bool                `json:"says_cost"`        // domain.says_cost: answers tell the work
-	FurtherRatio   *float64             `json:"further_ratio"`    // invariants.further_ratio, from 0
-	BudgetFree     *float64             `json:"budget_free"`      // invariants.budget_free, from 0
-	BudgetWindowMS *int64               `json:"budget_window_ms"` // invariants.extra_window_ns, in ms
-	Types          map[string]ShapeType `json:"types"`            // by reservation type
+type Topology struct {
+	Cancel         *bool                   `json:"cancel"`           // limits.cancel: dispatches may be retracted
+	PeerMessages   *bool                   `json:"peer_messages"`    // limits.peer_messages; no channel on sockets yet
+	GrantsCount    *bool                   `json:"grants_count"`     // domain.grants_count: memory grants are heeded
+	TakesPriority  *bool                   `json:"takes_priority"`   // domain.takes_priority
+	SaysCost       *bool                   `json:"says_cost"`        // domain.says_cost: answers tell the work
+	FurtherRatio   *float64                `json:"further_ratio"`    // invariants.further_ratio, from 0
+	BudgetFree     *float64                `json:"budget_free"`      // invariants.budget_free, from 0
+	BudgetWindowMS *int64                  `json:"budget_window_ms"` // invariants.extra_window_ns, in ms
+	Types          map[string]TopologyType `json:"types"`            // by reservation type
 }
 
-// ShapeType is what the shape says of one reservation type.
-type ShapeType struct {
+// TopologyType is what the shape says of one reservation type.
+type TopologyType struct {
 	KindsOnly     []string `json:"kinds_only"`      // classes[].kinds_only: by the names of kinds
 	WaitsForLoads *bool    `json:"waits_for_loads"` // domain.waits_for_loads[type]
 }
 
-// Over gives the settings with the shape over them; the settings given are not changed. Errors name the part
+// Apply gives the settings with the shape over them; the settings given are not changed. Errors name the part
 // of the file: a reservation type or a kind that the settings do not know.
-func (s *Shape) Over(settings map[string]any) (map[string]any, error) {
+func (s *Topology) Apply(settings map[string]any) (map[string]any, error) {
 	if s == nil {
 		return settings, nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // types puts what the shape says of each reservation type, in the order of names.
-func (s *Shape) types(f map[string]any) error {
+func (s *Topology) types(f map[string]any) error {
 	classes, _ := f["classes"].([]any)
 	kinds, _ := f["kinds"].([]any)
 	names := make([]string, 0, len(s.Types))
--- a/internal/operator/shape_test.go
+++ b/internal/operator/shape_test.go
@@ -15,9 +15,9 @@
 	json.Unmarshal([]byte(settings), &given)
 	json.Unmarshal([]byte(settings), &before)
 	no, ratio, window := false, 0.1, int64(10000)
-	s := &Shape{Cancel: &no, GrantsCount: &no, FurtherRatio: &ratio, BudgetWindowMS: &window,
-		Types: map[string]ShapeType{"report": {KindsOnly: []string{"type-a"}, WaitsForLoads: &no}}}
-	f, err := s.Over(given)
+	s := &Topology{Cancel: &no, GrantsCount: &no, FurtherRatio: &ratio, BudgetWindowMS: &window,
+		Types: map[string]TopologyType{"report": {KindsOnly: []string{"type-a"}, WaitsForLoads: &no}}}
+	f, err := s.Apply(given)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,14 +31,14 @@
 			t.Errorf("%s lacks %s", got, part)
 		}
 	}
-	if f, _ := (*Shape)(nil).Over(given); !reflect.DeepEqual(f, before) {
+	if f, _ := (*Topology)(nil).Apply(given); !reflect.DeepEqual(f, before) {
 		t.Errorf("no shape changed the settings: %v", f)
 	}
 	for types, told := range map[string]string{`{"import":{}}`: "/shape/types/import:",
 		`{"report":{"kinds_only":["type-a","type-c"]}}`: "/shape/types/report/kinds_only/1:"} {
-		var s Shape
+		var s Topology
 		json.Unmarshal([]byte(`{"types":`+types+`}`), &s)
-		if _, err := s.Over(given); err == nil || !strings.Contains(err.Error(), told) {
+		if _, err := s.Apply(given); err == nil || !strings.Contains(err.Error(), told) {
 			t.Errorf("%s: %v, not %s", types, err, told)
 		}
 	}
--- a/internal/plan/files_test.go
+++ b/internal/plan/files_test.go
@@ -29,16 +29,16 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "plan.json", indented(t, a))
-	p, err := Problem(filepath.Join("testdata", "problem.json"))
+	p, err := LoadProblem(filepath.Join("testdata", "problem.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "problem.golden.json", indented(t, p))
-	if err := Check(p, a); err != nil {
+	if err := Verify(p, a); err != nil {
 		t.Error(err)
 	}
 	a.Steps[0].Threads[0].Threads++
-	if Check(p, a) == nil {
+	if Verify(p, a) == nil {
 		t.Error("a plan of other threads fits")
 	}
 }
@@ -99,9 +99,9 @@
 }
 
 func containsFault(err error, fault string) bool {
-	var faults *schema.Faults
+	var faults *schema.ValidationError
 	if !errors.As(err, &faults) {
 		return false
 	}
-	return slices.ContainsFunc(faults.List, func(f string) bool { return strings.HasPrefix(f, fault) })
+	return slices.ContainsFunc(faults.Problems, func(f string) bool { return strings.HasPrefix(f, fault) })
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -15,21 +15,21 @@
 		return solve.Answer{}, err
 	}
 	if list := faults(a); len(list) > 0 {
-		return solve.Answer{}, &schema.Faults{File: path, List: list}
+		return solve.Answer{}, &schema.ValidationError{File: path, Problems: list}
 	}
 	return a, nil
 }
 
-// Problem reads a problem and checks it whole.
-func Problem(path string) (*solve.Problem, error) {
+// LoadProblem reads a problem and checks it whole.
+func LoadProblem(path string) (*solve.Problem, error) {
 	p := new(solve.Problem)
 	if err := schema.Read(path, schema.Problem, p); err != nil {
 		return nil, err
 	}
 	if list := p.Check(); len(list) > 0 {
-		f := &schema.Faults{File: path}
+		f := &schema.ValidationError{File: path}
 		for _, fault := range list {
-			f.List = append(f.List, fault.String())
+			f.Problems = append(f.Problems, fault.String())
 		}
 		return nil, f
 	}
@@ -73,8 +73,8 @@
 	return list
 }
 
-// Check holds each step of a plan against the problem that it is for.
-func Check(p *solve.Problem, a solve.Answer) error {
+// Verify holds each step of a plan against the problem that it is for.
+func Verify(p *solve.Problem, a solve.Answer) error {
 	for i, s := range a.Steps {
 		if err := solve.Verify(p, s); err != nil {
 			return fmt.Errorf("/steps/%d: %w", i, err)
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -114,10 +114,10 @@
 	if err != nil {
 		return err
 	}
-	m, _ := f.Fleet.Find(as)
+	m, _ := f.Fleet.Member(as)
 	addr := map[string]string{}
 	for _, m := range f.Fleet.Members {
-		addr[m.Name] = m.At()
+		addr[m.Name] = m.Address()
 	}
 	node, err := leader.Open(as, filepath.Join(filepath.Dir(file), as+".db"), addr, leader.Usual())
 	if err != nil {
@@ -194,7 +194,7 @@
 		fleet.Members, fleet.Voters = append(fleet.Members, operator.Member{Name: name, Listen: l.Addr().String()}), append(fleet.Voters, name)
 		l.Close()
 	}
-	fleet.Parts, fleet.DrainMS = &operator.Parts{LifeMS: 5000}, 1000
+	fleet.Shares, fleet.DrainMS = &operator.Shares{LeaseMS: 5000}, 1000
 	text, err := json.Marshal(map[string]any{"fleet": fleet})
 	file := filepath.Join(dir, "operator.json")
 	if err == nil {
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -101,19 +101,19 @@
 	last, done := from.UnixNano(), 0
 	var took, keyed []float64
 	for _, e := range log {
-		switch e.What {
-		case rulecheck.Taken:
+		switch e.Event {
+		case rulecheck.Accepted:
 			taken[e.Job] = e
 		case rulecheck.Answered:
-			if e.T < from.UnixNano() || e.T >= to.UnixNano() {
+			if e.TimeNS < from.UnixNano() || e.TimeNS >= to.UnixNano() {
 				continue
 			}
-			if ms := float64(e.T-taken[e.Job].T) / 1e6; taken[e.Job].Key != "" {
+			if ms := float64(e.TimeNS-taken[e.Job].TimeNS) / 1e6; taken[e.Job].Key != "" {
 				keyed = append(keyed, ms)
 			} else {
 				took = append(took, ms)
 			}
-			f.gap, last = max(f.gap, float64(e.T-last)/1e6), e.T
+			f.gap, last = max(f.gap, float64(e.TimeNS-last)/1e6), e.TimeNS
 			if e.Answer == rulecheck.Done {
 				done++
 			}
--- a/internal/proof/sparql/play.go
+++ b/internal/proof/sparql/play.go
@@ -52,7 +52,7 @@
 
 var rules = rulecheck.Rules{Types: map[string]rulecheck.Type{"lookup": {Effect: rulecheck.Restartable}, "query": {Effect: rulecheck.Restartable},
 	"import": {Effect: rulecheck.RunOnce, Ordered: true}, "update": {Effect: rulecheck.RunOnce, Ordered: true}},
-	Slack: int64(500 * time.Millisecond), Grace: int64(400 * time.Millisecond)}
+	AnswerSlack: int64(500 * time.Millisecond), DrainGrace: int64(400 * time.Millisecond)}
 
 // town is the stand-ins and controllers of a run.
 type town struct {
@@ -101,8 +101,8 @@
 	t.broken = rulecheck.Check(rules, log)
 	types := map[string]string{}
 	for _, e := range log {
-		switch e.What {
-		case rulecheck.Taken:
+		switch e.Event {
+		case rulecheck.Accepted:
 			t.jobs++
 			types[e.Job] = e.Type
 			if e.Type == "lookup" {
@@ -159,7 +159,7 @@
 			urls = append(urls, fmt.Sprintf("%q:%q", name, e.URL()))
 		}
 		hosts = append(hosts, entry(name, dial, "ready"))
-		w.book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 8})
+		w.book.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 8})
 	}
 	known := w.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
 	for n := range 2 {
@@ -204,7 +204,7 @@
 		dial = e.Address()
 	}
 	w.feed.Add(false, "["+entry(name, dial, state)+"]")
-	w.book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 8})
+	w.book.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 8})
 }
 
 // stop ends the controllers, which have to end well.
@@ -238,7 +238,7 @@
 }
 
 func (w *town) answered(job, how string) {
-	w.book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: how})
+	w.book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: how})
 }
 
 // calls is a MessagePack client: a call at a time, every tenth an import.
@@ -259,7 +259,7 @@
 		if typ == "import" {
 			key = fmt.Sprint("k", n%3)
 		}
-		w.book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: typ, Key: key, Front: fmt.Sprint(name, node), Until: time.Now().Add(ttl).UnixNano()})
+		w.book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: typ, Key: key, Front: fmt.Sprint(name, node), DeadlineNS: time.Now().Add(ttl).UnixNano()})
 		id, err := c.Send(typ, "SELECT 1 FROM a_1.b", fields...)
 		if err != nil {
 			return
@@ -304,7 +304,7 @@
 	if update {
 		front = job // updates of several connections have no order that a client could know
 	}
-	w.book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: typ, Key: key, Front: front, Until: time.Now().Add(ttl).UnixNano()})
+	w.book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: typ, Key: key, Front: front, DeadlineNS: time.Now().Add(ttl).UnixNano()})
 	a, err := h.PostForm("http://"+w.sparql[node]+"/sparql", form)
 	if err != nil {
 		return
--- a/internal/proof/sparql/stand.go
+++ b/internal/proof/sparql/stand.go
@@ -20,12 +20,12 @@
 		}
 		what := f.Draw()
 		if what == testcluster.Full {
-			b.Add(rulecheck.Entry{What: rulecheck.Reached, Job: job, Engine: name, Protocol: "sparql"})
+			b.Add(rulecheck.Entry{Event: rulecheck.Reached, Job: job, Engine: name, Protocol: "sparql"})
 			w.Header().Set("Not-Started", "?1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		}
-		b.Add(rulecheck.Entry{What: rulecheck.Began, Job: job, Engine: name, Protocol: "sparql", Work: int64(f.Work())})
+		b.Add(rulecheck.Entry{Event: rulecheck.Began, Job: job, Engine: name, Protocol: "sparql", Work: int64(f.Work())})
 		takes := f.Work()
 		if what == testcluster.Slow {
 			takes *= 20
@@ -33,15 +33,15 @@
 		time.Sleep(takes) // the job's work, as simulated
 		switch what {
 		case testcluster.Breaks:
-			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
+			b.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
 			panic(http.ErrAbortHandler)
 		case testcluster.Fails: // begins well, and breaks off inside the JSON
-			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
+			b.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Broken})
 			w.Header().Set("Content-Type", "application/sparql-results+json")
 			fmt.Fprint(w, `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","val`)
 			panic(http.ErrAbortHandler)
 		}
-		b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Done})
+		b.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Engine: name, Answer: rulecheck.Done})
 		return false
 	})
 }
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -7,8 +7,8 @@
 )
 
 var rules = Rules{Types: map[string]Type{"lookup": {Effect: Restartable}, "import": {Effect: RunOnce, Ordered: true, Zones: []string{"east"}},
-	"update": {Effect: Keyed, Scope: "group", Window: 1000}, "mark": {Effect: Keyed, Scope: "all", Window: 1000}, "report": {Effect: Restartable, Kinds: []string{"big"}}},
-	Slack: 10, Grace: 50, Rest: 100, Warm: 10_000, Fall: 1000, FallPerCore: 300, Window: 1000, Free: 1, PerMille: 200}
+	"update": {Effect: Keyed, DedupScope: "group", DedupWindow: 1000}, "mark": {Effect: Keyed, DedupScope: "all", DedupWindow: 1000}, "report": {Effect: Restartable, Kinds: []string{"big"}}},
+	AnswerSlack: 10, DrainGrace: 50, OrderPause: 100, WarmUp: 10_000, WarmUpWindow: 1000, WarmUpWorkPerCore: 300, RetryWindow: 1000, FreeRetries: 1, RetriesPerMille: 200}
 
 // fleet is two engines, the first cold until 10,000.
 const fleet = `{"t":0,"what":"listed","engine":"e1","state":"ready","zone":"east","kind":"std","group":"g1","cores":2,"started":1}
@@ -20,7 +20,7 @@
 }
 
 func taken(t int, job, typ, key string) string {
-	return line(t, Taken, job, fmt.Sprintf(`,"type":%q,"key":%q,"front":"n1","until":%d`, typ, key, t+2000))
+	return line(t, Accepted, job, fmt.Sprintf(`,"type":%q,"key":%q,"front":"n1","until":%d`, typ, key, t+2000))
 }
 
 func began(t int, job, engine string) string {
@@ -47,12 +47,12 @@
 		{"done", 0, ran(1, "a", "lookup", "", "e1")},
 		{"throttled unsent", 0, taken(1, "a", "import", "") + answered(5, "a", Throttled)},
 		{"refused, then run", 0, taken(1, "a", "import", "") + line(2, Reached, "a", `,"engine":"e1"`) + began(3, "a", "e1") + ended(4, "a", Done) + answered(5, "a", Done)},
-		{"left", 0, taken(1, "a", "lookup", "") + line(4, Left, "a", "")},
+		{"left", 0, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "")},
 		{"no answer", 1, taken(1, "a", "lookup", "")},
 		{"two answers", 1, ran(1, "a", "lookup", "", "e1") + answered(9, "a", Done)},
 		{"late", 1, taken(1, "a", "lookup", "") + answered(2012, "a", Throttled)},
 		{"late by the slack", 0, taken(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
-		{"answered after it left", 1, taken(1, "a", "lookup", "") + line(4, Left, "a", "") + answered(5, "a", Throttled)},
+		{"answered after it left", 1, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Throttled)},
 		{"done by nobody", 1, taken(1, "a", "lookup", "") + answered(4, "a", Done)},
 		{"an answer to nothing", 1, answered(4, "a", Throttled)},
 		{"run-once twice", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
--- a/internal/rulecheck/entry.go
+++ b/internal/rulecheck/entry.go
@@ -13,13 +13,13 @@
 
 // What an entry tells.
 const (
-	Listed   = "listed"   // an engine's entry in the list of engines, as all controllers were told it
-	Taken    = "taken"    // a client asked for a job, and it was taken
-	Answered = "answered" // the client has its final answer
-	Left     = "left"     // the client went away: no answer is owed, none may follow
-	Reached  = "reached"  // a dispatch came to an engine, which refused it
-	Began    = "began"    // a dispatch came to an engine, which began it: from here on it has its effect
-	Ended    = "ended"    // the engine ended it; Answer says how
+	Listed     = "listed"   // an engine's entry in the list of engines, as all controllers were told it
+	Accepted   = "taken"    // a client asked for a job, and it was taken
+	Answered   = "answered" // the client has its final answer
+	ClientLeft = "left"     // the client went away: no answer is owed, none may follow
+	Reached    = "reached"  // a dispatch came to an engine, which refused it
+	Began      = "began"    // a dispatch came to an engine, which began it: from here on it has its effect
+	Ended      = "ended"    // the engine ended it; Answer says how
 )
 
 // The answers, and the ways in which a dispatch ends.
@@ -32,15 +32,15 @@
 
 // Entry is a line of a log. Times and spans are whole nanoseconds.
 type Entry struct {
-	T    int64  `json:"t"`
-	What string `json:"what"`
+	TimeNS int64  `json:"t"`
+	Event  string `json:"what"`
 
-	Job    string `json:"job,omitempty"` // the same in every log
-	Type   string `json:"type,omitempty"`
-	Tenant string `json:"tenant,omitempty"`
-	Key    string `json:"key,omitempty"`
-	Front  string `json:"front,omitempty"` // the controller that took it: order holds among its jobs
-	Until  int64  `json:"until,omitempty"` // Taken: the job timeout
+	Job        string `json:"job,omitempty"` // the same in every log
+	Type       string `json:"type,omitempty"`
+	Tenant     string `json:"tenant,omitempty"`
+	Key        string `json:"key,omitempty"`
+	Front      string `json:"front,omitempty"` // the controller that took it: order holds among its jobs
+	DeadlineNS int64  `json:"until,omitempty"` // Taken: the job timeout
 
 	Answer string `json:"answer,omitempty"`
 
@@ -79,15 +79,15 @@
 // ends before what begins.
 func Merge(logs ...[]Entry) []Entry {
 	all := slices.Concat(logs...)
-	first := map[string]int{Listed: 0, Taken: 1, Ended: 2, Answered: 3, Left: 3, Reached: 4, Began: 4}
+	first := map[string]int{Listed: 0, Accepted: 1, Ended: 2, Answered: 3, ClientLeft: 3, Reached: 4, Began: 4}
 	slices.SortStableFunc(all, func(a, b Entry) int {
-		if a.T != b.T {
-			if a.T < b.T {
+		if a.TimeNS != b.TimeNS {
+			if a.TimeNS < b.TimeNS {
 				return -1
 			}
 			return 1
 		}
-		return first[a.What] - first[b.What]
+		return first[a.Event] - first[b.Event]
 	})
 	return all
 }
--- a/internal/schema/document.go
+++ b/internal/schema/document.go
@@ -18,20 +18,20 @@
 	"swiftreel/deploy"
 )
 
-// MostBytes bounds a file.
-const MostBytes = 32 << 20
+// MaxBytes bounds a file.
+const MaxBytes = 32 << 20
 
 // mostFaults is how many are named.
 const mostFaults = 50
 
-// Faults is all that is wrong with a file.
-type Faults struct {
-	File string
-	List []string // each with its path in the file
+// ValidationError is all that is wrong with a file.
+type ValidationError struct {
+	File     string
+	Problems []string // each with its path in the file
 }
 
-func (f *Faults) Error() string {
-	return f.File + ": " + strings.Join(f.List, "; ")
+func (f *ValidationError) Error() string {
+	return f.File + ": " + strings.Join(f.Problems, "; ")
 }
 
 // Kind is a sort of file; its schema is deploy/KIND.schema.json.
@@ -52,12 +52,12 @@
 		return err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, MostBytes+1))
+	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(text) > MostBytes {
-		return &Faults{path, []string{fmt.Sprintf("/: over %d bytes", MostBytes)}}
+	if len(text) > MaxBytes {
+		return &ValidationError{path, []string{fmt.Sprintf("/: over %d bytes", MaxBytes)}}
 	}
 	return Parse(path, text, kind, into)
 }
@@ -66,7 +66,7 @@
 func Parse(path string, text []byte, kind Kind, into any) error {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
-		return &Faults{path, []string{"/: is no JSON: " + err.Error()}}
+		return &ValidationError{path, []string{"/: is no JSON: " + err.Error()}}
 	}
 	schema, err := compile(kind)
 	if err != nil {
@@ -77,10 +77,10 @@
 		if !errors.As(err, &invalid) {
 			return err
 		}
-		return &Faults{path, faults(invalid)}
+		return &ValidationError{path, faults(invalid)}
 	}
 	if err := json.Unmarshal(text, into); err != nil { // the schema has refused unknown fields
-		return &Faults{path, []string{"/: " + err.Error()}}
+		return &ValidationError{path, []string{"/: " + err.Error()}}
 	}
 	return nil
 }
--- a/internal/sparql/endpoint/endpoint.go
+++ b/internal/sparql/endpoint/endpoint.go
@@ -71,7 +71,7 @@
 
 // Client carries dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL.
 type Client struct {
-	bounds backend.Bounds
+	bounds backend.Limits
 	heard  func(name string, w decide.Word)
 	http   *http.Client
 	ctx    context.Context
@@ -85,8 +85,8 @@
 type count struct{ open, givenUp int }
 
 // New makes a client. What engines say of themselves beside their answers is told to heard.
-func New(b backend.Bounds, heard func(name string, w decide.Word)) *Client {
-	dialer := &net.Dialer{Timeout: b.Dial}
+func New(b backend.Limits, heard func(name string, w decide.Word)) *Client {
+	dialer := &net.Dialer{Timeout: b.DialTimeout}
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) { // IPv4 only, as the fleet allows
 		return dialer.DialContext(ctx, "tcp4", address)
 	}
@@ -94,7 +94,7 @@
 	c.ctx, c.end = context.WithCancel(context.Background())
 	c.http = &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
-		Transport: &http.Transport{DialContext: dial, DisableCompression: true, IdleConnTimeout: b.Idle * 2 / 3,
+		Transport: &http.Transport{DialContext: dial, DisableCompression: true, IdleConnTimeout: b.IdleTimeout * 2 / 3,
 			MaxResponseHeaderBytes: mostHeader, MaxIdleConnsPerHost: 4, MaxIdleConns: 64},
 	}
 	return c
@@ -113,22 +113,22 @@
 	done  func() // of who gave it up
 }
 
-// Start implements back.Engines.
+// Start implements backend.Engines.
 func (c *Client) Start(to backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	ctx, cancel := context.WithCancel(c.ctx)
 	d := &dispatch{client: c, name: to.Name, cancel: cancel, reply: reply}
 	if !c.enter(to.Name) {
 		counters.Increment("endpoint_conns_full")
-		d.finish(backend.Reply{End: backend.Full}, false) // it never ran, and the engine refused nothing
+		d.finish(backend.Reply{Outcome: backend.Full}, false) // it never ran, and the engine refused nothing
 		return d
 	}
 	ask, form, err := parseAsk(r.Statement)
 	if invariant.Check(err == nil, "statement_of_another_protocol"); err != nil {
-		d.finish(backend.Reply{End: backend.Moot}, true)
+		d.finish(backend.Reply{Outcome: backend.Superseded}, true)
 		return d
 	}
-	if limit := time.Duration(r.WaitMS) * time.Millisecond; limit > 0 { // beyond it nobody waits
-		stop := time.AfterFunc(limit+c.bounds.Dial, cancel)
+	if limit := time.Duration(r.TimeoutMS) * time.Millisecond; limit > 0 { // beyond it nobody waits
+		stop := time.AfterFunc(limit+c.bounds.DialTimeout, cancel)
 		go func() { <-ctx.Done(); stop.Stop() }()
 	}
 	go func() {
@@ -151,15 +151,15 @@
 		d.reply(r)
 		return
 	}
-	d.client.Free(r.Pages)
+	d.client.Release(r.Pages)
 	if done != nil {
 		done()
 	}
 }
 
-// GiveUp implements back.Dispatch. HTTP has no word for it: the connection is closed, and an engine that began may go
+// Cancel implements backend.Dispatch. HTTP has no word for it: the connection is closed, and an engine that began may go
 // on.
-func (d *dispatch) GiveUp(done func()) bool {
+func (d *dispatch) Cancel(done func()) bool {
 	d.mu.Lock()
 	if d.over {
 		d.mu.Unlock()
@@ -172,17 +172,17 @@
 	return true
 }
 
-// Renice implements back.Dispatch: there is no word for it.
-func (d *dispatch) Renice(uint8) {}
+// SetPriority implements backend.Dispatch: there is no word for it.
+func (d *dispatch) SetPriority(uint8) {}
 
 // carry sends and reads one answer.
 func (c *Client) carry(ctx context.Context, to backend.Host, id string, ask Ask, form []byte) backend.Reply {
 	answer, got, err := c.post(ctx, to, id, ask, form)
 	if err != nil {
 		if !got {
-			return backend.Reply{End: backend.NotConnected}
+			return backend.Reply{Outcome: backend.NotConnected}
 		}
-		return backend.Reply{End: backend.Reset}
+		return backend.Reply{Outcome: backend.Reset}
 	}
 	defer answer.Body.Close()
 	c.listen(to.Name, answer)
@@ -190,15 +190,15 @@
 	switch {
 	case (answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests) &&
 		answer.Header.Get(headerNotStarted) == isTrue:
-		return backend.Reply{End: backend.Full, Load: load}
+		return backend.Reply{Outcome: backend.Full, Load: load}
 	case ask.Update && answer.StatusCode/100 == 2:
-		return backend.Reply{End: c.drained(answer), Load: load}
+		return backend.Reply{Outcome: c.drained(answer), Load: load}
 	case answer.StatusCode != http.StatusOK:
 		counters.Increment("endpoint_statuses_bad")
-		return backend.Reply{End: backend.Failed, Load: load}
+		return backend.Reply{Outcome: backend.Failed, Load: load}
 	}
 	pages, end := c.read(answer, ask.Accept)
-	return backend.Reply{End: end, Pages: pages, Load: load}
+	return backend.Reply{Outcome: end, Pages: pages, Load: load}
 }
 
 // post sends a form. got: a connection was up, so that any of it may have been read.
@@ -242,7 +242,7 @@
 }
 
 // drained reads the rest of an update's answer, which says nothing, but must be whole.
-func (c *Client) drained(a *http.Response) backend.End {
+func (c *Client) drained(a *http.Response) backend.Outcome {
 	n, err := io.Copy(io.Discard, io.LimitReader(a.Body, mostHeader+1))
 	if err != nil || n > mostHeader {
 		return backend.Failed
@@ -251,7 +251,7 @@
 }
 
 // read takes a result into pages, within the bytes there are, and follows its form to the end.
-func (c *Client) read(a *http.Response, accept string) (pages [][]byte, end backend.End) {
+func (c *Client) read(a *http.Response, accept string) (pages [][]byte, end backend.Outcome) {
 	media, _, _ := strings.Cut(a.Header.Get("Content-Type"), ";")
 	if !strings.EqualFold(strings.TrimSpace(media), accept) || a.Header.Get("Content-Encoding") != "" {
 		counters.Increment("endpoint_answers_of_another_form")
@@ -259,9 +259,9 @@
 	}
 	var err error
 	for err == nil {
-		if !c.bounds.Bytes.Take(pageSize) {
+		if !c.bounds.ResultBytes.Reserve(pageSize) {
 			counters.Increment("endpoint_answers_too_large")
-			c.Free(pages)
+			c.Release(pages)
 			return nil, backend.Failed
 		}
 		page, n := make([]byte, pageSize), 0
@@ -270,19 +270,19 @@
 			m, err = a.Body.Read(page[n:])
 			n += m
 		}
-		c.bounds.Bytes.Give(pageSize - n)
+		c.bounds.ResultBytes.Release(pageSize - n)
 		if n > 0 {
 			pages = append(pages, page[:n:n])
 		}
 	}
 	if err != io.EOF || a.ContentLength >= 0 && size(pages) != a.ContentLength {
-		c.Free(pages)
+		c.Release(pages)
 		return nil, backend.Reset
 	}
 	if f, is := formats[accept]; is {
 		if err := whole(results.NewReader(f, Pages(pages))); err != nil {
 			counters.Increment("endpoint_results_bad")
-			c.Free(pages)
+			c.Release(pages)
 			return nil, backend.Failed
 		}
 	}
@@ -322,10 +322,10 @@
 	return io.MultiReader(list...)
 }
 
-// Probe implements back.Engines: an ASK that every endpoint answers at once.
+// Probe implements backend.Engines: an ASK that every endpoint answers at once.
 func (c *Client) Probe(to backend.Host, load bool, limit time.Duration, reply func(backend.Reply)) {
 	if !c.enter("") {
-		reply(backend.Reply{End: backend.Full})
+		reply(backend.Reply{Outcome: backend.Full})
 		return
 	}
 	defer c.leave("", false)
@@ -334,24 +334,24 @@
 	answer, got, err := c.post(ctx, to, "", Ask{Accept: results.JSON.MediaType()}, []byte(probeText))
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		reply(backend.Reply{End: backend.TimedOut})
+		reply(backend.Reply{Outcome: backend.TimedOut})
 		return
 	case err != nil && !got:
-		reply(backend.Reply{End: backend.NotConnected})
+		reply(backend.Reply{Outcome: backend.NotConnected})
 		return
 	case err != nil:
-		reply(backend.Reply{End: backend.Reset})
+		reply(backend.Reply{Outcome: backend.Reset})
 		return
 	}
 	defer answer.Body.Close()
-	r := backend.Reply{End: backend.Failed, Load: answer.Header.Get(headerLoad)}
+	r := backend.Reply{Outcome: backend.Failed, Load: answer.Header.Get(headerLoad)}
 	if answer.StatusCode == http.StatusServiceUnavailable { // said of itself, without a job
 		c.heard(to.Name, decide.Drains)
-		r.End = backend.Full
+		r.Outcome = backend.Full
 	} else if c.listen(to.Name, answer); answer.StatusCode == http.StatusOK {
 		head, err := results.NewReader(results.JSON, io.LimitReader(answer.Body, mostHeader)).Head()
 		if err == nil && head.Ask {
-			r.End = backend.Done
+			r.Outcome = backend.Done
 		}
 	}
 	if !load {
@@ -364,7 +364,7 @@
 func (c *Client) enter(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.whole >= c.bounds.Conns.Most() {
+	if c.whole >= c.bounds.Conns.Max() {
 		return false
 	}
 	c.whole++
@@ -404,11 +404,11 @@
 	}
 }
 
-// CloseIdle implements back.Engines; the library closes all that are idle, which costs others a dial.
+// CloseIdle implements backend.Engines; the library closes all that are idle, which costs others a dial.
 func (c *Client) CloseIdle(string) { c.http.CloseIdleConnections() }
 
-// Out implements back.Engines.
-func (c *Client) Out(name string) (open, givenUp int) {
+// InFlight implements backend.Engines.
+func (c *Client) InFlight(name string) (open, givenUp int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.out[name]; n != nil {
@@ -417,10 +417,10 @@
 	return 0, 0
 }
 
-// Free implements back.Engines.
-func (c *Client) Free(pages [][]byte) { c.bounds.Bytes.Give(int(size(pages))) }
+// Release implements backend.Engines.
+func (c *Client) Release(pages [][]byte) { c.bounds.ResultBytes.Release(int(size(pages))) }
 
-// Close implements back.Engines.
+// Close implements backend.Engines.
 func (c *Client) Close() {
 	c.end()
 	c.http.CloseIdleConnections()
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -53,10 +53,10 @@
 		}
 	})
 	w := &town{t: t, host: backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}, bytes: new(limits.Bytes)}
-	w.bytes.Allow(1 << 20)
+	w.bytes.SetCapacity(1 << 20)
 	most := new(limits.Count)
 	most.Store(conns)
-	w.client = New(backend.Bounds{Dial: time.Second, Idle: 10 * time.Second, Conns: most, Bytes: w.bytes}, func(_ string, word decide.Word) {
+	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, word decide.Word) {
 		w.mu.Lock()
 		w.words = append(w.words, word)
 		w.mu.Unlock()
@@ -65,10 +65,10 @@
 		w.client.Close()
 		l.Close()
 		running.Wait()
-		if !w.bytes.All() {
+		if !w.bytes.Unused() {
 			t.Error("bytes are kept")
 		}
-		if open, given := w.client.Out("e1"); open+given != 0 || w.client.whole != 0 {
+		if open, given := w.client.InFlight("e1"); open+given != 0 || w.client.whole != 0 {
 			t.Errorf("%d open, %d given up, %d in all", open, given, w.client.whole)
 		}
 	})
@@ -80,7 +80,7 @@
 func (w *town) ask(a Ask) backend.Reply {
 	w.t.Helper()
 	told := make(chan backend.Reply, 2)
-	w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: a.Statement(), WaitMS: 20000}, func(r backend.Reply) { told <- r })
+	w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: a.Statement(), TimeoutMS: 20000}, func(r backend.Reply) { told <- r })
 	select {
 	case r := <-told:
 		return r
@@ -105,7 +105,7 @@
 	for name, c := range map[string]struct {
 		ask   Ask
 		write string
-		want  backend.End
+		want  backend.Outcome
 	}{
 		"done":                          {query, answer("200 OK", typed+"Load: inflight:3\r\n", good), backend.Done},
 		"chunked":                       {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(good), good), backend.Done},
@@ -141,16 +141,16 @@
 				conn.Close()
 			})
 			r := w.ask(c.ask)
-			if r.End != c.want {
-				t.Errorf("end %d, want %d", r.End, c.want)
+			if r.Outcome != c.want {
+				t.Errorf("end %d, want %d", r.Outcome, c.want)
 			}
-			if r.End == backend.Done && !c.ask.Update {
+			if r.Outcome == backend.Done && !c.ask.Update {
 				text, _ := io.ReadAll(Pages(r.Pages))
 				if string(text) != good || name == "done" && r.Load != "inflight:3" {
 					t.Errorf("%q, load %q", text, r.Load)
 				}
 			}
-			w.client.Free(r.Pages)
+			w.client.Release(r.Pages)
 		})
 	}
 }
@@ -160,16 +160,16 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	w.host.Address = "http://" + l.Addr().String()
 	l.Close()
-	if r := w.ask(query); r.End != backend.NotConnected {
-		t.Errorf("end %d", r.End)
+	if r := w.ask(query); r.Outcome != backend.NotConnected {
+		t.Errorf("end %d", r.Outcome)
 	}
 	probed := make(chan backend.Reply, 1)
 	w.client.Probe(w.host, true, time.Second, func(r backend.Reply) { probed <- r })
-	if r := <-probed; r.End != backend.NotConnected {
-		t.Errorf("a probe: end %d", r.End)
+	if r := <-probed; r.Outcome != backend.NotConnected {
+		t.Errorf("a probe: end %d", r.Outcome)
 	}
-	if r := w.ask(Ask{}); r.End != backend.NotConnected {
-		t.Errorf("end %d", r.End)
+	if r := w.ask(Ask{}); r.Outcome != backend.NotConnected {
+		t.Errorf("end %d", r.Outcome)
 	}
 }
 
@@ -184,14 +184,14 @@
 	told := make(chan backend.Reply, 2)
 	d := w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: query.Statement()}, func(r backend.Reply) { told <- r })
 	<-asked
-	if open, _ := w.client.Out("e1"); open != 1 {
+	if open, _ := w.client.InFlight("e1"); open != 1 {
 		t.Errorf("%d open", open)
 	}
-	if r := w.ask(query); r.End != backend.Full { // no connection is left: it never ran
-		t.Errorf("past the connections: end %d", r.End)
+	if r := w.ask(query); r.Outcome != backend.Full { // no connection is left: it never ran
+		t.Errorf("past the connections: end %d", r.Outcome)
 	}
 	done := make(chan struct{})
-	if !d.GiveUp(func() { close(done) }) || d.GiveUp(nil) {
+	if !d.Cancel(func() { close(done) }) || d.Cancel(nil) {
 		t.Error("not given up once")
 	}
 	<-done
@@ -217,7 +217,7 @@
 	ask := `{"head":{},"boolean":true}`
 	for _, c := range []struct {
 		write string
-		end   backend.End
+		end   backend.Outcome
 		word  decide.Word
 	}{
 		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.Serves},
@@ -233,8 +233,8 @@
 		w.mu.Lock()
 		word := w.words[len(w.words)-1]
 		w.mu.Unlock()
-		if r.End != c.end || word != c.word {
-			t.Errorf("%q: end %d, word %d", c.write, r.End, word)
+		if r.Outcome != c.end || word != c.word {
+			t.Errorf("%q: end %d, word %d", c.write, r.Outcome, word)
 		}
 	}
 }
--- a/internal/sparql/front/front.go
+++ b/internal/sparql/front/front.go
@@ -52,16 +52,16 @@
 	mostHeader    = 32 << 10
 )
 
-// Taker is who the jobs are for.
-type Taker interface {
+// Submitter is who the jobs are for.
+type Submitter interface {
 	Ready() bool
-	Take(gateway.Ask)
+	Submit(gateway.Request)
 }
 
 // Front is all HTTP clients.
 type Front struct {
 	o      Options
-	taker  Taker
+	taker  Submitter
 	server *http.Server
 	places chan struct{}
 	owed   atomic.Int64
@@ -74,7 +74,7 @@
 }
 
 // New serves a taker. Serve begins it.
-func New(o Options, taker Taker) *Front {
+func New(o Options, taker Submitter) *Front {
 	f := &Front{o: o, taker: taker, places: make(chan struct{}, max(1, o.Conns)), guesses: decide.NewGuesses(max(1, o.Shapes)),
 		start: time.Now(), marks: decide.NewMarks(o.Marks, choice.Nanos(o.Window))}
 	f.server = &http.Server{Handler: f, ReadHeaderTimeout: headersWithin, IdleTimeout: idleWithin, MaxHeaderBytes: mostHeader,
@@ -253,9 +253,9 @@
 	rand.Read(id[:])
 	f.owed.Add(1)
 	defer f.owed.Add(-1)
-	f.taker.Take(gateway.Ask{Type: []byte(typ), ID: []byte(hex.EncodeToString(id[:])), Tenant: []byte(tenant), Key: []byte(decide.OrderKey(s)),
-		Statement: endpoint.Ask{Update: q.update, Accept: a.wants, Mark: mark.Text, Form: form}.Statement(), Left: q.left, At: at, Work: time.Duration(work),
-		Protocol: backend.SPARQL, From: a})
+	f.taker.Submit(gateway.Request{Type: []byte(typ), ID: []byte(hex.EncodeToString(id[:])), Tenant: []byte(tenant), Key: []byte(decide.OrderKey(s)),
+		Statement: endpoint.Ask{Update: q.update, Accept: a.wants, Mark: mark.Text, Form: form}.Statement(), Timeout: q.left, ArrivedAt: at, EstimatedWork: time.Duration(work),
+		Protocol: backend.SPARQL, Client: a})
 	a.wait()
 	if a.took > 0 {
 		f.mu.Lock()
@@ -330,21 +330,21 @@
 	return a, nil
 }
 
-// Done implements gateway.Asker.
+// Done implements gateway.Client.
 func (a *answer) Done(pages [][]byte) { a.hand(outcome{pages: pages, status: http.StatusOK}) }
 
-// Throttled implements gateway.Asker.
+// Throttled implements gateway.Client.
 func (a *answer) Throttled(wait time.Duration) {
 	a.hand(outcome{status: http.StatusServiceUnavailable, text: "throttled: trying again is harmless", wait: max(wait, time.Second), never: true})
 }
 
-// Failed implements gateway.Asker.
+// Failed implements gateway.Client.
 func (a *answer) Failed(reason string) {
 	status := http.StatusBadRequest
 	switch reason {
-	case gateway.ForGood:
+	case gateway.ReasonCancelled:
 		status = http.StatusBadGateway
-	case gateway.TimedOut:
+	case gateway.ReasonTimeout:
 		status = http.StatusGatewayTimeout
 	}
 	a.hand(outcome{status: status, text: reason, never: status == http.StatusBadRequest})
@@ -364,8 +364,8 @@
 	}
 }
 
-// OnLeave implements gateway.Asker.
-func (a *answer) OnLeave(left func()) {
+// OnDisconnect implements gateway.Client.
+func (a *answer) OnDisconnect(left func()) {
 	a.mu.Lock()
 	a.left = left
 	gone := a.gone
@@ -375,8 +375,8 @@
 	}
 }
 
-// Here implements gateway.Asker.
-func (a *answer) Here() bool {
+// Connected implements gateway.Client.
+func (a *answer) Connected() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.gone
@@ -450,4 +450,4 @@
 	return p.w.Write(b)
 }
 
-var _ gateway.Asker = (*answer)(nil)
+var _ gateway.Client = (*answer)(nil)
--- a/internal/sparql/front/front_test.go
+++ b/internal/sparql/front/front_test.go
@@ -18,14 +18,14 @@
 )
 
 // taker answers each job as it is told to.
-type taker struct{ answer func(gateway.Ask) }
+type taker struct{ answer func(gateway.Request) }
 
-func (taker) Ready() bool          { return true }
-func (t taker) Take(a gateway.Ask) { go t.answer(a) }
+func (taker) Ready() bool                { return true }
+func (t taker) Submit(a gateway.Request) { go t.answer(a) }
 
 const rows = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"literal","value":"%s"}}]}}`
 
-func served(t *testing.T, conns int, answer func(gateway.Ask)) (f *Front, address string) {
+func served(t *testing.T, conns int, answer func(gateway.Request)) (f *Front, address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,9 +59,9 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	_, at := served(t, 4, func(a gateway.Ask) {
+	_, at := served(t, 4, func(a gateway.Request) {
 		form, _ := url.ParseQuery(strings.SplitN(string(a.Statement), "\n", 4)[3])
-		a.From.Done([][]byte{[]byte(fmt.Sprintf(rows, form.Get("query")))})
+		a.Client.Done([][]byte{[]byte(fmt.Sprintf(rows, form.Get("query")))})
 	})
 	c := dialed(t, at)
 	io.WriteString(c, get("ASK { <a> <b> 1 }")+get("SELECT * { ?s <b> 2 }")+"POST /sparql HTTP/1.1\r\nHost: x\r\nContent-Type: application/sparql-query\r\nContent-Length: 21\r\n\r\nSELECT * { ?s <b> 3 }")
@@ -81,14 +81,14 @@
 // Each state has its end: headers that do not come, a client that takes nothing of its answer, one more than may be held.
 func TestEachStateOfAConnectionHasItsEnd(t *testing.T) {
 	large := strings.Repeat("x", 1<<20)
-	_, at := served(t, 2, func(a gateway.Ask) {
+	_, at := served(t, 2, func(a gateway.Request) {
 		var pages [][]byte
 		head, tail, _ := strings.Cut(rows, "%s")
 		pages = append(pages, []byte(head))
 		for range 64 {
 			pages = append(pages, []byte(large))
 		}
-		a.From.Done(append(pages, []byte(tail)))
+		a.Client.Done(append(pages, []byte(tail)))
 	})
 	cut := counters.Value("sparql_answers_cut")
 	slow, unread := dialed(t, at), dialed(t, at)
@@ -119,16 +119,16 @@
 
 func TestOutcomesHaveTheirStatus(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func(gateway.Asker)
+		answer func(gateway.Client)
 		status int
 	}{
-		"throttled":           {func(a gateway.Asker) { a.Throttled(1500 * time.Millisecond) }, 503},
-		"cancelled for good":  {func(a gateway.Asker) { a.Failed(gateway.ForGood) }, 502},
-		"job timeout":         {func(a gateway.Asker) { a.Failed(gateway.TimedOut) }, 504},
-		"an unusable call":    {func(a gateway.Asker) { a.Failed("no such tenant") }, 400},
-		"answered at its end": {func(a gateway.Asker) { a.Done(nil) }, 0}, // nothing that is a result: cut
+		"throttled":           {func(a gateway.Client) { a.Throttled(1500 * time.Millisecond) }, 503},
+		"cancelled for good":  {func(a gateway.Client) { a.Failed(gateway.ReasonCancelled) }, 502},
+		"job timeout":         {func(a gateway.Client) { a.Failed(gateway.ReasonTimeout) }, 504},
+		"an unusable call":    {func(a gateway.Client) { a.Failed("no such tenant") }, 400},
+		"answered at its end": {func(a gateway.Client) { a.Done(nil) }, 0}, // nothing that is a result: cut
 	} {
-		_, at := served(t, 2, func(a gateway.Ask) { c.answer(a.From) })
+		_, at := served(t, 2, func(a gateway.Request) { c.answer(a.Client) })
 		r, err := http.Get("http://" + at + "/sparql?query=" + url.QueryEscape("SELECT * { ?s <b> 2 }"))
 		if err != nil {
 			if c.status != 0 {
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -414,9 +414,9 @@
 		t.Fatal(err)
 	}
 	var parts struct {
-		Tally operator.Tally `json:"tally"`
+		Tally operator.Stats `json:"tally"`
 	}
-	if err := json.Unmarshal(text, &parts); err != nil || parts.Tally.Listen != "127.0.0.1:0" || !parts.Tally.Elder || len(parts.Tally.Learned) == 0 || len(parts.Tally.Health) == 0 {
+	if err := json.Unmarshal(text, &parts); err != nil || parts.Tally.Listen != "127.0.0.1:0" || !parts.Tally.Predecessor || len(parts.Tally.TypeEstimates) == 0 || len(parts.Tally.EngineHealth) == 0 {
 		t.Errorf("%+v %v", parts.Tally, err)
 	}
 }
--- a/internal/supervisor/keep.go
+++ b/internal/supervisor/keep.go
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(path, text, 0o600)
@@ -357,10 +357,10 @@
 			parts[name] = text
 		}
 	}
-	own := operator.Tally{Listen: "127.0.0.1:0", Spec: h.Want.Digest(), Elder: elder}
+	own := operator.Stats{Listen: "127.0.0.1:0", Spec: h.Want.Digest(), Predecessor: elder}
 	k.mu.Lock()
 	if k.now != nil && c != k.now { // it has one to learn from
-		own.Learned, own.Health = k.now.report.Learned, k.now.report.Health
+		own.TypeEstimates, own.EngineHealth = k.now.report.Learned, k.now.report.Health
 	}
 	k.mu.Unlock()
 	parts["tally"], _ = json.Marshal(own)
--- a/internal/supervisor/standin_test.go
+++ b/internal/supervisor/standin_test.go
@@ -35,9 +35,9 @@
 func standIn(file string) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
-	read := func() (operator.Tally, error) {
+	read := func() (operator.Stats, error) {
 		var parts struct {
-			Tally operator.Tally `json:"tally"`
+			Tally operator.Stats `json:"tally"`
 		}
 		text, err := os.ReadFile(file)
 		if err == nil {
@@ -53,8 +53,8 @@
 	carries := int64(1_000_000)
 	started := time.Now().UnixNano()
 	learned := json.RawMessage(`{"lookup":{"mean":12.5}}`)
-	if len(now.Learned) > 0 {
-		learned = now.Learned
+	if len(now.TypeEstimates) > 0 {
+		learned = now.TypeEstimates
 	}
 	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
--- a/internal/testcluster/book.go
+++ b/internal/testcluster/book.go
@@ -20,7 +20,7 @@
 func (b *Book) Add(e rulecheck.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e.T = time.Now().UnixNano()
+	e.TimeNS = time.Now().UnixNano()
 	b.list = append(b.list, e)
 }
 
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -20,7 +20,7 @@
 		defer mu.Unlock()
 		end := func(how string) {
 			delete(running, key)
-			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: c.ID, Engine: name, Answer: how})
+			b.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: c.ID, Engine: name, Answer: how})
 		}
 		switch c.Word {
 		case "stats", "alive":
@@ -35,11 +35,11 @@
 				what = Fails
 			}
 			if what == Full {
-				b.Add(rulecheck.Entry{What: rulecheck.Reached, Job: c.ID, Engine: name, Protocol: "line"})
+				b.Add(rulecheck.Entry{Event: rulecheck.Reached, Job: c.ID, Engine: name, Protocol: "line"})
 				s.Answer(c.ID, "full", "", "")
 				return
 			}
-			b.Add(rulecheck.Entry{What: rulecheck.Began, Job: c.ID, Engine: name, Protocol: "line", Work: int64(f.Work())})
+			b.Add(rulecheck.Entry{Event: rulecheck.Began, Job: c.ID, Engine: name, Protocol: "line", Work: int64(f.Work())})
 			takes := f.Work()
 			if what == Slow {
 				takes *= 20
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -98,7 +98,7 @@
 			fields = append(fields, "row", key)
 		}
 	}
-	l.town.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: typ, Key: key, Front: name, Until: time.Now().Add(ttl).UnixNano()})
+	l.town.Book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: typ, Key: key, Front: name, DeadlineNS: time.Now().Add(ttl).UnixNano()})
 	id, err := c.Send(typ, "SELECT 1 FROM a_1.b", fields...)
 	if err == nil {
 		a, bad := c.Read(ttl + 5*time.Second)
@@ -117,11 +117,11 @@
 			default:
 				l.Cancelled.Add(1)
 			}
-			l.town.Book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: how})
+			l.town.Book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: how})
 			return true
 		}
 	}
 	l.Broken.Add(1)
-	l.town.Book.Add(rulecheck.Entry{What: rulecheck.Left, Job: job})
+	l.town.Book.Add(rulecheck.Entry{Event: rulecheck.ClientLeft, Job: job})
 	return false
 }
