--- a/internal/testcluster/town.go
+++ b/internal/testcluster/town.go
@@ -33,12 +33,12 @@
 
 // Rules of the town; a busy machine may be half a second late.
 var Rules = rulecheck.Rules{Types: map[string]rulecheck.Type{"lookup": {Effect: rulecheck.Restartable}, "import": {Effect: rulecheck.RunOnce, Ordered: true}},
-	Slack: int64(500 * time.Millisecond), Grace: int64(400 * time.Millisecond)}
+	AnswerSlack: int64(500 * time.Millisecond), DrainGrace: int64(400 * time.Millisecond)}
 
 // ColdRules are those of a town whose engines start cold: a window of a second, and twice of the third that they begin with.
 func ColdRules() rulecheck.Rules {
 	r := Rules
-	r.Warm, r.Fall, r.FallPerCore = int64(coldFor), int64(time.Second), int64(2*time.Second/3)
+	r.WarmUp, r.WarmUpWindow, r.WarmUpWorkPerCore = int64(coldFor), int64(time.Second), int64(2*time.Second/3)
 	return r
 }
 
@@ -123,7 +123,7 @@
 		}
 		t.engine[name] = e
 		hosts = append(hosts, t.host(name, "ready", 0))
-		t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16})
+		t.Book.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16})
 	}
 	known := t.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
 	own := operator.Fleet{DrainMS: 10_000, Program: program}
@@ -187,14 +187,14 @@
 // Reborn lists an engine as just started. It is told to controllers first: what they send is counted from then on.
 func (t *Town) Reborn(name string) {
 	now := time.Now()
-	t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16, Started: now.UnixNano()})
+	t.Book.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16, Started: now.UnixNano()})
 	t.feed.Add(false, "["+t.host(name, "ready", now.UnixMilli())+"]")
 }
 
 // List tells the feed of an engine's state, and the book after: the grace counts from what controllers could know.
 func (t *Town) List(name, state string) {
 	t.feed.Add(false, "["+t.host(name, state, 0)+"]")
-	t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 16})
+	t.Book.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 16})
 }
 
 // Lose has an engine die; the list tells of it later, as it does.
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -23,8 +23,8 @@
 	Schemas []string      `json:"schemas"` // of files that it reads
 }
 
-// Of this program.
-func Of() (b Build, err error) {
+// Current this program.
+func Current() (b Build, err error) {
 	b = Build{Version: Name, Go: runtime.Version(), Formats: change.Formats(), Schemas: []string{"change", "operator", "plan", "problem"}}
 	if info, is := debug.ReadBuildInfo(); is {
 		for _, s := range info.Settings {
