--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -91,7 +91,8 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Operator, err)
 	}
-	gate := gateway.New(choice.Facts(facts), file.Seed, parts, s.Trace, side.speak())
+	gate := gateway.New(gateway.Options{Settings: choice.Facts(facts), Seed: file.Seed, Budget: parts, Protocols: side.speak(),
+		Trace: s.Trace})
 	side.join(gate)
 	told, err := newTeller(own.Stats, gate)
 	if err != nil {
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -91,8 +91,8 @@
 	parts := new(limits.Budget)
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
-	gate = gateway.New(choice.Facts(settings), 1, parts, false,
-		map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }})
+	gate = gateway.New(gateway.Options{Settings: choice.Facts(settings), Seed: 1, Budget: parts,
+		Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }}})
 	t.Cleanup(gate.Close)
 	told, err := newTeller(own.Stats, gate)
 	if err != nil {
@@ -185,8 +185,8 @@
 			}
 			parts := new(limits.Budget)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
-			gate := gateway.New(choice.Facts(settings), 1, parts, false,
-				map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }})
+			gate := gateway.New(gateway.Options{Settings: choice.Facts(settings), Seed: 1, Budget: parts,
+				Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }}})
 			defer gate.Close()
 			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -490,7 +490,7 @@
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && s.Serves && len(s.Drains) == 1
 	})
-	if !strings.Contains(m.Keeper.Log(), "msg=taught types=2") {
+	if !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2") {
 		t.Error("the newer one is not taught")
 	}
 	w.Fates.Takes(4 * time.Millisecond)
@@ -1017,7 +1017,7 @@
 	l.Stop() // no job of the older one's is to count below
 	order(t, m, was, other)
 	until(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Keeper.Log(), "msg=taught types=2 engines=3") {
+	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
 		t.Errorf("%d aside, %v: %s", s.Aside, err, m.Keeper.Log())
 	}
 	before := broken()
--- /dev/null
+++ b/internal/gateway/admission.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/statement"
+)
+
+// Why a request is not admitted. Clients see these texts.
+var (
+	errUnknownType   = errors.New("no such method")
+	errUnknownTenant = errors.New("no such tenant")
+	errMemory        = errors.New("more memory than any engine has")
+	errNoTableGroup  = errors.New("the statement names no group of tables")
+	errDuplicateCall = errors.New("a call with this id is open")
+	errNoCapacity    = errors.New("no capacity")
+)
+
+// transitTime is what a call needed to come here and its answer needs to go: on sockets, answers given 2 ms before the
+// job timeout were seen to come after it.
+const transitTime = 5 * time.Millisecond
+
+// Submit admits a job or answers at once that it is not admitted. It does not wait; the module sees jobs in the order
+// of the calls.
+func (g *Gateway) Submit(request Request) {
+	event, err := g.arrivalEvent(request)
+	if err != nil {
+		counters.Increment("calls_refused")
+		request.Client.Failed(err.Error())
+		return
+	}
+	j := &job{Request: request, mailbox: newMailbox()}
+	actions, err := g.admit(j, event)
+	if err != nil {
+		g.reject(request, err)
+		return
+	}
+	g.perform(actions)
+	g.trace.job(j.id, "call", string(j.ID))
+	request.Client.OnDisconnect(func() { j.mailbox.put(clientDisconnected{}) })
+	go newJobRunner(g, j).run()
+}
+
+// admit gives a job its number and reports it to the module, unless its call is open already or there is no slot for
+// it. It returns the actions to perform.
+func (g *Gateway) admit(admitted *job, arrival choice.Event) ([]choice.Action, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if _, open := g.openCalls[string(admitted.ID)]; open {
+		return nil, errDuplicateCall
+	}
+	if testHooks.rejectJob != nil && testHooks.rejectJob(string(admitted.Type)) {
+		return nil, errNoCapacity
+	}
+	if !g.reserveSlot(admitted.Protocol) {
+		return nil, errNoCapacity
+	}
+	admitted.id = g.nextJobID()
+	arrival.Job = admitted.id
+	g.jobs[admitted.id] = admitted
+	g.openCalls[string(admitted.ID)] = struct{}{}
+	g.running.Add(1)
+	return g.decide(arrival), nil
+}
+
+// nextJobID returns a number that no job has. The caller holds the lock. Numbers repeat after 2^32 jobs.
+func (g *Gateway) nextJobID() choice.JobID {
+	g.lastJobID++
+	for g.jobs[g.lastJobID] != nil {
+		g.lastJobID++
+	}
+	return g.lastJobID
+}
+
+func (g *Gateway) reject(request Request, err error) {
+	if errors.Is(err, errDuplicateCall) {
+		counters.Increment("calls_duplicate")
+		request.Client.Failed(err.Error())
+		return
+	}
+	counters.Increment("calls_over_capacity")
+	g.countOutcome(request, jobOutcome{kind: jobstats.Throttled})
+	request.Client.Throttled(0)
+}
+
+// arrivalEvent converts a request into the module's terms. An error says why it cannot be used.
+func (g *Gateway) arrivalEvent(request Request) (choice.Event, error) {
+	jobType, known := g.ids.types[string(request.Type)]
+	if !known {
+		return choice.Event{}, errUnknownType
+	}
+	tenant, known := g.ids.tenants[string(request.Tenant)]
+	if !known && len(g.ids.tenants) > 0 {
+		return choice.Event{}, errUnknownTenant
+	}
+	if limit := g.settings.maxTimeout(jobType); request.Timeout > limit {
+		return choice.Event{}, fmt.Errorf("a job timeout over %v", limit)
+	}
+	if request.EstimatedMemoryMB > g.settings.maxMemoryMB {
+		return choice.Event{}, errMemory
+	}
+	tableGroup, found := tableGroup(request)
+	if !found && g.settings.needsTableGroup(jobType) {
+		return choice.Event{}, errNoTableGroup
+	}
+	typeSettings, _ := g.settings.typeOf(jobType)
+	return choice.Event{
+		Kind:      choice.Arrived,
+		Type:      jobType,
+		Tenant:    tenant,
+		Key:       orderKey(request.Key),
+		Left:      choice.Nanos(timeLeft(request)),
+		Cost:      choice.Nanos(request.EstimatedWork),
+		CostKnown: request.EstimatedWork > 0,
+		Repeat:    request.ClientRetry,
+		MemoryMB:  request.EstimatedMemoryMB,
+		Tables:    choice.TableSet(tableGroup),
+		Needs:     requiredProtocols(request.Protocol),
+		Write:     typeSettings.writesTables,
+	}, nil
+}
+
+// timeLeft returns how long the module has for a job: less than the client waits, for the way there and back.
+func timeLeft(request Request) time.Duration {
+	return request.Timeout - min(transitTime, request.Timeout/10) - time.Since(request.ArrivedAt)
+}
+
+// tableGroup returns the group of tables that a request uses, if it names one.
+func tableGroup(request Request) (uint32, bool) {
+	if request.Protocol == backend.Line {
+		return statement.Group(request.Statement)
+	}
+	return request.TableGroup, true
+}
--- /dev/null
+++ b/internal/gateway/admission_test.go
@@ -0,0 +1,132 @@
+package gateway
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+)
+
+func TestAFloodEndsInThrottling(t *testing.T) {
+	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+		"limits": map[string]any{"max_open": 3.0}}
+	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	defer g.Close()
+	a := newFakeClient(10)
+	for i := range 5 { // no engine: three are parked until it is late, two turned away
+		g.Submit(Request{Type: []byte("lookup"), ID: []byte{byte(i)}, ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
+	}
+	g.mu.Lock()
+	taken := len(g.jobs)
+	g.mu.Unlock()
+	if one, two := <-a.answers, <-a.answers; one != "throttled" || two != "throttled" || taken != 3 {
+		t.Errorf("%s, %s, %d jobs taken", one, two, taken)
+	}
+	for range 3 {
+		if said := <-a.answers; said != "throttled" {
+			t.Error(said)
+		}
+	}
+	g.Submit(Request{Type: []byte("other"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
+	if said := <-a.answers; said != "failed" {
+		t.Errorf("%s for an unknown type", said)
+	}
+}
+
+func TestTheModuleIsToldLessTimeThanTheClientHas(t *testing.T) {
+	g := New(Options{Settings: choice.Facts{"classes": []any{map[string]any{"name": "lookup"}}}, Seed: 1, Budget: testBudget()})
+	defer g.Close()
+	for timeout, limit := range map[time.Duration]time.Duration{time.Second: time.Second - transitTime, 10 * time.Millisecond: 9 * time.Millisecond} {
+		ev, err := g.arrivalEvent(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: timeout})
+		if got := time.Duration(ev.Left); err != nil || got > limit || got < limit-5*time.Second {
+			t.Errorf("%v of %v told, %v", got, timeout, err)
+		}
+	}
+}
+
+// A flood of one protocol takes what nobody used of late, and leaves the other its part.
+func TestAFloodOfOneProtocolLeavesTheOtherItsPlaces(t *testing.T) {
+	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+		"limits": map[string]any{"max_open": 40.0}}
+	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	defer g.Close()
+	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
+	a, n := newFakeClient(200), 0
+	take := func(p backend.Protocol, times int) {
+		for range times { // no engine: they are parked until it is late
+			n++
+			g.Submit(Request{Type: []byte("lookup"), ID: []byte(fmt.Sprint(n)), ArrivedAt: time.Now(), Timeout: 20 * time.Second, Protocol: p, Client: a})
+		}
+	}
+	before := counters.Value("calls_over_capacity")
+	take(backend.SPARQL, 60)
+	flood := 60 - int(counters.Value("calls_over_capacity")-before)
+	before = counters.Value("calls_over_capacity")
+	take(backend.Line, 5)
+	if turned := counters.Value("calls_over_capacity") - before; flood < 20 || flood > 35 || turned > 0 {
+		t.Errorf("a flood takes %d of 40, %d of 5 calls of the other protocol are turned away", flood, turned)
+	}
+	for id := range n { // all leave, which empties every table
+		g.mu.Lock()
+		j := g.jobs[choice.JobID(id+1)]
+		g.mu.Unlock()
+		if j != nil {
+			j.mailbox.put(clientDisconnected{})
+		}
+	}
+}
+
+// A call in the module's terms, and why one is unusable.
+func TestACallInTheModulesTerms(t *testing.T) {
+	g := New(Options{Settings: factsOf(t, ruleFacts), Seed: 1, Budget: testBudget()})
+	defer g.Close()
+	const text = "INSERT INTO sales_17.orders SELECT * FROM staging.x"
+	for _, c := range []struct {
+		name, fault string
+		ask         Request
+	}{
+		{"an unknown type", "no such method", Request{Type: []byte("none"), Tenant: []byte("acme")}},
+		{"an unknown tenant", "no such tenant", Request{Type: []byte("lookup"), Tenant: []byte("none")}},
+		{"a job timeout of weeks", "a job timeout over 4s", Request{Type: []byte("lookup"), Tenant: []byte("acme"), Timeout: 5 * time.Second}},
+		{"memory past any engine", "more memory than any engine has", Request{Type: []byte("lookup"), Tenant: []byte("acme"), EstimatedMemoryMB: 32001}},
+		{"no group of tables", "the statement names no group of tables", Request{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"no group where none matters", "", Request{Type: []byte("mark"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"usable", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), Statement: []byte(text)}},
+		{"another protocol tells its group", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.ask.ArrivedAt = time.Now()
+			_, err := g.arrivalEvent(c.ask)
+			got := ""
+			if err != nil {
+				got = err.Error()
+			}
+			if got != c.fault {
+				t.Errorf("refused as %q, want %q", got, c.fault)
+			}
+		})
+	}
+	ev, err := g.arrivalEvent(Request{Type: []byte("import"), Tenant: []byte("zeta"), Key: []byte("k1"), Statement: []byte(text), ArrivedAt: time.Now(),
+		Timeout: time.Second, ClientRetry: true, EstimatedWork: time.Minute, EstimatedMemoryMB: 64})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ev.Left = 0
+	if ev.Tables == 0 {
+		t.Error("no group of tables")
+	}
+	ev.Tables = 0
+	want := choice.Event{Kind: choice.Arrived, Type: 1, Tenant: 1, Key: orderKey([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
+		Repeat: true, Write: true, MemoryMB: 64, Needs: requiredProtocols(backend.Line)}
+	if got, wanted := ev, want; got.Kind != wanted.Kind || got.Type != wanted.Type || got.Tenant != wanted.Tenant || got.Key != wanted.Key ||
+		got.Cost != wanted.Cost || !got.CostKnown || !got.Repeat || !got.Write || got.MemoryMB != wanted.MemoryMB || got.Needs != wanted.Needs {
+		t.Errorf("%+v, want %+v", got, wanted)
+	}
+	if ev, err = g.arrivalEvent(Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL, ArrivedAt: time.Now()}); err != nil ||
+		ev.Tables != 5 || ev.Needs == want.Needs || ev.CostKnown || ev.Key != 0 {
+		t.Errorf("%+v %v", ev, err)
+	}
+}
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -6,19 +6,21 @@
 	"swiftreel/choice"
 )
 
-// clock gives the module's time: monotonic, from the Unix time of its start.
+// clock gives the module's time in nanoseconds: it starts at the Unix time of its creation and is monotonic from there.
 type clock struct {
 	start time.Time
 }
 
-func newClock() clock { return clock{time.Now()} }
+func newClock() clock { return clock{start: time.Now()} }
 
-// at turns a moment into the module's time.
-func (c clock) at(t time.Time) choice.Nanos {
-	return choice.Nanos(c.start.UnixNano()) + choice.Nanos(t.Sub(c.start))
+// at converts a moment into the module's time.
+func (c clock) at(moment time.Time) choice.Nanos {
+	return choice.Nanos(c.start.UnixNano()) + choice.Nanos(moment.Sub(c.start))
 }
 
 func (c clock) now() choice.Nanos { return c.at(time.Now()) }
 
-// moment turns the module's time into a moment.
-func (c clock) moment(n choice.Nanos) time.Time { return c.start.Add(time.Duration(n - c.at(c.start))) }
+// moment converts the module's time into a moment.
+func (c clock) moment(t choice.Nanos) time.Time {
+	return c.start.Add(time.Duration(t - c.at(c.start)))
+}
--- /dev/null
+++ b/internal/gateway/engine_table.go
@@ -0,0 +1,205 @@
+package gateway
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/discovery"
+)
+
+// removedRetention is how long an engine that left the list is still known, for orders given a moment before.
+const removedRetention = time.Minute
+
+// tableEntry is one engine of the endpoint list.
+type tableEntry struct {
+	host      backend.Host
+	id        choice.EngineID
+	line      choice.Line // as listed last
+	removedAt time.Time   // zero while the engine is listed
+}
+
+// engineTable gives engines their numbers. They are derived from the names, so that all controllers see engines in the
+// same order. An entry is dropped once its engine has been off the list for removedRetention.
+type engineTable struct {
+	byName     map[string]*tableEntry
+	byID       map[choice.EngineID]*tableEntry
+	sparqlURLs map[string]string // by engine name; nil: the SPARQL protocol is off
+}
+
+func newEngineTable() engineTable {
+	return engineTable{byName: map[string]*tableEntry{}, byID: map[choice.EngineID]*tableEntry{}}
+}
+
+// entry returns the entry of a name, and adds it if there is none.
+func (t *engineTable) entry(name string) *tableEntry {
+	if entry := t.byName[name]; entry != nil {
+		return entry
+	}
+	id := engineNumber(name)
+	for t.byID[id] != nil {
+		id++
+	}
+	entry := &tableEntry{id: id, host: backend.Host{Name: name}}
+	t.byName[name] = entry
+	t.byID[id] = entry
+	return entry
+}
+
+// engineNumber is the number of an engine unless another engine has it already.
+func engineNumber(name string) choice.EngineID {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name)) // never fails
+	return choice.EngineID(hash.Sum32())
+}
+
+// update applies a discovery event. It returns the entries that changed in the module's terms, and the names of
+// engines that were removed by this event.
+func (t *engineTable) update(members *discovery.Members, ids identifiers, now time.Time) ([]choice.Line, []string) {
+	t.dropExpired(now)
+	if members.Whole {
+		t.markAllRemoved(now)
+	}
+	var lines []choice.Line
+	for _, host := range members.Hosts {
+		lines = append(lines, t.updateEntry(host, ids, now))
+	}
+	return lines, t.removedSince(now)
+}
+
+func (t *engineTable) dropExpired(now time.Time) {
+	for name, entry := range t.byName {
+		if !entry.removedAt.IsZero() && now.Sub(entry.removedAt) > removedRetention {
+			delete(t.byName, name)
+			delete(t.byID, entry.id)
+		}
+	}
+}
+
+func (t *engineTable) markAllRemoved(now time.Time) {
+	for _, entry := range t.byName {
+		if entry.line.State != choice.Gone {
+			entry.line.State = choice.Gone
+			entry.removedAt = now
+		}
+	}
+}
+
+func (t *engineTable) updateEntry(host discovery.Engine, ids identifiers, now time.Time) choice.Line {
+	entry := t.entry(host.Host)
+	if host.Dial != "" {
+		entry.host.Address = host.Dial
+	}
+	state := engineState(host.State)
+	entry.removedAt = time.Time{}
+	if state == choice.Gone {
+		entry.removedAt = now
+	}
+	entry.line = choice.Line{
+		Engine:    entry.id,
+		Zone:      ids.zone(host.Site),
+		Kind:      ids.kind(host.Kind),
+		Cell:      choice.CellID(host.Cell),
+		State:     state,
+		Size:      host.Size,
+		StartedAt: choice.Nanos(host.BornMS) * choice.Nanos(time.Millisecond),
+		Deaf:      t.unsupportedProtocols(entry.host),
+	}
+	return entry.line
+}
+
+// engineState reads the state of an engine. One in an unknown state gets no new jobs.
+func engineState(text string) choice.EngineState {
+	switch text {
+	case "ready":
+		return choice.Ready
+	case "gone":
+		return choice.Gone
+	default:
+		return choice.Draining
+	}
+}
+
+func (t *engineTable) removedSince(now time.Time) []string {
+	var names []string
+	for name, entry := range t.byName {
+		if entry.removedAt.Equal(now) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// readyNames returns the names of engines that are listed as ready, sorted.
+func (t *engineTable) readyNames() []string {
+	var names []string
+	for name, entry := range t.byName {
+		if entry.line.State == choice.Ready {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
+
+// listed returns all entries that are not removed, in the module's order.
+func (t *engineTable) listed() []choice.Line {
+	var lines []choice.Line
+	for _, entry := range t.byName {
+		if entry.line.State != choice.Gone {
+			lines = append(lines, entry.line)
+		}
+	}
+	slices.SortFunc(lines, func(a, b choice.Line) int { return cmp.Compare(a.Engine, b.Engine) })
+	return lines
+}
+
+// ReadyEngines returns the names of engines that the list says are ready, sorted.
+func (g *Gateway) ReadyEngines() []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.table.readyNames()
+}
+
+// UpdateEngines takes an event of discovery. Cached says that it comes from the configuration file and may be out of
+// date.
+func (g *Gateway) UpdateEngines(event discovery.Event, cached bool) {
+	if event.Members == nil {
+		counters.Increment("discovery_events_ignored")
+		return
+	}
+	g.mu.Lock()
+	lines, removed := g.table.update(event.Members, g.ids, time.Now())
+	if g.drains != nil {
+		lines = g.drains.Listed(g.clock.now(), lines)
+	}
+	actions := g.decide(choice.Event{Kind: choice.Listed, List: listKind(event.Members.Whole, cached), Lines: lines})
+	g.mu.Unlock()
+	g.perform(actions)
+	for _, name := range removed {
+		g.engines.CloseIdle(name)
+	}
+}
+
+func listKind(complete, cached bool) choice.ListKind {
+	switch {
+	case !complete:
+		return choice.ListChanges
+	case cached:
+		return choice.CachedList
+	default:
+		return choice.WholeList
+	}
+}
+
+// listAllEngines gives the module the complete list as it stands.
+func (g *Gateway) listAllEngines() {
+	g.mu.Lock()
+	actions := g.decide(choice.Event{Kind: choice.Listed, List: choice.WholeList, Lines: g.table.listed()})
+	g.mu.Unlock()
+	g.perform(actions)
+}
--- /dev/null
+++ b/internal/gateway/engine_table_test.go
@@ -0,0 +1,44 @@
+package gateway
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"swiftreel/choice"
+)
+
+func TestEnginesAreNumberedAlikeInWhateverOrderTheyCome(t *testing.T) {
+	n := newIdentifiers(choice.Facts{"localities": []any{"east", "west"}, "kinds": []any{"std"}})
+	a, b, now := newEngineTable(), newEngineTable(), time.Now()
+	first, _ := a.update(engineList(t, "true", "e1", "e2", "e3").Members, n, now)
+	b.update(engineList(t, "true", "e3").Members, n, now)
+	b.update(engineList(t, "false", "e2", "e1").Members, n, now)
+	want := choice.Line{Engine: a.byName["e1"].id, Zone: 1, Cell: 2, State: choice.Ready, Size: 4, StartedAt: 5e6}
+	if first[0] != want {
+		t.Errorf("%+v, want %+v", first[0], want)
+	}
+	for name, l := range a.byName {
+		if b.byName[name].id != l.id || a.byID[l.id] != l {
+			t.Errorf("%s is %d and %d", name, l.id, b.byName[name].id)
+		}
+	}
+	_, gone := a.update(engineList(t, "true", "e2").Members, n, now)
+	if slices.Sort(gone); !slices.Equal(gone, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Gone {
+		t.Errorf("gone %v", gone)
+	}
+	a.update(engineList(t, "false", "e1").Members, n, now.Add(time.Minute))
+	a.update(engineList(t, "false", "e2").Members, n, now.Add(removedRetention+time.Minute))
+	if len(a.byName) != 2 || len(a.byID) != 2 {
+		t.Errorf("%d engines kept, of which one is long gone", len(a.byName))
+	}
+}
+
+// Taken for the first zone of the settings, such an engine would get jobs that must not run there.
+func TestAnEngineInAnUnknownPlaceIsInNoneOfThose(t *testing.T) {
+	r := newEngineTable()
+	lines, _ := r.update(engineList(t, "true", "e1").Members, newIdentifiers(choice.Facts{"localities": []any{"east"}, "kinds": []any{"small"}}), time.Now())
+	if lines[0].Zone != unknownZone || lines[0].Kind != unknownKind {
+		t.Errorf("%+v", lines[0])
+	}
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,19 +1,13 @@
-// Package gateway owns the decision module: it tells it what happens, in order and one thing at a time, and
-// carries out what it decides. It decides nothing itself.
 package gateway
 
 import (
 	"log/slog"
-	"maps"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"swiftreel/choice"
 	"swiftreel/internal/backend"
-	"swiftreel/internal/counters"
-	"swiftreel/internal/failpoint"
 	"swiftreel/internal/invariant"
 	"swiftreel/internal/jobstats"
 	"swiftreel/internal/limits"
@@ -21,285 +15,129 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// Gateway stands between clients, engines and the module.
+// Gateway admits jobs of clients and has engines run them as the decision module says.
 type Gateway struct {
-	clock   clock
-	names   names
-	pool    backend.Engines
-	rules   rules
-	parts   *limits.Budget
-	ready   atomic.Bool
-	trace   trace
-	running sync.WaitGroup // jobs' functions, and the watch over what is believed
-	done    chan struct{}
-	lines   ratelog.Limiter // of the module's log
-	tally   *jobstats.Book  // nil: nothing is counted
-	overdue ratelog.Logger
-
-	mu        sync.Mutex // around Decide and what follows; no I/O under it
-	module    choice.Controller
-	roster    roster
-	following following
-	drains    *decide.Drain         // nil: no engine says so itself
-	guard     *decide.Guard         // nil: there is one protocol
-	jobs      map[choice.JobID]*job // until their function returns
-	calls     map[string]struct{}   // the ids of those that are not answered, nor left by their client
-	lastID    choice.JobID
-	last      choice.Nanos // the module's time never goes back
-	ended     bool         // timers come to nothing
-}
-
-// New starts the module with the settings as they are, and what speaks with engines by protocol.
-func New(facts choice.Facts, seed uint64, parts *limits.Budget, traced bool, speak map[backend.Protocol]backend.Factory) *Gateway {
-	g := &Gateway{clock: newClock(), names: newNames(facts), rules: newRules(facts), parts: parts, roster: newRoster(),
-		jobs: map[choice.JobID]*job{}, calls: map[string]struct{}{}, done: make(chan struct{}), trace: trace(traced)}
-	g.pool = backend.NewMux(speak, backend.Limits{DialTimeout: g.rules.dial, IdleTimeout: g.rules.idle, CancelDelay: g.rules.step, StreamsPerConn: g.rules.streams,
-		Conns: &parts.EngineConns, ResultBytes: &parts.MessageBytes})
-	g.running.Go(func() { g.watch(g.done) })
-	g.tell(choice.Event{Kind: choice.Started, Seed: seed, Facts: facts})
+	clock       clock
+	ids         identifiers
+	settings    settings
+	budget      *limits.Budget
+	engines     backend.Engines
+	stats       *jobstats.Book // nil: jobs are not counted
+	trace       trace
+	ready       atomic.Bool
+	moduleLog   ratelog.Limiter // for the log lines of the module
+	overdueLog  ratelog.Logger
+	closing     chan struct{}
+	running     sync.WaitGroup // goroutines of jobs, and of the reconciliation
+	reconciling reconciler     // owned by its goroutine
+
+	mu         sync.Mutex // guards all fields below; no I/O is done while it is held
+	module     choice.Controller
+	table      engineTable
+	activePlan activePlan
+	drains     *decide.Drain         // nil: no engine reports its own drain
+	slots      *decide.Guard         // nil: there is only one protocol
+	jobs       map[choice.JobID]*job // until their goroutine returns
+	openCalls  map[string]struct{}   // ids of calls that are neither answered nor abandoned
+	lastJobID  choice.JobID
+	lastTime   choice.Nanos // time of the last event: the module's time never goes back
+	closed     bool         // timers that fire late have no effect
+}
+
+// Options are what a Gateway is made of.
+type Options struct {
+	Settings  choice.Facts
+	Seed      uint64 // of the module's random source
+	Budget    *limits.Budget
+	Protocols map[backend.Protocol]backend.Factory
+	Trace     bool // log every event and action of the module
+}
+
+// New starts the decision module. Jobs are admitted from the first call of Submit on; Start says that they are welcome.
+// The caller must call Close.
+func New(options Options) *Gateway {
+	g := &Gateway{
+		clock:     newClock(),
+		ids:       newIdentifiers(options.Settings),
+		settings:  newSettings(options.Settings),
+		budget:    options.Budget,
+		trace:     trace(options.Trace),
+		closing:   make(chan struct{}),
+		table:     newEngineTable(),
+		jobs:      map[choice.JobID]*job{},
+		openCalls: map[string]struct{}{},
+	}
+	g.engines = backend.NewMux(options.Protocols, backend.Limits{
+		DialTimeout:    g.settings.dialTimeout,
+		IdleTimeout:    g.settings.idleTimeout,
+		CancelDelay:    g.settings.step,
+		StreamsPerConn: g.settings.streamsPerConn,
+		Conns:          &g.budget.EngineConns,
+		ResultBytes:    &g.budget.MessageBytes,
+	})
+	g.running.Go(g.reconcile)
+	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Facts: options.Settings})
 	return g
 }
 
-// SetStats has jobs counted from now on. It comes before Start.
-func (g *Gateway) SetStats(b *jobstats.Book) { g.tally = b }
+// SetStats has jobs and probes counted from now on. It must be called before Start.
+func (g *Gateway) SetStats(stats *jobstats.Book) { g.stats = stats }
 
-// Ready tells whether the module has a list of engines and jobs are welcome.
+// Ready reports whether jobs are welcome: between Start and Stop.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
-// Start says so.
+// Start makes the gateway ready.
 func (g *Gateway) Start() { g.ready.Store(true) }
 
-// Stop says that jobs are no longer welcome, and tells the module how long it may count on.
+// Stop ends being ready, and tells the module how much time is left to answer what was admitted.
 func (g *Gateway) Stop() {
 	g.ready.Store(false)
-	g.tell(choice.Event{Kind: choice.Stopping, Left: choice.Nanos(g.rules.stops)})
-}
-
-// tell hands an event to the module and carries out what it decides: what concerns a job goes to its inbox in
-// the module's order, the rest is done once the lock is free.
-func (g *Gateway) tell(ev choice.Event) {
-	g.mu.Lock()
-	rest := g.decide(ev)
-	g.mu.Unlock()
-	g.carry(rest)
-}
-
-// decide holds the lock. Actions are copied, as the module uses their place again.
-func (g *Gateway) decide(ev choice.Event) (rest []choice.Action) {
-	now := time.Now()
-	g.last = max(g.last, g.clock.at(now))
-	g.trace.event(g.last, ev)
-	for _, a := range g.module.Decide(g.last, ev) {
-		g.trace.action(g.last, a)
-		switch a.Kind {
-		case choice.Dispatch, choice.Throttle, choice.CancelForGood, choice.Retract, choice.Terms:
-			j := g.jobs[a.Job]
-			if invariant.Check(j != nil, "action_for_no_job"); j != nil {
-				j.in.put(message{order: a, at: now})
-			}
-		default:
-			rest = append(rest, a)
-		}
-	}
-	return rest
-}
-
-// carry does what concerns no job.
-func (g *Gateway) carry(acts []choice.Action) {
-	for _, a := range acts {
-		switch a.Kind {
-		case choice.Timer:
-			time.AfterFunc(time.Duration(a.Span), func() { g.due(a.Mark) })
-		case choice.Probe:
-			g.probe(a.Engine)
-		case choice.CloseIdle:
-			if host, is := g.host(a.Engine, backend.Line); is {
-				g.pool.CloseIdle(host.Name)
-			}
-		case choice.Track: // the feed is always followed: nothing was missed
-			g.tell(choice.Event{Kind: choice.Listed, List: choice.ListChanges})
-		case choice.ListAll:
-			g.listAll()
-		case choice.Log:
-			g.say(a.Text)
-		case choice.Fault:
-			counters.Increment("module_faults")
-			slog.Error("module_fault", "text", a.Text)
-		case choice.Tell: // no channel between controllers is told of
-			counters.Increment("tells_dropped")
-		}
-	}
-}
-
-// say logs the module's lines, some a second at most.
-func (g *Gateway) say(text string) {
-	if g.lines.Allow(time.Now()) {
-		slog.Info("module", "text", text)
-	}
+	g.notify(choice.Event{Kind: choice.Stopping, Left: choice.Nanos(g.settings.stopTimeout)})
 }
 
-func (g *Gateway) due(mark choice.Mark) {
-	g.mu.Lock()
-	ended := g.ended
-	g.mu.Unlock()
-	if !ended {
-		g.tell(choice.Event{Kind: choice.TimerDue, Mark: mark})
-	}
-}
-
-// host is where an engine is reached by a protocol.
-func (g *Gateway) host(id choice.EngineID, by backend.Protocol) (backend.Host, bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if l := g.roster.byID[id]; l != nil {
-		return g.roster.reached(l, by), true
-	}
-	return backend.Host{}, false
-}
-
-func (g *Gateway) probe(id choice.EngineID) {
-	at := time.Now()
-	told := func(r backend.Reply) {
-		g.tell(choice.Event{Kind: choice.Probed, Engine: id, Result: results[r.Outcome], Latency: choice.Nanos(time.Since(at)),
-			Load: g.rules.load(r.Load)})
-	}
-	if host, is := g.host(id, backend.Line); is {
-		if host.Address == "" { // it speaks nothing but SPARQL
-			host, _ = g.host(id, backend.SPARQL)
-		}
-		g.tally.Probe()
-		go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, told)
-		for range failpoint.ExtraProbes() {
-			g.tally.Probe()
-			go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, func(backend.Reply) {})
-		}
-	} else {
-		told(backend.Reply{Outcome: backend.NotConnected})
-	}
-}
-
-// Close ends timers and connections to engines, and waits for jobs' functions.
+// Close ends timers and connections to engines, and waits for the goroutines of all jobs. It must be called once.
 func (g *Gateway) Close() {
 	g.mu.Lock()
-	g.ended = true
-	if g.following.timer != nil {
-		g.following.timer.Stop()
-	}
+	g.closed = true
+	g.activePlan.stopTimer()
 	g.mu.Unlock()
-	close(g.done)
-	g.pool.Close()
+	close(g.closing)
+	g.engines.Close()
 	g.running.Wait()
-	invariant.Check(len(g.jobs) == 0 && len(g.calls) == 0, "jobs_left")
-	invariant.Check(g.parts.ReadBytes.Unused() && g.parts.MessageBytes.Unused(), "bytes_left")
-}
-
-// Reconfigure tells the module its settings anew, between two decisions: jobs taken in and dispatches out stay. What
-// concerns carrying out (names, time limits, fields of load reports) stays as at the start.
-func (g *Gateway) Reconfigure(facts choice.Facts) {
-	g.tell(choice.Event{Kind: choice.Restated, Facts: facts})
-	slog.Info("settings_restated")
+	invariant.Check(len(g.jobs) == 0 && len(g.openCalls) == 0, "jobs_left")
+	invariant.Check(g.budget.ReadBytes.Unused() && g.budget.MessageBytes.Unused(), "bytes_left")
 }
 
-// AssignShare tells the module what it carries of the fleet, and of quotas by the names of tenants, for so long.
-func (g *Gateway) AssignShare(share float64, quotas map[string]float64, left time.Duration) {
-	p := choice.Part{Share: share, Tenants: map[choice.TenantID]float64{}, Until: g.clock.at(time.Now()) + choice.Nanos(left)}
-	for name, part := range quotas {
-		if id, is := g.names.tenants[name]; is {
-			p.Tenants[id] = part
-		}
-	}
-	g.tell(choice.Event{Kind: choice.Parted, Part: p})
+// Reconfigure gives the module new settings between two decisions. Jobs that were admitted, and dispatches in flight,
+// stay. What the gateway itself reads of the settings (names, time limits, fields of load reports) stays as it was at
+// the start.
+func (g *Gateway) Reconfigure(newSettings choice.Facts) {
+	g.notify(choice.Event{Kind: choice.Restated, Facts: newSettings})
+	slog.Info("settings_reconfigured")
 }
 
-// Share is what the module goes by now of the fleet, of 1.
-func (g *Gateway) Share() float64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.module.Carries()
+// SetPredecessor tells the module whether an older process of this controller still answers what it owes. Both count as
+// one controller.
+func (g *Gateway) SetPredecessor(running bool) {
+	g.notify(choice.Event{Kind: choice.Elder, On: running})
+	slog.Info("predecessor", "running", running)
 }
 
-// ReadyEngines are the names of those that the list says are ready, in order.
-func (g *Gateway) ReadyEngines() (names []string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for name, l := range g.roster.byName {
-		if l.line.State == choice.Ready {
-			names = append(names, name)
+// AssignShare tells the module which share of the fleet this controller carries, and which share of each tenant's
+// quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
+func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
+	part := choice.Part{Share: share, Tenants: map[choice.TenantID]float64{}, Until: g.clock.now() + choice.Nanos(valid)}
+	for name, quota := range quotas {
+		if id, known := g.ids.tenants[name]; known {
+			part.Tenants[id] = quota
 		}
 	}
-	slices.Sort(names)
-	return names
-}
-
-// SetPredecessor tells the module that an older process of this controller still serves what it owes, or has ended. Together they
-// count as one controller.
-func (g *Gateway) SetPredecessor(on bool) {
-	g.tell(choice.Event{Kind: choice.Elder, On: on})
-	slog.Info("elder", "runs", on)
-}
-
-// TypeEstimates is what jobs have taught the module, by the names of types.
-func (g *Gateway) TypeEstimates() map[string]choice.Means {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	list, named := g.module.Learned(), map[string]choice.Means{}
-	for name, id := range g.names.types {
-		if int(id) < len(list) {
-			named[name] = list[id]
-		}
-	}
-	return named
-}
-
-// EngineHealth is what jobs have taught the module of engines, by their names.
-type EngineHealth struct {
-	LatencyRatio float64 `json:"slow"`
-	FailureRate  float64 `json:"bad"`
-	Ejected      bool    `json:"aside,omitempty"`
+	g.notify(choice.Event{Kind: choice.Parted, Part: part})
 }
 
-// EngineHealth tells it.
-func (g *Gateway) EngineHealth() map[string]EngineHealth {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	named := map[string]EngineHealth{}
-	for _, h := range g.module.Health() {
-		if l := g.roster.byID[h.Engine]; l != nil {
-			named[string(l.host.Name)] = EngineHealth{h.Slow, h.Bad, h.Aside}
-		}
-	}
-	return named
-}
-
-// Restore tells the module what an older process of this controller has learned. Types that the settings do not name, and
-// engines that no list has named, are passed over; the module says what it takes.
-func (g *Gateway) Restore(named map[string]choice.Means, engines map[string]EngineHealth) {
-	list := make([]choice.Means, len(g.names.types))
-	for name, m := range named {
-		if id, is := g.names.types[name]; is {
-			list[id] = m
-		}
-	}
-	var health []choice.Health
-	g.mu.Lock()
-	for _, name := range slices.Sorted(maps.Keys(engines)) {
-		if l, h := g.roster.byName[name], engines[name]; l != nil {
-			health = append(health, choice.Health{Engine: l.id, Slow: h.LatencyRatio, Bad: h.FailureRate, Aside: h.Ejected})
-		}
-	}
-	g.mu.Unlock()
-	g.tell(choice.Event{Kind: choice.Taught, Means: list, Health: health})
-	slog.Info("taught", "types", len(named), "engines", len(health))
-}
-
-// EjectedEngines counts the engines that the module has set aside.
-func (g *Gateway) EjectedEngines() (n int) {
+// Share returns the share of the fleet, of 0 to 1, that the module assumes to carry now.
+func (g *Gateway) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range g.module.View(max(g.last, g.clock.now())) {
-		if s.Out == "aside" {
-			n++
-		}
-	}
-	return n
+	return g.module.Carries()
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -1,328 +1,92 @@
 package gateway
 
 import (
-	"fmt"
 	"time"
 
 	"swiftreel/choice"
 	"swiftreel/internal/backend"
 	"swiftreel/internal/canary"
-	"swiftreel/internal/counters"
-	"swiftreel/internal/failpoint"
-	"swiftreel/internal/invariant"
 	"swiftreel/internal/jobstats"
-	"swiftreel/internal/statement"
 )
 
-// Request is a job asked for, by whatever protocol. Its parts are its own.
-type Request struct {
-	Type, ID, Tenant, Key, Statement []byte
-	IdempotencyKey                   []byte        // its key, passed on as it is; empty: none
-	Timeout                          time.Duration // the job timeout, counted from At
-	ArrivedAt                        time.Time
-	ClientRetry                      bool          // a client's repeat
-	EstimatedWork                    time.Duration // 0: no estimate
-	EstimatedMemoryMB                float64
-	Protocol                         backend.Protocol // of the engines that can run it
-	TableGroup                       uint32           // of tables; for the line protocol the statement tells it
-	Client                           Client
-}
-
-// Reasons of Failed that every front may put into its own words; any other tells why a call is unusable.
-const (
-	ReasonCancelled = "cancelled for good"
-	ReasonTimeout   = "job timeout"
-)
-
-// Client gets the one final answer of a job, and tells if the client leaves before it.
-type Client interface {
-	Done(pages [][]byte) // keeps nothing of them
-	Throttled(wait time.Duration)
-	Failed(reason string)
-	OnDisconnect(func())
-	Connected() bool // whether the client is still there, looked at anew; it never waits
-}
-
-// job is one that was taken and whose function has not returned.
+// job is an admitted job. It stays in the gateway's table until its goroutine returns.
 type job struct {
 	Request
-	id choice.JobID
-	in *inbox
-}
-
-// message is what a job's function waits for: an order of the module, or word of a dispatch, or the client's leave.
-type message struct {
-	order choice.Action
-	at    time.Time // of the order
-	from  *sent
-	reply backend.Reply
-	given choice.Result // given up, as this, and the engine had time to read so
-	left  bool
+	id      choice.JobID
+	mailbox *mailbox
 }
 
-// sent is a dispatch of the job.
-type sent struct {
-	seq    choice.Seq
-	engine choice.EngineID
-	at     time.Time
-	link   backend.Dispatch
-}
+// jobMessage is what the goroutine of a job waits for: one of the types below.
+type jobMessage interface{ isJobMessage() }
 
-// Submit takes a job: the module is told of it in the order of arrival, then its function is on its own.
-func (g *Gateway) Submit(a Request) {
-	ev, err := g.arrival(a)
-	if err != nil {
-		counters.Increment("calls_refused")
-		a.Client.Failed(err.Error())
-		return
-	}
-	j := &job{Request: a, in: newInbox()}
-	g.mu.Lock()
-	_, twice := g.calls[string(a.ID)]
-	if twice || failpoint.RejectJob(string(a.Type)) || !g.place(a.Protocol) {
-		g.mu.Unlock()
-		if twice { // engines tell dispatches apart by this id
-			counters.Increment("calls_twice")
-			a.Client.Failed("a call with this id is open")
-		} else {
-			counters.Increment("turned_away")
-			g.count(&job{Request: a}, jobstats.Throttled, 0, 0)
-			a.Client.Throttled(0)
-		}
-		return
+type (
+	// moduleOrder is an action of the module that concerns the job.
+	moduleOrder struct {
+		action    choice.Action
+		orderedAt time.Time
 	}
-	for g.lastID++; g.jobs[g.lastID] != nil; g.lastID++ { // numbers come round after 2^32 jobs
-	}
-	j.id, ev.Job = g.lastID, g.lastID
-	g.jobs[j.id], g.calls[string(j.ID)] = j, struct{}{}
-	g.running.Add(1)
-	rest := g.decide(ev)
-	g.mu.Unlock()
-	g.carry(rest)
-	g.trace.note(j.id, "call", string(a.ID))
-	a.Client.OnDisconnect(func() { j.in.put(message{left: true}) })
-	go g.life(j)
-}
-
-// travels is what a call needed to come here and its answer needs to go: seen on sockets, answers given 2 ms before the
-// job timeout came after it.
-const travels = 5 * time.Millisecond
-
-// arrival puts a call into the module's terms.
-func (g *Gateway) arrival(a Request) (choice.Event, error) {
-	t, known := g.names.types[string(a.Type)]
-	if !known {
-		return choice.Event{}, fmt.Errorf("no such method")
+	// attemptReply is what became of a dispatch, or a notice of it while it runs.
+	attemptReply struct {
+		attempt *attempt
+		reply   backend.Reply
 	}
-	tenant, known := g.names.tenants[string(a.Tenant)]
-	if !known && len(g.names.tenants) > 0 {
-		return choice.Event{}, fmt.Errorf("no such tenant")
+	// attemptCancelled says that a dispatch was cancelled and nothing of it can be in flight any more.
+	attemptCancelled struct {
+		attempt *attempt
+		result  choice.Result // why it was cancelled
 	}
-	if most := g.rules.mostLeft(t); a.Timeout > most {
-		return choice.Event{}, fmt.Errorf("a job timeout over %v", most)
-	}
-	if a.EstimatedMemoryMB > g.rules.mostMB {
-		return choice.Event{}, fmt.Errorf("more memory than any engine has")
-	}
-	tables, found := a.TableGroup, true
-	if a.Protocol == backend.Line {
-		tables, found = statement.Group(a.Statement)
-	}
-	if !found && g.rules.tables(t) {
-		return choice.Event{}, fmt.Errorf("the statement names no group of tables")
-	}
-	return choice.Event{Kind: choice.Arrived, Type: t, Tenant: tenant, Key: keyOf(a.Key),
-		Left: choice.Nanos(a.Timeout - min(travels, a.Timeout/10) - time.Since(a.ArrivedAt)), Cost: choice.Nanos(a.EstimatedWork), CostKnown: a.EstimatedWork > 0,
-		Repeat: a.ClientRetry, MemoryMB: a.EstimatedMemoryMB, Tables: choice.TableSet(tables), Needs: needs(a.Protocol),
-		Write: int(t) < len(g.rules.writes) && g.rules.writes[t] == true}, nil
-}
-
-// life is a job's, from its arrival to its last outcome. The module is told at each point of choice; what it
-// orders comes through the inbox, and nothing else decides what is sent or answered.
-func (g *Gateway) life(j *job) {
-	defer g.running.Done()
-	var (
-		now      *sent // the dispatch that is out: the module has one at a time
-		count    choice.Seq
-		priority = uint8(1)
-		grant    float64
-		answered bool
-		lost     = j.ArrivedAt.Add(j.Timeout)
-		timer    = time.NewTimer(time.Until(lost))
-		limit    = lost // of the dispatch that is out
-	)
-	defer timer.Stop()
-	// giveUp takes back the dispatch that is out. Its outcome is told once the engine has read the abort, and a step
-	// later, as on the simulator's wire: what is sent upon it over another connection must not overtake the abort.
-	giveUp := func(result choice.Result) {
-		s := now
-		s.link.Cancel(func() {
-			time.AfterFunc(g.rules.step, func() { j.in.put(message{from: s, given: result}) })
-		})
-	}
-	// ended tells the module an outcome, and whether the job is over with it.
-	ended := func(s *sent, result choice.Result, r backend.Reply) {
-		now, limit = nil, lost
-		answered = answered || result == choice.Done
-		g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: result,
-			Latency: choice.Nanos(time.Since(s.at)), Final: answered, Bill: bill(r), Load: g.rules.load(r.Load)})
-	}
-	// answer writes the final answer. A slow client must not hold up the taking back of what is still out.
-	answer := func(how jobstats.How, write func()) {
-		if answered {
-			return
-		}
-		g.answered(j)
-		g.count(j, how, count, 0)
-		if answered = true; now != nil {
-			go write()
-		} else {
-			write()
-		}
-	}
-	// left is over with a job whose client has gone.
-	left := func() {
-		if !answered {
-			answered = true
-			g.answered(j)
-			g.count(j, jobstats.Left, count, 0)
-			g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
-		}
-	}
-	for !answered || now != nil || !g.forget(j) {
-		m, is := j.in.next()
-		if !is {
-			select {
-			case <-j.in.bell:
-			case <-timer.C:
-				if now != nil && !time.Now().Before(limit) {
-					giveUp(choice.TimedOut)
-				}
-				if !answered && time.Now().After(lost.Add(g.rules.slack)) {
-					g.overdue.Warn("answer_overdue", "job", j.id, "call", string(j.ID), "late_ms", time.Since(lost).Milliseconds())
-					invariant.Check(false, "answers_overdue")
-					g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
-					answer(jobstats.Cancelled, func() { j.Client.Failed(ReasonTimeout) })
-				}
-				timer.Reset(max(g.rules.slack/4, time.Until(limit)))
-			}
-			continue
-		}
-		switch {
-		case m.left:
-			left()
-		case m.given != 0:
-			ended(m.from, m.given, backend.Reply{})
-		case m.from != nil:
-			if m.from != now {
-				counters.Increment("replies_late")
-				g.pool.Release(m.reply.Pages)
-				break
-			}
-			s, r := now, m.reply
-			if r.Outcome == backend.Running {
-				g.noted(j, s, r)
-				break
-			}
-			owed := !answered
-			ended(s, results[r.Outcome], r)
-			if r.Outcome == backend.Done {
-				if owed {
-					g.answered(j)
-					if time.Sleep(failpoint.AnswerDelay(time.Since(j.ArrivedAt))); failpoint.LoseAnswer(string(j.Type), func() string { h, _ := g.host(s.engine, j.Protocol); return string(h.Name) }) {
-						g.count(j, jobstats.Cancelled, count, 0)
-						j.Client.Failed(ReasonCancelled)
-					} else {
-						g.count(j, jobstats.Done, count, r.WorkMS)
-						j.Client.Done(r.Pages)
-					}
-				}
-				g.pool.Release(r.Pages)
-			}
-		case m.order.Kind == choice.Terms:
-			grant = m.order.MemoryMB
-			if now != nil && m.order.Priority != priority {
-				now.link.SetPriority(m.order.Priority)
-			}
-			priority = m.order.Priority
-		case m.order.Kind == choice.Dispatch:
-			s := &sent{seq: count, engine: m.order.Engine, at: time.Now()}
-			count++
-			if !answered && !j.Client.Connected() { // its leave may stand behind this order, or behind what lies unread
-				counters.Increment("dispatches_for_nobody")
-				left()
-			}
-			host, is := g.host(s.engine, j.Protocol)
-			if invariant.Check(is && now == nil, "dispatch_out_of_turn"); !is || now != nil || answered || !s.at.Before(lost) {
-				g.moot(j, s, answered)
-				break
-			}
-			if limit = lost; m.order.Span != 0 && s.at.Add(time.Duration(m.order.Span)).Before(lost) {
-				limit = s.at.Add(time.Duration(m.order.Span))
-			}
-			timer.Reset(time.Until(limit))
-			now = s
-			s.link = g.pool.Start(host, backend.Request{ID: j.ID, Type: j.Type, Statement: j.Statement, IdempotencyKey: j.IdempotencyKey,
-				TimeoutMS: max(1, time.Until(limit).Milliseconds()), GrantMB: grant, Priority: priority, OrderedAt: m.at, SendBefore: g.clock.moment(m.order.Until),
-				Lane: g.rules.lane(g.names.types[string(j.Type)])},
-				func(r backend.Reply) {
-					if m := (message{from: s, reply: r}); r.Outcome == backend.Running {
-						j.in.note(m)
-					} else {
-						j.in.put(m)
-					}
-				})
-		case m.order.Kind == choice.Retract:
-			if now != nil && now.seq == m.order.Seq {
-				giveUp(choice.Retracted)
-			}
-		case m.order.Kind == choice.Throttle:
-			answer(jobstats.Throttled, func() { j.Client.Throttled(time.Duration(m.order.Span)) })
-		case m.order.Kind == choice.CancelForGood:
-			answer(jobstats.Cancelled, func() { j.Client.Failed(ReasonCancelled) })
-		}
-	}
-}
+	// clientDisconnected says that nobody waits for the answer any more.
+	clientDisconnected struct{}
+)
 
-// moot tells the module of a dispatch that was not issued.
-func (g *Gateway) moot(j *job, s *sent, final bool) {
-	g.tell(choice.Event{Kind: choice.Answered, Job: j.id, Seq: s.seq, Engine: s.engine, Result: choice.Moot, Final: final})
+func (moduleOrder) isJobMessage()        {}
+func (attemptReply) isJobMessage()       {}
+func (attemptCancelled) isJobMessage()   {}
+func (clientDisconnected) isJobMessage() {}
+
+// attempt is one dispatch of a job.
+type attempt struct {
+	sequence  choice.Seq
+	engine    choice.EngineID
+	startedAt time.Time
+	dispatch  backend.Dispatch
 }
 
-func (g *Gateway) noted(j *job, s *sent, r backend.Reply) {
-	if kind, is := notes[r.Notice]; is {
-		g.tell(choice.Event{Kind: choice.Noted, Job: j.id, Seq: s.seq, Engine: s.engine, Note: kind, Amount: r.Amount})
-	}
+// jobOutcome is what became of a job for its client.
+type jobOutcome struct {
+	kind     jobstats.How
+	attempts choice.Seq
+	workMS   float64
 }
 
-// count tells the tally what became of a job for its client.
-func (g *Gateway) count(j *job, how jobstats.How, dispatches choice.Seq, workMS float64) {
-	if g.tally == nil {
+// countOutcome counts the outcome of a request, if jobs are counted.
+func (g *Gateway) countOutcome(request Request, outcome jobOutcome) {
+	if g.stats == nil {
 		return
 	}
-	took := time.Since(j.ArrivedAt)
-	within := how == jobstats.Done && took <= g.rules.wanted(g.names.types[string(j.Type)], workMS)
-	g.tally.Answered(canary.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
+	took := time.Since(request.ArrivedAt)
+	objective := g.settings.objective(g.ids.types[string(request.Type)], outcome.workMS)
+	withinObjective := outcome.kind == jobstats.Done && took <= objective
+	group := canary.Group{Type: string(request.Type), Tenant: string(request.Tenant)}
+	g.stats.Answered(group, outcome.kind, took, withinObjective, uint64(outcome.attempts))
 }
 
-// answered frees the id of a call.
-func (g *Gateway) answered(j *job) {
+// closeCall frees the id of a call that is answered or abandoned.
+func (g *Gateway) closeCall(j *job) {
 	g.mu.Lock()
-	delete(g.calls, string(j.ID))
-	g.mu.Unlock()
+	defer g.mu.Unlock()
+	delete(g.openCalls, string(j.ID))
 }
 
-// forget ends a job's entry, unless an order for it has come in: each dispatch ordered is owed its outcome, also if
-// the client has left meanwhile.
-func (g *Gateway) forget(j *job) bool {
+// remove drops a finished job from the table, unless a message for it has come in: each dispatch that was ordered is
+// owed an outcome, also if the client has disconnected meanwhile. It reports whether the job is dropped.
+func (g *Gateway) remove(j *job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !j.in.empty() {
+	if !j.mailbox.isEmpty() {
 		return false
 	}
 	delete(g.jobs, j.id)
-	if g.guard != nil {
-		g.guard.Give(lane(j.Protocol))
-	}
+	g.releaseSlot(j.Protocol)
 	return true
 }
--- a/internal/gateway/job_life_test.go
+++ b/internal/gateway/job_runner_test.go
@@ -18,8 +18,8 @@
 	"swiftreel/internal/jobstats"
 )
 
-// transcript is what one job's function was seen to do, in order: calls to engines and to the client, events told to the
-// module.
+// transcript is what one job's function was seen to do, in order: calls to engines and to the client, events told to
+// the module.
 type transcript struct {
 	mu    sync.Mutex
 	lines []string
@@ -143,29 +143,29 @@
 		"limits": map[string]any{"cancel": true}}
 	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
 	s.client.here.Store(true)
-	s.gate = New(facts, 1, parts(), true, map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return s.engines }})
-	s.gate.UpdateEngines(listOf(t, "true", "e1"), true)
+	s.gate = New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Trace: true, Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return s.engines }}})
+	s.gate.UpdateEngines(engineList(t, "true", "e1"), true)
 	g := s.gate
 	s.job = &job{Request: Request{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), ArrivedAt: time.Now(), Timeout: left, Client: s.client},
-		id: 1 << 30, in: newInbox()}
+		id: 1 << 30, mailbox: newMailbox()}
 	g.mu.Lock()
-	s.engine = g.roster.byName["e1"].id
-	g.jobs[s.job.id], g.calls["c1"] = s.job, struct{}{}
+	s.engine = g.table.byName["e1"].id
+	g.jobs[s.job.id], g.openCalls["c1"] = s.job, struct{}{}
 	g.mu.Unlock()
 	return s
 }
 
 func (s *stage) start() {
 	s.gate.running.Add(1)
-	go s.gate.life(s.job)
+	go newJobRunner(s.gate, s.job).run()
 }
 
 func (s *stage) order(a choice.Action) {
 	a.Job, a.Engine = s.job.id, s.engine
-	s.job.in.put(message{order: a, at: time.Now()})
+	s.job.mailbox.put(moduleOrder{action: a, orderedAt: time.Now()})
 }
 
-func (s *stage) leave() { s.job.in.put(message{left: true}) }
+func (s *stage) leave() { s.job.mailbox.put(clientDisconnected{}) }
 
 func (s *stage) reply(r backend.Reply) {
 	s.engines.mu.Lock()
@@ -270,7 +270,7 @@
 		{name: "left, then done all the same", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
+		{name: "a dispatch ordered when the client has gone", counter: "dispatches_client_gone", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
 			{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
 				[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
 	} {
@@ -289,7 +289,7 @@
 	for _, a := range acts {
 		want = append(want, a.want...)
 		a.do(s)
-		until(t, fmt.Sprintf("seen %q, want %q", s.seen(), want), func() bool { return len(s.seen()) >= len(want) })
+		eventually(t, fmt.Sprintf("seen %q, want %q", s.seen(), want), func() bool { return len(s.seen()) >= len(want) })
 	}
 	s.gate.Close() // waits for the job's function
 	if got := s.seen(); !slices.Equal(got, want) {
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"hash/fnv"
 	"log/slog"
 	"time"
 
@@ -9,91 +8,104 @@
 	"swiftreel/internal/solve"
 )
 
-// Plan is a plan to follow, and how far demand may be off.
+// perMillion is the denominator of shares and weights in plans.
+const perMillion = 1e6
+
+// Plan is a plan to follow.
 type Plan struct {
 	Steps        []solve.Step
-	DemandFactor float64
+	DemandFactor float64 // the plan is not followed where demand is off by more than this factor
 }
 
-// following is the plan at hand; the timer of its next step empties with it.
-type following struct {
-	turn  int // rises with each plan: a timer of an earlier one comes to nothing
-	timer *time.Timer
+// activePlan is the plan that is followed now.
+type activePlan struct {
+	generation int         // increases with each plan, so that a timer of an earlier one has no effect
+	timer      *time.Timer // of the next step; nil: there is none
 }
 
-// FollowPlan takes a plan over from now on, its steps in their time; nil: none is followed any more. All that a plan knows
-// by names is numbered here: engines by their names as the roster does, so that a plan may come before its engines.
-func (g *Gateway) FollowPlan(p *Plan) {
-	g.mu.Lock()
-	g.following.turn++
-	turn := g.following.turn
-	if g.following.timer != nil {
-		g.following.timer.Stop()
-		g.following.timer = nil
+func (a *activePlan) stopTimer() {
+	if a.timer != nil {
+		a.timer.Stop()
+		a.timer = nil
 	}
+}
+
+// FollowPlan has the module follow a plan from now on, its steps at their times; nil ends following the one before.
+// Engines are numbered by their names, so that a plan may come before its engines are listed.
+func (g *Gateway) FollowPlan(plan *Plan) {
+	g.mu.Lock()
+	g.activePlan.generation++
+	generation := g.activePlan.generation
+	g.activePlan.stopTimer()
 	g.mu.Unlock()
-	if p == nil {
-		g.tell(choice.Event{Kind: choice.Planned})
+	if plan == nil {
+		g.notify(choice.Event{Kind: choice.Planned})
 		return
 	}
-	slog.Info("plan_taken", "steps", len(p.Steps))
-	g.step(p, 0, turn, time.Now())
+	slog.Info("plan_taken", "steps", len(plan.Steps))
+	g.beginStep(plan, 0, generation, time.Now())
 }
 
-// step tells the module of a step, and waits for the next.
-func (g *Gateway) step(p *Plan, i, turn int, began time.Time) {
-	told := g.planned(p.Steps[i], p.DemandFactor)
+// beginStep gives the module a step of a plan and sets the timer of the next one.
+func (g *Gateway) beginStep(plan *Plan, step, generation int, planStart time.Time) {
+	modulePlan := g.modulePlan(plan.Steps[step], plan.DemandFactor)
 	g.mu.Lock()
-	if g.ended || turn != g.following.turn {
+	if g.closed || generation != g.activePlan.generation {
 		g.mu.Unlock()
 		return
 	}
-	rest := g.decide(choice.Event{Kind: choice.Planned, Plan: told})
-	if i+1 < len(p.Steps) {
-		at := began.Add(time.Duration(p.Steps[i+1].FromMS) * time.Millisecond)
-		g.following.timer = time.AfterFunc(time.Until(at), func() { g.step(p, i+1, turn, began) })
+	actions := g.decide(choice.Event{Kind: choice.Planned, Plan: modulePlan})
+	if next := step + 1; next < len(plan.Steps) {
+		beginsAt := planStart.Add(time.Duration(plan.Steps[next].FromMS) * time.Millisecond)
+		g.activePlan.timer = time.AfterFunc(time.Until(beginsAt), func() { g.beginStep(plan, next, generation, planStart) })
 	}
 	g.mu.Unlock()
-	g.carry(rest)
+	g.perform(actions)
 }
 
-// planned puts a step into the module's numbers, as far as it bears on jobs from this controller's zone. What the
-// settings do not name is passed over.
-func (g *Gateway) planned(s solve.Step, factor float64) *choice.Plan {
-	p := &choice.Plan{Factor: factor}
-	for _, share := range s.Shares {
-		if id, is := g.names.tenants[share.Tenant]; is {
-			p.Tenants = append(p.Tenants, choice.PlanTenant{Tenant: id, Part: float64(share.PerMio) / 1e6})
+// modulePlan converts a step into the module's terms, as far as it concerns jobs from this controller's zone. Tenants
+// and job types that the settings do not name are ignored.
+func (g *Gateway) modulePlan(step solve.Step, demandFactor float64) *choice.Plan {
+	plan := &choice.Plan{Factor: demandFactor}
+	for _, share := range step.Shares {
+		if id, known := g.ids.tenants[share.Tenant]; known {
+			plan.Tenants = append(plan.Tenants, choice.PlanTenant{Tenant: id, Part: float64(share.PerMio) / perMillion})
 		}
 	}
-	for _, u := range s.Use {
-		if id := engineNumber(u.Engine); u.Threads > 0 {
-			p.Engines = append(p.Engines, choice.PlanEngine{Engine: id, Threads: float64(u.Threads)})
+	for _, use := range step.Use {
+		id := engineNumber(use.Engine)
+		if use.Threads > 0 {
+			plan.Engines = append(plan.Engines, choice.PlanEngine{Engine: id, Threads: float64(use.Threads)})
 		} else {
-			p.Idle = append(p.Idle, id)
+			plan.Idle = append(plan.Idle, id)
 		}
 	}
-	most := map[string]int64{}
-	for _, w := range s.Weights {
-		if w.Zone == g.names.own {
-			most[w.Type] = max(most[w.Type], w.PerMio)
-		}
+	plan.Weights = g.planWeights(step.Weights)
+	for _, served := range step.Served {
+		plan.Demand += float64(served.Asked)
 	}
-	for _, w := range s.Weights {
-		if id, is := g.names.types[w.Type]; is && w.Zone == g.names.own && w.PerMio > 0 {
-			p.Weights = append(p.Weights, choice.PlanWeight{Type: id, Engine: engineNumber(w.Engine),
-				Weight: float64(w.PerMio) / float64(most[w.Type])})
+	return plan
+}
+
+// planWeights converts the weights of this controller's zone: 1 for the engine that a type's jobs are meant for most.
+func (g *Gateway) planWeights(weights []solve.Weight) []choice.PlanWeight {
+	maxByType := map[string]int64{}
+	for _, weight := range weights {
+		if weight.Zone == g.ids.ownZone {
+			maxByType[weight.Type] = max(maxByType[weight.Type], weight.PerMio)
 		}
 	}
-	for _, t := range s.Served {
-		p.Demand += float64(t.Asked)
+	var list []choice.PlanWeight
+	for _, weight := range weights {
+		id, known := g.ids.types[weight.Type]
+		if !known || weight.Zone != g.ids.ownZone || weight.PerMio <= 0 {
+			continue
+		}
+		list = append(list, choice.PlanWeight{
+			Type:   id,
+			Engine: engineNumber(weight.Engine),
+			Weight: float64(weight.PerMio) / float64(maxByType[weight.Type]),
+		})
 	}
-	return p
-}
-
-// engineNumber is the number of an engine's name, where no other has it already.
-func engineNumber(name string) choice.EngineID {
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	return choice.EngineID(h.Sum32())
+	return list
 }
--- /dev/null
+++ b/internal/gateway/probe.go
@@ -0,0 +1,48 @@
+package gateway
+
+import (
+	"time"
+
+	"swiftreel/choice"
+	"swiftreel/internal/backend"
+)
+
+// probe asks an engine for its load, and reports the outcome to the module. An engine that no list names any more
+// cannot be reached.
+func (g *Gateway) probe(id choice.EngineID) {
+	host, known := g.probeHost(id)
+	startedAt := time.Now()
+	report := func(reply backend.Reply) {
+		g.notify(choice.Event{
+			Kind:    choice.Probed,
+			Engine:  id,
+			Result:  results[reply.Outcome],
+			Latency: choice.Nanos(time.Since(startedAt)),
+			Load:    g.settings.parseLoad(reply.Load),
+		})
+	}
+	if !known {
+		report(backend.Reply{Outcome: backend.NotConnected})
+		return
+	}
+	g.sendProbe(host, report)
+	if testHooks.extraProbes != nil {
+		for range testHooks.extraProbes() {
+			g.sendProbe(host, func(backend.Reply) {})
+		}
+	}
+}
+
+// probeHost returns where an engine is probed: by the line protocol, unless it serves SPARQL only.
+func (g *Gateway) probeHost(id choice.EngineID) (backend.Host, bool) {
+	host, known := g.host(id, backend.Line)
+	if known && host.Address == "" {
+		host, _ = g.host(id, backend.SPARQL)
+	}
+	return host, known
+}
+
+func (g *Gateway) sendProbe(host backend.Host, report func(backend.Reply)) {
+	g.stats.Probe()
+	go g.engines.Probe(host, g.settings.reportsLoad, g.settings.dialTimeout, report)
+}
