--- a/internal/backend/each_test.go
+++ b/internal/backend/mux_test.go
@@ -15,7 +15,7 @@
 func (s spoken) Start(to Host, _ Request, reply func(Reply)) Dispatch {
 	*s.seen = append(*s.seen, to.Name)
 	reply(Reply{Outcome: s.end})
-	return ended{}
+	return endedDispatch{}
 }
 
 func (s spoken) Probe(_ Host, _ bool, _ time.Duration, reply func(Reply)) {
