--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -49,7 +49,7 @@
 		r.Ready, r.Refused, r.Aside = gate.Ready(), counters.Value("reloads_failed"), gate.EjectedEngines()
 		r.Health, _ = json.Marshal(gate.EngineHealth())
 		r.Engines, r.Carries = gate.ReadyEngines(), int64(1e6*gate.Share())
-		r.Learned, _ = json.Marshal(gate.TypeEstimates()) // figures that JSON cannot hold are not told
+		r.Learned, _ = json.Marshal(gate.TypeStats()) // figures that JSON cannot hold are not told
 		if owed, is := t.owed.Load().(func() int64); is {
 			r.Owed = owed()
 		}
@@ -86,11 +86,11 @@
 
 // teach takes over what an older process has learned. Of another version, or spoilt, it teaches nothing.
 func teach(o *operator.Stats, gate *gateway.Gateway) {
-	if o == nil || len(o.TypeEstimates) == 0 || failpoint.IgnoreSnapshot() {
+	if o == nil || len(o.TypeStats) == 0 || failpoint.IgnoreSnapshot() {
 		return
 	}
-	var named map[string]choice.Means
-	if err := json.Unmarshal(o.TypeEstimates, &named); err != nil {
+	var named map[string]choice.TypeStats
+	if err := json.Unmarshal(o.TypeStats, &named); err != nil {
 		slog.Warn("not_taught", "reason", err)
 		return
 	}
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -91,7 +91,7 @@
 	parts := new(limits.Budget)
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
-	gate = gateway.New(gateway.Options{Settings: choice.Facts(settings), Seed: 1, Budget: parts,
+	gate = gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
 		Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }}})
 	t.Cleanup(gate.Close)
 	told, err := newTeller(own.Stats, gate)
@@ -113,8 +113,8 @@
 // of figures.
 func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
 	gate, _, _ := taught(t)
-	means, health := gate.TypeEstimates(), gate.EngineHealth()
-	list := func(m choice.Means) (v []float64) {
+	means, health := gate.TypeStats(), gate.EngineHealth()
+	list := func(m choice.TypeStats) (v []float64) {
 		text, err := json.Marshal(m)
 		if err == nil {
 			err = json.Unmarshal(text, &v)
@@ -145,15 +145,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var means map[string]choice.Means
+	var means map[string]choice.TypeStats
 	var health map[string]gateway.EngineHealth
-	if err := json.Unmarshal(own.Stats.TypeEstimates, &means); err != nil {
+	if err := json.Unmarshal(own.Stats.TypeStats, &means); err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(own.Stats.EngineHealth, &health); err != nil {
 		t.Fatal(err)
 	}
-	if own.Stats.TypeEstimates, err = json.Marshal(means); err != nil {
+	if own.Stats.TypeStats, err = json.Marshal(means); err != nil {
 		t.Fatal(err)
 	}
 	if own.Stats.EngineHealth, err = json.Marshal(health); err != nil {
@@ -174,9 +174,9 @@
 		health bool
 	}{
 		"no snapshot":               {operator.Stats{}, 2.5e12, false},
-		"figures of another length": {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[1,2,3]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
-		"health of another form":    {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`[1]`)}, 7e6, false},
-		"both":                      {operator.Stats{TypeEstimates: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
+		"figures of another length": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[1,2,3]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
+		"health of another form":    {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`[1]`)}, 7e6, false},
+		"both":                      {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var settings map[string]any
@@ -185,7 +185,7 @@
 			}
 			parts := new(limits.Budget)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
-			gate := gateway.New(gateway.Options{Settings: choice.Facts(settings), Seed: 1, Budget: parts,
+			gate := gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
 				Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }}})
 			defer gate.Close()
 			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
@@ -194,7 +194,7 @@
 			}
 			gate.UpdateEngines(ev, true)
 			teach(&c.tally, gate)
-			text, err := json.Marshal(gate.TypeEstimates()["lookup"])
+			text, err := json.Marshal(gate.TypeStats()["lookup"])
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -111,18 +111,18 @@
 	}
 	typeSettings, _ := g.settings.typeOf(jobType)
 	return choice.Event{
-		Kind:      choice.Arrived,
-		Type:      jobType,
-		Tenant:    tenant,
-		Key:       orderKey(request.Key),
-		Left:      choice.Nanos(timeLeft(request)),
-		Cost:      choice.Nanos(request.EstimatedWork),
-		CostKnown: request.EstimatedWork > 0,
-		Repeat:    request.ClientRetry,
-		MemoryMB:  request.EstimatedMemoryMB,
-		Tables:    choice.TableSet(tableGroup),
-		Needs:     requiredProtocols(request.Protocol),
-		Write:     typeSettings.writesTables,
+		Kind:              choice.JobArrived,
+		Type:              jobType,
+		Tenant:            tenant,
+		Key:               orderKey(request.Key),
+		TimeLeft:          choice.Nanos(timeLeft(request)),
+		Cost:              choice.Nanos(request.EstimatedWork),
+		CostKnown:         request.EstimatedWork > 0,
+		IsRepeat:          request.ClientRetry,
+		MemoryMB:          request.EstimatedMemoryMB,
+		Tables:            choice.TableGroup(tableGroup),
+		RequiredProtocols: requiredProtocols(request.Protocol),
+		IsWrite:           typeSettings.writesTables,
 	}, nil
 }
 
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestAFloodEndsInThrottling(t *testing.T) {
-	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits": map[string]any{"max_open": 3.0}}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	defer g.Close()
@@ -37,11 +37,11 @@
 }
 
 func TestTheModuleIsToldLessTimeThanTheClientHas(t *testing.T) {
-	g := New(Options{Settings: choice.Facts{"classes": []any{map[string]any{"name": "lookup"}}}, Seed: 1, Budget: testBudget()})
+	g := New(Options{Settings: choice.RawSettings{"classes": []any{map[string]any{"name": "lookup"}}}, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	for timeout, limit := range map[time.Duration]time.Duration{time.Second: time.Second - transitTime, 10 * time.Millisecond: 9 * time.Millisecond} {
 		ev, err := g.arrivalEvent(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: timeout})
-		if got := time.Duration(ev.Left); err != nil || got > limit || got < limit-5*time.Second {
+		if got := time.Duration(ev.TimeLeft); err != nil || got > limit || got < limit-5*time.Second {
 			t.Errorf("%v of %v told, %v", got, timeout, err)
 		}
 	}
@@ -49,7 +49,7 @@
 
 // A flood of one protocol takes what nobody used of late, and leaves the other its part.
 func TestAFloodOfOneProtocolLeavesTheOtherItsPlaces(t *testing.T) {
-	facts := choice.Facts{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits": map[string]any{"max_open": 40.0}}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	defer g.Close()
@@ -114,19 +114,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev.Left = 0
+	ev.TimeLeft = 0
 	if ev.Tables == 0 {
 		t.Error("no group of tables")
 	}
 	ev.Tables = 0
-	want := choice.Event{Kind: choice.Arrived, Type: 1, Tenant: 1, Key: orderKey([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
-		Repeat: true, Write: true, MemoryMB: 64, Needs: requiredProtocols(backend.Line)}
+	want := choice.Event{Kind: choice.JobArrived, Type: 1, Tenant: 1, Key: orderKey([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
+		IsRepeat: true, IsWrite: true, MemoryMB: 64, RequiredProtocols: requiredProtocols(backend.Line)}
 	if got, wanted := ev, want; got.Kind != wanted.Kind || got.Type != wanted.Type || got.Tenant != wanted.Tenant || got.Key != wanted.Key ||
-		got.Cost != wanted.Cost || !got.CostKnown || !got.Repeat || !got.Write || got.MemoryMB != wanted.MemoryMB || got.Needs != wanted.Needs {
+		got.Cost != wanted.Cost || !got.CostKnown || !got.IsRepeat || !got.IsWrite || got.MemoryMB != wanted.MemoryMB || got.RequiredProtocols != wanted.RequiredProtocols {
 		t.Errorf("%+v, want %+v", got, wanted)
 	}
 	if ev, err = g.arrivalEvent(Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL, ArrivedAt: time.Now()}); err != nil ||
-		ev.Tables != 5 || ev.Needs == want.Needs || ev.CostKnown || ev.Key != 0 {
+		ev.Tables != 5 || ev.RequiredProtocols == want.RequiredProtocols || ev.CostKnown || ev.Key != 0 {
 		t.Errorf("%+v %v", ev, err)
 	}
 }
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -12,7 +12,7 @@
 // A client may leave in the moment in which the module sends its job: that dispatch is owed an outcome too, or its
 // threads would count as out for ever.
 func TestADispatchOrderedAsTheClientLeavesHasAnOutcome(t *testing.T) {
-	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}}}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	var parked *job
@@ -31,7 +31,7 @@
 // A job waits for an engine; its client has gone, and the reader has not come to that yet, as it lies behind much that
 // is unread. When an engine comes, nothing is sent there, and the module forgets the job.
 func TestNothingIsSentForAClientThatIsNoLongerThere(t *testing.T) {
-	facts := choice.Facts{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
+	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
 		"limits":  map[string]any{"cancel": true}}
 	var started atomic.Int64
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -19,8 +19,8 @@
 type tableEntry struct {
 	host      backend.Host
 	id        choice.EngineID
-	line      choice.Line // as listed last
-	removedAt time.Time   // zero while the engine is listed
+	line      choice.EngineEntry // as listed last
+	removedAt time.Time          // zero while the engine is listed
 }
 
 // engineTable gives engines their numbers. They are derived from the names, so that all controllers see engines in the
@@ -59,12 +59,12 @@
 
 // update applies a discovery event. It returns the entries that changed in the module's terms, and the names of
 // engines that were removed by this event.
-func (t *engineTable) update(members *discovery.Members, ids identifiers, now time.Time) ([]choice.Line, []string) {
+func (t *engineTable) update(members *discovery.Members, ids identifiers, now time.Time) ([]choice.EngineEntry, []string) {
 	t.dropExpired(now)
 	if members.Whole {
 		t.markAllRemoved(now)
 	}
-	var lines []choice.Line
+	var lines []choice.EngineEntry
 	for _, host := range members.Hosts {
 		lines = append(lines, t.updateEntry(host, ids, now))
 	}
@@ -82,32 +82,32 @@
 
 func (t *engineTable) markAllRemoved(now time.Time) {
 	for _, entry := range t.byName {
-		if entry.line.State != choice.Gone {
-			entry.line.State = choice.Gone
+		if entry.line.State != choice.Removed {
+			entry.line.State = choice.Removed
 			entry.removedAt = now
 		}
 	}
 }
 
-func (t *engineTable) updateEntry(host discovery.Engine, ids identifiers, now time.Time) choice.Line {
+func (t *engineTable) updateEntry(host discovery.Engine, ids identifiers, now time.Time) choice.EngineEntry {
 	entry := t.entry(host.Host)
 	if host.Dial != "" {
 		entry.host.Address = host.Dial
 	}
 	state := engineState(host.State)
 	entry.removedAt = time.Time{}
-	if state == choice.Gone {
+	if state == choice.Removed {
 		entry.removedAt = now
 	}
-	entry.line = choice.Line{
-		Engine:    entry.id,
-		Zone:      ids.zone(host.Site),
-		Kind:      ids.kind(host.Kind),
-		Cell:      choice.CellID(host.Cell),
-		State:     state,
-		Size:      host.Size,
-		StartedAt: choice.Nanos(host.BornMS) * choice.Nanos(time.Millisecond),
-		Deaf:      t.unsupportedProtocols(entry.host),
+	entry.line = choice.EngineEntry{
+		Engine:      entry.id,
+		Zone:        ids.zone(host.Site),
+		Kind:        ids.kind(host.Kind),
+		Cell:        choice.CellID(host.Cell),
+		State:       state,
+		Size:        host.Size,
+		StartedAt:   choice.Nanos(host.BornMS) * choice.Nanos(time.Millisecond),
+		Unsupported: t.unsupportedProtocols(entry.host),
 	}
 	return entry.line
 }
@@ -118,7 +118,7 @@
 	case "ready":
 		return choice.Ready
 	case "gone":
-		return choice.Gone
+		return choice.Removed
 	default:
 		return choice.Draining
 	}
@@ -147,14 +147,14 @@
 }
 
 // listed returns all entries that are not removed, in the module's order.
-func (t *engineTable) listed() []choice.Line {
-	var lines []choice.Line
+func (t *engineTable) listed() []choice.EngineEntry {
+	var lines []choice.EngineEntry
 	for _, entry := range t.byName {
-		if entry.line.State != choice.Gone {
+		if entry.line.State != choice.Removed {
 			lines = append(lines, entry.line)
 		}
 	}
-	slices.SortFunc(lines, func(a, b choice.Line) int { return cmp.Compare(a.Engine, b.Engine) })
+	slices.SortFunc(lines, func(a, b choice.EngineEntry) int { return cmp.Compare(a.Engine, b.Engine) })
 	return lines
 }
 
@@ -177,7 +177,7 @@
 	if g.drains != nil {
 		lines = g.drains.Listed(g.clock.now(), lines)
 	}
-	actions := g.decide(choice.Event{Kind: choice.Listed, List: listKind(event.Members.Whole, cached), Lines: lines})
+	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: listKind(event.Members.Whole, cached), Engines: lines})
 	g.mu.Unlock()
 	g.perform(actions)
 	for _, name := range removed {
@@ -188,18 +188,18 @@
 func listKind(complete, cached bool) choice.ListKind {
 	switch {
 	case !complete:
-		return choice.ListChanges
+		return choice.ListDelta
 	case cached:
 		return choice.CachedList
 	default:
-		return choice.WholeList
+		return choice.FullList
 	}
 }
 
 // listAllEngines gives the module the complete list as it stands.
 func (g *Gateway) listAllEngines() {
 	g.mu.Lock()
-	actions := g.decide(choice.Event{Kind: choice.Listed, List: choice.WholeList, Lines: g.table.listed()})
+	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: g.table.listed()})
 	g.mu.Unlock()
 	g.perform(actions)
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -38,7 +38,7 @@
 
 func concernsJob(kind choice.ActionKind) bool {
 	switch kind {
-	case choice.Dispatch, choice.Throttle, choice.CancelForGood, choice.Retract, choice.Terms:
+	case choice.Dispatch, choice.Throttle, choice.CancelPermanently, choice.CancelAttempt, choice.SetDispatchOptions:
 		return true
 	default:
 		return false
@@ -63,24 +63,24 @@
 
 func (g *Gateway) performOne(action choice.Action) {
 	switch action.Kind {
-	case choice.Timer:
-		time.AfterFunc(time.Duration(action.Span), func() { g.timerDue(action.Mark) })
-	case choice.Probe:
+	case choice.SetTimer:
+		time.AfterFunc(time.Duration(action.Duration), func() { g.timerDue(action.TimerID) })
+	case choice.SendProbe:
 		g.probe(action.Engine)
 	case choice.CloseIdle:
 		if host, known := g.host(action.Engine, backend.Line); known {
 			g.engines.CloseIdle(host.Name)
 		}
-	case choice.Track: // the endpoint list is always watched: no change was missed
-		g.notify(choice.Event{Kind: choice.Listed, List: choice.ListChanges})
-	case choice.ListAll:
+	case choice.WatchEngines: // the endpoint list is always watched: no change was missed
+		g.notify(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta})
+	case choice.ListEngines:
 		g.listAllEngines()
 	case choice.Log:
 		g.logModule(action.Text)
 	case choice.Fault:
 		counters.Increment("module_faults")
 		slog.Error("module_fault", "text", action.Text)
-	case choice.Tell: // there is no channel between controllers
+	case choice.SendGossip: // there is no channel between controllers
 		counters.Increment("peer_messages_dropped")
 	}
 }
@@ -92,12 +92,12 @@
 	}
 }
 
-func (g *Gateway) timerDue(mark choice.Mark) {
+func (g *Gateway) timerDue(id choice.TimerID) {
 	g.mu.Lock()
 	closed := g.closed
 	g.mu.Unlock()
 	if !closed {
-		g.notify(choice.Event{Kind: choice.TimerDue, Mark: mark})
+		g.notify(choice.Event{Kind: choice.TimerFired, TimerID: id})
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 
 // Options are what a Gateway is made of.
 type Options struct {
-	Settings  choice.Facts
+	Settings  choice.RawSettings
 	Seed      uint64 // of the module's random source
 	Budget    *limits.Budget
 	Protocols map[backend.Protocol]backend.Factory
@@ -76,7 +76,7 @@
 		ResultBytes:    &g.budget.MessageBytes,
 	})
 	g.running.Go(g.reconcile)
-	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Facts: options.Settings})
+	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Settings: options.Settings})
 	return g
 }
 
@@ -92,7 +92,7 @@
 // Stop ends being ready, and tells the module how much time is left to answer what was admitted.
 func (g *Gateway) Stop() {
 	g.ready.Store(false)
-	g.notify(choice.Event{Kind: choice.Stopping, Left: choice.Nanos(g.settings.stopTimeout)})
+	g.notify(choice.Event{Kind: choice.Stopping, TimeLeft: choice.Nanos(g.settings.stopTimeout)})
 }
 
 // Close ends timers and connections to engines, and waits for the goroutines of all jobs. It must be called once.
@@ -111,33 +111,33 @@
 // Reconfigure gives the module new settings between two decisions. Jobs that were admitted, and dispatches in flight,
 // stay. What the gateway itself reads of the settings (names, time limits, fields of load reports) stays as it was at
 // the start.
-func (g *Gateway) Reconfigure(newSettings choice.Facts) {
-	g.notify(choice.Event{Kind: choice.Restated, Facts: newSettings})
+func (g *Gateway) Reconfigure(newSettings choice.RawSettings) {
+	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: newSettings})
 	slog.Info("settings_reconfigured")
 }
 
 // SetPredecessor tells the module whether an older process of this controller still answers what it owes. Both count as
 // one controller.
 func (g *Gateway) SetPredecessor(running bool) {
-	g.notify(choice.Event{Kind: choice.Elder, On: running})
+	g.notify(choice.Event{Kind: choice.PredecessorChanged, PredecessorRunning: running})
 	slog.Info("predecessor", "running", running)
 }
 
 // AssignShare tells the module which share of the fleet this controller carries, and which share of each tenant's
 // quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
 func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
-	part := choice.Part{Share: share, Tenants: map[choice.TenantID]float64{}, Until: g.clock.now() + choice.Nanos(valid)}
+	part := choice.Quota{FleetShare: share, TenantShares: map[choice.TenantID]float64{}, ExpiresAt: g.clock.now() + choice.Nanos(valid)}
 	for name, quota := range quotas {
 		if id, known := g.ids.tenants[name]; known {
-			part.Tenants[id] = quota
+			part.TenantShares[id] = quota
 		}
 	}
-	g.notify(choice.Event{Kind: choice.Parted, Part: part})
+	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: part})
 }
 
 // Share returns the share of the fleet, of 0 to 1, that the module assumes to carry now.
 func (g *Gateway) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.module.Carries()
+	return g.module.FleetShare()
 }
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -36,7 +36,7 @@
 	return p
 }
 
-func factsOf(t *testing.T, text string) (f choice.Facts) {
+func factsOf(t *testing.T, text string) (f choice.RawSettings) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
 		t.Fatal(err)
--- a/internal/gateway/identifiers.go
+++ b/internal/gateway/identifiers.go
@@ -22,7 +22,7 @@
 	ownZone string // name of the zone that this controller is in
 }
 
-func newIdentifiers(facts choice.Facts) identifiers {
+func newIdentifiers(facts choice.RawSettings) identifiers {
 	ids := identifiers{
 		types:   map[string]choice.TypeID{},
 		tenants: map[string]choice.TenantID{},
@@ -43,7 +43,7 @@
 }
 
 // forEachName calls visit for each entry of a list in the settings that is a name, or an object with a name.
-func forEachName(facts choice.Facts, key string, visit func(i int, name string)) {
+func forEachName(facts choice.RawSettings, key string, visit func(i int, name string)) {
 	list, _ := facts[key].([]any)
 	for i, value := range list {
 		if entry, isObject := value.(map[string]any); isObject {
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -46,7 +46,7 @@
 
 // attempt is one dispatch of a job.
 type attempt struct {
-	sequence  choice.Seq
+	sequence  choice.AttemptSeq
 	engine    choice.EngineID
 	startedAt time.Time
 	dispatch  backend.Dispatch
@@ -55,7 +55,7 @@
 // jobOutcome is what became of a job for its client.
 type jobOutcome struct {
 	kind     jobstats.How
-	attempts choice.Seq
+	attempts choice.AttemptSeq
 	workMS   float64
 }
 
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -22,7 +22,7 @@
 	state   jobState
 
 	attempt  *attempt // the dispatch in flight: the module orders one at a time
-	attempts choice.Seq
+	attempts choice.AttemptSeq
 	priority uint8
 	grantMB  float64
 
@@ -76,18 +76,18 @@
 
 func (r *jobRunner) carryOut(order moduleOrder) {
 	switch order.action.Kind {
-	case choice.Terms:
+	case choice.SetDispatchOptions:
 		r.setTerms(order.action)
 	case choice.Dispatch:
 		r.dispatch(order)
-	case choice.Retract:
+	case choice.CancelAttempt:
 		if r.attempt != nil && r.attempt.sequence == order.action.Seq {
-			r.cancelAttempt(choice.Retracted)
+			r.cancelAttempt(choice.Canceled)
 		}
 	case choice.Throttle:
-		retryAfter := time.Duration(order.action.Span)
+		retryAfter := time.Duration(order.action.Duration)
 		r.answer(jobstats.Throttled, func() { r.job.Client.Throttled(retryAfter) })
-	case choice.CancelForGood:
+	case choice.CancelPermanently:
 		r.answer(jobstats.Cancelled, func() { r.job.Client.Failed(ReasonCancelled) })
 	}
 }
@@ -117,7 +117,7 @@
 		r.reportSuperseded(a)
 		return
 	}
-	r.setAttemptDeadline(a.startedAt, time.Duration(order.action.Span))
+	r.setAttemptDeadline(a.startedAt, time.Duration(order.action.Duration))
 	r.attempt = a
 	r.advance(dispatchStarted)
 	a.dispatch = r.gateway.engines.Start(host, r.backendRequest(order), func(reply backend.Reply) {
@@ -154,7 +154,7 @@
 		GrantMB:        r.grantMB,
 		Priority:       r.priority,
 		OrderedAt:      order.orderedAt,
-		SendBefore:     g.clock.moment(order.action.Until),
+		SendBefore:     g.clock.moment(order.action.SendDeadline),
 		Lane:           g.settings.lane(g.ids.types[string(r.job.Type)]),
 	}
 }
@@ -162,12 +162,12 @@
 // reportSuperseded reports a dispatch that was not sent.
 func (r *jobRunner) reportSuperseded(a *attempt) {
 	r.gateway.notify(choice.Event{
-		Kind:   choice.Answered,
-		Job:    r.job.id,
-		Seq:    a.sequence,
-		Engine: a.engine,
-		Result: choice.Moot,
-		Final:  !r.state.owesAnswer(),
+		Kind:    choice.AttemptEnded,
+		Job:     r.job.id,
+		Seq:     a.sequence,
+		Engine:  a.engine,
+		Result:  choice.Superseded,
+		IsFinal: !r.state.owesAnswer(),
 	})
 }
 
@@ -204,12 +204,12 @@
 		return
 	}
 	r.gateway.notify(choice.Event{
-		Kind:   choice.Noted,
-		Job:    r.job.id,
-		Seq:    m.attempt.sequence,
-		Engine: m.attempt.engine,
-		Note:   kind,
-		Amount: m.reply.Amount,
+		Kind:     choice.ProgressReported,
+		Job:      r.job.id,
+		Seq:      m.attempt.sequence,
+		Engine:   m.attempt.engine,
+		Progress: kind,
+		Amount:   m.reply.Amount,
 	})
 }
 
@@ -259,14 +259,14 @@
 	r.attemptDeadline = r.deadline
 	r.advance(dispatchEnded)
 	r.gateway.notify(choice.Event{
-		Kind:    choice.Answered,
+		Kind:    choice.AttemptEnded,
 		Job:     r.job.id,
 		Seq:     a.sequence,
 		Engine:  a.engine,
 		Result:  result,
 		Latency: choice.Nanos(time.Since(a.startedAt)),
-		Final:   !r.state.owesAnswer(),
-		Bill:    packBill(reply),
+		IsFinal: !r.state.owesAnswer(),
+		Usage:   packBill(reply),
 		Load:    r.gateway.settings.parseLoad(reply.Load),
 	})
 }
@@ -295,7 +295,7 @@
 	r.advance(answerSettled)
 	r.gateway.closeCall(r.job)
 	r.countOutcome(jobstats.Left, 0)
-	r.gateway.notify(choice.Event{Kind: choice.ClientLeft, Job: r.job.id})
+	r.gateway.notify(choice.Event{Kind: choice.ClientDisconnected, Job: r.job.id})
 }
 
 // checkDeadlines cancels a dispatch past its time limit, and answers a job that the module has left without an answer.
@@ -314,7 +314,7 @@
 	r.gateway.overdueLog.Warn("answer_overdue", "job", r.job.id, "call", string(r.job.ID),
 		"late_ms", time.Since(r.deadline).Milliseconds())
 	invariant.Check(false, "answers_overdue")
-	r.gateway.notify(choice.Event{Kind: choice.ClientLeft, Job: r.job.id})
+	r.gateway.notify(choice.Event{Kind: choice.ClientDisconnected, Job: r.job.id})
 	r.answer(jobstats.Cancelled, func() { r.job.Client.Failed(ReasonTimeout) })
 }
 
--- a/internal/gateway/load_report.go
+++ b/internal/gateway/load_report.go
@@ -15,17 +15,17 @@
 	backend.Done:         choice.Done,
 	backend.Failed:       choice.Failed,
 	backend.Full:         choice.Full,
-	backend.Superseded:   choice.Moot,
+	backend.Superseded:   choice.Superseded,
 	backend.NotConnected: choice.Unreachable,
 	backend.Reset:        choice.Reset,
 	backend.TimedOut:     choice.TimedOut,
 }
 
 // notices are the module's terms for the notices that engines send of a running dispatch.
-var notices = map[string]choice.NoteKind{
-	"frac":    choice.Progress,
-	"missing": choice.Spilling,
-	"parked":  choice.Waiting,
+var notices = map[string]choice.ProgressKind{
+	"frac":    choice.ProgressFraction,
+	"missing": choice.ProgressSpilling,
+	"parked":  choice.ProgressWaiting,
 }
 
 // loadFieldNames are the settings' names of load report fields that are named otherwise on the wire.
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -39,7 +39,7 @@
 	g.activePlan.stopTimer()
 	g.mu.Unlock()
 	if plan == nil {
-		g.notify(choice.Event{Kind: choice.Planned})
+		g.notify(choice.Event{Kind: choice.PlanUpdated})
 		return
 	}
 	slog.Info("plan_taken", "steps", len(plan.Steps))
@@ -54,7 +54,7 @@
 		g.mu.Unlock()
 		return
 	}
-	actions := g.decide(choice.Event{Kind: choice.Planned, Plan: modulePlan})
+	actions := g.decide(choice.Event{Kind: choice.PlanUpdated, Plan: modulePlan})
 	if next := step + 1; next < len(plan.Steps) {
 		beginsAt := planStart.Add(time.Duration(plan.Steps[next].FromMS) * time.Millisecond)
 		g.activePlan.timer = time.AfterFunc(time.Until(beginsAt), func() { g.beginStep(plan, next, generation, planStart) })
@@ -66,10 +66,10 @@
 // modulePlan converts a step into the module's terms, as far as it concerns jobs from this controller's zone. Tenants
 // and job types that the settings do not name are ignored.
 func (g *Gateway) modulePlan(step solve.Step, demandFactor float64) *choice.Plan {
-	plan := &choice.Plan{Factor: demandFactor}
+	plan := &choice.Plan{MaxDemandRatio: demandFactor}
 	for _, share := range step.Shares {
 		if id, known := g.ids.tenants[share.Tenant]; known {
-			plan.Tenants = append(plan.Tenants, choice.PlanTenant{Tenant: id, Part: float64(share.PerMio) / perMillion})
+			plan.Tenants = append(plan.Tenants, choice.PlanTenant{Tenant: id, Share: float64(share.PerMio) / perMillion})
 		}
 	}
 	for _, use := range step.Use {
@@ -77,12 +77,12 @@
 		if use.Threads > 0 {
 			plan.Engines = append(plan.Engines, choice.PlanEngine{Engine: id, Threads: float64(use.Threads)})
 		} else {
-			plan.Idle = append(plan.Idle, id)
+			plan.IdleEngines = append(plan.IdleEngines, id)
 		}
 	}
 	plan.Weights = g.planWeights(step.Weights)
 	for _, served := range step.Served {
-		plan.Demand += float64(served.Asked)
+		plan.DemandThreads += float64(served.Asked)
 	}
 	return plan
 }
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -14,7 +14,7 @@
 	startedAt := time.Now()
 	report := func(reply backend.Reply) {
 		g.notify(choice.Event{
-			Kind:    choice.Probed,
+			Kind:    choice.ProbeCompleted,
 			Engine:  id,
 			Result:  results[reply.Outcome],
 			Latency: choice.Nanos(time.Since(startedAt)),
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -14,7 +14,7 @@
 // The module's bits for protocols. A machine that runs engines of several protocols is one engine to the module: its
 // threads, memory, load, slow start and drain count once, whatever protocol a job comes by.
 const (
-	lineProtocol choice.Speech = 1 << iota
+	lineProtocol choice.Protocols = 1 << iota
 	sparqlProtocol
 )
 
@@ -26,7 +26,7 @@
 const protocolCount = 2
 
 // requiredProtocols returns what an engine must speak to run a job of a protocol.
-func requiredProtocols(protocol backend.Protocol) choice.Speech {
+func requiredProtocols(protocol backend.Protocol) choice.Protocols {
 	if protocol == backend.SPARQL {
 		return sparqlProtocol
 	}
@@ -35,11 +35,11 @@
 
 // unsupportedProtocols returns what an engine does not speak. While SPARQL is off there is nothing to report: no job
 // needs it, and an engine without an address is treated as one that cannot be reached.
-func (t *engineTable) unsupportedProtocols(host backend.Host) choice.Speech {
+func (t *engineTable) unsupportedProtocols(host backend.Host) choice.Protocols {
 	if t.sparqlURLs == nil {
 		return 0
 	}
-	var unsupported choice.Speech
+	var unsupported choice.Protocols
 	if t.sparqlURLs[host.Name] == "" {
 		unsupported |= sparqlProtocol
 	}
@@ -75,7 +75,7 @@
 		line, changed := g.drains.Said(g.clock.now(), entry.id, report)
 		if changed {
 			counters.Increment("drains_reported")
-			actions = g.decide(choice.Event{Kind: choice.Listed, List: choice.ListChanges, Lines: []choice.Line{line}})
+			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: []choice.EngineEntry{line}})
 		}
 	}
 	g.mu.Unlock()
@@ -90,7 +90,7 @@
 		ids := slices.Sorted(maps.Keys(g.table.byID))
 		lines := g.drains.Pass(g.clock.now(), ids)
 		if len(lines) > 0 {
-			actions = g.decide(choice.Event{Kind: choice.Listed, List: choice.ListChanges, Lines: lines})
+			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: lines})
 		}
 	}
 	g.mu.Unlock()
--- a/internal/gateway/reconcile.go
+++ b/internal/gateway/reconcile.go
@@ -74,17 +74,17 @@
 					"engine", name, "module_jobs", view.Jobs, "open", open, "cancelled", cancelled)
 			}
 		}
-		if bool(g.trace) && (view.Out != "gone" || view.Jobs > 0) {
+		if bool(g.trace) && (view.UnavailableReason != "gone" || view.Jobs > 0) {
 			logView(name, view, open, cancelled)
 		}
 	}
 }
 
 // moduleView returns what the module assumes of each engine, and the engines' names in the same order.
-func (g *Gateway) moduleView() ([]choice.Seen, []string) {
+func (g *Gateway) moduleView() ([]choice.EngineView, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	views := g.module.View(max(g.lastTime, g.clock.now()))
+	views := g.module.EngineViews(max(g.lastTime, g.clock.now()))
 	names := make([]string, len(views))
 	for i, view := range views {
 		if entry := g.table.byID[view.Engine]; entry != nil {
@@ -94,10 +94,10 @@
 	return views, names
 }
 
-func logView(name string, view choice.Seen, open, cancelled int) {
+func logView(name string, view choice.EngineView, open, cancelled int) {
 	slog.Info("engine_view", "engine", name, "module_jobs", view.Jobs, "open", open, "cancelled", cancelled,
-		"threads", view.Threads, "others", view.Others,
-		"report_age_ms", milliseconds(view.Reported), "last_seen_ms", milliseconds(view.Heard), "unavailable", view.Out)
+		"threads", view.Threads, "others", view.SiblingThreads,
+		"report_age_ms", milliseconds(view.ReportAge), "last_seen_ms", milliseconds(view.LastSeenAge), "unavailable", view.UnavailableReason)
 }
 
 func milliseconds(n choice.Nanos) int64 { return int64(n) / int64(time.Millisecond) }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -82,7 +82,7 @@
 	return time.Duration(m.number(key, float64(defaultValue)))
 }
 
-func newSettings(facts choice.Facts) settings {
+func newSettings(facts choice.RawSettings) settings {
 	root := settingsMap(facts)
 	limits := root.object("limits")
 	s := settings{
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -16,15 +16,15 @@
 	Ejected      bool    `json:"aside,omitempty"`
 }
 
-// TypeEstimates returns what the module has learned of job types, by their names.
-func (g *Gateway) TypeEstimates() map[string]choice.Means {
+// TypeStats returns what the module has learned of job types, by their names.
+func (g *Gateway) TypeStats() map[string]choice.TypeStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	estimates := g.module.Learned()
-	byName := map[string]choice.Means{}
+	list := g.module.TypeStats()
+	byName := map[string]choice.TypeStats{}
 	for name, id := range g.ids.types {
-		if int(id) < len(estimates) {
-			byName[name] = estimates[id]
+		if int(id) < len(list) {
+			byName[name] = list[id]
 		}
 	}
 	return byName
@@ -35,9 +35,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	byName := map[string]EngineHealth{}
-	for _, health := range g.module.Health() {
+	for _, health := range g.module.EngineHealth() {
 		if entry := g.table.byID[health.Engine]; entry != nil {
-			byName[entry.host.Name] = EngineHealth{LatencyRatio: health.Slow, FailureRate: health.Bad, Ejected: health.Aside}
+			byName[entry.host.Name] = EngineHealth{LatencyRatio: health.LatencyRatio, FailureRate: health.FailureRate, Ejected: health.Ejected}
 		}
 	}
 	return byName
@@ -45,34 +45,34 @@
 
 // Restore gives the module what an older process of this controller has learned. Job types that the settings do not
 // name and engines that no list has named are ignored; the module ignores figures that are out of range.
-func (g *Gateway) Restore(types map[string]choice.Means, engines map[string]EngineHealth) {
-	means := make([]choice.Means, len(g.ids.types))
-	for name, estimate := range types {
+func (g *Gateway) Restore(types map[string]choice.TypeStats, engines map[string]EngineHealth) {
+	stats := make([]choice.TypeStats, len(g.ids.types))
+	for name, s := range types {
 		if id, known := g.ids.types[name]; known {
-			means[id] = estimate
+			stats[id] = s
 		}
 	}
 	health := g.moduleHealth(engines)
-	g.notify(choice.Event{Kind: choice.Taught, Means: means, Health: health})
+	g.notify(choice.Event{Kind: choice.StateTransferred, TypeStats: stats, EngineHealth: health})
 	slog.Info("state_restored", "types", len(types), "engines", len(health))
 }
 
 // moduleHealth numbers the engines of a snapshot, in the order of their names.
-func (g *Gateway) moduleHealth(engines map[string]EngineHealth) []choice.Health {
+func (g *Gateway) moduleHealth(engines map[string]EngineHealth) []choice.EngineHealth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var list []choice.Health
+	var list []choice.EngineHealth
 	for _, name := range slices.Sorted(maps.Keys(engines)) {
 		entry := g.table.byName[name]
 		if entry == nil {
 			continue
 		}
 		health := engines[name]
-		list = append(list, choice.Health{
-			Engine: entry.id,
-			Slow:   health.LatencyRatio,
-			Bad:    health.FailureRate,
-			Aside:  health.Ejected,
+		list = append(list, choice.EngineHealth{
+			Engine:       entry.id,
+			LatencyRatio: health.LatencyRatio,
+			FailureRate:  health.FailureRate,
+			Ejected:      health.Ejected,
 		})
 	}
 	return list
@@ -83,8 +83,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	count := 0
-	for _, engine := range g.module.View(max(g.lastTime, g.clock.now())) {
-		if engine.Out == "aside" {
+	for _, engine := range g.module.EngineViews(max(g.lastTime, g.clock.now())) {
+		if engine.UnavailableReason == "aside" {
 			count++
 		}
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -11,42 +11,42 @@
 type trace bool
 
 var eventNames = [...]string{
-	choice.Started:     "started",
-	choice.Arrived:     "arrived",
-	choice.StreamBegan: "stream_began",
-	choice.Noted:       "noted",
-	choice.Answered:    "answered",
-	choice.ClientLeft:  "client_left",
-	choice.TimerDue:    "timer",
-	choice.Listed:      "listed",
-	choice.Probed:      "probed",
-	choice.Heard:       "heard",
-	choice.Stopping:    "stopping",
-	choice.Planned:     "planned",
-	choice.Restated:    "restated",
-	choice.Taught:      "taught",
-	choice.Elder:       "elder",
-	choice.Parted:      "parted",
+	choice.Started:            "started",
+	choice.JobArrived:         "arrived",
+	choice.StreamStarted:      "stream_began",
+	choice.ProgressReported:   "noted",
+	choice.AttemptEnded:       "answered",
+	choice.ClientDisconnected: "client_left",
+	choice.TimerFired:         "timer",
+	choice.EnginesListed:      "listed",
+	choice.ProbeCompleted:     "probed",
+	choice.GossipReceived:     "heard",
+	choice.Stopping:           "stopping",
+	choice.PlanUpdated:        "planned",
+	choice.Reconfigured:       "restated",
+	choice.StateTransferred:   "taught",
+	choice.PredecessorChanged: "elder",
+	choice.QuotaAssigned:      "parted",
 }
 
 var actionNames = [...]string{
-	choice.Dispatch:      "dispatch",
-	choice.Throttle:      "throttle",
-	choice.CancelForGood: "cancel_for_good",
-	choice.Retract:       "retract",
-	choice.Terms:         "terms",
-	choice.Timer:         "timer",
-	choice.Probe:         "probe",
-	choice.CloseIdle:     "close_idle",
-	choice.Tell:          "tell",
-	choice.Track:         "track",
-	choice.ListAll:       "list_all",
-	choice.Log:           "log",
-	choice.Fault:         "fault",
+	choice.Dispatch:           "dispatch",
+	choice.Throttle:           "throttle",
+	choice.CancelPermanently:  "cancel_for_good",
+	choice.CancelAttempt:      "retract",
+	choice.SetDispatchOptions: "terms",
+	choice.SetTimer:           "timer",
+	choice.SendProbe:          "probe",
+	choice.CloseIdle:          "close_idle",
+	choice.SendGossip:         "tell",
+	choice.WatchEngines:       "track",
+	choice.ListEngines:        "list_all",
+	choice.Log:                "log",
+	choice.Fault:              "fault",
 }
 
 func (on trace) event(now choice.Nanos, event choice.Event) {
-	if !on || event.Kind == choice.TimerDue {
+	if !on || event.Kind == choice.TimerFired {
 		return
 	}
 	attributes := []any{"t", now, "event", eventNames[event.Kind]}
@@ -56,19 +56,19 @@
 // eventAttributes are the fields that count for an event of this kind.
 func eventAttributes(event choice.Event) []any {
 	switch event.Kind {
-	case choice.Arrived:
+	case choice.JobArrived:
 		return []any{"job", event.Job, "type", event.Type, "tenant", event.Tenant, "key", fmt.Sprintf("%x", event.Key),
-			"left", event.Left, "cost", event.Cost, "memory_mb", event.MemoryMB, "tables", event.Tables, "repeat", event.Repeat}
-	case choice.Answered:
+			"left", event.TimeLeft, "cost", event.Cost, "memory_mb", event.MemoryMB, "tables", event.Tables, "repeat", event.IsRepeat}
+	case choice.AttemptEnded:
 		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "result", event.Result,
-			"latency", event.Latency, "final", event.Final, "bill", event.Bill, "load", event.Load}
-	case choice.Noted:
-		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "note", event.Note, "amount", event.Amount}
-	case choice.ClientLeft:
+			"latency", event.Latency, "final", event.IsFinal, "bill", event.Usage, "load", event.Load}
+	case choice.ProgressReported:
+		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "note", event.Progress, "amount", event.Amount}
+	case choice.ClientDisconnected:
 		return []any{"job", event.Job}
-	case choice.Listed:
-		return []any{"list", event.List, "lines", event.Lines}
-	case choice.Probed:
+	case choice.EnginesListed:
+		return []any{"list", event.List, "lines", event.Engines}
+	case choice.ProbeCompleted:
 		return []any{"engine", event.Engine, "result", event.Result, "latency", event.Latency, "load", event.Load}
 	default:
 		return nil
@@ -76,11 +76,11 @@
 }
 
 func (on trace) action(now choice.Nanos, action choice.Action) {
-	if !on || action.Kind == choice.Timer || action.Kind == choice.Log {
+	if !on || action.Kind == choice.SetTimer || action.Kind == choice.Log {
 		return
 	}
 	slog.Info("trace", "t", now, "action", actionNames[action.Kind], "job", action.Job, "engine", action.Engine,
-		"seq", action.Seq, "span", action.Span, "priority", action.Priority, "memory_mb", action.MemoryMB)
+		"seq", action.Seq, "span", action.Duration, "priority", action.Priority, "memory_mb", action.MemoryMB)
 }
 
 // job logs of a job what only the gateway knows.
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -16,7 +16,7 @@
 	Spec        change.Digest `json:"spec"`  // told as it stands: which spec this file is of
 	Predecessor bool          `json:"elder"` // an older process of this controller serves on what it owes
 
-	TypeEstimates json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
+	TypeStats json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
 	EngineHealth  json.RawMessage `json:"health,omitempty"`  // the same of engines
 }
 
--- a/internal/supervisor/standin_test.go
+++ b/internal/supervisor/standin_test.go
@@ -53,8 +53,8 @@
 	carries := int64(1_000_000)
 	started := time.Now().UnixNano()
 	learned := json.RawMessage(`{"lookup":{"mean":12.5}}`)
-	if len(now.TypeEstimates) > 0 {
-		learned = now.TypeEstimates
+	if len(now.TypeStats) > 0 {
+		learned = now.TypeStats
 	}
 	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
