--- a/internal/proof/owner/cost_fleet.go
+++ b/internal/proof/owner/cost_fleet.go
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	f := &costFleet{folder: folder}
-	f.settings.Parts = &operator.Parts{LifeMS: costLifetimeMS}
+	f.settings.Shares = &operator.Shares{LeaseMS: costLifetimeMS}
 	f.settings.DrainMS = costDrainMS
 	if err := f.start(count); err != nil {
 		f.close()
--- a/internal/proof/owner/roles.go
+++ b/internal/proof/owner/roles.go
@@ -44,7 +44,7 @@
 	}
 	addresses := map[string]string{}
 	for _, member := range settings.Fleet.Members {
-		addresses[member.Name] = member.At()
+		addresses[member.Name] = member.Address()
 	}
 	folder := filepath.Dir(file)
 	node, err := leader.Open(name, filepath.Join(folder, name+".db"), addresses, leader.DefaultTiming())
@@ -59,7 +59,7 @@
 	newListener(name).registerHandlers(mux)
 	node.RegisterHandlers(mux)
 	duties.RegisterHandlers(mux)
-	own, isMember := settings.Fleet.Find(name)
+	own, isMember := settings.Fleet.Member(name)
 	if !isMember {
 		return fmt.Errorf("no member %q", name)
 	}
