--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -16,8 +16,8 @@
 	Spec        change.Digest `json:"spec"`  // told as it stands: which spec this file is of
 	Predecessor bool          `json:"elder"` // an older process of this controller serves on what it owes
 
-	TypeStats json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
-	EngineHealth  json.RawMessage `json:"health,omitempty"`  // the same of engines
+	TypeStats    json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
+	EngineHealth json.RawMessage `json:"health,omitempty"`  // the same of engines
 }
 
 // Fleet is the controllers that changes go through in stages. Keepers and conductors read it; a controller does not.
