--- a/internal/leader/store.go
+++ b/internal/leader/store.go
@@ -93,7 +93,7 @@
 	if out.HardState == nil && out.Snapshot == nil && len(out.Entries) == 0 {
 		return nil
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error { return saveOutput(tx, out) })
