--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -61,7 +61,7 @@
 	if s.o != nil {
 		list[backend.SPARQL] = func(b backend.Limits) backend.Engines {
 			b.Conns = &s.conns
-			return endpoint.New(b, func(name string, w decide.Word) { s.gate.UpdateDrain(name, w) })
+			return endpoint.New(b, func(name string, w decide.Signal) { s.gate.UpdateDrain(name, w) })
 		}
 	}
 	return list
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -175,7 +175,7 @@
 	g.mu.Lock()
 	lines, removed := g.table.update(event.Members, g.ids, time.Now())
 	if g.drains != nil {
-		lines = g.drains.Listed(g.clock.now(), lines)
+		lines = g.drains.ApplyList(g.clock.now(), lines)
 	}
 	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: listKind(event.Members.Whole, cached), Engines: lines})
 	g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 	module     choice.Controller
 	table      engineTable
 	activePlan activePlan
-	drains     *decide.Drain         // nil: no engine reports its own drain
-	slots      *decide.Guard         // nil: there is only one protocol
+	drains     *decide.DrainTracker  // nil: no engine reports its own drain
+	slots      *decide.Slots         // nil: there is only one protocol
 	jobs       map[choice.JobID]*job // until their goroutine returns
 	openCalls  map[string]struct{}   // ids of calls that are neither answered nor abandoned
 	lastJobID  choice.JobID
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -63,16 +63,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.table.sparqlURLs = urls
-	g.drains = decide.NewDrain(choice.Nanos(drainReportLifetime))
-	g.slots = decide.NewGuard(protocolCount)
+	g.drains = decide.NewDrainTracker(choice.Nanos(drainReportLifetime))
+	g.slots = decide.NewSlots(protocolCount)
 }
 
 // UpdateDrain takes what an engine reports of itself, which may differ from what the list says.
-func (g *Gateway) UpdateDrain(name string, report decide.Word) {
+func (g *Gateway) UpdateDrain(name string, signal decide.Signal) {
 	g.mu.Lock()
 	var actions []choice.Action
 	if entry := g.table.byName[name]; entry != nil && g.drains != nil {
-		line, changed := g.drains.Said(g.clock.now(), entry.id, report)
+		line, changed := g.drains.ApplySignal(g.clock.now(), entry.id, signal)
 		if changed {
 			counters.Increment("drains_reported")
 			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: []choice.EngineEntry{line}})
@@ -88,7 +88,7 @@
 	var actions []choice.Action
 	if g.drains != nil {
 		ids := slices.Sorted(maps.Keys(g.table.byID))
-		lines := g.drains.Pass(g.clock.now(), ids)
+		lines := g.drains.ExpireSignals(g.clock.now(), ids)
 		if len(lines) > 0 {
 			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: lines})
 		}
@@ -112,12 +112,12 @@
 	if len(g.jobs) >= limit {
 		return false
 	}
-	return g.slots == nil || g.slots.Take(g.clock.now(), slotIndex(protocol), limit)
+	return g.slots == nil || g.slots.Acquire(g.clock.now(), slotIndex(protocol), limit)
 }
 
 // releaseSlot returns the slot of a job. The caller holds the lock.
 func (g *Gateway) releaseSlot(protocol backend.Protocol) {
 	if g.slots != nil {
-		g.slots.Give(slotIndex(protocol))
+		g.slots.Release(slotIndex(protocol))
 	}
 }
--- a/internal/operator/files_test.go
+++ b/internal/operator/files_test.go
@@ -63,13 +63,13 @@
 	if len(rules) != 3 {
 		t.Fatalf("%d rules", len(rules))
 	}
-	if r := rules[0]; r.Type != "lookup" || r.Most != 100e6 || r.Least != 0 || r.Marked || len(r.Forms) != 2 {
+	if r := rules[0]; r.Type != "lookup" || r.MaxWork != 100e6 || r.MinWork != 0 || r.KeyedOnly || len(r.Forms) != 2 {
 		t.Errorf("%+v", r)
 	}
-	if r := rules[1]; r.Type != "report" || r.Most != 5000e6 || r.Least != 100e6 {
+	if r := rules[1]; r.Type != "report" || r.MaxWork != 5000e6 || r.MinWork != 100e6 {
 		t.Errorf("%+v", r)
 	}
-	if r := rules[2]; r.Type != "import" || !r.Marked || r.Forms[0] != "UPDATE" {
+	if r := rules[2]; r.Type != "import" || !r.KeyedOnly || r.Forms[0] != "UPDATE" {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/operator/sparql.go
+++ b/internal/operator/sparql.go
@@ -75,7 +75,7 @@
 // Rules map texts to reservation types.
 func (s *SPARQL) Rules() (list []decide.Rule) {
 	for _, t := range s.Types {
-		list = append(list, decide.Rule{Forms: t.Forms, Marked: t.Keyed, Least: choice.Nanos(t.MinWorkMS) * 1e6, Most: choice.Nanos(t.MaxWorkMS) * 1e6, Type: t.Type})
+		list = append(list, decide.Rule{Forms: t.Forms, KeyedOnly: t.Keyed, MinWork: choice.Nanos(t.MinWorkMS) * 1e6, MaxWork: choice.Nanos(t.MaxWorkMS) * 1e6, Type: t.Type})
 	}
 	return list
 }
--- a/internal/sparql/endpoint/endpoint.go
+++ b/internal/sparql/endpoint/endpoint.go
@@ -30,8 +30,8 @@
 	headerDraining   = "Draining"
 	headerLoad       = "Load"
 	isTrue           = "?1"
-	// HeaderMark is of clients, and handed on to engines (draft-ietf-httpapi-idempotency-key-header).
-	HeaderMark = "Idempotency-Key"
+	// HeaderIdempotencyKey is of clients, and handed on to engines (draft-ietf-httpapi-idempotency-key-header).
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // Ask is what a job's statement is on this protocol: how it is encoded for back.Request is this package's affair.
@@ -72,7 +72,7 @@
 // Client carries dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL.
 type Client struct {
 	bounds backend.Limits
-	heard  func(name string, w decide.Word)
+	heard  func(name string, signal decide.Signal)
 	http   *http.Client
 	ctx    context.Context
 	end    context.CancelFunc
@@ -85,7 +85,7 @@
 type count struct{ open, givenUp int }
 
 // New makes a client. What engines say of themselves beside their answers is told to heard.
-func New(b backend.Limits, heard func(name string, w decide.Word)) *Client {
+func New(b backend.Limits, heard func(name string, signal decide.Signal)) *Client {
 	dialer := &net.Dialer{Timeout: b.DialTimeout}
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) { // IPv4 only, as the fleet allows
 		return dialer.DialContext(ctx, "tcp4", address)
@@ -217,7 +217,7 @@
 	r.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	r.Header.Set("Accept", ask.Accept)
 	if ask.Mark != "" {
-		r.Header.Set(HeaderMark, ask.Mark)
+		r.Header.Set(HeaderIdempotencyKey, ask.Mark)
 	}
 	r.Header.Set("User-Agent", "swiftreel")
 	if id != "" {
@@ -231,12 +231,12 @@
 
 // listen hears what an engine says of itself.
 func (c *Client) listen(name string, a *http.Response) {
-	w := decide.Serves
+	w := decide.SignalServing
 	switch {
 	case a.Header.Get(headerDraining) == isTrue:
-		w = decide.Drains
+		w = decide.SignalDraining
 	case a.Close:
-		w = decide.Closes
+		w = decide.SignalClosing
 	}
 	c.heard(name, w)
 }
@@ -346,7 +346,7 @@
 	defer answer.Body.Close()
 	r := backend.Reply{Outcome: backend.Failed, Load: answer.Header.Get(headerLoad)}
 	if answer.StatusCode == http.StatusServiceUnavailable { // said of itself, without a job
-		c.heard(to.Name, decide.Drains)
+		c.heard(to.Name, decide.SignalDraining)
 		r.Outcome = backend.Full
 	} else if c.listen(to.Name, answer); answer.StatusCode == http.StatusOK {
 		head, err := results.NewReader(results.JSON, io.LimitReader(answer.Body, mostHeader)).Head()
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -24,7 +24,7 @@
 	host   backend.Host
 	bytes  *limits.Bytes
 	mu     sync.Mutex
-	words  []decide.Word
+	words  []decide.Signal
 }
 
 func newTown(t *testing.T, conns int64, serve func(net.Conn, *http.Request)) *town {
@@ -56,7 +56,7 @@
 	w.bytes.SetCapacity(1 << 20)
 	most := new(limits.Count)
 	most.Store(conns)
-	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, word decide.Word) {
+	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, word decide.Signal) {
 		w.mu.Lock()
 		w.words = append(w.words, word)
 		w.mu.Unlock()
@@ -218,13 +218,13 @@
 	for _, c := range []struct {
 		write string
 		end   backend.Outcome
-		word  decide.Word
+		word  decide.Signal
 	}{
-		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.Serves},
-		{answer("200 OK", typed+"Draining: ?1\r\n", ask), backend.Done, decide.Drains},
-		{answer("503 Service Unavailable", "", ""), backend.Full, decide.Drains},
-		{answer("200 OK", typed, "{}"), backend.Failed, decide.Serves},
-		{answer("200 OK", typed+"Connection: close\r\n", ask), backend.Done, decide.Closes},
+		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.SignalServing},
+		{answer("200 OK", typed+"Draining: ?1\r\n", ask), backend.Done, decide.SignalDraining},
+		{answer("503 Service Unavailable", "", ""), backend.Full, decide.SignalDraining},
+		{answer("200 OK", typed, "{}"), backend.Failed, decide.SignalServing},
+		{answer("200 OK", typed+"Connection: close\r\n", ask), backend.Done, decide.SignalClosing},
 	} {
 		mu.Lock()
 		next = c.write
--- a/internal/sparql/front/front.go
+++ b/internal/sparql/front/front.go
@@ -66,17 +66,17 @@
 	places chan struct{}
 	owed   atomic.Int64
 
-	start   time.Time
-	mu      sync.Mutex
-	guesses *decide.Guesses
-	marks   *decide.Marks
-	bad     ratelog.Logger
+	start time.Time
+	mu    sync.Mutex
+	costs *decide.CostEstimator
+	keys  *decide.KeyTable
+	bad   ratelog.Logger
 }
 
 // New serves a taker. Serve begins it.
 func New(o Options, taker Submitter) *Front {
-	f := &Front{o: o, taker: taker, places: make(chan struct{}, max(1, o.Conns)), guesses: decide.NewGuesses(max(1, o.Shapes)),
-		start: time.Now(), marks: decide.NewMarks(o.Marks, choice.Nanos(o.Window))}
+	f := &Front{o: o, taker: taker, places: make(chan struct{}, max(1, o.Conns)), costs: decide.NewCostEstimator(max(1, o.Shapes)),
+		start: time.Now(), keys: decide.NewKeyTable(o.Marks, choice.Nanos(o.Window))}
 	f.server = &http.Server{Handler: f, ReadHeaderTimeout: headersWithin, IdleTimeout: idleWithin, MaxHeaderBytes: mostHeader,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)}
 	return f
@@ -154,22 +154,22 @@
 		f.refused(w, err)
 		return
 	}
-	mark, err := readMark(r, tenant, q.update)
+	key, err := readIdempotencyKey(r, tenant, q.update)
 	if err != nil {
 		f.refused(w, err)
 		return
 	}
-	if !f.remembered(a, q, mark) {
+	if !f.admitKey(a, q, key) {
 		return
 	}
-	if mark.Text != "" {
-		defer func() { // whatever ends the request: a mark that stayed in hand would stay for ever
+	if key.Value != "" {
+		defer func() { // whatever ends the request: a key that stayed in progress would stay for ever
 			f.mu.Lock()
-			f.marks.End(f.now(), mark, a.ends)
+			f.keys.End(f.now(), key, a.ends)
 			f.mu.Unlock()
 		}()
 	}
-	f.ask(a, q, s, mark, tenant, at)
+	f.ask(a, q, s, key, tenant, at)
 }
 
 // tenant is told by the path, a header or the user of basic authentication, in this order.
@@ -232,13 +232,13 @@
 )
 
 // ask takes the job to the gateway and waits for its answer, or for the client's leave.
-func (f *Front) ask(a *answer, q request, s *syntax.Statement, mark decide.Mark, tenant string, at time.Time) {
+func (f *Front) ask(a *answer, q request, s *syntax.Statement, key decide.IdempotencyKey, tenant string, at time.Time) {
 	f.mu.Lock()
-	work, _ := f.guesses.Of(s)
+	work, _ := f.costs.Estimate(s)
 	f.mu.Unlock()
-	typ, known := decide.Classify(f.o.Rules, s, work, mark.Text != "")
+	typ, known := decide.Classify(f.o.Rules, s, work, key.Value != "")
 	if !known {
-		a.ends = decide.NeverRan
+		a.ends = decide.UpdateNeverRan
 		f.refused(a.w, refuse(http.StatusBadRequest, "no reservation type takes this"))
 		return
 	}
@@ -254,12 +254,12 @@
 	f.owed.Add(1)
 	defer f.owed.Add(-1)
 	f.taker.Submit(gateway.Request{Type: []byte(typ), ID: []byte(hex.EncodeToString(id[:])), Tenant: []byte(tenant), Key: []byte(decide.OrderKey(s)),
-		Statement: endpoint.Ask{Update: q.update, Accept: a.wants, Mark: mark.Text, Form: form}.Statement(), Timeout: q.left, ArrivedAt: at, EstimatedWork: time.Duration(work),
+		Statement: endpoint.Ask{Update: q.update, Accept: a.wants, Mark: key.Value, Form: form}.Statement(), Timeout: q.left, ArrivedAt: at, EstimatedWork: time.Duration(work),
 		Protocol: backend.SPARQL, Client: a})
 	a.wait()
 	if a.took > 0 {
 		f.mu.Lock()
-		f.guesses.Learn(s, choice.Nanos(a.took))
+		f.costs.Observe(s, choice.Nanos(a.took))
 		f.mu.Unlock()
 	}
 }
@@ -287,7 +287,7 @@
 	gives  string // and that of the answer
 	began  time.Time
 	took   time.Duration
-	ends   decide.Ends // the handler's: how an update ended, as far as is known
+	ends   decide.UpdateOutcome // the handler's: how an update ended, as far as is known
 
 	come  chan outcome
 	over  chan struct{} // the handler ends
@@ -308,7 +308,7 @@
 
 // answerFor negotiates.
 func (f *Front) answerFor(w http.ResponseWriter, r *http.Request, s *syntax.Statement) (*answer, error) {
-	a := &answer{w: w, r: r, update: s.Form == syntax.Update, ask: s.Form == syntax.Ask, began: time.Now(), ends: decide.MayHaveRun, come: make(chan outcome, 1),
+	a := &answer{w: w, r: r, update: s.Form == syntax.Update, ask: s.Form == syntax.Ask, began: time.Now(), ends: decide.UpdateMayHaveRun, come: make(chan outcome, 1),
 		over: make(chan struct{}), wrote: make(chan struct{})}
 	offered := tables
 	switch s.Form {
@@ -389,9 +389,9 @@
 	case o := <-a.come:
 		switch {
 		case o.status == http.StatusOK:
-			a.ends = decide.WasDone
+			a.ends = decide.UpdateDone
 		case o.never:
-			a.ends = decide.NeverRan
+			a.ends = decide.UpdateNeverRan
 		}
 		a.write(o)
 	case <-a.r.Context().Done():
