--- /dev/null
+++ b/cmd/swiftreel/listener.go
@@ -0,0 +1,28 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// listen listens for clients. A supervisor starts a new process of a controller beside the old one; then both share the
+// address for a while, and the kernel gives each new connection to one of them.
+func listen(address string, shared bool) (net.Listener, error) {
+	var listenConfig net.ListenConfig
+	if shared {
+		listenConfig.Control = setReusePort
+	}
+	return listenConfig.Listen(context.Background(), "tcp4", address)
+}
+
+func setReusePort(_, _ string, conn syscall.RawConn) error {
+	var optionErr error
+	controlErr := conn.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(controlErr, optionErr)
+}
--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -78,8 +78,8 @@
 
 // newTownOf has the engines' commands handled; else they come through the channel.
 func newTownOf(t *testing.T, handle func(*fake.Session, engine.Command), names ...string) *town {
-	usual := lateArrivals
-	lateArrivals = 50 * time.Millisecond
+	usual := lateArrivalWindow
+	lateArrivalWindow = 50 * time.Millisecond
 	log.SetOutput(io.Discard)
 	runtime.GC()
 	goroutines, files := runtime.NumGoroutine(), descriptors()
@@ -112,7 +112,7 @@
 	settle(t, "not ready", func() bool { ready, err := w.caller.Ready(); return ready && err == nil })
 	t.Cleanup(func() {
 		w.finish()
-		lateArrivals = usual
+		lateArrivalWindow = usual
 		w.feed.Close()
 		for _, e := range w.engines {
 			e.Close()
@@ -542,7 +542,7 @@
 
 func TestAfterSIGTERMWhatComesIsServedAndThenItEnds(t *testing.T) {
 	w := newTown(t, "e1")
-	lateArrivals = 900 * time.Millisecond
+	lateArrivalWindow = 900 * time.Millisecond
 	id := w.job("lookup", "20000")
 	c := w.got("fetch")
 	w.stop <- syscall.SIGTERM
@@ -557,7 +557,7 @@
 	select {
 	case <-w.ended:
 		t.Fatal("ended with an answer owed")
-	case <-time.After(lateArrivals + 100*time.Millisecond):
+	case <-time.After(lateArrivalWindow + 100*time.Millisecond):
 	}
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
 	w.answer(id, "")
@@ -569,13 +569,13 @@
 	w.caller = nil
 }
 
-// What was begun before the end, and what comes once nothing is taken any more, is answered and not sent on; a client that
-// rests until the controller ends it sees an end in order.
+// What was begun before the end, and what comes once nothing is taken any more, is answered and not sent on; a client
+// that rests until the controller ends it sees an end in order.
 func TestWhatIsHalfReadAtTheEndIsAnswered(t *testing.T) {
 	w := newTown(t, "e1")
-	usual := lateMost
-	lateMost = time.Minute
-	defer func() { lateMost = usual }()
+	usual := partialMessageTimeout
+	partialMessageTimeout = time.Minute
+	defer func() { partialMessageTimeout = usual }()
 	late, resting := w.dial(), w.dial()
 	defer late.Conn.Close()
 	defer resting.Conn.Close()
@@ -604,7 +604,7 @@
 			t.Fatal(a, err)
 		}
 	}
-	time.Sleep(5 * quietLast) // time enough to end in, for one that does not wait for the other half
+	time.Sleep(5 * quietPeriod) // time enough to end in, for one that does not wait for the other half
 	late.Conn.Write(call[20:])
 	if a, err := late.Read(20 * time.Second); err != nil || a.ID != 9 || a.Error != "Overloaded" {
 		t.Fatal(a, err)
@@ -622,8 +622,8 @@
 	w.caller = nil
 }
 
-// Seen on a made-up deployment with keyed jobs: the bench ended each day at the first of them, as the key under which an
-// engine does a thing once was not passed on.
+// Seen on a made-up deployment with keyed jobs: the bench ended each day at the first of them, as the key under which
+// an engine does a thing once was not passed on.
 func TestAnIdempotencyKeyIsPassedOn(t *testing.T) {
 	w := newTown(t, "e1")
 	for key, fields := range map[string]string{"k-7f3a9c21": ",i=k-7f3a9c21", "": ""} {
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -1,44 +1,49 @@
 package main
 
 import (
-	"fmt"
 	"log/slog"
 	"os"
 	"reflect"
 	"slices"
 	"strings"
 
+	"swiftreel/choice"
 	"swiftreel/internal/change"
 	"swiftreel/internal/config"
 	"swiftreel/internal/counters"
-	"swiftreel/internal/discovery"
 	"swiftreel/internal/limits"
-	"swiftreel/internal/operator"
 )
 
-// reloader takes over what it can of a configuration file that is read anew.
+// reloader applies to a running server what can be changed of its files without a restart.
 type reloader struct {
-	file     config.File // as last taken over
-	load     func() (config.File, error)
-	own      operator.File // as last taken over
-	leaves   func(config.Limits) config.Limits
-	operator func() (operator.File, error)
-	follow   func(operator.File) // a file taken over
-	restate  func(facts map[string]any)
-	force    func(*operator.Stats, map[string]any) // what is in force from now on
-	elder    func(bool)
-	follower *discovery.Follower
-	parts    *limits.Budget
+	server       *server
+	budget       *limits.Budget
+	operatorPath string
+	current      files          // as applied last
+	baseSettings map[string]any // as at the start: changed settings need a restart
 
-	done, ended chan struct{}
+	closing chan struct{}
+	closed  chan struct{}
 }
 
-// run reads the file anew at each signal, until it is closed. Signals that come meanwhile are one.
+func newReloader(s *server, budget *limits.Budget, operatorPath string) *reloader {
+	return &reloader{
+		server:       s,
+		budget:       budget,
+		operatorPath: operatorPath,
+		current:      s.files,
+		baseSettings: s.files.config.Settings,
+		closing:      make(chan struct{}),
+		closed:       make(chan struct{}),
+	}
+}
+
+// run reads the files again at each signal, until close. Signals that come meanwhile count as one.
 func (r *reloader) run(signals <-chan os.Signal) {
-	defer close(r.ended)
+	defer close(r.closed)
 	for {
 		select {
-		case <-r.done:
+		case <-r.closing:
 			return
 		case <-signals:
 			r.reload()
@@ -46,73 +51,64 @@
 	}
 }
 
+// close ends run and waits for it.
 func (r *reloader) close() {
-	close(r.done)
-	<-r.ended
+	close(r.closing)
+	<-r.closed
 }
 
-// reload takes a file over, or leaves all as it was.
+// reload applies both files, or changes nothing if one of them cannot be used.
 func (r *reloader) reload() {
-	file, err := r.load()
-	var known []discovery.Event
-	if err == nil {
-		known, err = events(file)
-	}
-	var own operator.File
-	if err == nil {
-		own, err = r.operator()
-	}
-	var facts map[string]any
-	if err == nil {
-		facts, err = own.Topology.Apply(r.file.Settings) // the settings as at the start: others need a restart
-	}
+	next, err := r.read()
 	if err != nil {
 		counters.Increment("reloads_failed")
 		slog.Error("reload_failed", "reason", err)
 		return
 	}
-	restart := r.kept(file)
-	if !reflect.DeepEqual(own.SPARQL, r.own.SPARQL) {
-		restart, own.SPARQL = append(restart, "operator.sparql"), r.own.SPARQL
-	}
-	if (own.Stats == nil) != (r.own.Stats == nil) || own.Stats != nil && own.Stats.Listen != r.own.Stats.Listen {
-		restart, own.Stats = append(restart, "operator.tally"), r.own.Stats
-	}
-	moved := r.follower.Move(file.Feed, known)
-	last, _ := r.follower.Last()
-	slog.Info("reloaded", "feed", file.Feed, "feed_moved", moved, "events", last, "needs_restart", strings.Join(restart, ","), "settings", change.OfJSON(facts))
-	if file.Limits != r.file.Limits {
-		r.parts.Apply(r.leaves(file.Limits))
-	}
-	if !reflect.DeepEqual(own.Topology, r.own.Topology) {
-		r.restate(facts)
+	needsRestart := r.retainUntilRestart(&next)
+	r.apply(next, needsRestart)
+	counters.Increment("reloads")
+}
+
+func (r *reloader) read() (files, error) {
+	file, err := config.Load(os.Getenv)
+	if err != nil {
+		return files{}, err
 	}
-	if !reflect.DeepEqual(own.Plan, r.own.Plan) { // the same plan once more is no new one
-		r.follow(own)
+	return readFiles(file, r.operatorPath, r.baseSettings)
+}
+
+// retainUntilRestart puts back what cannot be changed in a running process, and returns the names of what differs.
+func (r *reloader) retainUntilRestart(next *files) []string {
+	names := r.changedSettings(next.config)
+	if !reflect.DeepEqual(next.operator.SPARQL, r.current.operator.SPARQL) {
+		names = append(names, "operator.sparql")
+		next.operator.SPARQL = r.current.operator.SPARQL
 	}
-	if elder(own) != elder(r.own) {
-		r.elder(elder(own))
+	if statsListen(*next) != statsListen(r.current) {
+		names = append(names, "operator.tally")
+		next.operator.Stats = r.current.operator.Stats
 	}
-	r.force(own.Stats, facts)
-	r.own = own
-	r.file.Feed, r.file.CachedEvents, r.file.Limits = file.Feed, file.CachedEvents, file.Limits
-	counters.Increment("reloads")
+	return names
 }
 
-// kept names what differs and is not taken over before the next start. The seed is new with each.
-func (r *reloader) kept(file config.File) (names []string) {
-	for name, differs := range map[string]bool{"name": file.Name != r.file.Name, "listen": file.Listen != r.file.Listen} {
-		if differs {
-			names = append(names, name)
-		}
+// changedSettings names what differs in the configuration and needs a restart, sorted. The seed is new at each start.
+func (r *reloader) changedSettings(next config.File) []string {
+	current := r.current.config
+	var names []string
+	if next.Name != current.Name {
+		names = append(names, "name")
+	}
+	if next.Listen != current.Listen {
+		names = append(names, "listen")
 	}
-	for name := range file.Settings {
-		if !reflect.DeepEqual(file.Settings[name], r.file.Settings[name]) {
+	for name, value := range next.Settings {
+		if !reflect.DeepEqual(value, current.Settings[name]) {
 			names = append(names, "settings."+name)
 		}
 	}
-	for name := range r.file.Settings {
-		if _, is := file.Settings[name]; !is {
+	for name := range current.Settings {
+		if _, present := next.Settings[name]; !present {
 			names = append(names, "settings."+name)
 		}
 	}
@@ -120,14 +116,46 @@
 	return names
 }
 
-// events reads what a file knows of the feed.
-func events(file config.File) ([]discovery.Event, error) {
-	known := make([]discovery.Event, len(file.CachedEvents.Events))
-	for i, text := range file.CachedEvents.Events {
-		var err error
-		if known[i], err = discovery.Parse(text); err != nil {
-			return nil, fmt.Errorf("known event %d: %w", i, err)
-		}
+// statsAddress is where the stats server listens, if it does.
+type statsAddress struct {
+	enabled bool
+	listen  string
+}
+
+func statsListen(f files) statsAddress {
+	if f.operator.Stats == nil {
+		return statsAddress{}
 	}
-	return known, nil
+	return statsAddress{enabled: true, listen: f.operator.Stats.Listen}
+}
+
+// apply changes the running server.
+func (r *reloader) apply(next files, needsRestart []string) {
+	s := r.server
+	moved := s.discovery.Move(next.config.Feed, next.cachedEvents)
+	lastEvent, _ := s.discovery.Last()
+	slog.Info("reloaded", "feed", next.config.Feed, "feed_moved", moved, "events", lastEvent,
+		"needs_restart", strings.Join(needsRestart, ","), "settings", change.OfJSON(next.settings))
+	if next.config.Limits != r.current.config.Limits {
+		r.budget.Apply(s.sparql.remainingLimits(next.config.Limits))
+	}
+	if !reflect.DeepEqual(next.operator.Topology, r.current.operator.Topology) {
+		s.gateway.Reconfigure(choice.RawSettings(next.settings))
+	}
+	if !reflect.DeepEqual(next.operator.Plan, r.current.operator.Plan) { // the same plan once more is not a new one
+		s.plans.follow(next.operator.Plan)
+	}
+	if next.predecessorRunning() != r.current.predecessorRunning() {
+		s.gateway.SetPredecessor(next.predecessorRunning())
+	}
+	s.stats.setApplied(next)
+	r.remember(next)
+}
+
+// remember keeps what was applied. Of the configuration that is the feed and the limits.
+func (r *reloader) remember(next files) {
+	r.current.operator = next.operator
+	r.current.config.Feed = next.config.Feed
+	r.current.config.CachedEvents = next.config.CachedEvents
+	r.current.config.Limits = next.config.Limits
 }
--- /dev/null
+++ b/cmd/swiftreel/server.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"log/slog"
+	"net"
+	"os"
+	"runtime/debug"
+
+	"swiftreel/choice"
+	"swiftreel/internal/change"
+	"swiftreel/internal/client"
+	"swiftreel/internal/command"
+	"swiftreel/internal/discovery"
+	"swiftreel/internal/gateway"
+	"swiftreel/internal/limits"
+)
+
+// server is a controller: the gateway with all that feeds it. Its parts are made by newServer, run from start on and
+// end with stop, in the reverse order of their dependencies.
+type server struct {
+	files     files // as at the start
+	listener  net.Listener
+	gateway   *gateway.Gateway
+	clients   *client.Front
+	sparql    *sparqlServer
+	stats     *statsServer
+	plans     *planFollower
+	discovery *discovery.Follower
+	reloader  *reloader
+}
+
+// newServer makes a server. It owns the listener from start on.
+func newServer(files files, listener net.Listener, options command.ServeOptions) (*server, error) {
+	sparql, err := newSPARQLServer(files.operator.SPARQL, files.config.Limits)
+	if err != nil {
+		return nil, err
+	}
+	budget := new(limits.Budget)
+	budget.Apply(sparql.remainingLimits(files.config.Limits))
+	gate := gateway.New(gateway.Options{
+		Settings:  choice.RawSettings(files.settings),
+		Seed:      files.config.Seed,
+		Budget:    budget,
+		Protocols: sparql.protocols(),
+		Trace:     options.Trace,
+	})
+	sparql.attach(gate)
+	clients := client.NewFront(gate, budget)
+	stats, err := newStatsServer(files, gate, func() int64 { return clients.Owed() + sparql.owed() })
+	if err != nil {
+		sparql.close()
+		clients.Close()
+		gate.Close()
+		return nil, err
+	}
+	s := &server{files: files, listener: listener, gateway: gate, clients: clients, sparql: sparql, stats: stats}
+	s.restoreState()
+	s.plans = &planFollower{gateway: gate}
+	s.plans.follow(files.operator.Plan)
+	s.discovery = discovery.Follow(files.config.Feed, files.config.CachedEvents.LastNumber, func(event discovery.Event) {
+		gate.UpdateEngines(event, false)
+	})
+	s.reloader = newReloader(s, budget, options.Operator)
+	return s, nil
+}
+
+// restoreState gives the gateway what is known before the first job: of an older process, and of the endpoint list.
+func (s *server) restoreState() {
+	if s.files.predecessorRunning() {
+		s.gateway.SetPredecessor(true)
+	}
+	for _, event := range s.files.cachedEvents {
+		s.gateway.UpdateEngines(event, true)
+	}
+	restoreSnapshot(s.files.operator.Stats, s.gateway)
+}
+
+// start begins to serve. It does not wait.
+func (s *server) start(reload <-chan os.Signal) {
+	go s.reloader.run(reload)
+	go func() { _ = s.clients.Serve(s.listener) }() // ends without an error once the listener is closed
+	s.sparql.start()
+	debug.FreeOSMemory() // what the libraries of the command line allocated when they were set up
+	s.gateway.Start()
+	if testHooks.afterStart != nil {
+		testHooks.afterStart()
+	}
+	slog.Info("serving", "name", s.files.config.Name, "address", s.listener.Addr(),
+		"events_known", s.files.config.CachedEvents.LastNumber, "settings", change.OfJSON(s.files.settings))
+}
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -17,86 +17,116 @@
 	"swiftreel/internal/sparql/front"
 )
 
-// mostShapes is how many shapes of texts are remembered with their cost, about 150 bytes each.
-const mostShapes = 4096
+// maxQueryShapes is for how many shapes of queries the cost is remembered, about 150 bytes each.
+const maxQueryShapes = 4096
 
-// leastSockets is what the rest of the program needs of the descriptors.
-const leastSockets = 64
+// minSockets is how many descriptors the rest of the program needs.
+const minSockets = 64
 
-// side is the SPARQL side of the program; where it is off its parts are nil and its methods do nothing.
-type side struct {
-	o        *operator.SPARQL
+// sparqlServer is the SPARQL front, and the connections to SPARQL endpoints. If the protocol is off, options is nil and
+// no method has an effect.
+type sparqlServer struct {
+	options  *operator.SPARQL
 	listener net.Listener
-	conns    limits.Count
-	gate     *gateway.Gateway
-	front    *front.Front
+	conns    limits.Count     // to endpoints
+	gateway  *gateway.Gateway // set by attach
+	front    *front.Front     // set by attach
 }
 
-// newSide listens.
-func newSide(o *operator.SPARQL, l config.Limits) (*side, error) {
-	s := &side{o: o}
-	if o == nil {
+// newSPARQLServer listens for clients, unless options is nil. Its connections must leave enough of the descriptors.
+func newSPARQLServer(options *operator.SPARQL, machine config.Limits) (*sparqlServer, error) {
+	s := &sparqlServer{options: options}
+	if options == nil {
 		return s, nil
 	}
-	if s.leaves(l).Sockets < leastSockets {
-		return nil, fmt.Errorf("sparql: %d connections leave under %d of the descriptors to the rest", o.Connections, leastSockets)
+	if s.remainingLimits(machine).Sockets < minSockets {
+		return nil, fmt.Errorf("sparql: %d connections leave under %d of the descriptors to the rest",
+			options.Connections, minSockets)
 	}
-	s.conns.Store(int64(o.Connections))
-	var err error
-	s.listener, err = net.Listen("tcp4", o.Listen)
-	return s, err
+	s.conns.Store(int64(options.Connections))
+	listener, err := net.Listen("tcp4", options.Listen)
+	if err != nil {
+		return nil, err
+	}
+	s.listener = listener
+	return s, nil
 }
 
-// leaves is what of the machine's limits is left beside its connections.
-func (s *side) leaves(l config.Limits) config.Limits {
-	if s.o != nil {
-		l.Sockets -= 2*s.o.Connections + 1
+// remainingLimits returns what its connections leave of the machine's limits.
+func (s *sparqlServer) remainingLimits(machine config.Limits) config.Limits {
+	if s.options != nil {
+		machine.Sockets -= 2*s.options.Connections + 1 // clients, endpoints and the listener
 	}
-	return l
+	return machine
 }
 
-// speak is what speaks with engines, by their protocol.
-func (s *side) speak() map[backend.Protocol]backend.Factory {
-	list := map[backend.Protocol]backend.Factory{backend.Line: func(b backend.Limits) backend.Engines { return engine.NewPool(b) }}
-	if s.o != nil {
-		list[backend.SPARQL] = func(b backend.Limits) backend.Engines {
-			b.Conns = &s.conns
-			return endpoint.New(b, func(name string, w decide.Word) { s.gate.UpdateDrain(name, w) })
-		}
+// protocols returns how engines are reached, by protocol. The factories must not be used before attach has returned.
+func (s *sparqlServer) protocols() map[backend.Protocol]backend.Factory {
+	factories := map[backend.Protocol]backend.Factory{
+		backend.Line: func(limits backend.Limits) backend.Engines { return engine.NewPool(limits) },
+	}
+	if s.options != nil {
+		factories[backend.SPARQL] = s.newEndpoints
 	}
-	return list
+	return factories
 }
 
-// join comes before any list.
-func (s *side) join(g *gateway.Gateway) {
-	if s.o == nil {
+func (s *sparqlServer) newEndpoints(limits backend.Limits) backend.Engines {
+	limits.Conns = &s.conns
+	return endpoint.New(limits, func(name string, report decide.Word) { s.gateway.UpdateDrain(name, report) })
+}
+
+// attach connects it with the gateway. It must be called before the gateway gets its first list of engines.
+func (s *sparqlServer) attach(gate *gateway.Gateway) {
+	if s.options == nil {
 		return
 	}
-	s.gate = g
-	g.SetSPARQLEndpoints(s.o.Endpoints)
-	s.front = front.New(front.Options{Path: s.o.Path, Tenant: s.o.Tenant, TenantHeader: s.o.TenantHeader, Rules: s.o.Rules(),
-		Usual: time.Duration(s.o.TimeoutMS) * time.Millisecond, Most: time.Duration(s.o.MaxTimeoutMS) * time.Millisecond,
-		Services: s.o.Services, Conns: s.o.Connections, Shapes: mostShapes, Marks: s.o.IdempotencyKeys,
-		Window: time.Duration(s.o.IdempotencyWindowMS) * time.Millisecond}, g)
+	s.gateway = gate
+	gate.SetSPARQLEndpoints(s.options.Endpoints)
+	s.front = front.New(s.frontOptions(), gate)
+}
+
+func (s *sparqlServer) frontOptions() front.Options {
+	o := s.options
+	return front.Options{
+		Path:         o.Path,
+		Tenant:       o.Tenant,
+		TenantHeader: o.TenantHeader,
+		Rules:        o.Rules(),
+		Usual:        milliseconds(o.TimeoutMS),
+		Most:         milliseconds(o.MaxTimeoutMS),
+		Services:     o.Services,
+		Conns:        o.Connections,
+		Shapes:       maxQueryShapes,
+		Marks:        o.IdempotencyKeys,
+		Window:       milliseconds(o.IdempotencyWindowMS),
+	}
 }
 
-func (s *side) serve() {
-	if s.o != nil {
-		slog.Info("serving_sparql", "address", s.listener.Addr(), "path", s.o.Path, "endpoints", len(s.o.Endpoints))
-		go s.front.Serve(s.listener)
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// start begins to serve clients. It does not wait.
+func (s *sparqlServer) start() {
+	if s.options == nil {
+		return
 	}
+	slog.Info("serving_sparql", "address", s.listener.Addr(), "path", s.options.Path,
+		"endpoints", len(s.options.Endpoints))
+	go s.front.Serve(s.listener)
 }
 
-func (s *side) owed() int64 {
-	if s.o == nil {
+// owed returns how many answers are owed to clients.
+func (s *sparqlServer) owed() int64 {
+	if s.options == nil {
 		return 0
 	}
 	return s.front.Owed()
 }
 
-func (s *side) close() {
-	if s.o != nil {
-		s.front.Close()
-		s.listener.Close()
+func (s *sparqlServer) close() {
+	if s.options == nil {
+		return
 	}
+	s.front.Close()
+	_ = s.listener.Close() // the front has closed it, unless it never served
 }
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -76,8 +76,8 @@
 // patient are the facts with SLA times that no machine is too slow for.
 var patient = strings.NewReplacer(`"aim_ns":5e8`, `"aim_ns":5e12`, `"aim_ns":3e9`, `"aim_ns":3e12`).Replace(facts)
 
-// taught starts a gateway that has two engines in its list and what an older process has learned, told by the operator's
-// file of testdata, and its stats server.
+// taught starts a gateway that has two engines in its list and what an older process has learned, told by the
+// operator's file of testdata, and its stats server.
 func taught(t *testing.T) (gate *gateway.Gateway, address string, stays <-chan struct{}) {
 	t.Helper()
 	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
@@ -94,23 +94,22 @@
 	gate = gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
 		Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }}})
 	t.Cleanup(gate.Close)
-	told, err := newTeller(own.Stats, gate)
+	stats, err := newStatsServer(files{operator: own, settings: settings}, gate, func() int64 { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(told.close)
-	told.force(own.Stats, settings)
+	t.Cleanup(stats.close)
 	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	gate.UpdateEngines(ev, true)
-	teach(own.Stats, gate)
-	return gate, told.server.Address(), engines.stays
+	restoreSnapshot(own.Stats, gate)
+	return gate, stats.server.Address(), engines.stays
 }
 
-// What an older process has learned goes into a new one by the operator's file, under the same keys and in the same order
-// of figures.
+// What an older process has learned goes into a new one by the operator's file, under the same keys and in the same
+// order of figures.
 func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
 	gate, _, _ := taught(t)
 	means, health := gate.TypeStats(), gate.EngineHealth()
@@ -169,7 +168,7 @@
 // A snapshot that cannot be read teaches nothing; of its two parts each is taken by itself.
 func TestASnapshotThatCannotBeReadTeachesNothing(t *testing.T) {
 	for name, c := range map[string]struct {
-		tally  operator.Stats
+		stats  operator.Stats
 		usual  float64
 		health bool
 	}{
@@ -193,7 +192,7 @@
 				t.Fatal(err)
 			}
 			gate.UpdateEngines(ev, true)
-			teach(&c.tally, gate)
+			restoreSnapshot(&c.stats, gate)
 			text, err := json.Marshal(gate.TypeStats()["lookup"])
 			if err != nil {
 				t.Fatal(err)
