--- a/cmd/fleetview/report.go
+++ b/cmd/fleetview/report.go
@@ -100,7 +100,7 @@
 <h1>Change {{.R.Change.Number}}: {{.R.State.Phase}}</h1>
 <p>{{.R.Change.Title}} ({{.R.Change.Kind}}) {{.R.From.Digest}} to {{.R.To.Digest}}. {{.R.State.Outcome}}</p>
 <h2>Stages</h2><table><tr><th>stage<th>controllers{{range $i, $s := .R.Stages}}<tr><td>{{stage $i}}<td>{{range $s}}{{.}} {{end}}{{end}}</table>
-<h2>Verdicts</h2><table><tr><th>verdict<th>odds of harm<th>jobs new<th>old<th>why{{range .R.State.Verdicts}}<tr><td>{{.Kind}}<td>{{pc .Odds}}<td>{{.NewJob}}<td>{{.OldJob}}<td>{{.Why}}{{end}}</table>
+<h2>Verdicts</h2><table><tr><th>verdict<th>odds of harm<th>jobs new<th>old<th>why{{range .R.State.Verdicts}}<tr><td>{{.Conclusion}}<td>{{pc .EValue}}<td>{{.NewJobs}}<td>{{.OldJobs}}<td>{{.Reason}}{{end}}</table>
 <h2>Old against new</h2>{{range .Charts}}{{.}}{{end}}
 <h2>Transitions</h2><table><tr><th>at<th>phase<th>stage<th>order<th>why{{range .Steps}}<tr><td>{{time .At}}<td>{{.Phase}}<td>{{stage .Stage}}<td>{{.Fence}}<td>{{.Why}}{{end}}</table>
 `))
--- a/cmd/fleetview/report_test.go
+++ b/cmd/fleetview/report_test.go
@@ -30,7 +30,7 @@
 	}
 	var r coordinator.Record
 	r.Change.Number, r.Change.Title, r.Stages = 7, "a <b>change</b>", [][]string{{"c1"}, {"c1", "c2"}}
-	r.State = rollout.State{Phase: rollout.Back, Outcome: "stage 1 does worse", Verdicts: []canary.Verdict{{Kind: canary.Worse, Why: "lookups", Odds: 900}}}
+	r.State = rollout.State{Phase: rollout.Back, Outcome: "stage 1 does worse", Verdicts: []canary.Verdict{{Conclusion: canary.Regressed, Reason: "lookups", EValue: 900}}}
 	write("change.json", r)
 	var points []any
 	began := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
--- a/cmd/fleetview/watch.go
+++ b/cmd/fleetview/watch.go
@@ -89,16 +89,16 @@
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tVERSION\tRUNS\tSERVES\tOWED\tORDER\tENDS\tNOTE")
 	for i, a := range fleet.Ask(context.Background()) {
-		runs, note := "other", a.Status.Failed
+		runs, note := "other", a.Status.Failure
 		switch {
 		case a.Err != nil:
 			runs, note = "?", a.Err.Error()
-		case is && a.Status.Running == r.To.Digest():
+		case is && a.Status.RunningSpec == r.To.Digest():
 			runs = "new"
-		case is && a.Status.Running == r.From.Digest():
+		case is && a.Status.RunningSpec == r.From.Digest():
 			runs = "old"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, a.Status.Version, runs, a.Status.Serves, a.Status.Owed, a.Status.Fence, a.Status.Crashes, note)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, a.Status.Version, runs, a.Status.Serving, a.Status.OwedAnswers, a.Status.Fence, a.Status.Crashes, note)
 	}
 	w.Flush()
 	return b.String()
--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -39,27 +39,27 @@
 	if o == nil {
 		return t, nil
 	}
-	book, began := jobstats.NewBook(), failpoint.Wall().UnixNano()
+	book, began := jobstats.NewRecorder(), failpoint.Wall().UnixNano()
 	gate.Count(book)
 	var err error
 	t.server, err = jobstats.Serve(o.Listen, func() (r jobstats.Report) {
-		book.Fill(&r)
+		book.FillReport(&r)
 		now := t.inForce.Load()
-		r.Started, r.Version, r.Spec, r.Settings = began, version.Name, now.spec, now.settings
-		r.Ready, r.Refused, r.Aside = gate.Ready(), counters.Value("reloads_failed"), gate.Aside()
-		r.Health, _ = json.Marshal(gate.Health())
-		r.Engines, r.Carries = gate.Engines(), int64(1e6*gate.Carries())
-		r.Learned, _ = json.Marshal(gate.Learned()) // figures that JSON cannot hold are not told
+		r.StartedUnixNS, r.Version, r.SpecDigest, r.SettingsDigest = began, version.Name, now.spec, now.settings
+		r.Ready, r.ReloadsFailed, r.EjectedEngines = gate.Ready(), counters.Value("reloads_failed"), gate.Aside()
+		r.EngineHealth, _ = json.Marshal(gate.Health())
+		r.ReadyEngines, r.SharePerMillion = gate.Engines(), int64(1e6*gate.Carries())
+		r.LearnedEstimates, _ = json.Marshal(gate.Learned()) // figures that JSON cannot hold are not told
 		if owed, is := t.owed.Load().(func() int64); is {
-			r.Owed = owed()
+			r.OwedAnswers = owed()
 		}
 		return r
-	}, func(p jobstats.Part) {
+	}, func(p jobstats.Share) {
 		quotas := map[string]float64{}
-		for name, n := range p.Quotas {
+		for name, n := range p.TenantQuotas {
 			quotas[name] = float64(n) / 1e6
 		}
-		if left := p.UntilNS - monotonic.Now(); left > 0 {
+		if left := p.ExpiryNS - monotonic.Now(); left > 0 {
 			gate.Part(float64(p.PerMillion)/1e6, quotas, time.Duration(left))
 		}
 	})
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -23,16 +23,16 @@
 	silent                     bool // the new version gets jobs of type report only
 }
 
-func (f *sampleFleet) work(isNew bool, typ string) Work {
+func (f *sampleFleet) work(isNew bool, typ string) JobCounts {
 	jobs := 5 + f.random.IntN(20)
-	w := Work{Took: make([]uint64, 48)}
+	w := JobCounts{LatencyBuckets: make([]uint64, 48)}
 	for range jobs {
 		w.Jobs++
 		w.Dispatches++
 		draw := f.random.Float64()
 		if isNew && f.random.Float64() < f.further {
 			w.Dispatches++
-			w.Further++
+			w.Retries++
 		}
 		if isNew && f.random.Float64() < f.cancelled {
 			w.Cancelled++
@@ -48,7 +48,7 @@
 			limit += f.missed
 		}
 		if draw >= limit {
-			w.Within++
+			w.WithinSLA++
 		}
 		bucket := 10 + f.random.IntN(12)
 		if typ == "report" {
@@ -57,23 +57,23 @@
 		if isNew {
 			bucket += f.later
 		}
-		w.Took[bucket]++
+		w.LatencyBuckets[bucket]++
 	}
 	return w
 }
 
-func (f *sampleFleet) look(newMembers int) []Seen {
-	var list []Seen
+func (f *sampleFleet) look(newMembers int) []Sample {
+	var list []Sample
 	for i := range 4 {
 		isNew := i < newMembers
-		s := Seen{Member: fmt.Sprintf("c%d", i+1), New: isNew, MemoryMB: 30 + 2*f.random.Float64(), CPU: 40e6, Probes: 5, Aside: i % 2,
-			Work: map[Group]Work{}}
+		s := Sample{Member: fmt.Sprintf("c%d", i+1), IsNew: isNew, MemoryMB: 30 + 2*f.random.Float64(), CPUNS: 40e6, Probes: 5, EjectedEngines: i % 2,
+			Counts: map[Group]JobCounts{}}
 		for _, g := range []Group{{Type: "lookup", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}, {Type: "report", Tenant: "acme"}} {
 			w := f.work(isNew, g.Type)
 			if isNew && f.silent && g.Type == "lookup" {
 				continue
 			}
-			s.Work[g] = w
+			s.Counts[g] = w
 		}
 		if isNew {
 			s.Probes += f.probes
@@ -90,10 +90,10 @@
 }
 
 // sampleBase is what thirty looks at an unchanged fleet gave.
-func sampleBase(f *sampleFleet) *Base {
-	b := NewBase()
+func sampleBase(f *sampleFleet) *Baseline {
+	b := NewBaseline()
 	for range 30 {
-		b.Look(f.look(0))
+		b.Observe(f.look(0))
 	}
 	return b
 }
@@ -123,20 +123,20 @@
 				f := newSampleFleet(seed)
 				base := sampleBase(f)
 				members := []string{"c1", "c2", "c3", "c4"}[:newMembers]
-				judge := NewJudge(Usual(), base, members)
+				judge := NewAnalysis(DefaultLimits(), base, members)
 				c.change(f)
-				var recovery Recovery
+				var recovery RecoveryCheck
 				for look := range 40 {
 					list := f.look(newMembers)
-					judge.Look(list)
+					judge.Observe(list)
 					v := judge.Verdict(look >= 30)
-					if look%4 != 3 && v.Kind == Open {
+					if look%4 != 3 && v.Conclusion == Inconclusive {
 						continue
 					}
-					recovered := recovery.Look(Usual(), base, list)
+					recovered := recovery.Observe(DefaultLimits(), base, list)
 					fmt.Fprintf(&text, "%s, seed %d, %d new, look %d: %s odds %.12g of %g, new %d old %d, scarce %q, recovered %t: %s\n",
-						c.name, seed, newMembers, look, v.Kind, v.Odds, v.Wanted, v.NewJob, v.OldJob, v.Scarce, recovered, v.Why)
-					if v.Kind != Open {
+						c.name, seed, newMembers, look, v.Conclusion, v.EValue, v.Threshold, v.NewJobs, v.OldJobs, v.ScarceType, recovered, v.Reason)
+					if v.Conclusion != Inconclusive {
 						break
 					}
 				}
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "base.json", text)
-	stored := NewBase()
+	stored := NewBaseline()
 	if err := json.Unmarshal(text, stored); err != nil {
 		t.Fatal(err)
 	}
@@ -165,12 +165,12 @@
 		t.Errorf("read back it is written otherwise (%v):\n%s", err, again)
 	}
 	f.cancelled = 0.02
-	fromMemory := NewJudge(Usual(), base, []string{"c1"})
-	fromFile := NewJudge(Usual(), stored, []string{"c1"})
+	fromMemory := NewAnalysis(DefaultLimits(), base, []string{"c1"})
+	fromFile := NewAnalysis(DefaultLimits(), stored, []string{"c1"})
 	for look := range 40 {
 		list := f.look(1)
-		fromMemory.Look(list)
-		fromFile.Look(list)
+		fromMemory.Observe(list)
+		fromFile.Observe(list)
 		if a, b := fromMemory.Verdict(true), fromFile.Verdict(true); a != b {
 			t.Fatalf("look %d: %+v by memory, %+v by the file", look, a, b)
 		}
@@ -180,10 +180,10 @@
 // TestJSONOfVerdictsLimitsAndWork holds the keys of what is stored or told.
 func TestJSONOfVerdictsLimitsAndWork(t *testing.T) {
 	values := map[string]any{
-		"verdict.json": Verdict{Kind: Shared, Why: "why", Odds: 1.5, Wanted: 500, NewJob: 3, OldJob: 4, Scarce: "lookup"},
-		"limits.json":  Usual(),
-		"work.json": map[Group]Work{
-			{Type: "lookup", Tenant: "a b"}: {Jobs: 9, Within: 8, Done: 7, Throttled: 1, Cancelled: 2, Dispatches: 12, Further: 3, Took: []uint64{0, 7}},
+		"verdict.json": Verdict{Conclusion: AllRegressed, Reason: "why", EValue: 1.5, Threshold: 500, NewJobs: 3, OldJobs: 4, ScarceType: "lookup"},
+		"limits.json":  DefaultLimits(),
+		"work.json": map[Group]JobCounts{
+			{Type: "lookup", Tenant: "a b"}: {Jobs: 9, WithinSLA: 8, Done: 7, Throttled: 1, Cancelled: 2, Dispatches: 12, Retries: 3, LatencyBuckets: []uint64{0, 7}},
 			{Type: "report", Tenant: `q"`}:  {},
 		},
 		"group.json": struct{ G []Group }{[]Group{{Type: "lookup", Tenant: "acme"}}},
@@ -199,17 +199,22 @@
 
 // TestSumsAndDifferencesOfWork holds the arithmetic on counts, which readers of reports rely on.
 func TestSumsAndDifferencesOfWork(t *testing.T) {
+	// textOf names the figures as the golden file does, whatever the fields are called.
+	textOf := func(c JobCounts) string {
+		return fmt.Sprintf("{Jobs:%d Within:%d Done:%d Throttled:%d Cancelled:%d Dispatches:%d Further:%d Took:%v}", c.Jobs, c.WithinSLA, c.Done,
+			c.Throttled, c.Cancelled, c.Dispatches, c.Retries, c.LatencyBuckets)
+	}
 	f := newSampleFleet(11)
 	first, second := f.look(2), f.look(2)
 	var text bytes.Buffer
 	for _, isNew := range []bool{true, false} {
-		fmt.Fprintf(&text, "sum %t: %+v\n", isNew, Sum(second, isNew))
+		fmt.Fprintf(&text, "sum %t: %s\n", isNew, textOf(SumCounts(second, isNew)))
 	}
 	for i := range first {
 		for _, g := range []Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}} {
-			fmt.Fprintf(&text, "%s %s: %+v\n", first[i].Member, g.Type, second[i].Work[g].Less(first[i].Work[g]))
+			fmt.Fprintf(&text, "%s %s: %s\n", first[i].Member, g.Type, textOf(second[i].Counts[g].Minus(first[i].Counts[g])))
 		}
 	}
-	fmt.Fprintf(&text, "shorter: %+v\n", Work{Jobs: 3, Took: []uint64{1, 2, 3}}.Less(Work{Jobs: 5, Took: []uint64{1}}))
+	fmt.Fprintf(&text, "shorter: %s\n", textOf(JobCounts{Jobs: 3, LatencyBuckets: []uint64{1, 2, 3}}.Minus(JobCounts{Jobs: 5, LatencyBuckets: []uint64{1}})))
 	golden.Check(t, "arithmetic.txt", text.Bytes())
 }
--- a/internal/canary/judge_test.go
+++ b/internal/canary/judge_test.go
@@ -7,74 +7,74 @@
 
 var lookup, report = Group{"lookup", "a"}, Group{"report", "a"}
 
-func work(jobs, missed, cancelled, bucket int) Work {
-	w := Work{Jobs: uint64(jobs), Within: uint64(jobs - missed - cancelled), Done: uint64(jobs - cancelled), Cancelled: uint64(cancelled),
-		Dispatches: uint64(jobs), Took: make([]uint64, 40)}
-	w.Took[bucket] = w.Done
+func work(jobs, missed, cancelled, bucket int) JobCounts {
+	w := JobCounts{Jobs: uint64(jobs), WithinSLA: uint64(jobs - missed - cancelled), Done: uint64(jobs - cancelled), Cancelled: uint64(cancelled),
+		Dispatches: uint64(jobs), LatencyBuckets: make([]uint64, 40)}
+	w.LatencyBuckets[bucket] = w.Done
 	return w
 }
 
 // stage plays a base and looks at a stage on c1; each gives the work of a look.
-func stage(looks int, old, new func(i int) map[Group]Work) Verdict {
-	b := NewBase()
-	list := func(i int, first func(int) map[Group]Work, on bool) []Seen {
-		return []Seen{{Member: "c1", New: on, Work: first(i), MemoryMB: 20}, {Member: "c2", Work: old(i), MemoryMB: 20}, {Member: "c3", Work: old(i), MemoryMB: 20}}
+func stage(looks int, old, new func(i int) map[Group]JobCounts) Verdict {
+	b := NewBaseline()
+	list := func(i int, first func(int) map[Group]JobCounts, on bool) []Sample {
+		return []Sample{{Member: "c1", IsNew: on, Counts: first(i), MemoryMB: 20}, {Member: "c2", Counts: old(i), MemoryMB: 20}, {Member: "c3", Counts: old(i), MemoryMB: 20}}
 	}
 	for i := range 30 {
-		b.Look(list(i, old, false))
+		b.Observe(list(i, old, false))
 	}
-	j := NewJudge(Usual(), b, []string{"c1"})
+	j := NewAnalysis(DefaultLimits(), b, []string{"c1"})
 	v := Verdict{}
 	for i := range looks {
-		j.Look(list(i, new, true))
-		if v = j.Verdict(i == looks-1); v.Kind == Worse || v.Kind == Shared {
+		j.Observe(list(i, new, true))
+		if v = j.Verdict(i == looks-1); v.Conclusion == Regressed || v.Conclusion == AllRegressed {
 			return v
 		}
 	}
 	return v
 }
 
-func both(missed, cancelled, bucket int) func(int) map[Group]Work {
-	return func(i int) map[Group]Work {
-		return map[Group]Work{lookup: work(20, missed, cancelled, bucket), report: work(10, 0, 0, 20)}
+func both(missed, cancelled, bucket int) func(int) map[Group]JobCounts {
+	return func(i int) map[Group]JobCounts {
+		return map[Group]JobCounts{lookup: work(20, missed, cancelled, bucket), report: work(10, 0, 0, 20)}
 	}
 }
 
 func TestAStageIsJudged(t *testing.T) {
 	for name, c := range map[string]struct {
-		old, new func(int) map[Group]Work
-		kind     Kind
+		old, new func(int) map[Group]JobCounts
+		kind     Conclusion
 		why      string
 	}{
-		"alike":      {both(1, 0, 10), both(1, 0, 10), Even, "no evidence"},
-		"cancels":    {both(1, 0, 10), both(1, 2, 10), Worse, "lookup of a: cancelled for good"},
-		"misses":     {both(1, 0, 10), both(7, 0, 10), Worse, "missed the SLA time"},
-		"slow":       {both(1, 0, 10), both(1, 0, 14), Worse, "slower"},
-		"all worse":  {both(1, 0, 10), nil, Shared, "all miss more"},
-		"one type":   {both(1, 0, 10), func(int) map[Group]Work { return map[Group]Work{report: work(10, 0, 0, 20)} }, Open, "too few jobs of lookup"},
-		"no traffic": {both(1, 0, 10), func(int) map[Group]Work { return nil }, Open, "too few jobs"},
+		"alike":      {both(1, 0, 10), both(1, 0, 10), NoRegression, "no evidence"},
+		"cancels":    {both(1, 0, 10), both(1, 2, 10), Regressed, "lookup of a: cancelled for good"},
+		"misses":     {both(1, 0, 10), both(7, 0, 10), Regressed, "missed the SLA time"},
+		"slow":       {both(1, 0, 10), both(1, 0, 14), Regressed, "slower"},
+		"all worse":  {both(1, 0, 10), nil, AllRegressed, "all miss more"},
+		"one type":   {both(1, 0, 10), func(int) map[Group]JobCounts { return map[Group]JobCounts{report: work(10, 0, 0, 20)} }, Inconclusive, "too few jobs of lookup"},
+		"no traffic": {both(1, 0, 10), func(int) map[Group]JobCounts { return nil }, Inconclusive, "too few jobs"},
 	} {
 		if c.new == nil { // the stage hurts all
 			old := c.old
-			now := func(i int) map[Group]Work { return both(9, 0, 10)(i) }
-			b := NewBase()
+			now := func(i int) map[Group]JobCounts { return both(9, 0, 10)(i) }
+			b := NewBaseline()
 			for i := range 30 {
-				b.Look([]Seen{{Member: "c1", Work: old(i)}, {Member: "c2", Work: old(i)}})
+				b.Observe([]Sample{{Member: "c1", Counts: old(i)}, {Member: "c2", Counts: old(i)}})
 			}
-			j := NewJudge(Usual(), b, []string{"c1"})
+			j := NewAnalysis(DefaultLimits(), b, []string{"c1"})
 			v := Verdict{}
 			for i := range 60 {
-				j.Look([]Seen{{Member: "c1", New: true, Work: now(i)}, {Member: "c2", Work: now(i)}})
-				if v = j.Verdict(false); v.Kind != Open {
+				j.Observe([]Sample{{Member: "c1", IsNew: true, Counts: now(i)}, {Member: "c2", Counts: now(i)}})
+				if v = j.Verdict(false); v.Conclusion != Inconclusive {
 					break
 				}
 			}
-			if v.Kind != c.kind || !strings.Contains(v.Why, c.why) {
+			if v.Conclusion != c.kind || !strings.Contains(v.Reason, c.why) {
 				t.Errorf("%s: %+v", name, v)
 			}
 			continue
 		}
-		if v := stage(60, c.old, c.new); v.Kind != c.kind || !strings.Contains(v.Why, c.why) {
+		if v := stage(60, c.old, c.new); v.Conclusion != c.kind || !strings.Contains(v.Reason, c.why) {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
@@ -82,52 +82,52 @@
 
 func TestGuardsAndCrashes(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(*Seen, int)
+		change func(*Sample, int)
 		why    string
 	}{
-		"crashes": {func(s *Seen, i int) { s.Crashes = uint64(i % 2) }, "ended or failed to start 2 times"},
-		"leaks":   {func(s *Seen, i int) { s.MemoryMB += float64(5 * i) }, "memory"},
-		"floods":  {func(s *Seen, i int) { s.Probes = 200 }, "probes a job"},
-		"shuns":   {func(s *Seen, i int) { s.Aside = 3 }, "engines set aside"},
-		"burns":   {func(s *Seen, i int) { s.CPU = 300e6 }, "CPU a job"},
-		"a spike": {func(s *Seen, i int) { s.Probes = uint64(i % 3 * 100) }, ""},
+		"crashes": {func(s *Sample, i int) { s.Crashes = uint64(i % 2) }, "ended or failed to start 2 times"},
+		"leaks":   {func(s *Sample, i int) { s.MemoryMB += float64(5 * i) }, "memory"},
+		"floods":  {func(s *Sample, i int) { s.Probes = 200 }, "probes a job"},
+		"shuns":   {func(s *Sample, i int) { s.EjectedEngines = 3 }, "engines set aside"},
+		"burns":   {func(s *Sample, i int) { s.CPUNS = 300e6 }, "CPU a job"},
+		"a spike": {func(s *Sample, i int) { s.Probes = uint64(i % 3 * 100) }, ""},
 	} {
-		b := NewBase()
-		look := func(i int, on bool) []Seen {
-			list := []Seen{{Member: "c1", New: on, Work: both(1, 0, 10)(i), MemoryMB: 20, CPU: 6e6}, {Member: "c2", Work: both(1, 0, 10)(i), MemoryMB: 20, CPU: 6e6}}
+		b := NewBaseline()
+		look := func(i int, on bool) []Sample {
+			list := []Sample{{Member: "c1", IsNew: on, Counts: both(1, 0, 10)(i), MemoryMB: 20, CPUNS: 6e6}, {Member: "c2", Counts: both(1, 0, 10)(i), MemoryMB: 20, CPUNS: 6e6}}
 			if on {
 				c.change(&list[0], i)
 			}
 			return list
 		}
 		for i := range 20 {
-			b.Look(look(i, false))
+			b.Observe(look(i, false))
 		}
-		j, v := NewJudge(Usual(), b, []string{"c1"}), Verdict{}
+		j, v := NewAnalysis(DefaultLimits(), b, []string{"c1"}), Verdict{}
 		for i := range 20 {
-			j.Look(look(i, true))
-			if v = j.Verdict(false); v.Kind == Worse {
+			j.Observe(look(i, true))
+			if v = j.Verdict(false); v.Conclusion == Regressed {
 				break
 			}
 		}
-		if (v.Kind == Worse) != (c.why != "") || !strings.Contains(v.Why, c.why) {
+		if (v.Conclusion == Regressed) != (c.why != "") || !strings.Contains(v.Reason, c.why) {
 			t.Errorf("%s: %+v", name, v)
 		}
 	}
 }
 
 func TestHabitsOfAControllerAreNoHarm(t *testing.T) {
-	b := NewBase()
-	look := func(on bool) []Seen { // c1 always misses more than the others
-		return []Seen{{Member: "c1", New: on, Work: both(4, 0, 10)(0)}, {Member: "c2", Work: both(1, 0, 10)(0)}, {Member: "c3", Work: both(1, 0, 10)(0)}}
+	b := NewBaseline()
+	look := func(on bool) []Sample { // c1 always misses more than the others
+		return []Sample{{Member: "c1", IsNew: on, Counts: both(4, 0, 10)(0)}, {Member: "c2", Counts: both(1, 0, 10)(0)}, {Member: "c3", Counts: both(1, 0, 10)(0)}}
 	}
 	for range 30 {
-		b.Look(look(false))
+		b.Observe(look(false))
 	}
-	j := NewJudge(Usual(), b, []string{"c1"})
+	j := NewAnalysis(DefaultLimits(), b, []string{"c1"})
 	for i := range 100 {
-		j.Look(look(true))
-		if v := j.Verdict(true); v.Kind == Worse {
+		j.Observe(look(true))
+		if v := j.Verdict(true); v.Conclusion == Regressed {
 			t.Fatalf("look %d: %+v", i, v)
 		}
 	}
--- a/internal/canary/recovery.go
+++ b/internal/canary/recovery.go
@@ -1,17 +1,17 @@
 package canary
 
 // Recovery tells whether all do again as they did before the first stage, over the last looks.
-type Recovery struct {
+type RecoveryCheck struct {
 	looks [5]arm
 	n     int
 }
 
 // Look takes a look in, and tells.
-func (r *Recovery) Look(l Limits, b *Base, list []Seen) bool {
+func (r *RecoveryCheck) Observe(l Limits, b *Baseline, list []Sample) bool {
 	r.looks[r.n%len(r.looks)] = total(list)
 	r.n++
 	var was, now arm
-	for _, w := range b.All {
+	for _, w := range b.Counts {
 		c := count(*w, missed, [2]int{})
 		was = arm{was.bad + c.bad, was.all + c.all}
 	}
--- a/internal/canary/seen.go
+++ b/internal/canary/seen.go
@@ -15,27 +15,27 @@
 }
 
 // Work is what a controller did for a group since the look before.
-type Work struct {
-	Jobs       uint64   `json:"jobs"`           // that got their final answer
-	Within     uint64   `json:"within"`         // of these, done within their SLA time
-	Done       uint64   `json:"done"`           // of these, done at all
-	Throttled  uint64   `json:"throttled"`      // of these
-	Cancelled  uint64   `json:"cancelled"`      // for good, of these
-	Dispatches uint64   `json:"dispatches"`     // that ended
-	Further    uint64   `json:"further"`        // of these, beyond their job's first
-	Took       []uint64 `json:"took,omitempty"` // of jobs done, how many by Bucket of their latency
+type JobCounts struct {
+	Jobs           uint64   `json:"jobs"`           // that got their final answer
+	WithinSLA      uint64   `json:"within"`         // of these, done within their SLA time
+	Done           uint64   `json:"done"`           // of these, done at all
+	Throttled      uint64   `json:"throttled"`      // of these
+	Cancelled      uint64   `json:"cancelled"`      // for good, of these
+	Dispatches     uint64   `json:"dispatches"`     // that ended
+	Retries        uint64   `json:"further"`        // of these, beyond their job's first
+	LatencyBuckets []uint64 `json:"took,omitempty"` // of jobs done, how many by Bucket of their latency
 }
 
 // Seen is what was seen of a controller since the look before.
-type Seen struct {
-	Member   string
-	New      bool // it runs the new version, and was asked long enough ago to be steady
-	Work     map[Group]Work
-	Probes   uint64
-	CPU      int64   // ns
-	Crashes  uint64  // ends that nobody ordered, and starts that failed
-	MemoryMB float64 // now
-	Aside    int     // engines that it has set aside, now
+type Sample struct {
+	Member         string
+	IsNew          bool // it runs the new version, and was asked long enough ago to be steady
+	Counts         map[Group]JobCounts
+	Probes         uint64
+	CPUNS          int64   // ns
+	Crashes        uint64  // ends that nobody ordered, and starts that failed
+	MemoryMB       float64 // now
+	EjectedEngines int     // engines that it has set aside, now
 }
 
 // measure is one thing in which a version may be worse.
@@ -56,53 +56,53 @@
 
 // Limits say how much worse is worse: parts of a thousand that the new version may be worse by, and guards.
 type Limits struct {
-	MissedPerMille    int64 `json:"missed_per_mille"`
-	ThrottledPerMille int64 `json:"throttled_per_mille"`
-	CancelledPerMille int64 `json:"cancelled_per_mille"`
-	FurtherPerMille   int64 `json:"further_per_mille"`
-	SlowerPerMille    int64 `json:"slower_per_mille"`  // of jobs that pass the old version's median, and its ninth decile
-	SharedPerMille    int64 `json:"shared_per_mille"`  // of jobs that miss, old and new, against before the stage
-	MemoryPercent     int64 `json:"memory_percent"`    // over the old version's median
-	CPUPercent        int64 `json:"cpu_percent"`       // a job, over the old version's mean
-	ProbesPercent     int64 `json:"probes_percent"`    // a job, over the old version's mean
-	Crashes           int64 `json:"crashes"`           // that many of one controller are worse
-	WrongPerMillion   int64 `json:"wrong_per_million"` // chance that a change that changes nothing is called worse in a stage
-	LeanPerMille      int64 `json:"lean_per_mille"`    // evidence of harm over this, against 1,000, and a stage is not passed
-	JobsWanted        int64 `json:"jobs_wanted"`       // of each type that the fleet serves, on the new version
-	ScarcePerMille    int64 `json:"scarce_per_mille"`  // a type with a smaller part of the jobs is not waited for
+	MissedPerMille       int64 `json:"missed_per_mille"`
+	ThrottledPerMille    int64 `json:"throttled_per_mille"`
+	CancelledPerMille    int64 `json:"cancelled_per_mille"`
+	RetriesPerMille      int64 `json:"further_per_mille"`
+	SlowerPerMille       int64 `json:"slower_per_mille"`  // of jobs that pass the old version's median, and its ninth decile
+	SharedPerMille       int64 `json:"shared_per_mille"`  // of jobs that miss, old and new, against before the stage
+	MemoryPercent        int64 `json:"memory_percent"`    // over the old version's median
+	CPUPercent           int64 `json:"cpu_percent"`       // a job, over the old version's mean
+	ProbesPercent        int64 `json:"probes_percent"`    // a job, over the old version's mean
+	MaxCrashes           int64 `json:"crashes"`           // that many of one controller are worse
+	FalseAlarmPerMillion int64 `json:"wrong_per_million"` // chance that a change that changes nothing is called worse in a stage
+	MaxEValuePerMille    int64 `json:"lean_per_mille"`    // evidence of harm over this, against 1,000, and a stage is not passed
+	MinJobs              int64 `json:"jobs_wanted"`       // of each type that the fleet serves, on the new version
+	MinTypePerMille      int64 `json:"scarce_per_mille"`  // a type with a smaller part of the jobs is not waited for
 }
 
 // Usual are the limits where a change states none.
-func Usual() Limits {
-	return Limits{MissedPerMille: 5, ThrottledPerMille: 10, CancelledPerMille: 2, FurtherPerMille: 20, SlowerPerMille: 50,
-		SharedPerMille: 50, MemoryPercent: 50, CPUPercent: 100, ProbesPercent: 200, Crashes: 2, WrongPerMillion: 2000,
-		LeanPerMille: 5000, JobsWanted: 200, ScarcePerMille: 20}
+func DefaultLimits() Limits {
+	return Limits{MissedPerMille: 5, ThrottledPerMille: 10, CancelledPerMille: 2, RetriesPerMille: 20, SlowerPerMille: 50,
+		SharedPerMille: 50, MemoryPercent: 50, CPUPercent: 100, ProbesPercent: 200, MaxCrashes: 2, FalseAlarmPerMillion: 2000,
+		MaxEValuePerMille: 5000, MinJobs: 200, MinTypePerMille: 20}
 }
 
 // part is how much worse is worse in a measure.
 func (l Limits) part(m measure) float64 {
-	return float64([measures]int64{l.MissedPerMille, l.ThrottledPerMille, l.CancelledPerMille, l.FurtherPerMille,
+	return float64([measures]int64{l.MissedPerMille, l.ThrottledPerMille, l.CancelledPerMille, l.RetriesPerMille,
 		l.SlowerPerMille, l.SlowerPerMille}[m]) / 1000
 }
 
 // count reads a measure's counts off a group's work; over are the buckets past the two latencies.
-func count(w Work, m measure, over [2]int) arm {
+func count(w JobCounts, m measure, over [2]int) arm {
 	slow := func(bucket int) arm {
 		a := arm{all: float64(w.Done)}
-		for i := bucket + 1; i < len(w.Took); i++ {
-			a.bad += float64(w.Took[i])
+		for i := bucket + 1; i < len(w.LatencyBuckets); i++ {
+			a.bad += float64(w.LatencyBuckets[i])
 		}
 		return a
 	}
 	switch m {
 	case missed:
-		return arm{float64(w.Jobs - w.Within), float64(w.Jobs)}
+		return arm{float64(w.Jobs - w.WithinSLA), float64(w.Jobs)}
 	case throttled:
 		return arm{float64(w.Throttled), float64(w.Jobs)}
 	case cancelled:
 		return arm{float64(w.Cancelled), float64(w.Jobs)}
 	case further:
-		return arm{float64(w.Further), float64(w.Dispatches)}
+		return arm{float64(w.Retries), float64(w.Dispatches)}
 	case slower:
 		return slow(over[0])
 	}
@@ -110,31 +110,31 @@
 }
 
 // put adds work to a group's sum.
-func put(sums map[Group]*Work, g Group, o Work) {
+func put(sums map[Group]*JobCounts, g Group, o JobCounts) {
 	w := sums[g]
 	if w == nil {
-		w = &Work{}
+		w = &JobCounts{}
 		sums[g] = w
 	}
-	w.Jobs, w.Within, w.Done, w.Throttled, w.Cancelled = w.Jobs+o.Jobs, w.Within+o.Within, w.Done+o.Done, w.Throttled+o.Throttled, w.Cancelled+o.Cancelled
-	w.Dispatches, w.Further = w.Dispatches+o.Dispatches, w.Further+o.Further
-	if n := len(o.Took) - len(w.Took); n > 0 {
-		w.Took = append(w.Took, make([]uint64, n)...)
+	w.Jobs, w.WithinSLA, w.Done, w.Throttled, w.Cancelled = w.Jobs+o.Jobs, w.WithinSLA+o.WithinSLA, w.Done+o.Done, w.Throttled+o.Throttled, w.Cancelled+o.Cancelled
+	w.Dispatches, w.Retries = w.Dispatches+o.Dispatches, w.Retries+o.Retries
+	if n := len(o.LatencyBuckets) - len(w.LatencyBuckets); n > 0 {
+		w.LatencyBuckets = append(w.LatencyBuckets, make([]uint64, n)...)
 	}
-	for i, n := range o.Took {
-		w.Took[i] += n
+	for i, n := range o.LatencyBuckets {
+		w.LatencyBuckets[i] += n
 	}
 }
 
 // get is a sum that may not be there yet.
-func (w *Work) get() Work {
+func (w *JobCounts) get() JobCounts {
 	if w == nil {
-		return Work{}
+		return JobCounts{}
 	}
 	return *w
 }
 
-func (w *Work) took() []uint64 { return w.get().Took }
+func (w *JobCounts) took() []uint64 { return w.get().LatencyBuckets }
 
 // deciles are the buckets of the median and the ninth decile of all parts together.
 func deciles(parts ...[]uint64) (over [2]int) {
@@ -161,10 +161,10 @@
 }
 
 // groups are those of some controllers, in order.
-func groups(list []Seen) []Group {
+func groups(list []Sample) []Group {
 	all := map[Group]struct{}{}
 	for _, s := range list {
-		for g := range s.Work {
+		for g := range s.Counts {
 			all[g] = struct{}{}
 		}
 	}
@@ -178,24 +178,24 @@
 }
 
 // Less takes earlier counts off later ones of the same controller.
-func (w Work) Less(was Work) Work {
+func (w JobCounts) Minus(was JobCounts) JobCounts {
 	d := func(now, then uint64) uint64 { return now - min(now, then) }
-	n := Work{d(w.Jobs, was.Jobs), d(w.Within, was.Within), d(w.Done, was.Done), d(w.Throttled, was.Throttled), d(w.Cancelled, was.Cancelled),
-		d(w.Dispatches, was.Dispatches), d(w.Further, was.Further), make([]uint64, len(w.Took))}
-	for i := range w.Took {
-		if n.Took[i] = w.Took[i]; i < len(was.Took) {
-			n.Took[i] = d(w.Took[i], was.Took[i])
+	n := JobCounts{d(w.Jobs, was.Jobs), d(w.WithinSLA, was.WithinSLA), d(w.Done, was.Done), d(w.Throttled, was.Throttled), d(w.Cancelled, was.Cancelled),
+		d(w.Dispatches, was.Dispatches), d(w.Retries, was.Retries), make([]uint64, len(w.LatencyBuckets))}
+	for i := range w.LatencyBuckets {
+		if n.LatencyBuckets[i] = w.LatencyBuckets[i]; i < len(was.LatencyBuckets) {
+			n.LatencyBuckets[i] = d(w.LatencyBuckets[i], was.LatencyBuckets[i])
 		}
 	}
 	return n
 }
 
 // Sum is what those on one version did together.
-func Sum(list []Seen, new bool) Work {
-	sums := map[Group]*Work{}
+func SumCounts(list []Sample, new bool) JobCounts {
+	sums := map[Group]*JobCounts{}
 	for _, s := range list {
-		for _, w := range s.Work {
-			if s.New == new {
+		for _, w := range s.Counts {
+			if s.IsNew == new {
 				put(sums, Group{}, w)
 			}
 		}
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -70,7 +70,7 @@
 
 // Load reads a change whole; the error names every fault by path.
 func Load(path string) (c Change, err error) {
-	c.Limits = canary.Usual()
+	c.Limits = canary.DefaultLimits()
 	if err := schema.Read(path, schema.Change, &c); err != nil {
 		return Change{}, err
 	}
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -101,7 +101,7 @@
 	path := filepath.Join(dir, "c.json")
 	os.WriteFile(path, []byte(`{"number":3,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":1}}`), 0o600)
 	c, err := Load(path)
-	if err != nil || c.Pace.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 || c.Limits.Crashes != 2 {
+	if err != nil || c.Pace.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 || c.Limits.MaxCrashes != 2 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
--- a/internal/command/fleet/fleet.go
+++ b/internal/command/fleet/fleet.go
@@ -33,12 +33,12 @@
 			var rows []row
 			well := true
 			for i, a := range coordinator.NewFleet(f.Members, askTime, askTime).Ask(c.Context()) {
-				r := row{Status: a.Status, Others: sortedKeys(a.Status.Others)}
+				r := row{Status: a.Status, Others: sortedKeys(a.Status.UnknownFields)}
 				r.Name = f.Members[i].Name
 				if a.Err != nil {
 					r.Error = a.Err.Error()
 				}
-				well = well && a.Err == nil && r.Serves
+				well = well && a.Err == nil && r.Serving
 				rows = append(rows, r)
 			}
 			if forScripts {
@@ -47,11 +47,11 @@
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "CONTROLLER\tVERSION\tSPEC\tSERVES\tOWED\tLAST ORDER\tENDS\tMB\tNOTE")
 				for _, r := range rows {
-					note := r.Error + r.Failed
+					note := r.Error + r.Failure
 					if r.Drained {
 						note = "out of service"
 					}
-					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%.0f\t%s\n", r.Name, r.Version, r.Running, r.Serves, r.Owed, r.Fence, r.Crashes, r.MemoryMB, note)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%.0f\t%s\n", r.Name, r.Version, r.RunningSpec, r.Serving, r.OwedAnswers, r.Fence, r.Crashes, r.MemoryMB, note)
 				}
 				err = w.Flush()
 			}
--- a/internal/command/fleet/keep.go
+++ b/internal/command/fleet/keep.go
@@ -50,8 +50,8 @@
 				}
 				f.Program = filepath.Join(filepath.Dir(own), "swiftreel")
 			}
-			k, err := supervisor.New(supervisor.Options{Name: name, State: state, Operator: file, Program: f.Program, Drain: time.Duration(f.DrainMS) * time.Millisecond,
-				Env: os.Environ(), Log: os.Stderr})
+			k, err := supervisor.New(supervisor.Options{Name: name, StateDir: state, OperatorFile: file, ProgramPath: f.Program, DrainTimeout: time.Duration(f.DrainMS) * time.Millisecond,
+				Environment: os.Environ(), LogOutput: os.Stderr})
 			if err != nil {
 				return command.Failed(command.ExitFailed, err)
 			}
--- a/internal/coordinator/conduct.go
+++ b/internal/coordinator/conduct.go
@@ -26,9 +26,9 @@
 	record  Record
 	fleet   *Fleet
 	machine *rollout.Machine
-	base    *canary.Base
-	judge   *canary.Judge
-	better  canary.Recovery
+	base    *canary.Baseline
+	judge   *canary.Analysis
+	better  canary.RecoveryCheck
 	seen    []known // by the member's place
 	began   time.Time
 	phase   rollout.Phase
@@ -56,7 +56,7 @@
 		case i > 0 && s.Spec.Digest() != r.From.Digest():
 			return fmt.Errorf("%s holds spec %s, %s holds %s", who, s.Spec.Digest(), fleet.Members[0].Name, r.From.Digest())
 		case s.Fence.Number > c.Number || s.Fence.Number == c.Number && !take:
-			return fmt.Errorf("/number: %s has taken order %v by %s", who, s.Fence, s.By)
+			return fmt.Errorf("/number: %s has taken order %v by %s", who, s.Fence, s.OrderedBy)
 		case s.Fence.Number == c.Number:
 			r.State.Fence.Term = max(r.State.Fence.Term, s.Fence.Term+1)
 		}
@@ -67,7 +67,7 @@
 	if r.To, err = c.Leads(r.From); err != nil {
 		return err
 	}
-	if _, err := change.Layout(c.Stages, (&Conductor{fleet: fleet, base: canary.NewBase()}).places()); err != nil {
+	if _, err := change.Layout(c.Stages, (&Conductor{fleet: fleet, base: canary.NewBaseline()}).places()); err != nil {
 		return err
 	}
 	if f.agreed == nil {
@@ -135,10 +135,10 @@
 		return ctx.Err()
 	}
 	in := rollout.Input{Now: c.now()}
-	var looks []canary.Seen
+	var looks []canary.Sample
 	for i, a := range answers {
 		if a.Err == nil && a.Status.Fence.Compare(c.machine.State.Fence) > 0 {
-			slog.Error("rollout_fenced", "number", c.record.Change.Number, "member", a.Status.Name, "taken", a.Status.Fence.String(), "by", a.Status.By,
+			slog.Error("rollout_fenced", "number", c.record.Change.Number, "member", a.Status.Name, "taken", a.Status.Fence.String(), "by", a.Status.OrderedBy,
 				"ours", c.machine.State.Fence.String())
 			return ErrFenced
 		}
@@ -174,46 +174,46 @@
 }
 
 // see turns a keeper's answer into what the machine and the judge are told.
-func (c *Conductor) see(i int, a Answer, now int64) (rollout.Member, canary.Seen) {
+func (c *Conductor) see(i int, a Answer, now int64) (rollout.Member, canary.Sample) {
 	k, s := &c.seen[i], a.Status
 	name := c.fleet.Members[i].Name
 	pace := c.record.Change.Pace
 	if a.Err != nil {
-		return rollout.Member{Name: name, Heard: k.heard != 0 && now-k.heard < pace.UnheardMS*1e6, Serves: k.status.Serves, Running: k.status.Running,
-			Fence: k.status.Fence, Failed: k.status.Failed}, canary.Seen{}
+		return rollout.Member{Name: name, Heard: k.heard != 0 && now-k.heard < pace.UnheardMS*1e6, Serves: k.status.Serving, Running: k.status.RunningSpec,
+			Fence: k.status.Fence, Failed: k.status.Failure}, canary.Sample{}
 	}
 	d := k.apart(s)
 	switch {
-	case s.Running != c.record.To.Digest():
+	case s.RunningSpec != c.record.To.Digest():
 		k.since = 0
 	case k.since == 0:
 		k.since = max(1, now)
 	}
-	d.New = k.since != 0 && now-k.since >= pace.SteadyMS*1e6
+	d.IsNew = k.since != 0 && now-k.since >= pace.SteadyMS*1e6
 	k.status, k.heard = s, max(1, now)
-	return rollout.Member{Name: name, Heard: true, Serves: s.Serves, Running: s.Running, Fence: s.Fence, Failed: s.Failed}, d
+	return rollout.Member{Name: name, Heard: true, Serves: s.Serving, Running: s.RunningSpec, Fence: s.Fence, Failed: s.Failure}, d
 }
 
 // weigh has what was seen taken in by whoever weighs it in this phase.
-func (c *Conductor) weigh(in *rollout.Input, looks []canary.Seen) {
+func (c *Conductor) weigh(in *rollout.Input, looks []canary.Sample) {
 	s := c.machine.State
 	if s.Phase != c.phase || s.Stage != c.stage {
 		if c.phase, c.stage = s.Phase, s.Stage; s.Phase == rollout.Applying || s.Phase == rollout.Baking && c.judge == nil {
-			c.judge = canary.NewJudge(c.record.Change.Limits, c.base, c.machine.New())
+			c.judge = canary.NewAnalysis(c.record.Change.Limits, c.base, c.machine.New())
 		}
-		c.better = canary.Recovery{}
+		c.better = canary.RecoveryCheck{}
 	}
 	switch s.Phase {
 	case rollout.Watching:
-		c.base.Look(looks)
+		c.base.Observe(looks)
 	case rollout.Applying, rollout.Baking:
-		c.judge.Look(looks)
+		c.judge.Observe(looks)
 		in.Verdict = c.judge.Verdict(s.Phase == rollout.Baking && c.machine.Baked(in.Now))
 	case rollout.Waiting:
-		in.Better = c.better.Look(c.record.Change.Limits, c.base, looks)
+		in.Better = c.better.Observe(c.record.Change.Limits, c.base, looks)
 	}
 	if !s.Phase.Ends() {
-		c.folder.add("looks.jsonl", Point{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.Odds, armOf(canary.Sum(looks, false)), armOf(canary.Sum(looks, true))})
+		c.folder.add("looks.jsonl", Point{failpoint.Wall().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.EValue, armOf(canary.SumCounts(looks, false)), armOf(canary.SumCounts(looks, true))})
 	}
 }
 
@@ -255,7 +255,7 @@
 func (c *Conductor) places() (list []change.Place) {
 	for _, m := range c.fleet.Members {
 		p := change.Place{Name: m.Name, Zone: m.Zone, Types: m.Types}
-		for _, w := range c.base.Work[m.Name] {
+		for _, w := range c.base.CountsByMember[m.Name] {
 			p.Jobs += w.Jobs
 		}
 		list = append(list, p)
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -49,7 +49,7 @@
 
 	mu     sync.Mutex
 	states map[string]*memberState
-	work   map[string]canary.Work
+	work   map[string]canary.JobCounts
 	missed string // whose jobs miss their time: "new", "all" while any is on the new version, or none
 	stays  string // one that cannot go back once it is on the new version
 	orders []change.Order
@@ -59,7 +59,7 @@
 
 func newFakeFleet(t *testing.T, to change.Digest, states map[string]*memberState) *fakeFleet {
 	t.Helper()
-	f := &fakeFleet{t: t, to: to, states: states, work: map[string]canary.Work{}}
+	f := &fakeFleet{t: t, to: to, states: states, work: map[string]canary.JobCounts{}}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(f.status(name)) })
@@ -88,13 +88,13 @@
 	}
 	w.Jobs, w.Done, w.Dispatches = w.Jobs+10, w.Done+10, w.Dispatches+10
 	if !(f.missed == "new" && s.Running == f.to || f.missed == "all" && anyNew) {
-		w.Within += 10
+		w.WithinSLA += 10
 	}
-	w.Took = make([]uint64, 21)
-	w.Took[20] = w.Done
+	w.LatencyBuckets = make([]uint64, 21)
+	w.LatencyBuckets[20] = w.Done
 	f.work[name] = w
-	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Want, Running: s.Running, Version: "dev", Settings: "s", Fence: s.Held.Fence, By: s.Held.By,
-		Serves: !s.Held.Drain, Drained: s.Held.Drain, Failed: s.Failed, MemoryMB: 20, Started: 1, Work: map[canary.Group]canary.Work{fakeGroup: w}, Life: "l", BootNS: 1}
+	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Want, RunningSpec: s.Running, Version: "dev", SettingsDigest: "s", Fence: s.Held.Fence, OrderedBy: s.Held.By,
+		Serving: !s.Held.Drain, Drained: s.Held.Drain, Failure: s.Failed, MemoryMB: 20, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{fakeGroup: w}, Incarnation: "l", MonotonicNS: 1}
 }
 
 func (f *fakeFleet) take(name string, r *http.Request) error {
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -215,20 +215,20 @@
 }
 
 // apart takes the counts since the look before: a controller that has started anew has counted from nothing.
-func (k *known) apart(s supervisor.Status) (d canary.Seen) {
-	d = canary.Seen{Member: s.Name, MemoryMB: s.MemoryMB, Aside: s.Aside, Work: map[canary.Group]canary.Work{}}
+func (k *known) apart(s supervisor.Status) (d canary.Sample) {
+	d = canary.Sample{Member: s.Name, MemoryMB: s.MemoryMB, EjectedEngines: s.EjectedEngines, Counts: map[canary.Group]canary.JobCounts{}}
 	if k.heard == 0 {
 		return d
 	}
 	was := k.status
 	d.Crashes = s.Crashes - min(s.Crashes, was.Crashes)
-	if was.Started != s.Started {
+	if was.StartedUnixNS != s.StartedUnixNS {
 		was = supervisor.Status{}
 	}
-	d.Probes, d.CPU = s.Probes-min(s.Probes, was.Probes), max(0, s.CPU-was.CPU)
-	for g, w := range s.Work {
-		if n := w.Less(was.Work[g]); n.Jobs > 0 {
-			d.Work[g] = n
+	d.Probes, d.CPUNS = s.Probes-min(s.Probes, was.Probes), max(0, s.CPUNS-was.CPUNS)
+	for g, w := range s.JobCounts {
+		if n := w.Minus(was.JobCounts[g]); n.Jobs > 0 {
+			d.Counts[g] = n
 		}
 	}
 	return d
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -173,7 +173,7 @@
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool {
-		return strings.Contains(string(s.Spec.Shape), `"budget_free":1`) && s.Running == s.Spec.Digest() && s.Crashes == 0
+		return strings.Contains(string(s.Spec.Shape), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
@@ -198,7 +198,7 @@
 	if s := phase(folder); s.Phase != rollout.Back || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
-	if !all(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serves }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serving }) {
 		t.Error("not all are back")
 	}
 	finish(t, w, l)
@@ -255,8 +255,8 @@
 	if err := w.Again(m); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.Running != before.Running {
+	until(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
+	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.RunningSpec != before.RunningSpec {
 		t.Errorf("after a restart it holds %+v %v", s.Fence, err)
 	}
 	try()
@@ -299,7 +299,7 @@
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
@@ -320,7 +320,7 @@
 	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
 	r, _, _ := coordinator.Look(folder + ".gone").Record()
 	if !all(t, w, func(s supervisor.Status) bool {
-		return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
 		t.Error("orders went out past the record")
 	}
@@ -372,7 +372,7 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.Look(folder).Record()
-	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Crashes == 0 }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
@@ -488,7 +488,7 @@
 	order(t, m, was, other)
 	until(t, w, "the other program serves", func() bool {
 		s, err := w.Status(m)
-		return err == nil && s.Version == "other" && s.Serves && len(s.Drains) == 1
+		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
 	if !strings.Contains(m.Keeper.Log(), "msg=taught types=2") {
 		t.Error("the newer one is not taught")
@@ -498,7 +498,7 @@
 	ask(b, second)
 	answer(a, first)
 	answer(b, second)
-	until(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.Drains) == 0 })
+	until(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
 	a.Conn.Close()
 	b.Conn.Close()
 	if err := w.Stop(); err != nil {
@@ -545,7 +545,7 @@
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || phase(folder).Phase != rollout.Back {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
-	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.From.Digest() && s.Crashes == 0 }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 }) {
 		t.Error("not all are back")
 	}
 	finish(t, w, l)
@@ -625,7 +625,7 @@
 	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
 	to := state(acts(nil)).To.Digest()
 	until(t, w, "all run it", func() bool {
-		return all(t, w, func(s supervisor.Status) bool { return s.Running == to && s.Fence.Term > int64(reign) })
+		return all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) })
 	})
 	if text := cli(t, w, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
 		t.Error(text)
@@ -642,7 +642,7 @@
 	if err := w.Again(lost); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serves })
+	until(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serving })
 	if v := get(t, w, lost); v.ID != 0 {
 		t.Errorf("it came back as %d", v.ID)
 	}
@@ -665,7 +665,7 @@
 		if err := w.Again(m); err != nil {
 			t.Fatal(err)
 		}
-		until(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
+		until(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
 	}
 	until(t, w, "nobody owns", func() bool { return !get(t, w, kept).May })
 	c := exec.Command(program, "fleet", "recover", kept.Name)
@@ -710,7 +710,7 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	if !all(t, w, func(s supervisor.Status) bool {
-		return len(s.Spec.Plan) > 0 && len(s.Spec.Shape) > 0 && s.Running == s.Spec.Digest() && s.Fence.Number == 3
+		return len(s.Spec.Plan) > 0 && len(s.Spec.Shape) > 0 && s.RunningSpec == s.Spec.Digest() && s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
 	}
@@ -750,7 +750,7 @@
 	settled := func(of []*testcluster.Member, reign int64) bool {
 		list := statuses(of)
 		for _, s := range list {
-			if near := s.Carries - s.Word.Part[quota.Fleet]; s.Word.Reign <= reign || s.Word.Plan == "" || s.Word.Part[quota.Fleet] == 0 || near < -1 || near > 1 {
+			if near := s.SharePerMillion - s.Assignment.Part[quota.Fleet]; s.Assignment.Reign <= reign || s.Assignment.Plan == "" || s.Assignment.Part[quota.Fleet] == 0 || near < -1 || near > 1 {
 				return false
 			}
 		}
@@ -758,7 +758,7 @@
 	}
 	until(t, w, "all go by their parts and a plan", func() bool {
 		list := statuses(told)
-		return settled(told, 0) && 2*list[0].Carries > 3*list[2].Carries // the first has double the clients
+		return settled(told, 0) && 2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
 	})
 	for _, m := range told {
 		until(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
@@ -782,8 +782,8 @@
 		t.Error(err)
 	}
 	guess, err := w.Status(w.Members[3])
-	if err != nil || guess.Carries == 0 || guess.Word.Reign != 0 {
-		t.Errorf("the one of the format before: %+v %v", guess.Word, err)
+	if err != nil || guess.SharePerMillion == 0 || guess.Assignment.Reign != 0 {
+		t.Errorf("the one of the format before: %+v %v", guess.Assignment, err)
 	}
 
 	// No owner: two of three keepers are stopped. Their controllers serve on, and end their plans by themselves.
@@ -792,9 +792,9 @@
 	}
 	until(t, w, "part and plan end", func() bool {
 		s, err := w.Status(told[0])
-		return err == nil && s.Word.Plan == "" && len(s.Word.Part) == 0
+		return err == nil && s.Assignment.Plan == "" && len(s.Assignment.Part) == 0
 	})
-	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= quota.Whole/4 })
+	until(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.SharePerMillion >= quota.Whole/4 })
 	done := l.Done.Load()
 	until(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
@@ -881,7 +881,7 @@
 	if err := w.Again(gone); err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serves })
+	until(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serving })
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
@@ -962,9 +962,12 @@
 	}
 	w.Reborn("e2")
 	order(t, m, s, other)
-	until(t, w, "both live", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && len(s.Drains) == 1 })
+	until(t, w, "both live", func() bool {
+		s, err := w.Status(m)
+		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
+	})
 	w.Reborn("e2") // once more, while they do
-	until(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.Drains) == 0 })
+	until(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Book.Log() {
@@ -1005,7 +1008,7 @@
 	m := w.Members[0]
 	w.Fates.Break("e2", true)
 	var was supervisor.Status
-	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.Aside == 1 })
+	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 })
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
 			if e.What == rulecheck.Began && e.Engine == "e2" {
@@ -1016,9 +1019,9 @@
 	}
 	l.Stop() // no job of the older one's is to count below
 	order(t, m, was, other)
-	until(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Keeper.Log(), "msg=taught types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.Aside, err, m.Keeper.Log())
+	until(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving })
+	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=taught types=2 engines=3") {
+		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
 	}
 	before := broken()
 	l = w.NewLoad(12, 10, 10*time.Millisecond, false)
@@ -1076,7 +1079,7 @@
 	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
-	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
+	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
 		t.Error("not all run it")
 	}
 	finish(t, w, l)
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -65,8 +65,8 @@
 	P99NS     int64  `json:"p99_ns"`
 }
 
-func armOf(w canary.Work) Arm {
-	return Arm{w.Jobs, w.Jobs - w.Within, w.Throttled, w.Cancelled, int64(jobstats.Quantile(w.Took, 50)), int64(jobstats.Quantile(w.Took, 99))}
+func armOf(w canary.JobCounts) Arm {
+	return Arm{w.Jobs, w.Jobs - w.WithinSLA, w.Throttled, w.Cancelled, int64(jobstats.Quantile(w.LatencyBuckets, 50)), int64(jobstats.Quantile(w.LatencyBuckets, 99))}
 }
 
 // Wish is what an operator asks of whoever conducts.
@@ -185,8 +185,8 @@
 }
 
 // Base reads what was seen before the first stage; nothing where it was not reached.
-func (f *Folder) Base() (*canary.Base, error) {
-	b := canary.NewBase()
+func (f *Folder) Base() (*canary.Baseline, error) {
+	b := canary.NewBaseline()
 	_, err := f.read("base.json", b)
 	return b, err
 }
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			sameFile(t, from.file("change.json"), to.file("change.json"))
-			if strictly(t, from.file("base.json"), canary.NewBase()) {
+			if strictly(t, from.file("base.json"), canary.NewBaseline()) {
 				base, err := from.Base()
 				if err != nil {
 					t.Fatal(err)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,8 +32,8 @@
 	trace   trace
 	running sync.WaitGroup // jobs' functions, and the watch over what is believed
 	done    chan struct{}
-	lines   ratelog.Limiter // of the module's log
-	tally   *jobstats.Book  // nil: nothing is counted
+	lines   ratelog.Limiter    // of the module's log
+	tally   *jobstats.Recorder // nil: nothing is counted
 	overdue ratelog.Logger
 
 	mu        sync.Mutex // around Decide and what follows; no I/O under it
@@ -61,7 +61,7 @@
 }
 
 // Count has jobs counted from now on. It comes before Start.
-func (g *Gateway) Count(b *jobstats.Book) { g.tally = b }
+func (g *Gateway) Count(b *jobstats.Recorder) { g.tally = b }
 
 // Ready tells whether the module has a list of engines and jobs are welcome.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
@@ -167,10 +167,10 @@
 		if host.Address == "" { // it speaks nothing but SPARQL
 			host, _ = g.host(id, backend.SPARQL)
 		}
-		g.tally.Probe()
+		g.tally.RecordProbe()
 		go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, told)
 		for range failpoint.Probes() {
-			g.tally.Probe()
+			g.tally.RecordProbe()
 			go g.pool.Probe(host, g.rules.loadTold, g.rules.dial, func(backend.Reply) {})
 		}
 	} else {
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -168,7 +168,7 @@
 			Latency: choice.Nanos(time.Since(s.at)), Final: answered, Bill: bill(r), Load: g.rules.load(r.Load)})
 	}
 	// answer writes the final answer. A slow client must not hold up the taking back of what is still out.
-	answer := func(how jobstats.How, write func()) {
+	answer := func(how jobstats.Outcome, write func()) {
 		if answered {
 			return
 		}
@@ -185,7 +185,7 @@
 		if !answered {
 			answered = true
 			g.answered(j)
-			g.count(j, jobstats.Left, count, 0)
+			g.count(j, jobstats.Abandoned, count, 0)
 			g.tell(choice.Event{Kind: choice.ClientLeft, Job: j.id})
 		}
 	}
@@ -296,13 +296,13 @@
 }
 
 // count tells the tally what became of a job for its client.
-func (g *Gateway) count(j *job, how jobstats.How, dispatches choice.Seq, workMS float64) {
+func (g *Gateway) count(j *job, how jobstats.Outcome, dispatches choice.Seq, workMS float64) {
 	if g.tally == nil {
 		return
 	}
 	took := time.Since(j.At)
 	within := how == jobstats.Done && took <= g.rules.wanted(g.names.types[string(j.Type)], workMS)
-	g.tally.Answered(canary.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
+	g.tally.RecordJob(canary.Group{Type: string(j.Type), Tenant: string(j.Tenant)}, how, took, within, uint64(dispatches))
 }
 
 // answered frees the id of a call.
--- a/internal/gateway/job_life_test.go
+++ b/internal/gateway/job_life_test.go
@@ -217,58 +217,58 @@
 		name    string
 		acts    []act
 		counter string // rises by one
-		work    canary.Work
+		work    canary.JobCounts
 	}{
-		{name: "done", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "done", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "failed, then sent once more", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
+		{name: "failed, then sent once more", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 2, Retries: 1}, acts: []act{dispatched,
 			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
 			{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "never sent", work: canary.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
-		{name: "full, then throttled", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "never sent", work: canary.JobCounts{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
+		{name: "full, then throttled", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(backend.Reply{End: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
-		{name: "not connected, reset, superseded", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
+		{name: "not connected, reset, superseded", work: canary.JobCounts{Jobs: 1, Cancelled: 1, Dispatches: 3, Retries: 2}, acts: []act{dispatched,
 			{replied(backend.Reply{End: backend.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
 			{replied(backend.Reply{End: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
 			{replied(backend.Reply{End: backend.Moot}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
-		{name: "progress is passed on", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "progress is passed on", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(backend.Reply{Note: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
 			{replied(backend.Reply{Note: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
 			{replied(backend.Reply{Note: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
 			{replied(backend.Reply{Note: "other"}), nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "terms before and while it is out", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
+		{name: "terms before and while it is out", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1}, acts: []act{
 			{terms(3, 64), nil},
 			{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=64 priority=3 lane=0 wait=true"}},
 			{terms(5, 64), []string{"engine: renice 5"}}, {terms(5, 96), nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "retracted, then cancelled", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "retracted, then cancelled", work: canary.JobCounts{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(9), nil}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}}, {retract(0), nil}, cancelled}},
-		{name: "retracted, but done before the engine read so", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "retracted, but done before the engine read so", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(0), []string{"engine: give up"}},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "a reply after the retracted one's end", counter: "replies_late", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "a reply after the retracted one's end", counter: "replies_late", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 			{replied(result), []string{"engine: free 2"}}, throttled}},
-		{name: "a dispatch past its time limit", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
+		{name: "a dispatch past its time limit", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
 			{ordered(choice.Dispatch, func(a *choice.Action) { a.Span = 1 }),
 				[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
-		{name: "throttled while a dispatch is out", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+		{name: "throttled while a dispatch is out", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
+		{name: "a second final answer is not given", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
 			{ordered(choice.CancelForGood, nil), nil}, {ordered(choice.Throttle, nil), nil},
 			{replied(backend.Reply{End: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
-		{name: "left before it is sent", work: canary.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
-		{name: "left while a dispatch is out", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "left before it is sent", work: canary.JobCounts{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
+		{name: "left while a dispatch is out", work: canary.JobCounts{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
-		{name: "left, then done all the same", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
+		{name: "left, then done all the same", work: canary.JobCounts{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
+		{name: "a dispatch ordered when the client has gone", counter: "dispatches_for_nobody", work: canary.JobCounts{Jobs: 1, Dispatches: 1}, acts: []act{
 			{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
 				[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
 	} {
@@ -277,9 +277,9 @@
 }
 
 // play goes through the acts of one job, each once the one before has shown, and looks at what stays.
-func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.Work) {
+func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.JobCounts) {
 	s := newStage(t, left)
-	book := jobstats.NewBook()
+	book := jobstats.NewRecorder()
 	s.gate.Count(book)
 	before := counters.Value(counter)
 	s.start()
@@ -297,9 +297,9 @@
 		t.Errorf("%s counted %d times", counter, counters.Value(counter)-before)
 	}
 	var r jobstats.Report
-	book.Fill(&r)
-	got := r.Work[canary.Group{Type: "lookup", Tenant: "acme"}]
-	got.Took = nil
+	book.FillReport(&r)
+	got := r.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}]
+	got.LatencyBuckets = nil
 	if fmt.Sprint(got) != fmt.Sprint(work) {
 		t.Errorf("counted %+v, want %+v", got, work)
 	}
--- a/internal/jobstats/tally.go
+++ b/internal/jobstats/tally.go
@@ -23,34 +23,34 @@
 )
 
 // How a job ended for its client.
-type How uint8
+type Outcome uint8
 
 // The ways. Left: the client went away before its answer, which counts as missed.
 const (
-	Done How = iota
+	Done Outcome = iota
 	Throttled
 	Cancelled
-	Left
+	Abandoned
 )
 
 // Book holds the counts since the start. It has an entry for each type and tenant of the settings, no more: jobs of others
 // are refused before they are counted.
-type Book struct {
+type Recorder struct {
 	mu     sync.Mutex
 	groups map[canary.Group]*entry
 	probes uint64
 }
 
 type entry struct {
-	work canary.Work
+	work canary.JobCounts
 	took *hdrhistogram.Histogram
 }
 
 // NewBook is empty.
-func NewBook() *Book { return &Book{groups: map[canary.Group]*entry{}} }
+func NewRecorder() *Recorder { return &Recorder{groups: map[canary.Group]*entry{}} }
 
 // Answered counts a job; a nil book counts nothing.
-func (b *Book) Answered(g canary.Group, how How, took time.Duration, within bool, dispatches uint64) {
+func (b *Recorder) RecordJob(g canary.Group, how Outcome, took time.Duration, within bool, dispatches uint64) {
 	if b == nil {
 		return
 	}
@@ -63,12 +63,12 @@
 	}
 	e.work.Jobs++
 	e.work.Dispatches += dispatches
-	e.work.Further += dispatches - min(1, dispatches)
+	e.work.Retries += dispatches - min(1, dispatches)
 	switch how {
 	case Done:
 		e.work.Done++
 		if within {
-			e.work.Within++
+			e.work.WithinSLA++
 		}
 		e.took.RecordValue(min(mostLatency, max(1, took.Microseconds()))) // within its bounds: it cannot fail
 	case Throttled:
@@ -79,7 +79,7 @@
 }
 
 // Probe counts a probe sent.
-func (b *Book) Probe() {
+func (b *Recorder) RecordProbe() {
 	if b != nil {
 		b.mu.Lock()
 		b.probes++
@@ -90,58 +90,58 @@
 // Report is what a controller tells of itself. Counts are since its start; a reader that knows it by Started takes
 // differences.
 type Report struct {
-	Format   int                          `json:"format"`
-	Started  int64                        `json:"started"` // Unix ns by its own clock: a name, not a time to compare
-	Version  string                       `json:"version"`
-	Spec     change.Digest                `json:"spec"`     // as the operator's file in force tells it
-	Settings change.Digest                `json:"settings"` // of the settings in force
-	Ready    bool                         `json:"ready"`
-	Owed     int64                        `json:"owed"` // answers
-	Refused  uint64                       `json:"reloads_failed"`
-	Probes   uint64                       `json:"probes"`
-	Aside    int                          `json:"aside"`             // engines set aside now
-	Learned  json.RawMessage              `json:"learned,omitempty"` // by type, for a newer process of the same controller
-	Health   json.RawMessage              `json:"health,omitempty"`  // of engines, by name, for the same
-	Work     map[canary.Group]canary.Work `json:"work"`
-	Engines  []string                     `json:"engines,omitempty"`   // that are ready, in order of their names
-	Carries  int64                        `json:"carries_per_million"` // of the fleet, as the module goes by
+	Format           int                               `json:"format"`
+	StartedUnixNS    int64                             `json:"started"` // Unix ns by its own clock: a name, not a time to compare
+	Version          string                            `json:"version"`
+	SpecDigest       change.Digest                     `json:"spec"`     // as the operator's file in force tells it
+	SettingsDigest   change.Digest                     `json:"settings"` // of the settings in force
+	Ready            bool                              `json:"ready"`
+	OwedAnswers      int64                             `json:"owed"` // answers
+	ReloadsFailed    uint64                            `json:"reloads_failed"`
+	Probes           uint64                            `json:"probes"`
+	EjectedEngines   int                               `json:"aside"`             // engines set aside now
+	LearnedEstimates json.RawMessage                   `json:"learned,omitempty"` // by type, for a newer process of the same controller
+	EngineHealth     json.RawMessage                   `json:"health,omitempty"`  // of engines, by name, for the same
+	JobCounts        map[canary.Group]canary.JobCounts `json:"work"`
+	ReadyEngines     []string                          `json:"engines,omitempty"`   // that are ready, in order of their names
+	SharePerMillion  int64                             `json:"carries_per_million"` // of the fleet, as the module goes by
 }
 
 // Part is what the controller carries of the fleet and of tenants' quotas, in millionths, until a time of the machine's clock.
-type Part struct {
-	PerMillion int64            `json:"per_million"`
-	Quotas     map[string]int64 `json:"quotas,omitempty"`
-	UntilNS    int64            `json:"until_boot_ns"`
+type Share struct {
+	PerMillion   int64            `json:"per_million"`
+	TenantQuotas map[string]int64 `json:"quotas,omitempty"`
+	ExpiryNS     int64            `json:"until_boot_ns"`
 }
 
 // mostPart bounds a part's text.
 const mostPart = 1 << 20
 
 // sound tells whether it is one.
-func (p Part) sound() bool {
-	ok := p.PerMillion > 0 && p.PerMillion <= 1_000_000 && p.UntilNS > 0
-	for _, n := range p.Quotas {
+func (p Share) sound() bool {
+	ok := p.PerMillion > 0 && p.PerMillion <= 1_000_000 && p.ExpiryNS > 0
+	for _, n := range p.TenantQuotas {
 		ok = ok && n >= 0 && n <= 1_000_000
 	}
 	return ok
 }
 
 // Fill puts the counts into a report.
-func (b *Book) Fill(r *Report) {
+func (b *Recorder) FillReport(r *Report) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.Format, r.Probes, r.Work = change.Format, b.probes, make(map[canary.Group]canary.Work, len(b.groups))
+	r.Format, r.Probes, r.JobCounts = change.Format, b.probes, make(map[canary.Group]canary.JobCounts, len(b.groups))
 	for g, e := range b.groups {
 		w := e.work
 		for i, n := range e.took.Export().Counts {
 			if n > 0 {
-				for len(w.Took) <= i {
-					w.Took = append(w.Took, 0)
+				for len(w.LatencyBuckets) <= i {
+					w.LatencyBuckets = append(w.LatencyBuckets, 0)
 				}
-				w.Took[i] = uint64(n)
+				w.LatencyBuckets[i] = uint64(n)
 			}
 		}
-		r.Work[g] = w
+		r.JobCounts[g] = w
 	}
 }
 
@@ -162,7 +162,7 @@
 }
 
 // Serve tells what report gives, at GET /tally, and hands on parts that come at POST /part, until closed.
-func Serve(address string, report func() Report, part func(Part)) (*Server, error) {
+func Serve(address string, report func() Report, part func(Share)) (*Server, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 		json.NewEncoder(w).Encode(report())
 	})
 	mux.HandleFunc("POST /part", func(w http.ResponseWriter, r *http.Request) {
-		var p Part
+		var p Share
 		if err := json.NewDecoder(io.LimitReader(r.Body, mostPart)).Decode(&p); err != nil || !p.sound() {
 			http.Error(w, "no part", http.StatusUnprocessableEntity)
 			return
--- a/internal/jobstats/tally_test.go
+++ b/internal/jobstats/tally_test.go
@@ -15,32 +15,32 @@
 )
 
 // sampleBook counts jobs of two groups, each way that a job may end.
-func sampleBook() *Book {
-	b := NewBook()
+func sampleBook() *Recorder {
+	b := NewRecorder()
 	lookup, report := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "report", Tenant: "b c"}
 	for i := range 20 {
-		b.Answered(lookup, Done, time.Duration(i+1)*time.Millisecond, i < 15, uint64(1+i%3))
-	}
-	b.Answered(lookup, Throttled, 0, false, 0)
-	b.Answered(lookup, Cancelled, time.Second, false, 2)
-	b.Answered(lookup, Left, time.Second, true, 1)
-	b.Answered(report, Done, 0, true, 1)
-	b.Answered(report, Done, 2*time.Hour, false, 1)
-	b.Probe()
-	b.Probe()
+		b.RecordJob(lookup, Done, time.Duration(i+1)*time.Millisecond, i < 15, uint64(1+i%3))
+	}
+	b.RecordJob(lookup, Throttled, 0, false, 0)
+	b.RecordJob(lookup, Cancelled, time.Second, false, 2)
+	b.RecordJob(lookup, Abandoned, time.Second, true, 1)
+	b.RecordJob(report, Done, 0, true, 1)
+	b.RecordJob(report, Done, 2*time.Hour, false, 1)
+	b.RecordProbe()
+	b.RecordProbe()
 	return b
 }
 
 // sampleReport fills every field.
 func sampleReport() (r Report) {
-	r = Report{Started: 1700000000000000001, Version: "v1", Spec: "aa", Settings: "bb", Ready: true, Owed: 3, Refused: 2, Aside: 4,
-		Learned: json.RawMessage(`{"lookup":1.5}`), Health: json.RawMessage(`{"e1":{}}`), Engines: []string{"e1", "e2"}, Carries: 250_000}
-	sampleBook().Fill(&r)
+	r = Report{StartedUnixNS: 1700000000000000001, Version: "v1", SpecDigest: "aa", SettingsDigest: "bb", Ready: true, OwedAnswers: 3, ReloadsFailed: 2, EjectedEngines: 4,
+		LearnedEstimates: json.RawMessage(`{"lookup":1.5}`), EngineHealth: json.RawMessage(`{"e1":{}}`), ReadyEngines: []string{"e1", "e2"}, SharePerMillion: 250_000}
+	sampleBook().FillReport(&r)
 	return r
 }
 
 func TestReportIsServedAsRecorded(t *testing.T) {
-	server, err := Serve("127.0.0.1:0", sampleReport, func(Part) {})
+	server, err := Serve("127.0.0.1:0", sampleReport, func(Share) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,8 +67,8 @@
 }
 
 func TestPartsAreTakenWholeOrRefused(t *testing.T) {
-	var got []Part
-	server, err := Serve("127.0.0.1:0", sampleReport, func(p Part) { got = append(got, p) })
+	var got []Share
+	server, err := Serve("127.0.0.1:0", sampleReport, func(p Share) { got = append(got, p) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 		}
 		return answer.StatusCode, string(body)
 	}
-	sent := Part{PerMillion: 500_000, Quotas: map[string]int64{"acme": 7, "": 1_000_000}, UntilNS: 9e9}
+	sent := Share{PerMillion: 500_000, TenantQuotas: map[string]int64{"acme": 7, "": 1_000_000}, ExpiryNS: 9e9}
 	text, err := json.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -118,11 +118,11 @@
 	if err := json.NewDecoder(bytes.NewReader(text)).Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	sum := canary.Sum([]canary.Seen{{Member: "c1", Work: read.Work}}, false)
-	if sum.Jobs != 25 || sum.Done != 22 || sum.Within != 16 || sum.Throttled != 1 || sum.Cancelled != 1 || sum.Dispatches != 44 || sum.Further != 20 {
+	sum := canary.SumCounts([]canary.Sample{{Member: "c1", Counts: read.JobCounts}}, false)
+	if sum.Jobs != 25 || sum.Done != 22 || sum.WithinSLA != 16 || sum.Throttled != 1 || sum.Cancelled != 1 || sum.Dispatches != 44 || sum.Retries != 20 {
 		t.Errorf("%+v", sum)
 	}
-	took := read.Work[canary.Group{Type: "lookup", Tenant: "acme"}].Took
+	took := read.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}].LatencyBuckets
 	if p50, p99 := Quantile(took, 50), Quantile(took, 99); p50 < 9*time.Millisecond || p50 > 11*time.Millisecond || p99 < 19*time.Millisecond || p99 > 21*time.Millisecond {
 		t.Errorf("%v %v", p50, p99)
 	}
@@ -132,7 +132,7 @@
 }
 
 func TestNoBookCountsNothing(t *testing.T) {
-	var b *Book
-	b.Answered(canary.Group{}, Done, time.Second, true, 1)
-	b.Probe()
+	var b *Recorder
+	b.RecordJob(canary.Group{}, Done, time.Second, true, 1)
+	b.RecordProbe()
 }
--- a/internal/leader/duty.go
+++ b/internal/leader/duty.go
@@ -135,7 +135,7 @@
 		now := time.Now()
 		for i, a := range fleet.Ask(ctx) {
 			if a.Err == nil {
-				heard[i], last[i] = now, Health{Serves: a.Status.Serves, Engines: a.Status.EngineCount}
+				heard[i], last[i] = now, Health{Serves: a.Status.Serving, Engines: a.Status.ReadyEngineCount}
 			}
 			last[i].Name, last[i].Reached = members[i].Name, !heard[i].IsZero() && now.Sub(heard[i]) < askTime
 		}
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -88,15 +88,15 @@
 func (k *fakeKeeper) status(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Count, Serves: true,
-		EngineCount: 2, Started: 1, Work: map[canary.Group]canary.Work{}}
+	s := supervisor.Status{Format: change.Format, Name: k.name, Incarnation: "life of " + k.name, MonotonicNS: fakeBoot, Assignment: k.held, AppliedAssignment: k.held.Count, Serving: true,
+		ReadyEngineCount: 2, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{}}
 	if r.URL.Query().Get("engines") == "1" {
-		s.Engines = []string{"e1", "e2"}
+		s.ReadyEngines = []string{"e1", "e2"}
 	}
 	if k.jobs > 0 {
 		k.looks++
 		n := k.jobs * k.looks
-		s.Work[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: []uint64{0, 0, 0, n}}
+		s.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.JobCounts{Jobs: n, WithinSLA: n, Done: n, Dispatches: n, LatencyBuckets: []uint64{0, 0, 0, n}}
 	}
 	json.NewEncoder(w).Encode(s)
 }
--- a/internal/leader/hand.go
+++ b/internal/leader/hand.go
@@ -154,15 +154,15 @@
 			continue
 		}
 		h.d.count++
-		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Life}
+		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Incarnation}
 		if h.ledger != nil {
 			if w.Part = h.ledger.Give(m.Name, want[m.Name], now, w.Count); len(w.Part) > 0 {
-				w.PartUntil = s.status.BootNS + h.d.fleet.Parts.LifeMS*1e6
+				w.PartUntil = s.status.MonotonicNS + h.d.fleet.Parts.LifeMS*1e6
 			}
 		}
 		if h.now.Digest != "" && h.d.fleet.Planning != nil {
-			w.Plan, w.PlanUntil = h.now.Digest, s.status.BootNS+h.d.fleet.Planning.LifeMS*1e6
-			if s.status.Word.Plan != w.Plan {
+			w.Plan, w.PlanUntil = h.now.Digest, s.status.MonotonicNS+h.d.fleet.Planning.LifeMS*1e6
+			if s.status.Assignment.Plan != w.Plan {
 				w.Text = h.text
 			}
 		}
@@ -187,17 +187,17 @@
 		m, k := h.fleet.Members[i], &h.seen[i]
 		s := quota.Seen{Member: m.Name, Heard: a.Err == nil}
 		if a.Err == nil {
-			if k.heard != 0 && k.status.Started == a.Status.Started {
-				s.Span, s.Work = now-k.heard, map[canary.Group]canary.Work{}
-				for g, w := range a.Status.Work {
-					s.Work[g] = w.Less(k.status.Work[g])
+			if k.heard != 0 && k.status.StartedUnixNS == a.Status.StartedUnixNS {
+				s.Span, s.Work = now-k.heard, map[canary.Group]canary.JobCounts{}
+				for g, w := range a.Status.JobCounts {
+					s.Work[g] = w.Minus(k.status.JobCounts[g])
 				}
 			}
-			if h.ledger != nil && a.Status.Word.Reign == int64(h.a.reign) {
-				h.ledger.Holds(m.Name, a.Status.Carried)
+			if h.ledger != nil && a.Status.Assignment.Reign == int64(h.a.reign) {
+				h.ledger.Holds(m.Name, a.Status.AppliedAssignment)
 			}
-			if len(a.Status.Engines) > 0 {
-				engines = append(engines, a.Status.Engines)
+			if len(a.Status.ReadyEngines) > 0 {
+				engines = append(engines, a.Status.ReadyEngines)
 			}
 			k.status, k.heard = a.Status, now
 		}
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -52,11 +52,11 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n := uint64(time.Since(s.began).Seconds()*jobsASec) + 1
-		st := supervisor.Status{Format: change.Format, Name: s.name, Life: s.name, BootNS: monotonic.Now(), Word: s.word.At(monotonic.Now()), Serves: true, EngineCount: 300, Started: 1, Work: map[canary.Group]canary.Work{}}
+		st := supervisor.Status{Format: change.Format, Name: s.name, Incarnation: s.name, MonotonicNS: monotonic.Now(), Assignment: s.word.At(monotonic.Now()), Serving: true, ReadyEngineCount: 300, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{}}
 		for g := range groupsOf {
 			took := make([]uint64, tellsUpTo)
 			took[g*5] = n
-			st.Work[canary.Group{Type: fmt.Sprint("type", g%3), Tenant: fmt.Sprint("tenant", g)}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: took}
+			st.JobCounts[canary.Group{Type: fmt.Sprint("type", g%3), Tenant: fmt.Sprint("tenant", g)}] = canary.JobCounts{Jobs: n, WithinSLA: n, Done: n, Dispatches: n, LatencyBuckets: took}
 		}
 		json.NewEncoder(w).Encode(st)
 	})
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -259,7 +259,7 @@
 		return fmt.Errorf("ends as %s: %s", r.State.Phase, r.State.Outcome)
 	}
 	for _, m := range p.town.Members {
-		if err := p.town.Await(20*time.Second, func() bool { s, err := p.town.Status(m); return err == nil && s.Running == r.To.Digest() }); err != nil {
+		if err := p.town.Await(20*time.Second, func() bool { s, err := p.town.Status(m); return err == nil && s.RunningSpec == r.To.Digest() }); err != nil {
 			return fmt.Errorf("%s does not run it: %w", m.Name, err)
 		}
 	}
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -62,8 +62,8 @@
 			if err != nil {
 				return 0, 0, err
 			}
-			carries[i] = float64(s.Carries) / 1e6
-			for _, w := range s.Work {
+			carries[i] = float64(s.SharePerMillion) / 1e6
+			for _, w := range s.JobCounts {
 				jobs[i] += float64(w.Jobs)
 			}
 			sum += jobs[i]
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -36,7 +36,7 @@
 	settled := func(is func(s int, drains int) bool) {
 		if err := town.Await(20*time.Second, func() bool {
 			s, err := town.Status(m)
-			return err == nil && s.Serves && is(s.PID, len(s.Drains))
+			return err == nil && s.Serving && is(s.PID, len(s.DrainingPIDs))
 		}); err != nil {
 			fmt.Println("FAILED: hand-over:", err, m.Keeper.Log())
 			ok = false
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -123,7 +123,7 @@
 	}
 	t.phase, t.stage, t.outcome = r.State.Phase, r.State.Stage+1, r.State.Outcome
 	for _, v := range r.State.Verdicts {
-		t.new = max(t.new, int64(v.NewJob))
+		t.new = max(t.new, int64(v.NewJobs))
 	}
 	t.harm = span(folder)
 	t.jobs, t.broken = load.Done.Load()+load.Throttled.Load()+load.Cancelled.Load(), load.Broken.Load()
@@ -132,8 +132,8 @@
 		want = r.To.Digest()
 	}
 	for _, m := range town.Members {
-		if s, err := town.Status(m); t.err == nil && (err != nil || s.Running != want) {
-			t.err = fmt.Errorf("%s runs %s, wanted %s: %v", m.Name, s.Running, want, err)
+		if s, err := town.Status(m); t.err == nil && (err != nil || s.RunningSpec != want) {
+			t.err = fmt.Errorf("%s runs %s, wanted %s: %v", m.Name, s.RunningSpec, want, err)
 		}
 		if t.err == nil {
 			t.err = fences(m.Keeper.Log())
--- a/internal/proof/rollout/taught.go
+++ b/internal/proof/rollout/taught.go
@@ -62,12 +62,12 @@
 	var again, jobs uint64
 	err = town.Await(20*time.Second, func() bool {
 		now, err := town.Status(m)
-		if err != nil || now.Started == s.Started {
+		if err != nil || now.StartedUnixNS == s.StartedUnixNS {
 			return false
 		}
 		again, jobs = 0, 0
-		for _, w := range now.Work {
-			again, jobs = again+w.Further, jobs+w.Jobs
+		for _, w := range now.JobCounts {
+			again, jobs = again+w.Retries, jobs+w.Jobs
 		}
 		return jobs >= taughtJobs
 	})
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -39,7 +39,7 @@
 }
 
 // look is a second of each controller's work; on tells who is on the new version.
-func (w *world) look(on func(int) bool) (list []canary.Seen) {
+func (w *world) look(on func(int) bool) (list []canary.Sample) {
 	if w.r.Float64() < 0.003 { // a bad spell of 30 s in the mean, for all
 		w.day = 0.02 + 0.1*w.r.Float64()
 	} else if w.r.Float64() < 0.033 {
@@ -50,32 +50,32 @@
 		if w.r.Float64() < 0.02 { // an engine stalls under one controller's jobs
 			clump = 6
 		}
-		s := canary.Seen{Member: fmt.Sprintf("c%03d", i), New: on(i), MemoryMB: 40, Work: map[canary.Group]canary.Work{}}
+		s := canary.Sample{Member: fmt.Sprintf("c%03d", i), IsNew: on(i), MemoryMB: 40, Counts: map[canary.Group]canary.JobCounts{}}
 		for _, g := range []canary.Group{{Type: "lookup", Tenant: "a"}, {Type: "report", Tenant: "a"}} {
 			part := map[string]float64{"lookup": 0.8, "report": 0.2}[g.Type]
 			n := int(rate * part)
 			if w.r.Float64() < rate*part-float64(n) {
 				n++
 			}
-			k := canary.Work{Took: make([]uint64, 64)}
+			k := canary.JobCounts{LatencyBuckets: make([]uint64, 64)}
 			for range n {
 				k.Jobs++
 				k.Dispatches++
 				switch x := w.r.Float64(); {
-				case s.New && w.r.Float64() < w.harm:
+				case s.IsNew && w.r.Float64() < w.harm:
 					k.Cancelled++
 				case x < (w.day+w.habit[i])*clump/4:
 					k.Throttled++
 				default:
 					k.Done++
 					if x >= (w.day+w.habit[i])*clump {
-						k.Within++
+						k.WithinSLA++
 					}
-					k.Took[min(63, max(0, int(20+6*w.r.NormFloat64()+4*math.Log2(clump))))]++
+					k.LatencyBuckets[min(63, max(0, int(20+6*w.r.NormFloat64()+4*math.Log2(clump))))]++
 				}
 			}
 			if n > 0 {
-				s.Work[g] = k
+				s.Counts[g] = k
 			}
 		}
 		list = append(list, s)
@@ -96,12 +96,12 @@
 func (w *world) play(looks int) (c course) {
 	pace := change.Pace{BaseMS: 60_000, BakeMS: 60_000, MostMS: int64(looks) * 1000, ApplyMS: 60_000, SteadyMS: 1, UnheardMS: 5000, SharedMS: 30_000,
 		SharedTries: 2, HealthyPerMille: 500, LookMS: 1000}
-	limits := canary.Usual()
+	limits := canary.DefaultLimits()
 	m := rollout.New(rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}, change.Settings, "old", "new", nil, pace, 0)
-	base, on := canary.NewBase(), make([]bool, len(w.rates))
+	base, on := canary.NewBaseline(), make([]bool, len(w.rates))
 	var places []change.Place
-	var j *canary.Judge
-	var better canary.Recovery
+	var j *canary.Analysis
+	var better canary.RecoveryCheck
 	var a, b [2]float64 // the naive test's counts
 	last, stage, began := rollout.Preparing, -1, 0
 	for t := 0; !m.State.Phase.Ends() && t < 10*looks; t++ {
@@ -116,7 +116,7 @@
 		}
 		if s := m.State; s.Phase != last || s.Stage != stage {
 			if last, stage = s.Phase, s.Stage; s.Phase == rollout.Applying {
-				j, better = canary.NewJudge(limits, base, m.New()), canary.Recovery{}
+				j, better = canary.NewAnalysis(limits, base, m.New()), canary.RecoveryCheck{}
 				if began == 0 {
 					began = t
 				}
@@ -124,14 +124,14 @@
 		}
 		switch m.State.Phase {
 		case rollout.Watching:
-			base.Look(list)
+			base.Observe(list)
 		case rollout.Applying, rollout.Baking:
-			j.Look(list)
+			j.Observe(list)
 			in.Verdict = j.Verdict(m.State.Phase == rollout.Baking && m.Baked(in.Now))
 			c.naive = c.naive || m.State.Stage == 0 && naive(list, &a, &b)
-			c.new, c.seconds = in.Verdict.NewJob, t-began
+			c.new, c.seconds = in.Verdict.NewJobs, t-began
 		case rollout.Waiting:
-			in.Better = better.Look(limits, base, list)
+			in.Better = better.Observe(limits, base, list)
 		}
 		before := m.State.Phase
 		m.Step(in)
@@ -155,14 +155,14 @@
 }
 
 // naive is the test that this one replaces: two proportions of missed jobs, one in a hundred, asked at every look.
-func naive(list []canary.Seen, a, b *[2]float64) bool {
+func naive(list []canary.Sample, a, b *[2]float64) bool {
 	for _, s := range list {
 		at := b
-		if s.New {
+		if s.IsNew {
 			at = a
 		}
-		for _, w := range s.Work {
-			at[0], at[1] = at[0]+float64(w.Jobs-w.Within), at[1]+float64(w.Jobs)
+		for _, w := range s.Counts {
+			at[0], at[1] = at[0]+float64(w.Jobs-w.WithinSLA), at[1]+float64(w.Jobs)
 		}
 	}
 	if a[1] < 30 || b[1] < 30 {
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -136,11 +136,11 @@
 			if r.IntN(20) == 0 {
 				continue
 			}
-			s := Seen{Member: m, Heard: r.IntN(10) > 0, Span: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.Work{}}
+			s := Seen{Member: m, Heard: r.IntN(10) > 0, Span: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.JobCounts{}}
 			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}} {
 				if r.IntN(3) == 0 {
 					n := uint64(r.IntN(400))
-					s.Work[g] = canary.Work{Jobs: n, Done: n / 2, Took: []uint64{n, n / 3}}
+					s.Work[g] = canary.JobCounts{Jobs: n, Done: n / 2, LatencyBuckets: []uint64{n, n / 3}}
 				}
 			}
 			seen = append(seen, s)
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -216,8 +216,8 @@
 	d := NewDemand()
 	g, other := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	look := func(now int64, a, b uint64, heard bool) {
-		d.Look(now, []Seen{{Member: "a", Heard: true, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: a, Done: a}}},
-			{Member: "b", Heard: heard, Span: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
+		d.Look(now, []Seen{{Member: "a", Heard: true, Span: 1e9, Work: map[canary.Group]canary.JobCounts{g: {Jobs: a, Done: a}}},
+			{Member: "b", Heard: heard, Span: 1e9, Work: map[canary.Group]canary.JobCounts{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
 			{Member: "c", Heard: true, Span: 1e9}}, half)
 	}
 	for now := int64(1e9); now <= 60e9; now += 1e9 {
--- a/internal/quota/weigh.go
+++ b/internal/quota/weigh.go
@@ -21,7 +21,7 @@
 	Member string
 	Heard  bool
 	Span   int64 // ns since it was last heard; 0: before, it was not
-	Work   map[canary.Group]canary.Work
+	Work   map[canary.Group]canary.JobCounts
 }
 
 // Demand is what controllers are asked for of late, and the parts that follow from it.
@@ -74,7 +74,7 @@
 					t = &mean{}
 					d.took[g.Type] = t
 				}
-				t.sum, t.n = t.sum+halfLatency(w.Took)*float64(w.Done), t.n+float64(w.Done)
+				t.sum, t.n = t.sum+halfLatency(w.LatencyBuckets)*float64(w.Done), t.n+float64(w.Done)
 				if t.n > 10_000 {
 					t.sum, t.n = t.sum/2, t.n/2
 				}
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -224,7 +224,7 @@
 // applying waits until those of the stage that can be reached have taken the new version and serve. One that says that it
 // cannot, or dies of it, is worse at once.
 func (m *Machine) applying(in Input) bool {
-	if in.Verdict.Kind == canary.Worse {
+	if in.Verdict.Conclusion == canary.Regressed {
 		return m.judged(in)
 	}
 	for _, x := range in.Members {
@@ -255,17 +255,17 @@
 
 func (m *Machine) judged(in Input) bool {
 	m.State.Verdicts = append(m.State.Verdicts, in.Verdict)
-	return m.back(in, "stage %d does worse: %s", m.State.Stage+1, in.Verdict.Why)
+	return m.back(in, "stage %d does worse: %s", m.State.Stage+1, in.Verdict.Reason)
 }
 
 func (m *Machine) baking(in Input) bool {
 	s := &m.State
-	switch in.Verdict.Kind {
-	case canary.Worse:
+	switch in.Verdict.Conclusion {
+	case canary.Regressed:
 		return m.judged(in)
-	case canary.Shared:
-		return m.enter(Withdrawing, in, "%s", in.Verdict.Why)
-	case canary.Even:
+	case canary.AllRegressed:
+		return m.enter(Withdrawing, in, "%s", in.Verdict.Reason)
+	case canary.NoRegression:
 		if s.Paused {
 			return false
 		}
@@ -275,11 +275,11 @@
 		}
 		s.Stage++
 		s.Tries, s.Early = 0, 0
-		return m.enter(Applying, in, "stage %d passed: %s", s.Stage, in.Verdict.Why)
+		return m.enter(Applying, in, "stage %d passed: %s", s.Stage, in.Verdict.Reason)
 	}
 	if m.passed(in, m.pace.MostMS) && !s.Paused {
 		s.Verdicts = append(s.Verdicts, in.Verdict)
-		return m.back(in, "undecided after its time: %s", in.Verdict.Why)
+		return m.back(in, "undecided after its time: %s", in.Verdict.Reason)
 	}
 	return false
 }
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -91,7 +91,7 @@
 	} else if changed {
 		f.record = f.m.State
 		f.seen[f.record.Phase] = true
-		if before.Phase == Baking && f.record.Phase != Baking && v.Kind == canary.Even {
+		if before.Phase == Baking && f.record.Phase != Baking && v.Conclusion == canary.NoRegression {
 			f.passed[before.Stage] = true
 		}
 		if f.record.Phase == Applying {
@@ -182,15 +182,15 @@
 	bad := f.r.IntN(3) == 0
 	for i := 0; i < 3000 && !f.m.State.Phase.Ends(); i++ {
 		faults := i < 250
-		v := canary.Verdict{Kind: canary.Open}
+		v := canary.Verdict{Conclusion: canary.Inconclusive}
 		if f.m.State.Phase == Baking {
 			switch n := f.r.IntN(30); {
 			case n == 0 && bad:
-				v.Kind = canary.Worse
+				v.Conclusion = canary.Regressed
 			case n == 1 && faults:
-				v.Kind = canary.Shared
+				v.Conclusion = canary.AllRegressed
 			case n < 12 && f.m.Baked(f.now):
-				v.Kind = canary.Even
+				v.Conclusion = canary.NoRegression
 			}
 		}
 		kill, ask := 0, Ask("")
@@ -269,10 +269,10 @@
 			for at := range 120 {
 				f := newFleet(t, 1, 4)
 				for i := 0; i < 2000 && !f.m.State.Phase.Ends(); i++ {
-					v := canary.Verdict{Kind: canary.Open}
+					v := canary.Verdict{Conclusion: canary.Inconclusive}
 					if f.m.State.Phase == Baking && f.m.Baked(f.now) {
-						if v.Kind = canary.Even; bad && f.m.State.Stage == 1 {
-							v.Kind = canary.Worse
+						if v.Conclusion = canary.NoRegression; bad && f.m.State.Stage == 1 {
+							v.Conclusion = canary.Regressed
 						}
 					}
 					kill := 0
@@ -292,9 +292,9 @@
 func TestOneThatCannotGoBackIsNamedAndDrained(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	for i := 0; i < 400 && f.m.State.Phase != Stuck; i++ {
-		v := canary.Verdict{Kind: canary.Open}
+		v := canary.Verdict{Conclusion: canary.Inconclusive}
 		if f.m.State.Phase == Baking {
-			v.Kind = canary.Worse
+			v.Conclusion = canary.Regressed
 			f.members[0].failed = "the program is gone"
 		}
 		f.one(v, "", 0, false)
--- a/internal/supervisor/child.go
+++ b/internal/supervisor/child.go
@@ -142,10 +142,10 @@
 	if address == "" {
 		return false
 	}
-	p := jobstats.Part{PerMillion: word.Part[quota.Fleet], Quotas: map[string]int64{}, UntilNS: word.PartUntil}
+	p := jobstats.Share{PerMillion: word.Part[quota.Fleet], TenantQuotas: map[string]int64{}, ExpiryNS: word.PartUntil}
 	for of, n := range word.Part {
 		if tenant, is := of.Tenant(); is {
-			p.Quotas[tenant] = n
+			p.TenantQuotas[tenant] = n
 		}
 	}
 	text, err := json.Marshal(p)
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -26,8 +26,8 @@
 
 func options(t *testing.T, state string) Options {
 	t.Helper()
-	return Options{Name: "c1", State: state, Operator: filepath.Join("testdata", "operator.json"), Program: filepath.Join("testdata", "controller"),
-		Drain: 10 * time.Second, Env: append(os.Environ(), standInVariable+"="+os.Args[0]), Log: io.Discard}
+	return Options{Name: "c1", StateDir: state, OperatorFile: filepath.Join("testdata", "operator.json"), ProgramPath: filepath.Join("testdata", "controller"),
+		DrainTimeout: 10 * time.Second, Environment: append(os.Environ(), standInVariable+"="+os.Args[0]), LogOutput: io.Discard}
 }
 
 func programAt(t *testing.T, name string) change.Program {
@@ -42,7 +42,7 @@
 
 // running is a keeper that runs until the test ends, with its HTTP side.
 type running struct {
-	keeper *Keeper
+	keeper *Supervisor
 	url    string
 	stop   func()
 }
@@ -151,13 +151,13 @@
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
 	r := run(t, dir)
-	r.await(t, "its controller", func(s Status) bool { return s.Serves })
+	r.await(t, "its controller", func(s Status) bool { return s.Serving })
 	first := orderOf(8, programAt(t, "controller"), shapeFirst, "")
 	if code, body := r.post(t, "/v1/order", first); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s := r.await(t, "the first order", func(s Status) bool { return s.Serves && s.Running == first.Want.Digest() })
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Life, Part: quota.Share{quota.Fleet: 400_000},
+	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Want.Digest() })
+	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Incarnation, Part: quota.Share{quota.Fleet: 400_000},
 		PartUntil: monotonic.Now() + int64(time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
 		Text: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
@@ -171,7 +171,7 @@
 	if code, body := r.post(t, "/v1/order", second); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	r.await(t, "the second order", func(s Status) bool { return s.Running == second.Want.Digest() && len(s.Drains) == 0 })
+	r.await(t, "the second order", func(s Status) bool { return s.RunningSpec == second.Want.Digest() && len(s.DrainingPIDs) == 0 })
 	r.stop()
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 	}
 	held := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
 	r := run(t, dir)
-	s := r.await(t, "the recorded order", func(s Status) bool { return s.Serves && s.Running == held.Want.Digest() })
-	if s.Fence != held.Fence || s.By != held.By || s.Spec.Program != held.Want.Program || s.Spec.Digest() != held.Want.Digest() || s.Drained || s.Failed != "" || s.Crashes != 0 {
+	s := r.await(t, "the recorded order", func(s Status) bool { return s.Serving && s.RunningSpec == held.Want.Digest() })
+	if s.Fence != held.Fence || s.OrderedBy != held.By || s.Spec.Program != held.Want.Program || s.Spec.Digest() != held.Want.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
 		t.Errorf("%+v", s)
 	}
 	before, err := os.ReadFile(filepath.Join(dir, "held.json"))
@@ -226,7 +226,9 @@
 	if code, body := r.post(t, "/v1/order", next); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s = r.await(t, "the next order", func(s Status) bool { return s.Serves && s.Running == next.Want.Digest() && len(s.Drains) == 0 })
+	s = r.await(t, "the next order", func(s Status) bool {
+		return s.Serving && s.RunningSpec == next.Want.Digest() && len(s.DrainingPIDs) == 0
+	})
 	if s.Fence != next.Fence {
 		t.Errorf("%+v", s)
 	}
@@ -253,7 +255,7 @@
 		golden.Check(t, name, text)
 	}
 	spec := change.Spec{Program: change.Program{Path: "/opt/controller", Digest: "d1"}, Shape: json.RawMessage(shapeFirst)}
-	if err := k.Take(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Turn: 7}, By: "x", Member: "c1", Want: spec, Drain: true, Why: "why"}); err != nil {
+	if err := k.AcceptOrder(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Turn: 7}, By: "x", Member: "c1", Want: spec, Drain: true, Why: "why"}); err != nil {
 		t.Fatal(err)
 	}
 	check("held.json", "files/held.json")
@@ -264,7 +266,7 @@
 	check("operator-1.json", "files/operator-no-plan.json")
 	word := assignment.Held{Reign: 1, Count: 2, Owner: "c2", Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: 123456789, Text: json.RawMessage(planOfOwner)}
 	k.now = &child{}
-	k.now.report.Learned, k.now.report.Health = json.RawMessage(`{"lookup":{"mean":12.5}}`), json.RawMessage(`{"e1":{"ok":true}}`)
+	k.now.report.LearnedEstimates, k.now.report.EngineHealth = json.RawMessage(`{"lookup":{"mean":12.5}}`), json.RawMessage(`{"e1":{"ok":true}}`)
 	if !k.file(c, k.held, word, true) {
 		t.Fatal(k.failed)
 	}
@@ -310,11 +312,11 @@
 
 func TestStatusBodyIsAsRecorded(t *testing.T) {
 	s := Status{Format: 2, Name: "c1", Spec: change.Spec{Program: change.Program{Path: "/p", Digest: "d"}, Shape: json.RawMessage(`{"a":1}`), Plan: json.RawMessage(`{"b":2}`)},
-		Running: "r", Version: "v", Settings: "s", Fence: change.Fence{Number: 1, Term: 2, Turn: 3}, By: "x", Serves: true, Drained: true, Failed: "why",
-		Crashes: 4, PID: 5, Drains: []int{6, 7}, Owed: 8, OrderMS: 9, AskedMS: 10, MemoryMB: 11.5, CPU: 12, Started: 13, Probes: 14, Aside: 15,
-		Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "a b"}: {Jobs: 3, Within: 2, Done: 2, Throttled: 1, Cancelled: 1, Dispatches: 4, Further: 1, Took: []uint64{1, 1}}},
-		Life: "life", BootNS: 16, Word: assignment.Held{Reign: 17, Count: 18, Owner: "c2", Part: quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20}, PartUntil: 21, Plan: "p", PlanUntil: 22},
-		Carries: 23, Carried: 24, EngineCount: 25, Engines: []string{"e1", "e2"}}
+		RunningSpec: "r", Version: "v", SettingsDigest: "s", Fence: change.Fence{Number: 1, Term: 2, Turn: 3}, OrderedBy: "x", Serving: true, Drained: true, Failure: "why",
+		Crashes: 4, PID: 5, DrainingPIDs: []int{6, 7}, OwedAnswers: 8, SinceOrderMS: 9, SinceRequestMS: 10, MemoryMB: 11.5, CPUNS: 12, StartedUnixNS: 13, Probes: 14, EjectedEngines: 15,
+		JobCounts:   map[canary.Group]canary.JobCounts{{Type: "lookup", Tenant: "a b"}: {Jobs: 3, WithinSLA: 2, Done: 2, Throttled: 1, Cancelled: 1, Dispatches: 4, Retries: 1, LatencyBuckets: []uint64{1, 1}}},
+		Incarnation: "life", MonotonicNS: 16, Assignment: assignment.Held{Reign: 17, Count: 18, Owner: "c2", Part: quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20}, PartUntil: 21, Plan: "p", PlanUntil: 22},
+		SharePerMillion: 23, AppliedAssignment: 24, ReadyEngineCount: 25, ReadyEngines: []string{"e1", "e2"}}
 	for i, v := 0, reflect.ValueOf(s); i < v.NumField(); i++ {
 		if f := v.Type().Field(i); v.Field(i).IsZero() && f.Tag.Get("json") != "-" {
 			t.Errorf("%s is not filled: the golden file does not hold its key", f.Name)
@@ -327,8 +329,8 @@
 	golden.Check(t, "status.json", text)
 	read, err := ReadStatus(text)
 	// engines is left out of an empty status, by which ReadStatus knows its own keys: it stands in Others too.
-	if err != nil || len(read.Others) != 1 || read.Others["engines"] == nil {
-		t.Fatalf("%v: others %v", err, read.Others)
+	if err != nil || len(read.UnknownFields) != 1 || read.UnknownFields["engines"] == nil {
+		t.Fatalf("%v: others %v", err, read.UnknownFields)
 	}
 	again, err := json.MarshalIndent(read, "", " ")
 	if err != nil || !bytes.Equal(again, text) {
@@ -351,18 +353,20 @@
 	golden.Check(t, "http/status-idle.json", steady((&running{url: server.URL}).get(t, "/v1/status")))
 
 	r := run(t, filepath.Join(t.TempDir(), "state"))
-	s := r.await(t, "its controller", func(s Status) bool { return s.Serves && s.EngineCount == 2 })
+	s := r.await(t, "its controller", func(s Status) bool { return s.Serving && s.ReadyEngineCount == 2 })
 	o := orderOf(9, programAt(t, "controller"), shapeSecond, planOrdered)
 	o.Why = "a test"
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Life, Part: quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
+	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Incarnation, Part: quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
 		PartUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), Text: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	r.await(t, "order and word", func(s Status) bool { return s.Running == o.Want.Digest() && s.Carried == 1 && s.Carries == 400_000 })
+	r.await(t, "order and word", func(s Status) bool {
+		return s.RunningSpec == o.Want.Digest() && s.AppliedAssignment == 1 && s.SharePerMillion == 400_000
+	})
 	golden.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
 	golden.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
 
--- a/internal/supervisor/keep.go
+++ b/internal/supervisor/keep.go
@@ -32,17 +32,17 @@
 
 // Options are a keeper's.
 type Options struct {
-	Name     string
-	State    string // a folder of its own: the order that it holds, and the operator's file that it writes
-	Operator string // the operator's file, whose shape and plan count until an order says otherwise
-	Program  string // that is run until then
-	Drain    time.Duration
-	Env      []string  // of the controller
-	Log      io.Writer // what the controller logs
+	Name         string
+	StateDir     string // a folder of its own: the order that it holds, and the operator's file that it writes
+	OperatorFile string // the operator's file, whose shape and plan count until an order says otherwise
+	ProgramPath  string // that is run until then
+	DrainTimeout time.Duration
+	Environment  []string  // of the controller
+	LogOutput    io.Writer // what the controller logs
 }
 
 // Keeper keeps one controller.
-type Keeper struct {
+type Supervisor struct {
 	o    Options
 	base map[string]json.RawMessage // the operator's file
 	http http.Client
@@ -71,31 +71,31 @@
 
 // New reads what is held. A record that cannot be read is an error: a keeper that has forgotten what it took must not take
 // an order that was refused before.
-func New(o Options) (*Keeper, error) {
-	k := &Keeper{o: o, wake: make(chan struct{}, 1), http: http.Client{Timeout: 2 * time.Second}, asked: time.Now(), life: rand.Text()}
-	if o.Operator != "" {
-		text, err := os.ReadFile(o.Operator)
+func New(o Options) (*Supervisor, error) {
+	k := &Supervisor{o: o, wake: make(chan struct{}, 1), http: http.Client{Timeout: 2 * time.Second}, asked: time.Now(), life: rand.Text()}
+	if o.OperatorFile != "" {
+		text, err := os.ReadFile(o.OperatorFile)
 		if err != nil {
 			return nil, err
 		}
 		if err := json.Unmarshal(text, &k.base); err != nil {
-			return nil, fmt.Errorf("%s: %w", o.Operator, err)
+			return nil, fmt.Errorf("%s: %w", o.OperatorFile, err)
 		}
 	}
 	if k.base == nil {
 		k.base = map[string]json.RawMessage{}
 	}
-	if err := os.MkdirAll(o.State, 0o700); err != nil {
+	if err := os.MkdirAll(o.StateDir, 0o700); err != nil {
 		return nil, err
 	}
 	text, err := os.ReadFile(k.path("held.json"))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		digest, err := change.OfFile(o.Program)
+		digest, err := change.OfFile(o.ProgramPath)
 		if err != nil {
 			return nil, err
 		}
-		k.held.Want = change.Spec{Program: change.Program{Path: o.Program, Digest: digest}, Shape: k.base["shape"]}
+		k.held.Want = change.Spec{Program: change.Program{Path: o.ProgramPath, Digest: digest}, Shape: k.base["shape"]}
 		if k.held.Want.Plan, err = k.plan(); err != nil {
 			return nil, err
 		}
@@ -109,10 +109,10 @@
 	return k, nil
 }
 
-func (k *Keeper) path(name string) string { return filepath.Join(k.o.State, name) }
+func (k *Supervisor) path(name string) string { return filepath.Join(k.o.StateDir, name) }
 
 // plan is the plan that the operator's file names, or nil.
-func (k *Keeper) plan() (json.RawMessage, error) {
+func (k *Supervisor) plan() (json.RawMessage, error) {
 	var p struct {
 		File string `json:"file"`
 	}
@@ -123,13 +123,13 @@
 		return nil, err
 	}
 	if !filepath.IsAbs(p.File) {
-		p.File = filepath.Join(filepath.Dir(k.o.Operator), p.File)
+		p.File = filepath.Join(filepath.Dir(k.o.OperatorFile), p.File)
 	}
 	return os.ReadFile(p.File)
 }
 
 // Take takes an order, or refuses it. What is held is on disk before it counts.
-func (k *Keeper) Take(o change.Order) error {
+func (k *Supervisor) AcceptOrder(o change.Order) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ordered = time.Now()
@@ -156,7 +156,7 @@
 }
 
 // Hear takes a word of the fleet's owner, or refuses it. It is not written down: it is for this process alone.
-func (k *Keeper) Hear(w assignment.Word) error {
+func (k *Supervisor) AcceptAssignment(w assignment.Word) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	next, err := k.word.Take(w, k.o.Name, k.life, monotonic.Now())
@@ -187,7 +187,7 @@
 }
 
 // Run keeps the controller until ctx ends, then lets it drain.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Supervisor) Run(ctx context.Context) error {
 	tick := time.NewTicker(look)
 	defer tick.Stop()
 	for {
@@ -207,7 +207,7 @@
 }
 
 // turn looks, and does what comes next.
-func (k *Keeper) turn(ctx context.Context) {
+func (k *Supervisor) turn(ctx context.Context) {
 	k.ends()
 	for _, c := range []*child{k.now, k.next} {
 		if c != nil {
@@ -222,7 +222,7 @@
 		s.nowFits, s.told = now.program == held.Want.Program, now.told.covers(want(held, word, len(k.olds) > 0), monotonic.Now())
 	}
 	if next != nil {
-		s.nextFits, s.nextReady = next.program == held.Want.Program, next.report.Ready && next.report.Spec == held.Want.Digest()
+		s.nextFits, s.nextReady = next.program == held.Want.Program, next.report.Ready && next.report.SpecDigest == held.Want.Digest()
 	}
 	var carry []*child // those that answer: one that hangs must not hold up orders
 	for _, c := range []*child{now, next} {
@@ -269,7 +269,7 @@
 }
 
 // ends takes note of processes that have ended, and kills old ones whose time to drain is over.
-func (k *Keeper) ends() {
+func (k *Supervisor) ends() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, at := range []**child{&k.now, &k.next} {
@@ -279,8 +279,8 @@
 		}
 	}
 	k.olds = slices.DeleteFunc(k.olds, func(c *child) bool {
-		if !c.over() && time.Since(c.drains) > k.o.Drain {
-			slog.Error("controller_killed", "drain_ms", k.o.Drain.Milliseconds())
+		if !c.over() && time.Since(c.drains) > k.o.DrainTimeout {
+			slog.Error("controller_killed", "drain_ms", k.o.DrainTimeout.Milliseconds())
 			c.cmd.Process.Kill()
 			<-c.ended
 		}
@@ -289,14 +289,14 @@
 }
 
 // crashed counts an end that nobody asked for, or a start that failed. The lock is held.
-func (k *Keeper) crashed(ran time.Duration, why error) {
+func (k *Supervisor) crashed(ran time.Duration, why error) {
 	wait := k.again.ended(ran)
 	k.startAt = time.Now().Add(wait)
 	slog.Error("controller_ended", "reason", fmt.Sprint(why), "crashes", k.again.Crashes, "again_ms", wait.Milliseconds())
 }
 
 // end lets a process drain; nil: there is none.
-func (k *Keeper) end(c *child) {
+func (k *Supervisor) end(c *child) {
 	if c == nil {
 		return
 	}
@@ -307,7 +307,7 @@
 	k.mu.Unlock()
 }
 
-func (k *Keeper) endAll() {
+func (k *Supervisor) endAll() {
 	k.mu.Lock()
 	now, next := k.now, k.next
 	k.now, k.next = nil, nil
@@ -317,7 +317,7 @@
 }
 
 // fits tells whether a program's file is what an order says.
-func (k *Keeper) fits(p change.Program) bool {
+func (k *Supervisor) fits(p change.Program) bool {
 	d, err := change.OfFile(p.Path)
 	if err == nil && d != p.Digest {
 		err = fmt.Errorf("%s is %s, ordered was %s", p.Path, d, p.Digest)
@@ -328,7 +328,7 @@
 // recheck is how often one that is out of service looks whether what it could not do has been mended.
 const recheck = 2 * time.Second
 
-func (k *Keeper) recheck(p change.Program) {
+func (k *Supervisor) recheck(p change.Program) {
 	fits := k.fits(p)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -339,7 +339,7 @@
 }
 
 // fail keeps why an order cannot be carried out; nil: it can.
-func (k *Keeper) fail(err error) bool {
+func (k *Supervisor) fail(err error) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil && k.failed == "" {
@@ -350,7 +350,7 @@
 }
 
 // file writes a process's operator's file: of what is held, and whether an older one still drains.
-func (k *Keeper) file(c *child, h change.Held, word assignment.Held, elder bool) bool {
+func (k *Supervisor) file(c *child, h change.Held, word assignment.Held, elder bool) bool {
 	parts := map[string]json.RawMessage{}
 	for name, text := range k.base {
 		if name != "fleet" && name != "shape" && name != "plan" {
@@ -360,7 +360,7 @@
 	own := operator.Tally{Listen: "127.0.0.1:0", Spec: h.Want.Digest(), Elder: elder}
 	k.mu.Lock()
 	if k.now != nil && c != k.now { // it has one to learn from
-		own.Learned, own.Health = k.now.report.Learned, k.now.report.Health
+		own.Learned, own.Health = k.now.report.LearnedEstimates, k.now.report.EngineHealth
 	}
 	k.mu.Unlock()
 	parts["tally"], _ = json.Marshal(own)
@@ -397,7 +397,7 @@
 const plansKept = 3
 
 // forget removes the oldest files of plans.
-func (k *Keeper) forget(but string) {
+func (k *Supervisor) forget(but string) {
 	list, _ := filepath.Glob(k.path("plan-*.json"))
 	at := func(path string) int64 {
 		if i, err := os.Stat(path); err == nil {
@@ -417,7 +417,7 @@
 const files = 4
 
 // begin starts a process of the controller.
-func (k *Keeper) begin(h change.Held, word assignment.Held) {
+func (k *Supervisor) begin(h change.Held, word assignment.Held) {
 	k.seq++
 	c := &child{program: h.Want.Program, file: k.path(fmt.Sprintf("operator-%d.json", k.seq%files)), began: time.Now(), ended: make(chan struct{})}
 	k.mu.Lock()
@@ -426,7 +426,7 @@
 	if !k.file(c, h, word, beside || len(k.olds) > 0) {
 		return
 	}
-	err := c.start(append(append([]string{}, k.o.Env...), "ROUTER_OPERATOR="+c.file), k.o.Log)
+	err := c.start(append(append([]string{}, k.o.Environment...), "ROUTER_OPERATOR="+c.file), k.o.LogOutput)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
@@ -440,7 +440,7 @@
 }
 
 // look asks a process how it is. One that refused its file will not run with it.
-func (k *Keeper) look(ctx context.Context, c *child) {
+func (k *Supervisor) look(ctx context.Context, c *child) {
 	r, err := c.ask(ctx, &k.http)
 	k.mu.Lock()
 	if err != nil {
@@ -448,8 +448,8 @@
 		k.mu.Unlock()
 		return
 	}
-	refused := r.Spec != c.told.spec && r.Refused > c.report.Refused && c.report.Started == r.Started
-	if c.report = r; c == k.now && r.Spec == k.held.Want.Digest() && c.program == k.held.Want.Program {
+	refused := r.SpecDigest != c.told.spec && r.ReloadsFailed > c.report.ReloadsFailed && c.report.StartedUnixNS == r.StartedUnixNS
+	if c.report = r; c == k.now && r.SpecDigest == k.held.Want.Digest() && c.program == k.held.Want.Program {
 		k.failed = ""
 	}
 	k.mu.Unlock()
@@ -459,32 +459,32 @@
 }
 
 // Status is how things are.
-func (k *Keeper) Status() Status {
+func (k *Supervisor) Status() Status {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	s := Status{Format: change.Format, Life: k.life, BootNS: monotonic.Now(), Word: k.word, Name: k.o.Name, Spec: k.held.Want, Fence: k.held.Fence,
-		By: k.held.By, Drained: k.drained, Failed: k.failed, Crashes: k.again.Crashes, OrderMS: -1, AskedMS: now.Sub(k.asked).Milliseconds()}
+	s := Status{Format: change.Format, Incarnation: k.life, MonotonicNS: monotonic.Now(), Assignment: k.word, Name: k.o.Name, Spec: k.held.Want, Fence: k.held.Fence,
+		OrderedBy: k.held.By, Drained: k.drained, Failure: k.failed, Crashes: k.again.Crashes, SinceOrderMS: -1, SinceRequestMS: now.Sub(k.asked).Milliseconds()}
 	if k.asked = now; !k.ordered.IsZero() {
-		s.OrderMS = now.Sub(k.ordered).Milliseconds()
+		s.SinceOrderMS = now.Sub(k.ordered).Milliseconds()
 	}
-	s.Carried = k.carried()
+	s.AppliedAssignment = k.carried()
 	for _, c := range k.olds {
-		s.Drains = append(s.Drains, c.cmd.Process.Pid)
+		s.DrainingPIDs = append(s.DrainingPIDs, c.cmd.Process.Pid)
 	}
-	if c := k.now; c != nil && c.report.Started != 0 {
+	if c := k.now; c != nil && c.report.StartedUnixNS != 0 {
 		r := c.report
-		s.PID, s.Version, s.Settings, s.Running = c.cmd.Process.Pid, r.Version, r.Settings, r.Spec
-		s.Serves, s.Owed, s.Started, s.Probes, s.Aside, s.Work = r.Ready, r.Owed, r.Started, r.Probes, r.Aside, r.Work
-		s.Engines, s.EngineCount, s.Carries = r.Engines, len(r.Engines), r.Carries
-		s.MemoryMB, s.CPU = c.uses()
+		s.PID, s.Version, s.SettingsDigest, s.RunningSpec = c.cmd.Process.Pid, r.Version, r.SettingsDigest, r.SpecDigest
+		s.Serving, s.OwedAnswers, s.StartedUnixNS, s.Probes, s.EjectedEngines, s.JobCounts = r.Ready, r.OwedAnswers, r.StartedUnixNS, r.Probes, r.EjectedEngines, r.JobCounts
+		s.ReadyEngines, s.ReadyEngineCount, s.SharePerMillion = r.ReadyEngines, len(r.ReadyEngines), r.SharePerMillion
+		s.MemoryMB, s.CPUNS = c.uses()
 	}
 	return s
 }
 
 // carried is the last word by whose part all that lives here goes; 0: one of them may go by an earlier one yet, as it was not told,
 // or as a part that ends is not taken back. The lock is held.
-func (k *Keeper) carried() int64 {
+func (k *Supervisor) carried() int64 {
 	all := len(k.olds) == 0
 	for _, c := range []*child{k.now, k.next} {
 		all = all && (c == nil || c.part == [2]int64{k.word.Reign, k.word.Count})
@@ -496,12 +496,12 @@
 }
 
 // Handler speaks with conductors and the fleet's owner: GET /v1/status, POST /v1/order, POST /v1/word.
-func (k *Keeper) Handler() *http.ServeMux {
+func (k *Supervisor) Handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
 		s := k.Status()
 		if r.URL.Query().Get("engines") == "" { // hundreds of names, for who plans
-			s.Engines = nil
+			s.ReadyEngines = nil
 		}
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(s)
@@ -512,7 +512,7 @@
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
 		}
-		if err := k.Hear(o); err != nil {
+		if err := k.AcceptAssignment(o); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
 		}
@@ -524,7 +524,7 @@
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
 		}
-		if err := k.Take(o); errors.Is(err, errNoRecord) {
+		if err := k.AcceptOrder(o); errors.Is(err, errNoRecord) {
 			http.Error(w, err.Error(), http.StatusInsufficientStorage)
 			return
 		} else if err != nil {
--- a/internal/supervisor/keep_test.go
+++ b/internal/supervisor/keep_test.go
@@ -34,10 +34,10 @@
 
 func TestFieldsOfAnotherVersionAreKeptAndTold(t *testing.T) {
 	s, err := ReadStatus([]byte(`{"format":2,"name":"c1","serves":true,"mood":"good","work":{"\"lookup\" \"a b\"":{"jobs":3,"within":2}}}`))
-	if err != nil || !s.Serves || string(s.Others["mood"]) != `"good"` || len(s.Others) != 1 {
+	if err != nil || !s.Serving || string(s.UnknownFields["mood"]) != `"good"` || len(s.UnknownFields) != 1 {
 		t.Fatalf("%+v %v", s, err)
 	}
-	for g, w := range s.Work {
+	for g, w := range s.JobCounts {
 		if g.Type != "lookup" || g.Tenant != "a b" || w.Jobs != 3 {
 			t.Errorf("%v %v", g, w)
 		}
@@ -52,13 +52,13 @@
 	program, file := filepath.Join(dir, "program"), filepath.Join(dir, "operator.json")
 	os.WriteFile(program, []byte("x"), 0o700)
 	os.WriteFile(file, []byte(`{"shape":{"cancel":false},"fleet":{"members":[]}}`), 0o600)
-	o := Options{Name: "c1", State: filepath.Join(dir, "state"), Operator: file, Program: program}
+	o := Options{Name: "c1", StateDir: filepath.Join(dir, "state"), OperatorFile: file, ProgramPath: program}
 	k, err := New(o)
 	if err != nil || string(k.held.Want.Shape) != `{"cancel":false}` || k.held.Fence != (change.Fence{}) {
 		t.Fatalf("%+v %v", k, err)
 	}
 	order := change.Order{Format: 1, Fence: change.Fence{Number: 4, Term: 2, Turn: 9}, By: "x", Member: "c1", Want: k.held.Want}
-	if err := k.Take(order); err != nil {
+	if err := k.AcceptOrder(order); err != nil {
 		t.Fatal(err)
 	}
 	c := &child{file: k.path("operator-1.json")}
@@ -112,7 +112,7 @@
 	dir := t.TempDir()
 	program := filepath.Join(dir, "program")
 	os.WriteFile(program, []byte("x"), 0o700)
-	k, err := New(Options{Name: "c1", State: filepath.Join(dir, "state"), Program: program})
+	k, err := New(Options{Name: "c1", StateDir: filepath.Join(dir, "state"), ProgramPath: program})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,17 +120,17 @@
 	os.Remove(program)
 	k.fits(k.held.Want.Program)
 	k.turn(t.Context())
-	if s := k.Status(); s.Failed == "" || !s.Drained {
+	if s := k.Status(); s.Failure == "" || !s.Drained {
 		t.Fatalf("%+v", s)
 	}
 	os.WriteFile(program, []byte("y"), 0o700) // another one is no mend
 	k.checked = time.Time{}
-	if k.turn(t.Context()); k.Status().Failed == "" {
+	if k.turn(t.Context()); k.Status().Failure == "" {
 		t.Error("another program mends it")
 	}
 	os.WriteFile(program, []byte("x"), 0o700)
 	k.checked = time.Time{}
-	if k.turn(t.Context()); k.Status().Failed != "" || !k.Status().Drained {
+	if k.turn(t.Context()); k.Status().Failure != "" || !k.Status().Drained {
 		t.Errorf("%+v", k.Status())
 	}
 }
@@ -140,14 +140,14 @@
 	dir := t.TempDir()
 	program := filepath.Join(dir, "program")
 	os.WriteFile(program, []byte("x"), 0o700)
-	k, err := New(Options{Name: "c1", State: filepath.Join(dir, "state"), Program: program})
+	k, err := New(Options{Name: "c1", StateDir: filepath.Join(dir, "state"), ProgramPath: program})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got []jobstats.Part
+	var got []jobstats.Share
 	well := false
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var p jobstats.Part
+		var p jobstats.Share
 		if !well || json.NewDecoder(r.Body).Decode(&p) != nil {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 			return
@@ -163,26 +163,26 @@
 	k.now = c
 	hear := func(count, share int64) {
 		t.Helper()
-		if err := k.Hear(assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: k.life, Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}); err != nil {
+		if err := k.AcceptAssignment(assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: k.life, Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	hear(3, 500_000)
-	if c.carry(t.Context(), &k.http, k.word) || k.Status().Carried != 0 {
+	if c.carry(t.Context(), &k.http, k.word) || k.Status().AppliedAssignment != 0 {
 		t.Error("it counts as taken, and was not")
 	}
 	well = true
-	if !c.carry(t.Context(), &k.http, k.word) || len(got) != 1 || got[0].PerMillion != 500_000 || got[0].Quotas["acme"] != 7 {
+	if !c.carry(t.Context(), &k.http, k.word) || len(got) != 1 || got[0].PerMillion != 500_000 || got[0].TenantQuotas["acme"] != 7 {
 		t.Fatalf("%+v", got)
 	}
-	if c.part = [2]int64{1, 3}; k.Status().Carried != 3 {
+	if c.part = [2]int64{1, 3}; k.Status().AppliedAssignment != 3 {
 		t.Error("it was taken, and does not count")
 	}
-	if hear(4, 100_000); k.Status().Carried != 0 {
+	if hear(4, 100_000); k.Status().AppliedAssignment != 0 {
 		t.Error("the next counts before it is taken")
 	}
 	k.olds = append(k.olds, &child{cmd: c.cmd})
-	if c.part = [2]int64{1, 4}; k.Status().Carried != 0 {
+	if c.part = [2]int64{1, 4}; k.Status().AppliedAssignment != 0 {
 		t.Error("an older process goes by an earlier part, and it counts")
 	}
 }
--- a/internal/supervisor/standin_test.go
+++ b/internal/supervisor/standin_test.go
@@ -59,10 +59,10 @@
 	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
 		defer mu.Unlock()
-		return jobstats.Report{Format: change.Format, Started: started, Version: "stand-in", Spec: now.Spec, Settings: "5e77", Ready: true,
-			Probes: 3, Aside: 1, Learned: learned, Health: json.RawMessage(`{"e1":{"ok":true}}`), Engines: []string{"e1", "e2"}, Carries: carries,
-			Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, Within: 4, Done: 5, Dispatches: 6, Further: 1, Took: []uint64{0, 5}}}}
-	}, func(p jobstats.Part) {
+		return jobstats.Report{Format: change.Format, StartedUnixNS: started, Version: "stand-in", SpecDigest: now.Spec, SettingsDigest: "5e77", Ready: true,
+			Probes: 3, EjectedEngines: 1, LearnedEstimates: learned, EngineHealth: json.RawMessage(`{"e1":{"ok":true}}`), ReadyEngines: []string{"e1", "e2"}, SharePerMillion: carries,
+			JobCounts: map[canary.Group]canary.JobCounts{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, WithinSLA: 4, Done: 5, Dispatches: 6, Retries: 1, LatencyBuckets: []uint64{0, 5}}}}
+	}, func(p jobstats.Share) {
 		mu.Lock()
 		defer mu.Unlock()
 		carries = p.PerMillion
--- a/internal/testcluster/parts.go
+++ b/internal/testcluster/parts.go
@@ -62,8 +62,8 @@
 	for i, m := range p.town.Members {
 		wait.Go(func() {
 			now[i] = last[i]
-			if s, err := p.town.Status(m); err == nil && s.Carried != 0 { // else its controller goes by the part before
-				now[i] = partAt{s.Word.Part[quota.Fleet], s.Word.PartUntil}
+			if s, err := p.town.Status(m); err == nil && s.AppliedAssignment != 0 { // else its controller goes by the part before
+				now[i] = partAt{s.Assignment.Part[quota.Fleet], s.Assignment.PartUntil}
 			}
 		})
 	}
--- a/internal/testcluster/town.go
+++ b/internal/testcluster/town.go
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, m := range t.Members {
-		if err := t.Await(20*time.Second, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
+		if err := t.Await(20*time.Second, func() bool { s, err := t.Status(m); return err == nil && s.Serving }); err != nil {
 			return t, fmt.Errorf("%s does not serve: %w: %s", m.Name, err, m.Keeper.Log())
 		}
 	}
