--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -320,7 +320,7 @@
 			if strings.Contains(line, "msg=plan_taken") {
 				p.plans++
 			}
-			_, rest, is := strings.Cut(line, "msg=order_taken fence=")
+			_, rest, is := strings.Cut(line, "msg=order_accepted fence=")
 			if !is {
 				continue
 			}
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -230,7 +230,7 @@
 func fences(log string) error {
 	var last change.Fence
 	for line := range strings.Lines(log) {
-		_, text, is := strings.Cut(line, "msg=order_taken fence=")
+		_, text, is := strings.Cut(line, "msg=order_accepted fence=")
 		if !is {
 			continue
 		}
--- /dev/null
+++ b/internal/supervisor/config.go
@@ -0,0 +1,36 @@
+package supervisor
+
+import (
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/change"
+)
+
+// controllerConfig is what a controller's operator file says.
+type controllerConfig struct {
+	spec             change.Digest
+	hasPredecessor   bool          // an older process of the same controller still drains
+	leaderPlan       change.Digest // assigned by the leader; empty if the spec has a plan, which takes precedence
+	leaderPlanExpiry int64         // in nanoseconds of the monotonic clock
+}
+
+// wantedConfig returns what an operator file shall say under an order and an assignment.
+func wantedConfig(order change.Held, assigned assignment.Held, hasPredecessor bool) controllerConfig {
+	config := controllerConfig{spec: order.Want.Digest(), hasPredecessor: hasPredecessor}
+	if len(order.Want.Plan) == 0 && assigned.Plan != "" {
+		config.leaderPlan = assigned.Plan
+		config.leaderPlanExpiry = assigned.PlanUntil
+	}
+	return config
+}
+
+// covers reports whether a controller with this configuration may go on with it. Each change is a reload, so a later
+// expiry of the same plan is written only once half of the time to it is over. now is in nanoseconds of the monotonic
+// clock.
+func (c controllerConfig) covers(wanted controllerConfig, now int64) bool {
+	remaining := c.leaderPlanExpiry - now
+	wantedRemaining := wanted.leaderPlanExpiry - now
+	isExpiryCovered := wanted.leaderPlan == "" || 2*remaining >= wantedRemaining
+	c.leaderPlanExpiry = 0
+	wanted.leaderPlanExpiry = 0
+	return c == wanted && isExpiryCovered
+}
--- /dev/null
+++ b/internal/supervisor/controller_client.go
@@ -0,0 +1,103 @@
+package supervisor
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/quota"
+)
+
+// maxReportBytes bounds the text of a controller's report.
+const maxReportBytes = 16 << 20
+
+// errNoAddress is returned for a controller that has not logged yet where it serves its report.
+var errNoAddress = errors.New("the controller has not said yet where it serves its report")
+
+// assignmentID tells the leader's assignments apart.
+type assignmentID struct {
+	term     int64
+	sequence int64
+}
+
+func idOf(assigned assignment.Held) assignmentID {
+	return assignmentID{term: assigned.Reign, sequence: assigned.Count}
+}
+
+// url returns a URL of the controller's HTTP server.
+func (c *controller) url(path string) (string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.address == "" {
+		return "", errNoAddress
+	}
+	return "http://" + c.address + path, nil
+}
+
+// fetchReport asks the controller for its report.
+func (c *controller) fetchReport(ctx context.Context, client *http.Client) (jobstats.Report, error) {
+	url, err := c.url("/tally")
+	if err != nil {
+		return jobstats.Report{}, err
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return jobstats.Report{}, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return jobstats.Report{}, err
+	}
+	defer func() { _ = response.Body.Close() }() // it was only read
+	var report jobstats.Report
+	err = json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report)
+	return report, err
+}
+
+// shareOf returns an assignment's share in the form that controllers read.
+func shareOf(assigned assignment.Held) jobstats.Share {
+	share := jobstats.Share{
+		PerMillion:   assigned.Part[quota.Fleet],
+		TenantQuotas: map[string]int64{},
+		ExpiryNS:     assigned.PartUntil,
+	}
+	for resource, perMillion := range assigned.Part {
+		if tenant, isTenant := resource.Tenant(); isTenant {
+			share.TenantQuotas[tenant] = perMillion
+		}
+	}
+	return share
+}
+
+// postShare hands a share to the controller; nil: it has accepted it.
+func (c *controller) postShare(ctx context.Context, client *http.Client, share jobstats.Share) error {
+	url, err := c.url("/part")
+	if err != nil {
+		return err
+	}
+	text, err := json.Marshal(share)
+	if err != nil {
+		return err
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(text))
+	if err != nil {
+		return err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return err
+	}
+	if err := response.Body.Close(); err != nil {
+		return err
+	}
+	if response.StatusCode != http.StatusNoContent {
+		return fmt.Errorf("share refused: %s", response.Status)
+	}
+	return nil
+}
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
-	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -24,225 +22,11 @@
 	"swiftreel/internal/quota"
 )
 
-func options(t *testing.T, state string) Options {
-	t.Helper()
-	return Options{Name: "c1", StateDir: state, OperatorFile: filepath.Join("testdata", "operator.json"), ProgramPath: filepath.Join("testdata", "controller"),
-		DrainTimeout: 10 * time.Second, Environment: append(os.Environ(), standInVariable+"="+os.Args[0]), LogOutput: io.Discard}
-}
-
-func programAt(t *testing.T, name string) change.Program {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	digest, err := change.OfFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return change.Program{Path: path, Digest: digest}
-}
-
-// running is a keeper that runs until the test ends, with its HTTP side.
-type running struct {
-	keeper *Supervisor
-	url    string
-	stop   func()
-}
-
-func run(t *testing.T, state string) *running {
-	t.Helper()
-	keeper, err := New(options(t, state))
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := httptest.NewServer(keeper.Handler())
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- keeper.Run(ctx) }()
-	stopped := false
-	stop := func() {
-		if stopped {
-			return
-		}
-		stopped = true
-		cancel()
-		if err := <-ended; err != nil {
-			t.Error(err)
-		}
-		server.Close()
-	}
-	t.Cleanup(stop)
-	return &running{keeper, server.URL, stop}
-}
-
-func (r *running) get(t *testing.T, path string) []byte {
-	t.Helper()
-	answer, err := http.Get(r.url + path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK || answer.Header.Get("Content-Type") != "application/json" {
-		t.Fatalf("%s: %s %v %v", path, answer.Status, answer.Header, err)
-	}
-	return body
-}
-
-func (r *running) post(t *testing.T, path string, v any) (code int, body string) {
-	t.Helper()
-	text, is := v.(string)
-	if !is {
-		marshalled, err := json.Marshal(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text = string(marshalled)
-	}
-	answer, err := http.Post(r.url+path, "application/json", strings.NewReader(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return answer.StatusCode, string(raw)
-}
-
-// await waits until the status is as wanted.
-func (r *running) await(t *testing.T, what string, is func(Status) bool) Status {
-	t.Helper()
-	var s Status
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		var err error
-		if s, err = ReadStatus(r.get(t, "/v1/status")); err != nil {
-			t.Fatal(err)
-		}
-		if is(s) {
-			return s
-		}
-	}
-	t.Fatalf("%s: not within 30 s: %+v", what, s)
-	return s
-}
-
-func orderOf(turn int64, program change.Program, shape, plan string) change.Order {
-	o := change.Order{Format: change.Format, Fence: change.Fence{Number: 4, Term: 2, Turn: turn}, By: "conductor-a", Member: "c1",
-		Want: change.Spec{Program: program}}
-	if shape != "" {
-		o.Want.Shape = json.RawMessage(shape)
-	}
-	if plan != "" {
-		o.Want.Plan = json.RawMessage(plan)
-	}
-	return o
-}
-
-const (
-	shapeFirst  = `{"budget_free":5}`
-	shapeSecond = `{"budget_free":6,"cancel":true}`
-	planOrdered = `{"method":"exact","value":11}`
-	planOfOwner = `{"method":"exact","value":12}`
-)
-
-// recordState writes testdata/state: a keeper carries out an order without a plan and follows the owner's, then another
-// program with a plan of its own.
-func recordState(t *testing.T, to string) {
-	t.Helper()
-	dir := filepath.Join(t.TempDir(), "state")
-	r := run(t, dir)
-	r.await(t, "its controller", func(s Status) bool { return s.Serving })
-	first := orderOf(8, programAt(t, "controller"), shapeFirst, "")
-	if code, body := r.post(t, "/v1/order", first); code != http.StatusNoContent {
-		t.Fatal(code, body)
-	}
-	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Want.Digest() })
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Incarnation, Part: quota.Share{quota.Fleet: 400_000},
-		PartUntil: monotonic.Now() + int64(time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		Text: json.RawMessage(planOfOwner)}
-	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
-		t.Fatal(code, body)
-	}
-	r.await(t, "the owner's plan", func(Status) bool {
-		text, err := os.ReadFile(filepath.Join(dir, "operator-1.json"))
-		return err == nil && strings.Contains(string(text), "until_boot_ns")
-	})
-	second := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
-	if code, body := r.post(t, "/v1/order", second); code != http.StatusNoContent {
-		t.Fatal(code, body)
-	}
-	r.await(t, "the second order", func(s Status) bool { return s.RunningSpec == second.Want.Digest() && len(s.DrainingPIDs) == 0 })
-	r.stop()
-	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// TestFolderOfAnEarlierBuildIsOpenedAndGoesOn opens the folder that the recorded program left and goes on with it: nothing
-// of the order is lost, what was refused before still is, and the next order is carried out.
-func TestFolderOfAnEarlierBuildIsOpenedAndGoesOn(t *testing.T) {
-	recorded := filepath.Join("testdata", "state")
-	if golden.Missing(recorded) {
-		recordState(t, recorded)
-	}
-	dir := filepath.Join(t.TempDir(), "state")
-	if err := os.CopyFS(dir, os.DirFS(recorded)); err != nil {
-		t.Fatal(err)
-	}
-	held := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
-	r := run(t, dir)
-	s := r.await(t, "the recorded order", func(s Status) bool { return s.Serving && s.RunningSpec == held.Want.Digest() })
-	if s.Fence != held.Fence || s.OrderedBy != held.By || s.Spec.Program != held.Want.Program || s.Spec.Digest() != held.Want.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
-		t.Errorf("%+v", s)
-	}
-	before, err := os.ReadFile(filepath.Join(dir, "held.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	other := held
-	other.By = "conductor-b"
-	for what, o := range map[string]change.Order{"earlier": orderOf(8, held.Want.Program, shapeFirst, ""), "of another conductor": other,
-		"with the same fence and another spec": orderOf(9, held.Want.Program, shapeFirst, "")} {
-		if code, _ := r.post(t, "/v1/order", o); code != http.StatusConflict {
-			t.Errorf("an order %s: %d", what, code)
-		}
-	}
-	if code, _ := r.post(t, "/v1/order", held); code != http.StatusNoContent {
-		t.Errorf("the same order again: %d", code)
-	}
-	after, err := os.ReadFile(filepath.Join(dir, "held.json"))
-	if err != nil || !bytes.Equal(before, after) {
-		t.Errorf("%v: the record was written anew:\n%s", err, after)
-	}
-	for _, plan := range []string{planOrdered, planOfOwner} {
-		// The text of a plan read back from held.json has other blanks: its digest is that of its value.
-		digest := change.OfJSON(json.RawMessage(plan))
-		name := "plan-" + string(digest) + ".json"
-		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || change.OfJSON(json.RawMessage(text)) != digest {
-			t.Errorf("%s: %s %v", name, text, err)
-		}
-	}
-	next := orderOf(10, programAt(t, "controller"), shapeFirst, planOrdered)
-	if code, body := r.post(t, "/v1/order", next); code != http.StatusNoContent {
-		t.Fatal(code, body)
-	}
-	s = r.await(t, "the next order", func(s Status) bool {
-		return s.Serving && s.RunningSpec == next.Want.Digest() && len(s.DrainingPIDs) == 0
-	})
-	if s.Fence != next.Fence {
-		t.Errorf("%+v", s)
-	}
-	r.stop()
-	again, err := New(options(t, dir))
-	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Want.Digest() {
-		t.Errorf("%v: %+v", err, again)
-	}
-}
-
-// TestFilesOfAControllerAreAsRecorded holds the order's record and the operators' files that controllers get, to the byte.
+// TestFilesOfAControllerAreAsRecorded holds the order's record and the operators' files that controllers get, to the
+// byte.
 func TestFilesOfAControllerAreAsRecorded(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	k, err := New(options(t, dir))
+	s, err := New(options(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,51 +38,75 @@
 		}
 		golden.Check(t, name, text)
 	}
-	spec := change.Spec{Program: change.Program{Path: "/opt/controller", Digest: "d1"}, Shape: json.RawMessage(shapeFirst)}
-	if err := k.AcceptOrder(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Turn: 7}, By: "x", Member: "c1", Want: spec, Drain: true, Why: "why"}); err != nil {
+	spec := change.Spec{
+		Program: change.Program{Path: "/opt/controller", Digest: "d1"},
+		Shape:   json.RawMessage(shapeFirst),
+	}
+	if err := s.AcceptOrder(
+		change.Order{
+			Format: change.Format,
+			Fence:  change.Fence{Number: 5, Term: 6, Turn: 7},
+			By:     "x",
+			Member: "c1",
+			Want:   spec,
+			Drain:  true,
+			Why:    "why",
+		},
+	); err != nil {
 		t.Fatal(err)
 	}
 	check("held.json", "files/held.json")
-	c := &child{file: k.path("operator-1.json")}
-	if !k.file(c, k.held, assignment.Held{}, false) {
-		t.Fatal(k.failed)
+	c := &controller{operatorFile: s.statePath("operator-1.json")}
+	if !s.writeOperatorFile(c, s.order, assignment.Held{}, false) {
+		t.Fatal(s.failure)
 	}
 	check("operator-1.json", "files/operator-no-plan.json")
-	word := assignment.Held{Reign: 1, Count: 2, Owner: "c2", Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: 123456789, Text: json.RawMessage(planOfOwner)}
-	k.now = &child{}
-	k.now.report.LearnedEstimates, k.now.report.EngineHealth = json.RawMessage(`{"lookup":{"mean":12.5}}`), json.RawMessage(`{"e1":{"ok":true}}`)
-	if !k.file(c, k.held, word, true) {
-		t.Fatal(k.failed)
+	word := assignment.Held{
+		Reign:     1,
+		Count:     2,
+		Owner:     "c2",
+		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
+		PlanUntil: 123456789,
+		Text:      json.RawMessage(planOfOwner),
+	}
+	s.current = &controller{}
+	s.current.report.LearnedEstimates, s.current.report.EngineHealth = json.RawMessage(
+		`{"lookup":{"mean":12.5}}`,
+	), json.RawMessage(
+		`{"e1":{"ok":true}}`,
+	)
+	if !s.writeOperatorFile(c, s.order, word, true) {
+		t.Fatal(s.failure)
 	}
 	check("operator-1.json", "files/operator-plan-of-owner.json")
-	held := k.held
+	held := s.order
 	held.Want.Plan = json.RawMessage(planOrdered)
 	held.Want.Shape = nil
-	k.now.file = k.path("operator-2.json")
-	if !k.file(k.now, held, word, false) {
-		t.Fatal(k.failed)
+	s.current.operatorFile = s.statePath("operator-2.json")
+	if !s.writeOperatorFile(s.current, held, word, false) {
+		t.Fatal(s.failure)
 	}
 	check("operator-2.json", "files/operator-ordered-plan.json")
 }
 
 // TestOldestPlansAreRemoved holds which plans' files are kept.
 func TestOldestPlansAreRemoved(t *testing.T) {
-	k, err := New(options(t, filepath.Join(t.TempDir(), "state")))
+	s, err := New(options(t, filepath.Join(t.TempDir(), "state")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now().Add(-time.Hour)
 	for i, name := range []string{"plan-e.json", "plan-b.json", "plan-d.json", "plan-a.json", "plan-c.json"} {
-		if err := os.WriteFile(k.path(name), []byte("{}"), 0o600); err != nil {
+		if err := os.WriteFile(s.statePath(name), []byte("{}"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		at := began.Add(time.Duration(i) * time.Minute)
-		if err := os.Chtimes(k.path(name), at, at); err != nil {
+		if err := os.Chtimes(s.statePath(name), at, at); err != nil {
 			t.Fatal(err)
 		}
 	}
-	k.forget("plan-b.json")
-	left, err := filepath.Glob(k.path("plan-*.json"))
+	s.prunePlanFiles("plan-b.json")
+	left, err := filepath.Glob(s.statePath("plan-*.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,12 +119,61 @@
 }
 
 func TestStatusBodyIsAsRecorded(t *testing.T) {
-	s := Status{Format: 2, Name: "c1", Spec: change.Spec{Program: change.Program{Path: "/p", Digest: "d"}, Shape: json.RawMessage(`{"a":1}`), Plan: json.RawMessage(`{"b":2}`)},
-		RunningSpec: "r", Version: "v", SettingsDigest: "s", Fence: change.Fence{Number: 1, Term: 2, Turn: 3}, OrderedBy: "x", Serving: true, Drained: true, Failure: "why",
-		Crashes: 4, PID: 5, DrainingPIDs: []int{6, 7}, OwedAnswers: 8, SinceOrderMS: 9, SinceRequestMS: 10, MemoryMB: 11.5, CPUNS: 12, StartedUnixNS: 13, Probes: 14, EjectedEngines: 15,
-		JobCounts:   map[canary.Group]canary.JobCounts{{Type: "lookup", Tenant: "a b"}: {Jobs: 3, WithinSLA: 2, Done: 2, Throttled: 1, Cancelled: 1, Dispatches: 4, Retries: 1, LatencyBuckets: []uint64{1, 1}}},
-		Incarnation: "life", MonotonicNS: 16, Assignment: assignment.Held{Reign: 17, Count: 18, Owner: "c2", Part: quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20}, PartUntil: 21, Plan: "p", PlanUntil: 22},
-		SharePerMillion: 23, AppliedAssignment: 24, ReadyEngineCount: 25, ReadyEngines: []string{"e1", "e2"}}
+	s := Status{
+		Format: 2,
+		Name:   "c1",
+		Spec: change.Spec{
+			Program: change.Program{Path: "/p", Digest: "d"},
+			Shape:   json.RawMessage(`{"a":1}`),
+			Plan:    json.RawMessage(`{"b":2}`),
+		},
+		RunningSpec:    "r",
+		Version:        "v",
+		SettingsDigest: "s",
+		Fence:          change.Fence{Number: 1, Term: 2, Turn: 3},
+		OrderedBy:      "x",
+		Serving:        true,
+		Drained:        true,
+		Failure:        "why",
+		Crashes:        4,
+		PID:            5,
+		DrainingPIDs:   []int{6, 7},
+		OwedAnswers:    8,
+		SinceOrderMS:   9,
+		SinceRequestMS: 10,
+		MemoryMB:       11.5,
+		CPUNS:          12,
+		StartedUnixNS:  13,
+		Probes:         14,
+		EjectedEngines: 15,
+		JobCounts: map[canary.Group]canary.JobCounts{
+			{Type: "lookup", Tenant: "a b"}: {
+				Jobs:           3,
+				WithinSLA:      2,
+				Done:           2,
+				Throttled:      1,
+				Cancelled:      1,
+				Dispatches:     4,
+				Retries:        1,
+				LatencyBuckets: []uint64{1, 1},
+			},
+		},
+		Incarnation: "life",
+		MonotonicNS: 16,
+		Assignment: assignment.Held{
+			Reign:     17,
+			Count:     18,
+			Owner:     "c2",
+			Part:      quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20},
+			PartUntil: 21,
+			Plan:      "p",
+			PlanUntil: 22,
+		},
+		SharePerMillion:   23,
+		AppliedAssignment: 24,
+		ReadyEngineCount:  25,
+		ReadyEngines:      []string{"e1", "e2"},
+	}
 	for i, v := 0, reflect.ValueOf(s); i < v.NumField(); i++ {
 		if f := v.Type().Field(i); v.Field(i).IsZero() && f.Tag.Get("json") != "-" {
 			t.Errorf("%s is not filled: the golden file does not hold its key", f.Name)
@@ -339,9 +196,10 @@
 }
 
 // volatile are the figures of a status that differ from run to run.
-var volatile = regexp.MustCompile(`"(life|boot_ns|pid|order_ms|asked_ms|memory_mb|cpu_ns|started|part_until_boot_ns|plan_until_boot_ns)":("[^"]*"|[-0-9.e+]+)`)
+var volatile = regexp.MustCompile(`"(life|boot_ns|pid|order_ms|asked_ms|memory_mb|cpu_ns|started|` +
+	`part_until_boot_ns|plan_until_boot_ns)":("[^"]*"|[-0-9.e+]+)`)
 
-// TestBodiesOverHTTPAreAsRecorded asks a keeper that runs a controller.
+// TestBodiesOverHTTPAreAsRecorded asks a supervisor that runs a controller.
 func TestBodiesOverHTTPAreAsRecorded(t *testing.T) {
 	idle, err := New(options(t, filepath.Join(t.TempDir(), "idle")))
 	if err != nil {
@@ -359,8 +217,21 @@
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	word := assignment.Word{Format: change.Format, Reign: 3, Count: 1, Owner: "c2", Member: "c1", Life: s.Incarnation, Part: quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
-		PartUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), Text: json.RawMessage(planOfOwner)}
+	word := assignment.Word{
+		Format: change.Format,
+		Reign:  3,
+		Count:  1,
+		Owner:  "c2",
+		Member: "c1",
+		Life:   s.Incarnation,
+		Part:   quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
+		PartUntil: monotonic.Now() + int64(
+			10*time.Minute,
+		),
+		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
+		PlanUntil: monotonic.Now() + int64(10*time.Minute),
+		Text:      json.RawMessage(planOfOwner),
+	}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
@@ -393,24 +264,6 @@
 	}
 }
 
-// TestRecordThatCannotBeWrittenRefusesTheOrder: what is held is on disk before it counts.
-func TestRecordThatCannotBeWrittenRefusesTheOrder(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "state")
-	k, err := New(options(t, dir))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := os.RemoveAll(dir); err != nil {
-		t.Fatal(err)
-	}
-	server := httptest.NewServer(k.Handler())
-	defer server.Close()
-	code, _ := (&running{url: server.URL}).post(t, "/v1/order", orderOf(9, programAt(t, "controller"), shapeFirst, ""))
-	if code != http.StatusInsufficientStorage || k.Status().Fence != (change.Fence{}) {
-		t.Errorf("%d: %+v", code, k.Status())
-	}
-}
-
 // TestPartsOfAStandInsFile holds that what stand-ins read of an operator's file is the tally's part.
 func TestPartsOfAStandInsFile(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "files", "operator-plan-of-owner.json"))
@@ -420,7 +273,11 @@
 	var parts struct {
 		Tally operator.Tally `json:"tally"`
 	}
-	if err := json.Unmarshal(text, &parts); err != nil || parts.Tally.Listen != "127.0.0.1:0" || !parts.Tally.Elder || len(parts.Tally.Learned) == 0 || len(parts.Tally.Health) == 0 {
+	if err := json.Unmarshal(
+		text,
+		&parts,
+	); err != nil || parts.Tally.Listen != "127.0.0.1:0" || !parts.Tally.Elder || len(parts.Tally.Learned) == 0 ||
+		len(parts.Tally.Health) == 0 {
 		t.Errorf("%+v %v", parts.Tally, err)
 	}
 }
--- /dev/null
+++ b/internal/supervisor/lifecycle.go
@@ -0,0 +1,89 @@
+package supervisor
+
+import (
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/change"
+)
+
+// startController starts a controller as ordered: as the current one, or as the next one if there is a current one.
+func (s *Supervisor) startController(order change.Held, assigned assignment.Held) {
+	c := &controller{
+		program:      order.Want.Program,
+		operatorFile: s.operatorFilePath(),
+		startedAt:    time.Now(),
+		exited:       make(chan struct{}),
+	}
+	s.mu.Lock()
+	hasCurrent := s.current != nil
+	s.mu.Unlock()
+	hasPredecessor := hasCurrent || len(s.draining) > 0
+	if !s.writeOperatorFile(c, order, assigned, hasPredecessor) {
+		return
+	}
+	environment := append(slices.Clone(s.options.Environment), operatorFileVariable+"="+c.operatorFile)
+	err := c.start(environment, s.options.LogOutput)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case err != nil:
+		s.recordCrash(0, err)
+	case hasCurrent:
+		s.next = c
+	default:
+		s.current = c
+	}
+}
+
+// reapExited removes controllers that have exited, and kills those that drain for too long.
+func (s *Supervisor) reapExited() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, slot := range []**controller{&s.current, &s.next} {
+		if c := *slot; c != nil && c.hasExited() {
+			*slot = nil
+			s.recordCrash(time.Since(c.startedAt), c.exitErr)
+		}
+	}
+	s.draining = slices.DeleteFunc(s.draining, func(c *controller) bool {
+		if !c.hasExited() && time.Since(c.drainStartedAt) > s.options.DrainTimeout {
+			slog.Error("controller_killed", "drain_timeout_ms", s.options.DrainTimeout.Milliseconds())
+			c.kill()
+		}
+		return c.hasExited()
+	})
+}
+
+// recordCrash notes an exit that was not ordered, or a start that failed. The lock must be held.
+func (s *Supervisor) recordCrash(runTime time.Duration, reason error) {
+	delay := s.backoff.recordCrash(runTime)
+	s.startNotBefore = time.Now().Add(delay)
+	slog.Error("controller_exited", "reason", fmt.Sprint(reason), "crashes", s.backoff.crashes,
+		"restart_delay_ms", delay.Milliseconds())
+}
+
+// drain has a controller finish what it owes and exit; nil: nothing is done.
+func (s *Supervisor) drain(c *controller) {
+	if c == nil {
+		return
+	}
+	c.terminate()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c.drainStartedAt = time.Now()
+	s.draining = append(s.draining, c)
+}
+
+// stopAll has all controllers drain.
+func (s *Supervisor) stopAll() {
+	s.mu.Lock()
+	current, next := s.current, s.next
+	s.current, s.next = nil, nil
+	s.mu.Unlock()
+	s.drain(current)
+	s.drain(next)
+}
--- /dev/null
+++ b/internal/supervisor/order.go
@@ -0,0 +1,151 @@
+package supervisor
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/google/renameio/v2"
+
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/change"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/monotonic"
+)
+
+const (
+	orderFileName = "held.json"
+	stateDirMode  = 0o700
+	stateFileMode = 0o600
+)
+
+// ErrOrderNotRecorded is returned for an order that could not be written to the state directory. It is not in force.
+var ErrOrderNotRecorded = errors.New("the order cannot be recorded")
+
+// WrongMemberError says that an order for one member has reached another.
+type WrongMemberError struct {
+	Addressed string
+	Reached   string
+}
+
+// Error names both members.
+func (e *WrongMemberError) Error() string {
+	return fmt.Sprintf("an order for %s has reached %s", e.Addressed, e.Reached)
+}
+
+// AcceptOrder makes an order of the rollout coordinator the one in force, or says why it is refused:
+// WrongMemberError, ErrOrderNotRecorded or an error of change.Held.Take. An order that is in force already is
+// accepted without effect.
+func (s *Supervisor) AcceptOrder(order change.Order) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastOrderAt = time.Now()
+	if order.Member != s.options.Name {
+		return &WrongMemberError{Addressed: order.Member, Reached: s.options.Name}
+	}
+	next, isNew, err := s.order.Take(order)
+	if err != nil || !isNew {
+		return err
+	}
+	if err := writeJSON(s.statePath(orderFileName), next); err != nil {
+		return errors.Join(ErrOrderNotRecorded, err)
+	}
+	if next.Want.Digest() != s.order.Want.Digest() {
+		s.failure = ""
+		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.By, "spec", next.Want.Digest(),
+			"drain", next.Drain, "reason", order.Why)
+	}
+	s.order = next
+	s.wakeUp()
+	return nil
+}
+
+// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Held.Take. It is
+// kept in memory alone, as it is for this incarnation.
+func (s *Supervisor) AcceptAssignment(incoming assignment.Word) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	next, err := s.assignment.Take(incoming, s.options.Name, s.incarnation, monotonic.Now())
+	if err != nil {
+		return err
+	}
+	if next.Reign != s.assignment.Reign || next.Plan != s.assignment.Plan {
+		slog.Info(
+			"assignment_accepted",
+			"term",
+			next.Reign,
+			"sequence",
+			next.Count,
+			"leader",
+			next.Owner,
+			"plan",
+			next.Plan,
+		)
+	}
+	s.assignment = next
+	s.wakeUp()
+	return nil
+}
+
+// loadOrder reads the stored order. If there is none, it is what the operator's file and the options say.
+func (s *Supervisor) loadOrder() (change.Held, error) {
+	if err := os.MkdirAll(s.options.StateDir, stateDirMode); err != nil {
+		return change.Held{}, err
+	}
+	path := s.statePath(orderFileName)
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return s.initialOrder()
+	}
+	if err != nil {
+		return change.Held{}, err
+	}
+	var order change.Held
+	if err := json.Unmarshal(text, &order); err != nil {
+		return change.Held{}, fmt.Errorf(
+			"%s: %w: remove it only if every coordinator of old changes is gone",
+			path,
+			err,
+		)
+	}
+	return order, nil
+}
+
+// initialOrder is in force before the first order.
+func (s *Supervisor) initialOrder() (change.Held, error) {
+	digest, err := change.OfFile(s.options.ProgramPath)
+	if err != nil {
+		return change.Held{}, err
+	}
+	plan, err := s.operatorPlan()
+	if err != nil {
+		return change.Held{}, err
+	}
+	return change.Held{Want: change.Spec{
+		Program: change.Program{Path: s.options.ProgramPath, Digest: digest},
+		Shape:   s.operatorFile[topologyKey],
+		Plan:    plan,
+	}}, nil
+}
+
+func (s *Supervisor) statePath(name string) string {
+	return filepath.Join(s.options.StateDir, name)
+}
+
+// writeJSON replaces a file by a value's JSON text. After a crash of the machine the file holds the old or the new
+// text.
+func writeJSON(path string, value any) error {
+	text, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		return err
+	}
+	if err := failpoint.Write(); err != nil {
+		return err
+	}
+	return renameio.WriteFile(path, text, stateFileMode)
+}
--- a/internal/supervisor/standin_test.go
+++ b/internal/supervisor/stand_in_test.go
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and ends
-// at SIGTERM.
+// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and
+// ends at SIGTERM.
 func standIn(file string) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
@@ -59,9 +59,30 @@
 	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
 		defer mu.Unlock()
-		return jobstats.Report{Format: change.Format, StartedUnixNS: started, Version: "stand-in", SpecDigest: now.Spec, SettingsDigest: "5e77", Ready: true,
-			Probes: 3, EjectedEngines: 1, LearnedEstimates: learned, EngineHealth: json.RawMessage(`{"e1":{"ok":true}}`), ReadyEngines: []string{"e1", "e2"}, SharePerMillion: carries,
-			JobCounts: map[canary.Group]canary.JobCounts{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, WithinSLA: 4, Done: 5, Dispatches: 6, Retries: 1, LatencyBuckets: []uint64{0, 5}}}}
+		return jobstats.Report{
+			Format:           change.Format,
+			StartedUnixNS:    started,
+			Version:          "stand-in",
+			SpecDigest:       now.Spec,
+			SettingsDigest:   "5e77",
+			Ready:            true,
+			Probes:           3,
+			EjectedEngines:   1,
+			LearnedEstimates: learned,
+			EngineHealth:     json.RawMessage(`{"e1":{"ok":true}}`),
+			ReadyEngines:     []string{"e1", "e2"},
+			SharePerMillion:  carries,
+			JobCounts: map[canary.Group]canary.JobCounts{
+				{Type: "lookup", Tenant: "acme"}: {
+					Jobs:           5,
+					WithinSLA:      4,
+					Done:           5,
+					Dispatches:     6,
+					Retries:        1,
+					LatencyBuckets: []uint64{0, 5},
+				},
+			},
+		}
 	}, func(p jobstats.Share) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -2,64 +2,154 @@
 
 import (
 	"encoding/json"
+	"time"
 
 	"swiftreel/internal/assignment"
 	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
+	"swiftreel/internal/monotonic"
 )
 
-// Status is what a keeper tells of itself and its controller. A reader of another version keeps the fields that it does
-// not know, and tells them (Others).
+// noOrderYet is Status.SinceOrderMS before the first order.
+const noOrderYet = -1
+
+// Status is the state of a supervisor and its controller, as GET /v1/status serves it. Figures of the controller are
+// those of its last report; they are zero while there is none.
 type Status struct {
-	Format            int                               `json:"format"`
-	Name              string                            `json:"name"`
-	Spec              change.Spec                       `json:"spec"`    // that it holds
-	RunningSpec       change.Digest                     `json:"running"` // of the spec that its controller says it runs with; none while it does not answer
-	Version           string                            `json:"version"` // of the controller
-	SettingsDigest    change.Digest                     `json:"settings"`
-	Fence             change.Fence                      `json:"fence"` // of the last order taken
-	OrderedBy         string                            `json:"by"`
-	Serving           bool                              `json:"serves"`
-	Drained           bool                              `json:"drained"` // out of service, as ordered
-	Failure           string                            `json:"failed"`  // why it cannot do what it was ordered
-	Crashes           uint64                            `json:"crashes"` // ends of its controller that nobody ordered, and starts that failed
-	PID               int                               `json:"pid"`     // of the process that serves
-	DrainingPIDs      []int                             `json:"drains"`  // those of older ones that serve what they owe
-	OwedAnswers       int64                             `json:"owed"`
-	SinceOrderMS      int64                             `json:"order_ms"` // since the last order came, taken or not; -1: none yet
-	SinceRequestMS    int64                             `json:"asked_ms"` // since anyone asked
-	MemoryMB          float64                           `json:"memory_mb"`
-	CPUNS             int64                             `json:"cpu_ns"` // of the controller, since its start
-	StartedUnixNS     int64                             `json:"started"`
-	Probes            uint64                            `json:"probes"`
-	EjectedEngines    int                               `json:"aside"`               // engines that it has set aside
-	JobCounts         map[canary.Group]canary.JobCounts `json:"work"`                // since its start
-	Incarnation       string                            `json:"life"`                // of this keeper's process; from format 2 on
-	MonotonicNS       int64                             `json:"boot_ns"`             // the machine's own clock, now
-	Assignment        assignment.Held                   `json:"word"`                // what is held of the owner's words
-	SharePerMillion   int64                             `json:"carries_per_million"` // of the fleet, as its controller goes by
-	AppliedAssignment int64                             `json:"carried_word"`        // the last word by whose part its controller goes for certain; 0: not known
-	ReadyEngineCount  int                               `json:"engine_count"`        // that its controller sees ready
-	ReadyEngines      []string                          `json:"engines,omitempty"`   // that its controller sees ready; told where asked for
-	UnknownFields     map[string]json.RawMessage        `json:"-"`
+	Format      int           `json:"format"` // version of this document
+	Name        string        `json:"name"`
+	Spec        change.Spec   `json:"spec"`    // ordered
+	RunningSpec change.Digest `json:"running"` // in force at the controller; empty while it does not answer
+	// Version and SettingsDigest are those of the controller.
+	Version        string        `json:"version"`
+	SettingsDigest change.Digest `json:"settings"`
+	// Fence and OrderedBy are those of the last accepted order.
+	Fence     change.Fence `json:"fence"`
+	OrderedBy string       `json:"by"`
+	Serving   bool         `json:"serves"`  // the controller is ready for jobs
+	Drained   bool         `json:"drained"` // no controller runs, as ordered
+	Failure   string       `json:"failed"`  // why the order cannot be carried out
+	// Crashes counts exits of controllers that were not ordered, and starts that failed.
+	Crashes      uint64 `json:"crashes"`
+	PID          int    `json:"pid"`    // of the serving process
+	DrainingPIDs []int  `json:"drains"` // of older processes that finish what they owe
+	OwedAnswers  int64  `json:"owed"`
+	// SinceOrderMS is the time since the last order, accepted or not; -1 if there was none.
+	SinceOrderMS   int64   `json:"order_ms"`
+	SinceRequestMS int64   `json:"asked_ms"` // since the status was last requested
+	MemoryMB       float64 `json:"memory_mb"`
+	CPUNS          int64   `json:"cpu_ns"` // used by the controller since its start
+	// StartedUnixNS tells the controller's processes apart; it is by the controller's clock.
+	StartedUnixNS  int64  `json:"started"`
+	Probes         uint64 `json:"probes"`
+	EjectedEngines int    `json:"aside"`
+	// JobCounts are since the controller's start.
+	JobCounts map[canary.Group]canary.JobCounts `json:"work"`
+	// Incarnation names this process of the supervisor; from format 2 on.
+	Incarnation string          `json:"life"`
+	MonotonicNS int64           `json:"boot_ns"` // the machine's monotonic clock
+	Assignment  assignment.Held `json:"word"`    // of the leader, in force
+	// SharePerMillion is the share of the fleet that the controller goes by.
+	SharePerMillion int64 `json:"carries_per_million"`
+	// AppliedAssignment is the sequence number of the assignment whose share all processes go by; 0 if that is not
+	// known.
+	AppliedAssignment int64    `json:"carried_word"`
+	ReadyEngineCount  int      `json:"engine_count"`
+	ReadyEngines      []string `json:"engines,omitempty"` // served on request only
+	// UnknownFields are those that a supervisor of another version has served.
+	UnknownFields map[string]json.RawMessage `json:"-"`
 }
 
-// ReadStatus reads a status of this version or another.
-func ReadStatus(text []byte) (s Status, err error) {
-	if err := json.Unmarshal(text, &s); err != nil {
+// ReadStatus reads a status of this version or another one.
+func ReadStatus(text []byte) (Status, error) {
+	var status Status
+	if err := json.Unmarshal(text, &status); err != nil {
 		return Status{}, err
 	}
-	if err := json.Unmarshal(text, &s.UnknownFields); err != nil {
+	if err := json.Unmarshal(text, &status.UnknownFields); err != nil {
 		return Status{}, err
 	}
 	known, err := json.Marshal(Status{})
 	if err != nil {
 		return Status{}, err
 	}
-	var names map[string]json.RawMessage
-	json.Unmarshal(known, &names)
-	for name := range names {
-		delete(s.UnknownFields, name)
+	var knownFields map[string]json.RawMessage
+	if err := json.Unmarshal(known, &knownFields); err != nil {
+		return Status{}, err
+	}
+	for name := range knownFields {
+		delete(status.UnknownFields, name)
+	}
+	return status, nil
+}
+
+// Status returns the current state. It also resets the time since the last request.
+func (s *Supervisor) Status() Status {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := time.Now()
+	status := Status{
+		Format:            change.Format,
+		Name:              s.options.Name,
+		Spec:              s.order.Want,
+		Fence:             s.order.Fence,
+		OrderedBy:         s.order.By,
+		Drained:           s.outOfService,
+		Failure:           s.failure,
+		Crashes:           s.backoff.crashes,
+		SinceOrderMS:      noOrderYet,
+		SinceRequestMS:    now.Sub(s.lastRequestAt).Milliseconds(),
+		Incarnation:       s.incarnation,
+		MonotonicNS:       monotonic.Now(),
+		Assignment:        s.assignment,
+		AppliedAssignment: s.appliedAssignment(),
+	}
+	s.lastRequestAt = now
+	if !s.lastOrderAt.IsZero() {
+		status.SinceOrderMS = now.Sub(s.lastOrderAt).Milliseconds()
+	}
+	for _, c := range s.draining {
+		status.DrainingPIDs = append(status.DrainingPIDs, c.command.Process.Pid)
+	}
+	if s.current != nil && s.current.report.StartedUnixNS != 0 {
+		status.addController(s.current)
+	}
+	return status
+}
+
+// addController fills in the figures of the serving controller. The supervisor's lock must be held.
+func (s *Status) addController(source *controller) {
+	report := &source.report
+	s.PID = source.command.Process.Pid
+	s.Version = report.Version
+	s.SettingsDigest = report.SettingsDigest
+	s.RunningSpec = report.SpecDigest
+	s.Serving = report.Ready
+	s.OwedAnswers = report.OwedAnswers
+	s.StartedUnixNS = report.StartedUnixNS
+	s.Probes = report.Probes
+	s.EjectedEngines = report.EjectedEngines
+	s.JobCounts = report.JobCounts
+	s.ReadyEngines = report.ReadyEngines
+	s.ReadyEngineCount = len(report.ReadyEngines)
+	s.SharePerMillion = report.SharePerMillion
+	usage := usageOf(s.PID)
+	s.MemoryMB = usage.memoryMB
+	s.CPUNS = usage.cpuNS
+}
+
+// appliedAssignment returns the sequence number of the assignment whose share every process goes by. It is 0 while
+// one of them may go by an earlier one: it has not been notified, or it drains, and its share cannot be withdrawn.
+// The lock must be held.
+func (s *Supervisor) appliedAssignment() int64 {
+	if len(s.draining) > 0 {
+		return 0
+	}
+	inForce := idOf(s.assignment)
+	for _, c := range []*controller{s.current, s.next} {
+		if c != nil && c.shareFrom != inForce {
+			return 0
+		}
 	}
-	return s, nil
+	return s.assignment.Count
 }
--- /dev/null
+++ b/internal/supervisor/step.go
@@ -0,0 +1,180 @@
+package supervisor
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/change"
+	"swiftreel/internal/monotonic"
+	"swiftreel/internal/quota"
+)
+
+// snapshot is the state that one step works on, copied under the lock.
+type snapshot struct {
+	order          change.Held
+	assigned       assignment.Held
+	current        *controller
+	next           *controller
+	hasPredecessor bool          // an older process still drains
+	ready          []*controller // those that answered the last poll and are ready
+	situation      situation
+	recheckDue     bool // the cause of a failed order shall be looked at again
+}
+
+// step samples the controllers and takes the next action.
+func (s *Supervisor) step(ctx context.Context) {
+	s.reapExited()
+	s.pollControllers(ctx)
+	state := s.observe()
+	if state.recheckDue {
+		s.recheckFailure(state.order.Want.Program)
+	}
+	s.deliverShare(ctx, state)
+	s.perform(state)
+}
+
+// pollControllers asks the running controllers for their reports.
+func (s *Supervisor) pollControllers(ctx context.Context) {
+	for _, c := range []*controller{s.current, s.next} {
+		if c != nil {
+			s.poll(ctx, c)
+		}
+	}
+}
+
+// poll asks a controller for its report. A controller that has refused its operator file will not run with it: the
+// order has failed.
+func (s *Supervisor) poll(ctx context.Context, target *controller) {
+	report, err := target.fetchReport(ctx, &s.httpClient)
+	s.mu.Lock()
+	if err != nil {
+		target.report.Ready = false
+		s.mu.Unlock()
+		return
+	}
+	previous := target.report
+	target.report = report
+	runsOrder := report.SpecDigest == s.order.Want.Digest() && target.program == s.order.Want.Program
+	if target == s.current && runsOrder {
+		s.failure = ""
+	}
+	s.mu.Unlock()
+	sameProcess := previous.StartedUnixNS == report.StartedUnixNS
+	if sameProcess && report.ReloadsFailed > previous.ReloadsFailed && report.SpecDigest != target.config.spec {
+		s.recordFailure(errFileRefused)
+	}
+}
+
+// observe takes a consistent snapshot of the state.
+func (s *Supervisor) observe() snapshot {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := monotonic.Now()
+	s.assignment = s.assignment.At(now)
+	state := snapshot{
+		order:          s.order,
+		assigned:       s.assignment,
+		current:        s.current,
+		next:           s.next,
+		hasPredecessor: len(s.draining) > 0,
+	}
+	for _, c := range []*controller{s.current, s.next} {
+		if c != nil && c.report.Ready {
+			state.ready = append(state.ready, c)
+		}
+	}
+	state.situation = state.assess(now)
+	state.situation.drainingCount = len(s.draining)
+	state.situation.backingOff = time.Now().Before(s.startNotBefore)
+	s.outOfService = state.order.Drain && state.current == nil && state.next == nil && !state.hasPredecessor
+	checkedLongAgo := time.Since(s.failureCheckedAt) >= failureCheckInterval
+	state.recheckDue = s.outOfService && s.failure != "" && checkedLongAgo
+	return state
+}
+
+// assess compares the current and the next controller with the order. now is in nanoseconds of the monotonic clock.
+func (state *snapshot) assess(now int64) situation {
+	at := situation{
+		outOfService: state.order.Drain,
+		hasCurrent:   state.current != nil,
+		hasNext:      state.next != nil,
+	}
+	ordered := state.order.Want.Program
+	if state.current != nil {
+		wanted := wantedConfig(state.order, state.assigned, state.hasPredecessor)
+		at.currentMatches = state.current.program == ordered
+		at.currentConfigured = state.current.config.covers(wanted, now)
+	}
+	if state.next != nil {
+		at.nextMatches = state.next.program == ordered
+		at.nextReady = state.next.report.Ready && state.next.report.SpecDigest == state.order.Want.Digest()
+	}
+	return at
+}
+
+// deliverShare passes the assigned share on to the controllers that do not have it yet. Only ready ones are asked, as
+// one that hangs must not hold up orders.
+func (s *Supervisor) deliverShare(ctx context.Context, state snapshot) {
+	if state.assigned.Part[quota.Fleet] <= 0 {
+		return
+	}
+	id := idOf(state.assigned)
+	share := shareOf(state.assigned)
+	for _, c := range state.ready {
+		if c.shareFrom == id {
+			continue
+		}
+		if err := c.postShare(ctx, &s.httpClient, share); err != nil {
+			continue // tried again with the next step
+		}
+		s.mu.Lock()
+		c.shareFrom = id
+		s.mu.Unlock()
+	}
+}
+
+// perform takes the action that the snapshot calls for.
+func (s *Supervisor) perform(state snapshot) {
+	switch state.situation.decide() {
+	case startController:
+		if s.verifyProgram(state.order.Want.Program) {
+			s.startController(state.order, state.assigned)
+		}
+	case promoteNext:
+		s.promoteNext(state)
+	case discardNext:
+		s.discardNext(state)
+	case configureCurrent:
+		s.reconfigure(state)
+	case stopControllers:
+		s.stopAll()
+	case noAction:
+	}
+}
+
+// promoteNext has the next controller serve and the current one drain.
+func (s *Supervisor) promoteNext(state snapshot) {
+	slog.Info("controller_promoted", "program", state.next.program.Path, "digest", state.next.program.Digest)
+	s.mu.Lock()
+	s.current = state.next
+	s.next = nil
+	s.mu.Unlock()
+	s.drain(state.current)
+}
+
+// discardNext lets the next controller drain, which has never served.
+func (s *Supervisor) discardNext(state snapshot) {
+	s.mu.Lock()
+	s.next = nil
+	s.mu.Unlock()
+	s.drain(state.next)
+}
+
+// reconfigure writes the current controller's operator file anew and has it reload.
+func (s *Supervisor) reconfigure(state snapshot) {
+	if s.writeOperatorFile(state.current, state.order, state.assigned, state.hasPredecessor) {
+		state.current.reload()
+	}
+}
--- /dev/null
+++ b/internal/supervisor/supervisor_test.go
@@ -0,0 +1,248 @@
+package supervisor
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftreel/internal/assignment"
+	"swiftreel/internal/change"
+	"swiftreel/internal/jobstats"
+	"swiftreel/internal/monotonic"
+	"swiftreel/internal/quota"
+)
+
+// writeFile writes an executable file.
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o700); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func TestRestartDelayDoublesWithConsecutiveCrashes(t *testing.T) {
+	var backoff restartBackoff
+	var delays []time.Duration
+	for range 9 {
+		delays = append(delays, backoff.recordCrash(time.Second))
+	}
+	if delays[0] != minRestartDelay || delays[3] != 8*minRestartDelay || delays[8] != maxRestartDelay ||
+		backoff.crashes != 9 {
+		t.Errorf("%v", delays)
+	}
+	if delay := backoff.recordCrash(time.Minute); delay != minRestartDelay {
+		t.Errorf("after a long run: %v", delay)
+	}
+}
+
+func TestStatusKeepsFieldsOfAnotherVersion(t *testing.T) {
+	s, err := ReadStatus(
+		[]byte(
+			`{"format":2,"name":"c1","serves":true,"mood":"good","work":{"\"lookup\" \"a b\"":{"jobs":3,"within":2}}}`,
+		),
+	)
+	if err != nil || !s.Serving || string(s.UnknownFields["mood"]) != `"good"` || len(s.UnknownFields) != 1 {
+		t.Fatalf("%+v %v", s, err)
+	}
+	for g, w := range s.JobCounts {
+		if g.Type != "lookup" || g.Tenant != "a b" || w.Jobs != 3 {
+			t.Errorf("%v %v", g, w)
+		}
+	}
+	if _, err := ReadStatus([]byte(`{"work":{"lookup":{}}}`)); err == nil {
+		t.Error("a group without its form is read")
+	}
+}
+
+func TestStoredOrderIsReadCompletelyOrNotAtAll(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "program")
+	file := filepath.Join(dir, "operator.json")
+	writeFile(t, program, "x")
+	writeFile(t, file, `{"shape":{"cancel":false},"fleet":{"members":[]}}`)
+	o := Options{Name: "c1", StateDir: filepath.Join(dir, "state"), OperatorFile: file, ProgramPath: program}
+	s, err := New(o)
+	if err != nil || string(s.order.Want.Shape) != `{"cancel":false}` || s.order.Fence != (change.Fence{}) {
+		t.Fatalf("%+v %v", s, err)
+	}
+	fence := change.Fence{Number: 4, Term: 2, Turn: 9}
+	order := change.Order{Format: 1, Fence: fence, By: "x", Member: "c1", Want: s.order.Want}
+	if err := s.AcceptOrder(order); err != nil {
+		t.Fatal(err)
+	}
+	c := &controller{operatorFile: s.statePath("operator-1.json")}
+	wanted := controllerConfig{spec: s.order.Want.Digest(), hasPredecessor: true}
+	if !s.writeOperatorFile(c, s.order, assignment.Held{}, true) || c.config != wanted {
+		t.Fatal(s.failure)
+	}
+	var parts map[string]json.RawMessage
+	if err := json.Unmarshal(readFile(t, c.operatorFile), &parts); err != nil {
+		t.Fatal(err)
+	}
+	if parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(s.order.Want.Digest())) {
+		t.Errorf("%s", parts)
+	}
+	if s, err = New(o); err != nil || s.order.Fence != order.Fence || s.order.By != "x" {
+		t.Errorf("read back as %+v, %v", s.order, err)
+	}
+	text := readFile(t, s.statePath("held.json"))
+	writeFile(t, s.statePath("held.json"), string(text[:len(text)/2]))
+	if _, err := New(o); err == nil || !strings.Contains(err.Error(), "held.json") {
+		t.Errorf("a torn record: %v", err)
+	}
+}
+
+func TestProgramThatCannotRunNeverReplacesOneThatDoes(t *testing.T) {
+	for i, c := range []struct {
+		situation situation
+		want      action
+	}{
+		{situation{}, startController},
+		{situation{backingOff: true}, noAction},
+		{situation{drainingCount: 1}, startController},
+		{situation{drainingCount: 2}, noAction},
+		{situation{hasCurrent: true, currentMatches: true}, configureCurrent},
+		{situation{hasCurrent: true, currentMatches: true, currentConfigured: true}, noAction},
+		{situation{hasCurrent: true}, startController},
+		{situation{hasCurrent: true, drainingCount: 1}, noAction},
+		{situation{hasCurrent: true, backingOff: true}, noAction},
+		{situation{hasCurrent: true, hasNext: true, nextMatches: true}, noAction},
+		{situation{hasCurrent: true, hasNext: true, nextMatches: true, nextReady: true}, promoteNext},
+		{situation{hasCurrent: true, hasNext: true, nextReady: true}, discardNext},
+		{situation{hasCurrent: true, currentMatches: true, hasNext: true, nextMatches: true}, discardNext},
+		{situation{hasNext: true}, promoteNext},
+		{situation{outOfService: true, hasCurrent: true, hasNext: true}, stopControllers},
+		{situation{outOfService: true}, noAction},
+	} {
+		if got := c.situation.decide(); got != c.want {
+			t.Errorf("%d: %+v: %d, not %d", i, c.situation, got, c.want)
+		}
+	}
+	// All situations: a second program never starts beside two, and serves only when it is ready or alone.
+	for n := range 1 << 8 {
+		bit := func(i int) bool { return n>>i&1 == 1 }
+		s := situation{
+			outOfService:   bit(0),
+			hasCurrent:     bit(1),
+			currentMatches: bit(2),
+			hasNext:        bit(3),
+			nextMatches:    bit(4),
+			nextReady:      bit(5),
+			drainingCount:  n >> 6 & 1,
+			backingOff:     bit(7),
+		}
+		switch got := s.decide(); {
+		case got == startController && (s.hasNext || s.hasCurrent && s.drainingCount > 0 || s.outOfService || s.backingOff):
+			t.Errorf("%+v starts one more", s)
+		case got == promoteNext && s.hasCurrent && (!s.nextReady || !s.nextMatches):
+			t.Errorf("%+v has the next serve", s)
+		}
+	}
+}
+
+func TestFailureOutOfServiceIsClearedOnceItsCauseIsGone(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "program")
+	writeFile(t, program, "x")
+	s, err := New(Options{Name: "c1", StateDir: filepath.Join(dir, "state"), ProgramPath: program})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.order.Drain = true
+	if err := os.Remove(program); err != nil {
+		t.Fatal(err)
+	}
+	s.verifyProgram(s.order.Want.Program)
+	s.step(t.Context())
+	if status := s.Status(); status.Failure == "" || !status.Drained {
+		t.Fatalf("%+v", status)
+	}
+	writeFile(t, program, "y") // another program does not count
+	s.failureCheckedAt = time.Time{}
+	if s.step(t.Context()); s.Status().Failure == "" {
+		t.Error("another program mends it")
+	}
+	writeFile(t, program, "x")
+	s.failureCheckedAt = time.Time{}
+	if s.step(t.Context()); s.Status().Failure != "" || !s.Status().Drained {
+		t.Errorf("%+v", s.Status())
+	}
+}
+
+// A smaller share counts as applied once the controller goes by it: that its supervisor has accepted it is not
+// enough.
+func TestShareIsAppliedOnceTheControllerHasAcceptedIt(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "program")
+	writeFile(t, program, "x")
+	s, err := New(Options{Name: "c1", StateDir: filepath.Join(dir, "state"), ProgramPath: program})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []jobstats.Share
+	healthy := false
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var p jobstats.Share
+		if !healthy || json.NewDecoder(r.Body).Decode(&p) != nil {
+			http.Error(w, "not now", http.StatusServiceUnavailable)
+			return
+		}
+		got = append(got, p)
+		w.WriteHeader(http.StatusNoContent)
+	}))
+	defer server.Close()
+	c := &controller{
+		program: s.order.Want.Program,
+		exited:  make(chan struct{}),
+		address: strings.TrimPrefix(server.URL, "http://"),
+	}
+	c.report.Ready = true
+	c.command = exec.Command("true")
+	c.command.Process = &os.Process{Pid: os.Getpid()}
+	s.current = c
+	accept := func(count, share int64) {
+		t.Helper()
+		word := assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: s.incarnation,
+			Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}
+		if err := s.AcceptAssignment(word); err != nil {
+			t.Fatal(err)
+		}
+	}
+	accept(3, 500_000)
+	if c.postShare(t.Context(), &s.httpClient, shareOf(s.assignment)) == nil || s.Status().AppliedAssignment != 0 {
+		t.Error("it counts as taken, and was not")
+	}
+	healthy = true
+	if c.postShare(t.Context(), &s.httpClient, shareOf(s.assignment)) != nil || len(got) != 1 ||
+		got[0].PerMillion != 500_000 ||
+		got[0].TenantQuotas["acme"] != 7 {
+		t.Fatalf("%+v", got)
+	}
+	c.shareFrom = assignmentID{term: 1, sequence: 3}
+	if s.Status().AppliedAssignment != 3 {
+		t.Error("it was taken, and does not count")
+	}
+	if accept(4, 100_000); s.Status().AppliedAssignment != 0 {
+		t.Error("the next counts before it is taken")
+	}
+	s.draining = append(s.draining, &controller{command: c.command})
+	c.shareFrom = assignmentID{term: 1, sequence: 4}
+	if s.Status().AppliedAssignment != 0 {
+		t.Error("an older process goes by an earlier part, and it counts")
+	}
+}
