--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -401,7 +401,7 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `why="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
