--- a/internal/supervisor/controller_client.go
+++ b/internal/supervisor/controller_client.go
@@ -26,8 +26,8 @@
 	sequence int64
 }
 
-func idOf(assigned assignment.Held) assignmentID {
-	return assignmentID{term: assigned.Reign, sequence: assigned.Count}
+func idOf(assigned assignment.Accepted) assignmentID {
+	return assignmentID{term: assigned.Term, sequence: assigned.Sequence}
 }
 
 // url returns a URL of the controller's HTTP server.
@@ -61,13 +61,13 @@
 }
 
 // shareOf returns an assignment's share in the form that controllers read.
-func shareOf(assigned assignment.Held) jobstats.Share {
+func shareOf(assigned assignment.Accepted) jobstats.Share {
 	share := jobstats.Share{
-		PerMillion:   assigned.Part[quota.Fleet],
+		PerMillion:   assigned.Shares[quota.Fleet],
 		TenantQuotas: map[string]int64{},
-		ExpiryNS:     assigned.PartUntil,
+		ExpiryNS:     assigned.SharesUntil,
 	}
-	for resource, perMillion := range assigned.Part {
+	for resource, perMillion := range assigned.Shares {
 		if tenant, isTenant := resource.Tenant(); isTenant {
 			share.TenantQuotas[tenant] = perMillion
 		}
--- a/internal/supervisor/folder_test.go
+++ b/internal/supervisor/folder_test.go
@@ -30,20 +30,20 @@
 		t.Fatal(code, body)
 	}
 	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Want.Digest() })
-	word := assignment.Word{
-		Format: change.Format,
-		Reign:  3,
-		Count:  1,
-		Owner:  "c2",
-		Member: "c1",
-		Life:   s.Incarnation,
-		Part:   quota.Share{quota.Fleet: 400_000},
-		PartUntil: monotonic.Now() + int64(
+	word := assignment.Assignment{
+		Format:      change.Format,
+		Term:        3,
+		Sequence:    1,
+		Leader:      "c2",
+		Member:      "c1",
+		Incarnation: s.Incarnation,
+		Shares:      quota.Shares{quota.Fleet: 400_000},
+		SharesUntil: monotonic.Now() + int64(
 			time.Minute,
 		),
 		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		Text:      json.RawMessage(planOfOwner),
+		PlanText:  json.RawMessage(planOfOwner),
 	}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
 		t.Fatal(code, body)
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -57,17 +57,17 @@
 	}
 	check("held.json", "files/held.json")
 	c := &controller{operatorFile: s.statePath("operator-1.json")}
-	if !s.writeOperatorFile(c, s.order, assignment.Held{}, false) {
+	if !s.writeOperatorFile(c, s.order, assignment.Accepted{}, false) {
 		t.Fatal(s.failure)
 	}
 	check("operator-1.json", "files/operator-no-plan.json")
-	word := assignment.Held{
-		Reign:     1,
-		Count:     2,
-		Owner:     "c2",
+	word := assignment.Accepted{
+		Term:      1,
+		Sequence:  2,
+		Leader:    "c2",
 		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
 		PlanUntil: 123456789,
-		Text:      json.RawMessage(planOfOwner),
+		PlanText:  json.RawMessage(planOfOwner),
 	}
 	s.current = &controller{}
 	s.current.report.LearnedEstimates, s.current.report.EngineHealth = json.RawMessage(
@@ -160,14 +160,14 @@
 		},
 		Incarnation: "life",
 		MonotonicNS: 16,
-		Assignment: assignment.Held{
-			Reign:     17,
-			Count:     18,
-			Owner:     "c2",
-			Part:      quota.Share{quota.Fleet: 19, quota.Quota("acme"): 20},
-			PartUntil: 21,
-			Plan:      "p",
-			PlanUntil: 22,
+		Assignment: assignment.Accepted{
+			Term:        17,
+			Sequence:    18,
+			Leader:      "c2",
+			Shares:      quota.Shares{quota.Fleet: 19, quota.TenantQuota("acme"): 20},
+			SharesUntil: 21,
+			Plan:        "p",
+			PlanUntil:   22,
 		},
 		SharePerMillion:   23,
 		AppliedAssignment: 24,
@@ -217,20 +217,20 @@
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	word := assignment.Word{
-		Format: change.Format,
-		Reign:  3,
-		Count:  1,
-		Owner:  "c2",
-		Member: "c1",
-		Life:   s.Incarnation,
-		Part:   quota.Share{quota.Fleet: 400_000, quota.Quota("acme"): 7},
-		PartUntil: monotonic.Now() + int64(
+	word := assignment.Assignment{
+		Format:      change.Format,
+		Term:        3,
+		Sequence:    1,
+		Leader:      "c2",
+		Member:      "c1",
+		Incarnation: s.Incarnation,
+		Shares:      quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
+		SharesUntil: monotonic.Now() + int64(
 			10*time.Minute,
 		),
 		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		Text:      json.RawMessage(planOfOwner),
+		PlanText:  json.RawMessage(planOfOwner),
 	}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
@@ -244,7 +244,7 @@
 	elsewhere := o
 	elsewhere.Member = "c9"
 	late := word
-	late.Life = "another"
+	late.Incarnation = "another"
 	for what, c := range map[string]struct {
 		path string
 		send any
--- a/internal/supervisor/http.go
+++ b/internal/supervisor/http.go
@@ -52,7 +52,7 @@
 }
 
 func (s *Supervisor) serveAssignment(w http.ResponseWriter, r *http.Request) {
-	incoming, err := assignment.ReadWord(r.Body)
+	incoming, err := assignment.Read(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 		return
--- a/internal/supervisor/lifecycle.go
+++ b/internal/supervisor/lifecycle.go
@@ -11,7 +11,7 @@
 )
 
 // startController starts a controller as ordered: as the current one, or as the next one if there is a current one.
-func (s *Supervisor) startController(order change.Held, assigned assignment.Held) {
+func (s *Supervisor) startController(order change.Held, assigned assignment.Accepted) {
 	c := &controller{
 		program:      order.Want.Program,
 		operatorFile: s.operatorFilePath(),
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -75,7 +75,7 @@
 // writeOperatorFile writes a controller's operator file, and reports whether that succeeded; if not, the order has
 // failed.
 func (s *Supervisor) writeOperatorFile(
-	target *controller, order change.Held, assigned assignment.Held, hasPredecessor bool,
+	target *controller, order change.Held, assigned assignment.Accepted, hasPredecessor bool,
 ) bool {
 	config := wantedConfig(order, assigned, hasPredecessor)
 	parts, err := s.operatorParts(target, order, assigned, config)
@@ -90,7 +90,7 @@
 
 // operatorParts returns the contents of a controller's operator file by key, and writes the plan that it names.
 func (s *Supervisor) operatorParts(
-	target *controller, order change.Held, assigned assignment.Held, config controllerConfig,
+	target *controller, order change.Held, assigned assignment.Accepted, config controllerConfig,
 ) (map[string]json.RawMessage, error) {
 	parts := map[string]json.RawMessage{}
 	for key, text := range s.operatorFile {
@@ -108,7 +108,7 @@
 	}
 	plan := order.Want.Plan
 	if config.leaderPlan != "" {
-		plan = assigned.Text
+		plan = assigned.PlanText
 	}
 	if len(plan) == 0 {
 		return parts, nil
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -65,24 +65,24 @@
 	return nil
 }
 
-// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Held.Take. It is
+// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept. It is
 // kept in memory alone, as it is for this incarnation.
-func (s *Supervisor) AcceptAssignment(incoming assignment.Word) error {
+func (s *Supervisor) AcceptAssignment(incoming assignment.Assignment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next, err := s.assignment.Take(incoming, s.options.Name, s.incarnation, monotonic.Now())
+	next, err := s.assignment.Accept(incoming, s.options.Name, s.incarnation, monotonic.Now())
 	if err != nil {
 		return err
 	}
-	if next.Reign != s.assignment.Reign || next.Plan != s.assignment.Plan {
+	if next.Term != s.assignment.Term || next.Plan != s.assignment.Plan {
 		slog.Info(
 			"assignment_accepted",
 			"term",
-			next.Reign,
+			next.Term,
 			"sequence",
-			next.Count,
+			next.Sequence,
 			"leader",
-			next.Owner,
+			next.Leader,
 			"plan",
 			next.Plan,
 		)
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -46,9 +46,9 @@
 	// JobCounts are since the controller's start.
 	JobCounts map[canary.Group]canary.JobCounts `json:"work"`
 	// Incarnation names this process of the supervisor; from format 2 on.
-	Incarnation string          `json:"life"`
-	MonotonicNS int64           `json:"boot_ns"` // the machine's monotonic clock
-	Assignment  assignment.Held `json:"word"`    // of the leader, in force
+	Incarnation string              `json:"life"`
+	MonotonicNS int64               `json:"boot_ns"` // the machine's monotonic clock
+	Assignment  assignment.Accepted `json:"word"`    // of the leader, in force
 	// SharePerMillion is the share of the fleet that the controller goes by.
 	SharePerMillion int64 `json:"carries_per_million"`
 	// AppliedAssignment is the sequence number of the assignment whose share all processes go by; 0 if that is not
@@ -151,5 +151,5 @@
 			return 0
 		}
 	}
-	return s.assignment.Count
+	return s.assignment.Sequence
 }
--- a/internal/supervisor/step.go
+++ b/internal/supervisor/step.go
@@ -14,7 +14,7 @@
 // snapshot is the state that one step works on, copied under the lock.
 type snapshot struct {
 	order          change.Held
-	assigned       assignment.Held
+	assigned       assignment.Accepted
 	current        *controller
 	next           *controller
 	hasPredecessor bool          // an older process still drains
@@ -72,7 +72,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotonic.Now()
-	s.assignment = s.assignment.At(now)
+	s.assignment = s.assignment.ValidAt(now)
 	state := snapshot{
 		order:          s.order,
 		assigned:       s.assignment,
@@ -117,7 +117,7 @@
 // deliverShare passes the assigned share on to the controllers that do not have it yet. Only ready ones are asked, as
 // one that hangs must not hold up orders.
 func (s *Supervisor) deliverShare(ctx context.Context, state snapshot) {
-	if state.assigned.Part[quota.Fleet] <= 0 {
+	if state.assigned.Shares[quota.Fleet] <= 0 {
 		return
 	}
 	id := idOf(state.assigned)
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -62,7 +62,7 @@
 
 	mu               sync.Mutex // guards the fields below
 	order            change.Held
-	assignment       assignment.Held
+	assignment       assignment.Accepted
 	current          *controller   // serves; nil: none
 	next             *controller   // shall replace current; nil: none
 	draining         []*controller // removed once they have exited
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -87,7 +87,7 @@
 	}
 	c := &controller{operatorFile: s.statePath("operator-1.json")}
 	wanted := controllerConfig{spec: s.order.Want.Digest(), hasPredecessor: true}
-	if !s.writeOperatorFile(c, s.order, assignment.Held{}, true) || c.config != wanted {
+	if !s.writeOperatorFile(c, s.order, assignment.Accepted{}, true) || c.config != wanted {
 		t.Fatal(s.failure)
 	}
 	var parts map[string]json.RawMessage
@@ -217,8 +217,8 @@
 	s.current = c
 	accept := func(count, share int64) {
 		t.Helper()
-		word := assignment.Word{Reign: 1, Count: count, Owner: "a", Member: "c1", Life: s.incarnation,
-			Part: quota.Share{quota.Fleet: share, quota.Quota("acme"): 7}, PartUntil: monotonic.Now() + 60e9}
+		word := assignment.Assignment{Term: 1, Sequence: count, Leader: "a", Member: "c1", Incarnation: s.incarnation,
+			Shares: quota.Shares{quota.Fleet: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}
 		if err := s.AcceptAssignment(word); err != nil {
 			t.Fatal(err)
 		}
