--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -446,7 +446,7 @@
 	w.Fates.Takes(4 * time.Second)
 	began := func(job string) (n int) {
 		for _, e := range w.Book.Log() {
-			if e.Job == job && e.What == rulecheck.Began {
+			if e.Job == job && e.Event == rulecheck.Began {
 				n++
 			}
 		}
@@ -464,7 +464,7 @@
 		return c
 	}
 	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: "import", Key: "k", Front: m.Name, Until: time.Now().Add(8 * time.Second).UnixNano()})
+		w.Book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: "import", Key: "k", Front: m.Name, DeadlineNS: time.Now().Add(8 * time.Second).UnixNano()})
 		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
 			t.Fatal(err)
 		}
@@ -475,7 +475,7 @@
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		w.Book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
@@ -490,7 +490,7 @@
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
-	if !strings.Contains(m.Keeper.Log(), "msg=taught types=2") {
+	if !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2") {
 		t.Error("the newer one is not taught")
 	}
 	w.Fates.Takes(4 * time.Millisecond)
@@ -603,7 +603,7 @@
 	t.Cleanup(func() {
 		for _, m := range w.Members {
 			for line := range strings.Lines(m.Keeper.Log()) {
-				if t.Failed() && (strings.Contains(line, "owner_") || strings.Contains(line, "rollout_") || strings.Contains(line, "duty_") || strings.Contains(line, "order_")) {
+				if t.Failed() && (strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
 					t.Log(m.Name, line)
 				}
 			}
@@ -620,7 +620,7 @@
 	})
 	first.Keeper.Signal(syscall.SIGCONT)
 	until(t, w, "the one that slept says once that it owns no more", func() bool {
-		return strings.Count(first.Keeper.Log(), "msg=owner_ends reign="+fmt.Sprint(int64(reign))) == 1
+		return strings.Count(first.Keeper.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
 	})
 	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
 	to := state(acts(nil)).To.Digest()
@@ -843,7 +843,7 @@
 	second := acts(first)
 	syscall.Kill(s.PID, syscall.SIGCONT)
 	l := w.NewLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
-	if text := first.Keeper.Log(); !strings.Contains(text, "msg=owner_hands_over") || !strings.Contains(text, `why="its controller does not serve"`) {
+	if text := first.Keeper.Log(); !strings.Contains(text, "msg=leader_handover") || !strings.Contains(text, `reason="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
 	if err := w.Disk(second.Name, "full"); err != nil {
@@ -853,7 +853,7 @@
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
 	c.Run() // it may be begun by the next owner, or not at all
 	third := acts(second)
-	until(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=owner_halted") })
+	until(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=leader_member_halted") })
 	if text := cli(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
@@ -971,10 +971,10 @@
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Book.Log() {
-			if e.What == rulecheck.Listed && e.Engine == "e2" {
+			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+testcluster.ColdRules().Warm {
+			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 && e.TimeNS < started+testcluster.ColdRules().WarmUp {
 				n++
 			}
 		}
@@ -990,7 +990,7 @@
 		t.Error(v)
 	}
 	tight := testcluster.ColdRules()
-	tight.FallPerCore /= 100
+	tight.WarmUpWorkPerCore /= 100
 	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
 		t.Error("so little was sent to it that nothing is shown")
 	}
@@ -1011,7 +1011,7 @@
 	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 })
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
-			if e.What == rulecheck.Began && e.Engine == "e2" {
+			if e.Event == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
 		}
@@ -1020,7 +1020,7 @@
 	l.Stop() // no job of the older one's is to count below
 	order(t, m, was, other)
 	until(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving })
-	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=taught types=2 engines=3") {
+	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
 		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
 	}
 	before := broken()
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -7,10 +7,8 @@
 	"encoding/binary"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
 	"io"
-	"io/fs"
 	"maps"
 	"net/http"
 	"net/http/httptest"
@@ -29,6 +27,7 @@
 	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
 	"swiftreel/internal/coordinator"
+	"swiftreel/internal/golden"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/quota"
 	"swiftreel/internal/rollout"
@@ -37,26 +36,6 @@
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that a
 // change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
-var record = flag.Bool("record", false, "write files of testdata that are not there")
-
-// golden compares text with a file of testdata. With -record a missing file is written; one that is there stays.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	want, err := os.ReadFile(path)
-	if *record && errors.Is(err, fs.ErrNotExist) {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s:\n%s\nwanted:\n%s", name, got, want)
-	}
-}
 
 // fixtureNames are the members whose files stand in testdata; v3 is the second of its name, with another number.
 var fixtureNames = []string{"v1", "v2", "v3"}
@@ -205,8 +184,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	m, _ := f.fleet.Find(name)
-	a, err := http.Post("http://"+m.At()+path, "application/json", bytes.NewReader(text))
+	m, _ := f.fleet.Member(name)
+	a, err := http.Post("http://"+m.Address()+path, "application/json", bytes.NewReader(text))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -254,8 +233,8 @@
 // agreed is what a member tells of what is agreed.
 func (f *testFleet) agreed(name string) (a State) {
 	f.t.Helper()
-	m, _ := f.fleet.Find(name)
-	answer, err := http.Get("http://" + m.At() + "/v1/owner/agreed")
+	m, _ := f.fleet.Member(name)
+	answer, err := http.Get("http://" + m.Address() + "/v1/owner/agreed")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -286,8 +265,8 @@
 func recordFixture(t *testing.T) {
 	dir := t.TempDir()
 	f := openFleet(t, dir, map[string]uint64{"v1": 300, "v2": 100, "v3": 20})
-	f.fleet.Parts = &operator.Parts{LifeMS: 3000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 1, LifeMS: 60_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 3000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 1, LeaseMS: 60_000, SolveTimeoutMS: 1000}
 	names := map[uint64]string{1: "v1", 2: "v2", 3: "v3"}
 	for id, name := range names {
 		if code, text := f.post(name, "/v1/owner/found", map[string]any{"id": id, "names": names}); code != http.StatusOK {
@@ -336,7 +315,7 @@
 	}
 	a := f.settle()
 	f.close()
-	golden(t, "agreed.json", append(a.encode(), '\n'))
+	golden.Check(t, "agreed.json", append(a.encode(), '\n'))
 	for _, name := range fixtureNames {
 		text, err := os.ReadFile(filepath.Join(dir, name+".db"))
 		if err != nil {
@@ -357,7 +336,7 @@
 // fixtureFolder is a copy of the recorded members' files.
 func fixtureFolder(t *testing.T) string {
 	t.Helper()
-	if _, err := os.Stat("testdata/agreed.json"); *record && errors.Is(err, fs.ErrNotExist) {
+	if golden.Missing("testdata/agreed.json") {
 		recordFixture(t)
 	}
 	dir := t.TempDir()
@@ -423,7 +402,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, name+".disk.txt", diskText(d))
+		golden.Check(t, name+".disk.txt", diskText(d))
 		if len(d.Entries) == 0 || len(d.Snapshot.GetData()) == 0 {
 			t.Errorf("%s: %d entries, a snapshot of %d bytes: it shows nothing", name, len(d.Entries), len(d.Snapshot.GetData()))
 		}
@@ -446,7 +425,7 @@
 			t.Errorf("%s: keys %s, %s", name, a, b)
 		}
 	}
-	golden(t, "keys.txt", []byte(keysOf(t, filepath.Join(dir, "v1.db"))+"\n"))
+	golden.Check(t, "keys.txt", []byte(keysOf(t, filepath.Join(dir, "v1.db"))+"\n"))
 }
 
 // keysOf are the buckets of a file and their keys; those of entries are numbers.
@@ -512,8 +491,8 @@
 	dir := fixtureFolder(t)
 	was := fixtureAgreed(t)
 	f := openFleet(t, dir, nil)
-	f.fleet.Parts = &operator.Parts{LifeMS: 600_000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: 600_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 600_000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 3_600_000, LeaseMS: 600_000, SolveTimeoutMS: 1000}
 	f.settle()
 	defer f.runDuties()()
 	for _, name := range fixtureNames {
@@ -536,7 +515,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, "word-"+name+".json", append(text, '\n'))
+		golden.Check(t, "word-"+name+".json", append(text, '\n'))
 		if err := json.Unmarshal(k.taken()[1], &w); err != nil || w["plan_text"] == nil && w["plan"] == nil {
 			t.Errorf("the second word says nothing of the plan: %s, %v", k.taken()[1], err)
 		}
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -119,11 +119,11 @@
 
 // tallyPart has a controller report. A controller that shall replace the current one also gets what that has learned.
 func (s *Supervisor) tallyPart(target *controller, config controllerConfig) (json.RawMessage, error) {
-	tally := operator.Tally{Listen: anyLoopbackPort, Spec: config.spec, Elder: config.hasPredecessor}
+	tally := operator.Stats{Listen: anyLoopbackPort, Spec: config.spec, Predecessor: config.hasPredecessor}
 	s.mu.Lock()
 	if s.current != nil && target != s.current {
-		tally.Learned = s.current.report.LearnedEstimates
-		tally.Health = s.current.report.EngineHealth
+		tally.TypeStats = s.current.report.LearnedEstimates
+		tally.EngineHealth = s.current.report.EngineHealth
 	}
 	s.mu.Unlock()
 	return json.Marshal(tally)
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(path, text, stateFileMode)
