--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -85,7 +85,11 @@
 		if len(remaining) < entrySize {
 			return 0, nil, false
 		}
-		n := gossipEntry{engine: engineHash(remaining[0])<<8 | engineHash(remaining[1]), threads: remaining[2], outcomes: remaining[3] >> 4}
+		n := gossipEntry{
+			engine:   engineHash(remaining[0])<<8 | engineHash(remaining[1]),
+			threads:  remaining[2],
+			outcomes: remaining[3] >> 4,
+		}
 		count := int(remaining[3] & 15)
 		remaining = remaining[entrySize:]
 		if n.hasTables = count != omittedTables; n.hasTables {
--- a/choice/log.go
+++ b/choice/log.go
@@ -21,7 +21,8 @@
 func (c *Controller) logPressure(engines int) {
 	majority := 2*engines > len(c.engines)
 	minority := 4*engines < len(c.engines)
-	if majority == c.fleet.underPressure || !(majority || minority) {
+	between := !majority && !minority
+	if majority == c.fleet.underPressure || between {
 		return
 	}
 	c.fleet.underPressure = majority
@@ -44,12 +45,13 @@
 }
 
 func (c *Controller) logEjection(e *engine) {
-	c.logf("engine ejected engine=%d consecutive_failures=%d latency_ratio=%.2f attempts_out=%d", e.Engine, e.consecutiveFailures,
-		e.latencyRatio, len(e.attempts))
+	c.logf("engine ejected engine=%d consecutive_failures=%d latency_ratio=%.2f attempts_out=%d",
+		e.Engine, e.consecutiveFailures, e.latencyRatio, len(e.attempts))
 }
 
 func (c *Controller) logRestoration(e *engine) {
-	c.logf("engine restored engine=%d probes_passed=%d ejected_seconds=%.1f", e.Engine, e.probesPassed, float64(c.now-e.ejectedAt)/1e9)
+	c.logf("engine restored engine=%d probes_passed=%d ejected_seconds=%.1f",
+		e.Engine, e.probesPassed, float64(c.now-e.ejectedAt)/float64(second))
 }
 
 // restartReason is why an engine seems to have restarted, with keys of its own.
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -18,7 +18,7 @@
 	minPrice       = 1e-9 // points; what costs nothing is counted so
 	shortTypeRatio = 4    // types of so many times less work than the longest type are short
 
-	// Of the load that an engine is chosen by, in threads a core:
+	// What counts into the load that an engine is chosen by, in threads a core.
 	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // its latency beside the fleet's
 	failureLoad, repeatLoad            = 4.0, 4.0  // it fails all; it had the job's last attempt
 	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // another zone; for the price of crossing, in mean values
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -7,16 +7,17 @@
 )
 
 // planned is a stage of four engines whose plan wants type 0 on engine 103 and gives tenant 1 most.
-func planned(t testing.TB, f RawSettings) (*stage, *Plan) {
-	s := newStage(t, f, 4)
+func newPlannedStage(tb testing.TB, f RawSettings) (*stage, *Plan) {
+	tb.Helper()
+	s := newStage(tb, f, 4)
 	p := &Plan{Tenants: []PlanTenant{{0, 0.25}, {1, 0.75}}, DemandThreads: 8, MaxDemandRatio: 3,
 		Engines: []PlanEngine{{100, 4}, {101, 4}, {102, 4}, {103, 4}}, Weights: []PlanWeight{{0, 103, 1}}}
-	s.tell(Event{Kind: PlanUpdated, Plan: p})
+	s.handle(Event{Kind: PlanUpdated, Plan: p})
 	return s, p
 }
 
 // offer keeps the mean of what is asked near the plan's: 4 threads of our half of the demand.
-func (s *stage) offer(span Nanos, each int) {
+func (s *stage) offerLoad(span Nanos, each int) {
 	for end := s.now + span; s.now < end; {
 		for range each {
 			s.finish(s.arrive(0, 0, 0), Done)
@@ -25,59 +26,63 @@
 	}
 }
 
-func TestAPlansSharesAndPreferencesAreFollowedWithinRoom(t *testing.T) {
-	s, _ := planned(t, plainFacts())
+func TestPlanSharesAndPreferencesWithinCapacity(t *testing.T) {
+	s, _ := newPlannedStage(t, plainSettings())
 	mean := s.c.fleet.cores * 2 * s.c.fleet.share
-	want(t, s.c.bucketLimit(&bucket{tenant: 1}) == 0.75*mean && s.c.bucketLimit(&bucket{tenant: 0}) == 0.25*mean, "limits do not follow")
+	require(t, s.c.bucketLimit(&bucket{tenant: 1}) == 0.75*mean && s.c.bucketLimit(&bucket{tenant: 0}) == 0.25*mean,
+		"limits do not follow")
 	for range 4 {
-		to := s.sentTo(s.arrive(0, 0, 0))
-		want(t, len(to) == 1 && to[0] == 103, "sent to %v", to)
+		to := s.enginesOf(s.arrive(0, 0, 0))
+		require(t, len(to) == 1 && to[0] == 103, "sent to %v", to)
 	}
 	for range 40 { // its bound stands above the plan
 		s.arrive(0, 0, 0)
 	}
 	e := s.c.engines[3]
-	want(t, e.ownThreads <= 2.5*e.cores*s.c.fleet.share && s.c.engines[0].ownThreads > 0, "%v threads at the engine meant for them", e.ownThreads)
+	require(t, e.ownThreads <= 2.5*e.cores*s.c.fleet.share && s.c.engines[0].ownThreads > 0,
+		"%v threads at the engine meant for them", e.ownThreads)
 }
 
-func TestAPlanFadesAsItsEnginesGoAndComesBackLater(t *testing.T) {
-	s, p := planned(t, plainFacts())
+func TestPlanFadesWithItsEnginesAndResumesLater(t *testing.T) {
+	s, p := newPlannedStage(t, plainSettings())
 	p.Engines[0].Threads = 1.5
-	s.tell(Event{Kind: PlanUpdated, Plan: p})
+	s.handle(Event{Kind: PlanUpdated, Plan: p})
 	line := func(id EngineID, state EngineState) {
 		s.list(ListDelta, EngineEntry{Engine: id, State: state, Zone: ZoneID(id % 2)})
 	}
 	line(100, Draining)
-	s.offer(second, 1)
-	want(t, s.c.planWeight > 0.4 && s.c.planWeight < 0.5, "a ninth of its threads gone: hold %v", s.c.planWeight)
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight > 0.4 && s.c.planWeight < 0.5, "a ninth of its threads gone: hold %v", s.c.planWeight)
 	line(101, Removed)
-	s.offer(second, 1)
-	want(t, s.c.planWeight == 0 && strings.Count(s.texts, "plan followed=false") == 1, "hold %v, log %q", s.c.planWeight, s.texts)
-	want(t, s.c.bucketLimit(&bucket{tenant: 1}) == s.c.bucketLimit(&bucket{tenant: 0}), "limits of a plan set aside")
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight == 0 && strings.Count(s.logText, "plan followed=false") == 1, "hold %v, log %q",
+		s.c.planWeight, s.logText)
+	require(t, s.c.bucketLimit(&bucket{tenant: 1}) == s.c.bucketLimit(&bucket{tenant: 0}), "limits of a plan set aside")
 	line(101, Ready)
-	s.offer(second, 1)
-	want(t, s.c.planWeight == 0, "back too soon")
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight == 0, "back too soon")
 	line(100, Ready)
-	s.offer(second, 1)
-	want(t, s.c.planWeight == 1 && strings.Count(s.texts, "plan followed=true") == 1, "hold %v, log %q", s.c.planWeight, s.texts)
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight == 1 && strings.Count(s.logText, "plan followed=true") == 1, "hold %v, log %q",
+		s.c.planWeight, s.logText)
 	s.list(ListDelta, EngineEntry{Engine: 104, State: Ready}, EngineEntry{Engine: 105, State: Ready})
-	s.offer(second, 1)
-	want(t, s.c.planWeight == 0, "a third of the fleet is not in the plan: hold %v", s.c.planWeight)
-	s.tell(Event{Kind: PlanUpdated})
-	s.offer(second, 1)
-	want(t, s.c.planWeight == 0 && s.c.plan == nil, "a plan taken back")
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight == 0, "a third of the fleet is not in the plan: hold %v", s.c.planWeight)
+	s.handle(Event{Kind: PlanUpdated})
+	s.offerLoad(second, 1)
+	require(t, s.c.planWeight == 0 && s.c.plan == nil, "a plan taken back")
 }
 
-func TestAPlanIsSetAsideWhereDemandIsOff(t *testing.T) {
-	s, _ := planned(t, plainFacts())
-	s.offer(21*second, 1) // 0.1 s of work each 25 ms: 4 threads, as planned
-	want(t, s.c.planWeight == 1, "as planned: hold %v", s.c.planWeight)
-	s.offer(30*second, 5)
-	want(t, s.c.planWeight == 0, "five times as much: hold %v", s.c.planWeight)
-	s.offer(60*second, 1)
-	want(t, s.c.planWeight == 1, "as planned again: hold %v of %v", s.c.planWeight, s.c.offeredThreads)
+func TestPlanIsNotFollowedWhenDemandIsOff(t *testing.T) {
+	s, _ := newPlannedStage(t, plainSettings())
+	s.offerLoad(21*second, 1) // 0.1 s of work each 25 ms: 4 threads, as planned
+	require(t, s.c.planWeight == 1, "as planned: hold %v", s.c.planWeight)
+	s.offerLoad(30*second, 5)
+	require(t, s.c.planWeight == 0, "five times as much: hold %v", s.c.planWeight)
+	s.offerLoad(60*second, 1)
+	require(t, s.c.planWeight == 1, "as planned again: hold %v of %v", s.c.planWeight, s.c.offeredThreads)
 	s.pass(40 * second)
-	want(t, s.c.planWeight == 0, "nothing asked: hold %v", s.c.planWeight)
+	require(t, s.c.planWeight == 0, "nothing asked: hold %v", s.c.planWeight)
 }
 
 // All rules hold with a plan as without, however wrong it is.
@@ -87,7 +92,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
 		r := rand.New(rand.NewSource(seed))
-		s, _ := planned(t, plainFacts())
+		s, _ := newPlannedStage(t, plainSettings())
 		for range 5 {
 			p := &Plan{DemandThreads: r.Float64() * 40, MaxDemandRatio: 1 + 5*r.Float64()}
 			for i := range 5 {
@@ -95,7 +100,7 @@
 				p.Engines = append(p.Engines, PlanEngine{EngineID(100 + i), r.Float64() * 9})
 				p.Weights = append(p.Weights, PlanWeight{TypeID(i), EngineID(100 + r.Intn(6)), r.Float64()})
 			}
-			s.tell(Event{Kind: PlanUpdated, Plan: p})
+			s.handle(Event{Kind: PlanUpdated, Plan: p})
 			s.chaos(r, 50)
 		}
 	})
@@ -111,7 +116,7 @@
 func RunDecides(n int, plan bool) {
 	var c Controller
 	now := Nanos(1e12)
-	c.Decide(now, Event{Kind: Started, Seed: 3, Settings: plainFacts()})
+	c.Decide(now, Event{Kind: Started, Seed: 3, Settings: plainSettings()})
 	p := &Plan{Tenants: []PlanTenant{{0, 1}}, DemandThreads: 40, MaxDemandRatio: 1e9}
 	var lines []EngineEntry
 	for i := range EngineID(40) {
@@ -129,7 +134,8 @@
 		now += ms
 		id := JobID(i + 1)
 		to := EngineID(0)
-		for _, a := range c.Decide(now, Event{Kind: JobArrived, Job: id, Type: TypeID(i % 2), TimeLeft: second, Cost: 50 * ms, CostKnown: true}) {
+		for _, a := range c.Decide(now, Event{Kind: JobArrived, Job: id, Type: TypeID(i % 2), TimeLeft: second,
+			Cost: 50 * ms, CostKnown: true}) {
 			if a.Kind == Dispatch {
 				to = a.Engine
 			}
--- a/choice/policy_test.go
+++ b/choice/policy_test.go
@@ -14,8 +14,8 @@
 	maxPolicyColumns = 110
 )
 
-// TestPolicyFilesStayWithinTheirBounds: what decides is small enough to be read as a whole, and all of it is listed in the
-// deploy file.
+// TestPolicyFilesStayWithinTheirBounds: what decides is small enough to be read as a whole, and all of it is listed
+// in the deploy file.
 func TestPolicyFilesStayWithinTheirBounds(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
--- a/choice/elder_test.go
+++ b/choice/predecessor_test.go
@@ -7,19 +7,22 @@
 	"testing"
 )
 
-// Two processes of one controller: the older serves what it owes, the newer takes what comes. To the rules they are one.
+// Two processes of one controller: the older serves what it owes, the newer takes what comes. To the rules they are
+// one.
 
-func TestAnElderCountsWithUs(t *testing.T) {
+func TestPredecessorCountsInRules(t *testing.T) {
 	facts := func() RawSettings {
 		return RawSettings{"balancers": 1.0, "me": 0.0, "classes": []any{
 			map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 1e9, "gain": 1.0},
 			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 1e9, "gain": 1.0, "fifo_by_key": true}},
-			"limits": map[string]any{"most_tries": 9.0, "cancel": true}, "domain": map[string]any{"class_threads": []any{1.0, 1.0}, "cpu_of_kind": []any{16.0}},
-			"invariants": map[string]any{"order_pause_ns": 1e8, "fall_ns": 1e9, "warm_within_ns": 1e10, "fall_multiple": 4.0, "start_capacity": 0.3,
+			"limits": map[string]any{"most_tries": 9.0, "cancel": true}, "domain": map[string]any{"class_threads": []any{1.0,
+				1.0}, "cpu_of_kind": []any{16.0}},
+			"invariants": map[string]any{"order_pause_ns": 1e8, "fall_ns": 1e9, "warm_within_ns": 1e10, "fall_multiple": 4.0,
+				"start_capacity":  0.3,
 				"extra_window_ns": 5e9, "budget_free": 3.0, "further_ratio": 0.0}}
 	}
 	const start = Nanos(1e15)
-	sent := func(acts []Action) (n int) {
+	dispatches := func(acts []Action) (n int) {
 		for _, a := range acts {
 			if a.Kind == Dispatch {
 				n++
@@ -27,20 +30,22 @@
 		}
 		return n
 	}
-	begin := func(elder bool, startedAt Nanos) *Controller {
+	begin := func(predecessor bool, startedAt Nanos) *Controller {
 		c := &Controller{}
 		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: facts()})
-		if elder {
+		if predecessor {
 			c.Decide(start, Event{Kind: PredecessorChanged, PredecessorRunning: true})
 		}
-		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready, StartedAt: startedAt}}})
+		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready,
+			StartedAt: startedAt}}})
 		return c
 	}
 	keyed := func(c *Controller, at Nanos) int {
-		return sent(c.Decide(at, Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
+		return dispatches(c.Decide(at, Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7,
+			CostKnown: true}))
 	}
 	sweep := func(c *Controller, at Nanos) int {
-		return sent(c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID}))
+		return dispatches(c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID}))
 	}
 
 	// Rule 5: a key rests from the elder's end on.
@@ -61,7 +66,7 @@
 
 	// Rule 4: what the elder sent to a cold engine is not known before a window after its end.
 	lookup := func(c *Controller, job JobID, at Nanos) int {
-		return sent(c.Decide(at, Event{Kind: JobArrived, Job: job, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
+		return dispatches(c.Decide(at, Event{Kind: JobArrived, Job: job, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
 	}
 	c = begin(true, start)
 	c.Decide(start+2e9, Event{Kind: PredecessorChanged})
@@ -86,41 +91,46 @@
 }
 
 // What an older process has learned goes over; what it cannot have learned does not.
-func TestAnElderTeaches(t *testing.T) {
-	facts := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9}, map[string]any{"name": "report", "aim_ns": 4e9}}}
+func TestStateTransfer(t *testing.T) {
+	facts := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9},
+		map[string]any{"name": "report", "aim_ns": 4e9}}}
 	begin := func() *Controller {
 		c := &Controller{}
 		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: facts})
 		return c
 	}
 	old := begin()
-	old.types[0].TypeStats = TypeStats{meanWork: 5e6, workCount: 50, costBias: -1.2, costCount: 900, memoryBias: 0.4, memoryDeviation: 0.2, memoryCount: 700, bestSlowdown: 1.4, slowdown: 1.9}
+	old.types[0].TypeStats = TypeStats{meanWork: 5e6, workCount: 50, costBias: -1.2, costCount: 900, memoryBias: 0.4,
+		memoryDeviation: 0.2, memoryCount: 700, bestSlowdown: 1.4, slowdown: 1.9}
 	text, err := json.Marshal(old.TypeStats())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []TypeStats
-	if err := json.Unmarshal(text, &told); err != nil {
+	var received []TypeStats
+	if err := json.Unmarshal(text, &received); err != nil {
 		t.Fatal(err)
 	}
-	told[1].slowdown = math.Inf(1) // torn on the way
+	received[1].slowdown = math.Inf(1) // torn on the way
 	c := begin()
 	fresh := c.types[1].TypeStats
-	c.Decide(1e15+1, Event{Kind: StateTransferred, TypeStats: append(told, told...)})
+	c.Decide(1e15+1, Event{Kind: StateTransferred, TypeStats: append(received, received...)})
 	if c.types[0].TypeStats != old.types[0].TypeStats || c.types[1].TypeStats != fresh {
 		t.Errorf("%+v %+v", c.types[0].TypeStats, c.types[1].TypeStats)
 	}
-	c.Decide(1e15+2, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready}, {Engine: 2, State: Ready}, {Engine: 3, State: Ready}, {Engine: 4, State: Ready}}})
-	c.Decide(1e15+3, Event{Kind: StateTransferred, EngineHealth: []EngineHealth{{1, 2.5, 0.4, true}, {2, 1.5, 0.1, false}, {3, math.NaN(), 0, true}, {9, 1, 0, true}}})
+	c.Decide(1e15+2, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready},
+		{Engine: 2, State: Ready}, {Engine: 3, State: Ready}, {Engine: 4, State: Ready}}})
+	c.Decide(1e15+3, Event{Kind: StateTransferred, EngineHealth: []EngineHealth{{1, 2.5, 0.4, true},
+		{2, 1.5, 0.1, false}, {3, math.NaN(), 0, true}, {9, 1, 0, true}}})
 	if got := fmt.Sprint(c.EngineHealth()); got != "[{1 2.5 0.4 true} {2 1.5 0.1 false} {3 1 0 false} {4 1 0 false}]" {
 		t.Errorf("%s", got)
 	}
 	for _, bad := range []string{`[[1,2,3]]`, `[["x"]]`, `{}`} {
-		if json.Unmarshal([]byte(bad), &told) == nil {
+		if json.Unmarshal([]byte(bad), &received) == nil {
 			t.Errorf("%s is read", bad)
 		}
 	}
-	for _, m := range []TypeStats{{}, {meanWork: -1, bestSlowdown: 1, slowdown: 1}, {meanWork: 1, bestSlowdown: 1, slowdown: 1, costBias: 99}, {meanWork: math.NaN(), bestSlowdown: 1, slowdown: 1}} {
+	for _, m := range []TypeStats{{}, {meanWork: -1, bestSlowdown: 1, slowdown: 1},
+		{meanWork: 1, bestSlowdown: 1, slowdown: 1, costBias: 99}, {meanWork: math.NaN(), bestSlowdown: 1, slowdown: 1}} {
 		if m.plausible() {
 			t.Errorf("%+v is sound", m)
 		}
--- a/choice/part_test.go
+++ b/choice/quota_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// What a controller carries of the fleet is told by the fleet's owner, for a while; told by nobody, it guesses as before.
+// What a controller carries of the fleet is told by the fleet's owner, for a while; told by nobody, it guesses as
+// before.
 
-func TestAPartThatIsToldStandsInForTheGuessUntilItEnds(t *testing.T) {
+func TestAssignedQuotaReplacesEstimateUntilExpiry(t *testing.T) {
 	const start = Nanos(1e15)
 	begin := func() *Controller {
 		c := &Controller{}
@@ -33,7 +34,8 @@
 	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+tenantBurstJobs) {
 		t.Errorf("told nothing: %v", c.fleet.share)
 	}
-	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1, TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
+	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1,
+		TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
 	if got := sweep(c, start+2e9); got != 0.1 {
 		t.Errorf("share %v", got)
 	}
--- /dev/null
+++ b/choice/recording_convert_test.go
@@ -0,0 +1,237 @@
+package choice
+
+import (
+	"fmt"
+	"strconv"
+	"testing"
+)
+
+// names gives values of a kind their names in a stream, both ways.
+type names[K ~uint8 | ~uint16] map[K]string
+
+func (n names[K]) name(v K) string {
+	text, known := n[v]
+	if !known {
+		text = fmt.Sprint(v) // a value that the module does not know, as chaos tells them
+	}
+	return text
+}
+
+func (n names[K]) value(tb testing.TB, text string) K {
+	tb.Helper()
+	for v, name := range n {
+		if name == text {
+			return v
+		}
+	}
+	v, err := strconv.ParseUint(text, 10, 16)
+	if err != nil {
+		tb.Fatalf("%q is no name of a %T", text, K(0))
+	}
+	return K(v)
+}
+
+var (
+	eventNames = names[EventKind]{
+		Started:            "started",
+		JobArrived:         "arrived",
+		StreamStarted:      "stream_began",
+		ProgressReported:   "noted",
+		AttemptEnded:       "answered",
+		ClientDisconnected: "client_left",
+		TimerFired:         "timer_due",
+		EnginesListed:      "listed",
+		ProbeCompleted:     "probed",
+		GossipReceived:     "heard",
+		Stopping:           "stopping",
+		PlanUpdated:        "planned",
+		Reconfigured:       "restated",
+		StateTransferred:   "taught",
+		QuotaAssigned:      "parted",
+		PredecessorChanged: "elder",
+	}
+	resultNames = names[Result]{
+		0:           "",
+		Done:        "done",
+		Failed:      "failed",
+		Full:        "full",
+		TimedOut:    "timed_out",
+		Unreachable: "unreachable",
+		Reset:       "reset",
+		Canceled:    "retracted",
+		Superseded:  "moot",
+	}
+	listNames = names[ListKind]{
+		0:          "",
+		FullList:   "whole",
+		CachedList: "cached",
+		ListDelta:  "changes",
+		ListFailed: "failed",
+	}
+	stateNames  = names[EngineState]{Removed: "", Ready: "ready", Draining: "draining"}
+	actionNames = names[ActionKind]{
+		Dispatch:           "dispatch",
+		Throttle:           "throttle",
+		CancelPermanently:  "cancel_for_good",
+		CancelAttempt:      "retract",
+		SetDispatchOptions: "terms",
+		SetTimer:           "timer",
+		SendProbe:          "probe",
+		CloseIdle:          "close_idle",
+		SendGossip:         "tell",
+		WatchEngines:       "track",
+		ListEngines:        "list_all",
+		Log:                "log",
+		Fault:              "fault",
+	}
+)
+
+// each converts a list, nil to nil.
+func each[A, B any](list []A, convert func(A) B) []B {
+	if list == nil {
+		return nil
+	}
+	out := make([]B, 0, len(list))
+	for _, v := range list {
+		out = append(out, convert(v))
+	}
+	return out
+}
+
+func recorded(ev Event) recordedEvent {
+	r := recordedEvent{
+		Kind:               eventNames.name(ev.Kind),
+		Seed:               ev.Seed,
+		Settings:           ev.Settings,
+		Job:                uint32(ev.Job),
+		Type:               uint8(ev.Type),
+		Tenant:             uint32(ev.Tenant),
+		Key:                uint64(ev.Key),
+		TimeLeft:           int64(ev.TimeLeft),
+		Cost:               int64(ev.Cost),
+		CostKnown:          ev.CostKnown,
+		IsRepeat:           ev.IsRepeat,
+		IsWrite:            ev.IsWrite,
+		MemoryMB:           recordedFloat(ev.MemoryMB),
+		Tables:             int64(ev.Tables),
+		RequiredProtocols:  uint8(ev.RequiredProtocols),
+		Seq:                uint16(ev.Seq),
+		Engine:             uint32(ev.Engine),
+		Result:             resultNames.name(ev.Result),
+		Latency:            int64(ev.Latency),
+		IsFinal:            ev.IsFinal,
+		Usage:              ev.Usage,
+		Load:               each(ev.Load, func(v float64) recordedFloat { return recordedFloat(v) }),
+		Progress:           uint8(ev.Progress),
+		Amount:             recordedFloat(ev.Amount),
+		TimerID:            uint64(ev.TimerID),
+		List:               listNames.name(ev.List),
+		Peer:               uint32(ev.Peer),
+		Payload:            ev.Payload,
+		PredecessorRunning: ev.PredecessorRunning,
+		Quota:              recordedQuota{recordedFloat(ev.Quota.FleetShare), nil, int64(ev.Quota.ExpiresAt)},
+	}
+	r.Engines = each(ev.Engines, func(l EngineEntry) recordedEngine {
+		return recordedEngine{uint32(l.Engine), uint8(l.Zone), uint16(l.Kind), uint16(l.Cell), stateNames.name(l.State),
+			recordedFloat(l.Size), int64(l.StartedAt), uint8(l.Unsupported)}
+	})
+	if p := ev.Plan; p != nil {
+		r.Plan = &recordedPlan{IdleEngines: p.IdleEngines, DemandThreads: recordedFloat(p.DemandThreads),
+			MaxDemandRatio: recordedFloat(p.MaxDemandRatio),
+			Tenants: each(p.Tenants, func(v PlanTenant) recordedPlanTenant {
+				return recordedPlanTenant{uint32(v.Tenant), recordedFloat(v.Share)}
+			}),
+			Engines: each(p.Engines, func(v PlanEngine) recordedPlanEngine {
+				return recordedPlanEngine{uint32(v.Engine), recordedFloat(v.Threads)}
+			}),
+			Weights: each(p.Weights, func(v PlanWeight) recordedPlanWeight {
+				return recordedPlanWeight{uint8(v.Type), uint32(v.Engine), recordedFloat(v.Weight)}
+			})}
+	}
+	if ev.Quota.TenantShares != nil {
+		r.Quota.TenantShares = map[uint32]recordedFloat{}
+		for id, part := range ev.Quota.TenantShares {
+			r.Quota.TenantShares[uint32(id)] = recordedFloat(part)
+		}
+	}
+	r.TypeStats = each(ev.TypeStats, func(m TypeStats) recordedTypeStats {
+		return recordedTypeStats{recordedFloat(m.meanWork), recordedFloat(m.workCount), recordedFloat(m.costBias),
+			recordedFloat(m.costCount),
+			recordedFloat(m.memoryBias), recordedFloat(m.memoryDeviation), recordedFloat(m.memoryCount),
+			recordedFloat(m.bestSlowdown), recordedFloat(m.slowdown)}
+	})
+	r.EngineHealth = each(ev.EngineHealth, func(h EngineHealth) recordedHealth {
+		return recordedHealth{uint32(h.Engine), recordedFloat(h.LatencyRatio), recordedFloat(h.FailureRate), h.Ejected}
+	})
+	return r
+}
+
+func (r recordedEvent) event(tb testing.TB) Event {
+	tb.Helper()
+	ev := Event{
+		Seed:               r.Seed,
+		Settings:           r.Settings,
+		Job:                JobID(r.Job),
+		Type:               TypeID(r.Type),
+		Tenant:             TenantID(r.Tenant),
+		Key:                Key(r.Key),
+		TimeLeft:           Nanos(r.TimeLeft),
+		Cost:               Nanos(r.Cost),
+		CostKnown:          r.CostKnown,
+		IsRepeat:           r.IsRepeat,
+		IsWrite:            r.IsWrite,
+		MemoryMB:           float64(r.MemoryMB),
+		Tables:             TableGroup(r.Tables),
+		RequiredProtocols:  Protocols(r.RequiredProtocols),
+		Seq:                AttemptSeq(r.Seq),
+		Engine:             EngineID(r.Engine),
+		Latency:            Nanos(r.Latency),
+		IsFinal:            r.IsFinal,
+		Usage:              r.Usage,
+		Load:               each(r.Load, func(v recordedFloat) float64 { return float64(v) }),
+		Progress:           ProgressKind(r.Progress),
+		Amount:             float64(r.Amount),
+		TimerID:            TimerID(r.TimerID),
+		Peer:               PeerID(r.Peer),
+		Payload:            r.Payload,
+		PredecessorRunning: r.PredecessorRunning,
+		Quota:              Quota{FleetShare: float64(r.Quota.FleetShare), ExpiresAt: Nanos(r.Quota.ExpiresAt)},
+	}
+	ev.Kind = eventNames.value(tb, r.Kind)
+	ev.Result = resultNames.value(tb, r.Result)
+	ev.List = listNames.value(tb, r.List)
+	ev.Engines = each(r.Engines, func(l recordedEngine) EngineEntry {
+		state := stateNames.value(tb, l.State)
+		return EngineEntry{EngineID(l.Engine), ZoneID(l.Zone), KindID(l.Kind), CellID(l.Cell), state, float64(l.Size),
+			Nanos(l.StartedAt), Protocols(l.Unsupported)}
+	})
+	if p := r.Plan; p != nil {
+		ev.Plan = &Plan{IdleEngines: p.IdleEngines, DemandThreads: float64(p.DemandThreads),
+			MaxDemandRatio: float64(p.MaxDemandRatio),
+			Tenants: each(p.Tenants, func(v recordedPlanTenant) PlanTenant {
+				return PlanTenant{TenantID(v.Tenant), float64(v.Share)}
+			}),
+			Engines: each(p.Engines, func(v recordedPlanEngine) PlanEngine {
+				return PlanEngine{EngineID(v.Engine), float64(v.Threads)}
+			}),
+			Weights: each(p.Weights, func(v recordedPlanWeight) PlanWeight {
+				return PlanWeight{TypeID(v.Type), EngineID(v.Engine), float64(v.Weight)}
+			})}
+	}
+	if r.Quota.TenantShares != nil {
+		ev.Quota.TenantShares = map[TenantID]float64{}
+		for id, part := range r.Quota.TenantShares {
+			ev.Quota.TenantShares[TenantID(id)] = float64(part)
+		}
+	}
+	ev.TypeStats = each(r.TypeStats, func(m recordedTypeStats) TypeStats {
+		return TypeStats{meanWork: float64(m.MeanWork), workCount: float64(m.WorkCount), costBias: float64(m.CostBias),
+			costCount:  float64(m.CostCount),
+			memoryBias: float64(m.MemoryBias), memoryDeviation: float64(m.MemoryDeviation),
+			memoryCount: float64(m.MemoryCount), bestSlowdown: float64(m.BestSlowdown), slowdown: float64(m.Slowdown)}
+	})
+	ev.EngineHealth = each(r.EngineHealth, func(h recordedHealth) EngineHealth {
+		return EngineHealth{EngineID(h.Engine), float64(h.LatencyRatio), float64(h.FailureRate), h.Ejected}
+	})
+	return ev
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -43,7 +43,8 @@
 	if got := b.Records[1].Event; got.Kind != choice.TimerFired || got.TimerID != 77 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Records[2]; got.Instance != 5 || got.Event.Kind != choice.ClientDisconnected || got.Event.Job != 0x0e6f2b19 {
+	if got := b.Records[2]; got.Instance != 5 || got.Event.Kind != choice.ClientDisconnected ||
+		got.Event.Job != 0x0e6f2b19 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -76,7 +77,7 @@
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
-	if _, err := read(nil); err != io.EOF {
+	if _, err := read(nil); !errors.Is(err, io.EOF) || errors.Is(err, ErrFrame) {
 		t.Errorf("end of input: %v", err)
 	}
 	for at, value := range map[int]byte{0: 0xff, 15: 9, 16: 251} { // length, count, code
