--- a/internal/leader/duty_handlers.go
+++ b/internal/leader/duty_handlers.go
@@ -48,7 +48,7 @@
 		return fmt.Errorf("/: %w", err)
 	}
 	if faults := requested.Faults(); len(faults) > 0 {
-		return &schema.Faults{File: "the change", List: faults}
+		return &schema.ValidationError{File: "the change", Problems: faults}
 	}
 	if requested.Kind == change.Plan {
 		return errPlanFile
