--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -22,7 +22,7 @@
 // off, server is nil.
 type statsServer struct {
 	server    *jobstats.Server
-	stats     *jobstats.Book
+	stats     *jobstats.Recorder
 	gateway   *gateway.Gateway
 	owed      func() int64 // answers owed to clients
 	startedNS int64        // Unix time by the process's own clock: a name of the process, not a time to compare
@@ -43,7 +43,7 @@
 	if options == nil {
 		return s, nil
 	}
-	s.stats = jobstats.NewBook()
+	s.stats = jobstats.NewRecorder()
 	s.startedNS = failpoint.WallClock().UnixNano()
 	gate.SetStats(s.stats)
 	server, err := jobstats.Serve(options.Listen, s.report, s.assignShare)
@@ -66,20 +66,20 @@
 
 func (s *statsServer) report() jobstats.Report {
 	var report jobstats.Report
-	s.stats.Fill(&report)
+	s.stats.FillReport(&report)
 	applied := s.applied.Load()
-	report.Started = s.startedNS
+	report.StartedUnixNS = s.startedNS
 	report.Version = version.Name
-	report.Spec = applied.spec
-	report.Settings = applied.settings
+	report.SpecDigest = applied.spec
+	report.SettingsDigest = applied.settings
 	report.Ready = s.gateway.Ready()
-	report.Refused = counters.Value("reloads_failed")
-	report.Aside = s.gateway.EjectedEngines()
-	report.Engines = s.gateway.ReadyEngines()
-	report.Carries = int64(perMillion * s.gateway.Share())
-	report.Owed = s.owed()
-	report.Health = marshalOrNothing(s.gateway.EngineHealth())
-	report.Learned = marshalOrNothing(s.gateway.TypeStats())
+	report.ReloadsFailed = counters.Value("reloads_failed")
+	report.EjectedEngines = s.gateway.EjectedEngines()
+	report.ReadyEngines = s.gateway.ReadyEngines()
+	report.SharePerMillion = int64(perMillion * s.gateway.Share())
+	report.OwedAnswers = s.owed()
+	report.EngineHealth = marshalOrNothing(s.gateway.EngineHealth())
+	report.LearnedEstimates = marshalOrNothing(s.gateway.TypeStats())
 	return report
 }
 
@@ -93,13 +93,13 @@
 }
 
 // assignShare passes on an assignment of the leader, unless it has expired.
-func (s *statsServer) assignShare(assigned jobstats.Part) {
-	valid := assigned.UntilNS - monotonic.Now()
+func (s *statsServer) assignShare(assigned jobstats.Share) {
+	valid := assigned.ExpiryNS - monotonic.Now()
 	if valid <= 0 {
 		return
 	}
 	quotas := map[string]float64{}
-	for tenant, share := range assigned.Quotas {
+	for tenant, share := range assigned.TenantQuotas {
 		quotas[tenant] = float64(share) / perMillion
 	}
 	s.gateway.AssignShare(float64(assigned.PerMillion)/perMillion, quotas, time.Duration(valid))
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -43,6 +43,6 @@
 }
 
 func (g *Gateway) sendProbe(host backend.Host, report func(backend.Reply)) {
-	g.stats.Probe()
+	g.stats.RecordProbe()
 	go g.engines.Probe(host, g.settings.reportsLoad, g.settings.dialTimeout, report)
 }
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -125,8 +125,8 @@
 		if err != nil {
 			return nil, err
 		}
-		shares[i] = float64(status.Carries) / shareUnit
-		for _, work := range status.Work {
+		shares[i] = float64(status.SharePerMillion) / shareUnit
+		for _, work := range status.JobCounts {
 			jobs[i] += float64(work.Jobs)
 		}
 		all += jobs[i]
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -216,8 +216,8 @@
 	d := NewDemand()
 	g, other := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	look := func(now int64, a, b uint64, heard bool) {
-		d.Observe(now, []Observation{{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: a, Done: a}}},
-			{Member: "b", Reachable: heard, Interval: 1e9, Work: map[canary.Group]canary.Work{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
+		d.Observe(now, []Observation{{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.JobCounts{g: {Jobs: a, Done: a}}},
+			{Member: "b", Reachable: heard, Interval: 1e9, Work: map[canary.Group]canary.JobCounts{g: {Jobs: b, Done: b}, other: {Jobs: b, Done: b}}},
 			{Member: "c", Reachable: true, Interval: 1e9}}, half)
 	}
 	for now := int64(1e9); now <= 60e9; now += 1e9 {
