--- a/cmd/swiftreel/files.go
+++ b/cmd/swiftreel/files.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 
+	"swiftreel/choice"
 	"swiftreel/internal/config"
 	"swiftreel/internal/discovery"
 	"swiftreel/internal/operator"
@@ -14,12 +15,12 @@
 	config       config.File
 	cachedEvents []discovery.Event // that the configuration has of the discovery feed
 	operator     operator.File
-	settings     map[string]any // for the module: the base settings with the topology of the operator's file applied
+	settings     choice.RawSettings // for the module: the base settings with the topology of the operator's file applied
 }
 
 // readFiles completes a configuration by the operator's file; an empty path: there is none. The base settings are those
 // of the configuration that the process was started with.
-func readFiles(file config.File, operatorPath string, baseSettings map[string]any) (files, error) {
+func readFiles(file config.File, operatorPath string, baseSettings choice.RawSettings) (files, error) {
 	cachedEvents, err := parseEvents(file.CachedEvents.Events)
 	if err != nil {
 		return files{}, err
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -19,8 +19,8 @@
 	server       *server
 	budget       *limits.Budget
 	operatorPath string
-	current      files          // as applied last
-	baseSettings map[string]any // as at the start: changed settings need a restart
+	current      files              // as applied last
+	baseSettings choice.RawSettings // as at the start: changed settings need a restart
 
 	closing chan struct{}
 	closed  chan struct{}
@@ -140,7 +140,7 @@
 		r.budget.Apply(s.sparql.remainingLimits(next.config.Limits))
 	}
 	if !reflect.DeepEqual(next.operator.Topology, r.current.operator.Topology) {
-		s.gateway.Reconfigure(choice.RawSettings(next.settings))
+		s.gateway.Reconfigure(next.settings)
 	}
 	if !reflect.DeepEqual(next.operator.Plan, r.current.operator.Plan) { // the same plan once more is not a new one
 		s.plans.follow(next.operator.Plan)
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -6,7 +6,6 @@
 	"os"
 	"runtime/debug"
 
-	"swiftreel/choice"
 	"swiftreel/internal/change"
 	"swiftreel/internal/client"
 	"swiftreel/internal/command"
@@ -38,7 +37,7 @@
 	budget := new(limits.Budget)
 	budget.Apply(sparql.remainingLimits(files.config.Limits))
 	gate := gateway.New(gateway.Options{
-		Settings:  choice.RawSettings(files.settings),
+		Settings:  files.settings,
 		Seed:      files.config.Seed,
 		Budget:    budget,
 		Protocols: sparql.protocols(),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a controller is told at its start: the ROUTER_* variables and the JSON file.
+// Package config reads what a controller is told at its start: the ROUTER_* variables and the JSON file that they name.
 package config
 
 import (
@@ -7,22 +7,35 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"math"
 	"net"
 	"os"
-	"slices"
 	"strconv"
+
+	"swiftreel/choice"
 )
 
 // Limits are the bounds of the machine that the controller runs on.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // descriptors
+}
+
+// Bounds of Limits that the program can keep to.
+const (
+	maxCores    = 1024
+	minMemoryMB = 16
+	maxMemoryMB = 1 << 24
+	minSockets  = 64
+)
+
+func (l Limits) usable() bool {
+	return l.Cores > 0 && l.Cores < maxCores && l.MemoryMB >= minMemoryMB && l.MemoryMB < maxMemoryMB &&
+		l.Sockets >= minSockets
 }
 
-// CachedEvents is what the control feed had told when the file was written.
+// CachedEvents is what the discovery feed had sent when the file was written.
 type CachedEvents struct {
 	LastNumber uint64            `json:"n"`
 	Events     []json.RawMessage `json:"events"`
@@ -31,20 +44,31 @@
 // File is the configuration as read.
 type File struct {
 	Name         string
-	Listen       string
-	Seed         uint64
+	Listen       string // host:port for clients
+	Seed         uint64 // of the module's random source
 	Limits       Limits
-	Feed         string
+	Feed         string // host:port of the discovery feed
 	CachedEvents CachedEvents
-	Settings     map[string]any // the settings, handed to the module as they are
-	UnknownNames []string       // names in the file that nothing reads; the platform may send such
+	Settings     choice.RawSettings // for the module, as they stand in the file
+	UnknownNames []string           // names in the file that nothing reads: the platform may send such
 }
 
-// Load reads the file that ROUTER_CONFIG names; ROUTER_NAME and ROUTER_LISTEN stand above what it says.
+// Errors of a file that lacks something.
+var (
+	ErrNoFile     = errors.New("ROUTER_CONFIG names no file")
+	ErrNoListen   = errors.New("no address to listen on")
+	ErrNoSettings = errors.New("no settings")
+	ErrNoClasses  = errors.New("the settings name no usable classes")
+)
+
+// maxBytes bounds the file.
+const maxBytes = 8 << 20
+
+// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME and ROUTER_LISTEN replace what it says.
 func Load(getenv func(string) string) (File, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
-		return File{}, errors.New("ROUTER_CONFIG names no file")
+		return File{}, ErrNoFile
 	}
 	text, err := readFile(path)
 	if err != nil {
@@ -61,46 +85,49 @@
 		f.Listen = listen
 	}
 	if f.Listen == "" {
-		return File{}, errors.New("no address to listen on")
+		return File{}, ErrNoListen
 	}
 	return f, nil
 }
 
-// mostBytes bounds the file.
-const mostBytes = 8 << 20
-
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-	if err == nil && len(text) > mostBytes {
-		err = fmt.Errorf("%s: over %d bytes", path, mostBytes)
+	defer func() { _ = f.Close() }() // only read
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(text) > maxBytes {
+		return nil, fmt.Errorf("%s: over %d bytes", path, maxBytes)
 	}
-	return text, err
+	return text, nil
+}
+
+// rawFile is the file's JSON form.
+type rawFile struct {
+	Name         string             `json:"name"`
+	Listen       string             `json:"listen"`
+	Seed         string             `json:"seed"` // hex digits
+	Limits       Limits             `json:"limits"`
+	Feed         string             `json:"feed"`
+	CachedEvents CachedEvents       `json:"known"`
+	Settings     choice.RawSettings `json:"settings"`
 }
 
-// Parse reads the JSON text.
+// Parse reads the text of a file. It fails on what the controller cannot start with.
 func Parse(text []byte) (File, error) {
-	var raw struct {
-		Name     string         `json:"name"`
-		Listen   string         `json:"listen"`
-		Seed     string         `json:"seed"`
-		Limits   Limits         `json:"limits"`
-		Feed     string         `json:"feed"`
-		Known    CachedEvents   `json:"known"`
-		Settings map[string]any `json:"settings"`
-	}
+	var raw rawFile
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return File{}, placed(text, err)
+		return File{}, withPosition(text, err)
 	}
 	if raw.Settings == nil {
-		return File{}, errors.New("no settings")
+		return File{}, ErrNoSettings
 	}
-	if list, _ := raw.Settings["classes"].([]any); len(list) == 0 || len(list) > math.MaxUint8 {
-		return File{}, errors.New("the settings name no usable classes")
+	if classes, _ := raw.Settings["classes"].([]any); len(classes) == 0 || len(classes) > math.MaxUint8 {
+		return File{}, ErrNoClasses
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
@@ -109,49 +136,34 @@
 	if _, _, err := net.SplitHostPort(raw.Feed); err != nil {
 		return File{}, fmt.Errorf("feed: %w", err)
 	}
-	l := raw.Limits
-	if !(l.Cores > 0 && l.Cores < 1024 && l.MemoryMB >= 16 && l.MemoryMB < 1<<24 && l.Sockets >= 64) {
+	if l := raw.Limits; !l.usable() {
 		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d cannot be kept to", l.Cores, l.MemoryMB, l.Sockets)
 	}
-	return File{Name: raw.Name, Listen: raw.Listen, Seed: seed, Limits: l, Feed: raw.Feed,
-		CachedEvents: raw.Known, Settings: raw.Settings, UnknownNames: unread(text)}, nil
+	return File{
+		Name:         raw.Name,
+		Listen:       raw.Listen,
+		Seed:         seed,
+		Limits:       raw.Limits,
+		Feed:         raw.Feed,
+		CachedEvents: raw.CachedEvents,
+		Settings:     raw.Settings,
+		UnknownNames: unknownNames(text),
+	}, nil
 }
 
-// placed names the line and column of what is no JSON, or of another type than is read there.
-func placed(text []byte, err error) error {
-	var form *json.SyntaxError
-	var kind *json.UnmarshalTypeError
-	at := int64(len(text))
-	if errors.As(err, &form) {
-		at = form.Offset
-	} else if errors.As(err, &kind) {
-		at = kind.Offset
-	}
-	before := text[:max(0, min(at, int64(len(text))))]
+// withPosition adds the line and column of an error in the text.
+func withPosition(text []byte, err error) error {
+	offset := int64(len(text))
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
+	switch {
+	case errors.As(err, &syntaxError):
+		offset = syntaxError.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
+	}
+	before := text[:max(0, min(offset, int64(len(text))))]
 	line := 1 + bytes.Count(before, []byte("\n"))
 	column := len(before) - bytes.LastIndexByte(before, '\n')
 	return fmt.Errorf("line %d, column %d: %w", line, max(1, column-1), err)
 }
-
-// read are the names that the file and its parts may have; below settings all is the module's.
-var read = map[string][]string{"": {"name", "listen", "seed", "limits", "feed", "known", "settings"},
-	"limits": {"cores", "memory_mb", "sockets"}, "known": {"n", "events"}}
-
-// unread are the others, in order.
-func unread(text []byte) (list []string) {
-	var file map[string]json.RawMessage
-	json.Unmarshal(text, &file) // read well before
-	for _, part := range slices.Sorted(maps.Keys(read)) {
-		names, under := file, ""
-		if part != "" {
-			names, under = nil, part+"."
-			json.Unmarshal(file[part], &names)
-		}
-		for _, name := range slices.Sorted(maps.Keys(names)) {
-			if !slices.Contains(read[part], name) {
-				list = append(list, under+name)
-			}
-		}
-	}
-	return list
-}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -2,114 +2,124 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
 	"net"
 	"slices"
-
-	"swiftreel/internal/change"
 )
 
-// Stats has the controller count what becomes of its jobs and tell it over HTTP. A keeper writes this part.
-type Stats struct {
-	Listen      string        `json:"listen"`
-	Spec        change.Digest `json:"spec"`  // told as it stands: which spec this file is of
-	Predecessor bool          `json:"elder"` // an older process of this controller serves on what it owes
-
-	TypeStats json.RawMessage `json:"learned,omitempty"` // what that has learned, as its tally tells it; what cannot be read teaches nothing
-	EngineHealth  json.RawMessage `json:"health,omitempty"`  // the same of engines
-}
-
-// Fleet is the controllers that changes go through in stages. Keepers and conductors read it; a controller does not.
+// Fleet is the controllers that changes go through in stages. Supervisors and coordinators read it; a controller does
+// not.
 type Fleet struct {
 	Members []Member `json:"members"`
 	DrainMS int64    `json:"drain_ms,omitempty"` // a controller that has not ended so long after SIGTERM is killed
-	Voters  []string `json:"voters,omitempty"`   // members that agree on an owner: three or five
-	Program string   `json:"program,omitempty"`  // that a keeper starts with no order; its own where absent
+	Voters  []string `json:"voters,omitempty"`   // members that elect a leader: three or five
+	Program string   `json:"program,omitempty"`  // that a supervisor starts without an order; its own where absent
 
 	Shares   *Shares   `json:"parts,omitempty"`
 	Planning *Planning `json:"planning,omitempty"`
 }
 
-// Shares has the owner hand out what each controller carries.
+// Shares has the leader assign to each controller the share of the fleet that it carries.
 type Shares struct {
-	LeaseMS int64 `json:"life_ms,omitempty"`
+	LeaseMS int64 `json:"life_ms,omitempty"` // an assignment that is not renewed expires after it
 }
 
-// Planning has the owner plan.
+// Planning has the leader plan for the demand.
 type Planning struct {
-	Problem        string `json:"problem"` // a file
+	Problem        string `json:"problem"` // a file, relative to the operator's file
 	IntervalMS     int64  `json:"every_ms,omitempty"`
 	MinIntervalMS  int64  `json:"least_ms,omitempty"`
-	LeaseMS        int64  `json:"life_ms,omitempty"`
+	LeaseMS        int64  `json:"life_ms,omitempty"` // a plan that is not renewed is followed so long
 	SolveTimeoutMS int64  `json:"solve_ms,omitempty"`
 }
 
-// Member is a controller with its keeper.
+// Member is a controller with its supervisor.
 type Member struct {
 	Name   string   `json:"name"`
-	Listen string   `json:"listen"`          // of its keeper, over HTTP
-	Reach  string   `json:"reach,omitempty"` // where others reach that, where it is not listen
+	Listen string   `json:"listen"`          // host:port of its supervisor, over HTTP
+	Reach  string   `json:"reach,omitempty"` // where others reach that, if it is not Listen
 	Zone   string   `json:"zone,omitempty"`
-	Types  []string `json:"types,omitempty"` // reservation types that it is there for; none: all
+	Types  []string `json:"types,omitempty"` // job types that it serves; none: all
 }
 
-// usualDrain is past the longest job timeout of any deployment so far.
-const usualDrain = 120_000
+// Defaults in milliseconds. defaultDrainMS is past the longest job timeout of any deployment so far.
+const (
+	defaultDrainMS        = 120_000
+	defaultShareLeaseMS   = 5000
+	defaultPlanIntervalMS = 180_000
+	defaultPlanLeaseMS    = 600_000
+	defaultSolveTimeoutMS = 1000
+)
 
-func (f *Fleet) complete() (faults []string) {
-	if f.DrainMS == 0 {
-		f.DrainMS = usualDrain
-	}
+// minIntervalDivisor is how many times the default of Planning.MinIntervalMS fits into the interval.
+const minIntervalDivisor = 10
+
+func (f *Fleet) setDefaults() {
+	f.DrainMS = cmp.Or(f.DrainMS, defaultDrainMS)
 	if f.Shares != nil {
-		f.Shares.LeaseMS = cmp.Or(f.Shares.LeaseMS, 5000)
+		f.Shares.LeaseMS = cmp.Or(f.Shares.LeaseMS, defaultShareLeaseMS)
 	}
 	if p := f.Planning; p != nil {
-		p.IntervalMS = cmp.Or(p.IntervalMS, 180_000)
-		p.MinIntervalMS, p.LeaseMS, p.SolveTimeoutMS = cmp.Or(p.MinIntervalMS, p.IntervalMS/10), cmp.Or(p.LeaseMS, 600_000), cmp.Or(p.SolveTimeoutMS, 1000)
+		p.IntervalMS = cmp.Or(p.IntervalMS, defaultPlanIntervalMS)
+		p.MinIntervalMS = cmp.Or(p.MinIntervalMS, p.IntervalMS/minIntervalDivisor)
+		p.LeaseMS = cmp.Or(p.LeaseMS, defaultPlanLeaseMS)
+		p.SolveTimeoutMS = cmp.Or(p.SolveTimeoutMS, defaultSolveTimeoutMS)
 	}
+}
+
+// problems returns the contradictions that a schema does not see.
+func (f *Fleet) problems() []string {
+	var problems []string
 	if (f.Shares != nil || f.Planning != nil) && len(f.Voters) == 0 {
-		faults = append(faults, "/fleet: parts and planning are an owner's work: name voters")
+		problems = append(problems, "/fleet: parts and planning are an owner's work: name voters")
 	}
-	names, places := map[string]bool{}, map[string]bool{}
-	for i, m := range f.Members {
-		at := fmt.Sprintf("/fleet/members/%d", i)
-		if names[m.Name] {
-			faults = append(faults, fmt.Sprintf("%s/name: %q stands twice", at, m.Name))
+	problems = append(problems, f.memberProblems()...)
+	return append(problems, f.voterProblems()...)
+}
+
+func (f *Fleet) memberProblems() []string {
+	var problems []string
+	names := map[string]bool{}
+	addresses := map[string]bool{}
+	for i, member := range f.Members {
+		path := fmt.Sprintf("/fleet/members/%d", i)
+		if names[member.Name] {
+			problems = append(problems, fmt.Sprintf("%s/name: %q stands twice", path, member.Name))
 		}
-		if places[m.Listen] {
-			faults = append(faults, fmt.Sprintf("%s/listen: %q stands twice", at, m.Listen))
+		if addresses[member.Listen] {
+			problems = append(problems, fmt.Sprintf("%s/listen: %q stands twice", path, member.Listen))
 		}
-		if _, _, err := net.SplitHostPort(m.Listen); err != nil {
-			faults = append(faults, fmt.Sprintf("%s/listen: %v", at, err))
+		if _, _, err := net.SplitHostPort(member.Listen); err != nil {
+			problems = append(problems, fmt.Sprintf("%s/listen: %v", path, err))
 		}
-		names[m.Name], places[m.Listen] = true, true
+		names[member.Name] = true
+		addresses[member.Listen] = true
 	}
+	return problems
+}
+
+func (f *Fleet) voterProblems() []string {
+	var problems []string
 	if n := len(f.Voters); n != 0 && n != 3 && n != 5 {
-		faults = append(faults, fmt.Sprintf("/fleet/voters: %d, three or five can have a majority that lasts", n))
+		problems = append(problems, fmt.Sprintf("/fleet/voters: %d, three or five can have a majority that lasts", n))
 	}
 	for i, name := range f.Voters {
-		if !names[name] || slices.Contains(f.Voters[:i], name) {
-			faults = append(faults, fmt.Sprintf("/fleet/voters/%d: %q is no member, or stands twice", i, name))
+		_, isMember := f.Member(name)
+		if !isMember || slices.Contains(f.Voters[:i], name) {
+			problems = append(problems, fmt.Sprintf("/fleet/voters/%d: %q is no member, or stands twice", i, name))
 		}
 	}
-	return faults
+	return problems
 }
 
-// Address is where others reach a member's keeper.
-func (m Member) Address() string {
-	if m.Reach != "" {
-		return m.Reach
-	}
-	return m.Listen
-}
+// Address is where others reach a member's supervisor.
+func (m Member) Address() string { return cmp.Or(m.Reach, m.Listen) }
 
-// Member is a member by name.
+// Member returns a member by name.
 func (f *Fleet) Member(name string) (Member, bool) {
-	for _, m := range f.Members {
-		if m.Name == name {
-			return m, true
-		}
+	i := slices.IndexFunc(f.Members, func(m Member) bool { return m.Name == name })
+	if i < 0 {
+		return Member{}, false
 	}
-	return Member{}, false
+	return f.Members[i], true
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,8 @@
-// Package operator reads the operator's file: what swiftreel does beyond serving jobs as ROUTER_* says. Without such a
-// file, or without a part in it, nothing of that part is on.
+// Package operator reads the operator's file: what swiftreel does beyond serving jobs as the ROUTER_* variables say.
+// Without such a file, or without a part of it, nothing of that part is on.
+//
+// The file is a bounded JSON file with the schema deploy/operator.schema.json. Load reports everything that is wrong
+// with it at once; what it returns has all defaults filled in.
 package operator
 
 import (
@@ -10,7 +13,7 @@
 	"swiftreel/internal/solve"
 )
 
-// File is the operator's file with what it names.
+// File is the operator's file with the files that it names. A part that is nil is off.
 type File struct {
 	Plan     *Plan     `json:"plan"`
 	SPARQL   *SPARQL   `json:"sparql"`
@@ -19,47 +22,61 @@
 	Fleet    *Fleet    `json:"fleet"`
 }
 
-// Plan is a plan to follow.
+// Plan names a plan to follow.
 type Plan struct {
-	File         string  `json:"file"`
-	DemandFactor float64 `json:"demand_factor"`
-	UntilNS      int64   `json:"until_boot_ns"` // by the machine's clock; 0: it does not end
+	File         string  `json:"file"`          // relative to the operator's file
+	DemandFactor float64 `json:"demand_factor"` // the plan is not followed where demand is off by more than this factor
+	UntilNS      int64   `json:"until_boot_ns"` // when it ends, by the machine's monotonic clock; 0: it does not
 
-	Answer solve.Answer `json:"-"` // as read
+	Answer solve.Answer `json:"-"` // the plan itself
 }
 
-// usualFactor is taken where none is told.
-const usualFactor = 3
+// defaultDemandFactor is Plan.DemandFactor where the file has none.
+const defaultDemandFactor = 3
 
-// Load reads the file and what it names, whole; an error names every fault. No path: nothing is on.
-func Load(path string) (f File, err error) {
+// Load reads the file and the plan that it names. An empty path gives the zero File. If the content of one of them is
+// wrong, the error is a *schema.ValidationError that names every problem.
+func Load(path string) (File, error) {
 	if path == "" {
-		return f, nil
+		return File{}, nil
 	}
+	var f File
 	if err := schema.Read(path, schema.Operator, &f); err != nil {
 		return File{}, err
 	}
 	if f.SPARQL != nil {
-		if list := f.SPARQL.complete(); len(list) > 0 {
-			return File{}, &schema.ValidationError{File: path, Problems: list}
+		f.SPARQL.setDefaults()
+		if problems := f.SPARQL.problems(); len(problems) > 0 {
+			return File{}, &schema.ValidationError{File: path, Problems: problems}
 		}
 	}
 	if f.Fleet != nil {
-		if list := f.Fleet.complete(); len(list) > 0 {
-			return File{}, &schema.ValidationError{File: path, Problems: list}
+		f.Fleet.setDefaults()
+		if problems := f.Fleet.problems(); len(problems) > 0 {
+			return File{}, &schema.ValidationError{File: path, Problems: problems}
 		}
 	}
 	if f.Plan != nil {
-		if f.Plan.DemandFactor == 0 {
-			f.Plan.DemandFactor = usualFactor
-		}
-		from := f.Plan.File
-		if !filepath.IsAbs(from) {
-			from = filepath.Join(filepath.Dir(path), from)
-		}
-		if f.Plan.Answer, err = plan.Load(from); err != nil {
+		if err := f.Plan.load(filepath.Dir(path)); err != nil {
 			return File{}, err
 		}
 	}
 	return f, nil
 }
+
+// load reads the plan; directory is where the operator's file is.
+func (p *Plan) load(directory string) error {
+	if p.DemandFactor == 0 {
+		p.DemandFactor = defaultDemandFactor
+	}
+	path := p.File
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(directory, path)
+	}
+	answer, err := plan.Load(path)
+	if err != nil {
+		return err
+	}
+	p.Answer = answer
+	return nil
+}
--- a/internal/operator/sparql.go
+++ b/internal/operator/sparql.go
@@ -1,10 +1,12 @@
 package operator
 
 import (
+	"cmp"
 	"fmt"
 	"net"
 	"net/url"
 	"slices"
+	"time"
 
 	"swiftreel/choice"
 	"swiftreel/internal/sparql/decide"
@@ -12,70 +14,91 @@
 
 // SPARQL is the front of the SPARQL protocol, and the engines that speak it.
 type SPARQL struct {
-	Listen       string `json:"listen"`
-	Path         string `json:"path"`
-	Tenant       string `json:"tenant"`
-	TenantHeader string `json:"tenant_header"`
-	Types        []struct {
-		Type      string   `json:"type"`
-		Forms     []string `json:"forms"`
-		Keyed     bool     `json:"marked"`
-		MinWorkMS int64    `json:"least_work_ms"`
-		MaxWorkMS int64    `json:"most_work_ms"`
-	} `json:"types"`
-	TimeoutMS           int64             `json:"timeout_ms"`
+	Listen              string            `json:"listen"` // host:port
+	Path                string            `json:"path"`   // of URLs; a tenant may stand behind it
+	Tenant              string            `json:"tenant"` // of clients that name none
+	TenantHeader        string            `json:"tenant_header"`
+	Types               []SPARQLType      `json:"types"`
+	TimeoutMS           int64             `json:"timeout_ms"` // job timeout of requests that name none
 	MaxTimeoutMS        int64             `json:"most_timeout_ms"`
-	Services            []string          `json:"services"`
-	Endpoints           map[string]string `json:"endpoints"`
-	Connections         int               `json:"connections"`
-	IdempotencyKeys     int               `json:"marks"`
-	IdempotencyWindowMS int64             `json:"mark_window_ms"`
+	Services            []string          `json:"services"`       // endpoints that SERVICE may name
+	Endpoints           map[string]string `json:"endpoints"`      // URL by engine name
+	Connections         int               `json:"connections"`    // of clients, and as many to endpoints
+	IdempotencyKeys     int               `json:"marks"`          // that are remembered
+	IdempotencyWindowMS int64             `json:"mark_window_ms"` // for so long after their update ended
 }
 
-// complete fills in what is absent, and names what a schema does not see.
-func (s *SPARQL) complete() (faults []string) {
-	if s.Path == "" {
-		s.Path = "/sparql"
-	}
-	if s.TimeoutMS == 0 {
-		s.TimeoutMS = 10_000
-	}
-	if s.MaxTimeoutMS == 0 {
-		s.MaxTimeoutMS = max(60_000, s.TimeoutMS)
-	}
-	if s.Connections == 0 {
-		s.Connections = 32
-	}
-	if s.IdempotencyKeys == 0 {
-		s.IdempotencyKeys = 4096
-	}
-	if s.IdempotencyWindowMS == 0 {
-		s.IdempotencyWindowMS = 600_000
-	}
+// SPARQLType says which requests are jobs of a type: the first one that fits counts.
+type SPARQLType struct {
+	Type      string   `json:"type"`
+	Forms     []string `json:"forms"`  // SELECT, CONSTRUCT, DESCRIBE, ASK, UPDATE; none: all
+	Keyed     bool     `json:"marked"` // only updates with an idempotency key
+	MinWorkMS int64    `json:"least_work_ms"`
+	MaxWorkMS int64    `json:"most_work_ms"` // 0: no bound
+}
+
+// Defaults of the SPARQL part.
+const (
+	defaultPath                = "/sparql"
+	defaultTimeoutMS           = 10_000
+	defaultMaxTimeoutMS        = 60_000
+	defaultConnections         = 32
+	defaultIdempotencyKeys     = 4096
+	defaultIdempotencyWindowMS = 600_000
+)
+
+func (s *SPARQL) setDefaults() {
+	s.Path = cmp.Or(s.Path, defaultPath)
+	s.TimeoutMS = cmp.Or(s.TimeoutMS, defaultTimeoutMS)
+	s.MaxTimeoutMS = cmp.Or(s.MaxTimeoutMS, max(defaultMaxTimeoutMS, s.TimeoutMS))
+	s.Connections = cmp.Or(s.Connections, defaultConnections)
+	s.IdempotencyKeys = cmp.Or(s.IdempotencyKeys, defaultIdempotencyKeys)
+	s.IdempotencyWindowMS = cmp.Or(s.IdempotencyWindowMS, defaultIdempotencyWindowMS)
+}
+
+// problems returns the contradictions that a schema does not see, sorted.
+func (s *SPARQL) problems() []string {
+	var problems []string
 	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
-		faults = append(faults, "/sparql/listen: "+err.Error())
+		problems = append(problems, "/sparql/listen: "+err.Error())
 	}
 	if s.TimeoutMS > s.MaxTimeoutMS {
-		faults = append(faults, "/sparql/timeout_ms: over most_timeout_ms")
+		problems = append(problems, "/sparql/timeout_ms: over most_timeout_ms")
 	}
 	for name, text := range s.Endpoints {
-		if u, err := url.Parse(text); err != nil || u.Host == "" || u.User != nil || u.Fragment != "" {
-			faults = append(faults, fmt.Sprintf("/sparql/endpoints/%s: %q is no endpoint", name, text))
+		if !isEndpoint(text) {
+			problems = append(problems, fmt.Sprintf("/sparql/endpoints/%s: %q is no endpoint", name, text))
 		}
 	}
 	for i, t := range s.Types {
 		if t.MaxWorkMS > 0 && t.MaxWorkMS <= t.MinWorkMS {
-			faults = append(faults, fmt.Sprintf("/sparql/types/%d/most_work_ms: not over least_work_ms", i))
+			problems = append(problems, fmt.Sprintf("/sparql/types/%d/most_work_ms: not over least_work_ms", i))
 		}
 	}
-	slices.Sort(faults)
-	return faults
+	slices.Sort(problems)
+	return problems
 }
 
-// Rules map texts to reservation types.
-func (s *SPARQL) Rules() (list []decide.Rule) {
+func isEndpoint(text string) bool {
+	u, err := url.Parse(text)
+	return err == nil && u.Host != "" && u.User == nil && u.Fragment == ""
+}
+
+// Rules returns the rules that map requests to job types, in their order.
+func (s *SPARQL) Rules() []decide.Rule {
+	var rules []decide.Rule
 	for _, t := range s.Types {
-		list = append(list, decide.Rule{Forms: t.Forms, Marked: t.Keyed, Least: choice.Nanos(t.MinWorkMS) * 1e6, Most: choice.Nanos(t.MaxWorkMS) * 1e6, Type: t.Type})
+		rules = append(rules, decide.Rule{
+			Forms:  t.Forms,
+			Marked: t.Keyed,
+			Least:  nanos(t.MinWorkMS),
+			Most:   nanos(t.MaxWorkMS),
+			Type:   t.Type,
+		})
 	}
-	return list
+	return rules
+}
+
+func nanos(milliseconds int64) choice.Nanos {
+	return choice.Nanos(milliseconds) * choice.Nanos(time.Millisecond)
 }
--- a/internal/operator/shape_test.go
+++ b/internal/operator/topology_test.go
@@ -5,13 +5,15 @@
 	"reflect"
 	"strings"
 	"testing"
+
+	"swiftreel/choice"
 )
 
 const settings = `{"kinds":["type-a","type-b"],"classes":[{"name":"lookup"},{"name":"report"}],
 "limits":{"cancel":true},"domain":{"grants_count":true,"waits_for_loads":[false]}}`
 
 func TestAShapeStandsOverTheSettingsAndLeavesThemBe(t *testing.T) {
-	var given, before map[string]any
+	var given, before choice.RawSettings
 	json.Unmarshal([]byte(settings), &given)
 	json.Unmarshal([]byte(settings), &before)
 	no, ratio, window := false, 0.1, int64(10000)
