--- a/choice/action.go
+++ b/choice/action.go
@@ -3,7 +3,7 @@
 // ActionKind says what is to be done.
 type ActionKind uint8
 
-// The actions that a Controller asks for. The comment names the fields of Action that count.
+// The kinds of action. The comments name the fields of Action that are set.
 const (
 	Dispatch           ActionKind = iota + 1 // start the job's next attempt: Job, Engine, SendDeadline
 	Throttle                                 // final answer, the client may repeat the job: Job, Duration (after which)
@@ -20,7 +20,7 @@
 	Fault                                    // Text: a fault of this program
 )
 
-// Action is something to be done; Kind says which of the fields count.
+// Action is something to be done; Kind says which fields are set.
 type Action struct {
 	Kind         ActionKind
 	Job          JobID
--- a/choice/admission.go
+++ b/choice/admission.go
@@ -3,27 +3,27 @@
 import "math"
 
 const (
-	maxBucketQueue, maxParkedPerType = 96, 400            // parked jobs of a tenant and type, and of a type
-	maxWork, maxMemoryMB             = 3600 * second, 1e9 // of an estimate: more work counts so, more memory not
-	idleStateTTL                     = 10 * second        // state of a tenant or bucket without jobs is kept
-	offeredWindow                    = 10 * second        // time constant of the threads asked for
-	demandSamples                    = 100.0              // jobs that the means of demand go by
-	maxShedSlowdown                  = 2.0                // of a type's slowdown, allowed for in a job's end
+	maxBucketQueue, maxParkedPerType = 96, 400            // parked jobs per bucket, per type over all tenants
+	maxWork, maxMemoryMB             = 3600 * second, 1e9 // estimates: work is capped, more memory is ignored
+	idleStateTTL                     = 10 * second        // idle buckets and tenants are dropped after this
+	offeredWindow                    = 10 * second        // time constant of the demand in threads
+	demandSamples                    = 100.0              // jobs that the moving means of demand cover
+	maxShedSlowdown                  = 2.0                // largest slowdown assumed to predict a job's end
 
-	tenantBurstSeconds, tenantBurstJobs = 2.0, 4.0 // of its quota, and beside it, that a tenant may save up
+	tenantBurstSeconds, tenantBurstJobs = 2.0, 4.0 // a tenant's burst: seconds of its quota, plus jobs
 
-	overloadWait, overloadEndWait  = 0.15, 0.05 // of its objective, waited by a head: the price rises, falls
-	priceChangePerSecond, maxPrice = 0.5, 2.0   // of a second of work, in mean values for it
+	overloadWait, overloadEndWait  = 0.15, 0.05 // head wait in latency objectives: the price rises, falls
+	priceChangePerSecond, maxPrice = 0.5, 2.0   // price of a second of work, in the mean value of one
 )
 
-// newJobType has a type thought to take half its latency objective until jobs tell.
+// newJobType assumes that a job takes half its latency objective until answers show its work.
 func newJobType(s typeSettings) *jobType {
 	t := &jobType{typeSettings: s, TypeStats: TypeStats{bestSlowdown: 1, slowdown: 1}}
 	t.meanWork = math.Max(float64(t.latencyObjective)*t.threads/2, float64(ms))
 	return t
 }
 
-// admit takes in a job: it is dispatched, parked in its bucket, or rejected at once.
+// admit accepts a job: it is dispatched, parked in its bucket, or rejected at once.
 func (c *Controller) admit(ev Event) {
 	if int(ev.Type) >= len(c.types) || c.jobs[ev.Job] != nil {
 		return
@@ -65,7 +65,7 @@
 	return j
 }
 
-// fundBudgets adds what an admitted job pays for: retries, gossip and probes.
+// fundBudgets credits what an admitted job earns for retries, gossip and probes.
 func (c *Controller) fundBudgets() {
 	c.retryBudget.admit(c.now)
 	c.retryBudget.tokens = min(maxRetryTokens, c.retryBudget.tokens+retryTokensPerJob)
@@ -75,15 +75,15 @@
 	c.probeBudget.tokens = min(maxProbeTokens, c.probeBudget.tokens+probes)
 }
 
-// withinTenantQuota counts a job against our share of its tenant's quota, which may be under a job a second.
+// withinTenantQuota counts a job against our share of its tenant's quota, which may be below a job a second.
 func (c *Controller) withinTenantQuota(id TenantID) bool {
 	rate := c.settings.tenantQuota(id) * c.quota.tenantShare(id, c.now, c.fleet.share)
 	burst := tenantBurstSeconds*rate + tenantBurstJobs
 	return c.tenantTokens(id, burst).take(c.now, rate, burst)
 }
 
-// shouldShed tells whether a job cannot end before it expires or we stop, or whether its value for its work
-// (the late value, once past its deadline) is under the price of an overload: bursts, costly jobs, slowness.
+// shouldShed reports whether a job cannot end before it expires or we stop, or whether its value per work
+// (the late value past its deadline) is below the overload price.
 func (c *Controller) shouldShed(j *job) bool {
 	t, value := j.jobType, j.value
 	ends := c.now + Nanos(j.work/t.threads*min(max(1, t.slowdown), maxShedSlowdown))
@@ -97,12 +97,12 @@
 	return (late && value == 0) || value/j.work < t.price*c.demand.meanValue/c.demand.meanWork
 }
 
-// nearExpiry tells that a job's final answer is due: the next sweep would come after it expired.
+// nearExpiry reports whether a job needs its final answer now: it expires before the next sweep.
 func (c *Controller) nearExpiry(j *job) bool {
 	return c.now+sweepInterval+2*c.settings.batchStep >= j.expiresAt
 }
 
-// finishUnserved gives the final answer without a result: throttled where a repeat by the client is harmless.
+// finishUnserved gives a final answer without a result: Throttle where a repeat by the client is harmless.
 func (c *Controller) finishUnserved(j *job) {
 	if j.finished || j.streaming {
 		return
@@ -118,8 +118,8 @@
 	c.closeJob(j)
 }
 
-// updatePrices moves the price of a second of work by how long heads of queues wait: for each type by those
-// of types that may go wherever it may, so that a type bound to full engines costs only types bound likewise.
+// updatePrices adjusts the price of a second of work to how long queue heads wait. A type follows heads of
+// types whose places include its own: full engines cost only the types bound to them.
 func (c *Controller) updatePrices() {
 	step := float64(sweepInterval) / float64(second)
 	highest, longestWait := 0.0, 0.0
--- a/choice/bucket.go
+++ b/choice/bucket.go
@@ -31,7 +31,7 @@
 	return c.buckets[i]
 }
 
-// bucketHeads are the heads of all buckets that have one.
+// bucketHeads returns the heads of all buckets that have one.
 func (c *Controller) bucketHeads() (heads []*job) {
 	for _, b := range c.buckets {
 		if j := c.bucketHead(b); j != nil {
@@ -41,7 +41,7 @@
 	return heads
 }
 
-// park puts a job into its bucket's queue at a place.
+// park inserts a job into its bucket's queue at a position.
 func (c *Controller) park(j *job, at int) {
 	j.parked = true
 	j.headSince = 0
@@ -58,7 +58,7 @@
 	j.bucket.queue = slices.DeleteFunc(j.bucket.queue, func(o *job) bool { return o == j })
 }
 
-// longestHeadWait is the longest wait, in latency objectives, of a head whose type may go wherever t may.
+// longestHeadWait is the longest wait, in latency objectives, of heads whose types may use all places that t may use.
 func (c *Controller) longestHeadWait(t *jobType) float64 {
 	longest := 0.0
 	for _, b := range c.buckets {
@@ -69,7 +69,7 @@
 	return longest
 }
 
-// tenantTokens is a tenant's token bucket, full at first.
+// tenantTokens returns a tenant's token bucket, which is full at first.
 func (c *Controller) tenantTokens(id TenantID, burst float64) *tokenBucket {
 	if c.tenants[id] == nil {
 		c.tenants[id] = &tokenBucket{tokens: burst, updatedAt: c.now}
@@ -77,7 +77,7 @@
 	return c.tenants[id]
 }
 
-// dropIdle drops buckets and tenants that were not used since a time, and orderings that hold nothing back.
+// dropIdle removes buckets and tenants that were not used since a time, and orderings that hold nothing back.
 func (c *Controller) dropIdle(since Nanos) {
 	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
 		return len(b.queue) == 0 && b.threadsInUse == 0 && b.lastUsedAt < since
--- a/choice/budget.go
+++ b/choice/budget.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// tokenBucket lets a rate of jobs through, and a burst.
+// tokenBucket admits a rate of jobs and a burst.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt Nanos
@@ -19,8 +19,8 @@
 	return true
 }
 
-// retryBudget bounds dispatches beyond a job's first: by tokens that admitted jobs pay for, and by the stated ratio of
-// retries to admitted jobs in a window.
+// retryBudget limits dispatches beyond a job's first: by tokens that admitted jobs earn, and by the configured ratio
+// of retries to admitted jobs in a window.
 type retryBudget struct {
 	tokens     float64
 	admittedAt []Nanos // jobs, inside the window
@@ -31,14 +31,14 @@
 
 func (b *retryBudget) retry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
 
-// trim drops what happened at a time or before it.
+// trim removes what happened until a time, inclusive.
 func (b *retryBudget) trim(until Nanos) {
 	past := func(at Nanos) bool { return at <= until }
 	b.admittedAt = slices.DeleteFunc(b.admittedAt, past)
 	b.retriedAt = slices.DeleteFunc(b.retriedAt, past)
 }
 
-// probeBudget bounds probes by tokens that admitted jobs pay for.
+// probeBudget limits probes by tokens that admitted jobs earn.
 type probeBudget struct {
 	tokens       float64
 	lastFundedAt Nanos // when there last was a token
--- a/choice/capacity.go
+++ b/choice/capacity.go
@@ -1,19 +1,19 @@
 package choice
 
 const (
-	limitRaiseRatio, limitRaiseInterval = 1.5, 250 * ms   // latency over best: under it concurrency limits rise
-	limitHalveRatio, limitHalveInterval = 3.0, 2 * second // over it they halve; and the time between such steps
-	pressureRatio                       = 2.0             // latency over best that makes it bind
-	highContention, lowContention       = 1.75, 1.4       // threads a core that begin and end pressure too
-	startLimitFactor                    = 2.0             // of cores by share: our threads without pressure
+	limitRaiseRatio, limitRaiseInterval = 1.5, 250 * ms   // latency ratio below which a limit rises, how often
+	limitHalveRatio, limitHalveInterval = 3.0, 2 * second // latency ratio above which it halves, how often
+	pressureRatio                       = 2.0             // latency ratio above which it is enforced
+	highContention, lowContention       = 1.75, 1.4       // threads per core: pressure begins above, ends below
+	startLimitFactor                    = 2.0             // limit without pressure, in our share of the cores
 
-	shortTypeFill, unreportedFill = 1.25, 0.6 // of an engine, filled by a first job: a short one, or unreported
-	swapFill                      = 0.8       // of the memory of an engine that swaps
-	probeExhaustedAfter           = second    // no probe was paid for so long: the mean must do
-	priorJobs                     = 2.0       // jobs that our means of threads and memory begin with
+	shortTypeFill, unreportedFill = 1.25, 0.6 // usable part of an idle engine: by short types, without a report
+	swapFill                      = 0.8       // usable part of the memory of an engine that swaps
+	probeExhaustedAfter           = second    // without probe tokens this long, unreported engines count fully
+	priorJobs                     = 2.0       // mean-size jobs that our means of threads and memory start from
 )
 
-// hasCapacity tells whether an engine has threads and memory for a job: by its concurrency limit under
+// hasCapacity reports whether an engine has threads and memory for a job: by its concurrency limit under
 // pressure or for a bucket that borrows, else by twice our share.
 func (c *Controller) hasCapacity(j *job, e *engine) bool {
 	if e.ejected || c.now < e.fullUntil {
@@ -39,8 +39,8 @@
 	return e.ownThreads+half <= limit && (e.memoryMB == 0 || e.ownMemoryMB+c.memoryNeed(j, e) <= memory)
 }
 
-// fitsBesideSiblings is the capacity where none of our jobs runs, or our share holds no job: what all
-// controllers are known to hold counts instead of our share.
+// fitsBesideSiblings checks capacity where none of our jobs runs, or our share holds no job: the known load
+// of all controllers counts instead of our share.
 func (c *Controller) fitsBesideSiblings(j *job, e *engine, threads float64) bool {
 	fill, memoryFill := 1.0, 1.0
 	probesPossible := c.now-c.probeBudget.lastFundedAt < probeExhaustedAfter || c.fleet.lastReportAt == 0
@@ -56,8 +56,8 @@
 		(e.memoryMB == 0 || c.knownMemoryMB(e)+c.memoryNeed(j, e) <= memoryFill*fill*e.memoryMB)
 }
 
-// updatePressure sets whether a concurrency limit binds, and halves it, to where it started at the least,
-// when latency grows while cores are full.
+// updatePressure decides whether the concurrency limit is enforced, and halves it, down to its start, when
+// latency grows while cores are busy.
 func (c *Controller) updatePressure(e *engine) {
 	busy, full := (e.ownThreads+e.siblingThreads)/e.cores, c.now < e.fullUntil
 	if full || busy > highContention || (busy > 1 && e.latencyRatio > pressureRatio) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// raiseLimit gives an engine that answers near its best latency a thread more.
+// raiseLimit raises the concurrency limit of an engine that answers near its best latency by one thread.
 func (c *Controller) raiseLimit(e *engine, latencyRatio float64) {
 	if latencyRatio < limitRaiseRatio && c.now-e.limitRaisedAt >= limitRaiseInterval {
 		e.limitRaisedAt = c.now
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -13,7 +13,7 @@
 
 	startedAt          Nanos
 	lastSweepAt        Nanos
-	stopsAt            Nanos // math.MaxInt64: not told to stop
+	stopsAt            Nanos // math.MaxInt64: not stopping
 	predecessorEndedAt Nanos // far ahead while an older process runs
 	watchRequestedAt   Nanos
 	watchingEngines    bool
@@ -43,7 +43,7 @@
 	offeredThreads float64 // asked of us, decaying
 }
 
-// fleetState is what is believed of the fleet as a whole.
+// fleetState is the estimated state of the fleet.
 type fleetState struct {
 	cores            float64 // of ready engines that are not ejected or in slow start
 	contention       float64 // threads a core, ours and siblings'
@@ -55,7 +55,7 @@
 	lastReportAt     Nanos   // of any engine's load
 }
 
-// outage is the time in which engines refuse connections.
+// outage is a time in which engines refuse connections.
 type outage struct{ startedAt, lastRefusalAt Nanos }
 
 func (c *Controller) start(ev Event) {
@@ -106,8 +106,7 @@
 	}
 }
 
-// markPredecessor notes whether an older process still runs. Until it has ended, nobody here knows what it
-// dispatched.
+// markPredecessor records whether an older process still runs. Until it has ended, its dispatches are unknown here.
 func (c *Controller) markPredecessor(ev Event) {
 	c.predecessorEndedAt = c.now
 	if ev.PredecessorRunning {
--- a/choice/dispatch.go
+++ b/choice/dispatch.go
@@ -3,21 +3,21 @@
 import "math"
 
 const (
-	normalPriority, lockPriority, shortPriority = 1, 2, 3 // others stand still behind a load on their tables
+	normalPriority, lockPriority, shortPriority = 1, 2, 3 // lock: other jobs wait behind a load on their tables
 
-	minGrantSafety, maxGrantSafety = 0.6, 2.2 // mean deviations that a memory grant is over its estimate
-	grantSafetySlope               = 2.5      // of them, by the free part of the memory, and where engines swap
+	minGrantSafety, maxGrantSafety = 0.6, 2.2 // mean deviations added to a memory estimate
+	grantSafetySlope               = 2.5      // of them, times the free part of the memory; all if engines swap
 
-	workSamples, estimateSamples       = 50.0, 100.0 // answers that mean work, and errors of estimates, go by
-	priorCosts, priorMemories          = 10.0, 5.0   // the first errors of cost, of memory, count as of so many
-	maxCostStep, maxDurationStep       = 3.0, 2.0    // logs of true work, and of duration, over its estimate
-	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown to a better one, a worse
-	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent one; a higher one counts as this
+	workSamples, estimateSamples       = 50.0, 100.0 // answers that means of work and of estimate errors cover
+	priorCosts, priorMemories          = 10.0, 5.0   // least divisor of the first errors of cost and of memory
+	maxCostStep, maxDurationStep       = 3.0, 2.0    // caps of one error of cost and of duration, natural log
+	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown to a better, a worse one
+	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent slowdown, and the cap of one answer
 
-	minStep, maxStep, maxStepWork = 0.02, 0.25, 4 * second // of an engine's latency ratio, by an answer's work
+	minLatencyStep, maxLatencyStep, fullStepWork = 0.02, 0.25, 4 * second // of latency ratios: by work / full
 )
 
-// dispatch sends a job to an engine, with its memory grant and priority where they are heeded.
+// dispatch sends a job to an engine, with its memory grant and priority where engines honor them.
 func (c *Controller) dispatch(j *job, e *engine) bool {
 	if !c.dispatchAllowed(j, e) {
 		return false
@@ -53,8 +53,8 @@
 	return normalPriority
 }
 
-// memoryGrant is the MB that a job is granted on an engine (0: not said), and that it is thought to hold.
-// Free memory buys safety from a low estimate; where engines swap only what is used counts: safety is free.
+// memoryGrant returns the MB granted to a job (0: unspecified) and the MB it is assumed to use. Free memory
+// is spent on safety from low estimates; where engines swap, only use counts, so safety costs nothing.
 func (c *Controller) memoryGrant(j *job, e *engine) (grant, reserved float64) {
 	reserved = c.memoryNeed(j, e)
 	if !c.settings.grantsHonored || j.memoryMB <= 0 {
@@ -70,7 +70,7 @@
 	return grant, grant
 }
 
-// handleAttemptEnd takes the outcome of an attempt: its job is finished, parked for a retry, or given up.
+// handleAttemptEnd processes the outcome of an attempt: its job is finished, parked for a retry, or given up.
 func (c *Controller) handleAttemptEnd(ev Event) {
 	a := c.attemptOf(ev)
 	if a == nil {
@@ -96,20 +96,20 @@
 	}
 }
 
-// observeSuccess learns from an answer: the true work and memory, the latency beside the best, the limit.
+// observeSuccess learns work, memory and latency from an answer, and adjusts the concurrency limit.
 func (c *Controller) observeSuccess(a *attempt, ev Event) {
 	t, work := a.job.jobType, a.job.work
 	if c.settings.usageReported && ev.Usage > 0 {
 		work = t.observeUsage(a.job, usage(ev.Usage))
 	}
 	if a.stalled > 0 {
-		return // its latency tells of us, not of the engine
+		return // its latency shows our stall, not the engine
 	}
 	c.durationError.observe(a, ev.Latency, maxDurationStep, priorCosts, estimateSamples)
 	slowdown := float64(ev.Latency) / (work / t.threads)
 	t.observeSlowdown(slowdown, c.now)
 	ratio := min(slowdown/t.bestSlowdown, maxSlowdown)
-	step := min(maxStep, max(minStep, work/float64(maxStepWork)))
+	step := min(maxLatencyStep, max(minLatencyStep, work/float64(fullStepWork)))
 	a.engine.latencyRatio += step * (ratio - a.engine.latencyRatio)
 	c.raiseLimit(a.engine, ratio)
 	c.updatePressure(a.engine)
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// engine is what is known of an engine.
+// engine is the state of an engine.
 type engine struct {
 	EngineEntry
 	index    int // in Controller.engines
@@ -17,8 +17,8 @@
 	ownMemoryMB    float64    // likewise
 	siblingThreads float64    // as reported or guessed
 	loadKnownAt    Nanos      // when siblings' threads were last reported, by the engine or by siblings
-	lastReportAt   Nanos      // by the engine
-	lastSeenAt     Nanos      // any answer or progress came from it
+	lastReportAt   Nanos      // of the engine itself
+	lastSeenAt     Nanos      // of its last answer or progress
 
 	concurrencyLimit float64 // in threads of ours; binds under pressure
 	underPressure    bool
@@ -37,7 +37,7 @@
 	lastProbeAt         Nanos
 
 	refusing           bool  // it refused the last connection
-	suspectedRestartAt Nanos // it seems to have restarted, though the list does not say so
+	suspectedRestartAt Nanos // a restart that the list does not report
 	slowStartWork      []timedWork
 
 	gossipedThreads  float64 // ours, by our last message
@@ -49,7 +49,7 @@
 	lockedTablesAt   Nanos
 }
 
-// timedWork is work in ns that was sent at a time.
+// timedWork is work in ns that was dispatched at a time.
 type timedWork struct {
 	dispatchedAt Nanos
 	work         float64
@@ -61,7 +61,7 @@
 	})
 }
 
-// engineByID is a known engine, or nil.
+// engineByID returns a known engine, or nil.
 func (c *Controller) engineByID(id EngineID) *engine {
 	i, known := c.findEngine(id)
 	if !known {
@@ -70,7 +70,7 @@
 	return c.engines[i]
 }
 
-// enterEngine takes an entry of a list, and tells whether its engine is new or restarted.
+// enterEngine applies an entry of a list. It reports whether its engine is new or restarted.
 func (c *Controller) enterEngine(entry EngineEntry) (e *engine, restarted bool) {
 	i, known := c.findEngine(entry.Engine)
 	if !known {
@@ -84,14 +84,14 @@
 	return e, restarted
 }
 
-// removeEngines has all engines removed, until a list enters them again.
+// removeEngines marks all engines as removed, until a list contains them again.
 func (c *Controller) removeEngines() {
 	for _, e := range c.engines {
 		e.State = Removed
 	}
 }
 
-// indexEngines numbers engines in their order, and gives the cores of ready ones.
+// indexEngines numbers engines in their order, and returns the cores of ready ones.
 func (c *Controller) indexEngines() (readyCores float64) {
 	for i, e := range c.engines {
 		e.index = i
@@ -102,8 +102,8 @@
 	return readyCores
 }
 
-// dropEngines drops work sent before a time, and removed engines with neither attempts nor such work: one that comes
-// and goes keeps what it was sent in its slow start.
+// dropEngines deletes slow-start work older than a time, and removed engines without attempts or such work. An engine
+// that leaves and returns keeps its slow-start budget.
 func (c *Controller) dropEngines(before Nanos) {
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
 		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool { return w.dispatchedAt < before })
@@ -111,7 +111,7 @@
 	})
 }
 
-// countEjected counts ready engines, and those of them that are ejected.
+// countEjected counts ready engines, and the ejected ones of them.
 func (c *Controller) countEjected() (ejected, ready int) {
 	for _, e := range c.engines {
 		if e.State != Ready {
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Moving means. What they go by, and how fast, is decided in the policy files.
+// Moving means. The constants that say how fast they move are in the policy files.
 
-// ownLoad is the mean of what of ours is out.
+// ownLoad is the mean of our attempts in flight, and of their threads and memory.
 type ownLoad struct{ jobs, threads, memoryMB float64 }
 
-// approach moves the means a step, from 0 to 1, to what is out now.
+// approach moves the means toward the present load by a step from 0 to 1.
 func (l *ownLoad) approach(now ownLoad, step float64) {
 	l.jobs += step * (now.jobs - l.jobs)
 	l.threads += step * (now.threads - l.threads)
 	l.memoryMB += step * (now.memoryMB - l.memoryMB)
 }
 
-// demand is the mean of admitted jobs.
+// demand holds the means over admitted jobs.
 type demand struct {
 	jobs           float64 // that it goes by
 	meanValue      float64
@@ -23,7 +23,7 @@
 	meanMemoryTime float64 // MB times that
 }
 
-// observe takes in a job; the means go by as many as the last so many.
+// observe adds a job; the means cover about the last so many samples.
 func (d *demand) observe(j *job, samples float64) {
 	t := j.jobType
 	d.jobs = min(samples, d.jobs+1)
@@ -33,13 +33,13 @@
 	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.jobs
 }
 
-// meanThreadsPerJob is our own mean, taken for siblings' too.
+// meanThreadsPerJob is our own mean, assumed for siblings too.
 func (c *Controller) meanThreadsPerJob() float64 {
 	prior := priorJobs * c.demand.meanWork / c.demand.meanDuration
 	return (c.ownLoad.threads + prior) / (c.ownLoad.jobs + priorJobs)
 }
 
-// meanMemoryPerThread is our own mean in MB, taken for siblings' too.
+// meanMemoryPerThread is our own mean in MB, assumed for siblings too.
 func (c *Controller) meanMemoryPerThread() float64 {
 	prior := priorJobs * c.demand.meanMemoryTime / c.demand.meanWork
 	return (c.ownLoad.memoryMB + prior) / (c.ownLoad.threads + priorJobs)
@@ -53,26 +53,26 @@
 	return longest
 }
 
-// durationError is the mean of how far actual durations of attempts are from the expected ones, as the log of their
-// ratio.
+// durationError is the mean error of expected durations, as the natural log of actual over expected.
 type durationError struct{ mean, count float64 }
 
-// observe takes in a duration; the mean goes by the last so many, and at first as if some had come before.
+// observe adds a duration. The mean covers about the last so many samples; its first steps are divided by at least
+// priorCount.
 func (d *durationError) observe(a *attempt, latency Nanos, maxError, priorCount, samples float64) {
 	d.count = min(d.count+1, samples)
 	off := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedNanos)))
 	d.mean += (off - d.mean) / max(d.count, priorCount)
 }
 
-// usage is what an attempt used, as an event tells it.
+// usage is the resources that an attempt used, packed as in Event.Usage.
 type usage uint32
 
-// work is in ns.
+// work is the used work in ns of one thread.
 func (u usage) work() float64 { return float64(u>>12) * float64(ms) }
 
 func (u usage) memoryMB() float64 { return float64(u&4095) * 4 }
 
-// fleetTotals sums over engines.
+// fleetTotals is a sum over engines.
 type fleetTotals struct {
 	own                       ownLoad
 	active                    float64 // engines that are ready and not ejected
@@ -96,8 +96,8 @@
 	}
 }
 
-// planPresence sums what of a plan is there: threads of its engines that are ready and not ejected, and cores of ready
-// engines that it does not know.
+// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready engines
+// that the plan does not know.
 func (c *Controller) planPresence() (threads, unknownCores float64) {
 	for _, e := range c.engines {
 		planned := c.plan.engine(e.Engine)
@@ -110,7 +110,7 @@
 	return threads, unknownCores
 }
 
-// observeUsage learns how far off the estimates of a type are, and gives the true work of the job.
+// observeUsage learns the errors of a type's estimates from a job's usage, and returns the true work.
 func (t *jobType) observeUsage(j *job, u usage) float64 {
 	work := math.Max(u.work(), float64(ms))
 	t.costCount = min(t.costCount+1, estimateSamples)
@@ -125,13 +125,14 @@
 	return work
 }
 
-// observeWork moves the mean work: a plain mean at first, which a new controller needs, then a moving one.
+// observeWork adds to the mean work: a plain mean at first, which a new controller needs, then a moving one.
 func (t *jobType) observeWork(work float64) {
 	t.workCount = min(t.workCount+1, workSamples)
 	t.meanWork += (work - t.meanWork) / (t.workCount + 1)
 }
 
-// observeSlowdown moves the best latency over (work / threads), soon when a better one is seen, and the recent one.
+// observeSlowdown adds a latency over (work / threads) to the recent mean, and moves the best one: fast when it
+// improves, slowly otherwise.
 func (t *jobType) observeSlowdown(slowdown float64, now Nanos) {
 	rate := bestSlowdownRise
 	if slowdown < t.bestSlowdown {
@@ -142,17 +143,17 @@
 	t.slowdown += slowdownStep * (min(slowdown, maxSlowdown) - t.slowdown)
 }
 
-// knownMemoryMB is the memory of an engine that all controllers' jobs hold, as far as is known.
+// knownMemoryMB is the memory of an engine that all controllers' jobs use, as far as is known.
 func (c *Controller) knownMemoryMB(e *engine) float64 {
 	return e.ownMemoryMB + e.siblingThreads*c.meanMemoryPerThread()
 }
 
-// memoryNeed is the memory in MB that a job is thought to use on an engine.
+// memoryNeed is the memory in MB that a job is expected to use on an engine.
 func (c *Controller) memoryNeed(j *job, e *engine) float64 {
 	return min(j.memoryMB*math.Exp(j.jobType.memoryBias), e.memoryMB*c.settings.maxGrantShare)
 }
 
-// warmCores is the cores of an engine whose slow start is over, else 0: one in slow start is kept almost empty.
+// warmCores is the cores of an engine, or 0 during its slow start, when it is kept almost empty.
 func (c *Controller) warmCores(e *engine) float64 {
 	return e.cores * math.Floor(c.slowStartFraction(e))
 }
--- a/choice/event.go
+++ b/choice/event.go
@@ -3,23 +3,23 @@
 // EventKind says what happened.
 type EventKind uint8
 
-// The events that a Controller is told of. The comment names the fields of Event that count.
+// The kinds of event. The comments name the fields of Event that are set.
 const (
 	Started            EventKind = iota + 1 // the first event: Seed, Settings
 	JobArrived                              // a client sent a job: Job to RequiredProtocols
 	StreamStarted                           // the answer of an attempt goes out to the client: Job
-	ProgressReported                        // an engine told how far an attempt is: Job, Seq, Engine, Progress, Amount
+	ProgressReported                        // of an attempt: Job, Seq, Engine, Progress, Amount
 	AttemptEnded                            // Job, Seq, Engine, Result to Load
 	ClientDisconnected                      // before its final answer: Job
 	TimerFired                              // TimerID
 	EnginesListed                           // discovery reported: List, Engines
 	ProbeCompleted                          // Engine, Result, Latency, Load
 	GossipReceived                          // another controller sent a message: Peer, Payload
-	Stopping                                // this process ends: TimeLeft, in which answers are sure to go out
-	PlanUpdated                             // a plan is to be followed from now on, or none any more: Plan
+	Stopping                                // this process ends; answers still go out within TimeLeft
+	PlanUpdated                             // a plan is to be followed from now on, or none: Plan
 	Reconfigured                            // the settings changed: Settings; jobs and what was learned stay
 	StateTransferred                        // an older process handed over what it learned: TypeStats, EngineHealth
-	QuotaAssigned                           // what we may use of the fleet, for a while: Quota
+	QuotaAssigned                           // what we may use of the fleet until it expires: Quota
 	PredecessorChanged                      // an older process still serves its jobs, or has ended: PredecessorRunning
 )
 
@@ -35,7 +35,7 @@
 	Unreachable        // no connection was made
 	Reset              // the connection broke
 	Canceled           // canceled on our request
-	Superseded         // it never went out, as it was overtaken by other events
+	Superseded         // it never went out
 )
 
 // NeverRan reports whether the result proves that the attempt had no effect.
@@ -62,7 +62,7 @@
 	ListFailed                     // discovery could not be read
 )
 
-// EngineState is what discovery says of an engine.
+// EngineState is the state of an engine in discovery.
 type EngineState uint8
 
 // The states of an engine.
@@ -72,7 +72,7 @@
 	Draining // it takes nothing new
 )
 
-// Protocols is a set of protocols. Which bit is which is the caller's affair.
+// Protocols is a set of protocols, one bit each, assigned by the caller.
 type Protocols uint8
 
 // EngineEntry is one engine in a list.
@@ -83,7 +83,7 @@
 	Cell        CellID
 	State       EngineState
 	Size        float64
-	StartedAt   Nanos     // 0: not known, long ago
+	StartedAt   Nanos     // 0: long ago
 	Unsupported Protocols // a job that requires one of these cannot go there
 }
 
@@ -103,7 +103,7 @@
 	return absent
 }
 
-// Event is something that happened; Kind says which of the fields count.
+// Event is something that happened; Kind says which fields are set.
 type Event struct {
 	Kind EventKind
 
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	latencyDecay       = 0.002      // of a type's slowdown or an engine's latency ratio over 1, a sweep
-	latencyStaleAfter  = 5 * second // without an answer a type's slowdown decays
-	failureDecay       = 0.999      // of an engine's failure rate, a sweep
-	siblingDrift       = 0.02       // of siblings' threads without a report, to the fleet's mean, a sweep
-	ownLoadStep        = 0.005      // of the means of our load and of contention, a sweep
-	shareStep          = 0.05       // of our share by reports, a sweep
-	minLatencyMean     = 0.1        // of the fleet's latency ratio
-	minContentionCores = 4.0        // fewer tell little of siblings
+	latencyDecay       = 0.002      // step per sweep of slowdowns and latency ratios toward 1
+	latencyStaleAfter  = 5 * second // a type's slowdown decays after this long without an answer
+	failureDecay       = 0.999      // factor per sweep on an engine's failure rate
+	siblingDrift       = 0.02       // step per sweep of unreported sibling threads toward the fleet's mean
+	ownLoadStep        = 0.005      // step per sweep of the means of our load and of contention
+	shareStep          = 0.05       // step per sweep of our share as estimated from reports
+	minLatencyMean     = 0.1        // lower bound of the fleet's latency ratio
+	minContentionCores = 4.0        // a smaller share of the cores says little about siblings
 
-	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // times ownLoadStep, one for so many jobs out: less is chance
+	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep counts once per ownLoadJobs jobs out, up to this
 )
 
-// updateEngines takes discovery's list. A new start time is a restart, which voids what was learned there.
+// updateEngines applies a list from discovery. A new start time is a restart, which voids what was learned.
 func (c *Controller) updateEngines(ev Event) {
 	c.watchingEngines = ev.List != ListFailed && (c.watchingEngines || ev.List != CachedList)
 	if ev.List == ListFailed {
@@ -39,7 +39,7 @@
 	c.sampleSize = max(minSampleSize, int(math.Ceil(c.fleet.cores*c.settings.evenShare)))
 }
 
-// updateFleet updates each engine, and the means over the fleet and of our own load.
+// updateFleet updates each engine, the means over the fleet and the means of our own load.
 func (c *Controller) updateFleet() {
 	var total fleetTotals
 	for _, e := range c.engines {
@@ -54,8 +54,8 @@
 	c.logPressure(total.pressed)
 }
 
-// updateHealth lets what was learned of an engine fade, and restores it after an ejection. What is not known
-// of siblings there is thought like the rest of the fleet, not empty.
+// updateHealth decays what was learned of an engine and restores it after an ejection. Unreported siblings
+// are assumed to load it like the rest of the fleet.
 func (c *Controller) updateHealth(e *engine) {
 	if c.now-e.loadKnownAt >= reportTTL {
 		expectedThreads := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
@@ -67,8 +67,8 @@
 	c.restoreIfHealthy(e)
 }
 
-// updateShare follows the part of the fleet's load that is ours by reports, unless a share is assigned.
-// Without reports siblings are thought to hold what we hold.
+// updateShare estimates our share of the fleet's load from reports, unless a share is assigned. Without
+// reports, siblings are assumed to hold what we hold.
 func (c *Controller) updateShare() {
 	if c.now-c.fleet.lastReportAt >= reportTTL {
 		ours := c.ownLoad.threads / max(minContentionCores, c.settings.evenShare*c.fleet.cores)
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	gossipCollectors   = 3    // controllers that collect messages and send maps
-	gossipPointsPerJob = 0.01 // that an admitted job pays for messages, and at the most for maps
-	minMapPointsShare  = 0.25 // of those for maps: in a calm fleet all engines have capacity
-	gossipUnit         = 256  // bytes that the price of gossip is for
-	tablesEveryRounds  = 3    // one round of maps in so many tells of tables, which cost most
+	gossipCollectors   = 3    // controllers that collect messages and broadcast maps
+	gossipPointsPerJob = 0.01 // points earned per admitted job for messages, and at most for maps
+	minMapPointsShare  = 0.25 // of these for maps in a calm fleet, where engines have capacity anyway
+	gossipUnit         = 256  // bytes per unit of the gossip price
+	tablesEveryRounds  = 3    // one in this many rounds of maps includes locked tables, which cost most
 
-	maxMessageTokens, maxMapTokens          = 0.1, 20.0               // points saved for messages, and in maps
-	gossipRepeatInterval, gossipTTL         = 4 * second, 10 * second // a message is sent anew, is forgotten
-	mapInterval, collectorTakeoverDelay     = 100 * ms, second        // between maps; the next one steps in
-	siblingOutcomeDecay, minSiblingOutcomes = 0.95, 4                 // a map; fewer say nothing of an engine
+	maxMessageTokens, maxMapTokens          = 0.1, 20.0               // saved up: points for messages, and maps
+	gossipRepeatInterval, gossipTTL         = 4 * second, 10 * second // a message is repeated, expires
+	mapInterval, collectorTakeoverDelay     = 100 * ms, second        // between maps; until the next one acts
+	siblingOutcomeDecay, minSiblingOutcomes = 0.95, 4                 // factor per map; fewer are ignored
 )
 
-// sendGossip tells collectors where our jobs are out and how attempts ended, as it changes. One of them sends
-// a map of all reports to all, as often as admitted jobs pay for. What is lost is sent anew.
+// sendGossip sends collectors our load and outcomes when they change. One collector broadcasts a map of all
+// reports, as often as admitted jobs pay for. What is lost is sent again later.
 func (c *Controller) sendGossip() {
 	message, bytePrice := c.ownMessage(), c.settings.gossipPrice/gossipUnit
 	payload := message[1:] // without the count of jobs
@@ -38,14 +38,14 @@
 	}
 }
 
-// isMapDue tells whether we are a collector, and no collector before us sends maps.
+// isMapDue reports whether we are a collector, and no collector before us sends maps.
 func (c *Controller) isMapDue() bool {
 	place := c.collectorPlace()
 	return place >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(place)*collectorTakeoverDelay &&
 		c.now-c.gossip.lastOwnMapAt >= mapInterval
 }
 
-// receiveGossip takes a message, or a map, which stands in for missing load reports and our own few outcomes.
+// receiveGossip processes a message, or a map, which replaces missing reports and adds siblings' outcomes.
 func (c *Controller) receiveGossip(peer int, message []byte) {
 	first, entries, ok := decodeGossip(message)
 	if !ok || peer >= len(c.gossip.messages) {
--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Messages between controllers, as bytes: a first byte and then entries of engines. When they are sent, and what
+// The encoding of messages between controllers: a first byte, then entries of engines. When they are sent, and what
 // follows from them, is decided in gossip.go.
 
 const (
@@ -23,32 +23,31 @@
 	omittedTables = 15
 )
 
-// engineHash stands for an engine. Two engines that share one are taken for one, which both then look as full as
-// together.
+// engineHash identifies an engine in gossip. Engines that share one count as one, as loaded as both together.
 type engineHash uint16
 
 func (e *engine) gossipHash() engineHash { return engineHash(uint32(e.Engine) * 2654435761 >> 16) }
 
-// hash stands for a group of tables. Of two that share one, readers keep away alike.
+// hash identifies a group of tables in gossip. Groups that share one are avoided alike.
 func (t TableGroup) hash() byte { return byte(uint64(t) * 0x9E3779B97F4A7C15 >> 56) }
 
-// gossipEntry is what is reported of an engine.
+// gossipEntry is the report of an engine.
 type gossipEntry struct {
 	engine    engineHash
 	threads   byte // out there
 	outcomes  byte // in a message: failures and successes, see packOutcomes; in a map: see unknownFailures
 	tables    []byte
-	hasTables bool // tables are told of
+	hasTables bool // tables are reported
 }
 
-// packOutcomes holds up to 3 failures and 3 successes.
+// packOutcomes encodes up to 3 failures and 3 successes.
 func packOutcomes(failures, successes int) byte { return byte(min(3, failures)<<2 | min(3, successes)) }
 
 func (n gossipEntry) failures() byte { return n.outcomes >> 2 }
 
 func (n gossipEntry) successes() byte { return n.outcomes & 3 }
 
-// entryFor is what entries report of an engine, if they do.
+// entryFor returns the entry of an engine, if there is one.
 func entryFor(e *engine, entries []gossipEntry) (gossipEntry, bool) {
 	i := slices.IndexFunc(entries, func(n gossipEntry) bool { return n.engine == e.gossipHash() })
 	if i < 0 {
@@ -57,7 +56,7 @@
 	return entries[i], true
 }
 
-// encodeGossip writes a message or map, and tells how many entries it holds; what is over its size is left out.
+// encodeGossip encodes a message or map, and returns how many entries fit.
 func encodeGossip(first byte, entries []gossipEntry) (message string, encoded int) {
 	text := []byte{first}
 	for i, n := range entries {
@@ -76,7 +75,7 @@
 	return string(text), len(entries)
 }
 
-// decodeGossip reads one. What has another form was not sent by a controller: ok is false.
+// decodeGossip decodes a message or map. A malformed one was not sent by a controller: ok is false.
 func decodeGossip(text []byte) (first byte, entries []gossipEntry, ok bool) {
 	if len(text) == 0 || len(text) > maxMessageSize {
 		return 0, nil, false
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -1,6 +1,6 @@
 package choice
 
-// gossipState is what is kept for gossip.
+// gossipState is the state of the gossip between controllers.
 type gossipState struct {
 	messages      []peerMessage // of siblings, by number, at those who collect them; nil: no gossip
 	messageTokens float64       // points for messages
@@ -38,7 +38,7 @@
 	return -1
 }
 
-// ownMessage is where our jobs are out, and how attempts ended since the last message.
+// ownMessage encodes where our attempts are, and the outcomes since the last message.
 func (c *Controller) ownMessage() string {
 	var entries []gossipEntry
 	for _, e := range c.engines {
@@ -58,7 +58,7 @@
 	return message
 }
 
-// markReported notes that a message with a payload was sent, and what it cost.
+// markReported records that a message with a payload was sent, and its cost in points.
 func (c *Controller) markReported(payload string, cost float64) {
 	c.gossip.lastPayload = payload
 	c.gossip.lastMessageAt = c.now
@@ -71,7 +71,7 @@
 	}
 }
 
-// sendToCollectors sends a message to all collectors, which we may be one of.
+// sendToCollectors sends a message to all collectors, of which we may be one.
 func (c *Controller) sendToCollectors(message string) {
 	for place := range c.collectors() {
 		to := c.collector(place)
@@ -83,7 +83,7 @@
 	}
 }
 
-// fleetMap is what all messages since a time report of each engine, of as many as a map holds, in turn.
+// fleetMap encodes what all messages since a time report, for as many engines as a map holds, in turn.
 func (c *Controller) fleetMap(since Nanos) string {
 	threads := map[engineHash]int{}
 	tables := map[engineHash][]byte{}
@@ -114,7 +114,7 @@
 	return message
 }
 
-// mapFailures is the failed part of what siblings reported of an engine, as a map has it.
+// mapFailures is the failed part of an engine's reported outcomes, as encoded in a map.
 func (e *engine) mapFailures() byte {
 	all := e.siblingFailures + e.siblingSuccesses
 	if all < minSiblingOutcomes {
--- a/choice/job.go
+++ b/choice/job.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// jobType is a reservation type: its settings, and what was learned of its jobs.
+// jobType is a reservation type: its settings and what was learned of its jobs.
 type jobType struct {
 	typeSettings
 	TypeStats
 	parkedJobs    int
-	lastLatencyAt Nanos   // when an answer last told of its slowdown
+	lastLatencyAt Nanos   // of the last answer that showed its slowdown
 	price         float64 // of a second of work, in mean values for it; 0 without an overload
 }
 
-// job is an admitted job that is not finished, or has an attempt out.
+// job is an admitted job that is not finished or has an attempt in flight.
 type job struct {
 	id                JobID
 	jobType           *jobType
@@ -38,7 +38,7 @@
 	finished          bool // it has its final answer
 }
 
-// attempt is a dispatch of a job whose outcome has not come.
+// attempt is a dispatch of a job whose outcome is not known yet.
 type attempt struct {
 	job              *job
 	engine           *engine
@@ -52,7 +52,7 @@
 	countedAsTimeout bool // against its engine
 }
 
-// attach enters an attempt that goes out.
+// attach records an attempt that goes out, in its job, bucket and engine.
 func attach(a *attempt) {
 	j, e := a.job, a.engine
 	if !j.mayHaveRun {
@@ -68,7 +68,7 @@
 	e.attempts = append(e.attempts, a)
 }
 
-// detach takes out an attempt that ended.
+// detach removes an attempt that ended from its job, bucket and engine.
 func detach(a *attempt) {
 	j, e := a.job, a.engine
 	j.attempt = nil
@@ -78,7 +78,7 @@
 	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == a })
 }
 
-// attemptOf is the attempt that an event is about, or nil where it is not out any more.
+// attemptOf returns the attempt that an event is about, or nil if it is no longer in flight.
 func (c *Controller) attemptOf(ev Event) *attempt {
 	j := c.jobs[ev.Job]
 	if j == nil || j.attempt == nil || j.attempt.seq != ev.Seq {
@@ -87,12 +87,12 @@
 	return j.attempt
 }
 
-// repeatDeadline is when engines may no more drop repeats of a job's key, less what events may be late.
+// repeatDeadline is when engines may stop dropping repeats of a job's key, less how late events may arrive.
 func (c *Controller) repeatDeadline(j *job) Nanos {
 	return j.firstAttemptAt + j.jobType.repeatWindow - 2*c.settings.batchStep
 }
 
-// addJob enters an admitted job, also behind the earlier ones of its ordering key.
+// addJob records an admitted job, also behind the earlier ones of its ordering key.
 func (c *Controller) addJob(j *job) {
 	c.jobs[j.id] = j
 	c.liveJobs = append(c.liveJobs, j)
@@ -106,7 +106,7 @@
 	order.jobs = append(order.jobs, j)
 }
 
-// closeJob ends a job that was answered. Its entry stays until its attempt has ended too.
+// closeJob finishes a job that was answered. Its entry stays until its attempt has ended too.
 func (c *Controller) closeJob(j *job) {
 	c.unpark(j)
 	j.finished = true
@@ -114,7 +114,7 @@
 	c.removeFinished(j)
 }
 
-// removeFinished drops a finished job whose outcomes are all in, and lets the next of its key go.
+// removeFinished removes a finished job whose outcomes are all known, which lets the next of its key go.
 func (c *Controller) removeFinished(j *job) {
 	if !j.finished || j.attempt != nil {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// excuseStall excuses the time that this process stood still, seen from its own timer: answers lie behind it. A head
-// has waited then; other parked jobs have no time yet that could be moved.
+// excuseStall discounts time in which this process stalled, as answers may be queued behind its timer: from attempts
+// in flight, and from the wait of queue heads.
 func (c *Controller) excuseStall(stalled Nanos) {
 	for _, j := range c.liveJobs {
 		if j.attempt != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// cancelAttempt asks for the cancellation of an attempt, once, where that is possible; nil is none.
+// cancelAttempt requests the cancellation of an attempt, once and where that is allowed; nil is ignored.
 func (c *Controller) cancelAttempt(a *attempt) {
 	if a != nil && !a.cancelRequested && c.settings.cancelAllowed {
 		a.cancelRequested = true
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -1,14 +1,14 @@
 package choice
 
 const (
-	reportTTL                          = 1500 * ms // what is reported of siblings holds so long
-	maxReportedJobs, maxReportedMemory = 1e6, 1e3  // jobs, and memories of an engine: more counts as this
-	engineGrantFactor                  = 1.25      // of its estimate, granted to a job where engines decide
-	contentionStep                     = 0.2       // of the fleet's contention, a report
+	reportTTL                          = 1500 * ms // a load report counts as fresh for this long
+	maxReportedJobs, maxReportedMemory = 1e6, 1e3  // caps of reported jobs, of granted memory in engine sizes
+	engineGrantFactor                  = 1.25      // memory granted over the estimate if engines choose it
+	contentionStep                     = 0.2       // step of the fleet's contention per report
 )
 
-// applyLoadReport reads the threads that siblings hold at an engine: by the jobs in hand beyond ours, or else
-// by the memory granted beyond ours, which jobs that stand still hold too.
+// applyLoadReport derives siblings' threads at an engine from its report: from the jobs beyond ours, or else
+// from the memory granted beyond ours, which blocked jobs hold too.
 func (c *Controller) applyLoadReport(e *engine, load []float64) {
 	if jobs, reported := c.settings.jobCount(load); reported {
 		jobs = min(jobs, maxReportedJobs)
@@ -28,7 +28,7 @@
 	}
 }
 
-// setSiblingThreads notes the threads of siblings at an engine, as just reported by it or by them.
+// setSiblingThreads records the threads of siblings at an engine, as reported by it or by them.
 func (c *Controller) setSiblingThreads(e *engine, threads float64) {
 	e.siblingThreads = max(0, threads)
 	e.loadKnownAt, c.fleet.lastReportAt = c.now, c.now
--- a/choice/log.go
+++ b/choice/log.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Log lines. Each is one text with keys in snake_case.
+// Log lines: a short text, then key=value with keys in snake_case.
 
 func (c *Controller) logf(text string, v ...any) {
 	c.emit(Action{Kind: Log, Text: fmt.Sprintf(text, v...)})
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	failureRateStep     = 0.05  // of an engine's failure rate, an outcome
-	ejectAfterFailures  = 3.0   // in a row
-	accidentProbability = 0.001 // a less probable row of failures is no accident, where all engines fail a part
-	maxMeanFailureRate  = 0.9   // of the fleet, for that
-	maxEjectedShare     = 3     // one engine in so many may be ejected
-	restoreAfterProbes  = 2     // answered
+	failureRateStep     = 0.05  // step of an engine's failure rate per outcome
+	ejectAfterFailures  = 3.0   // consecutive failures that eject an engine
+	accidentProbability = 0.001 // of a run of failures at the fleet's failure rate: only rarer runs eject
+	maxMeanFailureRate  = 0.9   // cap of the fleet's failure rate in that
+	maxEjectedShare     = 3     // at most one in this many ready engines is ejected
+	restoreAfterProbes  = 2     // consecutive successful probes that restore an engine
 
-	minEjectionTime, maxEjectionTime  = second, 8 * second // the first; each further failure doubles it
-	fullCooldown, failedProbeCooldown = second / 5, second // without a job after one was refused, a probe failed
+	minEjectionTime, maxEjectionTime  = second, 8 * second // doubled by each further ejection
+	fullCooldown, failedProbeCooldown = second / 5, second // no dispatch after a Full result, a failed probe
 )
 
-// recordOutcome counts an outcome for or against an engine.
+// recordOutcome counts the outcome of an attempt or probe for or against an engine.
 func (c *Controller) recordOutcome(e *engine, r Result) {
 	switch r {
 	case Done:
@@ -43,14 +43,14 @@
 	}
 }
 
-// ejectionThreshold is the failures in a row that eject an engine. Where all engines fail a part (as the way
-// to them does, say), a few in a row are an accident.
+// ejectionThreshold is the number of consecutive failures that ejects an engine. It grows where all engines
+// fail some of the time, as on a faulty network: short runs are accidents there.
 func (c *Controller) ejectionThreshold() float64 {
 	rate := min(maxMeanFailureRate, c.fleet.meanFailureRate)
 	return max(ejectAfterFailures, math.Log(accidentProbability)/math.Log(rate))
 }
 
-// recordRefusal notes that an engine refused a connection. The first one begins an outage.
+// recordRefusal records a refused connection. The first one begins an outage.
 func (c *Controller) recordRefusal(e *engine) {
 	if c.now-c.outage.lastRefusalAt >= outageDuration {
 		c.outage.startedAt = c.now
@@ -60,8 +60,8 @@
 	e.refusing = true
 }
 
-// eject takes an engine out; never more than a third of the fleet, since what strikes most engines is no
-// fault of theirs, but for one that refuses connections: it fails so fast that it looks emptiest.
+// eject stops using an engine. At most a third of the fleet is ejected, as a fault of most engines is
+// elsewhere; but always one that refuses connections: it fails so fast that it looks idle.
 func (c *Controller) eject(e *engine, refuses bool) {
 	ejected, ready := c.countEjected()
 	if !refuses && ejected+1 > max(1, ready/maxEjectedShare) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// restoreIfHealthy brings back an engine that answered probes, or whose time is over where there are none.
-// One failure more ejects it for twice as long.
+// restoreIfHealthy restores an ejected engine that answered probes, or after its time where there are none.
+// One more failure ejects it for twice as long.
 func (c *Controller) restoreIfHealthy(e *engine) {
 	if e.State != Ready || !e.ejected {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleProbe takes the answer of a probe, with the load report that came with it.
+// handleProbe processes the answer to a probe, with the load report that came with it.
 func (c *Controller) handleProbe(ev Event) {
 	e := c.engineByID(ev.Engine)
 	if e == nil {
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	minSampleSize    = 4        // engines that a job looks at
-	resampleInterval = 300 * ms // after it a parked head looks anew
-	probeWait        = 60 * ms  // a job waits so long for the probes of its sample
-	probeInterval    = 400 * ms // of an engine
-	probeValueShare  = 0.05     // of a job's value for the probes of its sample
+	minSampleSize    = 4        // engines sampled per job, at least
+	resampleInterval = 300 * ms // a parked head samples again after this
+	probeWait        = 60 * ms  // a job waits at most this long for the probes of its sample
+	probeInterval    = 400 * ms // minimum time between two probes of an engine
+	probeValueShare  = 0.05     // part of a job's value that may be spent on the probes of its sample
 
-	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // that an admitted job pays for probes; probes at the most
-	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // probes saved up; of them left to long jobs by short ones
+	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // earned per admitted job: points for probes, probes at most
+	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // probes saved up, and the part that only long jobs may use
 
-	minPrice       = 1e-9 // points; what costs nothing is counted so
-	shortTypeRatio = 4    // types of so many times less work than the longest type are short
+	minPrice       = 1e-9 // points; avoids a division by zero
+	shortTypeRatio = 4    // a type is short if the longest type has this many times its mean work
 
-	// What counts into the load that an engine is chosen by, in threads a core.
-	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // its latency beside the fleet's
-	failureLoad, repeatLoad            = 4.0, 4.0  // it fails all; it had the job's last attempt
-	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // another zone; for the price of crossing, in mean values
-	minCrossZoneValue                  = 0.01      // a job of less value counts for so much
-	foreignTablesLoad, tieBreakLoad    = 3.0, 0.02 // a group's loads beyond our own engines; drawn at random
+	// Terms of the placement load, in threads per core.
+	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // bounds of the factor for latency relative to the fleet
+	failureLoad, repeatLoad            = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
+	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // for another zone: at most, and per crossing price by value
+	minCrossZoneValue                  = 0.01      // smaller job values count as this
+	foreignTablesLoad, tieBreakLoad    = 3.0, 0.02 // table loads on siblings' engines; random tie-break
 )
 
-// tryDispatch sends a job if its bucket and an engine let it, once the probes of its sample are in.
+// tryDispatch dispatches a job if its key and an engine allow it, once the probes of its sample are in.
 func (c *Controller) tryDispatch(j *job) bool {
 	if !c.orderingAllows(j) {
 		return false
@@ -41,8 +41,8 @@
 	return e != nil && c.dispatch(j, e)
 }
 
-// sampleEngines draws the engines that a job may go to: all where our share is many threads, else a few at
-// random, as hundreds of controllers would all choose the same. Without probes, fresh reports go first.
+// sampleEngines chooses the engines that a job may use: all if our share is many threads, else a few at
+// random, as hundreds of controllers would choose the same. Without probes, freshly reported ones come first.
 func (c *Controller) sampleEngines(j *job) {
 	if j.candidates != nil && c.now-j.sampledAt < resampleInterval {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// probeCandidates probes engines without a fresh report, as far as the job's value and the budget bear it.
+// probeCandidates probes engines without a fresh report, as the job's value and the probe budget allow.
 func (c *Controller) probeCandidates(j *job) {
 	affordable, reserve := 0.0, 1.0
 	if c.settings.probesAllowed && c.settings.reportsLoad() {
@@ -85,12 +85,12 @@
 	}
 }
 
-// isShortType tells types of short jobs: they have priority, and half their start over an engine's limit.
+// isShortType reports whether a type's jobs are short: they get priority and half a start limit on top.
 func (c *Controller) isShortType(t *jobType) bool {
 	return t.meanWork*shortTypeRatio <= c.longestMeanWork()
 }
 
-// pickEngine is the candidate with the lowest load that takes the job, or nil.
+// pickEngine returns the allowed candidate with the lowest placement load, or nil.
 func (c *Controller) pickEngine(j *job) *engine {
 	var best *engine
 	lowest := math.Inf(1)
@@ -105,7 +105,7 @@
 	return best
 }
 
-// tablesLocked tells whether a job would stand still on an engine, and hold memory, behind a load.
+// tablesLocked reports whether a job would block on an engine, holding memory, behind a load.
 func (c *Controller) tablesLocked(j *job, e *engine) bool {
 	if !j.jobType.locksTables && !j.jobType.waitsForTables {
 		return false
@@ -116,8 +116,8 @@
 	})
 }
 
-// placementLoad is what an engine would carry with a job, weighed by how slow it answers, with what else
-// speaks for and against it. Each call draws a random number.
+// placementLoad is the load that an engine would carry with the job, weighted by its latency, plus terms for
+// and against it. Each call draws a random number.
 func (c *Controller) placementLoad(j *job, e *engine) float64 {
 	t := j.jobType
 	load := (e.ownThreads + e.siblingThreads + t.threads) / (e.cores * c.slowStartFraction(e))
@@ -139,7 +139,7 @@
 	return load + tieBreakLoad*c.random.unit()
 }
 
-// dispatchAllowed holds the rules for a dispatch; nothing is sent past it.
+// dispatchAllowed enforces the rules for a dispatch; no dispatch bypasses it.
 func (c *Controller) dispatchAllowed(j *job, e *engine) bool {
 	t := j.jobType
 	switch {
--- a/choice/plan.go
+++ b/choice/plan.go
@@ -1,14 +1,14 @@
 package choice
 
 const (
-	planPreference   = 1.0               // threads a core that speak for the engine most meant for a type
-	planMaxMissing   = 0.2               // of a plan's threads: with so many gone it does not hold
-	planResumeFactor = 0.5               // of that, and of its margin of demand: under it the plan holds again
-	planSettleTime   = 2 * offeredWindow // after it a new plan's demand is judged
-	minDemand        = 1e-9              // threads; no demand is counted so
+	planPreference   = 1.0               // threads per core in favor of the engine preferred most for a type
+	planMaxMissing   = 0.2               // part of a plan's threads; the plan is dropped if this much is missing
+	planResumeFactor = 0.5               // of that part, and of the demand margin, below which it is resumed
+	planSettleTime   = 2 * offeredWindow // demand is compared only this long after a plan begins
+	minDemand        = 1e-9              // threads; avoids a division by zero
 )
 
-// setPlan follows a plan, or none. What is asked for is thought to be as planned until it is known.
+// setPlan follows a plan, or none for nil. Demand is assumed to be as planned until it is known.
 func (c *Controller) setPlan(p *Plan) {
 	c.plan, c.planWeight = p.indexed(c.now), 0
 	if p != nil {
@@ -18,8 +18,8 @@
 	}
 }
 
-// updatePlanWeight says how far the plan still holds: less the more of its threads are gone, or unknown
-// engines come; not at all from planMaxMissing on, or where demand is off by its ratio. It comes back later.
+// updatePlanWeight decides how far the plan is followed: less as its threads go missing or unknown engines
+// come, not at all from planMaxMissing on or when demand is off by its ratio. It resumes with hysteresis.
 func (c *Controller) updatePlanWeight() {
 	present, unknown := c.planPresence()
 	missing := max(1-present/c.plan.totalThreads, unknown/max(1, c.fleet.cores))
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -1,7 +1,7 @@
 package choice
 
-// Plan is what was worked out ahead, as far as it bears on this controller. All rules, limits and judgements of health
-// stand above it. A Controller that follows it owns it.
+// Plan is a precomputed plan, as far as it concerns this controller. Rules, limits and engine health take precedence
+// over it. The Controller that follows a Plan owns it.
 type Plan struct {
 	Tenants        []PlanTenant // each once
 	Engines        []PlanEngine // those that get threads, each once
@@ -22,13 +22,13 @@
 	Share  float64
 }
 
-// PlanEngine is the threads that a plan counts on at an engine.
+// PlanEngine is the number of threads that a plan uses at an engine.
 type PlanEngine struct {
 	Engine  EngineID
 	Threads float64
 }
 
-// PlanWeight is how much an engine is meant for a type's jobs, from 0 to 1 at the engine meant for them most.
+// PlanWeight is how much an engine is preferred for a type's jobs, from 0 to 1 at the most preferred one.
 type PlanWeight struct {
 	Type   TypeID
 	Engine EngineID
@@ -42,7 +42,7 @@
 	known   bool
 }
 
-// engine is what a plan has for an engine. Without a plan each engine is known, and has nothing.
+// engine returns the plan for an engine. Without a plan each engine is known, and has no threads.
 func (p *Plan) engine(id EngineID) plannedEngine {
 	if p == nil {
 		return plannedEngine{known: true}
@@ -50,7 +50,7 @@
 	return p.plannedEngines[id]
 }
 
-// indexed is the plan with its tables for looking up, followed from now on; nil for none.
+// indexed returns the plan with its lookup tables, followed from now on, or nil for nil.
 func (p *Plan) indexed(now Nanos) *Plan {
 	if p == nil {
 		return nil
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -17,7 +17,7 @@
 	return limit
 }
 
-// dispatchParked sends what is parked: first from the bucket that an ended attempt freed (nil: none), then
+// dispatchParked dispatches parked jobs: first from the bucket that an ended attempt freed (nil: none), then
 // the head with the earliest deadline that fits anywhere.
 func (c *Controller) dispatchParked(freed *bucket) {
 	for freed != nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// bucketHead is the first parked job whose ordering key lets it go.
+// bucketHead is the first parked job of a bucket that its ordering key allows to run, or nil.
 func (c *Controller) bucketHead(b *bucket) *job {
 	i := slices.IndexFunc(b.queue, c.orderingAllows)
 	if i < 0 {
@@ -46,8 +46,8 @@
 	return b.queue[i]
 }
 
-// orderingAllows is rule 5: all earlier jobs of the key are over with every outcome in, and it paused after
-// one that is not known. Keys that a predecessor served pause after its end.
+// orderingAllows is rule 5: all earlier jobs of the key have ended, and the key has paused after an unknown
+// outcome. Keys that a predecessor served pause after its end.
 func (c *Controller) orderingAllows(j *job) bool {
 	order := c.orderings[j.key]
 	if !j.jobType.orderedByKey || j.key == 0 || order == nil {
@@ -57,7 +57,7 @@
 	return order.jobs[0] == j && c.now >= pausedUntil
 }
 
-// pauseOrdering holds a key back after an outcome that is not known: the attempt may still run.
+// pauseOrdering pauses a key after an unknown outcome, as the attempt may still run.
 func (c *Controller) pauseOrdering(j *job, r Result) {
 	order := c.orderings[j.key]
 	if order != nil && j.jobType.orderedByKey && (r == TimedOut || r == Reset || r == Canceled) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// measureHeadWaits notes how long the head of each bucket waits. One that has capacity but waits for a load
-// on its tables is no sign of an overload.
+// measureHeadWaits records how long the head of each bucket waits for capacity. A head that only waits for a
+// load on its tables is no sign of overload.
 func (c *Controller) measureHeadWaits() {
 	for _, b := range c.buckets {
 		j := c.bucketHead(b)
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	retryTokensPerJob = 0.2  // retries of what may have run, that an admitted job pays for
-	maxRetryTokens    = 10.0 // that may be saved up
+	retryTokensPerJob = 0.2  // retries earned per admitted job, for attempts that may have run
+	maxRetryTokens    = 10.0 // retries saved up
 
-	overdueFactor        = 4.0    // times its expected time: an attempt is overdue
-	badPlanFactor        = 3.0    // times its expected time, projected from its progress: it has a bad plan
-	minBadPlanRemainder  = 1.5    // times its expected time that such an attempt must have to go
-	minProgress          = 0.01   // a lower reported fraction counts as this
-	durationErrorFactor  = 2.5    // mean errors of expected times that are chance: later where estimates scatter
-	initialDurationError = 0.4    // of the log of actual over expected time, until the first answers
-	missedHalfPeriods    = 5      // without a report of progress: reports stopped
-	cancelMargin         = second // before its window ends a job by key is no more canceled
+	overdueFactor        = 4.0    // an attempt is overdue at this many times its expected duration
+	badPlanFactor        = 3.0    // its plan is bad if progress projects this many times its expected duration,
+	minBadPlanRemainder  = 1.5    // with at least this many times that still to go
+	minProgress          = 0.01   // smaller reported fractions count as this
+	durationErrorFactor  = 2.5    // mean errors of expected durations that count as normal spread
+	initialDurationError = 0.4    // mean error, natural log, assumed until the first answers
+	missedHalfPeriods    = 5      // half report periods without progress, after which reports have stopped
+	cancelMargin         = second // a keyed job is not canceled this close to the end of its repeat window
 )
 
-// repeatAllowed is rule 2 for a job that may have run.
+// repeatAllowed is rule 2 for a job that may have run: it is repeatable, or engines drop repeats of its key.
 func (c *Controller) repeatAllowed(j *job, e *engine) bool {
 	t := j.jobType
 	inScope := t.keyScope == "all" || (t.keyScope == "zone" && e.Zone == j.firstEngine.Zone) ||
@@ -24,7 +24,7 @@
 	return t.repeatable || (t.repeatableByKey && inScope && c.now < c.repeatDeadline(j))
 }
 
-// retryBudgetAllows is rule 7: whether one more dispatch beyond a job's first keeps within the stated budget.
+// retryBudgetAllows is rule 7: one more dispatch beyond a job's first stays within the configured budget.
 func (c *Controller) retryBudgetAllows() bool {
 	window, free, ratio := c.settings.retryWindow, c.settings.freeRetries, c.settings.retryRatio
 	c.retryBudget.trim(c.now - window)
@@ -35,8 +35,8 @@
 	return math.IsInf(ratio, 1) || retries <= free+ratio*admitted
 }
 
-// mayRetry tells whether a job whose attempt ended is worth another one. What may have run and was not
-// canceled takes a token of the retry budget.
+// mayRetry reports whether a job whose attempt ended gets another one. An attempt that may have run and was
+// not canceled takes a token of the retry budget.
 func (c *Controller) mayRetry(a *attempt, r Result) bool {
 	j := a.job
 	retry := !j.mayHaveRun || j.jobType.repeatable || j.jobType.repeatableByKey
@@ -47,7 +47,7 @@
 	return retry && j.attemptCount < c.settings.maxAttempts && !c.shouldShed(j)
 }
 
-// mayCancelToRetry tells whether a job's attempt may be canceled for another: by key, well inside its window.
+// mayCancelToRetry reports whether a job's attempt may be canceled for another, well inside its window.
 func (c *Controller) mayCancelToRetry(j *job) bool {
 	t := j.jobType
 	return !j.finished && !j.streaming && j.attemptCount < c.settings.maxAttempts && c.settings.cancelAllowed &&
@@ -64,7 +64,7 @@
 	}
 }
 
-// handleProgress reads how far an attempt is. One whose pace shows a bad plan is canceled for another.
+// handleProgress cancels an attempt whose progress shows a bad plan, to retry its job.
 func (c *Controller) handleProgress(ev Event) {
 	a := c.attemptOf(ev)
 	if a == nil {
@@ -79,19 +79,19 @@
 	}
 }
 
-// durationSpread is how far over those times a good attempt may run as estimates are low, as answers show.
+// durationSpread is the factor on those limits for the recent error of expected durations, at least 1.
 func (c *Controller) durationSpread() float64 {
 	return max(1, math.Exp(durationErrorFactor*c.durationError.mean)/badPlanFactor)
 }
 
-// progressStopped tells that reports of an attempt's progress stopped, though they should come.
+// progressStopped reports whether an attempt's progress reports have stopped although they are expected.
 func (c *Controller) progressStopped(a *attempt) bool {
 	period := c.settings.progressPeriod
 	return period > 0 && c.now-a.lastProgressAt > missedHalfPeriods*period/2
 }
 
-// checkAttempt looks after an attempt that is out too long: its reports stopped, or it is far over its time,
-// which counts as an error of its engine.
+// checkAttempt handles an attempt whose progress reports stopped or that is overdue: it counts as a timeout
+// of its engine and is canceled for a retry.
 func (c *Controller) checkAttempt(a *attempt) {
 	t, stopped := a.job.jobType, c.progressStopped(a)
 	if t.locksTables { // loads may rightly stand still
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// settings are RawSettings read once. What is absent has the value that is said here; it never fails.
+// settings are RawSettings parsed once. Parsing never fails: absent or odd values have the defaults named here.
 type settings struct {
 	controllers   int     // of the fleet, at least 1
 	ownIndex      int     // our number among them, from 0
 	evenShare     float64 // 1 / controllers
 	zone          ZoneID  // ours
-	batchStep     Nanos   // how late an event may be told
+	batchStep     Nanos   // how late an event may arrive
 	gossipAllowed bool
 
 	maxAttempts   int // of a job, at least 1
 	cancelAllowed bool
 	probesAllowed bool
-	retryAfter    Nanos // told with Throttle; 0: not told
+	retryAfter    Nanos // sent with Throttle; 0: not sent
 
 	probePrice     float64 // points
 	gossipPrice    float64 // points, 256 bytes
@@ -27,7 +27,7 @@
 	slowStartWindow      Nanos   // from an engine's start until all its capacity counts
 	startCapacity        float64 // part of its capacity that an engine has at its start; absent: 1
 	overloadWindow       Nanos   // in which an engine in slow start must not be sent too much
-	slowStartWork        float64 // times its capacity that it stands at its start; 0 where that capacity is not said
+	slowStartWork        float64 // that an engine withstands at its start, in its capacity; absent: 0
 	drainGrace           Nanos   // after which a draining engine must not be sent anything; absent: for ever
 	orderPause           Nanos   // of an ordering key after an outcome that is not known
 	retryWindow          Nanos
@@ -35,9 +35,9 @@
 	retryRatio           float64 // further ones a job admitted in it; absent: no limit
 	overQuotaValueFactor float64 // of a job outside its tenant's quota; absent: 1
 
-	grantsHonored      bool    // engines heed our memory grants
-	takesPriority      bool    // engines heed priorities
-	usageReported      bool    // engines tell what an attempt used
+	grantsHonored      bool    // engines honor our memory grants
+	takesPriority      bool    // engines honor priorities
+	usageReported      bool    // engines report what an attempt used
 	memorySwaps        bool    // engines swap where memory is short
 	maxGrantShare      float64 // of an engine's memory that a job is granted; absent: 1
 	progressPeriod     Nanos   // between reports of progress; 0: none come
@@ -75,7 +75,7 @@
 
 func (s placeSet) contains(number float64) bool { return s == nil || slices.Contains(s, any(number)) }
 
-// within reports whether other holds all that s holds.
+// within reports whether other contains all places of s.
 func (s placeSet) within(other placeSet) bool {
 	if other == nil {
 		return true
@@ -83,7 +83,7 @@
 	return s != nil && !slices.ContainsFunc(s, func(place any) bool { return !slices.Contains(other, place) })
 }
 
-// drainGraceUnlimited stands in where no grace is set.
+// drainGraceUnlimited applies where no grace is configured.
 const drainGraceUnlimited = 1e18
 
 func parseSettings(r RawSettings) settings {
@@ -113,7 +113,7 @@
 	return s
 }
 
-// parseLimits reads what a controller may do.
+// parseLimits parses what a controller may do.
 func (s *settings) parseLimits(r RawSettings) {
 	s.maxAttempts = max(1, int(r.number("limits.most_tries", 1)))
 	s.cancelAllowed = r.flag("limits.cancel")
@@ -124,7 +124,7 @@
 	}
 }
 
-// parseRules reads the figures of the rules.
+// parseRules parses the figures of the rules.
 func (s *settings) parseRules(r RawSettings) {
 	s.slowStartWindow = r.nanos("invariants.warm_within_ns")
 	s.startCapacity = r.number("invariants.start_capacity", 1)
@@ -137,7 +137,7 @@
 	s.retryRatio = r.number("invariants.further_ratio", math.Inf(1))
 }
 
-// parseEngines reads what engines are, heed and tell.
+// parseEngines parses what engines are, honor and report.
 func (s *settings) parseEngines(r RawSettings) {
 	s.grantsHonored = r.flag("domain.grants_count")
 	s.takesPriority = r.flag("domain.takes_priority")
@@ -171,7 +171,7 @@
 	}
 }
 
-// cores are those of an engine of a kind, at least 1.
+// cores returns the cores of an engine of a kind, at least 1.
 func (s *settings) cores(kind KindID) float64 {
 	cores, known := s.coresByKind[int(kind)]
 	if !known {
@@ -180,13 +180,13 @@
 	return math.Max(1, cores)
 }
 
-// memoryMB is the memory of an engine of a kind; 0: not known.
+// memoryMB returns the memory of an engine of a kind; 0 is unknown.
 func (s *settings) memoryMB(kind KindID) float64 { return s.memoryByKind[int(kind)] }
 
-// unlimitedQuota stands in for a tenant without a quota, in jobs a second.
+// unlimitedQuota applies to a tenant without a quota, in jobs per second.
 const unlimitedQuota = 1e9
 
-// tenantQuota is a tenant's quota over the fleet, in jobs a second.
+// tenantQuota returns a tenant's quota over the fleet, in jobs per second.
 func (s *settings) tenantQuota(id TenantID) float64 {
 	quota, limited := s.tenantQuotas[int(id)]
 	if !limited {
@@ -195,15 +195,15 @@
 	return quota
 }
 
-// reportsLoad tells whether load reports tell of siblings' jobs.
+// reportsLoad reports whether load reports show siblings' jobs.
 func (s *settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
 
-// jobCount is the jobs that an engine holds by its load report, if that tells.
+// jobCount returns the jobs that an engine holds by its load report, if reported.
 func (s *settings) jobCount(load []float64) (jobs float64, reported bool) {
 	return reportField(load, s.jobCountField)
 }
 
-// grantedMemory is the granted part of an engine's memory by its load report, if that tells.
+// grantedMemory returns the granted part of an engine's memory by its load report, if reported.
 func (s *settings) grantedMemory(load []float64) (share float64, reported bool) {
 	return reportField(load, s.grantedMemoryField)
 }
@@ -215,7 +215,8 @@
 	return load[at], true
 }
 
-// applySettings takes new settings. What was learned of a type stays; one that is no longer named keeps its settings.
+// applySettings replaces the settings. What was learned of a type stays; a type that is no longer configured keeps
+// its settings.
 func (c *Controller) applySettings(raw RawSettings) {
 	c.settings = parseSettings(raw)
 	c.gossip.messages = nil
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -1,13 +1,13 @@
 package choice
 
 const (
-	slowStartSafety     = 0.51       // of the work that an engine in slow start stands
-	slowStartTurnShare  = 0.75       // of that, where controllers take turns: two turns may meet in a window
-	outageDuration      = 5 * second // after the last refused connection
-	restartSuspectShare = 0.15       // of the jobs usual at an engine: with fewer it just started
+	slowStartSafety     = 0.51       // used part of the work that an engine in slow start withstands
+	slowStartTurnShare  = 0.75       // of that when controllers take turns, as two turns may overlap in a window
+	outageDuration      = 5 * second // an outage lasts this long after the last refused connection
+	restartSuspectShare = 0.15       // part of the expected jobs below which a restart is suspected
 )
 
-// effectiveStart is when an engine last started, as far as known or feared: in an outage any not seen since.
+// effectiveStart is when an engine last started, or is suspected to: in an outage, any not seen since.
 func (c *Controller) effectiveStart(e *engine) Nanos {
 	if e.refusing { // it was not seen since it refused: it starts now at the earliest
 		return c.now
@@ -18,7 +18,7 @@
 	return max(e.StartedAt, e.suspectedRestartAt)
 }
 
-// slowStartFraction is the part of its capacity that a started engine is sure to have.
+// slowStartFraction is the part of its capacity that an engine is sure to have, from its start on.
 func (c *Controller) slowStartFraction(e *engine) float64 {
 	started, window := c.effectiveStart(e), c.settings.slowStartWindow
 	if started == 0 || c.now-started >= window {
@@ -28,11 +28,11 @@
 	return from + (1-from)*float64(max(0, c.now-started))/float64(window)
 }
 
-// inSlowStart tells whether an engine just started, so that a part of its capacity is missing.
+// inSlowStart reports whether an engine started so recently that part of its capacity is missing.
 func (c *Controller) inSlowStart(e *engine) bool { return c.slowStartFraction(e) < 1 }
 
-// slowStartAllows is rule 4: our part of what an engine in slow start stands in any window, if that holds a
-// job, else all of it by turns. A new process waits a window, as what was sent before is not known.
+// slowStartAllows is rule 4: a job fits our part of the work that an engine in slow start withstands per
+// window, or all of it in our turn. A new process waits for a window, as earlier dispatches are unknown.
 func (c *Controller) slowStartAllows(j *job, e *engine) bool {
 	window := c.settings.overloadWindow
 	budget := slowStartSafety * c.settings.slowStartWork * e.cores * float64(window)
@@ -51,8 +51,8 @@
 		sum <= budget/float64(min(turns, c.settings.controllers))
 }
 
-// suspectRestart takes an engine for just started though the list does not say so: it refused connections and
-// now answers, or is all but empty in a busy fleet. One empty by accident is used less for a window.
+// suspectRestart begins a slow start that the list does not report: the engine refused connections and
+// answers again, or is almost empty in a busy fleet. A wrong guess slows its use for one window.
 func (c *Controller) suspectRestart(e *engine, why restartReason) {
 	e.refusing = false
 	if !c.inSlowStart(e) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// suspectRestartByJobs does so for an engine that holds far fewer jobs than is usual. One whose slow start
-// just ended is empty by our own restraint.
+// suspectRestartByJobs does so for an engine with far fewer jobs than expected, unless its slow start just
+// ended: then we kept it empty ourselves.
 func (c *Controller) suspectRestartByJobs(e *engine, jobs float64) {
 	expected, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
 	settled := started == 0 || c.now-started >= 2*c.settings.slowStartWindow
@@ -71,7 +71,7 @@
 	}
 }
 
-// markSeen notes that an engine answered.
+// markSeen records that an engine answered.
 func (c *Controller) markSeen(e *engine) {
 	e.lastSeenAt = c.now
 	if e.refusing {
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -22,7 +22,7 @@
 	Ejected      bool
 }
 
-// TypeStats is what a successor is told of reservation types, in the order of the settings.
+// TypeStats returns the statistics of all reservation types, in the order of the settings, for a successor.
 func (c *Controller) TypeStats() (stats []TypeStats) {
 	for _, t := range c.types {
 		stats = append(stats, t.TypeStats)
@@ -30,7 +30,7 @@
 	return stats
 }
 
-// EngineHealth is what a successor is told of ready engines, by ID.
+// EngineHealth returns the health of ready engines, by ID, for a successor.
 func (c *Controller) EngineHealth() (health []EngineHealth) {
 	for _, e := range c.engines {
 		if e.State == Ready {
@@ -40,7 +40,7 @@
 	return health
 }
 
-// adoptState takes over what a predecessor learned from more jobs than this process has seen.
+// adoptState takes over the statistics of a predecessor, which has seen more jobs than this process.
 func (c *Controller) adoptState(ev Event) {
 	for i := range min(len(ev.TypeStats), len(c.types)) {
 		if ev.TypeStats[i].plausible() {
--- a/choice/sweep.go
+++ b/choice/sweep.go
@@ -4,11 +4,11 @@
 
 const (
 	sweepInterval  = 20 * ms
-	stallThreshold = 100 * ms // a sweep that is so late shows that this process stood still
-	watchInterval  = second   // between requests to watch the list of engines
+	stallThreshold = 100 * ms // a sweep that is this late shows that the process stalled
+	watchInterval  = second   // between requests to watch the engine list
 )
 
-// sweep ends what expires, cancels what is overdue, and updates engines, means, shares and prices.
+// sweep runs every sweepInterval: it ends expiring jobs, cancels overdue attempts and updates all estimates.
 func (c *Controller) sweep() {
 	c.armTimer()
 	if c.probeBudget.tokens >= 1 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkJob ends a job that is about to expire or not worth its work any more, and looks after its attempt.
+// checkJob ends a job that is about to expire or not worth its work any more, and checks its attempt.
 func (c *Controller) checkJob(j *job) {
 	switch {
 	case j.finished || j.streaming:
