--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -33,7 +33,7 @@
 func checkOrders(text string, leaders map[int64]string) error {
 	var last change.Fence
 	for line := range strings.Lines(text) {
-		_, fields, isOrder := strings.Cut(line, "msg=order_taken fence=")
+		_, fields, isOrder := strings.Cut(line, "msg=order_accepted fence=")
 		if !isOrder {
 			continue
 		}
