--- a/internal/sparql/results/json.go
+++ b/internal/sparql/results/json.go
@@ -2,266 +2,333 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 )
 
+// The names of a result's members.
+const (
+	jsonHead     = "head"
+	jsonBoolean  = "boolean"
+	jsonResults  = "results"
+	jsonBindings = "bindings"
+)
+
+var (
+	errTwoHeads         = errors.New("two heads")
+	errBooleanNoHead    = errors.New("a boolean without its head")
+	errResultsNoHead    = errors.New("results before their head")
+	errNeitherForm      = errors.New("neither results nor boolean")
+	errNoBindings       = errors.New("no bindings")
+	errBindingsRepeated = errors.New("bindings once more")
+)
+
 // jsonReader reads {"head":{"vars":[...]},"results":{"bindings":[...]}} or {"head":{},"boolean":b} token by token. The
-// head has to stand first: what streams could not be given out otherwise.
+// head has to come first: a streamed answer could not be sent on otherwise.
 type jsonReader struct {
-	from *bounded
-	d    *json.Decoder
-	head Head
-	at   map[string]int
-	row  []Term
-	over bool
+	source   *bounded
+	decoder  *json.Decoder
+	head     Head
+	columns  map[string]int // by variable
+	row      []Term
+	complete bool
 }
 
-func newJSONReader(b *bounded) *jsonReader { return &jsonReader{from: b, d: json.NewDecoder(b)} }
+// jsonTerm is a term of a binding.
+type jsonTerm struct {
+	Type     string  `json:"type"`
+	Value    *string `json:"value"`
+	Lang     string  `json:"xml:lang"`
+	Datatype string  `json:"datatype"`
+}
 
-func (r *jsonReader) delim(want json.Delim) error {
-	t, err := r.d.Token()
-	if err == nil && t != want {
-		err = fmt.Errorf("%v where %v is wanted", t, want)
-	}
-	return err
+func newJSONReader(source *bounded) *jsonReader {
+	return &jsonReader{source: source, decoder: json.NewDecoder(source)}
 }
 
+// Head implements Reader.
 func (r *jsonReader) Head() (Head, error) {
 	if err := r.readHead(); err != nil {
-		return Head{}, r.from.cause(err)
+		return Head{}, r.source.cause(err)
 	}
-	r.from.renew()
+	r.source.renew()
 	return r.head, nil
 }
 
+// readHead reads up to the first binding, or the whole answer of an ASK.
 func (r *jsonReader) readHead() error {
-	if err := r.delim('{'); err != nil {
+	if err := r.expect('{'); err != nil {
 		return err
 	}
-	headed := false
-	for r.d.More() {
-		t, err := r.d.Token()
+	hasHead := false
+	for r.decoder.More() {
+		name, err := r.decoder.Token()
 		if err != nil {
 			return err
 		}
-		switch t {
-		case "head":
-			var h struct {
-				Vars []string `json:"vars"`
-			}
-			if headed {
-				return fmt.Errorf("two heads")
-			}
-			if err := r.d.Decode(&h); err != nil {
-				return err
-			}
-			headed, r.head.Vars = true, h.Vars
-			if r.at, err = indexOf(h.Vars); err != nil {
-				return err
-			}
-		case "boolean":
-			if err := r.d.Decode(&r.head.Boolean); err != nil {
-				return err
+		switch name {
+		case jsonHead:
+			if hasHead {
+				return errTwoHeads
 			}
-			if !headed || len(r.head.Vars) > 0 {
-				return fmt.Errorf("a boolean without its head")
+			hasHead = true
+			err = r.readVariables()
+		case jsonBoolean:
+			return r.readBoolean(hasHead)
+		case jsonResults:
+			if !hasHead {
+				return errResultsNoHead
 			}
-			r.head.Ask = true
-			return r.rest()
-		case "results":
-			if !headed {
-				return fmt.Errorf("results before their head")
-			}
-			return r.open()
+			return r.enterBindings()
 		default:
-			var any json.RawMessage
-			if err := r.d.Decode(&any); err != nil {
-				return err
-			}
+			err = r.skipValue()
+		}
+		if err != nil {
+			return err
 		}
 	}
-	return fmt.Errorf("neither results nor boolean")
+	return errNeitherForm
 }
 
-// open goes to the first binding.
-func (r *jsonReader) open() error {
-	if err := r.delim('{'); err != nil {
+func (r *jsonReader) readVariables() error {
+	var head struct {
+		Vars []string `json:"vars"`
+	}
+	if err := r.decoder.Decode(&head); err != nil {
 		return err
 	}
-	for r.d.More() {
-		t, err := r.d.Token()
-		if err != nil {
-			return err
-		}
-		if t == "bindings" {
-			return r.delim('[')
-		}
-		var any json.RawMessage
-		if err := r.d.Decode(&any); err != nil {
-			return err
-		}
+	columns, err := indexVariables(head.Vars)
+	if err != nil {
+		return err
 	}
-	return fmt.Errorf("no bindings")
+	r.head.Vars = head.Vars
+	r.columns = columns
+	return nil
 }
 
-// rest goes to the end of the outermost object, and makes sure that nothing follows.
-func (r *jsonReader) rest() error {
-	for r.d.More() {
-		if t, err := r.d.Token(); err != nil {
-			return err
-		} else if t == "head" || t == "results" || t == "boolean" {
-			return fmt.Errorf("%v once more", t)
-		}
-		var any json.RawMessage
-		if err := r.d.Decode(&any); err != nil {
-			return err
-		}
+func (r *jsonReader) readBoolean(hasHead bool) error {
+	if err := r.decoder.Decode(&r.head.Boolean); err != nil {
+		return err
+	}
+	if !hasHead || len(r.head.Vars) > 0 {
+		return errBooleanNoHead
 	}
-	if err := r.delim('}'); err != nil {
+	r.head.Ask = true
+	return r.finish()
+}
+
+// enterBindings goes to the first binding.
+func (r *jsonReader) enterBindings() error {
+	if err := r.expect('{'); err != nil {
 		return err
 	}
-	if t, err := r.d.Token(); err != io.EOF {
-		if err == nil {
-			err = fmt.Errorf("%v after the end", t)
+	for r.decoder.More() {
+		name, err := r.decoder.Token()
+		if err != nil {
+			return err
+		}
+		if name == jsonBindings {
+			return r.expect('[')
+		}
+		if err := r.skipValue(); err != nil {
+			return err
 		}
-		return err
 	}
-	r.over = true
-	return nil
+	return errNoBindings
 }
 
+// Next implements Reader.
 func (r *jsonReader) Next() ([]Term, error) {
-	if r.over {
+	if r.complete {
 		return nil, io.EOF
 	}
-	if !r.d.More() {
-		if err := r.end(); err != nil {
-			return nil, r.from.cause(err)
+	if !r.decoder.More() {
+		if err := r.leaveBindings(); err != nil {
+			return nil, r.source.cause(err)
 		}
 		return nil, io.EOF
 	}
-	var b map[string]struct {
-		Type     string  `json:"type"`
-		Value    *string `json:"value"`
-		Lang     string  `json:"xml:lang"`
-		Datatype string  `json:"datatype"`
-	}
-	if err := r.d.Decode(&b); err != nil {
-		return nil, r.from.cause(err)
+	var binding map[string]jsonTerm
+	if err := r.decoder.Decode(&binding); err != nil {
+		return nil, r.source.cause(err)
 	}
-	r.from.renew()
+	r.source.renew()
 	if r.row == nil {
 		r.row = make([]Term, len(r.head.Vars))
 	}
 	clear(r.row)
-	for name, v := range b {
-		i, known := r.at[name]
-		if !known || v.Value == nil {
+	for name, value := range binding {
+		column, known := r.columns[name]
+		if !known || value.Value == nil {
 			return nil, fmt.Errorf("%w: binding of %q", ErrForm, name)
 		}
-		t := Term{Value: *v.Value}
-		switch v.Type {
-		case "uri":
-			t.Kind = IRI
-		case "bnode":
-			t.Kind = Blank
-		case "literal", "typed-literal":
-			if t.Kind, t.Lang, t.Datatype = Literal, v.Lang, v.Datatype; t.Lang != "" && t.Datatype != "" {
-				return nil, fmt.Errorf("%w: a literal with language and datatype", ErrForm)
-			}
-		default:
-			return nil, fmt.Errorf("%w: type %q", ErrForm, v.Type)
+		term, err := value.term()
+		if err != nil {
+			return nil, err
 		}
-		r.row[i] = t
+		r.row[column] = term
 	}
 	return r.row, nil
 }
 
-// end leaves bindings and results.
-func (r *jsonReader) end() error {
-	if err := r.delim(']'); err != nil {
+func (t jsonTerm) term() (Term, error) {
+	switch t.Type {
+	case "uri":
+		return Term{Kind: IRI, Value: *t.Value}, nil
+	case "bnode":
+		return Term{Kind: Blank, Value: *t.Value}, nil
+	case "literal", "typed-literal":
+		if t.Lang != "" && t.Datatype != "" {
+			return Term{}, fmt.Errorf("%w: a literal with language and datatype", ErrForm)
+		}
+		return Term{Kind: Literal, Value: *t.Value, Lang: t.Lang, Datatype: t.Datatype}, nil
+	}
+	return Term{}, fmt.Errorf("%w: type %q", ErrForm, t.Type)
+}
+
+// leaveBindings leaves bindings and results, and finishes.
+func (r *jsonReader) leaveBindings() error {
+	if err := r.expect(']'); err != nil {
 		return err
 	}
-	for r.d.More() {
-		var any json.RawMessage
-		if t, err := r.d.Token(); err != nil {
+	for r.decoder.More() {
+		name, err := r.decoder.Token()
+		if err != nil {
 			return err
-		} else if t == "bindings" {
-			return fmt.Errorf("bindings once more")
 		}
-		if err := r.d.Decode(&any); err != nil {
+		if name == jsonBindings {
+			return errBindingsRepeated
+		}
+		if err := r.skipValue(); err != nil {
 			return err
 		}
 	}
-	if err := r.delim('}'); err != nil {
+	if err := r.expect('}'); err != nil {
 		return err
 	}
-	return r.rest()
+	return r.finish()
 }
 
+// finish goes to the end of the outermost object, and makes sure that nothing follows.
+func (r *jsonReader) finish() error {
+	for r.decoder.More() {
+		name, err := r.decoder.Token()
+		if err != nil {
+			return err
+		}
+		if name == jsonHead || name == jsonResults || name == jsonBoolean {
+			return fmt.Errorf("%v once more", name)
+		}
+		if err := r.skipValue(); err != nil {
+			return err
+		}
+	}
+	if err := r.expect('}'); err != nil {
+		return err
+	}
+	extra, err := r.decoder.Token()
+	if err == nil {
+		return fmt.Errorf("%v after the end", extra)
+	}
+	if err != io.EOF {
+		return err
+	}
+	r.complete = true
+	return nil
+}
+
+func (r *jsonReader) expect(wanted json.Delim) error {
+	found, err := r.decoder.Token()
+	if err != nil {
+		return err
+	}
+	if found != wanted {
+		return fmt.Errorf("%v where %v is wanted", found, wanted)
+	}
+	return nil
+}
+
+func (r *jsonReader) skipValue() error {
+	var skipped json.RawMessage
+	return r.decoder.Decode(&skipped)
+}
+
+// jsonKinds are the types of terms by their kind.
+var jsonKinds = [...]string{IRI: "uri", Literal: "literal", Blank: "bnode"}
+
+// jsonWriter writes one binding a line.
 type jsonWriter struct {
-	to   io.Writer
-	head Head
-	rows int
-	buf  []byte
+	destination io.Writer
+	head        Head
+	rows        int
+	buffer      []byte // of a row
 }
 
-func (w *jsonWriter) Head(h Head) error {
-	w.head = h
-	if h.Ask {
-		_, err := fmt.Fprintf(w.to, `{"head":{},"boolean":%v`, h.Boolean)
+// Head implements Writer.
+func (w *jsonWriter) Head(head Head) error {
+	w.head = head
+	if head.Ask {
+		_, err := fmt.Fprintf(w.destination, `{"head":{},"boolean":%v`, head.Boolean)
 		return err
 	}
-	vars, err := json.Marshal(append([]string{}, h.Vars...))
+	vars, err := json.Marshal(append([]string{}, head.Vars...))
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(w.to, `{"head":{"vars":%s},"results":{"bindings":[`, vars)
+	_, err = fmt.Fprintf(w.destination, `{"head":{"vars":%s},"results":{"bindings":[`, vars)
 	return err
 }
 
+// Row implements Writer.
 func (w *jsonWriter) Row(row []Term) error {
-	b := w.buf[:0]
-	if w.rows++; w.rows > 1 {
-		b = append(b, ',')
-	}
-	b = append(b, "\n{"...)
-	text := func(s string) {
-		t, _ := json.Marshal(s) // a string always can be
-		b = append(b, t...)
+	w.buffer = w.buffer[:0]
+	w.rows++
+	if w.rows > 1 {
+		w.buffer = append(w.buffer, ',')
 	}
+	w.buffer = append(w.buffer, "\n{"...)
 	first := true
-	for i, t := range row {
-		if t.Kind == Unbound {
+	for column, term := range row {
+		if term.Kind == Unbound {
 			continue
 		}
 		if !first {
-			b = append(b, ',')
+			w.buffer = append(w.buffer, ',')
 		}
 		first = false
-		text(w.head.Vars[i])
-		b = append(b, `:{"type":"`+[...]string{"", "uri", "literal", "bnode"}[t.Kind]+`","value":`...)
-		text(t.Value)
-		if t.Lang != "" {
-			b = append(b, `,"xml:lang":`...)
-			text(t.Lang)
-		} else if t.Datatype != "" {
-			b = append(b, `,"datatype":`...)
-			text(t.Datatype)
-		}
-		b = append(b, '}')
+		w.appendTerm(w.head.Vars[column], term)
 	}
-	w.buf = append(b, '}')
-	_, err := w.to.Write(w.buf)
+	w.buffer = append(w.buffer, '}')
+	_, err := w.destination.Write(w.buffer)
 	return err
 }
 
+func (w *jsonWriter) appendTerm(name string, term Term) {
+	w.appendString(name)
+	w.buffer = append(w.buffer, `:{"type":"`+jsonKinds[term.Kind]+`","value":`...)
+	w.appendString(term.Value)
+	if term.Lang != "" {
+		w.buffer = append(w.buffer, `,"xml:lang":`...)
+		w.appendString(term.Lang)
+	} else if term.Datatype != "" {
+		w.buffer = append(w.buffer, `,"datatype":`...)
+		w.appendString(term.Datatype)
+	}
+	w.buffer = append(w.buffer, '}')
+}
+
+func (w *jsonWriter) appendString(text string) {
+	quoted, _ := json.Marshal(text) // cannot fail for a string
+	w.buffer = append(w.buffer, quoted...)
+}
+
+// Close implements Writer.
 func (w *jsonWriter) Close() error {
 	text := "\n]}}\n"
 	if w.head.Ask {
 		text = "}\n"
 	}
-	_, err := io.WriteString(w.to, text)
+	_, err := io.WriteString(w.destination, text)
 	return err
 }
--- a/internal/sparql/results/results.go
+++ b/internal/sparql/results/results.go
@@ -1,6 +1,6 @@
 // Package results reads and writes SPARQL query results as streams: JSON, XML, CSV and TSV (W3C Recommendations of
-// 2013-03-21). A result is whole only when its reader has come to the end of its form without a fault; whatever else
-// came before, one that breaks off is none.
+// 2013-03-21). A result is complete only when its reader has come to the end of its form without an error; one that
+// breaks off is no result, whatever came before. Readers and writers are for one goroutine at a time.
 package results
 
 import (
@@ -12,7 +12,7 @@
 	"unicode/utf8"
 )
 
-// Format is one of the four.
+// Format is a serialization of results.
 type Format uint8
 
 // The formats.
@@ -23,12 +23,17 @@
 	TSV
 )
 
-// MediaType is the format's own (RFC 7231 terms); writers state the charset where the Recommendation asks for it.
+// MediaType returns the media type of the format, without a charset.
 func (f Format) MediaType() string {
-	return [...]string{"application/sparql-results+json", "application/sparql-results+xml", "text/csv", "text/tab-separated-values"}[f]
+	return [...]string{
+		JSON: "application/sparql-results+json",
+		XML:  "application/sparql-results+xml",
+		CSV:  "text/csv",
+		TSV:  "text/tab-separated-values",
+	}[f]
 }
 
-// Kind is what a term is.
+// Kind is the kind of a term.
 type Kind uint8
 
 // The kinds. An unbound variable has no term.
@@ -45,25 +50,25 @@
 	Value, Lang, Datatype string
 }
 
-// Bounds of a result. A row is read into memory whole; a result never is.
+// Bounds of a result. A row is read into memory completely; a result never is.
 const (
-	MostVars = 1000
-	MostRow  = 4 << 20 // bytes as they come
-	mostHead = 1 << 20
+	MaxVars = 1000
+	MaxRow  = 4 << 20 // bytes as received
+	maxHead = 1 << 20 // bytes as received
 )
 
-// Faults of a result.
+// Errors of a result, wrapped with what is known of the cause.
 var (
 	ErrForm  = errors.New("no result in the form that it states")
 	ErrCut   = errors.New("the result breaks off")
 	ErrBound = errors.New("a row or head past its bound")
 )
 
-// Reader reads a result: first its head, then row after row. Next gives io.EOF only where the result is whole.
+// Reader reads a result: first its head, then row after row. Next returns io.EOF only if the result is complete.
 type Reader interface {
-	// Head gives the variables, or the answer of an ASK.
+	// Head returns the variables, or the answer of an ASK.
 	Head() (Head, error)
-	// Next gives a row, a term for each variable; it is used again by the next call.
+	// Next returns a row, a term for each variable. The next call overwrites it.
 	Next() ([]Term, error)
 }
 
@@ -74,16 +79,17 @@
 	Boolean bool
 }
 
-// Writer writes a result. Close ends its form: one without it is unmistakably cut where the form has an end (JSON, XML).
+// Writer writes a result. Close ends its form: without it a result is unmistakably cut where the form has an
+// end (JSON, XML).
 type Writer interface {
 	Head(Head) error
 	Row([]Term) error
 	Close() error
 }
 
-// NewReader reads a format.
-func NewReader(f Format, from io.Reader) Reader {
-	b := &bounded{from: from, left: mostHead}
+// NewReader returns a reader of a format.
+func NewReader(f Format, source io.Reader) Reader {
+	b := &bounded{source: source, left: maxHead}
 	switch f {
 	case XML:
 		return newXMLReader(b)
@@ -95,63 +101,67 @@
 	return newJSONReader(b)
 }
 
-// NewWriter writes a format.
-func NewWriter(f Format, to io.Writer) Writer {
+// NewWriter returns a writer of a format.
+func NewWriter(f Format, destination io.Writer) Writer {
 	switch f {
 	case XML:
-		return &xmlWriter{to: to}
+		return &xmlWriter{destination: destination}
 	case CSV, TSV:
-		return &lineWriter{to: to, tabs: f == TSV}
+		return &lineWriter{destination: destination, tabs: f == TSV}
 	}
-	return &jsonWriter{to: to}
+	return &jsonWriter{destination: destination}
 }
 
-// Copy turns a result of one format into another on the fly, and tells how many rows it had. An error of the writer is
-// an ErrWrite, any other is the result's.
+// Copy converts a result of one format into another while it is read, and returns how many rows it had. An error of the
+// writer is a *WriteError, any other is the result's.
 func Copy(to Writer, from Reader) (rows int, err error) {
 	head, err := from.Head()
 	if err != nil {
 		return 0, err
 	}
 	if err := to.Head(head); err != nil {
-		return 0, &ErrWrite{err}
+		return 0, &WriteError{err}
 	}
 	for ; ; rows++ {
 		row, err := from.Next()
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
 			break
 		}
 		if err != nil {
 			return rows, err
 		}
 		if err := to.Row(row); err != nil {
-			return rows, &ErrWrite{err}
+			return rows, &WriteError{err}
 		}
 	}
 	if err := to.Close(); err != nil {
-		return rows, &ErrWrite{err}
+		return rows, &WriteError{err}
 	}
 	return rows, nil
 }
 
-// ErrWrite is a fault of who is written to.
-type ErrWrite struct{ Err error }
+// WriteError is an error of the destination of Copy.
+type WriteError struct{ Err error }
 
-func (e *ErrWrite) Error() string { return "writing: " + e.Err.Error() }
-func (e *ErrWrite) Unwrap() error { return e.Err }
+// Error returns the text of the cause.
+func (e *WriteError) Error() string { return "writing: " + e.Err.Error() }
 
-// bounded lets through so much until it is renewed, at each row. It remembers how it ended.
+// Unwrap returns the cause.
+func (e *WriteError) Unwrap() error { return e.Err }
+
+// bounded limits the bytes read until it is renewed, at each row. It remembers the error of its source.
 type bounded struct {
-	from io.Reader
-	left int
-	err  error // of the source, but for io.EOF
+	source io.Reader
+	left   int   // bytes
+	err    error // of the source, but for io.EOF
 }
 
+// Read reads up to what is left of the bound, and returns ErrBound beyond it.
 func (b *bounded) Read(p []byte) (int, error) {
 	if b.left <= 0 {
 		return 0, ErrBound
 	}
-	n, err := b.from.Read(p[:min(len(p), b.left)])
+	n, err := b.source.Read(p[:min(len(p), b.left)])
 	b.left -= n
 	if err != nil && err != io.EOF {
 		b.err = err
@@ -159,10 +169,10 @@
 	return n, err
 }
 
-// renew is for one more row. What a reader buffers beyond it counts for the next.
-func (b *bounded) renew() { b.left = MostRow }
+// renew allows the bytes of one more row. What a reader buffers beyond it counts for the next.
+func (b *bounded) renew() { b.left = MaxRow }
 
-// cause says what a parser's error comes from: the bound, the source, a cut, or the form.
+// cause returns the error that a parser's error comes from: the bound, the source, a cut, or the form.
 func (b *bounded) cause(err error) error {
 	switch {
 	case errors.Is(err, ErrBound):
@@ -175,24 +185,24 @@
 	return fmt.Errorf("%w: %w", ErrForm, err)
 }
 
-// isName tells a variable's name, without its mark (VARNAME of the grammar).
-func isName(v string) bool {
-	return v != "" && utf8.ValidString(v) && strings.IndexFunc(v, func(r rune) bool {
+// isVariableName reports whether a text is a variable's name, without its mark (VARNAME of the grammar).
+func isVariableName(name string) bool {
+	return name != "" && utf8.ValidString(name) && strings.IndexFunc(name, func(r rune) bool {
 		return r != '_' && r != '\u00b7' && !unicode.In(r, unicode.L, unicode.N, unicode.Mn, unicode.Mc)
 	}) < 0
 }
 
-// indexOf gives places of variables; a name twice, or too many, is a fault.
-func indexOf(vars []string) (map[string]int, error) {
-	if len(vars) > MostVars {
+// indexVariables returns the column of each variable. A duplicate name, or too many, is an error.
+func indexVariables(vars []string) (map[string]int, error) {
+	if len(vars) > MaxVars {
 		return nil, ErrBound
 	}
-	at := map[string]int{}
-	for i, v := range vars {
-		if _, twice := at[v]; twice || !isName(v) {
-			return nil, fmt.Errorf("%w: variable %q", ErrForm, v)
+	columns := map[string]int{}
+	for column, name := range vars {
+		if _, duplicate := columns[name]; duplicate || !isVariableName(name) {
+			return nil, fmt.Errorf("%w: variable %q", ErrForm, name)
 		}
-		at[v] = i
+		columns[name] = column
 	}
-	return at, nil
+	return columns, nil
 }
--- a/internal/sparql/results/results_test.go
+++ b/internal/sparql/results/results_test.go
@@ -28,7 +28,7 @@
 			case 2:
 				row[i] = Term{Kind: Literal, Value: word(), Lang: "en-GB"}
 			case 3:
-				row[i] = Term{Kind: Literal, Value: word(), Datatype: xsd + "integer"}
+				row[i] = Term{Kind: Literal, Value: word(), Datatype: xsdNamespace + "integer"}
 			case 4:
 				if r.IntN(2) == 0 {
 					row[i] = Term{Kind: Literal, Value: word()}
@@ -60,7 +60,7 @@
 	}
 	for {
 		row, err := r.Next()
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
 			return h, rows, nil
 		}
 		if err != nil {
@@ -85,7 +85,8 @@
 			}
 			for _, to := range formats { // and turned into any other on the fly
 				var direct, turned = written(t, to, h, rows), new(bytes.Buffer)
-				if n, err := Copy(NewWriter(to, turned), NewReader(f, bytes.NewReader(text))); err != nil || n != len(rows) || !bytes.Equal(turned.Bytes(), direct) {
+				n, err := Copy(NewWriter(to, turned), NewReader(f, bytes.NewReader(text)))
+				if err != nil || n != len(rows) || !bytes.Equal(turned.Bytes(), direct) {
 					t.Fatalf("%d to %d: %v\n%s\n%s", f, to, err, turned, direct)
 				}
 			}
@@ -99,7 +100,11 @@
 
 // A result cut anywhere is none; CSV, and TSV between two lines, cannot tell, which is for the HTTP body's length.
 func TestACutResultIsNoResult(t *testing.T) {
-	h, rows := Head{Vars: []string{"x", "y"}}, [][]Term{{{Kind: IRI, Value: "http://a"}, {}}, {{Kind: Literal, Value: "b", Lang: "en"}, {Kind: Literal, Value: "c"}}}
+	h := Head{Vars: []string{"x", "y"}}
+	rows := [][]Term{
+		{{Kind: IRI, Value: "http://a"}, {}},
+		{{Kind: Literal, Value: "b", Lang: "en"}, {Kind: Literal, Value: "c"}},
+	}
 	for _, f := range []Format{JSON, XML, TSV} {
 		for _, whole := range [][]byte{written(t, f, h, rows), written(t, min(f, XML), Head{Ask: true, Boolean: true}, nil)} {
 			last := len(bytes.TrimRight(whole, "\n"))
@@ -138,20 +143,36 @@
 		f    Format
 		text string
 	}{
-		{JSON, `[]`}, {JSON, `{}`}, {JSON, `{"results":{"bindings":[]},"head":{"vars":[]}}`}, {JSON, `{"head":{"vars":["x","x"]},"results":{"bindings":[]}}`},
+		{JSON, `[]`},
+		{JSON, `{}`},
+		{JSON, `{"results":{"bindings":[]},"head":{"vars":[]}}`},
+		{JSON, `{"head":{"vars":["x","x"]},"results":{"bindings":[]}}`},
 		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[{"y":{"type":"uri","value":"a"}}]}}`},
 		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"uri"}}]}}`},
 		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"other","value":"a"}}]}}`},
-		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"literal","value":"a","xml:lang":"e","datatype":"d"}}]}}`},
-		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[],"bindings":[]}}`}, {JSON, `{"head":{},"boolean":true,"boolean":false}`},
-		{JSON, `{"head":{"vars":["x"]},"boolean":true}`}, {JSON, `{"head":{"vars":["x"]},"results":{}}`}, {JSON, strings.Repeat("[", 100000)},
-		{XML, `<sparql/>`}, {XML, `<sparql xmlns="` + space + `"><head/><other/></sparql>`},
-		{XML, `<sparql xmlns="` + space + `"><head><variable name="x"/></head><results><result><binding name="y"><uri>a</uri></binding></result></results></sparql>`},
-		{XML, `<sparql xmlns="` + space + `"><head><variable name="x"/></head><results><result><binding name="x"><uri>a</uri><uri>b</uri></binding></result></results></sparql>`},
-		{XML, `<sparql xmlns="` + space + `"><head/><boolean>maybe</boolean></sparql>`},
-		{XML, `<!DOCTYPE s [<!ENTITY a "aaaa">]><sparql xmlns="` + space + `"><head/><boolean>&a;</boolean></sparql>`},
+		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"literal","value":"a",` +
+			`"xml:lang":"e","datatype":"d"}}]}}`},
+		{JSON, `{"head":{"vars":["x"]},"results":{"bindings":[],"bindings":[]}}`},
+		{JSON, `{"head":{},"boolean":true,"boolean":false}`},
+		{JSON, `{"head":{"vars":["x"]},"boolean":true}`},
+		{JSON, `{"head":{"vars":["x"]},"results":{}}`},
+		{JSON, strings.Repeat("[", 100000)},
+		{XML, `<sparql/>`}, {XML, `<sparql xmlns="` + xmlNamespace + `"><head/><other/></sparql>`},
+		{XML, `<sparql xmlns="` + xmlNamespace + `"><head><variable name="x"/></head><results>` +
+			`<result><binding name="y"><uri>a</uri></binding></result></results></sparql>`},
+		{XML, `<sparql xmlns="` + xmlNamespace + `"><head><variable name="x"/></head><results>` +
+			`<result><binding name="x"><uri>a</uri><uri>b</uri></binding></result></results></sparql>`},
+		{XML, `<sparql xmlns="` + xmlNamespace + `"><head/><boolean>maybe</boolean></sparql>`},
+		{XML, `<!DOCTYPE s [<!ENTITY a "aaaa">]><sparql xmlns="` + xmlNamespace + `"><head/><boolean>&a;</boolean></sparql>`},
 		{CSV, ""}, {CSV, "x,x\n"}, {CSV, "x,y\n1\n"}, {CSV, "x\n\"a\n"},
-		{TSV, ""}, {TSV, "x\n"}, {TSV, "?x\n1\t2\n"}, {TSV, "?x\t?y\n1\n"}, {TSV, "?x\n\"a\n"}, {TSV, "?x\nabc\n"}, {TSV, "?x\n<a\n"}, {TSV, "?x\n\"a\"@\n"},
+		{TSV, ""},
+		{TSV, "x\n"},
+		{TSV, "?x\n1\t2\n"},
+		{TSV, "?x\t?y\n1\n"},
+		{TSV, "?x\n\"a\n"},
+		{TSV, "?x\nabc\n"},
+		{TSV, "?x\n<a\n"},
+		{TSV, "?x\n\"a\"@\n"},
 	} {
 		if _, rows, err := readAll(NewReader(c.f, strings.NewReader(c.text))); err == nil {
 			t.Errorf("%d: %.200s: %d rows, no fault", c.f, c.text, len(rows))
@@ -178,12 +199,17 @@
 }
 
 func TestARowWithoutEndIsBounded(t *testing.T) {
-	for f, starts := range map[Format][]string{JSON: {`{"head":{"vars":["`, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"literal","value":"`},
-		XML: {`<sparql xmlns="` + space + `"><head><variable name="`, `<sparql xmlns="` + space + `"><head><variable name="x"/></head><results><result><binding name="x"><literal>`},
+	for f, starts := range map[Format][]string{
+		JSON: {`{"head":{"vars":["`, `{"head":{"vars":["x"]},"results":{"bindings":[{"x":{"type":"literal","value":"`},
+		XML: {
+			`<sparql xmlns="` + xmlNamespace + `"><head><variable name="`,
+			`<sparql xmlns="` + xmlNamespace + `"><head><variable name="x"/></head>` +
+				`<results><result><binding name="x"><literal>`,
+		},
 		CSV: {"", "x\n"}, TSV: {"?", "?x\n\""}} {
 		for _, start := range starts {
 			e := &endless{start: strings.NewReader(start)}
-			if _, _, err := readAll(NewReader(f, e)); !errors.Is(err, ErrBound) || e.read > 2*MostRow {
+			if _, _, err := readAll(NewReader(f, e)); !errors.Is(err, ErrBound) || e.read > 2*MaxRow {
 				t.Errorf("%d: %s...: %v after %d bytes", f, start, err, e.read)
 			}
 		}
@@ -193,9 +219,12 @@
 func TestFormatsAreNegotiatedByWeight(t *testing.T) {
 	all := []string{JSON.MediaType(), XML.MediaType(), CSV.MediaType(), TSV.MediaType()}
 	for accept, want := range map[string]string{
-		"": all[0], "*/*": all[0], "text/csv": all[2], "text/*": all[2], "text/*;q=0.5, application/sparql-results+xml;q=0.6": all[1],
-		"text/csv;q=0.1, */*;q=0.5": all[0], "*/*, application/sparql-results+json;q=0": all[1], "text/*, text/csv;q=0.2": all[3],
-		"APPLICATION/SPARQL-RESULTS+XML": all[1], "image/png": "", "text/csv;q=0": "", "text/csv;q=2": "", "nonsense": "", "*/csv": "",
+		"": all[0], "*/*": all[0], "text/csv": all[2], "text/*": all[2],
+		"text/*;q=0.5, application/sparql-results+xml;q=0.6": all[1],
+		"text/csv;q=0.1, */*;q=0.5":                          all[0], "*/*, application/sparql-results+json;q=0": all[1],
+		"text/*, text/csv;q=0.2":         all[3],
+		"APPLICATION/SPARQL-RESULTS+XML": all[1], "image/png": "", "text/csv;q=0": "", "text/csv;q=2": "",
+		"nonsense": "", "*/csv": "",
 		strings.Repeat("a/b,", 100) + "*/*": "",
 	} {
 		if got, ok := Negotiate(accept, all); got != want || ok != (want != "") {
@@ -211,9 +240,13 @@
 		for _, format := range formats {
 			var b bytes.Buffer
 			w := NewWriter(format, &b)
-			w.Head(h)
+			if err := w.Head(h); err != nil {
+				f.Fatal(err)
+			}
 			for _, row := range rows {
-				w.Row(row)
+				if err := w.Row(row); err != nil {
+					f.Fatal(err)
+				}
 			}
 			w.Close()
 			f.Add(uint8(format), b.Bytes())
--- a/internal/sparql/results/xml.go
+++ b/internal/sparql/results/xml.go
@@ -3,76 +3,45 @@
 import (
 	"bytes"
 	"encoding/xml"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
 )
 
-const space = "http://www.w3.org/2005/sparql-results#"
+const xmlNamespace = "http://www.w3.org/2005/sparql-results#"
+
+var (
+	errTextBetween   = errors.New("text between elements")
+	errSecondResult  = errors.New("more than one result")
+	errMoreAfterEnd  = errors.New("more after the end")
+	errSecondBinding = errors.New("two values in a binding")
+)
 
 // xmlReader reads <sparql> with its head and results, or boolean.
 type xmlReader struct {
-	from *bounded
-	d    *xml.Decoder
-	head Head
-	at   map[string]int
-	row  []Term
-	over bool
-}
-
-func newXMLReader(b *bounded) *xmlReader { return &xmlReader{from: b, d: xml.NewDecoder(b)} }
-
-// token gives the next start or end of an element; what else there is between them must be white space.
-func (r *xmlReader) token() (xml.Token, error) {
-	for {
-		t, err := r.d.Token()
-		if err != nil {
-			return nil, err
-		}
-		switch x := t.(type) {
-		case xml.StartElement:
-			if x.Name.Space != space {
-				return nil, fmt.Errorf("element %s of another name space", x.Name.Local)
-			}
-			return x, nil
-		case xml.EndElement:
-			return x, nil
-		case xml.CharData:
-			if len(bytes.TrimSpace(x)) > 0 {
-				return nil, fmt.Errorf("text between elements")
-			}
-		}
-	}
-}
-
-func (r *xmlReader) start(name string) (xml.StartElement, error) {
-	t, err := r.token()
-	if err != nil {
-		return xml.StartElement{}, err
-	}
-	if s, is := t.(xml.StartElement); is && (name == "" || s.Name.Local == name) {
-		return s, nil
-	}
-	return xml.StartElement{}, fmt.Errorf("no element %s", name)
+	source   *bounded
+	decoder  *xml.Decoder
+	head     Head
+	columns  map[string]int // by variable
+	row      []Term
+	complete bool
 }
 
-func attribute(s xml.StartElement, name string) string {
-	for _, a := range s.Attr {
-		if a.Name.Local == name {
-			return a.Value
-		}
-	}
-	return ""
+func newXMLReader(source *bounded) *xmlReader {
+	return &xmlReader{source: source, decoder: xml.NewDecoder(source)}
 }
 
+// Head implements Reader.
 func (r *xmlReader) Head() (Head, error) {
 	if err := r.readHead(); err != nil {
-		return Head{}, r.from.cause(err)
+		return Head{}, r.source.cause(err)
 	}
-	r.from.renew()
+	r.source.renew()
 	return r.head, nil
 }
 
+// readHead reads up to the first result, or the whole answer of an ASK.
 func (r *xmlReader) readHead() error {
 	if _, err := r.start("sparql"); err != nil {
 		return err
@@ -80,216 +49,305 @@
 	if _, err := r.start("head"); err != nil {
 		return err
 	}
-	for {
-		t, err := r.token()
-		if err != nil {
-			return err
-		}
-		s, is := t.(xml.StartElement)
-		if !is {
-			break
-		}
-		if s.Name.Local == "variable" {
-			r.head.Vars = append(r.head.Vars, attribute(s, "name"))
-		}
-		if err := r.d.Skip(); err != nil {
-			return err
-		}
-	}
-	var err error
-	if r.at, err = indexOf(r.head.Vars); err != nil {
+	if err := r.readVariables(); err != nil {
 		return err
 	}
-	s, err := r.start("")
+	element, err := r.start("")
 	if err != nil {
 		return err
 	}
-	switch s.Name.Local {
+	switch element.Name.Local {
 	case "results":
 		return nil
 	case "boolean":
-		text, err := r.text()
-		if err != nil {
-			return err
-		}
-		if text = strings.TrimSpace(text); len(r.head.Vars) > 0 || text != "true" && text != "false" {
-			return fmt.Errorf("boolean %.20q", text)
-		}
-		r.head.Ask, r.head.Boolean = true, text == "true"
-		return r.end()
+		return r.readBoolean()
 	}
-	return fmt.Errorf("element %s", s.Name.Local)
+	return fmt.Errorf("element %s", element.Name.Local)
 }
 
-// text reads to the end of the element at hand.
-func (r *xmlReader) text() (string, error) {
-	var b strings.Builder
+// readVariables reads to the end of the head.
+func (r *xmlReader) readVariables() error {
 	for {
-		t, err := r.d.Token()
+		token, err := r.token()
 		if err != nil {
-			return "", err
+			return err
 		}
-		switch x := t.(type) {
-		case xml.CharData:
-			b.Write(x)
-		case xml.EndElement:
-			return b.String(), nil
-		case xml.StartElement:
-			return "", fmt.Errorf("element %s inside text", x.Name.Local)
+		element, isStart := token.(xml.StartElement)
+		if !isStart {
+			break
+		}
+		if element.Name.Local == "variable" {
+			r.head.Vars = append(r.head.Vars, attribute(element, "name"))
+		}
+		if err := r.decoder.Skip(); err != nil {
+			return err
 		}
 	}
+	columns, err := indexVariables(r.head.Vars)
+	r.columns = columns
+	return err
 }
 
-// end makes sure that the outermost element ends and nothing follows.
-func (r *xmlReader) end() error {
-	if t, err := r.token(); err != nil {
+func (r *xmlReader) readBoolean() error {
+	text, err := r.text()
+	if err != nil {
 		return err
-	} else if _, is := t.(xml.EndElement); !is {
-		return fmt.Errorf("more than one result")
 	}
-	if _, err := r.token(); err != io.EOF {
-		if err == nil {
-			err = fmt.Errorf("more after the end")
-		}
-		return err
+	text = strings.TrimSpace(text)
+	if len(r.head.Vars) > 0 || text != "true" && text != "false" {
+		return fmt.Errorf("boolean %.20q", text)
 	}
-	r.over = true
-	return nil
+	r.head.Ask = true
+	r.head.Boolean = text == "true"
+	return r.finish()
 }
 
+// Next implements Reader.
 func (r *xmlReader) Next() ([]Term, error) {
-	if r.over {
+	if r.complete {
 		return nil, io.EOF
 	}
-	t, err := r.token()
+	token, err := r.token()
 	if err != nil {
-		return nil, r.from.cause(err)
+		return nil, r.source.cause(err)
 	}
-	s, is := t.(xml.StartElement)
-	if !is { // of results
-		if err := r.end(); err != nil {
-			return nil, r.from.cause(err)
+	element, isStart := token.(xml.StartElement)
+	if !isStart { // the end of results
+		if err := r.finish(); err != nil {
+			return nil, r.source.cause(err)
 		}
 		return nil, io.EOF
 	}
-	if s.Name.Local != "result" {
-		return nil, fmt.Errorf("%w: element %s", ErrForm, s.Name.Local)
+	if element.Name.Local != "result" {
+		return nil, fmt.Errorf("%w: element %s", ErrForm, element.Name.Local)
 	}
+	if err := r.readBindings(); err != nil {
+		return nil, r.source.cause(err)
+	}
+	r.source.renew()
+	return r.row, nil
+}
+
+// readBindings reads a row to the end of its element.
+func (r *xmlReader) readBindings() error {
 	if r.row == nil {
 		r.row = make([]Term, len(r.head.Vars))
 	}
 	clear(r.row)
 	for {
-		t, err := r.token()
+		token, err := r.token()
 		if err != nil {
-			return nil, r.from.cause(err)
+			return err
 		}
-		s, is := t.(xml.StartElement)
-		if !is {
-			r.from.renew()
-			return r.row, nil
+		element, isStart := token.(xml.StartElement)
+		if !isStart {
+			return nil
 		}
-		if err := r.binding(s); err != nil {
-			return nil, r.from.cause(err)
+		if err := r.readBinding(element); err != nil {
+			return err
 		}
 	}
 }
 
-func (r *xmlReader) binding(s xml.StartElement) error {
-	i, known := r.at[attribute(s, "name")]
-	if s.Name.Local != "binding" || !known || r.row[i].Kind != Unbound {
-		return fmt.Errorf("element %s of %q", s.Name.Local, attribute(s, "name"))
+func (r *xmlReader) readBinding(binding xml.StartElement) error {
+	name := attribute(binding, "name")
+	column, known := r.columns[name]
+	if binding.Name.Local != "binding" || !known || r.row[column].Kind != Unbound {
+		return fmt.Errorf("element %s of %q", binding.Name.Local, name)
 	}
-	v, err := r.start("")
+	element, err := r.start("")
 	if err != nil {
 		return err
 	}
-	t := Term{}
-	switch v.Name.Local {
+	term := Term{}
+	switch element.Name.Local {
 	case "uri":
-		t.Kind = IRI
+		term.Kind = IRI
 	case "bnode":
-		t.Kind = Blank
+		term.Kind = Blank
 	case "literal":
-		t.Kind, t.Lang, t.Datatype = Literal, attribute(v, "lang"), attribute(v, "datatype")
+		term.Kind = Literal
+		term.Lang = attribute(element, "lang")
+		term.Datatype = attribute(element, "datatype")
 	default:
-		return fmt.Errorf("element %s", v.Name.Local)
+		return fmt.Errorf("element %s", element.Name.Local)
+	}
+	if term.Value, err = r.text(); err != nil {
+		return err
 	}
-	if t.Value, err = r.text(); err != nil {
+	r.row[column] = term
+	return r.expectEnd(errSecondBinding)
+}
+
+// finish makes sure that the outermost element ends and nothing follows.
+func (r *xmlReader) finish() error {
+	if err := r.expectEnd(errSecondResult); err != nil {
 		return err
 	}
-	r.row[i] = t
-	if e, err := r.token(); err != nil {
+	_, err := r.token()
+	if err == nil {
+		return errMoreAfterEnd
+	}
+	if err != io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
 		return err
-	} else if _, is := e.(xml.EndElement); !is {
-		return fmt.Errorf("two values in a binding")
 	}
+	r.complete = true
 	return nil
 }
 
-type xmlWriter struct {
-	to   io.Writer
-	head Head
-	buf  bytes.Buffer
+// token returns the next start or end of an element; what else there is between them must be white space.
+func (r *xmlReader) token() (xml.Token, error) {
+	for {
+		token, err := r.decoder.Token()
+		if err != nil {
+			return nil, err
+		}
+		switch token := token.(type) {
+		case xml.StartElement:
+			if token.Name.Space != xmlNamespace {
+				return nil, fmt.Errorf("element %s of another name space", token.Name.Local)
+			}
+			return token, nil
+		case xml.EndElement:
+			return token, nil
+		case xml.CharData:
+			if len(bytes.TrimSpace(token)) > 0 {
+				return nil, errTextBetween
+			}
+		}
+	}
 }
 
-func (w *xmlWriter) flush() error {
-	_, err := w.to.Write(w.buf.Bytes())
-	w.buf.Reset()
-	return err
+// start returns the start of the next element, which must be of that name; "": any.
+func (r *xmlReader) start(name string) (xml.StartElement, error) {
+	token, err := r.token()
+	if err != nil {
+		return xml.StartElement{}, err
+	}
+	element, isStart := token.(xml.StartElement)
+	if !isStart || name != "" && element.Name.Local != name {
+		return xml.StartElement{}, fmt.Errorf("no element %s", name)
+	}
+	return element, nil
 }
 
-func (w *xmlWriter) text(s string) { xml.EscapeText(&w.buf, []byte(s)) }
+// expectEnd reads the end of an element; otherwise is the error where another element starts.
+func (r *xmlReader) expectEnd(otherwise error) error {
+	token, err := r.token()
+	if err != nil {
+		return err
+	}
+	if _, isEnd := token.(xml.EndElement); !isEnd {
+		return otherwise
+	}
+	return nil
+}
 
-func (w *xmlWriter) Head(h Head) error {
-	w.head = h
-	w.buf.WriteString("<?xml version=\"1.0\"?>\n<sparql xmlns=\"" + space + "\"><head>")
-	for _, v := range h.Vars {
-		w.buf.WriteString(`<variable name="`)
-		w.text(v)
-		w.buf.WriteString(`"/>`)
-	}
-	w.buf.WriteString("</head>")
-	if h.Ask {
-		fmt.Fprintf(&w.buf, "<boolean>%v</boolean>", h.Boolean)
+// text reads to the end of the present element, which must hold text only.
+func (r *xmlReader) text() (string, error) {
+	var text strings.Builder
+	for {
+		token, err := r.decoder.Token()
+		if err != nil {
+			return "", err
+		}
+		switch token := token.(type) {
+		case xml.CharData:
+			text.Write(token)
+		case xml.EndElement:
+			return text.String(), nil
+		case xml.StartElement:
+			return "", fmt.Errorf("element %s inside text", token.Name.Local)
+		}
+	}
+}
+
+func attribute(element xml.StartElement, name string) string {
+	for _, attribute := range element.Attr {
+		if attribute.Name.Local == name {
+			return attribute.Value
+		}
+	}
+	return ""
+}
+
+// xmlElements are the elements of terms by their kind.
+var xmlElements = [...]string{IRI: "uri", Literal: "literal", Blank: "bnode"}
+
+// xmlWriter writes one result a line.
+type xmlWriter struct {
+	destination io.Writer
+	head        Head
+	buffer      bytes.Buffer // of a row
+}
+
+// Head implements Writer.
+func (w *xmlWriter) Head(head Head) error {
+	w.head = head
+	w.buffer.WriteString("<?xml version=\"1.0\"?>\n<sparql xmlns=\"" + xmlNamespace + "\"><head>")
+	for _, name := range head.Vars {
+		w.buffer.WriteString(`<variable name="`)
+		w.escape(name)
+		w.buffer.WriteString(`"/>`)
+	}
+	w.buffer.WriteString("</head>")
+	if head.Ask {
+		fmt.Fprintf(&w.buffer, "<boolean>%v</boolean>", head.Boolean)
 	} else {
-		w.buf.WriteString("<results>")
+		w.buffer.WriteString("<results>")
 	}
 	return w.flush()
 }
 
+// Row implements Writer.
 func (w *xmlWriter) Row(row []Term) error {
-	w.buf.WriteString("\n<result>")
-	for i, t := range row {
-		if t.Kind == Unbound {
-			continue
-		}
-		w.buf.WriteString(`<binding name="`)
-		w.text(w.head.Vars[i])
-		w.buf.WriteString(`">`)
-		name := [...]string{"", "uri", "literal", "bnode"}[t.Kind]
-		w.buf.WriteString("<" + name)
-		if t.Lang != "" {
-			w.buf.WriteString(` xml:lang="`)
-			w.text(t.Lang)
-			w.buf.WriteString(`"`)
-		} else if t.Datatype != "" {
-			w.buf.WriteString(` datatype="`)
-			w.text(t.Datatype)
-			w.buf.WriteString(`"`)
+	w.buffer.WriteString("\n<result>")
+	for column, term := range row {
+		if term.Kind != Unbound {
+			w.writeBinding(w.head.Vars[column], term)
 		}
-		w.buf.WriteString(">")
-		w.text(t.Value)
-		w.buf.WriteString("</" + name + "></binding>")
 	}
-	w.buf.WriteString("</result>")
+	w.buffer.WriteString("</result>")
 	return w.flush()
 }
 
+func (w *xmlWriter) writeBinding(name string, term Term) {
+	w.buffer.WriteString(`<binding name="`)
+	w.escape(name)
+	w.buffer.WriteString(`">`)
+	element := xmlElements[term.Kind]
+	w.buffer.WriteString("<" + element)
+	if term.Lang != "" {
+		w.writeAttribute("xml:lang", term.Lang)
+	} else if term.Datatype != "" {
+		w.writeAttribute("datatype", term.Datatype)
+	}
+	w.buffer.WriteString(">")
+	w.escape(term.Value)
+	w.buffer.WriteString("</" + element + "></binding>")
+}
+
+func (w *xmlWriter) writeAttribute(name, value string) {
+	w.buffer.WriteString(" " + name + `="`)
+	w.escape(value)
+	w.buffer.WriteString(`"`)
+}
+
+func (w *xmlWriter) escape(text string) {
+	_ = xml.EscapeText(&w.buffer, []byte(text)) // writing to a buffer cannot fail
+}
+
+func (w *xmlWriter) flush() error {
+	_, err := w.destination.Write(w.buffer.Bytes())
+	w.buffer.Reset()
+	return err
+}
+
+// Close implements Writer.
 func (w *xmlWriter) Close() error {
 	if !w.head.Ask {
-		w.buf.WriteString("\n</results>")
+		w.buffer.WriteString("\n</results>")
 	}
-	w.buf.WriteString("</sparql>\n")
+	w.buffer.WriteString("</sparql>\n")
 	return w.flush()
 }
