--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -61,11 +61,11 @@
 		text string
 		want bool
 	}{
-		"in order":                  {"msg=order_accepted fence=1.2.1 by=x@v1\nmsg=order_taken fence=1.2.2 by=x@v1\nmsg=order_taken fence=1.3.1 by=x@v2\n", true},
-		"out of order":              {"msg=order_accepted fence=1.3.1 by=x@v2\nmsg=order_taken fence=1.2.2 by=x@v1\n", false},
-		"the same twice":            {"msg=order_accepted fence=1.2.1 by=x@v1\nmsg=order_taken fence=1.2.1 by=x@v1\n", false},
-		"two leaders of one term":   {"msg=order_accepted fence=1.2.1 by=x@v1\nmsg=order_taken fence=1.2.2 by=x@v2\n", false},
-		"not a fence":               {"msg=order_accepted fence=none by=x@v1\n", false},
+		"in order":                  {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.2 ordered_by=x@v1\nmsg=order_accepted fence=1.3.1 ordered_by=x@v2\n", true},
+		"out of order":              {"msg=order_accepted fence=1.3.1 ordered_by=x@v2\nmsg=order_accepted fence=1.2.2 ordered_by=x@v1\n", false},
+		"the same twice":            {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.1 ordered_by=x@v1\n", false},
+		"two leaders of one term":   {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.2 ordered_by=x@v2\n", false},
+		"not a fence":               {"msg=order_accepted fence=none ordered_by=x@v1\n", false},
 		"other lines are of no use": {"msg=plan_taken\n", true},
 	} {
 		t.Run(name, func(t *testing.T) {
