--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"slices"
 	"syscall"
@@ -14,118 +15,210 @@
 	"swiftreel/internal/testcluster"
 )
 
-// switches is how often a controller's program is changed in each way.
-const switches = 3
+const (
+	handoverSeed    = 77
+	handoverClients = 30
+	handoverPause   = 140 * time.Millisecond
+	handoverEngines = 2
+	// handoverSwitches is how often a controller's program is changed in each way.
+	handoverSwitches = 3
+	// steadyTime is the load beside the switches; it proves nothing.
+	steadyTime = 1500 * time.Millisecond
+	// requestTimeout bounds an order or a status over HTTP.
+	requestTimeout = 2 * time.Second
 
-// handover changes the program of the one controller of a town under load: by a process beside the old one, and, as the
-// plain way, by SIGTERM and a new start. It tells whether the figures hold.
-func handover(base, next string) bool {
-	town, err := testcluster.NewTown(base, 77, 1, 2, false)
+	maxGapMS = 500  // without an answer
+	minDone  = 0.99 // of all answers
+)
+
+// errUnsettled is returned where the figures of a hand-over cannot be had.
+var errUnsettled = errors.New("no controller serves")
+
+// handover is a cluster of one controller whose program is changed under load.
+type handover struct {
+	cluster *testcluster.Town
+	member  *testcluster.Member
+	passed  bool // no figure has failed
+}
+
+// fail prints what failed.
+func (h *handover) fail(reason ...any) {
+	fmt.Println(append([]any{"FAILED: hand-over:"}, reason...)...)
+	h.passed = false
+}
+
+// checkHandover changes the program of a controller under load: by a process beside the old one and, as the plain
+// way, by SIGTERM and a new start. It prints the figures and reports whether they hold.
+func checkHandover(base, next string) bool {
+	h := &handover{passed: true}
+	cluster, err := testcluster.NewTown(base, handoverSeed, 1, handoverEngines, false)
 	if err != nil {
-		fmt.Println("FAILED: hand-over:", err)
+		h.fail(err)
 		return false
 	}
-	defer town.Close()
-	m := town.Members[0]
-	load := town.NewLoad(77, 30, 140*time.Millisecond, false)
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
-	steady := func() { time.Sleep(1500 * time.Millisecond) } // the load beside the switches, not a proof
-	steady()
+	defer cluster.Close()
+	h.cluster = cluster
+	h.member = cluster.Members[0]
+	load := cluster.NewLoad(handoverSeed, handoverClients, handoverPause, false)
+	time.Sleep(steadyTime)
 	marks := []time.Time{time.Now()}
-	ok := true
-	settled := func(is func(s int, drains int) bool) {
-		if err := town.Await(20*time.Second, func() bool {
-			s, err := town.Status(m)
-			return err == nil && s.Serving && is(s.PID, len(s.DrainingPIDs))
-		}); err != nil {
-			fmt.Println("FAILED: hand-over:", err, m.Keeper.Log())
-			ok = false
-		}
-	}
-	for i := range switches {
-		s, err := town.Status(m)
-		if err != nil {
-			fmt.Println("FAILED: hand-over:", err)
-			return false
-		}
-		want := s.Spec
-		want.Program.Path = []string{next, base}[i%2]
-		want.Program.Digest, _ = change.OfFile(want.Program.Path)
-		fleet.Order(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Turn: int64(i) + 1}, By: "x", Member: m.Name, Want: want}})
-		settled(func(pid, drains int) bool { return pid != s.PID && drains == 0 })
-		steady()
+	if err := h.switchBeside(base, next); err != nil {
+		h.fail(err)
+		return false
 	}
-	cut := load.Broken.Load()
+	brokenBeside := load.Broken.Load()
 	marks = append(marks, time.Now())
-	for range switches {
-		s, err := town.Status(m)
-		if err != nil || s.PID == 0 {
-			fmt.Println("FAILED: hand-over:", err)
-			return false
-		}
-		syscall.Kill(s.PID, syscall.SIGTERM)
-		settled(func(pid, _ int) bool { return pid != s.PID })
-		steady()
+	if err := h.switchByRestart(); err != nil {
+		h.fail(err)
+		return false
 	}
 	marks = append(marks, time.Now())
 	load.Stop()
-	all := load.Broken.Load()
-	if err := town.Stop(); err != nil {
-		fmt.Println("FAILED: hand-over:", err)
-		ok = false
+	broken := []int64{brokenBeside, load.Broken.Load() - brokenBeside}
+	if err := cluster.Stop(); err != nil {
+		h.fail(err)
 	}
-	log := town.Book.Log()
+	log := cluster.Book.Log()
 	for _, v := range rulecheck.Check(testcluster.Rules, log) {
-		fmt.Println("FAILED: hand-over:", v)
-		ok = false
+		h.fail(v)
 	}
-	fmt.Printf("hand-over of the program, one controller, %d switches each way:\n", switches)
+	h.printFigures(log, marks, broken)
+	return h.passed
+}
+
+// printFigures prints the figures of both ways, which begin and end at the marks, and checks those of the first.
+func (h *handover) printFigures(log []rulecheck.Entry, marks []time.Time, broken []int64) {
+	fmt.Printf("hand-over of the program, one controller, %d switches each way:\n", handoverSwitches)
 	for i, name := range []string{"beside the old one", "SIGTERM and a new start"} {
-		f := figures(log, marks[i], marks[i+1])
-		fmt.Printf("  %-24s %4.0f jobs/s, done %.2f%%, p50 %.1f ms, p99 %.1f ms, longest time without an answer %4.0f ms, cut off %d; with an ordered key p99 %.0f ms\n",
-			name, f.rate, 100*f.done, f.p50, f.p99, f.gap, []int64{cut, all - cut}[i], f.keyed)
-		if i == 0 && (f.gap > 500 || f.done < 0.99) {
+		f := figuresOf(log, marks[i], marks[i+1])
+		fmt.Println(f.line(name, broken[i]))
+		isBeside := i == 0
+		if isBeside && (f.gapMS > maxGapMS || f.done < minDone) {
 			fmt.Println("FAILED: a gap of over 500 ms, or under 99% done")
-			ok = false
+			h.passed = false
+		}
+	}
+}
+
+// switchBeside has the coordinator order another program several times.
+func (h *handover) switchBeside(base, next string) error {
+	for i := range handoverSwitches {
+		status, err := h.cluster.Status(h.member)
+		if err != nil {
+			return err
+		}
+		program := []string{next, base}[i%2]
+		if err := orderProgram(h.member, status.Spec, program, int64(i)+1); err != nil {
+			return err
 		}
+		h.awaitServing(func(pid, draining int) bool { return pid != status.PID && draining == 0 })
+		time.Sleep(steadyTime)
 	}
-	return ok
+	return nil
 }
 
-type spanFigures struct{ rate, done, p50, p99, gap, keyed float64 }
+// switchByRestart ends the controller several times; its supervisor starts it again.
+func (h *handover) switchByRestart() error {
+	for range handoverSwitches {
+		status, err := h.cluster.Status(h.member)
+		if err != nil {
+			return err
+		}
+		if status.PID == 0 {
+			return errUnsettled
+		}
+		_ = syscall.Kill(status.PID, syscall.SIGTERM) // one that has exited meanwhile is started again too
+		h.awaitServing(func(pid, _ int) bool { return pid != status.PID })
+		time.Sleep(steadyTime)
+	}
+	return nil
+}
+
+// awaitServing waits until the controller serves and its process is as wanted.
+func (h *handover) awaitServing(isWanted func(pid, draining int) bool) {
+	err := h.cluster.Await(awaitTimeout, func() bool {
+		status, err := h.cluster.Status(h.member)
+		return err == nil && status.Serving && isWanted(status.PID, len(status.DrainingPIDs))
+	})
+	if err != nil {
+		h.fail(err, h.member.Keeper.Log())
+	}
+}
+
+// orderProgram orders another program from a member's supervisor, past its link. Whether the order was accepted shows
+// in the status.
+func orderProgram(m *testcluster.Member, spec change.Spec, program string, turn int64) error {
+	digest, err := change.OfFile(program)
+	if err != nil {
+		return err
+	}
+	spec.Program = change.Program{Path: program, Digest: digest}
+	members := []operator.Member{{Name: m.Name, Listen: m.Keeps}}
+	fleet := coordinator.NewFleet(members, requestTimeout, requestTimeout)
+	fence := change.Fence{Number: 1, Term: 1, Turn: turn}
+	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: spec}
+	fleet.Order(context.Background(), map[int]change.Order{0: order})
+	return nil
+}
+
+// figures are those of jobs that were answered in a span of time. Jobs with an ordered key stand apart: under a newer
+// process they wait until the older one has exited.
+type figures struct {
+	perSecond  float64
+	done       float64 // part of all answers
+	p50MS      float64
+	p99MS      float64
+	gapMS      float64 // the longest time without an answer
+	keyedP99MS float64
+}
+
+func (f figures) line(name string, broken int64) string {
+	return fmt.Sprintf("  %-24s %4.0f jobs/s, done %.2f%%, p50 %.1f ms, p99 %.1f ms, longest time without an answer "+
+		"%4.0f ms, cut off %d; with an ordered key p99 %.0f ms",
+		name, f.perSecond, 100*f.done, f.p50MS, f.p99MS, f.gapMS, broken, f.keyedP99MS)
+}
 
-// figures are those of jobs that were answered in a span. Ones with an ordered key stand apart: under a newer process they
-// wait until the older one has ended.
-func figures(log []rulecheck.Entry, from, to time.Time) (f spanFigures) {
-	taken := map[string]rulecheck.Entry{}
-	last, done := from.UnixNano(), 0
-	var took, keyed []float64
+// figuresOf reads the figures of a span off a cluster's log; without jobs of both sorts only the gap is filled in.
+func figuresOf(log []rulecheck.Entry, from, to time.Time) figures {
+	var f figures
+	accepted := map[string]rulecheck.Entry{}
+	lastNS := from.UnixNano()
+	done := 0
+	var plainMS, keyedMS []float64
 	for _, e := range log {
-		switch e.Event {
-		case rulecheck.Accepted:
-			taken[e.Job] = e
-		case rulecheck.Answered:
-			if e.TimeNS < from.UnixNano() || e.TimeNS >= to.UnixNano() {
-				continue
-			}
-			if ms := float64(e.TimeNS-taken[e.Job].TimeNS) / 1e6; taken[e.Job].Key != "" {
-				keyed = append(keyed, ms)
-			} else {
-				took = append(took, ms)
-			}
-			f.gap, last = max(f.gap, float64(e.TimeNS-last)/1e6), e.TimeNS
-			if e.Answer == rulecheck.Done {
-				done++
-			}
+		if e.Event == rulecheck.Accepted {
+			accepted[e.Job] = e
+		}
+		isInSpan := e.TimeNS >= from.UnixNano() && e.TimeNS < to.UnixNano()
+		if e.Event != rulecheck.Answered || !isInSpan {
+			continue
+		}
+		latencyMS := milliseconds(e.TimeNS - accepted[e.Job].TimeNS)
+		if accepted[e.Job].Key != "" {
+			keyedMS = append(keyedMS, latencyMS)
+		} else {
+			plainMS = append(plainMS, latencyMS)
+		}
+		f.gapMS = max(f.gapMS, milliseconds(e.TimeNS-lastNS))
+		lastNS = e.TimeNS
+		if e.Answer == rulecheck.Done {
+			done++
 		}
 	}
-	if len(took) == 0 || len(keyed) == 0 {
+	if len(plainMS) == 0 || len(keyedMS) == 0 {
 		return f
 	}
-	slices.Sort(took)
-	slices.Sort(keyed)
-	all := float64(len(took) + len(keyed))
-	f.rate, f.done, f.keyed = all/to.Sub(from).Seconds(), float64(done)/all, keyed[len(keyed)*99/100]
-	f.p50, f.p99 = took[len(took)/2], took[len(took)*99/100]
+	slices.Sort(plainMS)
+	slices.Sort(keyedMS)
+	jobs := float64(len(plainMS) + len(keyedMS))
+	f.perSecond = jobs / to.Sub(from).Seconds()
+	f.done = float64(done) / jobs
+	f.p50MS = plainMS[len(plainMS)/2]
+	f.p99MS = plainMS[len(plainMS)*99/100]
+	f.keyedP99MS = keyedMS[len(keyedMS)*99/100]
 	return f
 }
+
+func milliseconds(ns int64) float64 {
+	return float64(ns) / 1e6
+}
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,208 +15,182 @@
 	"swiftreel/internal/testcluster"
 )
 
-// scenario is a change that goes through a town of its own.
-type scenario struct {
-	name        string
-	program     string // a build; "" where the change is one of settings
-	seed        uint64
-	controllers int
-	engines     int
-	kill        bool // its conductor, in each phase
-	brief       bool
-	loses       bool // an engine in the first stage, which is no fault of the change
-	faults      []fault
-	want        rollout.Phase
-	lastStage   int // at most so far before it is taken back
-}
-
-// fault is a line of a schedule: data, so that one that finds something can be played again.
-type fault struct {
-	AtMS   int64           `json:"at_ms"`
-	Member int             `json:"member"`
-	Way    testcluster.Way `json:"way"`
-	Delay  int64           `json:"delay_ms"`
-	Repeat bool            `json:"repeat"`  // an order, once more
-	Stop   int64           `json:"stop_ms"` // SIGSTOP of the keeper, for so long
-}
-
-// schedule draws faults of links and keepers from a seed; the last ones end all.
-func schedule(seed uint64, members int, spanMS int64) (list []fault) {
-	r := rand.New(rand.NewPCG(seed, 7))
-	for at := int64(200); at < spanMS; at += 100 + r.Int64N(400) {
-		f := fault{AtMS: at, Member: r.IntN(members)}
-		switch r.IntN(4) {
-		case 0:
-			f.Repeat = true
-		case 1:
-			f.Stop = 50 + r.Int64N(600)
-		default:
-			f.Way = testcluster.Way(r.IntN(5))
-			f.Delay = 20 + r.Int64N(300)
-		}
-		list = append(list, f)
-	}
-	for i := range members {
-		list = append(list, fault{AtMS: spanMS, Member: i})
-	}
-	return list
-}
-
-// pace is short, as the proof has a minute; brief is for what is not about the judge.
 const (
-	pace = `"pace":{"base_ms":2500,"bake_ms":4000,"most_ms":30000,"apply_ms":12000,"steady_ms":200,"unheard_ms":2500,"shared_ms":3000,"look_ms":100},
-"limits":{"jobs_wanted":200,"shared_per_mille":150,"cpu_percent":300}`
-	brief = `"pace":{"base_ms":500,"bake_ms":500,"most_ms":30000,"apply_ms":12000,"steady_ms":50,"unheard_ms":1500,"shared_ms":3000,"look_ms":50},
-"limits":{"jobs_wanted":20,"shared_per_mille":500,"slower_per_mille":500,"missed_per_mille":300,"cpu_percent":1000}`
+	loadClients  = 3 // at each controller
+	loadPause    = 24 * time.Millisecond
+	awaitTimeout = 20 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// told is what came of a scenario.
-type told struct {
-	scenario
-	phase      rollout.Phase
-	stage      int // reached, from 1
-	outcome    string
-	jobs, new  int64 // answered in all; by the new version
-	broken     int64 // connections, before an answer
-	harm       time.Duration
-	violations []rulecheck.Violation
-	kills      int
-	err        error
-}
-
-func (s scenario) play(base string) (t told) {
-	t = told{scenario: s}
-	town, err := testcluster.NewTown(base, s.seed, s.controllers, s.engines, false)
+// play takes the change through a cluster of its own.
+func (s scenario) play(program string) result {
+	r := result{scenario: s}
+	cluster, err := testcluster.NewTown(program, s.seed, s.controllers, s.engines, false)
 	if err != nil {
-		t.err = err
-		return t
-	}
-	defer town.Close()
-	load := town.NewLoad(s.seed, 3, 24*time.Millisecond, true)
-	folder := filepath.Join(town.Dir, "record")
-	file := filepath.Join(town.Dir, "change.json")
-	text := fmt.Sprintf(`{"number":1,"kind":"settings","to":{"shape":{"budget_free":5}},"stages":[{"per_mille":1},{"per_mille":400},{"per_mille":1000}],%s}`, map[bool]string{false: pace, true: brief}[s.brief])
-	if s.program != "" {
-		text = fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},"stages":[{"per_mille":1},{"per_mille":400},{"per_mille":1000}],%s}`, s.program, pace)
+		r.err = err
+		return r
 	}
-	if t.err = os.WriteFile(file, []byte(text), 0o600); t.err != nil {
-		return t
+	defer cluster.Close()
+	load := cluster.NewLoad(s.seed, loadClients, loadPause, true)
+	folder := filepath.Join(cluster.Dir, "record")
+	file := filepath.Join(cluster.Dir, "change.json")
+	if r.err = os.WriteFile(file, []byte(s.changeFile()), 0o600); r.err != nil {
+		return r
 	}
 	done := make(chan struct{})
-	go s.trouble(town, done)
-	if s.loses {
-		go func() {
-			town.Await(20*time.Second, func() bool {
-				r, _, err := coordinator.Look(folder).Record()
-				return err == nil && r.State.Phase == rollout.Baking
-			})
-			town.Lose("e1")
-		}()
-	}
-	t.kills, t.err = s.conduct(town, base, folder, file)
+	go s.injectFaults(cluster, done)
+	if s.losesEngine {
+		go loseEngine(cluster, folder)
+	}
+	r.kills, r.err = s.coordinate(cluster, program, folder, file)
 	close(done)
 	load.Stop()
-	r, _, err := coordinator.Look(folder).Record()
-	if err != nil && t.err == nil {
-		t.err = err
-	}
-	t.phase, t.stage, t.outcome = r.State.Phase, r.State.Stage+1, r.State.Outcome
-	for _, v := range r.State.Verdicts {
-		t.new = max(t.new, int64(v.NewJobs))
-	}
-	t.harm = span(folder)
-	t.jobs, t.broken = load.Done.Load()+load.Throttled.Load()+load.Cancelled.Load(), load.Broken.Load()
-	want := r.From.Digest()
-	if t.phase == rollout.Done {
-		want = r.To.Digest()
-	}
-	for _, m := range town.Members {
-		if s, err := town.Status(m); t.err == nil && (err != nil || s.RunningSpec != want) {
-			t.err = fmt.Errorf("%s runs %s, wanted %s: %v", m.Name, s.RunningSpec, want, err)
-		}
-		if t.err == nil {
-			t.err = fences(m.Keeper.Log())
-		}
+	r.jobs = load.Done.Load() + load.Throttled.Load() + load.Cancelled.Load()
+	r.brokenConnections = load.Broken.Load()
+	record, _, err := coordinator.Look(folder).Record()
+	r.setError(err)
+	r.addRecord(record)
+	r.exposure = exposure(folder)
+	r.checkMembers(cluster, record)
+	r.setError(cluster.Stop())
+	r.violations = rulecheck.Check(testcluster.Rules, cluster.Book.Log())
+	return r
+}
+
+// setError keeps the first error.
+func (r *result) setError(err error) {
+	if r.err == nil {
+		r.err = err
+	}
+}
+
+// addRecord fills in what the coordinator's record says.
+func (r *result) addRecord(record coordinator.Record) {
+	r.phase = record.State.Phase
+	r.stage = record.State.Stage + 1
+	r.outcome = record.State.Outcome
+	for _, v := range record.State.Verdicts {
+		r.newJobs = max(r.newJobs, int64(v.NewJobs))
 	}
-	if err := town.Stop(); t.err == nil {
-		t.err = err
+}
+
+// checkMembers checks that every controller runs what the record says, and took its orders in their order.
+func (r *result) checkMembers(cluster *testcluster.Town, record coordinator.Record) {
+	wanted := record.From.Digest()
+	if r.phase == rollout.Done {
+		wanted = record.To.Digest()
+	}
+	for _, m := range cluster.Members {
+		status, err := cluster.Status(m)
+		if err != nil || status.RunningSpec != wanted {
+			r.setError(fmt.Errorf("%s runs %s, wanted %s: %s", m.Name, status.RunningSpec, wanted, fmt.Sprint(err)))
+		}
+		r.setError(checkFences(m.Keeper.Log()))
 	}
-	t.violations = rulecheck.Check(testcluster.Rules, town.Book.Log())
-	return t
 }
 
-// trouble plays the schedule.
-func (s scenario) trouble(town *testcluster.Town, done chan struct{}) {
+// loseEngine has an engine die in the first stage.
+func loseEngine(cluster *testcluster.Town, folder string) {
+	isBaking := func() bool {
+		record, _, err := coordinator.Look(folder).Record()
+		return err == nil && record.State.Phase == rollout.Baking
+	}
+	_ = cluster.Await(awaitTimeout, isBaking) // if the rollout is over before, its result says so
+	cluster.Lose("e1")
+}
+
+// injectFaults plays the schedule until done is closed.
+func (s scenario) injectFaults(cluster *testcluster.Town, done chan struct{}) {
 	began := time.Now()
 	for _, f := range s.faults {
+		at := began.Add(time.Duration(f.AtMS) * time.Millisecond)
 		select {
 		case <-done:
 			return
-		case <-time.After(time.Until(began.Add(time.Duration(f.AtMS) * time.Millisecond))):
-		}
-		m := town.Members[f.Member]
-		switch {
-		case f.Repeat:
-			m.Link.Repeat()
-		case f.Stop > 0:
-			m.Keeper.Signal(syscall.SIGSTOP)
-			time.AfterFunc(time.Duration(f.Stop)*time.Millisecond, func() { m.Keeper.Signal(syscall.SIGCONT) })
-		default:
-			m.Link.Set(f.Way, time.Duration(f.Delay)*time.Millisecond)
+		case <-time.After(time.Until(at)):
 		}
+		f.inject(cluster.Members[f.Member])
 	}
 }
 
-// conduct runs conductors until the change ends. Where they are killed, it is once in each phase that the record shows.
-func (s scenario) conduct(town *testcluster.Town, program, folder, file string) (kills int, err error) {
-	killed := map[string]bool{}
-	args := []string{"start", file}
-	if len(s.faults) > 0 { // the start needs all to answer
-		defer func() { kills = 0 }()
+func (f fault) inject(m *testcluster.Member) {
+	switch {
+	case f.Repeat:
+		m.Link.Repeat()
+	case f.StopMS > 0:
+		m.Keeper.Signal(syscall.SIGSTOP)
+		time.AfterFunc(time.Duration(f.StopMS)*time.Millisecond, func() { m.Keeper.Signal(syscall.SIGCONT) })
+	default:
+		m.Link.Set(f.Mode, time.Duration(f.DelayMS)*time.Millisecond)
 	}
+}
+
+// coordinate runs coordinators until the change ends, and returns how many were killed. Where they shall be, it is
+// once in each phase that the record shows.
+func (s scenario) coordinate(cluster *testcluster.Town, program, folder, file string) (int, error) {
+	killedAt := map[string]bool{}
+	kills := 0
+	arguments := []string{"start", file}
 	for {
-		p, err := town.Rollout(program, folder, args...)
+		p, err := cluster.Rollout(program, folder, arguments...)
 		if err != nil {
 			return kills, err
 		}
-		kill := func() bool {
-			r, is, err := coordinator.Look(folder).Record()
-			at := fmt.Sprint(r.State.Phase, r.State.Stage)
-			if s.kill && err == nil && is && !r.State.Phase.Ends() && !killed[at] {
-				killed[at] = true
-				return true
-			}
-			return false
+		for !p.Over() && !s.killsNow(folder, killedAt) {
+			time.Sleep(pollInterval)
 		}
-		for !p.Over() && !kill() {
-			time.Sleep(2 * time.Millisecond)
+		if !p.Over() {
+			p.End()
+			kills++
+			arguments = []string{"resume", "--conduct"}
+			continue
 		}
-		if p.Over() {
-			end := p.Await()
-			if r, is, _ := coordinator.Look(folder).Record(); is && r.State.Phase.Ends() {
-				return kills, nil
-			}
-			if kills > 0 && strings.Contains(p.Log(), "another process conducts") { // the killed one's lock is not free yet
-				continue
-			}
-			return kills, fmt.Errorf("the conductor ended: %v: %s", end, p.Log())
+		err = p.Await()
+		if hasEnded(folder) {
+			return kills, nil
 		}
-		p.End()
-		kills++
-		args = []string{"resume", "--conduct"}
+		isLocked := strings.Contains(p.Log(), "another process conducts")
+		if kills > 0 && isLocked { // the killed one's lock is not free yet
+			continue
+		}
+		return kills, fmt.Errorf("the conductor ended: %s: %s", fmt.Sprint(err), p.Log())
 	}
 }
 
-// span is from the first stage's beginning to the decision to go back, or to the end.
-func span(folder string) time.Duration {
-	list, _ := coordinator.Look(folder).History()
+// killsNow reports whether the coordinator is to be killed in the phase that the record shows.
+func (s scenario) killsNow(folder string, killedAt map[string]bool) bool {
+	if !s.killsCoordinator {
+		return false
+	}
+	record, exists, err := coordinator.Look(folder).Record()
+	if err != nil || !exists || record.State.Phase.Ends() {
+		return false
+	}
+	phase := fmt.Sprint(record.State.Phase, record.State.Stage)
+	isFirst := !killedAt[phase]
+	killedAt[phase] = true
+	return isFirst
+}
+
+// hasEnded reports whether the record shows that the rollout is over.
+func hasEnded(folder string) bool {
+	record, exists, err := coordinator.Look(folder).Record()
+	return err == nil && exists && record.State.Phase.Ends()
+}
+
+// exposure returns the time from the first stage's beginning to the decision to roll back, or to the end.
+func exposure(folder string) time.Duration {
+	steps, err := coordinator.Look(folder).History()
+	if err != nil {
+		return 0
+	}
 	var from, to time.Time
-	for _, s := range list {
-		if s.Phase == rollout.Applying && s.Stage == 0 && from.IsZero() {
-			from = s.At
+	for _, step := range steps {
+		if step.Phase == rollout.Applying && step.Stage == 0 && from.IsZero() {
+			from = step.At
 		}
-		if to.IsZero() && (s.Phase == rollout.GoingBack || s.Phase == rollout.Done) {
-			to = s.At
+		if to.IsZero() && (step.Phase == rollout.GoingBack || step.Phase == rollout.Done) {
+			to = step.At
 		}
 	}
 	if from.IsZero() || to.IsZero() {
@@ -226,12 +199,12 @@
 	return to.Sub(from)
 }
 
-// fences holds that a keeper took its orders in their order.
-func fences(log string) error {
+// checkFences checks by a supervisor's log that it accepted its orders in their order.
+func checkFences(log string) error {
 	var last change.Fence
 	for line := range strings.Lines(log) {
-		_, text, is := strings.Cut(line, "msg=order_accepted fence=")
-		if !is {
+		_, text, isOrder := strings.Cut(line, "msg=order_accepted fence=")
+		if !isOrder {
 			continue
 		}
 		var f change.Fence
--- /dev/null
+++ b/internal/proof/rollout/rollout_test.go
@@ -0,0 +1,114 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"swiftreel/internal/golden"
+	"swiftreel/internal/rollout"
+	"swiftreel/internal/rulecheck"
+)
+
+// TestScheduleIsThatOfItsSeed holds the schedules that earlier runs have printed: they can be played again.
+func TestScheduleIsThatOfItsSeed(t *testing.T) {
+	var text bytes.Buffer
+	for seed := range uint64(4) {
+		faults, err := json.Marshal(schedule(seed+1, 3))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "%s\n", faults)
+	}
+	golden.Check(t, "schedules.txt", text.Bytes())
+}
+
+func TestEachFailureOfAScenarioIsNamed(t *testing.T) {
+	good := result{scenario: scenario{wantedPhase: rollout.Done, maxStage: 2}, phase: rollout.Done, stage: 2, jobs: minJobs}
+	if list := good.failures(); len(list) != 0 {
+		t.Errorf("a good one: %q", list)
+	}
+	for want, change := range map[string]func(*result){
+		"it broke":                     func(r *result) { r.err = errors.New("it broke") },
+		"wanted done":                  func(r *result) { r.phase = rollout.Back },
+		"does not end":                 func(r *result) { r.wantedPhase, r.phase = "", rollout.Baking },
+		"stopped at stage 3 only":      func(r *result) { r.stage = 3 },
+		"1 connections broke":          func(r *result) { r.brokenConnections = 1 },
+		"only 99 jobs":                 func(r *result) { r.jobs = minJobs - 1 },
+		rulecheck.Violation{}.String(): func(r *result) { r.violations = []rulecheck.Violation{{}} },
+	} {
+		r := good
+		change(&r)
+		if list := r.failures(); len(list) != 1 || !strings.Contains(list[0], want) {
+			t.Errorf("%q: %q", want, list)
+		}
+	}
+	program := good
+	program.program = "/p"
+	program.brokenConnections = 1
+	if list := program.failures(); len(list) != 0 {
+		t.Errorf("a change of the program may break connections: %q", list)
+	}
+}
+
+func TestOrdersOutOfOrderAreFound(t *testing.T) {
+	log := func(fences ...string) string {
+		text := "time=x level=INFO msg=supervising\n"
+		for _, f := range fences {
+			text += "time=x level=INFO msg=order_accepted fence=" + f + " ordered_by=x\n"
+		}
+		return text
+	}
+	for text, isFine := range map[string]bool{
+		log():                          true,
+		log("1.1.1", "1.1.2", "1.2.1"): true,
+		log("1.1.2", "1.1.1"):          false,
+		log("1.1.1", "1.1.1"):          false,
+		log("x"):                       false,
+	} {
+		if err := checkFences(text); (err == nil) != isFine {
+			t.Errorf("%s: %v", text, err)
+		}
+	}
+}
+
+func TestFiguresOfASpan(t *testing.T) {
+	second := int64(time.Second)
+	var log []rulecheck.Entry
+	for i := range int64(100) {
+		job := fmt.Sprint(i)
+		key := ""
+		if i%10 == 0 {
+			key = "k"
+		}
+		at := 10*second + i*second/10
+		log = append(log,
+			rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Key: key, TimeNS: at},
+			rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done, TimeNS: at + second/100})
+	}
+	f := figuresOf(log, time.Unix(10, 0), time.Unix(20, 0))
+	want := figures{perSecond: 10, done: 1, p50MS: 10, p99MS: 10, gapMS: 100, keyedP99MS: 10}
+	if f != want {
+		t.Errorf("%+v, not %+v", f, want)
+	}
+	if f := figuresOf(log, time.Unix(30, 0), time.Unix(40, 0)); f != (figures{}) {
+		t.Errorf("of nothing: %+v", f)
+	}
+}
+
+// TestVirtualRolloutsAreThoseRecorded holds a few changes of each sort to what came of them when they were recorded.
+func TestVirtualRolloutsAreThoseRecorded(t *testing.T) {
+	var text bytes.Buffer
+	for _, harm := range []float64{0, 0.05} {
+		for seed := range uint64(6) {
+			r := newVirtualFleet(seed, 3, 20, harm).roll(300)
+			fmt.Fprintf(&text, "harm %g, seed %d: %s, fixed test stops %t, %d new jobs, %d s: %s\n",
+				harm, seed, r.phase, r.fixedTestStops, r.newJobs, r.seconds, r.outcome)
+		}
+	}
+	golden.Check(t, "virtual.txt", text.Bytes())
+}
--- /dev/null
+++ b/internal/proof/rollout/transfer.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"fmt"
+	"path/filepath"
+	"time"
+
+	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
+)
+
+const (
+	transferSeed    = 5
+	transferEngines = 2
+	transferClients = 10
+	transferPause   = 20 * time.Millisecond
+	// transferJobTime is fifty times what the jobs' estimates say.
+	transferJobTime = 200 * time.Millisecond
+	// transferJobs are counted after each switch; warmUpJobs come before it.
+	transferJobs = 60
+	warmUpJobs   = 3 * transferJobs
+	// noTransferVariable has a steered build start without its predecessor's state.
+	noTransferVariable = "FAULT_UNTAUGHT=1"
+)
+
+// checkTransfer changes the program under jobs that take fifty times what their estimates say, with and without the
+// state of the older process: one that does not know it takes the first attempts for lost and retries them. It
+// returns why the figures do not hold, or "".
+func checkTransfer(program string) string {
+	with, err := retriesAfterSwitch(program, "")
+	if err != nil {
+		return err.Error()
+	}
+	without, err := retriesAfterSwitch(program, noTransferVariable)
+	if err != nil {
+		return err.Error()
+	}
+	fmt.Printf("jobs that take 50 times their estimate, of %d after a switch of the program, dispatched again: "+
+		"taught %.0f, not taught %.0f\n", transferJobs, with, without)
+	if with >= without {
+		return "it makes no difference"
+	}
+	return ""
+}
+
+// retriesAfterSwitch returns how many retries the newer process made for its first jobs.
+func retriesAfterSwitch(program, environment string) (float64, error) {
+	cluster, err := testcluster.Plan{
+		Program:     program,
+		Seed:        transferSeed,
+		Controllers: 1,
+		Engines:     transferEngines,
+		Env:         []string{environment},
+	}.Town()
+	if err != nil {
+		return 0, err
+	}
+	defer cluster.Close()
+	cluster.Fates.Takes(transferJobTime)
+	m := cluster.Members[0]
+	load := cluster.NewLoad(transferSeed, transferClients, transferPause, false)
+	isWarm := func() bool { return load.Done.Load() > warmUpJobs }
+	if err := cluster.Await(awaitTimeout, isWarm); err != nil {
+		return 0, err
+	}
+	before, err := cluster.Status(m)
+	if err != nil {
+		return 0, err
+	}
+	if err := orderProgram(m, before.Spec, filepath.Join(filepath.Dir(program), "later"), 1); err != nil {
+		return 0, err
+	}
+	after, err := awaitFirstJobs(cluster, before.StartedUnixNS)
+	load.Stop()
+	if err == nil {
+		err = cluster.Stop()
+	}
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Book.Log()) {
+		return 0, fmt.Errorf("%v", v)
+	}
+	if err != nil {
+		return 0, err
+	}
+	return float64(totalRetries(after)) * transferJobs / float64(max(1, totalJobs(after))), nil
+}
+
+// awaitFirstJobs waits until a newer process of the controller has answered its first jobs, and returns its status.
+func awaitFirstJobs(cluster *testcluster.Town, startedBefore int64) (supervisor.Status, error) {
+	var after supervisor.Status
+	err := cluster.Await(awaitTimeout, func() bool {
+		status, err := cluster.Status(cluster.Members[0])
+		if err != nil || status.StartedUnixNS == startedBefore {
+			return false
+		}
+		after = status
+		return totalJobs(status) >= transferJobs
+	})
+	return after, err
+}
+
+func totalJobs(status supervisor.Status) uint64 {
+	sum := uint64(0)
+	for _, counts := range status.JobCounts {
+		sum += counts.Jobs
+	}
+	return sum
+}
+
+func totalRetries(status supervisor.Status) uint64 {
+	sum := uint64(0)
+	for _, counts := range status.JobCounts {
+		sum += counts.Retries
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -0,0 +1,175 @@
+package main
+
+import (
+	"math"
+
+	"swiftreel/internal/canary"
+	"swiftreel/internal/change"
+	"swiftreel/internal/rollout"
+)
+
+const (
+	second       = int64(1e9) // in ns
+	maxBakeTimes = 10         // a rollout that is not over after so many times of its samples is undecided
+)
+
+// virtualResult is what came of a change in a virtual fleet.
+type virtualResult struct {
+	phase          rollout.Phase
+	outcome        string
+	fixedTestStops bool // a fixed test evaluated at every sample would have stopped it in the first stage
+	newJobs        uint64
+	seconds        int // since the first stage
+}
+
+// virtualRollout takes a change through a virtual fleet whose members do at once as they are ordered.
+type virtualRollout struct {
+	fleet    *virtualFleet
+	machine  *rollout.Machine
+	limits   canary.Limits
+	baseline *canary.Baseline
+	analysis *canary.Analysis
+	recovery canary.RecoveryCheck
+	fixed    fixedTest
+	isNew    []bool // by controller
+
+	phase      rollout.Phase // of the last second
+	stage      int
+	firstStage int // the second at which it began
+	result     virtualResult
+}
+
+// roll returns what comes of a change that stands for at most so many samples.
+func (f *virtualFleet) roll(samples int) virtualResult {
+	timing := change.Pace{BaseMS: 60_000, BakeMS: 60_000, MostMS: int64(samples) * 1000, ApplyMS: 60_000, SteadyMS: 1,
+		UnheardMS: 5000, SharedMS: 30_000, SharedTries: 2, HealthyPerMille: 500, LookMS: 1000}
+	start := rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}
+	v := &virtualRollout{
+		fleet:    f,
+		machine:  rollout.New(start, change.Settings, "old", "new", nil, timing, 0),
+		limits:   canary.DefaultLimits(),
+		baseline: canary.NewBaseline(),
+		isNew:    make([]bool, len(f.jobRates)),
+		phase:    rollout.Preparing,
+		stage:    -1,
+	}
+	for t := 0; !v.machine.State.Phase.Ends() && t < maxBakeTimes*samples; t++ {
+		v.step(t)
+	}
+	v.result.phase = v.machine.State.Phase
+	v.result.outcome = v.machine.State.Outcome
+	return v.result
+}
+
+// step plays a second.
+func (v *virtualRollout) step(t int) {
+	samples := v.fleet.sample(v.isNew)
+	in := rollout.Input{Now: int64(t) * second, Members: v.members(samples)}
+	v.beginStage(t)
+	v.evaluate(&in, samples, t)
+	before := v.machine.State.Phase
+	v.machine.Step(in)
+	if before == rollout.Watching && v.machine.State.Phase == rollout.Applying {
+		v.planStages(samples)
+	}
+	for _, order := range v.machine.Orders(in) {
+		for i, s := range samples {
+			if s.Member == order.Member {
+				v.isNew[i] = order.New
+			}
+		}
+	}
+}
+
+func (v *virtualRollout) members(samples []canary.Sample) []rollout.Member {
+	members := make([]rollout.Member, 0, len(samples))
+	for i, s := range samples {
+		m := rollout.Member{Name: s.Member, Heard: true, Serves: true, Running: "old"}
+		if v.isNew[i] {
+			m.Running = "new"
+		}
+		members = append(members, m)
+	}
+	return members
+}
+
+// beginStage begins a new analysis where the machine has begun a stage.
+func (v *virtualRollout) beginStage(t int) {
+	state := v.machine.State
+	if state.Phase == v.phase && state.Stage == v.stage {
+		return
+	}
+	v.phase = state.Phase
+	v.stage = state.Stage
+	if state.Phase != rollout.Applying {
+		return
+	}
+	v.analysis = canary.NewAnalysis(v.limits, v.baseline, v.machine.New())
+	v.recovery = canary.RecoveryCheck{}
+	if v.firstStage == 0 {
+		v.firstStage = t
+	}
+}
+
+// evaluate adds the samples to what the phase looks at.
+func (v *virtualRollout) evaluate(in *rollout.Input, samples []canary.Sample, t int) {
+	switch v.machine.State.Phase {
+	case rollout.Watching:
+		v.baseline.Observe(samples)
+	case rollout.Applying, rollout.Baking:
+		isBaked := v.machine.State.Phase == rollout.Baking && v.machine.Baked(in.Now)
+		v.analysis.Observe(samples)
+		in.Verdict = v.analysis.Verdict(isBaked)
+		if v.machine.State.Stage == 0 && !v.result.fixedTestStops {
+			v.result.fixedTestStops = v.fixed.observe(samples)
+		}
+		v.result.newJobs = in.Verdict.NewJobs
+		v.result.seconds = t - v.firstStage
+	case rollout.Waiting:
+		in.Better = v.recovery.Observe(v.limits, v.baseline, samples)
+	}
+}
+
+// planStages lays the stages out by the controllers' traffic.
+func (v *virtualRollout) planStages(samples []canary.Sample) {
+	const baselineSeconds = 60
+	places := make([]change.Place, 0, len(samples))
+	for i, s := range samples {
+		places = append(places, change.Place{Name: s.Member, Jobs: uint64(baselineSeconds * v.fleet.jobRates[i])})
+	}
+	wanted := []change.Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}
+	stages, _ := change.Layout(wanted, places) // fails only for a stage that names an unknown member
+	v.machine.Lay(stages)
+}
+
+// fixedTest is the test that the sequential one replaces: two proportions of missed jobs, at one in a hundred,
+// evaluated after every sample.
+type fixedTest struct {
+	newJobs, newMissed float64
+	oldJobs, oldMissed float64
+}
+
+// observe adds a sample and reports whether the test would stop the rollout.
+func (f *fixedTest) observe(samples []canary.Sample) bool {
+	for _, s := range samples {
+		for _, counts := range s.Counts {
+			jobs := float64(counts.Jobs)
+			missed := float64(counts.Jobs - counts.WithinSLA)
+			if s.IsNew {
+				f.newJobs += jobs
+				f.newMissed += missed
+			} else {
+				f.oldJobs += jobs
+				f.oldMissed += missed
+			}
+		}
+	}
+	const minJobs = 30 // of each version
+	if f.newJobs < minJobs || f.oldJobs < minJobs {
+		return false
+	}
+	const criticalValue = 2.326 // of the normal distribution, one-sided, at 1%
+	rate := (f.newMissed + f.oldMissed) / (f.newJobs + f.oldJobs)
+	deviation := math.Sqrt(rate * (1 - rate) * (1/f.newJobs + 1/f.oldJobs))
+	return rate > 0 && (f.newMissed/f.newJobs-f.oldMissed/f.oldJobs)/deviation > criticalValue
+}
