--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
@@ -13,62 +14,85 @@
 	"swiftreel/internal/schema"
 )
 
-// report is what check tells scripts.
-type report struct {
-	File   string   `json:"file"`
-	Kind   string   `json:"kind"`
-	Faults []string `json:"faults"`
+// checkReport is what check tells scripts.
+type checkReport struct {
+	File     string   `json:"file"`
+	Kind     string   `json:"kind"`
+	Problems []string `json:"faults"`
 }
 
+// checkers read a file of a kind as the program does, and report what is wrong with it.
+var checkers = map[string]func(path string) error{
+	string(schema.Operator): func(path string) error { _, err := operator.Load(path); return err },
+	string(schema.Plan):     func(path string) error { _, err := plan.Load(path); return err },
+	string(schema.Problem):  func(path string) error { _, err := plan.LoadProblem(path); return err },
+	string(schema.Change):   func(path string) error { _, err := change.Load(path); return err },
+	"config":                checkConfig,
+}
+
+func checkConfig(path string) error {
+	_, err := config.Load(func(name string) string {
+		if name == "ROUTER_CONFIG" {
+			return path
+		}
+		return ""
+	})
+	return err
+}
+
+const checkHelp = `Checks the operator's file and what it names, as the start and SIGHUP do; with --kind problem, plan, change or config
+(what ROUTER_CONFIG names), one of those.
+A line a fault. Exit codes: 0 no fault, 2 faults, or the file cannot be read.`
+
 func checkCommand() *cobra.Command {
 	var kind string
 	var forScripts bool
 	c := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a file whole: every fault is named with its path",
-		Long: `Checks the operator's file and what it names, as the start and SIGHUP do; with --kind problem, plan, change or config
-(what ROUTER_CONFIG names), one of those.
-A line a fault. Exit codes: 0 no fault, 2 faults, or the file cannot be read.`,
-		Args: cobra.ExactArgs(1),
+		Long:  checkHelp,
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			var err error
-			switch schema.Kind(kind) {
-			case schema.Operator:
-				_, err = operator.Load(args[0])
-			case schema.Plan:
-				_, err = plan.Load(args[0])
-			case schema.Problem:
-				_, err = plan.LoadProblem(args[0])
-			case schema.Change:
-				_, err = change.Load(args[0])
-			case "config":
-				_, err = config.Load(func(name string) string { return map[string]string{"ROUTER_CONFIG": args[0]}[name] })
-			default:
-				return badInput(fmt.Errorf("--kind %q is none of operator, problem, plan, change, config", kind))
-			}
-			r := report{File: args[0], Kind: kind, Faults: []string{}}
-			var faults *schema.ValidationError
-			if errors.As(err, &faults) {
-				r.Faults = faults.Problems
-			} else if err != nil {
-				return badInput(err)
-			}
-			if forScripts {
-				if err := asJSON(c.OutOrStdout(), r); err != nil {
-					return err
-				}
-			} else {
-				for _, f := range r.Faults {
-					fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", faults.File, f)
-				}
-			}
-			if err != nil {
-				return exit{code: ExitBadInput, err: err, said: true}
-			}
-			return nil
+			return check(c.OutOrStdout(), args[0], kind, forScripts)
 		},
 	}
 	c.Flags().StringVar(&kind, "kind", string(schema.Operator), "operator, problem, plan, change or config")
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
+	addJSONFlag(c, &forScripts)
 	return c
 }
+
+// check prints the problems of a file. Its error has the exit code, and is printed here if the problems are.
+func check(out io.Writer, path, kind string, forScripts bool) error {
+	checker, known := checkers[kind]
+	if !known {
+		return BadInput(fmt.Errorf("--kind %q is none of operator, problem, plan, change, config", kind))
+	}
+	err := checker(path)
+	var invalid *schema.ValidationError
+	if err != nil && !errors.As(err, &invalid) {
+		return BadInput(err)
+	}
+	if printErr := printCheck(out, checkReport{File: path, Kind: kind, Problems: []string{}}, invalid, forScripts); printErr != nil {
+		return printErr
+	}
+	if err != nil {
+		return SilentFailure(ExitBadInput, err)
+	}
+	return nil
+}
+
+// printCheck prints the report for scripts, or a line a problem; invalid is nil if there are none.
+func printCheck(out io.Writer, report checkReport, invalid *schema.ValidationError, forScripts bool) error {
+	if invalid != nil {
+		report.Problems = invalid.Problems
+	}
+	if forScripts {
+		return WriteJSON(out, report)
+	}
+	for _, problem := range report.Problems {
+		if _, err := fmt.Fprintf(out, "%s: %s\n", invalid.File, problem); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -11,86 +12,116 @@
 )
 
 func planCommand() *cobra.Command {
-	c := &cobra.Command{Use: "plan", Short: "Read plans: show, check, diff", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	c.AddCommand(planShow(), planCheck(), planDiff())
+	c := &cobra.Command{
+		Use:   "plan",
+		Short: "Read plans: show, check, diff",
+		Args:  cobra.NoArgs,
+		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
+	c.AddCommand(planShowCommand(), planCheckCommand(), planDiffCommand())
 	return c
 }
 
-func planShow() *cobra.Command {
+func planShowCommand() *cobra.Command {
 	var forScripts bool
-	c := &cobra.Command{Use: "show PLAN.json", Short: "Show a plan as a table", Args: cobra.ExactArgs(1),
-		Long: "Shows a plan as a table. Exit codes: 0 shown, 2 not usable.",
+	c := &cobra.Command{
+		Use:   "show PLAN.json",
+		Short: "Show a plan as a table",
+		Long:  "Shows a plan as a table. Exit codes: 0 shown, 2 not usable.",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			a, err := plan.Load(args[0])
+			answer, err := plan.Load(args[0])
 			if err != nil {
-				return badInput(err)
+				return BadInput(err)
 			}
 			if forScripts {
-				return asJSON(c.OutOrStdout(), a)
+				return WriteJSON(c.OutOrStdout(), answer)
 			}
-			return tell(c.OutOrStdout(), typesOf(a), a, 0)
-		}}
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
+			return renderAnswer(c.OutOrStdout(), typeNames(answer), answer, 0)
+		},
+	}
+	addJSONFlag(c, &forScripts)
 	return c
 }
 
-// typesOf is as much of the problem as a table needs.
-func typesOf(a solve.Answer) *solve.Problem {
-	p := new(solve.Problem)
-	for _, t := range a.Steps[0].Served {
-		p.Types = append(p.Types, solve.Type{Name: t.Type})
+// typeNames returns the job types of a plan.
+func typeNames(answer solve.Answer) []string {
+	var names []string
+	for _, served := range answer.Steps[0].Served {
+		names = append(names, served.Type)
 	}
-	return p
+	return names
 }
 
-func planCheck() *cobra.Command {
-	return &cobra.Command{Use: "check PLAN.json [PROBLEM.json]", Short: "Check a plan, and hold it against a problem", Args: cobra.RangeArgs(1, 2),
-		Long: "Checks that a plan can be followed; with a problem, that every step keeps all limits and demands and that the figures it\n" +
-			"tells are those of its threads. Exit codes: 0 all holds, 2 not.",
-		RunE: func(c *cobra.Command, args []string) error {
-			a, err := plan.Load(args[0])
-			if err != nil {
-				return badInput(err)
-			}
-			if len(args) == 1 {
-				return nil
-			}
-			p, err := plan.LoadProblem(args[1])
-			if err == nil {
-				err = plan.Verify(p, a)
-			}
-			if err != nil {
-				return badInput(err)
+const planCheckHelp = `Checks that a plan can be followed; with a problem, that every step keeps all limits and demands and that the figures it
+tells are those of its threads. Exit codes: 0 all holds, 2 not.`
+
+func planCheckCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check PLAN.json [PROBLEM.json]",
+		Short: "Check a plan, and hold it against a problem",
+		Long:  planCheckHelp,
+		Args:  cobra.RangeArgs(1, 2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			if err := checkPlan(args); err != nil {
+				return BadInput(err)
 			}
 			return nil
-		}}
+		},
+	}
 }
 
-func planDiff() *cobra.Command {
+// checkPlan checks a plan file, and verifies it against a problem file if there is a second path.
+func checkPlan(paths []string) error {
+	answer, err := plan.Load(paths[0])
+	if err != nil || len(paths) == 1 {
+		return err
+	}
+	problem, err := plan.LoadProblem(paths[1])
+	if err != nil {
+		return err
+	}
+	return plan.Verify(problem, answer)
+}
+
+const planDiffHelp = `Tells what changes in threads from one plan's last step to another's, a line a type, tenant and engine; nothing where
+nothing does. Exit codes: 0 told, 2 not usable.`
+
+func planDiffCommand() *cobra.Command {
 	var forScripts bool
-	c := &cobra.Command{Use: "diff BEFORE.json AFTER.json", Short: "Tell what changes from one plan to another", Args: cobra.ExactArgs(2),
-		Long: "Tells what changes in threads from one plan's last step to another's, a line a type, tenant and engine; nothing where\n" +
-			"nothing does. Exit codes: 0 told, 2 not usable.",
+	c := &cobra.Command{
+		Use:   "diff BEFORE.json AFTER.json",
+		Short: "Tell what changes from one plan to another",
+		Long:  planDiffHelp,
+		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			before, err := plan.Load(args[0])
 			if err != nil {
-				return badInput(err)
+				return BadInput(err)
 			}
 			after, err := plan.Load(args[1])
 			if err != nil {
-				return badInput(err)
+				return BadInput(err)
 			}
-			list := plan.Diff(before, after)
+			changes := plan.Diff(before, after)
 			if forScripts {
-				return asJSON(c.OutOrStdout(), append([]plan.Change{}, list...))
+				return WriteJSON(c.OutOrStdout(), append([]plan.Change{}, changes...)) // [] instead of null
 			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
-			for _, d := range list {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t->\t%d\n", d.Type, d.Tenant, d.Engine, d.Before, d.After)
-			}
-			return w.Flush()
-		}}
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
+			return renderChanges(c.OutOrStdout(), changes)
+		},
+	}
+	addJSONFlag(c, &forScripts)
 	return c
 }
+
+func renderChanges(out io.Writer, changes []plan.Change) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	for _, change := range changes {
+		_, err := fmt.Fprintf(table, "%s\t%s\t%s\t%d\t->\t%d\n",
+			change.Type, change.Tenant, change.Engine, change.Before, change.After)
+		if err != nil {
+			return err
+		}
+	}
+	return table.Flush()
+}
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -10,18 +10,23 @@
 
 func versionCommand() *cobra.Command {
 	var forScripts bool
-	c := &cobra.Command{Use: "version", Short: "Version, commit and digest of this build, and what it reads", Args: cobra.NoArgs,
+	c := &cobra.Command{
+		Use:   "version",
+		Short: "Version, commit and digest of this build, and what it reads",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			b, err := version.Current()
+			build, err := version.Current()
 			if err != nil {
-				return exit{code: ExitFailed, err: err}
+				return Failure(ExitFailed, err)
 			}
 			if forScripts {
-				return asJSON(c.OutOrStdout(), b)
+				return WriteJSON(c.OutOrStdout(), build)
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "swiftreel %s commit=%s dirty=%v digest=%s formats=%v schemas=%v %s\n", b.Version, b.Commit, b.Dirty, b.Digest, b.Formats, b.Schemas, b.Go)
+			_, err = fmt.Fprintf(c.OutOrStdout(), "swiftreel %s commit=%s dirty=%v digest=%s formats=%v schemas=%v %s\n",
+				build.Version, build.Commit, build.Dirty, build.Digest, build.Formats, build.Schemas, build.GoVersion)
 			return err
-		}}
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
+		},
+	}
+	addJSONFlag(c, &forScripts)
 	return c
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,7 +1,8 @@
-// Package plan reads plans, holds them against problems and tells two apart.
+// Package plan reads the files of plans and problems, verifies plans against problems and compares plans.
 package plan
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 
@@ -9,81 +10,107 @@
 	"swiftreel/internal/solve"
 )
 
-// Load reads a plan; what cannot be followed is an error with all its faults.
-func Load(path string) (a solve.Answer, err error) {
-	if err := schema.Read(path, schema.Plan, &a); err != nil {
+// maxShareSum is what the shares of tenants may sum to, in millionths.
+const maxShareSum = 1_000_000
+
+// Load reads a plan. If it cannot be followed, the error is a *schema.ValidationError with all problems.
+func Load(path string) (solve.Answer, error) {
+	var answer solve.Answer
+	if err := schema.Read(path, schema.Plan, &answer); err != nil {
 		return solve.Answer{}, err
 	}
-	if list := faults(a); len(list) > 0 {
-		return solve.Answer{}, &schema.ValidationError{File: path, Problems: list}
+	if problems := contradictions(answer); len(problems) > 0 {
+		return solve.Answer{}, &schema.ValidationError{File: path, Problems: problems}
 	}
-	return a, nil
+	return answer, nil
 }
 
-// LoadProblem reads a problem and checks it whole.
+// LoadProblem reads a problem to solve. If it is not sound, the error is a *schema.ValidationError with all problems.
 func LoadProblem(path string) (*solve.Problem, error) {
-	p := new(solve.Problem)
-	if err := schema.Read(path, schema.Problem, p); err != nil {
+	problem := new(solve.Problem)
+	if err := schema.Read(path, schema.Problem, problem); err != nil {
 		return nil, err
 	}
-	if list := p.Check(); len(list) > 0 {
-		f := &schema.ValidationError{File: path}
-		for _, fault := range list {
-			f.Problems = append(f.Problems, fault.String())
-		}
-		return nil, f
+	faults := problem.Check()
+	if len(faults) == 0 {
+		return problem, nil
 	}
-	return p, nil
+	invalid := &schema.ValidationError{File: path}
+	for _, fault := range faults {
+		invalid.Problems = append(invalid.Problems, fault.String())
+	}
+	return nil, invalid
 }
 
-// faults are contradictions that a schema does not see.
-func faults(a solve.Answer) (list []string) {
-	for i, s := range a.Steps {
-		at := fmt.Sprintf("/steps/%d", i)
-		if i == 0 && s.FromMS != 0 || i > 0 && s.FromMS <= a.Steps[i-1].FromMS {
-			list = append(list, at+"/from_ms: steps begin at 0 and follow each other")
-		}
-		may := map[string]int64{}
-		for k, u := range s.Use {
-			if _, twice := may[u.Engine]; twice {
-				list = append(list, fmt.Sprintf("%s/use/%d: engine %q stands twice", at, k, u.Engine))
-			}
-			may[u.Engine] = u.May
+// Verify checks that each step of a plan keeps the limits and demands of a problem.
+func Verify(problem *solve.Problem, answer solve.Answer) error {
+	for i, step := range answer.Steps {
+		if err := solve.Verify(problem, step); err != nil {
+			return fmt.Errorf("/steps/%d: %w", i, err)
 		}
-		given := map[string]int64{}
-		for k, t := range s.Threads {
-			if _, known := may[t.Engine]; !known {
-				list = append(list, fmt.Sprintf("%s/threads/%d: engine %q does not stand in use", at, k, t.Engine))
-			}
-			given[t.Engine] += t.Threads
+	}
+	return nil
+}
+
+// contradictions returns what is wrong with a plan that a schema does not see.
+func contradictions(answer solve.Answer) []string {
+	var problems []string
+	for i, step := range answer.Steps {
+		path := fmt.Sprintf("/steps/%d", i)
+		if !beginsInOrder(answer.Steps, i) {
+			problems = append(problems, path+"/from_ms: steps begin at 0 and follow each other")
 		}
-		for k, u := range s.Use {
-			if given[u.Engine] > u.May || given[u.Engine] != u.Threads {
-				list = append(list, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d", at, k, u.Engine, given[u.Engine], u.Threads, u.May))
-			}
+		problems = append(problems, threadProblems(path, step)...)
+		problems = append(problems, shareProblems(path, step)...)
+	}
+	return problems
+}
+
+func beginsInOrder(steps []solve.Step, i int) bool {
+	if i == 0 {
+		return steps[i].FromMS == 0
+	}
+	return steps[i].FromMS > steps[i-1].FromMS
+}
+
+// threadProblems holds the threads of a step against what it says of the use of engines.
+func threadProblems(path string, step solve.Step) []string {
+	var problems []string
+	limits := map[string]int64{}
+	for i, use := range step.Use {
+		if _, twice := limits[use.Engine]; twice {
+			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q stands twice", path, i, use.Engine))
 		}
-		sum := int64(0)
-		for _, share := range s.Shares {
-			sum += share.PerMio
+		limits[use.Engine] = use.May
+	}
+	given := map[string]int64{}
+	for i, t := range step.Threads {
+		if _, known := limits[t.Engine]; !known {
+			problems = append(problems, fmt.Sprintf("%s/threads/%d: engine %q does not stand in use", path, i, t.Engine))
 		}
-		if sum > 1_000_000 {
-			list = append(list, fmt.Sprintf("%s/shares: they sum to %d millionths", at, sum))
+		given[t.Engine] += t.Threads
+	}
+	for i, use := range step.Use {
+		if threads := given[use.Engine]; threads > use.May || threads != use.Threads {
+			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d",
+				path, i, use.Engine, threads, use.Threads, use.May))
 		}
 	}
-	return list
+	return problems
 }
 
-// Verify holds each step of a plan against the problem that it is for.
-func Verify(p *solve.Problem, a solve.Answer) error {
-	for i, s := range a.Steps {
-		if err := solve.Verify(p, s); err != nil {
-			return fmt.Errorf("/steps/%d: %w", i, err)
-		}
+func shareProblems(path string, step solve.Step) []string {
+	sum := int64(0)
+	for _, share := range step.Shares {
+		sum += share.PerMio
+	}
+	if sum > maxShareSum {
+		return []string{fmt.Sprintf("%s/shares: they sum to %d millionths", path, sum)}
 	}
 	return nil
 }
 
-// Change is threads that a plan gives more, or fewer, than another.
+// Change is how many threads two plans give to a type's jobs of a tenant at an engine, where they differ.
 type Change struct {
 	Type   string `json:"type"`
 	Tenant string `json:"tenant"`
@@ -92,25 +119,38 @@
 	After  int64  `json:"after"`
 }
 
-// Diff tells the last steps of two plans apart, in order of type, tenant and engine; zones of origin are summed.
-func Diff(before, after solve.Answer) (list []Change) {
-	type key struct{ typ, tenant, engine string }
-	sums := map[key][2]int64{}
-	for side, a := range [...]solve.Answer{before, after} {
-		for _, t := range a.Steps[len(a.Steps)-1].Threads {
-			k := key{t.Type, t.Tenant, t.Engine}
-			s := sums[k]
-			s[side] += t.Threads
-			sums[k] = s
+// compareChanges orders by type, tenant and engine.
+func compareChanges(a, b Change) int {
+	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Engine, b.Engine))
+}
+
+// Diff returns what changes from the last step of one plan to that of another, sorted by type, tenant and engine. Zones
+// of origin are summed.
+func Diff(before, after solve.Answer) []Change {
+	type key struct{ jobType, tenant, engine string }
+	changes := map[key]*Change{}
+	change := func(t solve.Threads) *Change {
+		k := key{t.Type, t.Tenant, t.Engine}
+		if changes[k] == nil {
+			changes[k] = &Change{Type: t.Type, Tenant: t.Tenant, Engine: t.Engine}
 		}
+		return changes[k]
 	}
-	for k, s := range sums {
-		if s[0] != s[1] {
-			list = append(list, Change{k.typ, k.tenant, k.engine, s[0], s[1]})
+	for _, t := range lastStep(before).Threads {
+		change(t).Before += t.Threads
+	}
+	for _, t := range lastStep(after).Threads {
+		change(t).After += t.Threads
+	}
+	var list []Change
+	for _, c := range changes {
+		if c.Before != c.After {
+			list = append(list, *c)
 		}
 	}
-	slices.SortFunc(list, func(a, b Change) int {
-		return slices.Compare([]string{a.Type, a.Tenant, a.Engine}, []string{b.Type, b.Tenant, b.Engine})
-	})
+	slices.SortFunc(list, compareChanges)
 	return list
 }
+
+// lastStep is when all engines are warm. A plan that Load has read has one.
+func lastStep(answer solve.Answer) solve.Step { return answer.Steps[len(answer.Steps)-1] }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells builds apart.
+// Package version tells builds of the program apart.
 package version
 
 import (
@@ -9,36 +9,54 @@
 	"swiftreel/internal/change"
 )
 
-// Name is the version's name; a build sets it by -ldflags "-X swiftreel/internal/version.Name=...".
+// Name is the version's name. A build sets it by -ldflags "-X swiftreel/internal/version.Name=...".
 var Name = "dev"
 
-// Build is all that a program tells of itself.
+// Build is what a program knows of itself.
 type Build struct {
-	Version string        `json:"version"`
-	Commit  string        `json:"commit"`
-	Dirty   bool          `json:"dirty"`
-	Go      string        `json:"go"`
-	Digest  change.Digest `json:"digest"`  // of the program's file
-	Formats []int         `json:"formats"` // of orders and reports that it reads
-	Schemas []string      `json:"schemas"` // of files that it reads
+	Version   string        `json:"version"`
+	Commit    string        `json:"commit"` // empty if the build does not know it
+	Dirty     bool          `json:"dirty"`  // built from a changed working tree
+	GoVersion string        `json:"go"`
+	Digest    change.Digest `json:"digest"`  // of the program's file
+	Formats   []int         `json:"formats"` // of orders and reports that it reads
+	Schemas   []string      `json:"schemas"` // of files that it reads
 }
 
-// Current this program.
-func Current() (b Build, err error) {
-	b = Build{Version: Name, Go: runtime.Version(), Formats: change.Formats(), Schemas: []string{"change", "operator", "plan", "problem"}}
-	if info, is := debug.ReadBuildInfo(); is {
-		for _, s := range info.Settings {
-			switch s.Key {
-			case "vcs.revision":
-				b.Commit = s.Value
-			case "vcs.modified":
-				b.Dirty = s.Value == "true"
-			}
-		}
-	}
+// Current returns the build of this process. It fails if the program's file cannot be read.
+func Current() (Build, error) {
 	path, err := os.Executable()
-	if err == nil {
-		b.Digest, err = change.OfFile(path)
+	if err != nil {
+		return Build{}, err
+	}
+	digest, err := change.OfFile(path)
+	if err != nil {
+		return Build{}, err
+	}
+	build := Build{
+		Version:   Name,
+		GoVersion: runtime.Version(),
+		Digest:    digest,
+		Formats:   change.Formats(),
+		Schemas:   []string{"change", "operator", "plan", "problem"},
+	}
+	build.Commit, build.Dirty = revision()
+	return build, nil
+}
+
+// revision returns what the build recorded of its source.
+func revision() (commit string, dirty bool) {
+	info, recorded := debug.ReadBuildInfo()
+	if !recorded {
+		return "", false
+	}
+	for _, setting := range info.Settings {
+		switch setting.Key {
+		case "vcs.revision":
+			commit = setting.Value
+		case "vcs.modified":
+			dirty = setting.Value == "true"
+		}
 	}
-	return b, err
+	return commit, dirty
 }
