--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strings"
 	"testing"
+
+	"swiftreel/internal/golden"
 )
 
 var rules = Rules{Types: map[string]Type{"lookup": {Effect: Restartable}, "import": {Effect: RunOnce, Ordered: true, Zones: []string{"east"}},
@@ -39,6 +41,7 @@
 }
 
 func TestEachBrokenRuleIsFoundAndNothingElse(t *testing.T) {
+	var texts strings.Builder
 	for _, c := range []struct {
 		name string
 		rule int // 0: none
@@ -85,10 +88,14 @@
 			t.Fatal(err)
 		}
 		found := Check(rules, Merge(log))
+		for _, violation := range found {
+			fmt.Fprintf(&texts, "%s: %s\n", c.name, violation)
+		}
 		if c.rule == 0 && len(found) > 0 || c.rule > 0 && (len(found) != 1 || found[0].Rule != c.rule) {
 			t.Errorf("%s: rule %d, found %v", c.name, c.rule, found)
 		}
 	}
+	golden.Check(t, "violations.golden", []byte(texts.String()))
 }
 
 func TestLogsOfOneMomentAreMergedWithoutBlame(t *testing.T) {
