--- a/internal/operator/sparql.go
+++ b/internal/operator/sparql.go
@@ -89,11 +89,11 @@
 	var rules []decide.Rule
 	for _, t := range s.Types {
 		rules = append(rules, decide.Rule{
-			Forms:  t.Forms,
-			Marked: t.Keyed,
-			Least:  nanos(t.MinWorkMS),
-			Most:   nanos(t.MaxWorkMS),
-			Type:   t.Type,
+			Forms:     t.Forms,
+			KeyedOnly: t.Keyed,
+			MinWork:   nanos(t.MinWorkMS),
+			MaxWork:   nanos(t.MaxWorkMS),
+			Type:      t.Type,
 		})
 	}
 	return rules
