--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -158,7 +158,7 @@
 	e, err := fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) {
 		if w.handle != nil {
 			w.handle(s, c)
-		} else if c.Word == "stats" || c.Word == "alive" {
+		} else if c.Name == "stats" || c.Name == "alive" {
 			s.Answer(c.ID, "well", "load=concurrent:0", "")
 		} else {
 			w.commands <- engineCommand{c, name, s}
@@ -194,7 +194,7 @@
 	w.t.Helper()
 	select {
 	case c := <-w.commands:
-		if c.Word != word {
+		if c.Name != word {
 			w.t.Fatalf("%+v instead of %s", c.Command, word)
 		}
 		return c
--- a/example/main.go
+++ b/example/main.go
@@ -79,7 +79,7 @@
 	e, err := fake.StartEngine(addresses[name], func(s *fake.Session, c engine.Command) {
 		mu.Lock()
 		defer mu.Unlock()
-		switch c.Word {
+		switch c.Name {
 		case "stats", "alive":
 			s.Answer(c.ID, "well", fmt.Sprintf("load=concurrent:%d", len(out)), "")
 		case "fetch":
@@ -97,7 +97,7 @@
 				s.Answer(c.ID, "failed", "", "")
 				break
 			}
-			s.Answer(c.ID, "page", fmt.Sprintf("sheet=%d", c.N), "2\tBlas\tBilbao\n")
+			s.Answer(c.ID, "page", fmt.Sprintf("sheet=%d", c.Number), "2\tBlas\tBilbao\n")
 		case "abort", "done":
 			delete(out, c.ID)
 		}
--- a/internal/acceptance/process_test.go
+++ b/internal/acceptance/process_test.go
@@ -188,7 +188,7 @@
 func (b *backend) handle(s *fake.Session, c engine.Command) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	switch c.Word {
+	switch c.Name {
 	case "stats", "alive":
 		s.Answer(c.ID, "well", fmt.Sprintf("load=concurrent:%d", len(b.open)), "")
 	case "fetch":
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -10,285 +10,232 @@
 	"syscall"
 	"time"
 
+	"swiftreel/internal/backend"
 	"swiftreel/internal/counters"
 	"swiftreel/internal/socketstate"
 )
 
 const (
-	writeTimeout = time.Second // an engine that takes no byte for so long is cut off
-	movesMost    = 3           // of a dispatch of which no byte went out, to another connection
-	straysMost   = 256         // answers in a row for ids that are not open
-	carriedMost  = 64          // ids that ended without a result and are remembered on a connection
+	maxStrayAnswers = 256 // answers in a row for ids that are not open
+	maxRecentIDs    = 64  // ids that ended without a result and are remembered on a connection
 )
 
-var (
-	errStray = errors.New("answers for nothing, without end")
-	errEnded = errors.New("the engine has closed the connection")
-)
+var errStrayAnswers = errors.New("too many answers for unknown ids")
 
-// conn is one connection to an engine. All but writing is guarded by the pool's lock.
+// conn is one connection to an engine. The pool's lock guards all but writeMu and what it guards.
 type conn struct {
 	pool          *Pool
-	host, address string
-	lane          Lane
-	nc            net.Conn // nil until made
-	lines         *lines   // with nc
-	closed        bool
-	cut           bool // closed by us, with dispatches out: the engine learns of it a moment later
-	doubted       bool // a probe was lost, or an abort not read in time, with nothing heard since
+	engine        backend.Host // name and address
+	lane          backend.Lane
+	socket        net.Conn      // nil until dialled
+	reader        *answerReader // with socket
+	isRemoved     bool          // from the pool; it is closed, or will be once it is dialled
+	isCutByUs     bool          // with dispatches out: the engine learns of it a moment later
+	isSuspect     bool          // a probe was lost, or an abort not read in time, and nothing received since
 	open          map[string]*Dispatch
-	queue         []*Dispatch       // wait for the connection to be made, in turn
-	given         []string          // the last ids that ended here but may be sent anew, whose answers may still come
-	aborts        map[string]func() // not known to have been read; emptied by answers, or the end of the connection
-	strays        int               // answers in a row that nobody waits for
+	queue         []*Dispatch       // wait for the dial, in order
+	recentIDs     []string          // ended here but may be sent again, and their answers may still come
+	pendingAborts map[string]func() // by id: called once the engine is known to have read the abort
+	strayAnswers  int               // in a row
 	idleSince     time.Time
-	rested        time.Duration // idle before what is open now, until something is heard
-	heard         time.Time
+	idleBefore    time.Duration // until what is open now was sent; 0 once something is received
+	lastReceived  time.Time
 
-	writing sync.Mutex
+	writeMu sync.Mutex // held while a message is written
 }
 
-// carried tells whether an answer to an id could still come here from before.
-func (c *conn) carried(id string) bool {
-	if c.open[id] != nil {
-		return true
-	}
-	for _, g := range c.given {
-		if g == id {
-			return true
-		}
-	}
-	return false
+// hasCarried reports whether an answer to an id could still come from before. The lock is held.
+func (c *conn) hasCarried(id string) bool {
+	return c.open[id] != nil || slices.Contains(c.recentIDs, id)
 }
 
-// remember keeps an id off this connection for a while. The lock is held.
-func (c *conn) remember(id string) {
-	if len(c.given) == carriedMost {
-		c.given = append(c.given[:0], c.given[1:]...)
+// rememberID keeps an id off this connection for a while. The lock is held.
+func (c *conn) rememberID(id string) {
+	if len(c.recentIDs) == maxRecentIDs {
+		c.recentIDs = slices.Delete(c.recentIDs, 0, 1)
 	}
-	c.given = append(c.given, id)
+	c.recentIDs = append(c.recentIDs, id)
 }
 
-// idle tells whether the connection is up with nothing open on it. The lock is held.
-func (c *conn) idle() bool { return c.nc != nil && len(c.open) == 0 && !c.closed }
+// isIdle reports whether the connection is up with nothing open on it. The lock is held.
+func (c *conn) isIdle() bool { return c.socket != nil && len(c.open) == 0 && !c.isRemoved }
 
-// run makes the connection, sends what waits for it, and reads answers until it ends.
+// run dials the connection, sends what waited for that, and reads answers until the connection ends.
 func (c *conn) run() {
-	p := c.pool
-	nc, err := p.dial(c)
+	socket, err := c.pool.dial(c)
 	if err != nil {
-		p.mu.Lock()
-		p.shut(c)
-		p.mu.Unlock()
-		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL) {
-			c.settle(Full) // it is us who had none left
-		} else {
-			c.settle(NotConnected)
-		}
+		c.dialFailed(err)
 		return
 	}
-	r := newLines(nc, half(p.bounds))
-	p.mu.Lock()
-	c.nc, c.lines, c.heard, c.idleSince = nc, r, time.Now(), time.Now()
-	if c.closed {
-		nc.Close()
+	reader := newAnswerReader(socket, completeWithin(c.pool.bounds))
+	for _, d := range c.connected(socket, reader) {
+		c.send(d)
+	}
+	c.readAnswers(reader)
+	c.ended(socket)
+}
+
+func (c *conn) dialFailed(err error) {
+	c.pool.mu.Lock()
+	c.pool.remove(c)
+	c.pool.mu.Unlock()
+	if isOwnShortage(err) {
+		c.endAll(backend.Full)
+	} else {
+		c.endAll(backend.NotConnected)
+	}
+}
+
+// connected puts a dialled connection to use and returns the dispatches to send now.
+func (c *conn) connected(socket net.Conn, reader *answerReader) []*Dispatch {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	now := time.Now()
+	c.socket = socket
+	c.reader = reader
+	c.lastReceived = now
+	c.idleSince = now
+	if c.isRemoved {
+		_ = socket.Close() // nothing was written to it
 	}
 	queue := c.queue
 	c.queue = nil
 	for _, d := range queue {
-		if d.state == waiting {
-			d.state = sending
+		if d.state == stateQueued {
+			d.state = stateSending
 		}
 	}
-	p.mu.Unlock()
-	for _, d := range queue {
-		c.send(d)
-	}
+	return queue
+}
+
+// readAnswers reads answers until the connection ends or is of no further use.
+func (c *conn) readAnswers(reader *answerReader) {
 	for {
-		a, err := r.answer()
+		a, err := reader.next()
+		if errors.Is(err, errMalformed) || errors.Is(err, os.ErrDeadlineExceeded) {
+			c.pool.noteMalformed(c, err)
+			c.pool.mu.Lock()
+			c.isCutByUs = true
+			c.pool.mu.Unlock()
+		}
 		if err != nil {
-			if errors.Is(err, errLine) || errors.Is(err, os.ErrDeadlineExceeded) {
-				broken(c, err)
-				p.mu.Lock()
-				c.cut = true
-				p.mu.Unlock()
-			}
-			break
+			return
 		}
-		if !c.take(a) {
-			broken(c, errStray)
-			break
+		if !c.receive(a) {
+			c.pool.noteMalformed(c, errStrayAnswers)
+			return
 		}
 	}
+}
+
+// ended ends what is open on a connection that can no longer be read.
+func (c *conn) ended(socket net.Conn) {
+	p := c.pool
 	p.mu.Lock()
-	if !c.closed && !c.cut && len(c.open) > 0 { // by the network, or the engine
-		p.idle.lost(c.rested, time.Now())
+	lostByPeer := !c.isRemoved && !c.isCutByUs // the engine, or the network
+	if lostByPeer && len(c.open) > 0 {
+		p.idleLimit.lost(c.idleBefore, time.Now())
 	}
-	p.shut(c)
-	cut := c.cut
+	p.remove(c)
+	isCutByUs := c.isCutByUs
 	p.mu.Unlock()
-	nc.Close()
-	if cut { // what is sent again must not overtake the close
-		time.AfterFunc(p.bounds.Step, func() { c.settle(Reset) })
+	_ = socket.Close() // it is lost already
+	if isCutByUs {     // what is sent again must not overtake the close
+		time.AfterFunc(p.bounds.Step, func() { c.endAll(backend.Reset) })
 	} else {
-		c.settle(Reset)
+		c.endAll(backend.Reset)
 	}
 }
 
-// settle ends all that is open when the connection has ended. What is being written is its writer's to end.
-func (c *conn) settle(end End) {
+// endAll ends all that is open when the connection has ended. What is being written is ended by its writer.
+func (c *conn) endAll(end backend.End) {
 	c.pool.mu.Lock()
 	var ended []*Dispatch
 	for id, d := range c.open {
-		if d.state != sending {
+		if d.state != stateSending {
 			delete(c.open, id)
 			d.close(end)
 			ended = append(ended, d)
 		}
 	}
-	read := slices.Collect(maps.Values(c.aborts))
-	clear(c.aborts)
+	aborted := slices.Collect(maps.Values(c.pendingAborts))
+	clear(c.pendingAborts)
 	c.pool.mu.Unlock()
-	for _, done := range read {
+	for _, done := range aborted {
 		done()
 	}
 	for _, d := range ended {
-		d.finish(Reply{End: end})
+		d.notifyEnd(backend.Reply{End: end})
 	}
 }
 
-// silent is called some time after an abort. If nothing at all was heard since, the connection is cut off, and what
-// was given up on it may still be out: closing it gives it up, unless others that must not be lost are open there.
-func (c *conn) silent(id string, since time.Time) {
-	p := c.pool
-	p.mu.Lock()
-	done := c.aborts[id]
-	heard := c.heard.After(since)
-	if done != nil && heard {
-		delete(c.aborts, id)
-	} else if done != nil {
-		if p.doubt(c.host, since); c.lane == MayRepeat || len(c.open) == 0 {
-			counters.Increment("engine_conns_silent")
-			c.cut = true
-			p.shut(c) // its reader settles the rest
-		} else {
-			after(p.bounds.Dial, func() { c.silent(id, since) })
-		}
-	}
-	p.mu.Unlock()
-	if done != nil && heard {
-		done()
-	}
+// recipient is what an answer is for. Without a dispatch or abort the answer is late.
+type recipient struct {
+	dispatch  *Dispatch
+	abortDone func() // called because the answer proves that the abort was read
 }
 
-// send writes a dispatch, unless it is too late: the engine may have been told to be draining since. If not one byte of
-// it went out it never ran and may go over another connection.
-func (c *conn) send(d *Dispatch) {
-	p := c.pool
-	c.writing.Lock()
-	p.mu.Lock()
-	given := d.state != sending // an abort that comes after this waits for the writing lock
-	d.wrote = time.Now()
-	if !given && !d.probe && (d.wrote.Sub(d.started) > p.bounds.Dial || !d.until.IsZero() && d.wrote.After(d.until)) {
-		c.release(d)
-		d.close(Moot)
-		p.mu.Unlock()
-		c.writing.Unlock()
-		counters.Increment("sends_too_late")
-		d.finish(Reply{End: Moot})
-		return
-	}
-	p.mu.Unlock()
-	n, err := 0, error(nil)
-	if !given && peerClosed(c.nc) {
-		err = errEnded // its reader has not come to that yet: nothing was sent
-	} else if !given {
-		n, err = c.writeLocked(d.text)
-	}
-	c.writing.Unlock()
-	p.mu.Lock()
-	if d.state != sending {
-		p.mu.Unlock()
-		return
-	}
-	if err == nil && !c.closed {
-		d.state, d.text = out, nil
-		p.mu.Unlock()
-		return
-	}
-	delete(c.open, d.id)
-	p.shut(c)
-	if n > 0 || d.moved == movesMost || time.Since(d.started) > p.bounds.Dial/2 { // in time for an engine that now drains
-		d.close(Reset)
-		p.mu.Unlock()
-		end := NotConnected
-		if n > 0 {
-			end = Reset
-		}
-		d.finish(Reply{End: end})
-		return
+// receive hands an answer to its dispatch; a late one, whose id is no longer open, is dropped. It returns false if
+// too many of those came in a row.
+func (c *conn) receive(a answer) bool {
+	to := c.recipientOf(a)
+	switch {
+	case to.dispatch != nil:
+		to.dispatch.receive(a)
+		return true
+	case to.abortDone != nil:
+		to.abortDone()
+		return true
 	}
-	d.moved++
-	next := p.assign(Host{Name: c.host, Address: c.address}, d)
-	p.mu.Unlock()
-	counters.Increment("sends_moved")
-	d.proceed(next)
-}
-
-func peerClosed(nc net.Conn) bool {
-	c, is := nc.(syscall.Conn)
-	return is && socketstate.PeerClosed(c)
-}
-
-// write sends bytes whole, or the connection is of no more use.
-func (c *conn) write(b []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	return c.writeLocked(b)
+	counters.Increment("answers_late")
+	return c.tolerateStray()
 }
 
-func (c *conn) writeLocked(b []byte) (int, error) {
-	c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	n, err := c.nc.Write(b)
-	if err != nil {
-		c.nc.Close()
+// recipientOf notes that something was received and finds what it is for.
+func (c *conn) recipientOf(received answer) recipient {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	c.lastReceived = time.Now()
+	c.isSuspect = false
+	c.idleBefore = 0
+	id := string(received.id)
+	if d := c.open[id]; d != nil {
+		c.strayAnswers = 0
+		if d.state == stateSending { // the answer overtook its writer
+			d.markDispatched()
+		}
+		return recipient{dispatch: d}
+	}
+	done := c.pendingAborts[id]
+	kind := string(received.kind)
+	if done == nil || kind == answerNews || kind == answerPage { // not for the command behind the abort
+		return recipient{}
 	}
-	return n, err
+	delete(c.pendingAborts, id)
+	return recipient{abortDone: done}
 }
 
-// take hands an answer to its dispatch; a late one, whose id is no longer open, is dropped. False means that too many
-// came for nothing.
-func (c *conn) take(a answer) bool {
-	p := c.pool
-	p.mu.Lock()
-	c.heard, c.doubted, c.rested = time.Now(), false, 0
-	d := c.open[string(a.id)]
-	if d == nil {
-		done := c.aborts[string(a.id)]
-		if word := string(a.word); done != nil && word != "news" && word != "page" {
-			delete(c.aborts, string(a.id))
-			p.mu.Unlock()
-			done()
-			return true
-		}
-		c.strays++
-		many := c.strays > straysMost
-		c.cut = c.cut || many
-		p.mu.Unlock()
-		counters.Increment("answers_late")
-		return !many
-	}
-	if c.strays = 0; d.state == sending { // the answer overtook its writer
-		d.state, d.text = out, nil
+// tolerateStray counts a late answer and reports whether the connection may go on.
+func (c *conn) tolerateStray() bool {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	c.strayAnswers++
+	if c.strayAnswers <= maxStrayAnswers {
+		return true
 	}
-	p.mu.Unlock()
-	d.take(a)
-	return true
+	c.isCutByUs = true
+	return false
 }
 
 // release frees a dispatch's place. The lock is held.
 func (c *conn) release(d *Dispatch) {
-	if delete(c.open, d.id); len(c.open) == 0 {
+	delete(c.open, d.id)
+	if len(c.open) == 0 {
 		c.idleSince = time.Now()
 	}
 }
+
+func isClosedByPeer(socket net.Conn) bool {
+	c, ok := socket.(syscall.Conn)
+	return ok && socketstate.PeerClosed(c)
+}
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -88,9 +88,9 @@
 					if err != nil {
 						return
 					}
-					if c.Word == "fetch" {
+					if c.Name == "fetch" {
 						p.fetched <- fetched{c.ID, nc}
-					} else if c.Word == "more" {
+					} else if c.Name == "more" {
 						p.paged <- fetched{c.ID, nc}
 					}
 				}
@@ -117,16 +117,16 @@
 	peer    *peer
 	dials   *gate // held once the connection is up
 	reads   *gate
-	replies chan Reply
+	replies chan backend.Reply
 }
 
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan Reply, 100)}
-	b := Bounds{Dial: 20 * time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan backend.Reply, 100)}
+	b := backend.Bounds{Dial: 20 * time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
 	b.Conns.Store(10)
 	b.Bytes.Allow(1 << 20)
 	w.pool = NewPool(b)
-	w.pool.dialer = func(network, address string, limit time.Duration) (net.Conn, error) {
+	w.pool.dialTimeout = func(network, address string, limit time.Duration) (net.Conn, error) {
 		nc, err := net.DialTimeout(network, address, limit)
 		if err != nil {
 			return nil, err
@@ -143,12 +143,12 @@
 }
 
 func (w *world) start(id string, until time.Time) backend.Dispatch {
-	return w.pool.Start(Host{Name: "e1", Address: w.peer.Addr().String()}, Request{ID: []byte(id), Type: []byte("import"),
-		Statement: []byte("x"), WaitMS: 1000, Priority: 1, Lane: MayNot, Ordered: time.Now(), Until: until},
-		func(r Reply) { w.replies <- r })
+	return w.pool.Start(backend.Host{Name: "e1", Address: w.peer.Addr().String()}, backend.Request{ID: []byte(id), Type: []byte("import"),
+		Statement: []byte("x"), WaitMS: 1000, Priority: 1, Lane: backend.MayNot, Ordered: time.Now(), Until: until},
+		func(r backend.Reply) { w.replies <- r })
 }
 
-func (w *world) ends(end End) {
+func (w *world) ends(end backend.End) {
 	w.t.Helper()
 	select {
 	case r := <-w.replies:
@@ -166,7 +166,7 @@
 	w.start(id, time.Time{})
 	f := w.peer.got(w.t)
 	f.conn.Write(AppendAnswer(nil, id, "data", "sheets=1", []byte("a\tb\tc\n")))
-	w.ends(Done)
+	w.ends(backend.Done)
 	return f.conn
 }
 
@@ -179,16 +179,16 @@
 	}
 }
 
-// The connection comes up after the moment that the module named: the engine may have begun to drain, or a keyed job's
-// window of repeats be over. It is within the dial time-out. Nothing is sent.
+// The connection comes up after the moment that the module named: the engine may have begun to drain, or a keyed
+// job's window of repeats be over. It is within the dial time-out. Nothing is sent.
 func TestADialThatEndsAfterItsDispatchsTimeSendsNothing(t *testing.T) {
 	w := newWorld(t)
 	w.dials.shut()
 	w.start("late", time.Now())
-	w.until("no dial", func() bool { return w.pool.Count() == 1 })
+	w.until("no dial", func() bool { return w.pool.ConnCount() == 1 })
 	time.Sleep(time.Millisecond) // the clock goes on past that moment, however coarse it is
 	w.dials.open()
-	w.ends(Moot)
+	w.ends(backend.Moot)
 	w.served("next") // over the same connection
 	if len(w.peer.fetched) > 0 {
 		t.Errorf("sent: %+v", <-w.peer.fetched)
@@ -212,8 +212,8 @@
 	}
 }
 
-// The engine has closed an idle connection, and the reader has not come to that: what is sent on it would be lost, and a
-// run-once job with it. It goes over another; it never ran on the first.
+// The engine has closed an idle connection, and the reader has not come to that: what is sent on it would be lost,
+// and a run-once job with it. It goes over another; it never ran on the first.
 func TestWhatTheEngineHasClosedIsNotUsed(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
@@ -232,7 +232,7 @@
 			}
 			w.reads.open()
 			f.conn.Write(AppendAnswer(nil, "second", "data", "sheets=1", []byte("a\tb\tc\n")))
-			w.ends(Done)
+			w.ends(backend.Done)
 		})
 	}
 }
@@ -243,14 +243,14 @@
 	defer p.mu.Unlock()
 	for _, conns := range p.conns {
 		for _, c := range conns {
-			return peerClosed(c.nc)
+			return isClosedByPeer(c.socket)
 		}
 	}
 	return false
 }
 
-// Half a line lies on an idle connection: it will be cut off when the other half does not come, and what was sent on it
-// would be lost with it.
+// Half a line lies on an idle connection: it will be cut off when the other half does not come, and what was sent on
+// it would be lost with it.
 func TestAnIdleConnectionWithHalfALineIsNotUsed(t *testing.T) {
 	w := newWorld(t)
 	first := w.served("first")
@@ -258,7 +258,7 @@
 	w.until("not read", func() bool {
 		w.pool.mu.Lock()
 		defer w.pool.mu.Unlock()
-		return w.pool.conns["e1"][0].lines.partial.Load()
+		return w.pool.conns["e1"][0].reader.isPartial.Load()
 	})
 	w.start("second", time.Time{})
 	if f := w.peer.got(t); f.id != "second" || f.conn == first {
@@ -266,8 +266,8 @@
 	}
 }
 
-// The answer comes in the moment in which the job is given up, milliseconds before the abort is read, and its id is used
-// again at once: one end is told of each dispatch, and the late answer is not the second's.
+// The answer comes in the moment in which the job is given up, milliseconds before the abort is read, and its id is
+// used again at once: one end is told of each dispatch, and the late answer is not the second's.
 func TestALateAnswerIsNotThatOfTheNextDispatchOfItsID(t *testing.T) {
 	w := newWorld(t)
 	w.reads.shut()
@@ -287,7 +287,7 @@
 	second.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("good\tb\tc\n")))
 	select {
 	case r := <-w.replies:
-		if r.End != Done || string(r.Pages[0]) != "good\tb\tc\n" {
+		if r.End != backend.Done || string(r.Pages[0]) != "good\tb\tc\n" {
 			t.Errorf("%+v", r)
 		}
 	case <-time.After(20 * time.Second):
@@ -299,8 +299,8 @@
 	}
 }
 
-// An answer of two pages is cut at each of its bytes: where the rest comes later it is whole, where the connection ends
-// there the dispatch ends as one that may have run. One end of each.
+// An answer of two pages is cut at each of its bytes: where the rest comes later it is whole, where the connection
+// ends there the dispatch ends as one that may have run. One end of each.
 func TestAnAnswerIsCutAnywhere(t *testing.T) {
 	w := newWorld(t)
 	n := 0
@@ -321,7 +321,7 @@
 		f.conn.Write(text[:cut])
 		if ends {
 			f.conn.Close()
-			w.ends(Reset)
+			w.ends(backend.Reset)
 			return false
 		}
 		if cut > 0 { // the first part is read on its own
@@ -329,7 +329,7 @@
 				w.pool.mu.Lock()
 				defer w.pool.mu.Unlock()
 				for _, c := range w.pool.conns["e1"] {
-					if c.open[id] != nil && (c.lines.partial.Load() || len(w.peer.paged) > paged) {
+					if c.open[id] != nil && (c.reader.isPartial.Load() || len(w.peer.paged) > paged) {
 						return true
 					}
 				}
@@ -339,7 +339,7 @@
 		f.conn.Write(text[cut:])
 		select {
 		case r := <-w.replies:
-			if r.End != Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
+			if r.End != backend.Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
 				t.Fatalf("cut at %d: %+v", cut, r)
 			}
 			w.pool.Free(r.Pages)
@@ -382,7 +382,7 @@
 	d := w.start("done", time.Time{})
 	f := w.peer.got(t)
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n")))
-	w.ends(Done)
+	w.ends(backend.Done)
 	if d.GiveUp(func() { t.Error("given up") }) {
 		t.Error("given up after its end")
 	}
@@ -402,7 +402,7 @@
 	f = w.peer.more(t)
 	f.conn.(*net.TCPConn).SetLinger(0)
 	f.conn.Close()
-	w.ends(Reset)
+	w.ends(backend.Reset)
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -6,13 +6,14 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/backend"
 	"swiftreel/internal/limits"
 )
 
 // Seen on sockets: 37 dials of a day came up and were reset at once; told as refused, each had an engine that served
 // well taken for just started, and four fifths of the fleet lay idle.
 func TestADialThatIsResetIsNoRefusal(t *testing.T) {
-	p := NewPool(Bounds{Dial: time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)})
+	p := NewPool(backend.Bounds{Dial: time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)})
 	defer p.Close()
 	for name, c := range map[string]struct {
 		ends  []error
@@ -24,7 +25,7 @@
 		"refused":      {[]error{syscall.ECONNREFUSED, nil}, 1, false},
 	} {
 		tries := 0
-		p.dialer = func(string, string, time.Duration) (net.Conn, error) {
+		p.dialTimeout = func(string, string, time.Duration) (net.Conn, error) {
 			err := c.ends[tries]
 			if tries++; err != nil {
 				return nil, &net.OpError{Op: "dial", Err: err}
@@ -42,12 +43,12 @@
 // The time-outs of a program that stood still all fire at once, before it has read what came meanwhile.
 func TestATimerThatIsLateLetsWhatCameBeReadFirst(t *testing.T) {
 	called := make(chan bool, 2)
-	whenDue(time.Now().Add(-time.Second), func() { called <- true })
+	callWhenRead(time.Now().Add(-time.Second), func() { called <- true })
 	if len(called) > 0 {
 		t.Error("called at once, a second late")
 	}
 	<-called
-	whenDue(time.Now(), func() { called <- true })
+	callWhenRead(time.Now(), func() { called <- true })
 	if len(called) != 1 {
 		t.Error("not called in time")
 	}
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -1,266 +1,124 @@
 package engine
 
 import (
-	"bytes"
 	"time"
 
+	"swiftreel/internal/backend"
 	"swiftreel/internal/counters"
 )
 
-// Notes of a dispatch come so often at most, but for some at once.
-const (
-	notesAtOnce = 32
-	notesEvery  = 10 * time.Millisecond
-)
+// fetchOverhead is room for what a fetch command has beside the statement, in bytes.
+const fetchOverhead = 128
 
-type state uint8
+// dispatchState is where a dispatch stands.
+type dispatchState uint8
 
 const (
-	waiting state = iota // for its connection
-	sending              // being written
-	out
-	over
+	stateQueued     dispatchState = iota // waits for its connection to be dialled
+	stateSending                         // its turn to be written has come
+	stateDispatched                      // out at the engine
+	stateEnded                           // its end was notified, or is about to be
 )
 
-// Dispatch is one that was started and whose end has not been told.
+// Dispatch is a dispatch or probe whose end was not notified yet. It implements backend.Dispatch and is safe for
+// concurrent use.
 type Dispatch struct {
-	pool    *Pool
-	id      string
-	reply   func(Reply)
-	started time.Time // when it was ordered
-	until   time.Time // not sent later; zero: no such bound
-	probe   bool
-	moved   int // to another connection, with no byte out
-	text    []byte
-
-	lane  Lane
-	conn  *conn // state and what follows: guarded by the pool's lock
-	state state
-	wrote time.Time
-
-	notes int
-	done  Reply // gathered by the connection's reader
-	pages [][]byte
-	want  int
-	held  int // bytes of pages
+	pool      *Pool
+	id        string
+	reply     func(backend.Reply)
+	orderedAt time.Time
+	sendBy    time.Time // not sent later; zero: no such bound
+	isProbe   bool
+	lane      backend.Lane
+	command   []byte // until it is sent; read by its sender only
+
+	// Guarded by the pool's lock.
+	moves         int // to another connection, with no byte out
+	conn          *conn
+	state         dispatchState
+	writtenAt     time.Time
+	reservedBytes int // of pages
+
+	// Used by the connection's reader only.
+	noteCount    int
+	result       backend.Reply
+	pages        [][]byte // nil until the first answer
+	missingPages int
 }
 
-// proceed goes on from an assignment: one to a connection still being made is sent by that once it is up, even
-// if that is by now.
-func (d *Dispatch) proceed(next state) {
-	switch next {
-	case sending:
+// proceed goes on from an assignment. A dispatch on a connection that is still being dialled is sent by that.
+func (d *Dispatch) proceed(state dispatchState) {
+	switch state {
+	case stateSending:
 		d.conn.send(d)
-	case over:
+	case stateEnded:
 		counters.Increment("engine_conns_full")
-		d.finish(Reply{End: Full}) // it never ran, and the engine refused nothing
+		d.notifyEnd(backend.Reply{End: backend.Full}) // it never ran, and the engine refused nothing
+	case stateQueued, stateDispatched:
 	}
 }
 
-// finish tells the end. Whoever sets the state to over calls it, once.
-func (d *Dispatch) finish(r Reply) { d.reply(r) }
-
-// Free gives back what a result's pages hold.
-func (p *Pool) Free(pages [][]byte) {
-	n := 0
-	for _, page := range pages {
-		n += len(page)
-	}
-	p.bounds.Bytes.Give(n)
+// markDispatched marks a dispatch as out. The lock is held.
+func (d *Dispatch) markDispatched() {
+	d.state = stateDispatched
+	d.command = nil
 }
 
-// end frees the dispatch's place, if it is still out, and tells its end.
-func (d *Dispatch) end(r Reply) {
+// notifyEnd passes on the end. Whoever sets the state to ended calls it, once.
+func (d *Dispatch) notifyEnd(r backend.Reply) { d.reply(r) }
+
+// end frees the place of a dispatch that has not ended, and passes on its end.
+func (d *Dispatch) end(r backend.Reply) {
 	d.pool.mu.Lock()
-	was := d.state
-	if was != over {
+	wasOpen := d.state != stateEnded
+	if wasOpen {
 		d.conn.release(d)
-		if d.close(r.End); r.End != Done { // it may be sent anew, and an answer to this come twice
-			d.conn.remember(d.id)
+		d.close(r.End)
+		if r.End != backend.Done { // it may be sent again, and the answer to this one come twice
+			d.conn.rememberID(d.id)
 		}
 	}
 	d.pool.mu.Unlock()
-	if was != over {
-		d.finish(r)
+	if wasOpen {
+		d.notifyEnd(r)
 	}
 }
 
-// close marks a dispatch as over; pages that nobody gets are given back. The lock is held.
-func (d *Dispatch) close(end End) {
-	if d.state = over; end != Done {
-		d.pool.bounds.Bytes.Give(d.held)
-		d.held = 0
+// close marks a dispatch as ended; pages that nobody gets are freed. The lock is held.
+func (d *Dispatch) close(end backend.End) {
+	d.state = stateEnded
+	if end != backend.Done {
+		d.pool.bounds.Bytes.Give(d.reservedBytes)
+		d.reservedBytes = 0
 	}
 }
 
-// take is told each answer in order, by the connection's reader.
-func (d *Dispatch) take(a answer) {
-	load, _ := a.field("load")
-	switch word := string(a.word); {
-	case d.probe && word == "well":
-		if load == "" && len(a.fields) == 0 {
-			load = string(a.body)
-		}
-		d.end(Reply{End: Done, Load: load})
-	case d.probe && word == "ill":
-		d.end(Reply{End: Failed, Load: load})
-	case d.probe:
-		d.end(Reply{End: Failed})
-	case word == "news":
-		if d.notes++; time.Duration(d.notes-notesAtOnce)*notesEvery > time.Since(d.started) {
-			d.spoilt("news_without_end")
-		} else if note, is := a.field("note"); is {
-			if v, is := a.number("val"); is {
-				d.reply(Reply{Note: note, Amount: v})
-			}
-		}
-	case word == "data":
-		d.first(a, load)
-	case word == "page" && d.pages != nil:
-		d.further(a)
-	case word == "full":
-		d.end(Reply{End: Full, Load: load})
-	case word == "moot":
-		d.end(Reply{End: Moot, Load: load})
-	case word == "failed":
-		d.end(Reply{End: Failed, Load: load})
-	default:
-		d.spoilt(word)
-	}
-}
-
-// first takes the answer that says how many pages there are, and holds the first.
-func (d *Dispatch) first(a answer, load string) {
-	sheets, is := a.number("sheets")
-	switch {
-	case !is || sheets < 1 || sheets > maxPages || sheets != float64(int(sheets)):
-		d.spoilt("sheets")
-	case !a.numberOrNone("toil") || !a.numberOrNone("room"):
-		d.spoilt("toil_or_room")
-	case d.pages != nil && len(d.pages) == int(sheets) && bytes.Equal(d.pages[0], a.body):
-		counters.Increment("answers_again")
-	case d.pages != nil:
-		d.spoilt("data_twice")
-	default:
-		d.pages, d.want = make([][]byte, int(sheets)), int(sheets)
-		d.done = Reply{End: Done, Load: load}
-		d.done.WorkMS, _ = a.number("toil")
-		d.done.RoomMB, _ = a.number("room")
-		d.page(0, a.body)
-	}
-}
-
-// further takes a page that was asked for. The same once more harms nothing.
-func (d *Dispatch) further(a answer) {
-	n, is := a.number("sheet")
-	switch {
-	case !is || n < 1 || n >= float64(len(d.pages)) || n != float64(int(n)):
-		d.spoilt("sheet")
-	case d.pages[int(n)] == nil:
-		d.page(int(n), a.body)
-	case bytes.Equal(d.pages[int(n)], a.body):
-		counters.Increment("answers_again")
-	default:
-		d.spoilt("page_twice")
-	}
-}
-
-// page takes one page into hand; the first asks for all others at once, the last ends the dispatch.
-func (d *Dispatch) page(n int, body []byte) {
-	if !wholeRows(body) {
-		d.spoilt("rows")
-		return
-	}
-	d.pool.mu.Lock()
-	over, large := d.state == over, d.held+len(body) > maxResult
-	fits := !over && !large && d.pool.bounds.Bytes.Take(len(body))
-	if fits {
-		d.held += len(body)
-	}
-	d.pool.mu.Unlock()
-	if large {
-		d.spoilt("result_over_its_size")
-	} else if !fits && !over && d.GiveUp(func() {}) { // no fault of the engine's
-		counters.Increment("results_without_memory")
-		d.finish(Reply{End: Failed})
-	}
-	if !fits {
-		return
-	}
-	d.pages[n] = append(make([]byte, 0, len(body)), body...)
-	if d.want--; d.want > 0 {
-		if n == 0 {
-			var b []byte
-			for i := 1; i < len(d.pages); i++ {
-				b = appendCommand(b, "more", []byte(d.id), i)
-			}
-			d.conn.write(b)
-		}
-		return
-	}
-	if len(d.pages) > 1 {
-		d.conn.write(appendCommand(nil, "done", []byte(d.id), -1))
-	}
-	d.done.Pages = d.pages
-	d.end(d.done)
-}
-
-// spoilt ends a dispatch whose answer cannot be used: it may have run. A connection that carried such an answer is
-// of no further use for others either.
-func (d *Dispatch) spoilt(what string) {
+// failMalformed ends a dispatch whose answer cannot be used: it may have run. A connection that carried such an
+// answer is of no further use for others either.
+func (d *Dispatch) failMalformed(reason string) {
 	p := d.pool
 	p.mu.Lock()
-	was := d.state
-	if was != over {
+	wasOpen := d.state != stateEnded
+	if wasOpen {
 		d.conn.release(d)
-		d.close(Failed)
-		d.conn.cut = true
-		p.shut(d.conn) // its reader settles the rest
-	}
-	p.mu.Unlock()
-	if was != over {
-		p.bad.CountAndWarn("answers_bad", "answer_bad", "engine", d.conn.host, "reason", what)
-		d.finish(Reply{End: Failed})
-	}
-}
-
-// GiveUp tells the engine that nobody waits any more. False means that the end was told, or is being told. Else
-// done is called once nothing of it can be out: when the engine has read so, or the connection has ended.
-func (d *Dispatch) GiveUp(done func()) bool {
-	p := d.pool
-	p.mu.Lock()
-	was, c := d.state, d.conn
-	if was == over {
-		p.mu.Unlock()
-		return false
-	}
-	c.release(d)
-	d.close(Open)
-	aborts := was != waiting && !d.probe && !c.closed
-	if aborts {
-		c.remember(d.id)
-		c.aborts[d.id] = done
-	} else if was != waiting && c.heard.Before(d.wrote) {
-		p.doubt(c.host, d.wrote)
+		d.close(backend.Failed)
+		d.conn.isCutByUs = true
+		p.remove(d.conn) // its reader ends the others
 	}
 	p.mu.Unlock()
-	if !aborts {
-		done()
-		return true
+	if wasOpen {
+		p.malformed.CountAndWarn("answers_bad", "answer_bad", "engine", d.conn.engine.Name, "reason", reason)
+		d.notifyEnd(backend.Reply{End: backend.Failed})
 	}
-	// An engine answers for a page of what it no longer knows, and reads in order: that proves the abort read.
-	at := time.Now()
-	c.write(appendCommand(appendCommand(nil, "abort", []byte(d.id), -1), "more", []byte(d.id), 1))
-	after(p.bounds.Dial, func() { c.silent(d.id, at) })
-	return true
 }
 
 // Renice gives a dispatch that is out a new priority.
 func (d *Dispatch) Renice(priority uint8) {
 	d.pool.mu.Lock()
-	is, c := d.state == out, d.conn
+	isOut := d.state == stateDispatched
+	c := d.conn
 	d.pool.mu.Unlock()
-	if is {
-		c.write(appendCommand(nil, "renice", []byte(d.id), int(priority)))
+	if isOut {
+		c.write(appendNumberCommand(nil, commandRenice, d.id, int(priority)))
 	}
 }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"swiftreel/internal/backend"
 	"swiftreel/internal/engine"
 	"swiftreel/internal/limits"
 )
@@ -40,15 +41,15 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	bounds := engine.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	bounds := backend.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
 	bounds.Conns.Store(1)
 	bounds.Bytes.Allow(memory)
 	pool := engine.NewPool(bounds)
 	defer pool.Close()
-	host := engine.Host{Name: "e1", Address: listener.Addr().String()}
-	replies := make(chan engine.Reply, 10)
-	reply := func(r engine.Reply) { replies <- r }
-	ends := func(end engine.End) engine.Reply {
+	host := backend.Host{Name: "e1", Address: listener.Addr().String()}
+	replies := make(chan backend.Reply, 10)
+	reply := func(r backend.Reply) { replies <- r }
+	ends := func(end backend.End) backend.Reply {
 		t.Helper()
 		select {
 		case r := <-replies:
@@ -59,7 +60,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatalf("no end %d", end)
 		}
-		return engine.Reply{}
+		return backend.Reply{}
 	}
 
 	pool.Probe(host, true, time.Minute, reply)
@@ -71,28 +72,28 @@
 	peer := &wirePeer{t, nc}
 	peer.gets("stats t1\r\n")
 	peer.answers("t1 well load=inflight:7;util:0.61 0\r\n\r\n")
-	if r := ends(engine.Done); r.Load != "inflight:7;util:0.61" {
+	if r := ends(backend.Done); r.Load != "inflight:7;util:0.61" {
 		t.Errorf("%+v", r)
 	}
 	pool.Probe(host, false, time.Minute, reply)
 	peer.gets("alive t2\r\n")
 	peer.answers("t2 well - 0\r\n\r\n")
-	ends(engine.Done)
+	ends(backend.Done)
 
-	first := pool.Start(host, engine.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: []byte("SELECT 1"),
+	first := pool.Start(host, backend.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: []byte("SELECT 1"),
 		WaitMS: 1500, Priority: 2, Ordered: time.Now()}, reply)
 	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
 	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
-	ends(engine.Open)
+	ends(backend.Open)
 	first.Renice(4)
 	peer.gets("renice 9b1f03aa5c7e2d41 4\r\n")
 	peer.answers("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
 	peer.gets("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
 	peer.answers("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
 	peer.gets("done 9b1f03aa5c7e2d41\r\n")
-	pool.Free(ends(engine.Done).Pages)
+	pool.Free(ends(backend.Done).Pages)
 
-	second := pool.Start(host, engine.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), Idempotency: []byte("key-7"),
+	second := pool.Start(host, backend.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), Idempotency: []byte("key-7"),
 		GrantMB: 12.5, WaitMS: 0, Priority: 0, Ordered: time.Now()}, reply)
 	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
 	given := make(chan struct{})
--- /dev/null
+++ b/internal/engine/peer.go
@@ -0,0 +1,70 @@
+package engine
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"strconv"
+)
+
+// Command is one command of a controller, as an engine reads it. It serves the example and the tests.
+type Command struct {
+	Name   string
+	ID     string
+	Fields string // of fetch
+	Number int    // of renice and more
+	Body   []byte // of fetch: the statement
+}
+
+// ReadCommand reads one command as an engine does.
+func ReadCommand(r *bufio.Reader) (Command, error) {
+	line, err := r.ReadSlice('\n')
+	if err != nil {
+		return Command{}, err
+	}
+	parts := bytes.Split(bytes.TrimSuffix(line, []byte(lineEnd)), []byte(" "))
+	if len(parts) < 2 {
+		return Command{}, errMalformed
+	}
+	c := Command{Name: string(parts[0]), ID: string(parts[1])}
+	hasNumber := c.Name == commandRenice || c.Name == commandMore
+	switch {
+	case c.Name == commandFetch && len(parts) == 4:
+		c.Fields = string(parts[2])
+		c.Body, err = readStatement(r, string(parts[3]))
+	case hasNumber && len(parts) == 3:
+		c.Number, err = strconv.Atoi(string(parts[2]))
+	case len(parts) != 2:
+		err = errMalformed
+	}
+	if err != nil {
+		return Command{}, errMalformed
+	}
+	return c, nil
+}
+
+// readStatement reads a statement of a length, and the line end behind it.
+func readStatement(r *bufio.Reader, length string) ([]byte, error) {
+	size, err := strconv.ParseUint(length, 10, 20)
+	if err != nil {
+		return nil, err
+	}
+	body := make([]byte, int(size)+len(lineEnd))
+	if _, err := io.ReadFull(r, body); err != nil {
+		return nil, err
+	}
+	if string(body[size:]) != lineEnd {
+		return nil, errMalformed
+	}
+	return body[:size], nil
+}
+
+// AppendAnswer appends an answer as an engine writes it. Empty fields are written as a dash.
+func AppendAnswer(b []byte, id, kind, fields string, body []byte) []byte {
+	if fields == "" {
+		fields = "-"
+	}
+	b = append(b, id+" "+kind+" "+fields+" "+strconv.Itoa(len(body))+lineEnd...)
+	b = append(b, body...)
+	return append(b, lineEnd...)
+}
--- /dev/null
+++ b/internal/engine/placement.go
@@ -0,0 +1,168 @@
+package engine
+
+import (
+	"slices"
+	"time"
+
+	"swiftreel/internal/backend"
+)
+
+// reservedShare is the part of the connections, one in so many, that is reserved for engines that have none;
+// dispatches to the others share connections by then.
+const reservedShare = 8
+
+// place puts a dispatch on a connection and goes on with it.
+func (p *Pool) place(to backend.Host, d *Dispatch) {
+	p.mu.Lock()
+	state := p.assign(to, d)
+	p.mu.Unlock()
+	d.proceed(state)
+}
+
+// assign puts a dispatch on a connection and returns its state, with which the caller goes on (proceed) without the
+// lock, which must be held here.
+//
+// A malformed line, a reset or silence loses all that is open on a connection, so each dispatch gets one of its own
+// while there are descriptors: an idle one, or a new one. Only then do dispatches of one lane share.
+func (p *Pool) assign(to backend.Host, dispatch *Dispatch) dispatchState {
+	c := p.chooseConn(to, dispatch)
+	if c == nil {
+		dispatch.state = stateEnded
+		return stateEnded
+	}
+	if c.isIdle() {
+		c.idleBefore = time.Since(c.idleSince)
+	}
+	c.open[dispatch.id] = dispatch
+	c.lane = dispatch.lane
+	c.idleSince = time.Time{}
+	dispatch.conn = c
+	if c.socket == nil {
+		c.queue = append(c.queue, dispatch)
+		dispatch.state = stateQueued
+	} else {
+		dispatch.state = stateSending
+	}
+	return dispatch.state
+}
+
+// chooseConn returns the connection for a dispatch; nil: there is none. The lock is held.
+func (p *Pool) chooseConn(to backend.Host, d *Dispatch) *conn {
+	if c := p.lastIdle(to, d); c != nil {
+		return c
+	}
+	limit := p.bounds.Conns.Most()
+	if p.connCount < limit-limit/reservedShare {
+		if c := p.connect(to, d.lane); c != nil {
+			return c
+		}
+	}
+	if c := p.fewestOpen(to, d); c != nil {
+		return c
+	}
+	return p.connect(to, d.lane)
+}
+
+// isUsable reports whether a connection may carry a dispatch: not one that may be cut off, nor one that carried the
+// same id before, whose late answer could be taken for that of the dispatch. The lock is held.
+func (c *conn) isUsable(to backend.Host, d *Dispatch) bool {
+	return c.engine.Address == to.Address && !c.isRemoved && !c.isSuspect && !c.hasCarried(d.id)
+}
+
+// lastIdle returns the usable idle connection that was used last: the others age and are closed. The lock is held.
+func (p *Pool) lastIdle(to backend.Host, d *Dispatch) *conn {
+	now := time.Now()
+	limit := p.idleLimit.value(now)
+	var last *conn
+	for _, c := range p.conns[to.Name] {
+		if !c.isIdle() || now.Sub(c.idleSince) >= limit || len(c.pendingAborts) > 0 || c.reader.isPartial.Load() {
+			continue
+		}
+		if c.isUsable(to, d) && (last == nil || c.idleSince.After(last.idleSince)) {
+			last = c
+		}
+	}
+	return last
+}
+
+// fewestOpen returns the usable connection of a dispatch's lane that carries the fewest dispatches, if it may carry
+// one more. The lock is held.
+func (p *Pool) fewestOpen(to backend.Host, d *Dispatch) *conn {
+	var fewest *conn
+	for _, c := range p.conns[to.Name] {
+		if c.lane != d.lane || len(c.open) >= p.bounds.Streams || !c.isUsable(to, d) {
+			continue
+		}
+		if fewest == nil || len(c.open) < len(fewest.open) {
+			fewest = c
+		}
+	}
+	return fewest
+}
+
+// connect starts a connection, if need be in place of an idle one; nil: there is no room for it. The lock is held.
+func (p *Pool) connect(to backend.Host, lane backend.Lane) *conn {
+	if p.isClosed {
+		return nil
+	}
+	if p.connCount >= p.bounds.Conns.Most() && !p.removeLongestIdle() {
+		return nil
+	}
+	c := &conn{
+		pool:          p,
+		engine:        backend.Host{Name: to.Name, Address: to.Address},
+		lane:          lane,
+		open:          map[string]*Dispatch{},
+		pendingAborts: map[string]func(){},
+	}
+	p.conns[to.Name] = append(p.conns[to.Name], c)
+	p.connCount++
+	go c.run()
+	return c
+}
+
+// removeLongestIdle closes the connection that is idle longest and reports whether there was one. The lock is held.
+func (p *Pool) removeLongestIdle() bool {
+	var oldest *conn
+	for _, conns := range p.conns {
+		for _, c := range conns {
+			if c.isIdle() && (oldest == nil || c.idleSince.Before(oldest.idleSince)) {
+				oldest = c
+			}
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	p.remove(oldest)
+	return true
+}
+
+// suspect marks the connections to an engine on which nothing was received since a moment after which one of them was
+// found silent: a run-once job sent there would be lost, where a new connection shows at once whether the engine is
+// there. The lock is held.
+func (p *Pool) suspect(name string, since time.Time) {
+	for _, c := range p.conns[name] {
+		c.isSuspect = c.isSuspect || c.lastReceived.Before(since)
+	}
+}
+
+// remove takes a connection out of the pool and closes it; its reader ends what is open on it. The lock is held.
+func (p *Pool) remove(target *conn) {
+	if target.isRemoved {
+		return
+	}
+	target.isRemoved = true
+	p.connCount--
+	// A new slice: callers range over the old one.
+	remaining := slices.Clone(p.conns[target.engine.Name])
+	remaining = slices.DeleteFunc(remaining, func(other *conn) bool { return other == target })
+	if len(remaining) == 0 {
+		delete(p.conns, target.engine.Name)
+	} else {
+		p.conns[target.engine.Name] = remaining
+	}
+	if target.socket != nil {
+		_ = target.socket.Close() // does not wait; what was written and not read is lost with it anyway
+	}
+}
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -17,10 +17,10 @@
 	t        *testing.T
 	pool     *engine.Pool
 	peer     *fake.Engine
-	host     engine.Host
+	host     backend.Host
 	bytes    *limits.Bytes
 	commands chan command
-	replies  chan engine.Reply
+	replies  chan backend.Reply
 }
 
 type command struct {
@@ -30,20 +30,20 @@
 
 const memory = 100_000
 
-func newBench(t *testing.T, change func(*engine.Bounds)) *bench {
-	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan engine.Reply, 1000)}
+func newBench(t *testing.T, change func(*backend.Bounds)) *bench {
+	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan backend.Reply, 1000)}
 	b.bytes.Allow(memory)
 	var err error
 	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := engine.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: b.bytes}
+	bounds := backend.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: b.bytes}
 	bounds.Conns.Store(10)
 	if change != nil {
 		change(&bounds)
 	}
-	b.pool, b.host = engine.NewPool(bounds), engine.Host{Name: "e1", Address: b.peer.Address()}
+	b.pool, b.host = engine.NewPool(bounds), backend.Host{Name: "e1", Address: b.peer.Address()}
 	t.Cleanup(func() {
 		b.pool.Close()
 		b.peer.Close()
@@ -55,8 +55,8 @@
 }
 
 func (b *bench) start(id string) backend.Dispatch {
-	return b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+	return b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
+		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
 }
 
 // got waits for the next command and checks its word.
@@ -64,7 +64,7 @@
 	b.t.Helper()
 	select {
 	case c := <-b.commands:
-		if c.Word != word {
+		if c.Name != word {
 			b.t.Fatalf("%+v instead of %s", c.Command, word)
 		}
 		return c
@@ -74,7 +74,7 @@
 	return command{}
 }
 
-func (b *bench) ends(end engine.End) engine.Reply {
+func (b *bench) ends(end backend.End) backend.Reply {
 	b.t.Helper()
 	select {
 	case r := <-b.replies:
@@ -85,7 +85,7 @@
 	case <-time.After(20 * time.Second):
 		b.t.Fatalf("no end %d", end)
 	}
-	return engine.Reply{}
+	return backend.Reply{}
 }
 
 // until waits for what another goroutine brings about.
@@ -106,16 +106,16 @@
 		t.Fatalf("%+v", c.Command)
 	}
 	c.from.Answer("a", "news", "note=frac,val=0.5", "")
-	if r := b.ends(engine.Open); r.Note != "frac" || r.Amount != 0.5 {
+	if r := b.ends(backend.Open); r.Note != "frac" || r.Amount != 0.5 {
 		t.Fatalf("%+v", r)
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
-	if b.got("more").N != 1 || b.got("more").N != 2 {
+	if b.got("more").Number != 1 || b.got("more").Number != 2 {
 		t.Fatal("pages asked for out of order")
 	}
 	c.from.Answer("a", "page", "sheet=2", "three\tb\tc\n")
 	c.from.Answer("a", "page", "sheet=1", "two\tb\tc\n")
-	r := b.ends(engine.Done)
+	r := b.ends(backend.Done)
 	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.RoomMB != 76 {
 		t.Fatalf("%+v", r)
 	}
@@ -127,8 +127,8 @@
 }
 
 func TestWhatNeverRanAndWhatMayHave(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Conns.Store(1) }) // shared
-	for word, end := range map[string]engine.End{"full": engine.Full, "moot": engine.Moot, "failed": engine.Failed} {
+	b := newBench(t, func(l *backend.Bounds) { l.Conns.Store(1) }) // shared
+	for word, end := range map[string]backend.End{"full": backend.Full, "moot": backend.Moot, "failed": backend.Failed} {
 		b.start("a")
 		b.got("fetch").from.Answer("a", word, "", "")
 		b.ends(end)
@@ -140,13 +140,13 @@
 	c.from.Answer("b", "data", "sheets=2", "one\tb\tc\n")
 	b.got("more")
 	c.from.Reset()
-	b.ends(engine.Reset)
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
+	b.ends(backend.Reset)
 	b.until("bytes of lost pages stay", func() bool { return b.bytes.Left() == memory })
-	b.until("the connection stays", func() bool { return b.pool.Count() == 0 })
+	b.until("the connection stays", func() bool { return b.pool.ConnCount() == 0 })
 	b.peer.Close()
 	b.start("c")
-	b.ends(engine.NotConnected)
+	b.ends(backend.NotConnected)
 }
 
 const row = "one\ttwo\tthree\n"
@@ -183,7 +183,7 @@
 		}
 		select {
 		case r := <-b.replies:
-			if r.End != engine.Failed {
+			if r.End != backend.Failed {
 				t.Errorf("%s: %+v", name, r)
 				b.pool.Free(r.Pages)
 			}
@@ -195,18 +195,18 @@
 		}
 	}
 	s.Answer("other", "data", "sheets=1", row)
-	b.pool.Free(b.ends(engine.Done).Pages)
-	b.until("a connection of no further use stays", func() bool { return b.pool.Count() == 1 })
+	b.pool.Free(b.ends(backend.Done).Pages)
+	b.until("a connection of no further use stays", func() bool { return b.pool.ConnCount() == 1 })
 	b.start("a")
 	b.fetched().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
 	b.until("bytes stay", func() bool { return b.bytes.Left() == memory })
 }
 
 // fetched waits for a dispatch, past pages asked for before.
 func (b *bench) fetched() *fake.Session {
 	c := <-b.commands
-	for c.Word != "fetch" {
+	for c.Name != "fetch" {
 		c = <-b.commands
 	}
 	return c.from
@@ -222,18 +222,18 @@
 		c.from.Answer("a", a[0], a[1], row)
 		c.from.Answer("a", a[0], a[1], row)
 	}
-	b.pool.Free(b.ends(engine.Done).Pages)
+	b.pool.Free(b.ends(backend.Done).Pages)
 	b.start("b") // turned away: sent anew, not where the same word may come once more
 	first := b.fetched()
 	first.Answer("b", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 	b.start("b")
 	second := b.fetched()
 	if second == first {
 		t.Error("sent anew where a second copy would end it")
 	}
 	second.Answer("b", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 }
 
 // One spoilt line, reset or silence costs what is open on that connection, and nothing else.
@@ -251,15 +251,15 @@
 		t.Errorf("%d connections, %d dispatches on the last", len(from), from[last.from])
 	}
 	last.from.Reset()
-	b.ends(engine.Reset)
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
+	b.ends(backend.Reset)
 	for s := range from {
 		for _, id := range ids {
 			s.Answer(id, "full", "", "") // only what is open there counts
 		}
 	}
 	for range len(ids) - 2 {
-		b.ends(engine.Full)
+		b.ends(backend.Full)
 	}
 }
 
@@ -270,7 +270,7 @@
 		b.start("a")
 		from := b.fetched()
 		from.Answer("a", "full", "", "")
-		b.ends(engine.Full)
+		b.ends(backend.Full)
 		return from
 	}
 	first := turn()
@@ -280,14 +280,14 @@
 		t.Fatal("an idle connection was not used")
 	}
 	first.Reset()
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
 	second := turn()
 	b.start("c")
 	if b.fetched() != second {
 		t.Error("one idle for a moment was not used")
 	}
 	second.Answer("c", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 	time.Sleep(60 * time.Millisecond)
 	b.start("d")
 	third := b.fetched()
@@ -295,34 +295,34 @@
 		t.Error("sent where the last one was lost after as long an idle time")
 	}
 	third.Answer("d", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 }
 
 // A controller that stood still between order and send could send to an engine that it has been told is draining.
 func TestWhatWasOrderedLongAgoIsNotSent(t *testing.T) {
 	b := newBench(t, nil)
-	b.pool.Start(b.host, engine.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)},
-		func(r engine.Reply) { b.replies <- r })
-	b.ends(engine.Moot)
+	b.pool.Start(b.host, backend.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)},
+		func(r backend.Reply) { b.replies <- r })
+	b.ends(backend.Moot)
 	b.start("b")
 	b.got("fetch").from.Answer("b", "full", "", "") // and nothing of a
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 }
 
 // A probe has no effect, and the engine is not to blame for a connection: its reset took an engine out for a second.
 func TestAProbeGoesOutAgainWhenItsConnectionIsReset(t *testing.T) {
 	b := newBench(t, nil)
-	b.pool.Probe(b.host, true, 10*time.Second, func(r engine.Reply) { b.replies <- r })
+	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
 	b.got("stats").from.Reset()
 	c := b.got("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7", "")
-	if r := b.ends(engine.Done); r.Load != "inflight:7" {
+	if r := b.ends(backend.Done); r.Load != "inflight:7" {
 		t.Errorf("%+v", r)
 	}
-	b.pool.Probe(b.host, true, 10*time.Second, func(r engine.Reply) { b.replies <- r })
+	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
 	b.got("stats").from.Reset()
 	b.got("stats").from.Reset()
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
 }
 
 // What nobody waits for, sent without end, would keep a reader busy for good.
@@ -333,16 +333,16 @@
 	for range 300 {
 		c.from.Answer("x", "full", "", "")
 	}
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
 	b.start("a")
 	c = b.got("fetch")
 	for range 300 {
 		c.from.Answer("a", "news", "note=frac,val=0.5", "")
 	}
 	r := <-b.replies
-	for ; r.End == engine.Open; r = <-b.replies {
+	for ; r.End == backend.Open; r = <-b.replies {
 	}
-	if r.End != engine.Failed {
+	if r.End != backend.Failed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -350,10 +350,10 @@
 // An answer that begins and does not end held its job until the job timeout.
 func TestHalfAnAnswerHasATimeLimit(t *testing.T) {
 	for name, half := range map[string]string{"a line": "a data she", "a page": "a data sheets=1 40\r\none\ttw", "next": "x full - 0\r\n\r\na da"} {
-		b := newBench(t, func(l *engine.Bounds) { l.Dial = 10 * time.Millisecond })
+		b := newBench(t, func(l *backend.Bounds) { l.Dial = 10 * time.Millisecond })
 		b.start("a")
 		b.got("fetch").from.Write([]byte(half))
-		if b.ends(engine.Reset); b.pool.Count() != 0 {
+		if b.ends(backend.Reset); b.pool.ConnCount() != 0 {
 			t.Error(name, "leaves its connection open")
 		}
 	}
@@ -383,13 +383,13 @@
 	}
 	first.from.Answer("a", "data", "sheets=1", "late\tb\tc\n")
 	second.from.Answer("a", "data", "sheets=1", "right\tb\tc\n")
-	if r := b.ends(engine.Done); string(r.Pages[0]) != "right\tb\tc\n" {
+	if r := b.ends(backend.Done); string(r.Pages[0]) != "right\tb\tc\n" {
 		t.Fatalf("%q", r.Pages[0])
 	}
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Streams = 2; l.Conns.Store(2) })
+	b := newBench(t, func(l *backend.Bounds) { l.Streams = 2; l.Conns.Store(2) })
 	var from []command
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.start(id)
@@ -399,95 +399,95 @@
 		t.Fatalf("%d connections for four dispatches", b.peer.Sessions())
 	}
 	b.start("e") // no descriptor for a third: it never ran, and the engine refused nothing
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 	for _, c := range from {
 		if c.from == from[0].from {
 			c.from.Answer(c.ID, "full", "", "")
-			b.ends(engine.Full)
+			b.ends(backend.Full)
 		}
 	}
 	other := newBench(t, nil) // an idle connection makes way for another engine
-	b.host = engine.Host{Name: "e2", Address: other.peer.Address()}
+	b.host = backend.Host{Name: "e2", Address: other.peer.Address()}
 	b.start("f")
 	other.got("fetch").from.Answer("f", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 	for _, c := range from {
 		if c.from != from[0].from {
 			c.from.Answer(c.ID, "full", "", "")
-			b.ends(engine.Full)
+			b.ends(backend.Full)
 		}
 	}
 }
 
 func TestAnEngineCutOffLeavesNothingBehind(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Dial = 300 * time.Millisecond })
-	b.pool.Probe(b.host, true, 10*time.Second, func(r engine.Reply) { b.replies <- r })
+	b := newBench(t, func(l *backend.Bounds) { l.Dial = 300 * time.Millisecond })
+	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
 	c := b.got("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7;util:0.61", "")
-	if r := b.ends(engine.Done); r.Load != "inflight:7;util:0.61" {
+	if r := b.ends(backend.Done); r.Load != "inflight:7;util:0.61" {
 		t.Fatalf("%+v", r)
 	}
-	b.pool.Probe(b.host, false, 300*time.Millisecond, func(r engine.Reply) { b.replies <- r })
+	b.pool.Probe(b.host, false, 300*time.Millisecond, func(r backend.Reply) { b.replies <- r })
 	first := b.got("alive").from
-	b.ends(engine.TimedOut)
+	b.ends(backend.TimedOut)
 	b.start("a") // not on the connection that says nothing
 	if b.got("fetch").from == first {
 		t.Fatal("sent where a probe was lost")
 	}
 	b.until("the silent connection stays", func() bool { return b.peer.Sessions() == 1 })
 	b.peer.Close()
-	b.ends(engine.Reset)
+	b.ends(backend.Reset)
 }
 
 // A machine that vanished reads no abort: the job still counted as out there when it was sent again elsewhere.
 func TestASilentConnectionIsClosedToGiveUpWhatIsOutOnIt(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Dial = 200 * time.Millisecond; l.Conns.Store(2) })
+	b := newBench(t, func(l *backend.Bounds) { l.Dial = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
-	b.pool.Start(b.host, engine.Request{ID: []byte("c"), Type: []byte("import"), Lane: engine.MayNot, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+	b.pool.Start(b.host, backend.Request{ID: []byte("c"), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
 	kept := b.got("fetch")
 	d := b.start("a")
 	b.got("fetch")
 	b.start("b") // no connection is left for it alone
 	b.got("fetch")
 	d.GiveUp(func() { read <- "a" })
-	b.ends(engine.Reset) // b was beside it
+	b.ends(backend.Reset) // b was beside it
 	if id := <-read; id != "a" || b.peer.Sessions() > 2 {
 		t.Fatal(id)
 	}
 	b.got("abort")
 	b.got("more")
 	kept.from.Answer("c", "full", "", "") // the other lane is untouched
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 }
 
 // The engine vanished unnoticed: a run-once job that goes there over a connection that is up may have run for ever.
 func TestARunOnceJobDoesNotGoWhereAProbeWasLost(t *testing.T) {
 	b := newBench(t, nil)
 	importing := func(id string) *fake.Session {
-		b.pool.Start(b.host, engine.Request{ID: []byte(id), Type: []byte("import"), Lane: engine.MayNot, Ordered: time.Now()}, func(r engine.Reply) { b.replies <- r })
+		b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
 		c := b.got("fetch")
 		c.from.Answer(id, "full", "", "")
-		b.ends(engine.Full)
+		b.ends(backend.Full)
 		return c.from
 	}
 	first := importing("a")
-	b.pool.Probe(b.host, false, 50*time.Millisecond, func(r engine.Reply) { b.replies <- r })
+	b.pool.Probe(b.host, false, 50*time.Millisecond, func(r backend.Reply) { b.replies <- r })
 	b.got("alive")
-	b.ends(engine.TimedOut)
+	b.ends(backend.TimedOut)
 	if importing("b") == first {
 		t.Fatal("sent over a connection to an engine that lost a probe, with nothing heard since")
 	}
 }
 
 func TestADispatchThatLeftNoByteGoesOverAnotherConnection(t *testing.T) {
-	b := newBench(t, func(l *engine.Bounds) { l.Idle = 400 * time.Millisecond })
+	b := newBench(t, func(l *backend.Bounds) { l.Idle = 400 * time.Millisecond })
 	b.start("a")
 	c := b.got("fetch")
 	c.from.Answer("a", "full", "", "")
-	b.ends(engine.Full)
+	b.ends(backend.Full)
 	c.from.Reset()
 	b.start("b")
 	b.got("fetch").from.Answer("b", "full", "", "")
-	b.ends(engine.Full)
-	b.until("an idle connection stays", func() bool { return b.pool.Count() == 0 })
+	b.ends(backend.Full)
+	b.until("an idle connection stays", func() bool { return b.pool.ConnCount() == 0 })
 }
--- /dev/null
+++ b/internal/engine/probe.go
@@ -0,0 +1,46 @@
+package engine
+
+import (
+	"strconv"
+	"time"
+
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+)
+
+// Probe asks an engine for its load, or only whether it is well. The reply is TimedOut if none came within the
+// timeout.
+func (p *Pool) Probe(to backend.Host, load bool, timeout time.Duration, reply func(backend.Reply)) {
+	name := commandAlive
+	if load {
+		name = commandStats
+	}
+	id := p.nextProbeID()
+	command := appendCommand(nil, name, id)
+	p.probe(to, id, command, timeout, func(r backend.Reply) {
+		if r.End != backend.Reset {
+			reply(r)
+			return
+		}
+		// A probe has no effect, and the connection may have been to blame: it is sent once more.
+		counters.Increment("probes_again")
+		p.probe(to, id, command, timeout, reply)
+	})
+}
+
+func (p *Pool) nextProbeID() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.probeID++
+	return "t" + strconv.FormatUint(p.probeID, 10)
+}
+
+func (p *Pool) probe(to backend.Host, id string, command []byte, timeout time.Duration, reply func(backend.Reply)) {
+	d := &Dispatch{pool: p, id: id, reply: reply, orderedAt: time.Now(), isProbe: true, command: command}
+	p.place(to, d)
+	afterReading(timeout, func() {
+		if d.GiveUp(func() {}) {
+			d.notifyEnd(backend.Reply{End: backend.TimedOut})
+		}
+	})
+}
--- a/internal/engine/line_test.go
+++ b/internal/engine/protocol_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"testing/iotest"
 	"time"
+
+	"swiftreel/internal/backend"
 )
 
 // still is a source that needs no time limits.
@@ -16,13 +18,13 @@
 func (still) SetReadDeadline(time.Time) error { return nil }
 
 func read(r io.Reader) (got []string, err error) {
-	l := newLines(still{r}, time.Second)
+	l := newAnswerReader(still{r}, time.Second)
 	for {
-		a, err := l.answer()
+		a, err := l.next()
 		if err != nil {
 			return got, err
 		}
-		got = append(got, string(a.id)+" "+string(a.word)+" "+string(a.fields)+" "+string(a.body))
+		got = append(got, string(a.id)+" "+string(a.kind)+" "+string(a.fields)+" "+string(a.body))
 	}
 }
 
@@ -45,10 +47,10 @@
 func TestWhatLosesFramingIsAnError(t *testing.T) {
 	for name, in := range map[string]string{
 		"no length": "a data -\r\n", "length no number": "a data - x\r\n", "length past a page": "a data - 6001\r\n",
-		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd", "a long line": strings.Repeat("a", 2*readSize),
+		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd", "a long line": strings.Repeat("a", 2*readBufferSize),
 		"a line over its bound": "a data " + strings.Repeat("a", maxLine) + " 0\r\n\r\n", "two spaces": "a  - 0\r\n\r\n",
 	} {
-		if got, err := read(strings.NewReader(in)); err != errLine || len(got) > 0 {
+		if got, err := read(strings.NewReader(in)); err != errMalformed || len(got) > 0 {
 			t.Errorf("%s: %q %v", name, got, err)
 		}
 	}
@@ -85,14 +87,14 @@
 		if !(grant >= 0 && grant < 1e9) || len(statement) > 1<<19 {
 			return
 		}
-		b := appendFetch(nil, Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: statement, WaitMS: 5,
+		b := appendFetch(nil, backend.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: statement, WaitMS: 5,
 			GrantMB: grant, Priority: priority})
-		r := bufio.NewReader(bytes.NewReader(appendCommand(b, "more", []byte("x"), 2)))
+		r := bufio.NewReader(bytes.NewReader(appendNumberCommand(b, commandMore, "x", 2)))
 		c, err := ReadCommand(r)
-		if err != nil || c.Word != "fetch" || !bytes.Equal(c.Body, statement) || strings.Contains(c.Fields, "allot") != (grant > 0) {
+		if err != nil || c.Name != "fetch" || !bytes.Equal(c.Body, statement) || strings.Contains(c.Fields, "allot") != (grant > 0) {
 			t.Fatalf("%+v %v", c, err)
 		}
-		if c, err = ReadCommand(r); err != nil || c.Word != "more" || c.ID != "x" || c.N != 2 {
+		if c, err = ReadCommand(r); err != nil || c.Name != "more" || c.ID != "x" || c.Number != 2 {
 			t.Fatalf("%+v %v", c, err)
 		}
 	})
--- /dev/null
+++ b/internal/engine/send.go
@@ -0,0 +1,134 @@
+package engine
+
+import (
+	"errors"
+	"time"
+
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+)
+
+const (
+	writeTimeout = time.Second // an engine that takes no byte for so long is cut off
+	maxMoves     = 3           // of a dispatch of which no byte went out, to another connection
+)
+
+var errClosedByEngine = errors.New("the engine has closed the connection")
+
+// send writes a dispatch, unless it was given up or is too late: the engine may have been told to drain since. If no
+// byte of it went out it never ran, and may go over another connection.
+func (c *conn) send(dispatch *Dispatch) {
+	c.writeMu.Lock()
+	decision := c.beginSend(dispatch)
+	var written int
+	var err error
+	if decision == sendNow {
+		written, err = c.writeDispatch(dispatch)
+	}
+	c.writeMu.Unlock() // an abort of the dispatch has waited for it
+	switch decision {
+	case sendTooLate:
+		counters.Increment("sends_too_late")
+		dispatch.notifyEnd(backend.Reply{End: backend.Moot})
+	case sendNow, sendNothing:
+		c.finishSend(dispatch, written, err)
+	}
+}
+
+// sendDecision is what becomes of a dispatch whose turn has come.
+type sendDecision uint8
+
+const (
+	sendNow sendDecision = iota
+	sendNothing
+	sendTooLate
+)
+
+// beginSend decides on a dispatch whose turn has come, and ends it if it is too late.
+func (c *conn) beginSend(d *Dispatch) sendDecision {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	d.writtenAt = time.Now()
+	if d.state != stateSending {
+		return sendNothing
+	}
+	if !d.isTooLate() {
+		return sendNow
+	}
+	c.release(d)
+	d.close(backend.Moot)
+	return sendTooLate
+}
+
+// isTooLate reports whether a dispatch must not be sent any more. The lock is held.
+func (d *Dispatch) isTooLate() bool {
+	if d.isProbe {
+		return false
+	}
+	isPastBound := !d.sendBy.IsZero() && d.writtenAt.After(d.sendBy)
+	return isPastBound || d.writtenAt.Sub(d.orderedAt) > d.pool.bounds.Dial
+}
+
+// writeDispatch writes the command of a dispatch, unless the engine has closed the connection, which its reader may
+// not have come to yet. writeMu is held.
+func (c *conn) writeDispatch(d *Dispatch) (int, error) {
+	if isClosedByPeer(c.socket) {
+		return 0, errClosedByEngine
+	}
+	return c.writeLocked(d.command)
+}
+
+// finishSend goes on with a dispatch after its write: it is out, or ends, or goes over another connection.
+func (c *conn) finishSend(dispatch *Dispatch, written int, err error) {
+	p := c.pool
+	p.mu.Lock()
+	if dispatch.state != stateSending { // given up, or answered already
+		p.mu.Unlock()
+		return
+	}
+	if err == nil && !c.isRemoved {
+		dispatch.markDispatched()
+		p.mu.Unlock()
+		return
+	}
+	delete(c.open, dispatch.id)
+	p.remove(c)
+	// Past half the dial time-out another connection might be too late for an engine that now drains.
+	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.bounds.Dial/2
+	if !canMove {
+		dispatch.close(backend.Reset)
+		p.mu.Unlock()
+		dispatch.notifyEnd(backend.Reply{End: endOfFailedSend(written)})
+		return
+	}
+	dispatch.moves++
+	state := p.assign(c.engine, dispatch)
+	p.mu.Unlock()
+	counters.Increment("sends_moved")
+	dispatch.proceed(state)
+}
+
+func endOfFailedSend(written int) backend.End {
+	if written > 0 {
+		return backend.Reset
+	}
+	return backend.NotConnected
+}
+
+// write writes a message; one that does not go out completely ends the connection, whose reader then ends what is
+// open.
+func (c *conn) write(message []byte) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_, _ = c.writeLocked(message) // the reader sees the end of the connection
+}
+
+// writeLocked writes a message and returns how many bytes went out. writeMu is held.
+func (c *conn) writeLocked(message []byte) (int, error) {
+	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error shows at the write
+	n, err := c.socket.Write(message)
+	if err != nil {
+		_ = c.socket.Close() // it is of no further use
+	}
+	return n, err
+}
--- a/internal/fake/rough.go
+++ b/internal/fake/rough.go
@@ -32,7 +32,7 @@
 
 // Handle answers a command.
 func (r *Rough) Handle(s *Session, c engine.Command) {
-	switch c.Word {
+	switch c.Name {
 	case "stats", "alive":
 		s.Answer(c.ID, "well", "load=concurrent:0", "")
 	case "more":
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -22,7 +22,7 @@
 			delete(running, key)
 			b.Add(rulecheck.Entry{What: rulecheck.Ended, Job: c.ID, Engine: name, Answer: how})
 		}
-		switch c.Word {
+		switch c.Name {
 		case "stats", "alive":
 			if f.Broken(name) {
 				s.Answer(c.ID, "failed", "", "")
