--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -107,7 +107,7 @@
 	teach(own.Tally, gate)
 	followed := &plans{gate: gate}
 	followed.follow(own)
-	follower := discovery.Follow(file.Feed, file.Known.N, func(ev discovery.Event) { gate.List(ev, false) })
+	follower := discovery.Watch(file.Feed, file.Known.N, func(ev discovery.Event) { gate.List(ev, false) })
 	reloads := reloader{file: file, own: own, leaves: side.leaves, follower: follower, parts: parts, load: func() (config.File, error) { return config.Load(os.Getenv) },
 		operator: func() (operator.File, error) { return operator.Load(s.Operator) },
 		follow:   followed.follow,
@@ -115,8 +115,8 @@
 		force:    told.force, elder: gate.Elder,
 		done: make(chan struct{}), ended: make(chan struct{})}
 	go reloads.run(reload)
-	front := client.NewFront(gate, parts)
-	told.owed.Store(func() int64 { return front.Owed() + side.owed() })
+	front := client.NewServer(gate, parts)
+	told.owed.Store(func() int64 { return front.OwedAnswers() + side.owed() })
 	go front.Serve(listener)
 	side.serve()
 	debug.FreeOSMemory() // what the libraries of the command line left behind when they were set up
@@ -127,15 +127,15 @@
 	signal := <-stop
 	at := time.Now()
 	gate.Stop()
-	slog.Info("stopping", "signal", signal, "owed", front.Owed())
+	slog.Info("stopping", "signal", signal, "owed", front.OwedAnswers())
 	for quiet, last := time.Duration(0), at; quiet < quietLast; {
 		time.Sleep(quietLook)
 		now := time.Now()
 		if now.Sub(at) >= lateArrivals {
-			front.Refuse()
+			front.RefuseCalls()
 		}
-		if quiet += quietLook; now.Sub(at) < lateArrivals || front.Owed()+side.owed() > 0 || now.Sub(last) > 5*quietLook ||
-			now.Sub(at) < lateArrivals+lateMost && front.Unread() {
+		if quiet += quietLook; now.Sub(at) < lateArrivals || front.OwedAnswers()+side.owed() > 0 || now.Sub(last) > 5*quietLook ||
+			now.Sub(at) < lateArrivals+lateMost && front.HasPendingInput() {
 			quiet = 0
 		}
 		last = now
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -27,7 +27,7 @@
 	restate  func(facts map[string]any)
 	force    func(*operator.Tally, map[string]any) // what is in force from now on
 	elder    func(bool)
-	follower *discovery.Follower
+	follower *discovery.Watcher
 	parts    *limits.Parts
 
 	done, ended chan struct{}
@@ -78,8 +78,8 @@
 	if (own.Tally == nil) != (r.own.Tally == nil) || own.Tally != nil && own.Tally.Listen != r.own.Tally.Listen {
 		restart, own.Tally = append(restart, "operator.tally"), r.own.Tally
 	}
-	moved := r.follower.Move(file.Feed, known)
-	last, _ := r.follower.Last()
+	moved := r.follower.Reconfigure(file.Feed, known)
+	last, _ := r.follower.Position()
 	slog.Info("reloaded", "feed", file.Feed, "feed_moved", moved, "events", last, "needs_restart", strings.Join(restart, ","), "settings", change.OfJSON(facts))
 	if file.Limits != r.file.Limits {
 		r.parts.Apply(r.leaves(file.Limits))
@@ -125,7 +125,7 @@
 	known := make([]discovery.Event, len(file.Known.Events))
 	for i, text := range file.Known.Events {
 		var err error
-		if known[i], err = discovery.Parse(text); err != nil {
+		if known[i], err = discovery.ParseEvent(text); err != nil {
 			return nil, fmt.Errorf("known event %d: %w", i, err)
 		}
 	}
--- a/cmd/swiftreel/tally_test.go
+++ b/cmd/swiftreel/tally_test.go
@@ -100,7 +100,7 @@
 	}
 	t.Cleanup(told.close)
 	told.force(own.Tally, settings)
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,7 +188,7 @@
 			gate := gateway.New(choice.Facts(settings), 1, parts, false,
 				map[backend.Protocol]backend.Make{backend.Line: func(backend.Bounds) backend.Engines { return scriptedEngines{} }})
 			defer gate.Close()
-			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+			ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -9,91 +9,105 @@
 	"swiftreel/internal/socketstate"
 )
 
-// call is one job asked for and not answered.
+// call is one job that was requested and not answered. It implements gateway.Asker.
 type call struct {
-	conn *conn
-	id   uint32
-	held int    // bytes of the statement
-	left func() // told once, if the client leaves before the answer
-	gone bool
+	conn          *conn
+	id            uint32
+	reservedBytes int // of the statement
+
+	// Guarded by the connection's lock.
+	onLeave func() // called once, if the client leaves before the answer
+	hasLeft bool
 }
 
-// newAsk copies what must outlive the buffer, in one piece.
-func newAsk(from *call, m message, r request, at time.Time) gateway.Ask {
-	b := make([]byte, 0, len(m.method)+len(r.call)+len(r.tenant)+len(r.key)+len(r.idempotency)+len(r.body))
-	keep := func(part []byte) []byte {
-		from := len(b)
-		b = append(b, part...)
-		return b[from:len(b):len(b)]
+// newJobRequest copies what must outlive the buffer, in one piece.
+func newJobRequest(from *call, received message, r request, at time.Time) gateway.Ask {
+	size := len(received.method) + len(r.callID) + len(r.tenant) + len(r.key) + len(r.idempotencyKey) + len(r.statement)
+	storage := make([]byte, 0, size)
+	copyPart := func(part []byte) []byte {
+		start := len(storage)
+		storage = append(storage, part...)
+		return storage[start:len(storage):len(storage)]
+	}
+	return gateway.Ask{
+		Type:        copyPart(received.method),
+		ID:          copyPart(r.callID),
+		Tenant:      copyPart(r.tenant),
+		Key:         copyPart(r.key),
+		Idempotency: copyPart(r.idempotencyKey),
+		Statement:   copyPart(r.statement),
+		Left:        r.timeout,
+		At:          at,
+		Repeat:      r.isRepeat,
+		Work:        r.work,
+		MemoryMB:    r.memoryMB,
+		From:        from,
 	}
-	return gateway.Ask{Type: keep(m.method), ID: keep(r.call), Tenant: keep(r.tenant), Key: keep(r.key), Idempotency: keep(r.idempotency),
-		Statement: keep(r.body), Left: r.left, At: at, Repeat: r.repeat, Work: r.work, MemoryMB: r.memoryMB, From: from}
 }
 
-// OnLeave sets what is told if the client leaves, at once if it has.
-func (l *call) OnLeave(left func()) {
+// OnLeave sets what is called if the client leaves; it is called at once if the client has left.
+func (l *call) OnLeave(onLeave func()) {
 	l.conn.mu.Lock()
-	l.left = left
-	gone := l.gone
+	l.onLeave = onLeave
+	hasLeft := l.hasLeft
 	l.conn.mu.Unlock()
-	if gone {
-		left()
+	if hasLeft {
+		onLeave()
 	}
 }
 
-func (l *call) leave() {
+func (l *call) clientLeft() {
 	l.conn.mu.Lock()
-	l.gone = true
-	left := l.left
+	l.hasLeft = true
+	onLeave := l.onLeave
 	l.conn.mu.Unlock()
-	if left != nil {
-		left()
+	if onLeave != nil {
+		onLeave()
 	}
 }
 
 // Done answers with all rows of the result, in order.
 func (l *call) Done(pages [][]byte) {
-	rows := 0
-	for _, p := range pages {
-		rows += len(p)
+	rowBytes := 0
+	for _, page := range pages {
+		rowBytes += len(page)
+	}
+	parts := net.Buffers{appendDoneHead(nil, l.id, rowBytes)}
+	parts = append(parts, pages...)
+	parts = append(parts, appendDoneTail(nil))
+	if l.conn.settle(l, 1) {
+		l.conn.writeResult(parts)
+		l.conn.server.owedAnswers.Add(-1)
 	}
-	parts := append(net.Buffers{appendDoneHead(nil, l.id, rows)}, pages...)
-	l.answer(append(parts, appendDoneTail(nil)))
 }
 
-// Throttled answers that trying again is harmless, after the wait if there is one.
+// Throttled answers that trying again is harmless, after a wait if it is above 0.
 func (l *call) Throttled(wait time.Duration) {
-	field, value := "", ""
+	var field, value string
 	if wait > 0 {
-		field, value = fieldWait, strconv.FormatInt(max(1, wait.Milliseconds()), 10)
+		field = fieldRetryAfter
+		value = strconv.FormatInt(max(1, wait.Milliseconds()), 10)
 	}
-	l.refuse(appendError(nil, l.id, wordThrottle, field, value))
+	l.refuse(appendError(nil, l.id, errorThrottled, field, value))
 }
 
-// Failed answers that the job is cancelled for good, which promises nothing.
+// Failed answers that the job is cancelled for good, which does not say whether it ran.
 func (l *call) Failed(reason string) {
-	l.refuse(appendError(nil, l.id, wordFailed, "reason", reason))
+	l.refuse(appendError(nil, l.id, errorFailed, fieldReason, reason))
 }
 
 // refuse answers without a result, and does not wait for the client to read it.
-func (l *call) refuse(b []byte) {
-	l.conn.pace.refused()
-	if l.conn.settle(l, 0) {
-		if l.conn.reply(b) != nil {
-			l.conn.nc.Close()
-		}
-		l.conn.front.owed.Add(-1)
+func (l *call) refuse(text []byte) {
+	l.conn.rate.countRefusal()
+	if !l.conn.settle(l, 0) {
+		return
 	}
-}
-
-// Here looks whether the client is still there, as far as its connection shows: also where the reader has not come to
-// its close, behind all that it sent before.
-func (l *call) Here() bool { return !socketstate.PeerClosed(l.conn.nc) }
-
-// answer writes the one answer of a call, unless the client left before.
-func (l *call) answer(parts net.Buffers) {
-	if l.conn.settle(l, 1) {
-		l.conn.writeResult(parts)
-		l.conn.front.owed.Add(-1)
+	if l.conn.reply(text) != nil {
+		_ = l.conn.socket.Close() // the client does not read: its reader ends with an error
 	}
+	l.conn.server.owedAnswers.Add(-1)
 }
+
+// Here reports whether the client is still there, as far as its connection shows: also if the reader has not come to
+// its close yet, behind all that was sent before.
+func (l *call) Here() bool { return !socketstate.PeerClosed(l.conn.socket) }
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -58,10 +58,10 @@
 }
 
 type stand struct {
-	t     *testing.T
-	front *Front
-	taker *taker
-	door  door
+	t      *testing.T
+	server *Server
+	taker  *taker
+	door   door
 }
 
 func newStand(t *testing.T, most int64) *stand {
@@ -73,12 +73,12 @@
 		t.Fatal(err)
 	}
 	s := &stand{t: t, taker: &taker{asks: make(chan gateway.Ask, 1000)}, door: door{l.(*net.TCPListener), make(chan struct{})}}
-	s.front = NewFront(s.taker, parts)
+	s.server = NewServer(s.taker, parts)
 	t.Cleanup(func() {
 		l.Close()
-		s.front.Close()
+		s.server.Close()
 	})
-	go s.front.Serve(s.door)
+	go s.server.Serve(s.door)
 	return s
 }
 
@@ -122,14 +122,14 @@
 				t.Fatal("no answer")
 			}
 			s.until("its connection stays", func() bool {
-				s.front.mu.Lock()
-				defer s.front.mu.Unlock()
-				return len(s.front.conns) == 1
+				s.server.mu.Lock()
+				defer s.server.mu.Unlock()
+				return len(s.server.conns) == 1
 			})
 			if n := len(s.taker.asks); n > 0 {
 				t.Errorf("%d calls are taken", n)
 			}
-			s.until("answers stay owed", func() bool { return s.front.Owed() == 0 })
+			s.until("answers stay owed", func() bool { return s.server.OwedAnswers() == 0 })
 		})
 	}
 }
@@ -166,7 +166,7 @@
 	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // far past what the system takes of it
 	defer wrote.Wait()
 	defer c.Close()
-	s.until("no answer is being written", func() bool { return s.front.writing() })
+	s.until("no answer is being written", func() bool { return s.server.writing() })
 	broken := counters.Value("client_writes_broken")
 	c.Write(AppendHeartbeat(nil, 3))
 	c.Write(AppendRevoke(nil, 2))
@@ -181,11 +181,11 @@
 }
 
 // writing tells whether some result is being written.
-func (f *Front) writing() bool {
+func (f *Server) writing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if c.mu.Lock(); c.results > 0 {
+		if c.mu.Lock(); c.resultsInFlight > 0 {
 			c.mu.Unlock()
 			return true
 		}
@@ -206,14 +206,14 @@
 		if id == 10_000_000 {
 			t.Fatal("never ended")
 		}
-		if n := s.front.unwritten(); n > repliesMost {
+		if n := s.server.unwritten(); n > maxQueuedReplies {
 			t.Fatalf("%d bytes are held for a client that reads nothing", n)
 		}
 	}
 }
 
 // unwritten is the most that waits to be written to one client.
-func (f *Front) unwritten() (n int) {
+func (f *Server) unwritten() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -231,7 +231,7 @@
 	close(s.door.open)
 	c := s.dial()
 	c.Write(AppendHeartbeat(nil, 1))
-	s.until("no answer written", func() bool { return s.front.idleNow() == 1 })
+	s.until("no answer written", func() bool { return s.server.idleNow() == 1 })
 	other := s.dial() // has no room: the idle one makes way
 	if !ready(other) {
 		t.Fatal("no answer")
@@ -249,11 +249,11 @@
 }
 
 // idleNow counts the connections that asked and have been answered.
-func (f *Front) idleNow() (n int) {
+func (f *Server) idleNow() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if _, said, idle := c.idle(); said && idle {
+		if activity := c.activity(); activity.hasSpoken && activity.isIdle {
 			n++
 		}
 	}
@@ -270,7 +270,7 @@
 	const size = 8 << 20
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.From.Done([][]byte{make([]byte, size)}) })
-	s.until("no answer is being written", func() bool { return s.front.writing() })
+	s.until("no answer is being written", func() bool { return s.server.writing() })
 	full := counters.Value("client_conns_full")
 	other := s.dial()
 	s.until("nobody is at the door", func() bool { return counters.Value("client_conns_full") > full })
@@ -293,17 +293,17 @@
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	one := s.taker.got(t) // the reader stands still
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
-	s.until("the second call has not come", s.front.Unread)
+	s.until("the second call has not come", s.server.HasPendingInput)
 	one.From.Done([][]byte{[]byte("a\tb\tc\n")})
 	ended := make(chan struct{})
 	go func() {
-		s.front.Close()
+		s.server.Close()
 		close(ended)
 	}()
 	s.until("not closing", func() bool {
-		s.front.mu.Lock()
-		defer s.front.mu.Unlock()
-		return s.front.ended
+		s.server.mu.Lock()
+		defer s.server.mu.Unlock()
+		return s.server.isClosed
 	})
 	close(s.taker.held)
 	got, err := io.ReadAll(c)
@@ -314,7 +314,7 @@
 	if len(s.taker.asks) > 0 {
 		t.Error("the second call is taken")
 	}
-	s.front = NewFront(s.taker, s.front.parts) // for the clean-up to close
+	s.server = NewServer(s.taker, s.server.limits) // for the clean-up to close
 }
 
 // A call that is read once the controller takes nothing more is throttled and not sent on.
@@ -322,15 +322,15 @@
 	s := newStand(t, 6)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
-	s.front.Refuse()
+	s.server.RefuseCalls()
 	close(s.door.open)
 	b := make([]byte, 100)
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	n, err := c.Read(b)
-	if a, _, bad := ParseAnswer(b[:n]); err != nil || bad != nil || a.Error != wordThrottle || len(s.taker.asks) > 0 {
+	if a, _, bad := ParseAnswer(b[:n]); err != nil || bad != nil || a.Error != errorThrottled || len(s.taker.asks) > 0 {
 		t.Errorf("%+v, %v, %v", a, err, bad)
 	}
-	s.until("an answer stays owed", func() bool { return s.front.Owed() == 0 && !s.front.Unread() })
+	s.until("an answer stays owed", func() bool { return s.server.OwedAnswers() == 0 && !s.server.HasPendingInput() })
 }
 
 // A client that reads nothing holds up the end no longer than half a message does: what it does not read is not owed.
@@ -342,39 +342,39 @@
 	one := s.taker.got(t)
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
-	s.until("no answer is being written", func() bool { return s.front.writing() })
-	owed := s.front.Owed()
+	s.until("no answer is being written", func() bool { return s.server.writing() })
+	owed := s.server.OwedAnswers()
 	c.Write(AppendHeartbeat(nil, 2))
-	s.until("the heartbeat is not read", func() bool { return s.front.replying.Load() == 1 })
-	if s.front.Owed() != owed || !s.front.Unread() {
-		t.Errorf("%d owed, %d before; waited for: %v", s.front.Owed(), owed, s.front.Unread())
+	s.until("the heartbeat is not read", func() bool { return s.server.pendingReplies.Load() == 1 })
+	if s.server.OwedAnswers() != owed || !s.server.HasPendingInput() {
+		t.Errorf("%d owed, %d before; waited for: %v", s.server.OwedAnswers(), owed, s.server.HasPendingInput())
 	}
 	c.Close()
 	wrote.Wait()
-	s.until("it is waited for after its client has gone", func() bool { return !s.front.Unread() && s.front.Owed() == 0 })
+	s.until("it is waited for after its client has gone", func() bool { return !s.server.HasPendingInput() && s.server.OwedAnswers() == 0 })
 }
 
 // What was accepted by the system only, lies unread, or was read in part is seen before the end.
 func TestUnreadIsSeen(t *testing.T) {
 	s := newStand(t, 6)
 	s.taker.held = make(chan struct{})
-	if s.front.Unread() {
+	if s.server.HasPendingInput() {
 		t.Error("something is seen where nothing came")
 	}
 	first, second := s.dial(), s.dial() // the door holds the first; the second waits with the system
-	s.until("who waits to be accepted is not seen", s.front.Unread)
+	s.until("who waits to be accepted is not seen", s.server.HasPendingInput)
 	close(s.door.open)
-	s.until("both are accepted", func() bool { return !s.front.Unread() })
+	s.until("both are accepted", func() bool { return !s.server.HasPendingInput() })
 	first.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	s.taker.got(t)
 	first.Write([]byte{0x94})
-	s.until("what lies unread is not seen", s.front.Unread)
+	s.until("what lies unread is not seen", s.server.HasPendingInput)
 	second.Write(append(AppendHeartbeat(nil, 1), 0x94))
 	s.until("half a message is not seen", func() bool {
-		s.front.mu.Lock()
-		defer s.front.mu.Unlock()
-		for c := range s.front.conns {
-			if c.half.Load() {
+		s.server.mu.Lock()
+		defer s.server.mu.Unlock()
+		for c := range s.server.conns {
+			if c.isMidMessage.Load() {
 				return true
 			}
 		}
@@ -383,9 +383,9 @@
 	close(s.taker.held)
 }
 
-// Where all have asked of late and one more is at the door, the one idle longest makes way at once. Seen on sockets: idle
-// clients held all places, each newcomer waited for one of them to be silent for long enough, 841 of 2,650 requests were
-// never taken up, and one of a key overtook another that waited at the door.
+// Where all have asked of late and one more is at the door, the one idle longest makes way at once. Seen on sockets:
+// idle clients held all places, each newcomer waited for one of them to be silent for long enough, 841 of 2,650
+// requests were never taken up, and one of a key overtook another that waited at the door.
 func TestIdleClientsMakeWayForWhoeverIsAtTheDoor(t *testing.T) {
 	s := newStand(t, 100)
 	close(s.door.open)
@@ -399,7 +399,7 @@
 		}
 		defer nc.Close()
 		_ = there
-		conns[&conn{front: s.front, nc: nc.(*net.TCPConn), came: now.Add(-time.Second), said: true, used: now.Add(-time.Duration(i) * time.Millisecond),
+		conns[&conn{server: s.server, socket: nc.(*net.TCPConn), acceptedAt: now.Add(-time.Second), hasSpoken: true, lastUsed: now.Add(-time.Duration(i) * time.Millisecond),
 			open: map[uint32]*call{}}] = struct{}{}
 	}
 	nc, err := net.Dial("tcp", s.door.Addr().String())
@@ -407,20 +407,20 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	newcomer := &conn{front: s.front, nc: nc.(*net.TCPConn), came: now.Add(-silentLeast / 2), open: map[uint32]*call{}}
+	newcomer := &conn{server: s.server, socket: nc.(*net.TCPConn), acceptedAt: now.Add(-minSilentAge / 2), open: map[uint32]*call{}}
 	conns[newcomer] = struct{}{}
-	f := &Front{conns: conns}
-	c := f.spare(now)
-	if c == nil || now.Sub(c.used) != 39*time.Millisecond {
+	f := &Server{conns: conns}
+	c := f.evictionCandidate(now)
+	if c == nil || now.Sub(c.lastUsed) != 39*time.Millisecond {
 		t.Fatalf("%+v makes way", c)
 	}
 	for range 6 { // a flood of those that say nothing: they make way themselves, once they had their moment
-		conns[&conn{front: s.front, nc: newcomer.nc, came: newcomer.came, open: map[uint32]*call{}}] = struct{}{}
+		conns[&conn{server: s.server, socket: newcomer.socket, acceptedAt: newcomer.acceptedAt, open: map[uint32]*call{}}] = struct{}{}
 	}
-	if c := f.spare(now); c != nil {
+	if c := f.evictionCandidate(now); c != nil {
 		t.Errorf("%+v makes way for a flood", c)
 	}
-	if c := f.spare(now.Add(silentLeast)); c == nil || c.said {
+	if c := f.evictionCandidate(now.Add(minSilentAge)); c == nil || c.hasSpoken {
 		t.Errorf("%+v makes way instead of one of the flood", c)
 	}
 }
@@ -436,11 +436,11 @@
 			t.Fatal("no answer")
 		}
 		conns = append(conns, c)
-		s.front.mu.Lock()
-		if n := len(s.front.lingering); n > 1 {
+		s.server.mu.Lock()
+		if n := len(s.server.lingering); n > 1 {
 			t.Errorf("%d linger", n)
 		}
-		s.front.mu.Unlock()
+		s.server.mu.Unlock()
 	}
 	for _, c := range conns[:9] {
 		c.SetReadDeadline(time.Now().Add(20 * time.Second))
--- a/internal/client/front_test.go
+++ b/internal/client/eviction_test.go
@@ -20,7 +20,7 @@
 	parts := new(limits.Parts)
 	parts.ClientConns.Store(most)
 	parts.Bytes.Allow(1 << 20)
-	f := NewFront(sink{}, parts)
+	f := NewServer(sink{}, parts)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/client/golden_test.go
+++ b/internal/client/golden_test.go
@@ -104,13 +104,13 @@
 	}
 }
 
-func dialFront(t *testing.T, taker Taker) net.Conn {
+func dialFront(t *testing.T, taker JobTaker) net.Conn {
 	t.Helper()
 	parts := new(limits.Parts)
 	parts.ClientConns.Store(10)
 	parts.Bytes.Allow(1 << 20)
 	parts.Reads.Allow(1 << 20)
-	front := NewFront(taker, parts)
+	front := NewServer(taker, parts)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/client/handle.go
@@ -0,0 +1,153 @@
+package client
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	"swiftreel/internal/counters"
+	"swiftreel/internal/socketstate"
+)
+
+// maxOpenCalls is how many calls may be open on a connection, as the protocol states.
+const maxOpenCalls = 32
+
+// handleMessages handles all complete messages in the buffer. sendTime is when they may have been sent at the earliest.
+func (c *conn) handleMessages(sendTime time.Time) error {
+	for {
+		size, err := valueSize(c.buffer[c.start:c.end])
+		if errors.Is(err, ErrIncomplete) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+		c.rate.countMessage()
+		if err := c.handle(c.buffer[c.start:c.start+size], sendTime); err != nil {
+			return err
+		}
+		c.start += size
+		c.isBegun = false
+		c.isFinalRead = false
+	}
+}
+
+// handle acts on one complete message. An error ends the connection.
+func (c *conn) handle(text []byte, sendTime time.Time) error {
+	m, err := parseMessage(text)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	c.hasSpoken = true
+	c.lastUsed = time.Now()
+	c.mu.Unlock()
+	switch {
+	case m.isNotification:
+		if id, isRevocation := m.revokedID(); isRevocation {
+			c.revoke(id)
+		}
+		return nil
+	case string(m.method) == methodHeartbeat:
+		return c.reply(appendHeartbeatAnswer(nil, m.id, c.server.taker.Ready()))
+	default:
+		return c.handleCall(m, sendTime)
+	}
+}
+
+// handleCall opens a call, or refuses it.
+func (c *conn) handleCall(received message, sendTime time.Time) error {
+	r, err := parseRequest(received)
+	if err != nil {
+		c.server.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", c.socket.RemoteAddr(), "reason", err)
+		return c.refuse(received.id, errorFailed, fieldReason, err.Error())
+	}
+	if !c.server.limits.Bytes.Take(len(r.statement)) {
+		return c.refuse(received.id, errorThrottled, "", "")
+	}
+	call := &call{conn: c, id: received.id, reservedBytes: len(r.statement)}
+	result := c.openCall(call)
+	if result == callOpened {
+		c.pendingCalls = append(c.pendingCalls, pendingCall{call, newJobRequest(call, received, r, sendTime)})
+		return nil
+	}
+	c.server.limits.Bytes.Give(call.reservedBytes)
+	switch result {
+	case callCrossedClose:
+		counters.Increment("calls_crossed")
+		return nil
+	case callIDInUse:
+		return fmt.Errorf("id %d is still open and was used again", received.id)
+	default:
+		return c.refuse(received.id, errorThrottled, "", "")
+	}
+}
+
+// openResult says whether a call was opened, or why not.
+type openResult uint8
+
+const (
+	callOpened       openResult = iota
+	callCrossedClose            // it crossed our half-close: its client sees that, and it is not taken
+	callIDInUse
+	callOverLimit
+)
+
+func (c *conn) openCall(call *call) openResult {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, isInUse := c.open[call.id]
+	switch {
+	case c.isHalfClosed:
+		return callCrossedClose
+	case isInUse:
+		return callIDInUse
+	case len(c.open) >= maxOpenCalls:
+		return callOverLimit
+	}
+	c.open[call.id] = call
+	c.server.owedAnswers.Add(1)
+	return callOpened
+}
+
+func (c *conn) revoke(id uint32) {
+	c.mu.Lock()
+	call := c.open[id]
+	c.mu.Unlock()
+	if call != nil {
+		c.abandon(call)
+	}
+}
+
+// passOnCalls passes the calls that were read and not revoked to the taker; none if the client has gone meanwhile,
+// which is an error.
+func (c *conn) passOnCalls() error {
+	c.readSincePassOn = 0
+	if len(c.pendingCalls) == 0 {
+		return nil
+	}
+	if socketstate.PeerClosed(c.socket) {
+		return io.EOF
+	}
+	for _, pending := range c.pendingCalls {
+		switch {
+		case !c.isOpen(pending.call):
+			counters.Increment("calls_revoked_at_once")
+		case c.server.isRefusing.Load():
+			counters.Increment("calls_after_stop")
+			pending.call.Throttled(0)
+		default:
+			c.server.taker.Take(pending.job)
+		}
+	}
+	clear(c.pendingCalls)
+	c.pendingCalls = c.pendingCalls[:0]
+	return nil
+}
+
+func (c *conn) isOpen(call *call) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.open[call.id] == call
+}
--- a/internal/client/msgpack.go
+++ b/internal/client/msgpack.go
@@ -5,24 +5,26 @@
 	"errors"
 )
 
+// Bounds of a message.
 const (
-	maxFrame = 256 << 10 // a message
+	maxFrame = 256 << 10 // bytes
 	maxDepth = 8         // of arrays and maps in one another
-	maxItems = 256       // of a message: what comes byte by byte is looked through again and again
+	maxItems = 256       // values; a message that arrives byte by byte is scanned again each time
 )
 
-var (
-	errShort = errors.New("message not whole yet")
-	errBad   = errors.New("not MessagePack within bounds")
-)
+// ErrIncomplete is the error of a message that is not complete yet.
+var ErrIncomplete = errors.New("incomplete message")
+
+// errNotMsgpack is told to the client: its text is part of the protocol.
+var errNotMsgpack = errors.New("not MessagePack within bounds")
 
-// kind is the sort of a MessagePack value; its many encodings are one here.
-type kind uint8
+// valueKind is the kind of a MessagePack value; its many encodings are one here.
+type valueKind uint8
 
 const (
-	kindNil kind = iota
+	kindNil valueKind = iota
 	kindBool
-	kindInt
+	kindInt // not negative
 	kindNegative
 	kindFloat
 	kindStr
@@ -32,19 +34,34 @@
 	kindExt
 )
 
-// head is the first part of a value.
-type head struct {
-	kind kind
-	size int    // bytes of the head itself; floats and negative numbers are all head
-	n    uint64 // the number, or the length in bytes or entries
+// valueHead is the first part of an encoded value.
+type valueHead struct {
+	kind   valueKind
+	size   int    // bytes of the head itself; negative numbers are all head
+	number uint64 // the number, or the length in bytes or entries
+}
+
+// bodySize is how many bytes follow the head before the next value.
+func (h valueHead) bodySize() uint64 {
+	switch h.kind {
+	case kindStr, kindBin, kindExt, kindFloat:
+		return h.number
+	}
+	return 0
 }
 
-// formats tells for the codes 0xc0 to 0xdf the kind and the bytes of number or length that follow.
-var formats = [32]struct {
-	kind  kind
-	width int
+// valueFormat is the meaning of a format code.
+type valueFormat struct {
+	kind  valueKind
+	width int // bytes of the number or length that follows
 	fixed int // bytes of body beyond the length: the type of an ext, or all of a fixed ext or float
-}{
+}
+
+// firstFormatCode is the code of valueFormats[0]. Smaller codes hold a small value in the code itself.
+const firstFormatCode = 0xc0
+
+// valueFormats has the format codes 0xc0 to 0xdf. The zero format at 0xc1 is not used by MessagePack.
+var valueFormats = [32]valueFormat{
 	0x00: {kindNil, 0, 0}, 0x02: {kindBool, 0, 0}, 0x03: {kindBool, 0, 0},
 	0x04: {kindBin, 1, 0}, 0x05: {kindBin, 2, 0}, 0x06: {kindBin, 4, 0},
 	0x07: {kindExt, 1, 1}, 0x08: {kindExt, 2, 1}, 0x09: {kindExt, 4, 1},
@@ -57,123 +74,149 @@
 	0x1e: {kindMap, 2, 0}, 0x1f: {kindMap, 4, 0},
 }
 
-// readHead reads the head of the first value.
-func readHead(b []byte) (head, error) {
+// decodeHead decodes the head of the first value.
+func decodeHead(b []byte) (valueHead, error) {
 	if len(b) == 0 {
-		return head{}, errShort
-	}
-	switch c := b[0]; {
-	case c < 0x80:
-		return head{kindInt, 1, uint64(c)}, nil
-	case c < 0x90:
-		return head{kindMap, 1, uint64(c & 15)}, nil
-	case c < 0xa0:
-		return head{kindArray, 1, uint64(c & 15)}, nil
-	case c < 0xc0:
-		return head{kindStr, 1, uint64(c & 31)}, nil
-	case c >= 0xe0:
-		return head{kindNegative, 1, 0}, nil
-	case c == 0xc1:
-		return head{}, errBad
-	}
-	f := formats[b[0]-0xc0]
-	if len(b) < 1+f.width {
-		return head{}, errShort
-	}
-	var n uint64
-	for _, d := range b[1 : 1+f.width] {
-		n = n<<8 | uint64(d)
-	}
-	switch h := (head{f.kind, 1 + f.width, n}); f.kind {
-	case kindNegative: // a signed format may hold a number that is not negative
-		if sign := uint64(1) << (8*f.width - 1); n&sign == 0 {
-			h.kind = kindInt
-		}
-		return h, nil
-	case kindExt, kindFloat:
-		h.n += uint64(f.fixed)
-		return h, nil
-	default:
-		return h, nil
+		return valueHead{}, ErrIncomplete
 	}
+	switch code := b[0]; {
+	case code < 0x80:
+		return valueHead{kindInt, 1, uint64(code)}, nil
+	case code < 0x90:
+		return valueHead{kindMap, 1, uint64(code & 15)}, nil
+	case code < 0xa0:
+		return valueHead{kindArray, 1, uint64(code & 15)}, nil
+	case code < firstFormatCode:
+		return valueHead{kindStr, 1, uint64(code & 31)}, nil
+	case code >= 0xe0:
+		return valueHead{kindNegative, 1, 0}, nil
+	case code == 0xc1:
+		return valueHead{}, errNotMsgpack
+	}
+	return decodeFormat(b, valueFormats[b[0]-firstFormatCode])
 }
 
-// body is how many bytes follow the head before the next value.
-func (h head) body() uint64 {
-	switch h.kind {
-	case kindStr, kindBin, kindExt, kindFloat:
-		return h.n
+// decodeFormat decodes the head of a value with a format code.
+func decodeFormat(b []byte, format valueFormat) (valueHead, error) {
+	size := 1 + format.width
+	if len(b) < size {
+		return valueHead{}, ErrIncomplete
 	}
-	return 0
+	var number uint64
+	for _, digit := range b[1:size] {
+		number = number<<8 | uint64(digit)
+	}
+	head := valueHead{kind: format.kind, size: size, number: number}
+	switch format.kind {
+	case kindNegative: // a signed format may hold a number that is not negative
+		sign := uint64(1) << (8*format.width - 1)
+		if number&sign == 0 {
+			head.kind = kindInt
+		}
+	case kindExt, kindFloat:
+		head.number += uint64(format.fixed)
+	}
+	return head, nil
 }
 
-// size is the length of the first value, with all that it holds.
-func size(b []byte) (int, error) {
-	var left [maxDepth]uint64 // values still to come at each depth
-	at, depth, items := 0, 0, uint64(0)
-	left[0] = 1
-	for {
-		for left[depth] == 0 {
-			if depth--; depth < 0 {
-				return at, nil
-			}
-		}
-		left[depth]--
-		h, err := readHead(b[at:])
+// valueSize returns the size in bytes of the first value, with all that it holds.
+func valueSize(b []byte) (int, error) {
+	walk := valueWalk{remaining: [maxDepth]uint64{1}}
+	offset := 0
+	for walk.next() {
+		head, err := decodeHead(b[offset:])
 		if err != nil {
 			return 0, err
 		}
-		if body := h.body(); body > maxFrame || uint64(at+h.size)+body > maxFrame {
-			return 0, errBad
-		} else if at += h.size + int(body); at > len(b) {
-			return 0, errShort
+		body := head.bodySize()
+		if body > maxFrame || uint64(offset+head.size)+body > maxFrame {
+			return 0, errNotMsgpack
+		}
+		offset += head.size + int(body)
+		if offset > len(b) {
+			return 0, ErrIncomplete
 		}
-		if h.kind == kindArray || h.kind == kindMap {
-			n := h.n
-			if h.kind == kindMap {
-				n *= 2
-			}
-			if depth++; depth == maxDepth || n > maxItems || items+n > maxItems {
-				return 0, errBad
-			}
-			items += n
-			left[depth] = n
+		if err := walk.open(head); err != nil {
+			return 0, err
 		}
 	}
+	return offset, nil
+}
+
+// valueWalk is a place in the values of a message, within the bounds of depth and number.
+type valueWalk struct {
+	remaining [maxDepth]uint64 // values still to come at each depth
+	depth     int
+	items     uint64 // of all arrays and maps so far
+}
+
+// next steps to the next value and returns false if there is none.
+func (w *valueWalk) next() bool {
+	for w.remaining[w.depth] == 0 {
+		if w.depth == 0 {
+			return false
+		}
+		w.depth--
+	}
+	w.remaining[w.depth]--
+	return true
+}
+
+// open steps into a value that holds others.
+func (w *valueWalk) open(head valueHead) error {
+	entries := head.number
+	switch head.kind {
+	case kindArray:
+	case kindMap:
+		entries *= 2
+	default:
+		return nil
+	}
+	w.depth++
+	if w.depth == maxDepth || entries > maxItems || w.items+entries > maxItems {
+		return errNotMsgpack
+	}
+	w.items += entries
+	w.remaining[w.depth] = entries
+	return nil
 }
 
-// cursor reads the values of a message known to be whole. What it gives are slices of the message.
+// cursor reads the values of a message that is complete. What it returns are slices of the message.
 type cursor struct {
-	rest []byte
+	remaining []byte
 }
 
-// next gives the head of the next value and, of strings and the like, the body.
-func (c *cursor) next() (h head, body []byte) {
-	h, err := readHead(c.rest)
-	if err != nil || uint64(len(c.rest)-h.size) < h.body() { // not whole after all
-		c.rest = nil
-		return head{kind: kindNil}, nil
+// next returns the head of the next value and, of strings and the like, the body.
+func (c *cursor) next() (valueHead, []byte) {
+	head, err := decodeHead(c.remaining)
+	if err != nil || uint64(len(c.remaining)-head.size) < head.bodySize() { // not complete after all
+		c.remaining = nil
+		return valueHead{kind: kindNil}, nil
 	}
-	c.rest = c.rest[h.size:]
-	if n := int(h.body()); n > 0 {
-		body, c.rest = c.rest[:n], c.rest[n:]
+	c.remaining = c.remaining[head.size:]
+	size := int(head.bodySize())
+	if size == 0 {
+		return head, nil
 	}
-	return h, body
+	body := c.remaining[:size]
+	c.remaining = c.remaining[size:]
+	return head, body
 }
 
-// skip passes over a whole value.
+// skip passes over a value with all that it holds.
 func (c *cursor) skip() {
-	n, err := size(c.rest)
+	size, err := valueSize(c.remaining)
 	if err != nil {
-		n = len(c.rest)
+		size = len(c.remaining)
 	}
-	c.rest = c.rest[n:]
+	c.remaining = c.remaining[size:]
 }
 
-// text reads a string; older writers use the same format for both kinds.
+// text reads a string, or a bin: older writers use one format for both. It passes over any other value.
 func (c *cursor) text() ([]byte, bool) {
 	before := *c
-	if h, body := c.next(); h.kind == kindStr || h.kind == kindBin {
+	head, body := c.next()
+	if head.kind == kindStr || head.kind == kindBin {
 		return body, true
 	}
 	*c = before
--- a/internal/client/msgpack_test.go
+++ b/internal/client/msgpack_test.go
@@ -10,7 +10,7 @@
 	long := strings.Repeat("x", 40)
 	for name, c := range map[string]struct {
 		in   string
-		kind kind
+		kind valueKind
 		n    uint64
 	}{
 		"fixint": {"\x07", kindInt, 7}, "uint8": {"\xcc\x07", kindInt, 7}, "uint16": {"\xcd\x00\x07", kindInt, 7},
@@ -27,10 +27,10 @@
 		"float64": {"\xcb12345678", kindFloat, 8}, "fixext1": {"\xd4\x01a", kindExt, 2},
 		"fixext16": {"\xd8\x01" + long[:16], kindExt, 17}, "ext8": {"\xc7\x02\x01ab", kindExt, 3},
 	} {
-		h, err := readHead([]byte(c.in))
-		n, err2 := size([]byte(c.in + "rest"))
-		if err != nil || err2 != nil || h.kind != c.kind || h.n != c.n || n != len(c.in) {
-			t.Errorf("%s: kind %d n %d size %d of %d, %v %v", name, h.kind, h.n, n, len(c.in), err, err2)
+		h, err := decodeHead([]byte(c.in))
+		n, err2 := valueSize([]byte(c.in + "rest"))
+		if err != nil || err2 != nil || h.kind != c.kind || h.number != c.n || n != len(c.in) {
+			t.Errorf("%s: kind %d n %d size %d of %d, %v %v", name, h.kind, h.number, n, len(c.in), err, err2)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		"a length past the bound": "\xdb\x7f\xff\xff\xff", "a count past the bound": "\xdd\xff\xff\xff\xff",
 		"too deep": strings.Repeat("\x91", maxDepth+1), "no format": "\xc1", "a long bin": "\xc6\x00\x04\x00\x00",
 	} {
-		if _, err := size([]byte(in)); err != errBad {
+		if _, err := valueSize([]byte(in)); err != errNotMsgpack {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -51,22 +51,22 @@
 		"96", "row", "7f3a", "other", "x"}
 	b := AppendCall(nil, 70000, "report", fields, []byte("SELECT 1"))
 	m, err := parseMessage(b)
-	if err != nil || m.id != 70000 || string(m.method) != "report" || m.notice {
+	if err != nil || m.id != 70000 || string(m.method) != "report" || m.isNotification {
 		t.Fatalf("%+v %v", m, err)
 	}
 	r, err := parseRequest(m)
-	if err != nil || string(r.call) != "9b1f03aa5c7e2d41" || r.left.Milliseconds() != 1500 || string(r.tenant) != "acme" ||
-		!r.repeat || r.work.Microseconds() != 820500 || r.memoryMB != 96 || string(r.key) != "7f3a" ||
-		string(r.body) != "SELECT 1" {
+	if err != nil || string(r.callID) != "9b1f03aa5c7e2d41" || r.timeout.Milliseconds() != 1500 || string(r.tenant) != "acme" ||
+		!r.isRepeat || r.work.Microseconds() != 820500 || r.memoryMB != 96 || string(r.key) != "7f3a" ||
+		string(r.statement) != "SELECT 1" {
 		t.Fatalf("%+v %v", r, err)
 	}
-	if cap(r.body) == 0 || &r.body[0] != &b[len(b)-len("SELECT 1")] {
+	if cap(r.statement) == 0 || &r.statement[0] != &b[len(b)-len("SELECT 1")] {
 		t.Error("the body was copied")
 	}
 	for name, change := range map[string][]string{
 		"no call": {"ttl", "5"}, "no ttl": {"call", "9b1f03aa5c7e2d41"}, "call of other letters": {"call", "9b1f03aa5c7e2d4\n", "ttl", "5"},
 		"ttl below 0": {"call", "9b1f03aa5c7e2d41", "ttl", "-5"}, "work no number": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "work", "NaN"},
-		"no idempotency key": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", ""}, "one past its size": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", strings.Repeat("x", mostWord+1)},
+		"no idempotency key": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", ""}, "one past its size": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", strings.Repeat("x", maxIdempotencyKey+1)},
 		"one of two words": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a b"}, "one that would be more fields": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a,urgency=3"},
 		"one that would be a line": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a\r\n"},
 	} {
@@ -87,11 +87,11 @@
 	if err != nil || n != len(b) || a.ID != 300 || a.Error != "" || !bytes.Equal(a.Body, rows) {
 		t.Fatalf("%d of %d, %v", n, len(b), err)
 	}
-	a, _, err = ParseAnswer(appendError(nil, 7, wordThrottle, fieldWait, "250"))
+	a, _, err = ParseAnswer(appendError(nil, 7, errorThrottled, fieldRetryAfter, "250"))
 	if err != nil || a.ID != 7 || a.Error != "Overloaded" || a.Fields["pushback"] != "250" {
 		t.Fatalf("%+v %v", a, err)
 	}
-	if a, _, err = ParseAnswer(appendReady(nil, 8, true)); err != nil || !a.Ready || a.ID != 8 {
+	if a, _, err = ParseAnswer(appendHeartbeatAnswer(nil, 8, true)); err != nil || !a.Ready || a.ID != 8 {
 		t.Fatalf("%+v %v", a, err)
 	}
 }
@@ -108,7 +108,7 @@
 	f.Add([]byte("\x94\x010\x910\xd2\xd2\xd2\xd2\xd2\xd2\xd2\xd2A")) // found: a number where the fields should be
 	f.Add([]byte("\x94\x00\xcf\x00\x00\x00\x00\x00\x00\x00\x07\xc4\x01a\x92\xdf\x00\x00\x00\x00\xdb\x00\x00\x00\x01a"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := size(b)
+		n, err := valueSize(b)
 		if err != nil {
 			if m, err := parseMessage(b); err == nil {
 				parseRequest(m)
@@ -119,24 +119,24 @@
 			t.Fatalf("size %d of %d", n, len(b))
 		}
 		for cut := 0; cut < n; cut += 1 + n/97 {
-			if _, err := size(b[:cut]); err != errShort {
+			if _, err := valueSize(b[:cut]); err != ErrIncomplete {
 				t.Fatalf("cut at %d of %d: %v", cut, n, err)
 			}
 		}
 		ParseAnswer(b)
 		m, err := parseMessage(b[:n])
-		if err != nil || m.notice {
+		if err != nil || m.isNotification {
 			return
 		}
 		r, err := parseRequest(m)
 		if err != nil {
 			return
 		}
-		again, err := parseMessage(AppendCall(nil, m.id, string(m.method), []string{"call", string(r.call), "ttl", "1"}, r.body))
+		again, err := parseMessage(AppendCall(nil, m.id, string(m.method), []string{"call", string(r.callID), "ttl", "1"}, r.statement))
 		if err != nil || again.id != m.id || !bytes.Equal(again.method, m.method) {
 			t.Fatalf("%+v reads back as %+v: %v", m, again, err)
 		}
-		if back, err := parseRequest(again); err != nil || !bytes.Equal(back.body, r.body) || !bytes.Equal(back.call, r.call) {
+		if back, err := parseRequest(again); err != nil || !bytes.Equal(back.statement, r.statement) || !bytes.Equal(back.callID, r.callID) {
 			t.Fatalf("%+v reads back as %+v: %v", r, back, err)
 		}
 	})
--- /dev/null
+++ b/internal/client/server.go
@@ -0,0 +1,150 @@
+package client
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"swiftreel/internal/counters"
+	"swiftreel/internal/gateway"
+	"swiftreel/internal/limits"
+	"swiftreel/internal/ratelog"
+	"swiftreel/internal/socketstate"
+)
+
+// acceptRetryDelay is the pause after a failed accept, which passes: there was no descriptor left, say.
+const acceptRetryDelay = 20 * time.Millisecond
+
+// JobTaker takes the calls of clients.
+type JobTaker interface {
+	// Ready reports whether calls may be sent, for heartbeats.
+	Ready() bool
+	// Take takes a call over and does not wait for its answer. Calls of one connection come in their order.
+	Take(gateway.Ask)
+}
+
+// Server holds all client connections. It is safe for concurrent use.
+type Server struct {
+	taker   JobTaker
+	limits  *limits.Parts
+	buffers sync.Pool // of *firstBuffer
+
+	malformed      ratelog.Logger
+	unusable       ratelog.Logger
+	stalls         *stallDetector
+	owedAnswers    atomic.Int64 // calls not answered, or with a result being written
+	pendingReplies atomic.Int64 // connections with refusals or heartbeats not written yet
+	isRefusing     atomic.Bool  // calls are throttled instead of taken
+	done           chan struct{}
+	reading        sync.WaitGroup // the connections' readers
+
+	mu            sync.Mutex // guards what follows
+	capacityFreed *sync.Cond // a connection has ended, or the server is closed
+	conns         map[*conn]struct{}
+	lingering     []*conn      // half-closed by us and out of conns, until their clients close them too; the oldest first
+	listener      syscall.Conn // nil: not known
+	isClosed      bool
+}
+
+// NewServer returns a server that passes calls to a taker and stays within limits. Close ends it.
+func NewServer(taker JobTaker, parts *limits.Parts) *Server {
+	s := &Server{
+		taker:   taker,
+		limits:  parts,
+		buffers: sync.Pool{New: func() any { return new(firstBuffer) }},
+		stalls:  newStallDetector(time.Now()),
+		done:    make(chan struct{}),
+		conns:   map[*conn]struct{}{},
+	}
+	s.capacityFreed = sync.NewCond(&s.mu)
+	go s.stalls.run(s.done)
+	return s
+}
+
+// Serve accepts connections until the listener is closed.
+func (s *Server) Serve(listener net.Listener) error {
+	s.mu.Lock()
+	s.listener, _ = listener.(syscall.Conn)
+	s.mu.Unlock()
+	for {
+		accepted, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
+		socket, isTCP := accepted.(*net.TCPConn)
+		if err != nil || !isTCP {
+			counters.Increment("accepts_failed")
+			time.Sleep(acceptRetryDelay)
+			continue
+		}
+		s.awaitCapacity() // only now: while nobody waits to be accepted, nobody has to leave
+		s.start(socket)
+	}
+}
+
+// start serves a connection, or closes it if the server is closed.
+func (s *Server) start(socket *net.TCPConn) {
+	now := time.Now()
+	c := &conn{server: s, socket: socket, acceptedAt: now, lastUsed: now, open: map[uint32]*call{}}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isClosed {
+		_ = socket.Close() // nothing was written to it
+		return
+	}
+	s.conns[c] = struct{}{}
+	s.reading.Add(1)
+	go c.serve()
+}
+
+// remove forgets a connection that has ended.
+func (s *Server) remove(c *conn) {
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.stopLingering(c)
+	s.mu.Unlock()
+	s.capacityFreed.Signal()
+}
+
+// OwedAnswers returns the number of calls whose answer has not been written.
+func (s *Server) OwedAnswers() int64 { return s.owedAnswers.Load() }
+
+// RefuseCalls throttles all calls that are read from now on. Those taken before are still owed their answer.
+func (s *Server) RefuseCalls() { s.isRefusing.Store(true) }
+
+// HasPendingInput reports whether bytes of clients lie unread or were read in part, a connection waits to be
+// accepted, or a small answer to be written. A client can bring that about without end, so a caller must not wait for
+// it without a limit.
+func (s *Server) HasPendingInput() bool {
+	if s.pendingReplies.Load() > 0 {
+		return true
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener != nil && socketstate.Readable(s.listener) {
+		return true
+	}
+	for c := range s.conns {
+		if c.isMidMessage.Load() || c.hasBufferedInput() {
+			return true
+		}
+	}
+	return false
+}
+
+// Close ends all connections and waits for their readers. Each is half-closed first, so that an answer that was just
+// written reaches a client which has sent more; that is not taken.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.isClosed = true
+	close(s.done)
+	for c := range s.conns {
+		c.halfClose()
+	}
+	s.capacityFreed.Broadcast()
+	s.mu.Unlock()
+	s.reading.Wait()
+}
--- a/internal/client/pulse_test.go
+++ b/internal/client/stall_test.go
@@ -7,9 +7,9 @@
 
 func TestWhatLayUnreadWhileTheProgramStoodStillCountsFromThen(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	p := newPulse(at(0))
+	p := newStallDetector(at(0))
 	for ms := 10; ms <= 100; ms += 10 {
-		p.beat(at(ms))
+		p.tick(at(ms))
 	}
 	for _, c := range []struct{ beat, read, sent int }{
 		{0, 105, 105},      // as usual
@@ -19,9 +19,9 @@
 		{2021, 2022, 2022}, // later it is as usual again
 	} {
 		if c.beat > 0 {
-			p.beat(at(c.beat))
+			p.tick(at(c.beat))
 		}
-		if got := p.sent(at(c.read)); got != at(c.sent) {
+		if got := p.earliestSendTime(at(c.read)); got != at(c.sent) {
 			t.Errorf("read at %d ms: sent at %v, want %d ms", c.read, got.Sub(at(0)), c.sent)
 		}
 	}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -63,8 +63,8 @@
 	e.t.Helper()
 	select {
 	case ev := <-e.told:
-		if ev.N != n {
-			e.t.Fatalf("event %d instead of %d", ev.N, n)
+		if ev.Number != n {
+			e.t.Fatalf("event %d instead of %d", ev.Number, n)
 		}
 	case <-time.After(20 * time.Second):
 		e.t.Fatalf("no event %d", n)
@@ -72,10 +72,10 @@
 }
 
 // followed is a feed that has told event 2 over its first connection.
-func followed(t *testing.T) (f *Follower, e ear, p *place, nc net.Conn) {
+func followed(t *testing.T) (f *Watcher, e ear, p *place, nc net.Conn) {
 	t.Helper()
 	p, e = newPlace(t), ear{t, make(chan Event, 100)}
-	f = Follow(p.Addr().String(), 1, func(ev Event) { e.told <- ev })
+	f = Watch(p.Addr().String(), 1, func(ev Event) { e.told <- ev })
 	t.Cleanup(f.Close)
 	nc, _ = p.called(t)
 	nc.Write([]byte(change(2)))
@@ -87,11 +87,11 @@
 func TestTheOldPlaceIsKeptThroughPlacesThatNeverSpoke(t *testing.T) {
 	next := newPlace(t)
 	f, e, _, nc := followed(t)
-	f.Move("127.0.0.1:1", nil)
-	f.Move("127.0.0.1:2", nil)
+	f.Reconfigure("127.0.0.1:1", nil)
+	f.Reconfigure("127.0.0.1:2", nil)
 	nc.Write([]byte(change(3)))
 	e.next(3)
-	f.Move(next.Addr().String(), nil)
+	f.Reconfigure(next.Addr().String(), nil)
 	now, last := next.called(t)
 	if last != 3 {
 		t.Errorf("the new place is asked from %d", last)
@@ -102,27 +102,27 @@
 	e.next(5)
 }
 
-// A line of the old place was read before the new one spoke, and is taken after: it is passed over, also where it would be
-// the next, as what the old place says by now is of no account.
+// A line of the old place was read before the new one spoke, and is taken after: it is passed over, also where it
+// would be the next, as what the old place says by now is of no account.
 func TestTheOldPlaceIsNotHeardOnceTheNewOneSpoke(t *testing.T) {
 	next := newPlace(t)
 	f, e, _, _ := followed(t)
 	f.mu.Lock()
-	was := f.now
+	was := f.current
 	f.mu.Unlock()
-	f.Move(next.Addr().String(), nil)
+	f.Reconfigure(next.Addr().String(), nil)
 	now, _ := next.called(t)
 	now.Write([]byte(change(3)))
 	e.next(3)
-	if err := f.hear(was, []byte(change(4))); err == nil || len(e.told) > 0 {
+	if err := f.receive(was, []byte(change(4))); err == nil || len(e.told) > 0 {
 		t.Errorf("the old place is heard: %v, %d events", err, len(e.told))
 	}
 	now.Write([]byte(change(4)))
 	e.next(4)
 }
 
-// An open watch falls silent, with no word of it: it is called anew from the last event on, well within 7 s, also where
-// the first call is not answered either. What the new one tells again is passed over.
+// An open watch falls silent, with no word of it: it is called anew from the last event on, well within 7 s, also
+// where the first call is not answered either. What the new one tells again is passed over.
 func TestASilentWatchIsCalledAnew(t *testing.T) {
 	_, e, p, first := followed(t)
 	silent := time.Now() // nothing is said any more, nor on the next connection
--- /dev/null
+++ b/internal/discovery/event.go
@@ -0,0 +1,87 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"net"
+)
+
+// Bounds of an event.
+const (
+	maxEngines = 4096    // entries
+	maxName    = 255     // bytes
+	maxShare   = 1e6     //
+	maxBornMS  = 1 << 43 // Unix time in ms, exclusive
+)
+
+var errTooManyEngines = errors.New("event has too many engines")
+
+// Engine is one entry of the engine list, in the terms of the protocol.
+type Engine struct {
+	Host   string  `json:"host"` // unique name
+	Dial   string  `json:"dial"` // address, host:port; empty: as before
+	Site   string  `json:"site"`
+	Class  string  `json:"class"`
+	Block  uint16  `json:"block"` // engines of one block fail together
+	Health string  `json:"health"`
+	Share  float64 `json:"share"`   // capacity
+	BornMS int64   `json:"born_ms"` // start, Unix time in ms; 0: unknown
+}
+
+// Event is one event of the watch.
+type Event struct {
+	Number     uint64
+	Members    *Members // nil: about something else than engines
+	IsPosition bool     // no event, but the number of the last one
+	Invalid    int      // entries that were left out because they cannot be used
+}
+
+// Members is a change of the engine list.
+type Members struct {
+	IsComplete bool // the entries are all engines there are; else those that changed
+	Engines    []Engine
+}
+
+// ParseEvent parses an event in JSON. Entries that cannot be used are left out and counted: they do not cost the
+// others.
+func ParseEvent(text []byte) (Event, error) {
+	var raw struct {
+		Number  uint64 `json:"n"`
+		Members *struct {
+			IsComplete bool              `json:"whole"`
+			Engines    []json.RawMessage `json:"hosts"`
+		} `json:"members"`
+	}
+	if err := json.Unmarshal(text, &raw); err != nil {
+		return Event{}, err
+	}
+	event := Event{Number: raw.Number}
+	if raw.Members == nil {
+		var fields map[string]json.RawMessage
+		err := json.Unmarshal(text, &fields)
+		event.IsPosition = len(fields) == 1
+		return event, err
+	}
+	if len(raw.Members.Engines) > maxEngines {
+		return event, errTooManyEngines
+	}
+	event.Members = &Members{IsComplete: raw.Members.IsComplete}
+	for _, entry := range raw.Members.Engines {
+		var engine Engine
+		if err := json.Unmarshal(entry, &engine); err != nil || !engine.isValid() {
+			event.Invalid++
+			continue
+		}
+		event.Members.Engines = append(event.Members.Engines, engine)
+	}
+	return event, nil
+}
+
+// isValid reports whether an entry has a name, a usable address if any, and figures in range.
+func (e Engine) isValid() bool {
+	_, _, err := net.SplitHostPort(e.Dial)
+	hasValidName := e.Host != "" && len(e.Host) <= maxName
+	hasValidAddress := e.Dial == "" || err == nil
+	isInRange := e.Share >= 0 && e.Share <= maxShare && e.BornMS >= 0 && e.BornMS < maxBornMS
+	return hasValidName && hasValidAddress && isInRange
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	f := discovery.Follow(listener.Addr().String(), 41, func(discovery.Event) {})
+	f := discovery.Watch(listener.Addr().String(), 41, func(discovery.Event) {})
 	defer f.Close()
 	nc, err := listener.Accept()
 	if err != nil {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -10,90 +10,114 @@
 )
 
 const (
-	dialTimeout = time.Second
-	silence     = 2500 * time.Millisecond // the feed speaks every second
-	restFirst   = 100 * time.Millisecond  // before the feed is called again; twice as long each time it says nothing
-	restMost    = time.Second
-	maxLine     = 4 << 20 // a whole list of many engines
+	dialTimeout     = time.Second
+	silenceTimeout  = 2500 * time.Millisecond // the feed sends something every second
+	firstReconnect  = 100 * time.Millisecond  // delay; doubles each time the feed says nothing
+	maxReconnect    = time.Second
+	firstLineBuffer = 4 << 10
+	maxLine         = 4 << 20 // bytes; a complete list of many engines
 )
 
+var errClosedByFeed = errors.New("closed by the feed")
+
 // source is the feed at one address.
 type source struct {
-	f       *Follower
+	watcher *Watcher
 	address string
-	over    chan struct{} // closed when the feed speaks elsewhere
-	once    sync.Once
-	spoke   bool // since it was last called
+	ended   chan struct{} // closed once the feed is watched elsewhere
+	endOnce sync.Once
 }
 
-func (s *source) end() { s.once.Do(func() { close(s.over) }) }
+func (s *source) end() { s.endOnce.Do(func() { close(s.ended) }) }
 
-// run calls the feed anew whenever it is out of reach, silent, unreadable or has a gap, from the last event on; not
-// at a place that it has left.
+// isStopped reports whether the source or the watcher has ended.
+func (s *source) isStopped() bool {
+	select {
+	case <-s.watcher.done:
+		return true
+	case <-s.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+// run connects again whenever the connection ends, unless the feed has moved away from here.
 func (s *source) run() {
-	defer s.f.running.Done()
-	rest, down := restFirst, false
+	defer s.watcher.running.Done()
+	delay := firstReconnect
+	isDown := false
 	for {
-		s.spoke = false
-		err := s.call()
-		select {
-		case <-s.f.done:
+		hasReceived, err := s.follow()
+		if s.isStopped() {
 			return
-		case <-s.over:
-			return
-		default:
 		}
-		if s.spoke {
-			rest, down = restFirst, false
+		if hasReceived {
+			delay = firstReconnect
+			isDown = false
 		}
-		s.f.lost(s, !down, err)
-		if down = true; s.f.left(s) {
+		s.watcher.noteLost(s, !isDown, err)
+		isDown = true
+		if !s.watcher.isCurrent(s) {
 			return
 		}
 		select {
-		case <-s.f.done:
+		case <-s.watcher.done:
 			return
-		case <-s.over:
+		case <-s.ended:
 			return
-		case <-time.After(rest):
+		case <-time.After(delay):
 		}
-		rest = min(2*rest, restMost)
+		delay = min(2*delay, maxReconnect)
 	}
 }
 
-// call follows one connection to its end.
-func (s *source) call() error {
-	nc, err := net.DialTimeout("tcp4", s.address, dialTimeout)
+// follow watches over one connection until that ends, and reports whether an event was received on it.
+func (s *source) follow() (hasReceived bool, err error) {
+	socket, err := net.DialTimeout("tcp4", s.address, dialTimeout)
 	if err != nil {
-		return err
+		return false, err
 	}
-	defer nc.Close()
-	read := make(chan struct{})
-	defer close(read)
-	go func() { // a read in progress ends with the source
-		select {
-		case <-s.f.done:
-		case <-s.over:
-		case <-read:
-		}
-		nc.Close()
-	}()
-	last, _ := s.f.Last()
-	nc.SetDeadline(time.Now().Add(silence))
-	if _, err := fmt.Fprintf(nc, "SUB %d\n", last); err != nil {
-		return err
+	stopClosing := s.closeWhenStopped(socket)
+	defer stopClosing()
+	last, _ := s.watcher.Position()
+	extendDeadline(socket)
+	if _, err := fmt.Fprintf(socket, "SUB %d\n", last); err != nil {
+		return false, err
 	}
-	lines := bufio.NewScanner(nc)
-	lines.Buffer(make([]byte, 4<<10), maxLine)
+	lines := bufio.NewScanner(socket)
+	lines.Buffer(make([]byte, firstLineBuffer), maxLine)
 	for lines.Scan() {
-		nc.SetDeadline(time.Now().Add(silence))
-		if err := s.f.hear(s, lines.Bytes()); err != nil {
-			return err
+		extendDeadline(socket)
+		if err := s.watcher.receive(s, lines.Bytes()); err != nil {
+			return hasReceived, err
 		}
-		s.spoke = true
+		hasReceived = true
 	}
-	if lines.Err() != nil {
-		return lines.Err()
+	if err := lines.Err(); err != nil {
+		return hasReceived, err
 	}
-	return errors.New("closed by the feed")
+	return hasReceived, errClosedByFeed
+}
+
+// closeWhenStopped closes a connection when the source ends, which ends a read in progress, or the returned function
+// is called.
+func (s *source) closeWhenStopped(socket net.Conn) (stop func()) {
+	stopped := make(chan struct{})
+	go func() {
+		select {
+		case <-s.watcher.done:
+		case <-s.ended:
+		case <-stopped:
+		}
+		_ = socket.Close() // nothing is written but the subscription
+	}()
+	return func() {
+		close(stopped)
+		_ = socket.Close()
+	}
+}
+
+func extendDeadline(socket net.Conn) {
+	_ = socket.SetDeadline(time.Now().Add(silenceTimeout)) // an error shows at the next read
 }
--- /dev/null
+++ b/internal/discovery/watcher.go
@@ -0,0 +1,166 @@
+// Package discovery watches the list of engines: what the configuration knew of it, and the events of the control
+// feed since.
+//
+// A Watcher subscribes over TCP ("SUB <last event>\n") and gets one event a line, in JSON, or the number of the last
+// event alone. Whenever the feed is out of reach, silent, unreadable or has a gap, the watcher reconnects and resumes
+// from the last event that it passed on; so each event is passed on once and in order. It owns one goroutine for each
+// address it watches: one as a rule, two while the feed moves.
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"strconv"
+	"sync"
+
+	"swiftreel/internal/counters"
+	"swiftreel/internal/ratelog"
+)
+
+// errMoved ends a connection to an address from which the feed has moved.
+var errMoved = errors.New("the feed has moved")
+
+// GapError means that events are missing between two that were received.
+type GapError struct {
+	Last     uint64 // passed on
+	Received uint64
+}
+
+// Error implements error.
+func (e *GapError) Error() string {
+	return fmt.Sprintf("event %d follows event %d", e.Received, e.Last)
+}
+
+// Watcher passes on the events of the feed, wherever it moves. It is safe for concurrent use.
+type Watcher struct {
+	notify  func(Event)
+	done    chan struct{}  // closed by Close
+	running sync.WaitGroup // the sources' goroutines
+	invalid ratelog.Logger
+
+	mu       sync.Mutex // held over notify as well, so that two connections pass events on in one order
+	last     uint64     // number of the last event passed on
+	current  *source
+	previous *source // where the feed was, until the current one sends something; nil as a rule
+}
+
+// Watch passes each event after last on to notify, once and in order, until Close.
+func Watch(address string, last uint64, notify func(Event)) *Watcher {
+	w := &Watcher{notify: notify, done: make(chan struct{}), last: last}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.start(address)
+	return w
+}
+
+// start watches an address. The lock is held.
+func (w *Watcher) start(address string) {
+	w.current = &source{watcher: w, address: address, ended: make(chan struct{})}
+	w.running.Add(1)
+	go w.current.run()
+}
+
+// Reconfigure takes over a new configuration: the address of the feed, and the events known when it was written. It
+// reports whether the address is another one. The connection to the old one stays until the new one sends something,
+// or it ends.
+func (w *Watcher) Reconfigure(address string, known []Event) (hasMoved bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, event := range known {
+		if event.Number == w.last+1 {
+			w.last = event.Number
+			w.notify(event)
+		}
+	}
+	if address == w.current.address {
+		return false
+	}
+	if w.previous != nil { // the current one never sent anything: the one that did last stays
+		w.current.end()
+	} else {
+		w.previous = w.current
+	}
+	w.start(address)
+	return true
+}
+
+// Position returns the number of the last event passed on, and the address of the feed.
+func (w *Watcher) Position() (last uint64, address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.last, w.current.address
+}
+
+// Close ends the watch. Nothing is passed on after it.
+func (w *Watcher) Close() {
+	close(w.done)
+	w.running.Wait()
+}
+
+// receive takes a line from a source: an event, or the number of the last one. An error ends the connection.
+func (w *Watcher) receive(from *source, line []byte) error {
+	if len(line) == 0 {
+		return nil
+	}
+	event, err := parseLine(line)
+	if err != nil {
+		return err
+	}
+	if event.Invalid > 0 {
+		w.invalid.CountAndWarn("feed_entries_bad", "feed_entries_bad", "address", from.address, "event", event.Number,
+			"entries", event.Invalid)
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if from == w.current && w.previous != nil {
+		w.previous.end()
+		w.previous = nil
+	}
+	if from != w.current && from != w.previous {
+		return errMoved
+	}
+	return w.accept(event)
+}
+
+// parseLine parses an event, or the number of the last one.
+func parseLine(line []byte) (Event, error) {
+	number, err := strconv.ParseUint(string(line), 10, 64)
+	if err == nil {
+		return Event{Number: number, IsPosition: true}, nil
+	}
+	return ParseEvent(line)
+}
+
+// accept passes on the event that is next. The lock is held.
+func (w *Watcher) accept(event Event) error {
+	switch {
+	case event.IsPosition && event.Number > w.last:
+		return &GapError{Last: w.last, Received: event.Number}
+	case event.IsPosition:
+	case event.Number <= w.last: // passed on before
+		counters.Increment("feed_events_again")
+	case event.Number != w.last+1:
+		return &GapError{Last: w.last, Received: event.Number}
+	default:
+		w.last = event.Number
+		w.notify(event)
+	}
+	return nil
+}
+
+// noteLost notes the end of a connection, in the log only if it is the first in a row.
+func (w *Watcher) noteLost(s *source, isFirst bool, reason error) {
+	counters.Increment("feed_lost")
+	if isFirst {
+		last, _ := w.Position()
+		slog.Warn("feed_lost", "address", s.address, "last", last, "reason", reason)
+	}
+}
+
+// isCurrent reports whether the feed has not moved away from a source.
+func (w *Watcher) isCurrent(s *source) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return s == w.current
+}
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/watcher_test.go
@@ -25,12 +25,12 @@
 	for range 4 {
 		source.Add(false, hosts)
 	}
-	f := discovery.Follow(source.Address(), 2, func(ev discovery.Event) { told <- ev })
+	f := discovery.Watch(source.Address(), 2, func(ev discovery.Event) { told <- ev })
 	next := func(n uint64) {
 		t.Helper()
 		select {
 		case ev := <-told:
-			if ev.N != n || ev.Members.Hosts[0].Host != "e1" || ev.Members.Hosts[0].BornMS != 5 {
+			if ev.Number != n || ev.Members.Engines[0].Host != "e1" || ev.Members.Engines[0].BornMS != 5 {
 				t.Fatalf("%+v instead of event %d", ev, n)
 			}
 		case <-time.After(20 * time.Second):
@@ -57,7 +57,7 @@
 	for range 10 {
 		moved.Add(false, hosts)
 	}
-	if again, err := discovery.Parse([]byte(event(9))); err != nil || !f.Move(moved.Address(), []discovery.Event{again}) {
+	if again, err := discovery.ParseEvent([]byte(event(9))); err != nil || !f.Reconfigure(moved.Address(), []discovery.Event{again}) {
 		t.Fatal("not moved", err)
 	}
 	next(10)
@@ -65,15 +65,15 @@
 	moved.Cut()              // and it is called anew where it is
 	moved.Add(false, hosts)
 	next(11)
-	if f.Move(moved.Address(), nil) {
+	if f.Reconfigure(moved.Address(), nil) {
 		t.Error("moved to where it is")
 	}
-	f.Move("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
+	f.Reconfigure("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
 	moved.Add(false, hosts)
 	next(12)
-	f.Move(source.Address(), nil) // and back
-	source.Add(false, hosts)      // 11
-	source.Add(false, hosts)      // 12
+	f.Reconfigure(source.Address(), nil) // and back
+	source.Add(false, hosts)             // 11
+	source.Add(false, hosts)             // 12
 	source.Add(false, hosts)
 	next(13)
 	f.Close()
@@ -92,12 +92,12 @@
 		f.Add([]byte(good))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ev, err := discovery.Parse(text)
+		ev, err := discovery.ParseEvent(text)
 		if err != nil || ev.Members == nil {
 			return
 		}
-		for _, e := range ev.Members.Hosts {
-			if e.Host == "" || e.BornMS < 0 || e.Size < 0 {
+		for _, e := range ev.Members.Engines {
+			if e.Host == "" || e.BornMS < 0 || e.Share < 0 {
 				t.Fatalf("%+v", e)
 			}
 		}
@@ -106,8 +106,8 @@
 
 // An entry that could not be used had the feed called anew for ever, from the event before it.
 func TestAnEntryThatCannotBeUsedCostsNoOther(t *testing.T) {
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
-	if err != nil || ev.Bad != 3 || len(ev.Members.Hosts) != 1 || ev.Members.Hosts[0].Host != "e1" {
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
+	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
 		t.Errorf("%+v, %v", ev, err)
 	}
 }
--- a/internal/fake/caller.go
+++ b/internal/fake/caller.go
@@ -52,7 +52,7 @@
 		if err == nil {
 			c.buf = c.buf[n:]
 		}
-		if !errors.Is(err, client.ErrShort) {
+		if !errors.Is(err, client.ErrIncomplete) {
 			return a, err
 		}
 		more := make([]byte, 4096)
--- a/internal/gateway/names_test.go
+++ b/internal/gateway/names_test.go
@@ -23,7 +23,7 @@
 		}
 		text += `{"host":"` + h + `","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
 	}
-	ev, err := discovery.Parse([]byte(text + "]}}"))
+	ev, err := discovery.ParseEvent([]byte(text + "]}}"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -54,20 +54,20 @@
 			delete(r.byID, l.id)
 		}
 	}
-	if ev.Members.Whole {
+	if ev.Members.IsComplete {
 		for _, l := range r.byName {
 			if l.line.State != choice.Gone {
 				l.line.State, l.gone = choice.Gone, now
 			}
 		}
 	}
-	for _, e := range ev.Members.Hosts {
+	for _, e := range ev.Members.Engines {
 		l := r.number(e.Host)
 		if e.Dial != "" {
 			l.host.Address = e.Dial
 		}
 		state := choice.Draining // what is not known gets nothing new
-		switch e.State {
+		switch e.Health {
 		case "ready":
 			state = choice.Ready
 		case "gone":
@@ -76,8 +76,8 @@
 		if l.gone = (time.Time{}); state == choice.Gone {
 			l.gone = now
 		}
-		l.line = choice.Line{Engine: l.id, Zone: n.zone(e.Site), Kind: n.kind(e.Kind), Cell: choice.CellID(e.Cell),
-			State: state, Size: e.Size, StartedAt: choice.Nanos(e.BornMS) * 1e6, Deaf: r.deaf(l.host)}
+		l.line = choice.Line{Engine: l.id, Zone: n.zone(e.Site), Kind: n.kind(e.Class), Cell: choice.CellID(e.Block),
+			State: state, Size: e.Share, StartedAt: choice.Nanos(e.BornMS) * 1e6, Deaf: r.deaf(l.host)}
 		lines = append(lines, l.line)
 	}
 	for name, l := range r.byName {
@@ -95,7 +95,7 @@
 		return
 	}
 	kind := choice.ListChanges
-	if ev.Members.Whole {
+	if ev.Members.IsComplete {
 		kind = choice.WholeList
 		if cached {
 			kind = choice.CachedList
