--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -2,10 +2,10 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"net"
-	"sync"
 	"time"
 )
 
@@ -24,32 +24,18 @@
 type source struct {
 	watcher *Watcher
 	address string
-	ended   chan struct{} // closed once the feed is watched elsewhere
-	endOnce sync.Once
+	stop    context.CancelFunc // called once the feed is watched elsewhere
 }
 
-func (s *source) end() { s.endOnce.Do(func() { close(s.ended) }) }
-
-// isStopped reports whether the source or the watcher has ended.
-func (s *source) isStopped() bool {
-	select {
-	case <-s.watcher.done:
-		return true
-	case <-s.ended:
-		return true
-	default:
-		return false
-	}
-}
-
-// run connects again whenever the connection ends, unless the feed has moved away from here.
-func (s *source) run() {
+// run connects again whenever the connection ends, unless the feed has moved away from here. It ends with the context.
+func (s *source) run(ctx context.Context) {
 	defer s.watcher.running.Done()
+	defer s.stop()
 	delay := firstReconnect
 	isDown := false
 	for {
-		hasReceived, err := s.follow()
-		if s.isStopped() {
+		hasReceived, err := s.follow(ctx)
+		if ctx.Err() != nil {
 			return
 		}
 		if hasReceived {
@@ -62,9 +48,7 @@
 			return
 		}
 		select {
-		case <-s.watcher.done:
-			return
-		case <-s.ended:
+		case <-ctx.Done():
 			return
 		case <-time.After(delay):
 		}
@@ -72,13 +56,15 @@
 	}
 }
 
-// follow watches over one connection until that ends, and reports whether an event was received on it.
-func (s *source) follow() (hasReceived bool, err error) {
-	socket, err := net.DialTimeout("tcp4", s.address, dialTimeout)
+// follow watches over one connection until that or the context ends, and reports whether an event was received on it.
+func (s *source) follow(ctx context.Context) (hasReceived bool, err error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	socket, err := dialer.DialContext(ctx, "tcp4", s.address)
 	if err != nil {
 		return false, err
 	}
-	stopClosing := s.closeWhenStopped(socket)
+	defer socket.Close()
+	stopClosing := context.AfterFunc(ctx, func() { _ = socket.Close() }) // ends a read in progress
 	defer stopClosing()
 	last, _ := s.watcher.Position()
 	extendDeadline(socket)
@@ -100,24 +86,6 @@
 	return hasReceived, errClosedByFeed
 }
 
-// closeWhenStopped closes a connection when the source ends, which ends a read in progress, or the returned function
-// is called.
-func (s *source) closeWhenStopped(socket net.Conn) (stop func()) {
-	stopped := make(chan struct{})
-	go func() {
-		select {
-		case <-s.watcher.done:
-		case <-s.ended:
-		case <-stopped:
-		}
-		_ = socket.Close() // nothing is written but the subscription
-	}()
-	return func() {
-		close(stopped)
-		_ = socket.Close()
-	}
-}
-
 func extendDeadline(socket net.Conn) {
 	_ = socket.SetDeadline(time.Now().Add(silenceTimeout)) // an error shows at the next read
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -8,6 +8,7 @@
 package discovery
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -35,8 +36,9 @@
 // Watcher passes on the events of the feed, wherever it moves. It is safe for concurrent use.
 type Watcher struct {
 	notify  func(Event)
-	done    chan struct{}  // closed by Close
-	running sync.WaitGroup // the sources' goroutines
+	ctx     context.Context    // of all sources; ends with Close
+	stop    context.CancelFunc // called by Close
+	running sync.WaitGroup     // the sources' goroutines
 	invalid ratelog.Logger
 
 	mu       sync.Mutex // held over notify as well, so that two connections pass events on in one order
@@ -47,7 +49,8 @@
 
 // Watch passes each event after last on to notify, once and in order, until Close.
 func Watch(address string, last uint64, notify func(Event)) *Watcher {
-	w := &Watcher{notify: notify, done: make(chan struct{}), last: last}
+	ctx, stop := context.WithCancel(context.Background())
+	w := &Watcher{notify: notify, ctx: ctx, stop: stop, last: last}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.start(address)
@@ -56,9 +59,10 @@
 
 // start watches an address. The lock is held.
 func (w *Watcher) start(address string) {
-	w.current = &source{watcher: w, address: address, ended: make(chan struct{})}
+	ctx, stop := context.WithCancel(w.ctx)
+	w.current = &source{watcher: w, address: address, stop: stop}
 	w.running.Add(1)
-	go w.current.run()
+	go w.current.run(ctx)
 }
 
 // Reconfigure takes over a new configuration: the address of the feed, and the events known when it was written. It
@@ -77,7 +81,7 @@
 		return false
 	}
 	if w.previous != nil { // the current one never sent anything: the one that did last stays
-		w.current.end()
+		w.current.stop()
 	} else {
 		w.previous = w.current
 	}
@@ -94,7 +98,7 @@
 
 // Close ends the watch. Nothing is passed on after it.
 func (w *Watcher) Close() {
-	close(w.done)
+	w.stop()
 	w.running.Wait()
 }
 
@@ -114,7 +118,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if from == w.current && w.previous != nil {
-		w.previous.end()
+		w.previous.stop()
 		w.previous = nil
 	}
 	if from != w.current && from != w.previous {
--- a/internal/proof/store/startup.go
+++ b/internal/proof/store/startup.go
@@ -66,7 +66,8 @@
 	}
 	defer func() { err = errors.Join(err, short.log.Close()) }()
 	fmt.Printf("a start from %d records, %d jobs open: %.2f s", recordCount, open, full.took.Seconds())
-	fmt.Printf("; a checkpoint of them %.2f s, and a start from that %.2f s\n", checkpointTook.Seconds(), short.took.Seconds())
+	fmt.Printf("; a checkpoint of them %.2f s, and a start from that %.2f s\n",
+		checkpointTook.Seconds(), short.took.Seconds())
 	if full.took > maxStartup {
 		return fmt.Errorf("it took over %v", maxStartup)
 	}
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -66,7 +66,8 @@
 		accepted("c-ran", "k5", EffectRunOnce), dispatched("c-ran", 30), ended("c-ran", OutcomeRan, "d\te\tf\n"),
 	}
 	behindCheckpoint = []step{
-		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5), ended("c-keyed-stale", OutcomeUnknown, ""),
+		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5),
+		ended("c-keyed-stale", OutcomeUnknown, ""),
 		accepted("c-refused", "k7", EffectRunOnce), dispatched("c-refused", 40), ended("c-refused", OutcomeNeverRan, ""),
 		dispatched("c-refused", 50),
 		ended("c-refused", OutcomeNeverRan, ""),
@@ -77,8 +78,8 @@
 		answered("c-cancelled", AnswerCancelled),
 		dispatched("c-fresh", 90),
 	}
-	allCalls = []CallID{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran", "c-keyed-stale",
-		"c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
+	allCalls = []CallID{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran",
+		"c-keyed-stale", "c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
 )
 
 // decision is what is known of one call.
@@ -292,7 +293,8 @@
 		want string
 	}{
 		{accepted("c1", "k", EffectRunOnce), 1, `{"call":"c1","type":"import","key":"k","effect":"run-once"}`},
-		{accepted("c2", "", EffectKeyed), 1, `{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
+		{accepted("c2", "", EffectKeyed), 1,
+			`{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
 		{dispatched("c1", 7), 2, `{"call":"c1","engine":"e17","at":7}`},
 		{ended("c1", OutcomeRan, "a\tb\tc\n"), 3, `{"call":"c1","how":"ran","answer":"YQliCWMK"}`},
 		{ended("c1", OutcomeNeverRan, ""), 3, `{"call":"c1","how":"never ran"}`},
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	d := faultdisk.New()
 	h = &history{}
-	log, _, err := h.open(d)
+	log, err := h.open(d)
 	for range 2 { // checkpoints, then several segments behind them
 		if err == nil {
 			err = h.write(log, rand.New(rand.NewPCG(3, 3)), batches)
@@ -137,7 +137,7 @@
 	files, _ := recorded(t, 60)
 	other := faultdisk.New()
 	h := &history{withoutCheckpoints: true}
-	log, _, err := h.open(other)
+	log, err := h.open(other)
 	if err == nil {
 		err = h.write(log, rand.New(rand.NewPCG(4, 4)), 60)
 	}
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -20,7 +20,7 @@
 			work := rand.New(rand.NewPCG(seed, 1)) // the same work, cut at each of its calls
 			d, h := faultdisk.New(), &history{}
 			d.CrashAt = at
-			log, _, err := h.open(d)
+			log, err := h.open(d)
 			if err == nil {
 				err = h.write(log, work, 25)
 			}
@@ -34,18 +34,18 @@
 			d = d.Crash(r)
 			if r.IntN(2) == 0 { // a second one while it recovers
 				d.CrashAt = 1 + r.IntN(8)
-				if log, _, err = h.open(d); err != nil && !errors.Is(err, faultdisk.ErrCrashed) {
+				if _, err = h.open(d); err != nil && !errors.Is(err, faultdisk.ErrCrashed) {
 					t.Fatalf("seed %d, call %d, recovering: %v", seed, at, err)
 				}
 				d = d.Crash(r)
 			}
-			if log, _, err = h.open(d); err != nil {
+			if log, err = h.open(d); err != nil {
 				t.Fatalf("seed %d, call %d: %v", seed, at, err)
 			}
 			if err := h.write(log, r, 3); err != nil {
 				t.Fatalf("seed %d, call %d, afterwards: %v", seed, at, err)
 			}
-			if _, _, err := h.open(d.Crash(r)); err != nil {
+			if _, err := h.open(d.Crash(r)); err != nil {
 				t.Fatalf("seed %d, call %d, at the end: %v", seed, at, err)
 			}
 		}
@@ -62,7 +62,7 @@
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		d, h := faultdisk.New(), &history{}
-		log, _, err := h.open(d)
+		log, err := h.open(d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,13 +85,13 @@
 		if r.IntN(2) == 0 {
 			d = d.Crash(r)
 		}
-		if log, _, err = h.open(d); err != nil {
+		if log, err = h.open(d); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		if err := h.write(log, r, 5); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if _, _, err := h.open(d.Crash(r)); err != nil {
+		if _, err := h.open(d.Crash(r)); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -33,13 +33,18 @@
 
 // oldStores says how each store came to be.
 var oldStores = map[string]func(t *testing.T, dir string){
-	"rotated": func(t *testing.T, dir string) { writeBatches(t, dir, 9) },
+	"rotated": func(t *testing.T, dir string) {
+		t.Helper()
+		writeBatches(t, dir, 9)
+	},
 	"torn": func(t *testing.T, dir string) {
+		t.Helper()
 		writeBatches(t, dir, 9)
 		last := segmentsIn(t, dir)
 		cutFile(t, filepath.Join(dir, last[len(last)-1]), 11)
 	},
 	"head-torn": func(t *testing.T, dir string) {
+		t.Helper()
 		writeBatches(t, dir, 9)
 		last := segmentsIn(t, dir)
 		name := filepath.Join(dir, last[len(last)-1])
@@ -47,6 +52,7 @@
 		cutFile(t, name, len(text)-20)
 	},
 	"one-bit-wrong": func(t *testing.T, dir string) {
+		t.Helper()
 		writeBatches(t, dir, 9)
 		first := filepath.Join(dir, segmentsIn(t, dir)[0])
 		text := readFile(t, first)
@@ -54,12 +60,14 @@
 		writeFile(t, first, text)
 	},
 	"checkpoint": func(t *testing.T, dir string) {
+		t.Helper()
 		writeBatches(t, dir, 7)
 		writeCheckpoint(t, dir)
 		writeBatches(t, dir, 6)
 	},
 	// The process died before it removed what the checkpoint stands for.
 	"checkpoint-cut-off": func(t *testing.T, dir string) {
+		t.Helper()
 		writeBatches(t, dir, 7)
 		before := filesIn(t, dir)
 		writeCheckpoint(t, dir)
@@ -68,7 +76,10 @@
 		}
 		writeFile(t, filepath.Join(dir, "new-checkpoint"), []byte("SWRCKP"))
 	},
-	"empty": func(t *testing.T, dir string) { writeBatches(t, dir, 0) },
+	"empty": func(t *testing.T, dir string) {
+		t.Helper()
+		writeBatches(t, dir, 0)
+	},
 }
 
 // entryAt is a record that differs from all others in kind, length or contents.
@@ -77,7 +88,9 @@
 }
 
 // openStore opens a folder and adds to a transcript what it replays and finds.
-func openStore(t *testing.T, dir string, transcript *bytes.Buffer) (log *store.Log, replayed []store.Record, done func()) {
+func openStore(
+	t *testing.T, dir string, transcript *bytes.Buffer,
+) (log *store.Log, replayed []store.Record, done func()) {
 	t.Helper()
 	folder, err := store.OpenDirectory(dir)
 	if err != nil {
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -109,18 +109,18 @@
 }
 
 // open opens the log and compares what it replays with the history, which goes on from there.
-func (h *history) open(disk store.Disk) (*store.Log, store.Report, error) {
+func (h *history) open(disk store.Disk) (*store.Log, error) {
 	state := map[string]string{}
-	log, report, err := store.Open(disk, testOptions, replayInto(state))
+	log, _, err := store.Open(disk, testOptions, replayInto(state))
 	if err != nil {
-		return log, report, err
+		return log, err
 	}
 	n, found := h.matchingPending(state)
 	if !found {
-		return log, report, fmt.Errorf("found %v, acknowledged was %v, then pending %v",
+		return log, fmt.Errorf("found %v, acknowledged was %v, then pending %v",
 			state, stateAfter(h.acknowledged), h.pending)
 	}
 	h.acknowledged = append(h.acknowledged, h.pending[:n]...)
 	h.pending = nil
-	return log, report, nil
+	return log, nil
 }
