--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -22,21 +22,22 @@
 	held chan struct{}
 }
 
-func (t *taker) Ready() bool { return true }
-func (t *taker) Take(a gateway.Ask) {
-	t.asks <- a
-	if t.held != nil {
-		<-t.held
+func (k *taker) Ready() bool { return true }
+
+func (k *taker) Take(a gateway.Ask) {
+	k.asks <- a
+	if k.held != nil {
+		<-k.held
 	}
 }
 
-func (t *taker) got(test *testing.T) gateway.Ask {
-	test.Helper()
+func (k *taker) got(t *testing.T) gateway.Ask {
+	t.Helper()
 	select {
-	case a := <-t.asks:
+	case a := <-k.asks:
 		return a
 	case <-time.After(20 * time.Second):
-		test.Fatal("nothing is taken")
+		t.Fatal("nothing is taken")
 	}
 	return gateway.Ask{}
 }
@@ -65,6 +66,7 @@
 }
 
 func newStand(t *testing.T, most int64) *stand {
+	t.Helper()
 	parts := new(limits.Parts)
 	parts.ClientConns.Store(most)
 	parts.Bytes.Allow(1 << 20)
@@ -72,13 +74,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stand{t: t, taker: &taker{asks: make(chan gateway.Ask, 1000)}, door: door{l.(*net.TCPListener), make(chan struct{})}}
+	s := &stand{
+		t:     t,
+		taker: &taker{asks: make(chan gateway.Ask, 1000)},
+		door:  door{l.(*net.TCPListener), make(chan struct{})},
+	}
 	s.server = NewServer(s.taker, parts)
 	t.Cleanup(func() {
 		l.Close()
 		s.server.Close()
 	})
-	go s.server.Serve(s.door)
+	go func() { _ = s.server.Serve(s.door) }() // an error shows as a client that is not served
 	return s
 }
 
@@ -351,7 +357,9 @@
 	}
 	c.Close()
 	wrote.Wait()
-	s.until("it is waited for after its client has gone", func() bool { return !s.server.HasPendingInput() && s.server.OwedAnswers() == 0 })
+	s.until("it is waited for after its client has gone", func() bool {
+		return !s.server.HasPendingInput() && s.server.OwedAnswers() == 0
+	})
 }
 
 // What was accepted by the system only, lies unread, or was read in part is seen before the end.
@@ -392,30 +400,43 @@
 	now := time.Now()
 	conns := map[*conn]struct{}{}
 	for i := range 40 {
-		there := s.dial()
+		s.dial()
 		nc, err := net.Dial("tcp", s.door.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		_ = there
-		conns[&conn{server: s.server, socket: nc.(*net.TCPConn), acceptedAt: now.Add(-time.Second), hasSpoken: true, lastUsed: now.Add(-time.Duration(i) * time.Millisecond),
-			open: map[uint32]*call{}}] = struct{}{}
+		idle := &conn{
+			server:     s.server,
+			socket:     nc.(*net.TCPConn),
+			acceptedAt: now.Add(-time.Second),
+			hasSpoken:  true,
+			lastUsed:   now.Add(-time.Duration(i) * time.Millisecond),
+			open:       map[uint32]*call{},
+		}
+		conns[idle] = struct{}{}
 	}
 	nc, err := net.Dial("tcp", s.door.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	newcomer := &conn{server: s.server, socket: nc.(*net.TCPConn), acceptedAt: now.Add(-minSilentAge / 2), open: map[uint32]*call{}}
-	conns[newcomer] = struct{}{}
+	newSilent := func() *conn {
+		return &conn{
+			server:     s.server,
+			socket:     nc.(*net.TCPConn),
+			acceptedAt: now.Add(-minSilentAge / 2),
+			open:       map[uint32]*call{},
+		}
+	}
+	conns[newSilent()] = struct{}{}
 	f := &Server{conns: conns}
 	c := f.evictionCandidate(now)
 	if c == nil || now.Sub(c.lastUsed) != 39*time.Millisecond {
 		t.Fatalf("%+v makes way", c)
 	}
 	for range 6 { // a flood of those that say nothing: they make way themselves, once they had their moment
-		conns[&conn{server: s.server, socket: newcomer.socket, acceptedAt: newcomer.acceptedAt, open: map[uint32]*call{}}] = struct{}{}
+		conns[newSilent()] = struct{}{}
 	}
 	if c := f.evictionCandidate(now); c != nil {
 		t.Errorf("%+v makes way for a flood", c)
--- a/internal/client/eviction_test.go
+++ b/internal/client/eviction_test.go
@@ -1,6 +1,7 @@
 package client
 
 import (
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -16,7 +17,8 @@
 func (sink) Ready() bool      { return true }
 func (sink) Take(gateway.Ask) {}
 
-func startFront(t *testing.T, most int64) (dial func() net.Conn) {
+func startServer(t *testing.T, most int64) (dial func() net.Conn) {
+	t.Helper()
 	parts := new(limits.Parts)
 	parts.ClientConns.Store(most)
 	parts.Bytes.Allow(1 << 20)
@@ -25,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go f.Serve(l)
+	go func() { _ = f.Serve(l) }() // an error shows as a client that is not served
 	t.Cleanup(func() {
 		l.Close()
 		f.Close()
@@ -51,7 +53,7 @@
 }
 
 func TestAFloodOfSilentClientsPushesOutItsOwn(t *testing.T) {
-	dial := startFront(t, 6)
+	dial := startServer(t, 6)
 	usual := []net.Conn{dial(), dial()}
 	for _, c := range usual {
 		if !ready(c) {
@@ -66,7 +68,7 @@
 		t.Error("a new client does not get in")
 	}
 	silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
-	if _, err := silent[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := silent[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first that said nothing: %v", err)
 	}
 	for _, c := range usual {
@@ -77,7 +79,7 @@
 }
 
 func TestWhereAllHaveAskedTheOneIdleLongestMakesWay(t *testing.T) {
-	dial := startFront(t, 3)
+	dial := startServer(t, 3)
 	var conns []net.Conn
 	for range 3 {
 		conns = append(conns, dial())
@@ -95,7 +97,7 @@
 		t.Error("a new client does not get in")
 	}
 	conns[1].SetReadDeadline(time.Now().Add(20 * time.Second))
-	if _, err := conns[1].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := conns[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one idle longest: %v", err)
 	}
 	if !ready(conns[0]) || !ready(conns[2]) {
--- a/internal/client/golden_test.go
+++ b/internal/client/golden_test.go
@@ -47,12 +47,14 @@
 		got         []byte
 		sent, comes string
 	}{
-		{"heartbeat", true, AppendHeartbeat(nil, 1), "\x94\x00\x01\xa9heartbeat\x91\x80", "\x94\x01\x01\xc0\x92\xc3\x80"},
+		{"heartbeat", true, AppendHeartbeat(nil, 1),
+			"\x94\x00\x01\xa9heartbeat\x91\x80", "\x94\x01\x01\xc0\x92\xc3\x80"},
 		{"heartbeat while not ready", false, AppendHeartbeat(nil, 200), "\x94\x00\xcc\xc8\xa9heartbeat\x91\x80",
 			"\x94\x01\xcc\xc8\xc0\x92\xc2\x80"},
 		{"rows", true, AppendCall(nil, 7, "rows", fields, []byte("SELECT 1")),
 			"\x94\x00\x07\xa4rows\x92" + callHead + "\xc4\x08SELECT 1", "\x94\x01\x07\xc0\x92\xc4\x0ca\tb\tc\nd\te\tf\n\x80"},
-		{"no rows", true, AppendCall(nil, 300, "none", fields, nil), "\x94\x00\xcd\x01\x2c\xa4none\x92" + callHead + "\xc4\x00",
+		{"no rows", true, AppendCall(nil, 300, "none", fields, nil),
+			"\x94\x00\xcd\x01\x2c\xa4none\x92" + callHead + "\xc4\x00",
 			"\x94\x01\xcd\x01\x2c\xc0\x92\xc4\x00\x80"},
 		{"a bin 16", true, AppendCall(nil, 70000, "middle", fields, bytes.Repeat([]byte("y"), 300)),
 			"\x94\x00\xce\x00\x01\x11\x70\xa6middle\x92" + callHead + "\xc5\x01\x2c" + strings.Repeat("y", 300),
@@ -60,11 +62,14 @@
 		{"a bin 32", true, AppendCall(nil, 8, "large", fields, bytes.Repeat([]byte("y"), 70_000)),
 			"\x94\x00\x08\xa5large\x92" + callHead + "\xc6\x00\x01\x11\x70" + strings.Repeat("y", 70_000),
 			"\x94\x01\x08\xc0\x92\xc6\x00\x01\x11\x70" + strings.Repeat("x", 70_000) + "\x80"},
-		{"throttled", true, AppendCall(nil, 9, "throttled", fields, nil), "\x94\x00\x09\xa9throttled\x92" + callHead + "\xc4\x00",
+		{"throttled", true, AppendCall(nil, 9, "throttled", fields, nil),
+			"\x94\x00\x09\xa9throttled\x92" + callHead + "\xc4\x00",
 			"\x94\x01\x09\x92\xaaOverloaded\x80\xc0"},
-		{"throttled with a wait", true, AppendCall(nil, 9, "later", fields, nil), "\x94\x00\x09\xa5later\x92" + callHead + "\xc4\x00",
+		{"throttled with a wait", true, AppendCall(nil, 9, "later", fields, nil),
+			"\x94\x00\x09\xa5later\x92" + callHead + "\xc4\x00",
 			"\x94\x01\x09\x92\xaaOverloaded\x81\xa8pushback\xa3250\xc0"},
-		{"failed", true, AppendCall(nil, 9, "failed", fields, nil), "\x94\x00\x09\xa6failed\x92" + callHead + "\xc4\x00",
+		{"failed", true, AppendCall(nil, 9, "failed", fields, nil),
+			"\x94\x00\x09\xa6failed\x92" + callHead + "\xc4\x00",
 			"\x94\x01\x09\x92\xa8Internal\x81\xa6reason\xacmay_have_run\xc0"},
 		{"a call that cannot be used", true, AppendCall(nil, 10, "rows", []string{"ttl", strings.Repeat("0", 40)}, nil),
 			"\x94\x00\x0a\xa4rows\x92\xde\x00\x01\xa3ttl\xd9\x28" + strings.Repeat("0", 40) + "\xc4\x00",
@@ -78,7 +83,7 @@
 			if string(c.got) != c.sent {
 				t.Fatalf("a client writes %q, not %q", c.got, c.sent)
 			}
-			nc := dialFront(t, byType{c.ready})
+			nc := dialServer(t, byType{c.ready})
 			if _, err := nc.Write(c.got); err != nil {
 				t.Fatal(err)
 			}
@@ -91,7 +96,7 @@
 
 // What ends a connection is told under the number of the call, where it has one.
 func TestTheLastWordOfAConnectionHasItsBytes(t *testing.T) {
-	nc := dialFront(t, byType{true})
+	nc := dialServer(t, byType{true})
 	if _, err := io.WriteString(nc, "\x94\x00\x05\x07"); err != nil { // the method is a number
 		t.Fatal(err)
 	}
@@ -104,19 +109,19 @@
 	}
 }
 
-func dialFront(t *testing.T, taker JobTaker) net.Conn {
+func dialServer(t *testing.T, taker JobTaker) net.Conn {
 	t.Helper()
 	parts := new(limits.Parts)
 	parts.ClientConns.Store(10)
 	parts.Bytes.Allow(1 << 20)
 	parts.Reads.Allow(1 << 20)
-	front := NewServer(taker, parts)
+	server := NewServer(taker, parts)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
-	go func() { served <- front.Serve(listener) }()
+	go func() { served <- server.Serve(listener) }()
 	nc, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -127,7 +132,7 @@
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
-		front.Close()
+		server.Close()
 	})
 	return nc
 }
--- a/internal/client/msgpack_test.go
+++ b/internal/client/msgpack_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"strings"
 	"testing"
 )
@@ -40,7 +41,7 @@
 		"a length past the bound": "\xdb\x7f\xff\xff\xff", "a count past the bound": "\xdd\xff\xff\xff\xff",
 		"too deep": strings.Repeat("\x91", maxDepth+1), "no format": "\xc1", "a long bin": "\xc6\x00\x04\x00\x00",
 	} {
-		if _, err := valueSize([]byte(in)); err != errNotMsgpack {
+		if _, err := valueSize([]byte(in)); !errors.Is(err, errNotMsgpack) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -55,20 +56,26 @@
 		t.Fatalf("%+v %v", m, err)
 	}
 	r, err := parseRequest(m)
-	if err != nil || string(r.callID) != "9b1f03aa5c7e2d41" || r.timeout.Milliseconds() != 1500 || string(r.tenant) != "acme" ||
-		!r.isRepeat || r.work.Microseconds() != 820500 || r.memoryMB != 96 || string(r.key) != "7f3a" ||
-		string(r.statement) != "SELECT 1" {
+	if err != nil || string(r.callID) != "9b1f03aa5c7e2d41" || r.timeout.Milliseconds() != 1500 ||
+		string(r.tenant) != "acme" || !r.isRepeat || r.work.Microseconds() != 820500 || r.memoryMB != 96 ||
+		string(r.key) != "7f3a" || string(r.statement) != "SELECT 1" {
 		t.Fatalf("%+v %v", r, err)
 	}
 	if cap(r.statement) == 0 || &r.statement[0] != &b[len(b)-len("SELECT 1")] {
 		t.Error("the body was copied")
 	}
+	tooLong := strings.Repeat("x", maxIdempotencyKey+1)
 	for name, change := range map[string][]string{
-		"no call": {"ttl", "5"}, "no ttl": {"call", "9b1f03aa5c7e2d41"}, "call of other letters": {"call", "9b1f03aa5c7e2d4\n", "ttl", "5"},
-		"ttl below 0": {"call", "9b1f03aa5c7e2d41", "ttl", "-5"}, "work no number": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "work", "NaN"},
-		"no idempotency key": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", ""}, "one past its size": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", strings.Repeat("x", maxIdempotencyKey+1)},
-		"one of two words": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a b"}, "one that would be more fields": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a,urgency=3"},
-		"one that would be a line": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a\r\n"},
+		"no call":                       {"ttl", "5"},
+		"no ttl":                        {"call", "9b1f03aa5c7e2d41"},
+		"call of other letters":         {"call", "9b1f03aa5c7e2d4\n", "ttl", "5"},
+		"ttl below 0":                   {"call", "9b1f03aa5c7e2d41", "ttl", "-5"},
+		"work no number":                {"call", "9b1f03aa5c7e2d41", "ttl", "5", "work", "NaN"},
+		"no idempotency key":            {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", ""},
+		"one past its size":             {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", tooLong},
+		"one of two words":              {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a b"},
+		"one that would be more fields": {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a,urgency=3"},
+		"one that would be a line":      {"call", "9b1f03aa5c7e2d41", "ttl", "5", "dedupe", "a\r\n"},
 	} {
 		m, err := parseMessage(AppendCall(nil, 1, "report", change, nil))
 		if err != nil {
@@ -99,7 +106,8 @@
 // FuzzMessages: no panic on any input; a message is the same however its bytes come; what is written reads back.
 func FuzzMessages(f *testing.F) {
 	for seed := range 64 {
-		call := AppendCall(nil, uint32(seed*seed*9999), "lookup", []string{"call", "00000000000000aa", "ttl", "9"}, make([]byte, seed*5))
+		fields := []string{"call", "00000000000000aa", "ttl", "9"}
+		call := AppendCall(nil, uint32(seed*seed*9999), "lookup", fields, make([]byte, seed*5))
 		call[seed*7%len(call)] ^= byte(seed % 3 * seed)
 		f.Add(call)
 	}
@@ -111,7 +119,7 @@
 		n, err := valueSize(b)
 		if err != nil {
 			if m, err := parseMessage(b); err == nil {
-				parseRequest(m)
+				_, _ = parseRequest(m) // must not panic
 			}
 			return
 		}
@@ -119,11 +127,11 @@
 			t.Fatalf("size %d of %d", n, len(b))
 		}
 		for cut := 0; cut < n; cut += 1 + n/97 {
-			if _, err := valueSize(b[:cut]); err != ErrIncomplete {
+			if _, err := valueSize(b[:cut]); !errors.Is(err, ErrIncomplete) {
 				t.Fatalf("cut at %d of %d: %v", cut, n, err)
 			}
 		}
-		ParseAnswer(b)
+		_, _, _ = ParseAnswer(b) // must not panic
 		m, err := parseMessage(b[:n])
 		if err != nil || m.isNotification {
 			return
@@ -132,11 +140,13 @@
 		if err != nil {
 			return
 		}
-		again, err := parseMessage(AppendCall(nil, m.id, string(m.method), []string{"call", string(r.callID), "ttl", "1"}, r.statement))
+		fields := []string{"call", string(r.callID), "ttl", "1"}
+		again, err := parseMessage(AppendCall(nil, m.id, string(m.method), fields, r.statement))
 		if err != nil || again.id != m.id || !bytes.Equal(again.method, m.method) {
 			t.Fatalf("%+v reads back as %+v: %v", m, again, err)
 		}
-		if back, err := parseRequest(again); err != nil || !bytes.Equal(back.statement, r.statement) || !bytes.Equal(back.callID, r.callID) {
+		back, err := parseRequest(again)
+		if err != nil || !bytes.Equal(back.statement, r.statement) || !bytes.Equal(back.callID, r.callID) {
 			t.Fatalf("%+v reads back as %+v: %v", r, back, err)
 		}
 	})
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -16,6 +16,7 @@
 }
 
 func newPlace(t *testing.T) *place {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -12,7 +12,8 @@
 	"swiftreel/internal/fake"
 )
 
-const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,"born_ms":5}]`
+const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,` +
+	`"born_ms":5}]`
 
 func TestEveryEventIsToldOnceAndInOrder(t *testing.T) {
 	log.SetOutput(io.Discard)
@@ -40,7 +41,8 @@
 	next(3)
 	next(4)
 	event := func(n int) string { return fmt.Sprintf(`{"n":%d,"members":{"hosts":%s}}`+"\n", n, hosts) }
-	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} { // unreadable, a gap, gaps told by the number alone
+	// Unreadable, a gap, and gaps shown by the number alone.
+	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} {
 		source.Write(event(4) + "\n4\n" + `{"n":4}` + "\n") // told before: passed over
 		source.Write(bad)
 		source.Add(false, hosts) // perhaps on a connection that is given up: then it comes on the next
@@ -57,7 +59,8 @@
 	for range 10 {
 		moved.Add(false, hosts)
 	}
-	if again, err := discovery.ParseEvent([]byte(event(9))); err != nil || !f.Reconfigure(moved.Address(), []discovery.Event{again}) {
+	again, err := discovery.ParseEvent([]byte(event(9)))
+	if err != nil || !f.Reconfigure(moved.Address(), []discovery.Event{again}) {
 		t.Fatal("not moved", err)
 	}
 	next(10)
@@ -87,9 +90,14 @@
 
 // FuzzParse: no panic, and what is read names every engine.
 func FuzzParse(f *testing.F) {
-	for _, good := range []string{`{"n":41,"members":{"seq":7,"whole":false,"hosts":` + hosts + `}}`, `{"n":41,"purge":{}}`, `{"n":-1}`,
-		`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","born_ms":-1},{"host":"e","share":-1}]}}`} {
-		f.Add([]byte(good))
+	for _, text := range []string{
+		`{"n":41,"members":{"seq":7,"whole":false,"hosts":` + hosts + `}}`,
+		`{"n":41,"purge":{}}`,
+		`{"n":-1}`,
+		`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},` +
+			`{"host":"e","born_ms":-1},{"host":"e","share":-1}]}}`,
+	} {
+		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		ev, err := discovery.ParseEvent(text)
@@ -106,7 +114,8 @@
 
 // An entry that could not be used had the feed called anew for ever, from the event before it.
 func TestAnEntryThatCannotBeUsedCostsNoOther(t *testing.T) {
-	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
+	const unusable = `{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},`
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[` + unusable + hosts[1:] + `}}`))
 	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
 		t.Errorf("%+v, %v", ev, err)
 	}
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -69,6 +69,7 @@
 }
 
 func newPeer(t *testing.T) *peer {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +89,10 @@
 					if err != nil {
 						return
 					}
-					if c.Name == "fetch" {
+					switch c.Name {
+					case commandFetch:
 						p.fetched <- fetched{c.ID, nc}
-					} else if c.Name == "more" {
+					case commandMore:
 						p.paged <- fetched{c.ID, nc}
 					}
 				}
@@ -121,11 +123,18 @@
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan backend.Reply, 100)}
-	b := backend.Bounds{Dial: 20 * time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
-	b.Conns.Store(10)
-	b.Bytes.Allow(1 << 20)
-	w.pool = NewPool(b)
+	bounds := backend.Bounds{
+		Dial:    20 * time.Second,
+		Idle:    time.Minute,
+		Streams: 1,
+		Conns:   new(limits.Count),
+		Bytes:   new(limits.Bytes),
+	}
+	bounds.Conns.Store(10)
+	bounds.Bytes.Allow(1 << 20)
+	w.pool = NewPool(bounds)
 	w.pool.dialTimeout = func(network, address string, limit time.Duration) (net.Conn, error) {
 		nc, err := net.DialTimeout(network, address, limit)
 		if err != nil {
@@ -143,9 +152,18 @@
 }
 
 func (w *world) start(id string, until time.Time) backend.Dispatch {
-	return w.pool.Start(backend.Host{Name: "e1", Address: w.peer.Addr().String()}, backend.Request{ID: []byte(id), Type: []byte("import"),
-		Statement: []byte("x"), WaitMS: 1000, Priority: 1, Lane: backend.MayNot, Ordered: time.Now(), Until: until},
-		func(r backend.Reply) { w.replies <- r })
+	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
+	request := backend.Request{
+		ID:        []byte(id),
+		Type:      []byte("import"),
+		Statement: []byte("x"),
+		WaitMS:    1000,
+		Priority:  1,
+		Lane:      backend.MayNot,
+		Ordered:   time.Now(),
+		Until:     until,
+	}
+	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
 }
 
 func (w *world) ends(end backend.End) {
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -13,7 +13,13 @@
 // Seen on sockets: 37 dials of a day came up and were reset at once; told as refused, each had an engine that served
 // well taken for just started, and four fifths of the fleet lay idle.
 func TestADialThatIsResetIsNoRefusal(t *testing.T) {
-	p := NewPool(backend.Bounds{Dial: time.Second, Idle: time.Minute, Streams: 1, Conns: new(limits.Count), Bytes: new(limits.Bytes)})
+	p := NewPool(backend.Bounds{
+		Dial:    time.Second,
+		Idle:    time.Minute,
+		Streams: 1,
+		Conns:   new(limits.Count),
+		Bytes:   new(limits.Bytes),
+	})
 	defer p.Close()
 	for name, c := range map[string]struct {
 		ends  []error
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -41,7 +41,13 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	bounds := backend.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: new(limits.Bytes)}
+	bounds := backend.Bounds{
+		Dial:    5 * time.Second,
+		Idle:    time.Minute,
+		Streams: 100,
+		Conns:   new(limits.Count),
+		Bytes:   new(limits.Bytes),
+	}
 	bounds.Conns.Store(1)
 	bounds.Bytes.Allow(memory)
 	pool := engine.NewPool(bounds)
@@ -80,8 +86,14 @@
 	peer.answers("t2 well - 0\r\n\r\n")
 	ends(backend.Done)
 
-	first := pool.Start(host, backend.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		WaitMS: 1500, Priority: 2, Ordered: time.Now()}, reply)
+	first := pool.Start(host, backend.Request{
+		ID:        []byte("9b1f03aa5c7e2d41"),
+		Type:      []byte("report"),
+		Statement: []byte("SELECT 1"),
+		WaitMS:    1500,
+		Priority:  2,
+		Ordered:   time.Now(),
+	}, reply)
 	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
 	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
 	ends(backend.Open)
@@ -93,8 +105,13 @@
 	peer.gets("done 9b1f03aa5c7e2d41\r\n")
 	pool.Free(ends(backend.Done).Pages)
 
-	second := pool.Start(host, backend.Request{ID: []byte("00000000000000ff"), Type: []byte("import"), Idempotency: []byte("key-7"),
-		GrantMB: 12.5, WaitMS: 0, Priority: 0, Ordered: time.Now()}, reply)
+	second := pool.Start(host, backend.Request{
+		ID:          []byte("00000000000000ff"),
+		Type:        []byte("import"),
+		Idempotency: []byte("key-7"),
+		GrantMB:     12.5,
+		Ordered:     time.Now(),
+	}, reply)
 	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
 	given := make(chan struct{})
 	if !second.GiveUp(func() { close(given) }) {
@@ -110,9 +127,11 @@
 }
 
 func TestAnEnginesAnswerHasItsBytes(t *testing.T) {
+	data := engine.AppendAnswer(nil, "a1", "data", "sheets=1,toil=3", []byte("a\tb\tc\n"))
+	full := engine.AppendAnswer(nil, "a1", "full", "", nil)
 	for want, got := range map[string][]byte{
-		"a1 data sheets=1,toil=3 6\r\na\tb\tc\n\r\n": engine.AppendAnswer(nil, "a1", "data", "sheets=1,toil=3", []byte("a\tb\tc\n")),
-		"a1 full - 0\r\n\r\n":                        engine.AppendAnswer(nil, "a1", "full", "", nil),
+		"a1 data sheets=1,toil=3 6\r\na\tb\tc\n\r\n": data,
+		"a1 full - 0\r\n\r\n":                        full,
 	} {
 		if string(got) != want {
 			t.Errorf("%q, not %q", got, want)
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -31,6 +31,7 @@
 const memory = 100_000
 
 func newBench(t *testing.T, change func(*backend.Bounds)) *bench {
+	t.Helper()
 	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan backend.Reply, 1000)}
 	b.bytes.Allow(memory)
 	var err error
@@ -38,7 +39,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := backend.Bounds{Dial: 5 * time.Second, Idle: time.Minute, Streams: 100, Conns: new(limits.Count), Bytes: b.bytes}
+	bounds := backend.Bounds{
+		Dial:    5 * time.Second,
+		Idle:    time.Minute,
+		Streams: 100,
+		Conns:   new(limits.Count),
+		Bytes:   b.bytes,
+	}
 	bounds.Conns.Store(10)
 	if change != nil {
 		change(&bounds)
@@ -59,6 +66,12 @@
 		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
 }
 
+// startImport starts a dispatch that must not be lost.
+func (b *bench) startImport(id string) {
+	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}
+	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
+}
+
 // got waits for the next command and checks its word.
 func (b *bench) got(word string) command {
 	b.t.Helper()
@@ -173,8 +186,9 @@
 		"sheet no number":     {{"data", "sheets=2", row}, {"page", "sheet=x", row}},
 		"another page":        {{"data", "sheets=3", row}, {"page", "sheet=1", row}, {"page", "sheet=1", row + row}},
 		"another first":       {{"data", "sheets=3", row}, {"data", "sheets=3", row + row}},
-		"too large a result": {{"data", "sheets=12", large}, {"page", "sheet=1", large}, {"page", "sheet=2", large}, {"page", "sheet=3", large},
-			{"page", "sheet=4", large}, {"page", "sheet=5", large}, {"page", "sheet=6", large}, {"page", "sheet=7", large}, {"page", "sheet=8", large}},
+		"too large a result": {{"data", "sheets=12", large},
+			{"page", "sheet=1", large}, {"page", "sheet=2", large}, {"page", "sheet=3", large}, {"page", "sheet=4", large},
+			{"page", "sheet=5", large}, {"page", "sheet=6", large}, {"page", "sheet=7", large}, {"page", "sheet=8", large}},
 	} {
 		b.start("a")
 		from := b.fetched()
@@ -301,8 +315,8 @@
 // A controller that stood still between order and send could send to an engine that it has been told is draining.
 func TestWhatWasOrderedLongAgoIsNotSent(t *testing.T) {
 	b := newBench(t, nil)
-	b.pool.Start(b.host, backend.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)},
-		func(r backend.Reply) { b.replies <- r })
+	request := backend.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)}
+	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 	b.ends(backend.Moot)
 	b.start("b")
 	b.got("fetch").from.Answer("b", "full", "", "") // and nothing of a
@@ -349,7 +363,11 @@
 
 // An answer that begins and does not end held its job until the job timeout.
 func TestHalfAnAnswerHasATimeLimit(t *testing.T) {
-	for name, half := range map[string]string{"a line": "a data she", "a page": "a data sheets=1 40\r\none\ttw", "next": "x full - 0\r\n\r\na da"} {
+	for name, half := range map[string]string{
+		"a line": "a data she",
+		"a page": "a data sheets=1 40\r\none\ttw",
+		"next":   "x full - 0\r\n\r\na da",
+	} {
 		b := newBench(t, func(l *backend.Bounds) { l.Dial = 10 * time.Millisecond })
 		b.start("a")
 		b.got("fetch").from.Write([]byte(half))
@@ -443,7 +461,7 @@
 func TestASilentConnectionIsClosedToGiveUpWhatIsOutOnIt(t *testing.T) {
 	b := newBench(t, func(l *backend.Bounds) { l.Dial = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
-	b.pool.Start(b.host, backend.Request{ID: []byte("c"), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
+	b.startImport("c")
 	kept := b.got("fetch")
 	d := b.start("a")
 	b.got("fetch")
@@ -464,7 +482,7 @@
 func TestARunOnceJobDoesNotGoWhereAProbeWasLost(t *testing.T) {
 	b := newBench(t, nil)
 	importing := func(id string) *fake.Session {
-		b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
+		b.startImport(id)
 		c := b.got("fetch")
 		c.from.Answer(id, "full", "", "")
 		b.ends(backend.Full)
--- a/internal/engine/protocol_test.go
+++ b/internal/engine/protocol_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -33,7 +34,7 @@
 	in := AppendAnswer(nil, "9b1f03aa5c7e2d41", "data", "sheets=2,toil=35,load=inflight:7;util:0.61", []byte(page))
 	in = AppendAnswer(in, "t1", "well", "", nil)
 	got, err := read(bytes.NewReader(in))
-	if err != io.EOF || len(got) != 2 || !strings.HasSuffix(got[0], page) || got[1] != "t1 well  " {
+	if !errors.Is(err, io.EOF) || len(got) != 2 || !strings.HasSuffix(got[0], page) || got[1] != "t1 well  " {
 		t.Fatalf("%d answers, %v", len(got), err)
 	}
 	a, _, err := parseAnswer([]byte("x data sheets=2,toil=35.5,room=- 0\r\n\r\n"))
@@ -47,10 +48,11 @@
 func TestWhatLosesFramingIsAnError(t *testing.T) {
 	for name, in := range map[string]string{
 		"no length": "a data -\r\n", "length no number": "a data - x\r\n", "length past a page": "a data - 6001\r\n",
-		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd", "a long line": strings.Repeat("a", 2*readBufferSize),
+		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd",
+		"a long line":           strings.Repeat("a", 2*readBufferSize),
 		"a line over its bound": "a data " + strings.Repeat("a", maxLine) + " 0\r\n\r\n", "two spaces": "a  - 0\r\n\r\n",
 	} {
-		if got, err := read(strings.NewReader(in)); err != errMalformed || len(got) > 0 {
+		if got, err := read(strings.NewReader(in)); !errors.Is(err, errMalformed) || len(got) > 0 {
 			t.Errorf("%s: %q %v", name, got, err)
 		}
 	}
@@ -67,12 +69,13 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		whole, err := read(bytes.NewReader(in))
 		bits, errBits := read(iotest.OneByteReader(bytes.NewReader(in)))
-		if err != errBits || strings.Join(whole, "\x00") != strings.Join(bits, "\x00") {
+		if !errors.Is(err, errBits) || strings.Join(whole, "\x00") != strings.Join(bits, "\x00") {
 			t.Fatalf("%q %v in one, %q %v in bits", whole, err, bits, errBits)
 		}
 		for _, text := range whole {
 			w := strings.SplitN(text, " ", 4)
-			if again, err := read(bytes.NewReader(AppendAnswer(nil, w[0], w[1], w[2], []byte(w[3])))); err != io.EOF || again[0] != text {
+			again, err := read(bytes.NewReader(AppendAnswer(nil, w[0], w[1], w[2], []byte(w[3]))))
+			if !errors.Is(err, io.EOF) || again[0] != text {
 				t.Fatalf("%q reads back as %q %v", text, again, err)
 			}
 		}
@@ -87,11 +90,18 @@
 		if !(grant >= 0 && grant < 1e9) || len(statement) > 1<<19 {
 			return
 		}
-		b := appendFetch(nil, backend.Request{ID: []byte("9b1f03aa5c7e2d41"), Type: []byte("report"), Statement: statement, WaitMS: 5,
-			GrantMB: grant, Priority: priority})
+		b := appendFetch(nil, backend.Request{
+			ID:        []byte("9b1f03aa5c7e2d41"),
+			Type:      []byte("report"),
+			Statement: statement,
+			WaitMS:    5,
+			GrantMB:   grant,
+			Priority:  priority,
+		})
 		r := bufio.NewReader(bytes.NewReader(appendNumberCommand(b, commandMore, "x", 2)))
 		c, err := ReadCommand(r)
-		if err != nil || c.Name != "fetch" || !bytes.Equal(c.Body, statement) || strings.Contains(c.Fields, "allot") != (grant > 0) {
+		hasGrant := strings.Contains(c.Fields, "allot")
+		if err != nil || c.Name != "fetch" || !bytes.Equal(c.Body, statement) || hasGrant != (grant > 0) {
 			t.Fatalf("%+v %v", c, err)
 		}
 		if c, err = ReadCommand(r); err != nil || c.Name != "more" || c.ID != "x" || c.Number != 2 {
