--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -95,7 +95,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.ECONNRESET) {
 		return
 	}
-	c.server.malformed.CountAndWarn("clients_bad", "client_bad", "address", c.socket.RemoteAddr(), "reason", err)
+	c.server.malformed.CountAndWarn("client_errors", "client_error", "address", c.socket.RemoteAddr(), "reason", err)
 	c.sendFinalError(err)
 }
 
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -173,7 +173,7 @@
 	defer wrote.Wait()
 	defer c.Close()
 	s.until("no answer is being written", func() bool { return s.server.writing() })
-	broken := counters.Value("client_writes_broken")
+	broken := counters.Value("client_writes_failed")
 	c.Write(AppendHeartbeat(nil, 3))
 	c.Write(AppendRevoke(nil, 2))
 	select {
@@ -181,7 +181,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("the revoke is not read")
 	}
-	if counters.Value("client_writes_broken") != broken {
+	if counters.Value("client_writes_failed") != broken {
 		t.Error("it was read only once the connection had ended")
 	}
 }
--- a/internal/client/handle.go
+++ b/internal/client/handle.go
@@ -133,7 +133,7 @@
 	for _, pending := range c.pendingCalls {
 		switch {
 		case !c.isOpen(pending.call):
-			counters.Increment("calls_revoked_at_once")
+			counters.Increment("calls_revoked_early")
 		case c.server.isRefusing.Load():
 			counters.Increment("calls_after_stop")
 			pending.call.Throttled(0)
--- a/internal/client/stall.go
+++ b/internal/client/stall.go
@@ -66,8 +66,8 @@
 			return
 		case <-ticker.C:
 			if stall := d.tick(time.Now()); stall > 0 {
-				counters.Increment("stalls")
-				d.log.Warn("stood_still", "for_ms", stall.Milliseconds())
+				counters.Increment("process_stalls")
+				d.log.Warn("process_stalled", "for_ms", stall.Milliseconds())
 			}
 		}
 	}
--- a/internal/client/write.go
+++ b/internal/client/write.go
@@ -84,7 +84,7 @@
 		n, err := parts.WriteTo(c.socket)
 		isSlow := n > 0 && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(deadline)
 		if err != nil && !isSlow {
-			counters.Increment("client_writes_broken")
+			counters.Increment("client_writes_failed")
 			_ = c.socket.Close() // its reader ends with an error
 			return
 		}
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -132,10 +132,10 @@
 	if late := time.Since(silent); last != 2 || again != 2 || late > 7*time.Second {
 		t.Errorf("called from %d and %d, the third time after %v", last, again, late)
 	}
-	before := counters.Value("feed_events_again")
+	before := counters.Value("discovery_events_duplicate")
 	third.Write([]byte(change(2) + change(3)))
 	e.next(3)
-	if counters.Value("feed_events_again") == before {
+	if counters.Value("discovery_events_duplicate") == before {
 		t.Error("what was told before is told anew")
 	}
 	first.Write([]byte(change(3)))
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -112,8 +112,8 @@
 		return err
 	}
 	if event.Invalid > 0 {
-		w.invalid.CountAndWarn("feed_entries_bad", "feed_entries_bad", "address", from.address, "event", event.Number,
-			"entries", event.Invalid)
+		const name = "discovery_entries_invalid"
+		w.invalid.CountAndWarn(name, name, "address", from.address, "event", event.Number, "entries", event.Invalid)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,7 +143,7 @@
 		return &GapError{Last: w.last, Received: event.Number}
 	case event.IsPosition:
 	case event.Number <= w.last: // passed on before
-		counters.Increment("feed_events_again")
+		counters.Increment("discovery_events_duplicate")
 	case event.Number != w.last+1:
 		return &GapError{Last: w.last, Received: event.Number}
 	default:
@@ -155,10 +155,10 @@
 
 // noteLost notes the end of a connection, in the log only if it is the first in a row.
 func (w *Watcher) noteLost(s *source, isFirst bool, reason error) {
-	counters.Increment("feed_lost")
+	counters.Increment("discovery_lost")
 	if isFirst {
 		last, _ := w.Position()
-		slog.Warn("feed_lost", "address", s.address, "last", last, "reason", reason)
+		slog.Warn("discovery_lost", "address", s.address, "last", last, "reason", reason)
 	}
 }
 
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -107,7 +107,7 @@
 	}
 	p.mu.Unlock()
 	if wasOpen {
-		p.malformed.CountAndWarn("answers_bad", "answer_bad", "engine", d.conn.engine.Name, "reason", reason)
+		p.malformed.CountAndWarn("answers_malformed", "answer_malformed", "engine", d.conn.engine.Name, "reason", reason)
 		d.notifyEnd(backend.Reply{End: backend.Failed})
 	}
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -145,5 +145,5 @@
 }
 
 func (p *Pool) noteMalformed(c *conn, reason error) {
-	p.malformed.CountAndWarn("engine_lines_bad", "engine_bad", "engine", c.engine.Name, "reason", reason)
+	p.malformed.CountAndWarn("engine_lines_malformed", "engine_malformed", "engine", c.engine.Name, "reason", reason)
 }
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -23,7 +23,7 @@
 			return
 		}
 		// A probe has no effect, and the connection may have been to blame: it is sent once more.
-		counters.Increment("probes_again")
+		counters.Increment("probes_retried")
 		p.probe(to, id, command, timeout, reply)
 	})
 }
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -56,7 +56,7 @@
 func (d *Dispatch) receiveNote(a answer) {
 	d.noteCount++
 	if time.Duration(d.noteCount-noteBurst)*minNoteInterval > time.Since(d.orderedAt) {
-		d.failMalformed("news_without_end")
+		d.failMalformed("news_flood")
 		return
 	}
 	note, hasNote := a.field("note")
@@ -76,9 +76,9 @@
 	case !received.isNumberOrAbsent("toil") || !received.isNumberOrAbsent("room"):
 		d.failMalformed("toil_or_room")
 	case isRepeat:
-		counters.Increment("answers_again")
+		counters.Increment("answers_duplicate")
 	case d.pages != nil:
-		d.failMalformed("data_twice")
+		d.failMalformed("conflicting_data")
 	default:
 		d.pages = make([][]byte, pageCount)
 		d.missingPages = pageCount
@@ -98,9 +98,9 @@
 	case d.pages[number] == nil:
 		d.addPage(number, a.body)
 	case bytes.Equal(d.pages[number], a.body):
-		counters.Increment("answers_again")
+		counters.Increment("answers_duplicate")
 	default:
-		d.failMalformed("page_twice")
+		d.failMalformed("conflicting_page")
 	}
 }
 
@@ -141,7 +141,7 @@
 	switch {
 	case isReserved:
 	case isTooLarge:
-		d.failMalformed("result_over_its_size")
+		d.failMalformed("result_too_large")
 	case !isOver && d.GiveUp(func() {}): // the engine is not to blame
 		counters.Increment("results_without_memory")
 		d.notifyEnd(backend.Reply{End: backend.Failed})
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -28,7 +28,7 @@
 	c.writeMu.Unlock() // an abort of the dispatch has waited for it
 	switch decision {
 	case sendTooLate:
-		counters.Increment("sends_too_late")
+		counters.Increment("dispatches_too_late")
 		dispatch.notifyEnd(backend.Reply{End: backend.Moot})
 	case sendNow, sendNothing:
 		c.finishSend(dispatch, written, err)
@@ -104,7 +104,7 @@
 	dispatch.moves++
 	state := p.assign(c.engine, dispatch)
 	p.mu.Unlock()
-	counters.Increment("sends_moved")
+	counters.Increment("dispatches_moved")
 	dispatch.proceed(state)
 }
 
