--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/socketstate"
 )
 
-// call is one job that was requested and not answered. It implements gateway.Asker.
+// call is one job that was requested and not answered. It implements gateway.Client.
 type call struct {
 	conn          *conn
 	id            uint32
@@ -21,7 +21,7 @@
 }
 
 // newJobRequest copies what must outlive the buffer, in one piece.
-func newJobRequest(from *call, received message, r request, at time.Time) gateway.Ask {
+func newJobRequest(from *call, received message, r request, at time.Time) gateway.Request {
 	size := len(received.method) + len(r.callID) + len(r.tenant) + len(r.key) + len(r.idempotencyKey) + len(r.statement)
 	storage := make([]byte, 0, size)
 	copyPart := func(part []byte) []byte {
@@ -29,24 +29,24 @@
 		storage = append(storage, part...)
 		return storage[start:len(storage):len(storage)]
 	}
-	return gateway.Ask{
-		Type:        copyPart(received.method),
-		ID:          copyPart(r.callID),
-		Tenant:      copyPart(r.tenant),
-		Key:         copyPart(r.key),
-		Idempotency: copyPart(r.idempotencyKey),
-		Statement:   copyPart(r.statement),
-		Left:        r.timeout,
-		At:          at,
-		Repeat:      r.isRepeat,
-		Work:        r.work,
-		MemoryMB:    r.memoryMB,
-		From:        from,
+	return gateway.Request{
+		Type:              copyPart(received.method),
+		ID:                copyPart(r.callID),
+		Tenant:            copyPart(r.tenant),
+		Key:               copyPart(r.key),
+		IdempotencyKey:    copyPart(r.idempotencyKey),
+		Statement:         copyPart(r.statement),
+		Timeout:           r.timeout,
+		ArrivedAt:         at,
+		ClientRetry:       r.isRepeat,
+		EstimatedWork:     r.work,
+		EstimatedMemoryMB: r.memoryMB,
+		Client:            from,
 	}
 }
 
-// OnLeave sets what is called if the client leaves; it is called at once if the client has left.
-func (l *call) OnLeave(onLeave func()) {
+// OnDisconnect sets what is called if the client leaves; it is called at once if the client has left.
+func (l *call) OnDisconnect(onLeave func()) {
 	l.conn.mu.Lock()
 	l.onLeave = onLeave
 	hasLeft := l.hasLeft
@@ -108,6 +108,6 @@
 	l.conn.server.owedAnswers.Add(-1)
 }
 
-// Here reports whether the client is still there, as far as its connection shows: also if the reader has not come to
+// Connected reports whether the client is still there, as far as its connection shows: also if the reader has not come to
 // its close yet, behind all that was sent before.
-func (l *call) Here() bool { return !socketstate.PeerClosed(l.conn.socket) }
+func (l *call) Connected() bool { return !socketstate.PeerClosed(l.conn.socket) }
--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -47,7 +47,7 @@
 // pendingCall is a call that was read and not passed on yet: one that is revoked at once never is.
 type pendingCall struct {
 	call *call
-	job  gateway.Ask
+	job  gateway.Request
 }
 
 // serve reads calls until the connection ends.
@@ -139,7 +139,7 @@
 	delete(c.open, call.id)
 	c.resultsInFlight += results
 	c.lastUsed = time.Now()
-	c.server.limits.Bytes.Give(call.reservedBytes)
+	c.server.limits.MessageBytes.Release(call.reservedBytes)
 	return true
 }
 
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -18,20 +18,20 @@
 
 // taker hands on what is taken; held, it keeps the reader in its first Take until it is let go.
 type taker struct {
-	asks chan gateway.Ask
+	asks chan gateway.Request
 	held chan struct{}
 }
 
 func (k *taker) Ready() bool { return true }
 
-func (k *taker) Take(a gateway.Ask) {
+func (k *taker) Submit(a gateway.Request) {
 	k.asks <- a
 	if k.held != nil {
 		<-k.held
 	}
 }
 
-func (k *taker) got(t *testing.T) gateway.Ask {
+func (k *taker) got(t *testing.T) gateway.Request {
 	t.Helper()
 	select {
 	case a := <-k.asks:
@@ -39,7 +39,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing is taken")
 	}
-	return gateway.Ask{}
+	return gateway.Request{}
 }
 
 // door accepts a connection once it is opened, and has it made with small buffers.
@@ -67,16 +67,16 @@
 
 func newStand(t *testing.T, most int64) *stand {
 	t.Helper()
-	parts := new(limits.Parts)
+	parts := new(limits.Budget)
 	parts.ClientConns.Store(most)
-	parts.Bytes.Allow(1 << 20)
+	parts.MessageBytes.SetCapacity(1 << 20)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &stand{
 		t:     t,
-		taker: &taker{asks: make(chan gateway.Ask, 1000)},
+		taker: &taker{asks: make(chan gateway.Request, 1000)},
 		door:  door{l.(*net.TCPListener), make(chan struct{})},
 	}
 	s.server = NewServer(s.taker, parts)
@@ -167,9 +167,9 @@
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
 	one, two := s.taker.got(t), s.taker.got(t)
 	left := make(chan struct{})
-	two.From.OnLeave(func() { close(left) })
+	two.Client.OnDisconnect(func() { close(left) })
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // far past what the system takes of it
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // far past what the system takes of it
 	defer wrote.Wait()
 	defer c.Close()
 	s.until("no answer is being written", func() bool { return s.server.writing() })
@@ -275,7 +275,7 @@
 	one := s.taker.got(t)
 	const size = 8 << 20
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, size)}) })
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, size)}) })
 	s.until("no answer is being written", func() bool { return s.server.writing() })
 	full := counters.Value("client_conns_full")
 	other := s.dial()
@@ -300,7 +300,7 @@
 	one := s.taker.got(t) // the reader stands still
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
 	s.until("the second call has not come", s.server.HasPendingInput)
-	one.From.Done([][]byte{[]byte("a\tb\tc\n")})
+	one.Client.Done([][]byte{[]byte("a\tb\tc\n")})
 	ended := make(chan struct{})
 	go func() {
 		s.server.Close()
@@ -347,7 +347,7 @@
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	one := s.taker.got(t)
 	var wrote sync.WaitGroup
-	wrote.Go(func() { one.From.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
+	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
 	s.until("no answer is being written", func() bool { return s.server.writing() })
 	owed := s.server.OwedAnswers()
 	c.Write(AppendHeartbeat(nil, 2))
--- a/internal/client/eviction.go
+++ b/internal/client/eviction.go
@@ -18,7 +18,7 @@
 func (s *Server) awaitCapacity() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.conns) >= s.limits.ClientConns.Most() && !s.isClosed {
+	for len(s.conns) >= s.limits.ClientConns.Max() && !s.isClosed {
 		counters.Increment("client_conns_full")
 		if c := s.evictionCandidate(time.Now()); c != nil {
 			if c.halfCloseIfIdle() { // else a call came just now: it stays, and another makes room
@@ -85,7 +85,7 @@
 func (s *Server) linger(c *conn) {
 	delete(s.conns, c)
 	s.lingering = append(s.lingering, c)
-	if len(s.lingering) > max(1, s.limits.Lingering.Most()) {
+	if len(s.lingering) > max(1, s.limits.Lingering.Max()) {
 		counters.Increment("lingering_full")
 		_ = s.lingering[0].socket.Close() // its reader ends with an error
 		s.lingering = slices.Delete(s.lingering, 0, 1)
--- a/internal/client/handle.go
+++ b/internal/client/handle.go
@@ -50,7 +50,7 @@
 		}
 		return nil
 	case string(m.method) == methodHeartbeat:
-		return c.reply(appendHeartbeatAnswer(nil, m.id, c.server.taker.Ready()))
+		return c.reply(appendHeartbeatAnswer(nil, m.id, c.server.jobs.Ready()))
 	default:
 		return c.handleCall(m, sendTime)
 	}
@@ -63,7 +63,7 @@
 		c.server.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", c.socket.RemoteAddr(), "reason", err)
 		return c.refuse(received.id, errorFailed, fieldReason, err.Error())
 	}
-	if !c.server.limits.Bytes.Take(len(r.statement)) {
+	if !c.server.limits.MessageBytes.Reserve(len(r.statement)) {
 		return c.refuse(received.id, errorThrottled, "", "")
 	}
 	call := &call{conn: c, id: received.id, reservedBytes: len(r.statement)}
@@ -72,7 +72,7 @@
 		c.pendingCalls = append(c.pendingCalls, pendingCall{call, newJobRequest(call, received, r, sendTime)})
 		return nil
 	}
-	c.server.limits.Bytes.Give(call.reservedBytes)
+	c.server.limits.MessageBytes.Release(call.reservedBytes)
 	switch result {
 	case callCrossedClose:
 		counters.Increment("calls_crossed")
@@ -120,7 +120,7 @@
 	}
 }
 
-// passOnCalls passes the calls that were read and not revoked to the taker; none if the client has gone meanwhile,
+// passOnCalls passes the calls that were read and not revoked on; none if the client has gone meanwhile,
 // which is an error.
 func (c *conn) passOnCalls() error {
 	c.readSincePassOn = 0
@@ -138,7 +138,7 @@
 			counters.Increment("calls_after_stop")
 			pending.call.Throttled(0)
 		default:
-			c.server.taker.Take(pending.job)
+			c.server.jobs.Submit(pending.job)
 		}
 	}
 	clear(c.pendingCalls)
--- a/internal/client/read.go
+++ b/internal/client/read.go
@@ -64,7 +64,7 @@
 		c.start = 0
 	case len(c.buffer) >= maxFrame:
 		return errNotMsgpack
-	case !c.server.limits.Reads.Take(len(c.buffer)):
+	case !c.server.limits.ReadBytes.Reserve(len(c.buffer)):
 		return errNoMemory
 	default:
 		larger := make([]byte, 2*len(c.buffer))
@@ -99,7 +99,7 @@
 // releaseBuffer gives the buffer back.
 func (c *conn) releaseBuffer() {
 	if len(c.buffer) > firstBufferSize {
-		c.server.limits.Reads.Give(len(c.buffer) - firstBufferSize)
+		c.server.limits.ReadBytes.Release(len(c.buffer) - firstBufferSize)
 	} else if c.buffer != nil {
 		c.server.buffers.Put((*firstBuffer)(c.buffer))
 	}
--- a/internal/client/server.go
+++ b/internal/client/server.go
@@ -18,18 +18,18 @@
 // acceptRetryDelay is the pause after a failed accept, which passes: there was no descriptor left, say.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// JobTaker takes the calls of clients.
-type JobTaker interface {
+// Submitter takes the calls of clients.
+type Submitter interface {
 	// Ready reports whether calls may be sent, for heartbeats.
 	Ready() bool
-	// Take takes a call over and does not wait for its answer. Calls of one connection come in their order.
-	Take(gateway.Ask)
+	// Submit takes a call over and does not wait for its answer. Calls of one connection come in their order.
+	Submit(gateway.Request)
 }
 
 // Server holds all client connections. It is safe for concurrent use.
 type Server struct {
-	taker   JobTaker
-	limits  *limits.Parts
+	jobs    Submitter
+	limits  *limits.Budget
 	buffers sync.Pool // of *firstBuffer
 
 	malformed      ratelog.Logger
@@ -49,11 +49,11 @@
 	isClosed      bool
 }
 
-// NewServer returns a server that passes calls to a taker and stays within limits. Close ends it.
-func NewServer(taker JobTaker, parts *limits.Parts) *Server {
+// NewServer returns a server that submits calls and stays within the budget. Close ends it.
+func NewServer(jobs Submitter, budget *limits.Budget) *Server {
 	s := &Server{
-		taker:   taker,
-		limits:  parts,
+		jobs:    jobs,
+		limits:  budget,
 		buffers: sync.Pool{New: func() any { return new(firstBuffer) }},
 		stalls:  newStallDetector(time.Now()),
 		done:    make(chan struct{}),
--- a/internal/engine/abort.go
+++ b/internal/engine/abort.go
@@ -7,10 +7,10 @@
 	"swiftreel/internal/counters"
 )
 
-// GiveUp tells the engine that nobody waits for a dispatch any more. It returns false if the dispatch has ended. Else
+// Cancel tells the engine that nobody waits for a dispatch any more. It returns false if the dispatch has ended. Else
 // done is called once the dispatch cannot run any more: when the engine has read the abort, or the connection has
 // ended.
-func (d *Dispatch) GiveUp(done func()) bool {
+func (d *Dispatch) Cancel(done func()) bool {
 	p := d.pool
 	p.mu.Lock()
 	if d.state == stateEnded {
@@ -20,7 +20,7 @@
 	c := d.conn
 	wasQueued := d.state == stateQueued
 	c.release(d)
-	d.close(backend.Open)
+	d.close(backend.Running)
 	needsAbort := !wasQueued && !d.isProbe && !c.isRemoved
 	switch {
 	case needsAbort:
@@ -45,7 +45,7 @@
 	message := appendCommand(nil, commandAbort, id)
 	message = appendNumberCommand(message, commandMore, id, 1)
 	c.write(message)
-	afterReading(c.pool.bounds.Dial, func() { c.checkAbort(id, at) })
+	afterReading(c.pool.bounds.DialTimeout, func() { c.checkAbort(id, at) })
 }
 
 // checkAbort looks after an abort some time after it was written. If something was received since, the connection
@@ -73,11 +73,11 @@
 func (c *conn) handleSilence(id string, since time.Time) {
 	p := c.pool
 	p.suspect(c.engine.Name, since)
-	if c.lane == backend.MayRepeat || len(c.open) == 0 {
+	if c.lane == backend.Restartable || len(c.open) == 0 {
 		counters.Increment("engine_conns_silent")
 		c.isCutByUs = true
 		p.remove(c) // its reader ends the rest
 		return
 	}
-	afterReading(p.bounds.Dial, func() { c.checkAbort(id, since) })
+	afterReading(p.bounds.DialTimeout, func() { c.checkAbort(id, since) })
 }
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -25,16 +25,16 @@
 	b = append(b, " c="...)
 	b = append(b, r.Type...)
 	b = append(b, ",w="...)
-	b = strconv.AppendInt(b, r.WaitMS, 10)
+	b = strconv.AppendInt(b, r.TimeoutMS, 10)
 	if r.GrantMB > 0 {
 		b = append(b, ",allot="...)
 		b = strconv.AppendInt(b, int64(math.Ceil(r.GrantMB)), 10)
 	}
 	b = append(b, ",urgency="...)
 	b = strconv.AppendInt(b, int64(r.Priority), 10)
-	if len(r.Idempotency) > 0 {
+	if len(r.IdempotencyKey) > 0 {
 		b = append(b, ",i="...)
-		b = append(b, r.Idempotency...)
+		b = append(b, r.IdempotencyKey...)
 	}
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(len(r.Statement)), 10)
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -141,14 +141,14 @@
 	p.mu.Unlock()
 	_ = socket.Close() // it is lost already
 	if isCutByUs {     // what is sent again must not overtake the close
-		time.AfterFunc(p.bounds.Step, func() { c.endAll(backend.Reset) })
+		time.AfterFunc(p.bounds.CancelDelay, func() { c.endAll(backend.Reset) })
 	} else {
 		c.endAll(backend.Reset)
 	}
 }
 
 // endAll ends all that is open when the connection has ended. What is being written is ended by its writer.
-func (c *conn) endAll(end backend.End) {
+func (c *conn) endAll(end backend.Outcome) {
 	c.pool.mu.Lock()
 	var ended []*Dispatch
 	for id, d := range c.open {
@@ -165,7 +165,7 @@
 		done()
 	}
 	for _, d := range ended {
-		d.notifyEnd(backend.Reply{End: end})
+		d.notifyEnd(backend.Reply{Outcome: end})
 	}
 }
 
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -125,15 +125,15 @@
 func newWorld(t *testing.T) *world {
 	t.Helper()
 	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan backend.Reply, 100)}
-	bounds := backend.Bounds{
-		Dial:    20 * time.Second,
-		Idle:    time.Minute,
-		Streams: 1,
-		Conns:   new(limits.Count),
-		Bytes:   new(limits.Bytes),
+	bounds := backend.Limits{
+		DialTimeout:    20 * time.Second,
+		IdleTimeout:    time.Minute,
+		StreamsPerConn: 1,
+		Conns:          new(limits.Count),
+		ResultBytes:    new(limits.Bytes),
 	}
 	bounds.Conns.Store(10)
-	bounds.Bytes.Allow(1 << 20)
+	bounds.ResultBytes.SetCapacity(1 << 20)
 	w.pool = NewPool(bounds)
 	w.pool.dialTimeout = func(network, address string, limit time.Duration) (net.Conn, error) {
 		nc, err := net.DialTimeout(network, address, limit)
@@ -154,23 +154,23 @@
 func (w *world) start(id string, until time.Time) backend.Dispatch {
 	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
 	request := backend.Request{
-		ID:        []byte(id),
-		Type:      []byte("import"),
-		Statement: []byte("x"),
-		WaitMS:    1000,
-		Priority:  1,
-		Lane:      backend.MayNot,
-		Ordered:   time.Now(),
-		Until:     until,
+		ID:         []byte(id),
+		Type:       []byte("import"),
+		Statement:  []byte("x"),
+		TimeoutMS:  1000,
+		Priority:   1,
+		Lane:       backend.RunOnce,
+		OrderedAt:  time.Now(),
+		SendBefore: until,
 	}
 	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
 }
 
-func (w *world) ends(end backend.End) {
+func (w *world) ends(end backend.Outcome) {
 	w.t.Helper()
 	select {
 	case r := <-w.replies:
-		if r.End != end {
+		if r.Outcome != end {
 			w.t.Fatalf("%+v instead of %d", r, end)
 		}
 	case <-time.After(20 * time.Second):
@@ -206,7 +206,7 @@
 	w.until("no dial", func() bool { return w.pool.ConnCount() == 1 })
 	time.Sleep(time.Millisecond) // the clock goes on past that moment, however coarse it is
 	w.dials.open()
-	w.ends(backend.Moot)
+	w.ends(backend.Superseded)
 	w.served("next") // over the same connection
 	if len(w.peer.fetched) > 0 {
 		t.Errorf("sent: %+v", <-w.peer.fetched)
@@ -219,7 +219,7 @@
 	w.dials.shut()
 	d := w.start("left", time.Time{})
 	given := make(chan struct{})
-	if !d.GiveUp(func() { close(given) }) {
+	if !d.Cancel(func() { close(given) }) {
 		t.Fatal("was over")
 	}
 	<-given
@@ -292,7 +292,7 @@
 	d := w.start("again", time.Time{})
 	f := w.peer.got(t)
 	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("late\tb\tc\n")))
-	if !d.GiveUp(func() {}) {
+	if !d.Cancel(func() {}) {
 		t.Fatal("was over")
 	}
 	w.start("again", time.Time{})
@@ -305,7 +305,7 @@
 	second.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("good\tb\tc\n")))
 	select {
 	case r := <-w.replies:
-		if r.End != backend.Done || string(r.Pages[0]) != "good\tb\tc\n" {
+		if r.Outcome != backend.Done || string(r.Pages[0]) != "good\tb\tc\n" {
 			t.Errorf("%+v", r)
 		}
 	case <-time.After(20 * time.Second):
@@ -357,10 +357,10 @@
 		f.conn.Write(text[cut:])
 		select {
 		case r := <-w.replies:
-			if r.End != backend.Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
+			if r.Outcome != backend.Done || len(r.Pages) != 2 || string(r.Pages[0])+string(r.Pages[1]) != "a\tb\tc\nd\te\tf\n" {
 				t.Fatalf("cut at %d: %+v", cut, r)
 			}
-			w.pool.Free(r.Pages)
+			w.pool.Release(r.Pages)
 		case <-time.After(20 * time.Second):
 			t.Fatalf("cut at %d: no end", cut)
 		}
@@ -374,7 +374,7 @@
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
-	if got := w.pool.bounds.Bytes.Left(); got != 1<<20 {
+	if got := w.pool.bounds.ResultBytes.Available(); got != 1<<20 {
 		t.Errorf("%d bytes are not given back", 1<<20-got)
 	}
 }
@@ -390,7 +390,7 @@
 	}
 	w.pool.mu.Unlock()
 	for _, d := range out {
-		d.GiveUp(func() {})
+		d.Cancel(func() {})
 	}
 }
 
@@ -401,7 +401,7 @@
 	f := w.peer.got(t)
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n")))
 	w.ends(backend.Done)
-	if d.GiveUp(func() { t.Error("given up") }) {
+	if d.Cancel(func() { t.Error("given up") }) {
 		t.Error("given up after its end")
 	}
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n"))) // a second answer, late
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -17,12 +17,14 @@
 )
 
 // completeWithin is how long an answer that has begun may take to be complete.
-func completeWithin(bounds backend.Bounds) time.Duration { return max(2*bounds.Dial, minCompleteTime) }
+func completeWithin(bounds backend.Limits) time.Duration {
+	return max(2*bounds.DialTimeout, minCompleteTime)
+}
 
 // dial makes the connection of c. A connection that came up and was reset at once says nothing of the engine, unlike
 // one that was refused, which makes the engine count as just started; so it is dialled again.
 func (p *Pool) dial(c *conn) (net.Conn, error) {
-	deadline := time.Now().Add(p.bounds.Dial)
+	deadline := time.Now().Add(p.bounds.DialTimeout)
 	for try := 1; ; try++ {
 		socket, err := p.dialTimeout("tcp4", c.engine.Address, max(minDialTimeout, time.Until(deadline)))
 		if err == nil {
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -53,7 +53,7 @@
 		d.conn.send(d)
 	case stateEnded:
 		counters.Increment("engine_conns_full")
-		d.notifyEnd(backend.Reply{End: backend.Full}) // it never ran, and the engine refused nothing
+		d.notifyEnd(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine refused nothing
 	case stateQueued, stateDispatched:
 	}
 }
@@ -73,8 +73,8 @@
 	wasOpen := d.state != stateEnded
 	if wasOpen {
 		d.conn.release(d)
-		d.close(r.End)
-		if r.End != backend.Done { // it may be sent again, and the answer to this one come twice
+		d.close(r.Outcome)
+		if r.Outcome != backend.Done { // it may be sent again, and the answer to this one come twice
 			d.conn.rememberID(d.id)
 		}
 	}
@@ -85,10 +85,10 @@
 }
 
 // close marks a dispatch as ended; pages that nobody gets are freed. The lock is held.
-func (d *Dispatch) close(end backend.End) {
+func (d *Dispatch) close(end backend.Outcome) {
 	d.state = stateEnded
 	if end != backend.Done {
-		d.pool.bounds.Bytes.Give(d.reservedBytes)
+		d.pool.bounds.ResultBytes.Release(d.reservedBytes)
 		d.reservedBytes = 0
 	}
 }
@@ -108,12 +108,12 @@
 	p.mu.Unlock()
 	if wasOpen {
 		p.malformed.CountAndWarn("answers_malformed", "answer_malformed", "engine", d.conn.engine.Name, "reason", reason)
-		d.notifyEnd(backend.Reply{End: backend.Failed})
+		d.notifyEnd(backend.Reply{Outcome: backend.Failed})
 	}
 }
 
-// Renice gives a dispatch that is out a new priority.
-func (d *Dispatch) Renice(priority uint8) {
+// SetPriority gives a dispatch that is out a new priority.
+func (d *Dispatch) SetPriority(priority uint8) {
 	d.pool.mu.Lock()
 	isOut := d.state == stateDispatched
 	c := d.conn
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -41,25 +41,25 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	bounds := backend.Bounds{
-		Dial:    5 * time.Second,
-		Idle:    time.Minute,
-		Streams: 100,
-		Conns:   new(limits.Count),
-		Bytes:   new(limits.Bytes),
+	bounds := backend.Limits{
+		DialTimeout:    5 * time.Second,
+		IdleTimeout:    time.Minute,
+		StreamsPerConn: 100,
+		Conns:          new(limits.Count),
+		ResultBytes:    new(limits.Bytes),
 	}
 	bounds.Conns.Store(1)
-	bounds.Bytes.Allow(memory)
+	bounds.ResultBytes.SetCapacity(memory)
 	pool := engine.NewPool(bounds)
 	defer pool.Close()
 	host := backend.Host{Name: "e1", Address: listener.Addr().String()}
 	replies := make(chan backend.Reply, 10)
 	reply := func(r backend.Reply) { replies <- r }
-	ends := func(end backend.End) backend.Reply {
+	ends := func(end backend.Outcome) backend.Reply {
 		t.Helper()
 		select {
 		case r := <-replies:
-			if r.End != end {
+			if r.Outcome != end {
 				t.Fatalf("%+v instead of %d", r, end)
 			}
 			return r
@@ -90,31 +90,31 @@
 		ID:        []byte("9b1f03aa5c7e2d41"),
 		Type:      []byte("report"),
 		Statement: []byte("SELECT 1"),
-		WaitMS:    1500,
+		TimeoutMS: 1500,
 		Priority:  2,
-		Ordered:   time.Now(),
+		OrderedAt: time.Now(),
 	}, reply)
 	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
 	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
-	ends(backend.Open)
-	first.Renice(4)
+	ends(backend.Running)
+	first.SetPriority(4)
 	peer.gets("renice 9b1f03aa5c7e2d41 4\r\n")
 	peer.answers("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
 	peer.gets("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
 	peer.answers("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
 	peer.gets("done 9b1f03aa5c7e2d41\r\n")
-	pool.Free(ends(backend.Done).Pages)
+	pool.Release(ends(backend.Done).Pages)
 
 	second := pool.Start(host, backend.Request{
-		ID:          []byte("00000000000000ff"),
-		Type:        []byte("import"),
-		Idempotency: []byte("key-7"),
-		GrantMB:     12.5,
-		Ordered:     time.Now(),
+		ID:             []byte("00000000000000ff"),
+		Type:           []byte("import"),
+		IdempotencyKey: []byte("key-7"),
+		GrantMB:        12.5,
+		OrderedAt:      time.Now(),
 	}, reply)
 	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
 	given := make(chan struct{})
-	if !second.GiveUp(func() { close(given) }) {
+	if !second.Cancel(func() { close(given) }) {
 		t.Fatal("not given up")
 	}
 	peer.gets("abort 00000000000000ff\r\nmore 00000000000000ff 1\r\n")
--- a/internal/engine/placement.go
+++ b/internal/engine/placement.go
@@ -51,7 +51,7 @@
 	if c := p.lastIdle(to, d); c != nil {
 		return c
 	}
-	limit := p.bounds.Conns.Most()
+	limit := p.bounds.Conns.Max()
 	if p.connCount < limit-limit/reservedShare {
 		if c := p.connect(to, d.lane); c != nil {
 			return c
@@ -90,7 +90,7 @@
 func (p *Pool) fewestOpen(to backend.Host, d *Dispatch) *conn {
 	var fewest *conn
 	for _, c := range p.conns[to.Name] {
-		if c.lane != d.lane || len(c.open) >= p.bounds.Streams || !c.isUsable(to, d) {
+		if c.lane != d.lane || len(c.open) >= p.bounds.StreamsPerConn || !c.isUsable(to, d) {
 			continue
 		}
 		if fewest == nil || len(c.open) < len(fewest.open) {
@@ -105,7 +105,7 @@
 	if p.isClosed {
 		return nil
 	}
-	if p.connCount >= p.bounds.Conns.Most() && !p.removeLongestIdle() {
+	if p.connCount >= p.bounds.Conns.Max() && !p.removeLongestIdle() {
 		return nil
 	}
 	c := &conn{
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -18,7 +18,7 @@
 // Pool holds the connections to all engines. It is safe for concurrent use; see the package documentation for its
 // lock.
 type Pool struct {
-	bounds      backend.Bounds
+	bounds      backend.Limits
 	done        chan struct{} // closed by Close
 	malformed   ratelog.Logger
 	dialTimeout func(network, address string, timeout time.Duration) (net.Conn, error)
@@ -32,13 +32,13 @@
 }
 
 // NewPool returns an empty pool and starts the goroutine that closes idle connections. Close ends it.
-func NewPool(bounds backend.Bounds) *Pool {
+func NewPool(bounds backend.Limits) *Pool {
 	p := &Pool{
 		bounds:      bounds,
 		done:        make(chan struct{}),
 		dialTimeout: net.DialTimeout,
 		conns:       map[string][]*conn{},
-		idleLimit:   newIdleLimit(bounds.Idle * 2 / 3),
+		idleLimit:   newIdleLimit(bounds.IdleTimeout * 2 / 3),
 	}
 	go p.sweep()
 	return p
@@ -51,8 +51,8 @@
 		pool:      p,
 		id:        string(r.ID),
 		reply:     reply,
-		orderedAt: r.Ordered,
-		sendBy:    r.Until,
+		orderedAt: r.OrderedAt,
+		sendBy:    r.SendBefore,
 		lane:      r.Lane,
 		command:   appendFetch(make([]byte, 0, len(r.Statement)+fetchOverhead), r),
 	}
@@ -74,7 +74,7 @@
 // sweep closes connections that are idle too long, some time before the engines or the network would, so that nothing
 // crosses with that; and suspect ones once nothing is out on them. It runs until the pool is closed.
 func (p *Pool) sweep() {
-	interval := min(maxSweepInterval, max(p.bounds.Idle/sweepsPerIdle, minSweepInterval))
+	interval := min(maxSweepInterval, max(p.bounds.IdleTimeout/sweepsPerIdle, minSweepInterval))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Out returns how many dispatches are open at an engine, and how many were given up there and may still run.
-func (p *Pool) Out(name string) (open, givenUp int) {
+// InFlight returns how many dispatches are open at an engine, and how many were given up there and may still run.
+func (p *Pool) InFlight(name string) (open, givenUp int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns[name] {
@@ -135,13 +135,13 @@
 	return p.connCount
 }
 
-// Free returns the memory that the pages of a result hold to the bounds.
-func (p *Pool) Free(pages [][]byte) {
+// Release returns the memory that the pages of a result hold to the bounds.
+func (p *Pool) Release(pages [][]byte) {
 	size := 0
 	for _, page := range pages {
 		size += len(page)
 	}
-	p.bounds.Bytes.Give(size)
+	p.bounds.ResultBytes.Release(size)
 }
 
 func (p *Pool) noteMalformed(c *conn, reason error) {
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -30,21 +30,21 @@
 
 const memory = 100_000
 
-func newBench(t *testing.T, change func(*backend.Bounds)) *bench {
+func newBench(t *testing.T, change func(*backend.Limits)) *bench {
 	t.Helper()
 	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan backend.Reply, 1000)}
-	b.bytes.Allow(memory)
+	b.bytes.SetCapacity(memory)
 	var err error
 	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := backend.Bounds{
-		Dial:    5 * time.Second,
-		Idle:    time.Minute,
-		Streams: 100,
-		Conns:   new(limits.Count),
-		Bytes:   b.bytes,
+	bounds := backend.Limits{
+		DialTimeout:    5 * time.Second,
+		IdleTimeout:    time.Minute,
+		StreamsPerConn: 100,
+		Conns:          new(limits.Count),
+		ResultBytes:    b.bytes,
 	}
 	bounds.Conns.Store(10)
 	if change != nil {
@@ -63,12 +63,12 @@
 
 func (b *bench) start(id string) backend.Dispatch {
 	return b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		WaitMS: 1000, Priority: 1, Ordered: time.Now()}, func(r backend.Reply) { b.replies <- r })
+		TimeoutMS: 1000, Priority: 1, OrderedAt: time.Now()}, func(r backend.Reply) { b.replies <- r })
 }
 
 // startImport starts a dispatch that must not be lost.
 func (b *bench) startImport(id string) {
-	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.MayNot, Ordered: time.Now()}
+	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.RunOnce, OrderedAt: time.Now()}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 }
 
@@ -87,11 +87,11 @@
 	return command{}
 }
 
-func (b *bench) ends(end backend.End) backend.Reply {
+func (b *bench) ends(end backend.Outcome) backend.Reply {
 	b.t.Helper()
 	select {
 	case r := <-b.replies:
-		if r.End != end {
+		if r.Outcome != end {
 			b.t.Fatalf("%+v instead of %d", r, end)
 		}
 		return r
@@ -119,7 +119,7 @@
 		t.Fatalf("%+v", c.Command)
 	}
 	c.from.Answer("a", "news", "note=frac,val=0.5", "")
-	if r := b.ends(backend.Open); r.Note != "frac" || r.Amount != 0.5 {
+	if r := b.ends(backend.Running); r.Notice != "frac" || r.Amount != 0.5 {
 		t.Fatalf("%+v", r)
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
@@ -129,19 +129,19 @@
 	c.from.Answer("a", "page", "sheet=2", "three\tb\tc\n")
 	c.from.Answer("a", "page", "sheet=1", "two\tb\tc\n")
 	r := b.ends(backend.Done)
-	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.RoomMB != 76 {
+	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.MemoryMB != 76 {
 		t.Fatalf("%+v", r)
 	}
 	b.got("done")
-	b.pool.Free(r.Pages)
-	if b.bytes.Left() != memory {
-		t.Errorf("%d bytes left of %d", b.bytes.Left(), memory)
+	b.pool.Release(r.Pages)
+	if b.bytes.Available() != memory {
+		t.Errorf("%d bytes left of %d", b.bytes.Available(), memory)
 	}
 }
 
 func TestWhatNeverRanAndWhatMayHave(t *testing.T) {
-	b := newBench(t, func(l *backend.Bounds) { l.Conns.Store(1) }) // shared
-	for word, end := range map[string]backend.End{"full": backend.Full, "moot": backend.Moot, "failed": backend.Failed} {
+	b := newBench(t, func(l *backend.Limits) { l.Conns.Store(1) }) // shared
+	for word, end := range map[string]backend.Outcome{"full": backend.Full, "moot": backend.Superseded, "failed": backend.Failed} {
 		b.start("a")
 		b.got("fetch").from.Answer("a", word, "", "")
 		b.ends(end)
@@ -155,7 +155,7 @@
 	c.from.Reset()
 	b.ends(backend.Reset)
 	b.ends(backend.Reset)
-	b.until("bytes of lost pages stay", func() bool { return b.bytes.Left() == memory })
+	b.until("bytes of lost pages stay", func() bool { return b.bytes.Available() == memory })
 	b.until("the connection stays", func() bool { return b.pool.ConnCount() == 0 })
 	b.peer.Close()
 	b.start("c")
@@ -197,9 +197,9 @@
 		}
 		select {
 		case r := <-b.replies:
-			if r.End != backend.Failed {
+			if r.Outcome != backend.Failed {
 				t.Errorf("%s: %+v", name, r)
-				b.pool.Free(r.Pages)
+				b.pool.Release(r.Pages)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%s: no outcome", name)
@@ -209,12 +209,12 @@
 		}
 	}
 	s.Answer("other", "data", "sheets=1", row)
-	b.pool.Free(b.ends(backend.Done).Pages)
+	b.pool.Release(b.ends(backend.Done).Pages)
 	b.until("a connection of no further use stays", func() bool { return b.pool.ConnCount() == 1 })
 	b.start("a")
 	b.fetched().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
 	b.ends(backend.Reset)
-	b.until("bytes stay", func() bool { return b.bytes.Left() == memory })
+	b.until("bytes stay", func() bool { return b.bytes.Available() == memory })
 }
 
 // fetched waits for a dispatch, past pages asked for before.
@@ -236,7 +236,7 @@
 		c.from.Answer("a", a[0], a[1], row)
 		c.from.Answer("a", a[0], a[1], row)
 	}
-	b.pool.Free(b.ends(backend.Done).Pages)
+	b.pool.Release(b.ends(backend.Done).Pages)
 	b.start("b") // turned away: sent anew, not where the same word may come once more
 	first := b.fetched()
 	first.Answer("b", "full", "", "")
@@ -315,9 +315,9 @@
 // A controller that stood still between order and send could send to an engine that it has been told is draining.
 func TestWhatWasOrderedLongAgoIsNotSent(t *testing.T) {
 	b := newBench(t, nil)
-	request := backend.Request{ID: []byte("a"), Type: []byte("report"), Ordered: time.Now().Add(-6 * time.Second)}
+	request := backend.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now().Add(-6 * time.Second)}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
-	b.ends(backend.Moot)
+	b.ends(backend.Superseded)
 	b.start("b")
 	b.got("fetch").from.Answer("b", "full", "", "") // and nothing of a
 	b.ends(backend.Full)
@@ -354,9 +354,9 @@
 		c.from.Answer("a", "news", "note=frac,val=0.5", "")
 	}
 	r := <-b.replies
-	for ; r.End == backend.Open; r = <-b.replies {
+	for ; r.Outcome == backend.Running; r = <-b.replies {
 	}
-	if r.End != backend.Failed {
+	if r.Outcome != backend.Failed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -368,7 +368,7 @@
 		"a page": "a data sheets=1 40\r\none\ttw",
 		"next":   "x full - 0\r\n\r\na da",
 	} {
-		b := newBench(t, func(l *backend.Bounds) { l.Dial = 10 * time.Millisecond })
+		b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 10 * time.Millisecond })
 		b.start("a")
 		b.got("fetch").from.Write([]byte(half))
 		if b.ends(backend.Reset); b.pool.ConnCount() != 0 {
@@ -382,7 +382,7 @@
 	d := b.start("a")
 	first := b.got("fetch")
 	read := make(chan bool, 2)
-	if !d.GiveUp(func() { read <- true }) || d.GiveUp(func() { read <- false }) {
+	if !d.Cancel(func() { read <- true }) || d.Cancel(func() { read <- false }) {
 		t.Fatal("given up once")
 	}
 	b.got("abort")
@@ -407,7 +407,7 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	b := newBench(t, func(l *backend.Bounds) { l.Streams = 2; l.Conns.Store(2) })
+	b := newBench(t, func(l *backend.Limits) { l.StreamsPerConn = 2; l.Conns.Store(2) })
 	var from []command
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.start(id)
@@ -438,7 +438,7 @@
 }
 
 func TestAnEngineCutOffLeavesNothingBehind(t *testing.T) {
-	b := newBench(t, func(l *backend.Bounds) { l.Dial = 300 * time.Millisecond })
+	b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 300 * time.Millisecond })
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
 	c := b.got("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7;util:0.61", "")
@@ -459,7 +459,7 @@
 
 // A machine that vanished reads no abort: the job still counted as out there when it was sent again elsewhere.
 func TestASilentConnectionIsClosedToGiveUpWhatIsOutOnIt(t *testing.T) {
-	b := newBench(t, func(l *backend.Bounds) { l.Dial = 200 * time.Millisecond; l.Conns.Store(2) })
+	b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
 	b.startImport("c")
 	kept := b.got("fetch")
@@ -467,7 +467,7 @@
 	b.got("fetch")
 	b.start("b") // no connection is left for it alone
 	b.got("fetch")
-	d.GiveUp(func() { read <- "a" })
+	d.Cancel(func() { read <- "a" })
 	b.ends(backend.Reset) // b was beside it
 	if id := <-read; id != "a" || b.peer.Sessions() > 2 {
 		t.Fatal(id)
@@ -498,7 +498,7 @@
 }
 
 func TestADispatchThatLeftNoByteGoesOverAnotherConnection(t *testing.T) {
-	b := newBench(t, func(l *backend.Bounds) { l.Idle = 400 * time.Millisecond })
+	b := newBench(t, func(l *backend.Limits) { l.IdleTimeout = 400 * time.Millisecond })
 	b.start("a")
 	c := b.got("fetch")
 	c.from.Answer("a", "full", "", "")
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -18,7 +18,7 @@
 	id := p.nextProbeID()
 	command := appendCommand(nil, name, id)
 	p.probe(to, id, command, timeout, func(r backend.Reply) {
-		if r.End != backend.Reset {
+		if r.Outcome != backend.Reset {
 			reply(r)
 			return
 		}
@@ -39,8 +39,8 @@
 	d := &Dispatch{pool: p, id: id, reply: reply, orderedAt: time.Now(), isProbe: true, command: command}
 	p.place(to, d)
 	afterReading(timeout, func() {
-		if d.GiveUp(func() {}) {
-			d.notifyEnd(backend.Reply{End: backend.TimedOut})
+		if d.Cancel(func() {}) {
+			d.notifyEnd(backend.Reply{Outcome: backend.TimedOut})
 		}
 	})
 }
--- a/internal/engine/protocol_test.go
+++ b/internal/engine/protocol_test.go
@@ -94,7 +94,7 @@
 			ID:        []byte("9b1f03aa5c7e2d41"),
 			Type:      []byte("report"),
 			Statement: statement,
-			WaitMS:    5,
+			TimeoutMS: 5,
 			GrantMB:   grant,
 			Priority:  priority,
 		})
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -29,11 +29,11 @@
 	case kind == answerPage && d.pages != nil:
 		d.receivePage(received)
 	case kind == answerFull:
-		d.end(backend.Reply{End: backend.Full, Load: load})
+		d.end(backend.Reply{Outcome: backend.Full, Load: load})
 	case kind == answerSuperseded:
-		d.end(backend.Reply{End: backend.Moot, Load: load})
+		d.end(backend.Reply{Outcome: backend.Superseded, Load: load})
 	case kind == answerFailed:
-		d.end(backend.Reply{End: backend.Failed, Load: load})
+		d.end(backend.Reply{Outcome: backend.Failed, Load: load})
 	default:
 		d.failMalformed(kind)
 	}
@@ -45,11 +45,11 @@
 		if load == "" && len(a.fields) == 0 {
 			load = string(a.body)
 		}
-		d.end(backend.Reply{End: backend.Done, Load: load})
+		d.end(backend.Reply{Outcome: backend.Done, Load: load})
 	case answerIll:
-		d.end(backend.Reply{End: backend.Failed, Load: load})
+		d.end(backend.Reply{Outcome: backend.Failed, Load: load})
 	default:
-		d.end(backend.Reply{End: backend.Failed})
+		d.end(backend.Reply{Outcome: backend.Failed})
 	}
 }
 
@@ -62,7 +62,7 @@
 	note, hasNote := a.field("note")
 	amount, hasAmount := a.number("val")
 	if hasNote && hasAmount {
-		d.reply(backend.Reply{Note: note, Amount: amount})
+		d.reply(backend.Reply{Notice: note, Amount: amount})
 	}
 }
 
@@ -82,9 +82,9 @@
 	default:
 		d.pages = make([][]byte, pageCount)
 		d.missingPages = pageCount
-		d.result = backend.Reply{End: backend.Done, Load: load}
+		d.result = backend.Reply{Outcome: backend.Done, Load: load}
 		d.result.WorkMS, _ = received.number("toil")
-		d.result.RoomMB, _ = received.number("room")
+		d.result.MemoryMB, _ = received.number("room")
 		d.addPage(0, received.body)
 	}
 }
@@ -133,7 +133,7 @@
 	d.pool.mu.Lock()
 	isOver := d.state == stateEnded
 	isTooLarge := d.reservedBytes+size > maxResult
-	isReserved := !isOver && !isTooLarge && d.pool.bounds.Bytes.Take(size)
+	isReserved := !isOver && !isTooLarge && d.pool.bounds.ResultBytes.Reserve(size)
 	if isReserved {
 		d.reservedBytes += size
 	}
@@ -142,9 +142,9 @@
 	case isReserved:
 	case isTooLarge:
 		d.failMalformed("result_too_large")
-	case !isOver && d.GiveUp(func() {}): // the engine is not to blame
+	case !isOver && d.Cancel(func() {}): // the engine is not to blame
 		counters.Increment("results_without_memory")
-		d.notifyEnd(backend.Reply{End: backend.Failed})
+		d.notifyEnd(backend.Reply{Outcome: backend.Failed})
 	}
 	return isReserved
 }
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -29,7 +29,7 @@
 	switch decision {
 	case sendTooLate:
 		counters.Increment("dispatches_too_late")
-		dispatch.notifyEnd(backend.Reply{End: backend.Moot})
+		dispatch.notifyEnd(backend.Reply{Outcome: backend.Superseded})
 	case sendNow, sendNothing:
 		c.finishSend(dispatch, written, err)
 	}
@@ -56,7 +56,7 @@
 		return sendNow
 	}
 	c.release(d)
-	d.close(backend.Moot)
+	d.close(backend.Superseded)
 	return sendTooLate
 }
 
@@ -66,7 +66,7 @@
 		return false
 	}
 	isPastBound := !d.sendBy.IsZero() && d.writtenAt.After(d.sendBy)
-	return isPastBound || d.writtenAt.Sub(d.orderedAt) > d.pool.bounds.Dial
+	return isPastBound || d.writtenAt.Sub(d.orderedAt) > d.pool.bounds.DialTimeout
 }
 
 // writeDispatch writes the command of a dispatch, unless the engine has closed the connection, which its reader may
@@ -94,11 +94,11 @@
 	delete(c.open, dispatch.id)
 	p.remove(c)
 	// Past half the dial time-out another connection might be too late for an engine that now drains.
-	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.bounds.Dial/2
+	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.bounds.DialTimeout/2
 	if !canMove {
 		dispatch.close(backend.Reset)
 		p.mu.Unlock()
-		dispatch.notifyEnd(backend.Reply{End: endOfFailedSend(written)})
+		dispatch.notifyEnd(backend.Reply{Outcome: endOfFailedSend(written)})
 		return
 	}
 	dispatch.moves++
@@ -108,7 +108,7 @@
 	dispatch.proceed(state)
 }
 
-func endOfFailedSend(written int) backend.End {
+func endOfFailedSend(written int) backend.Outcome {
 	if written > 0 {
 		return backend.Reset
 	}
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -7,53 +7,85 @@
 	"swiftreel/choice"
 )
 
-// trace is a log of every event that the module is told and every action that it orders, but for timers.
+// trace, if true, logs every event that the module gets and every action that it orders, but for timers.
 type trace bool
 
-var eventNames = [...]string{choice.Started: "started", choice.JobArrived: "arrived", choice.StreamStarted: "stream_began",
-	choice.ProgressReported: "noted", choice.AttemptEnded: "answered", choice.ClientDisconnected: "client_left", choice.TimerFired: "timer",
-	choice.EnginesListed: "listed", choice.ProbeCompleted: "probed", choice.GossipReceived: "heard", choice.Stopping: "stopping",
-	choice.PlanUpdated: "planned", choice.Reconfigured: "restated", choice.StateTransferred: "taught", choice.PredecessorChanged: "elder", choice.QuotaAssigned: "parted"}
+var eventNames = [...]string{
+	choice.Started:            "started",
+	choice.JobArrived:         "arrived",
+	choice.StreamStarted:      "stream_began",
+	choice.ProgressReported:   "noted",
+	choice.AttemptEnded:       "answered",
+	choice.ClientDisconnected: "client_left",
+	choice.TimerFired:         "timer",
+	choice.EnginesListed:      "listed",
+	choice.ProbeCompleted:     "probed",
+	choice.GossipReceived:     "heard",
+	choice.Stopping:           "stopping",
+	choice.PlanUpdated:        "planned",
+	choice.Reconfigured:       "restated",
+	choice.StateTransferred:   "taught",
+	choice.PredecessorChanged: "elder",
+	choice.QuotaAssigned:      "parted",
+}
 
-var actionNames = [...]string{choice.Dispatch: "dispatch", choice.Throttle: "throttle",
-	choice.CancelPermanently: "cancel_for_good", choice.CancelAttempt: "retract", choice.SetDispatchOptions: "terms", choice.SetTimer: "timer",
-	choice.SendProbe: "probe", choice.CloseIdle: "close_idle", choice.SendGossip: "tell", choice.WatchEngines: "track",
-	choice.ListEngines: "list_all", choice.Log: "log", choice.Fault: "fault"}
+var actionNames = [...]string{
+	choice.Dispatch:           "dispatch",
+	choice.Throttle:           "throttle",
+	choice.CancelPermanently:  "cancel_for_good",
+	choice.CancelAttempt:      "retract",
+	choice.SetDispatchOptions: "terms",
+	choice.SetTimer:           "timer",
+	choice.SendProbe:          "probe",
+	choice.CloseIdle:          "close_idle",
+	choice.SendGossip:         "tell",
+	choice.WatchEngines:       "track",
+	choice.ListEngines:        "list_all",
+	choice.Log:                "log",
+	choice.Fault:              "fault",
+}
 
-func (on trace) event(now choice.Nanos, ev choice.Event) {
-	if !on || ev.Kind == choice.TimerFired {
+func (on trace) event(now choice.Nanos, event choice.Event) {
+	if !on || event.Kind == choice.TimerFired {
 		return
 	}
-	attrs := []any{"t", now, "event", eventNames[ev.Kind]}
-	switch ev.Kind {
+	attributes := []any{"t", now, "event", eventNames[event.Kind]}
+	slog.Info("trace", append(attributes, eventAttributes(event)...)...)
+}
+
+// eventAttributes are the fields that count for an event of this kind.
+func eventAttributes(event choice.Event) []any {
+	switch event.Kind {
 	case choice.JobArrived:
-		attrs = append(attrs, "job", ev.Job, "type", ev.Type, "tenant", ev.Tenant, "key", fmt.Sprintf("%x", ev.Key), "left", ev.TimeLeft,
-			"cost", ev.Cost, "memory_mb", ev.MemoryMB, "tables", ev.Tables, "repeat", ev.IsRepeat)
+		return []any{"job", event.Job, "type", event.Type, "tenant", event.Tenant, "key", fmt.Sprintf("%x", event.Key),
+			"left", event.TimeLeft, "cost", event.Cost, "memory_mb", event.MemoryMB, "tables", event.Tables, "repeat", event.IsRepeat}
 	case choice.AttemptEnded:
-		attrs = append(attrs, "job", ev.Job, "seq", ev.Seq, "engine", ev.Engine, "result", ev.Result, "latency", ev.Latency, "final", ev.IsFinal,
-			"bill", ev.Usage, "load", ev.Load)
+		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "result", event.Result,
+			"latency", event.Latency, "final", event.IsFinal, "bill", event.Usage, "load", event.Load}
 	case choice.ProgressReported:
-		attrs = append(attrs, "job", ev.Job, "seq", ev.Seq, "engine", ev.Engine, "note", ev.Progress, "amount", ev.Amount)
+		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "note", event.Progress, "amount", event.Amount}
 	case choice.ClientDisconnected:
-		attrs = append(attrs, "job", ev.Job)
+		return []any{"job", event.Job}
 	case choice.EnginesListed:
-		attrs = append(attrs, "list", ev.List, "lines", ev.Engines)
+		return []any{"list", event.List, "lines", event.Engines}
 	case choice.ProbeCompleted:
-		attrs = append(attrs, "engine", ev.Engine, "result", ev.Result, "latency", ev.Latency, "load", ev.Load)
+		return []any{"engine", event.Engine, "result", event.Result, "latency", event.Latency, "load", event.Load}
+	default:
+		return nil
 	}
-	slog.Info("trace", attrs...)
 }
 
-func (on trace) action(now choice.Nanos, a choice.Action) {
-	if on && a.Kind != choice.SetTimer && a.Kind != choice.Log {
-		slog.Info("trace", "t", now, "action", actionNames[a.Kind], "job", a.Job, "engine", a.Engine, "seq", a.Seq, "span", a.Duration,
-			"priority", a.Priority, "memory_mb", a.MemoryMB)
+func (on trace) action(now choice.Nanos, action choice.Action) {
+	if !on || action.Kind == choice.SetTimer || action.Kind == choice.Log {
+		return
 	}
+	slog.Info("trace", "t", now, "action", actionNames[action.Kind], "job", action.Job, "engine", action.Engine,
+		"seq", action.Seq, "span", action.Duration, "priority", action.Priority, "memory_mb", action.MemoryMB)
 }
 
-// note tells of a job what only the sockets know.
-func (on trace) note(id choice.JobID, attrs ...any) {
+// job logs of a job what only the gateway knows.
+func (on trace) job(id choice.JobID, attributes ...any) {
 	if on {
-		slog.Info("trace", append([]any{"job", id}, attrs...)...)
+		slog.Info("trace", append([]any{"job", id}, attributes...)...)
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,185 +1,137 @@
-// Package planner decides when the fleet is planned anew, and for what: from what controllers are asked of late, and the
-// engines that they see. Free of I/O and clock; it does not solve.
+// Package planner decides when a new plan for the fleet is due, and builds the problem to solve from the recent load
+// of the controllers and the engines that they see. It does not solve the problem.
+//
+// The package is free of I/O and clock: callers pass the time in nanoseconds. A Planner is not safe for concurrent
+// use.
 package planner
 
 import (
-	"cmp"
 	"fmt"
-	"math"
 	"slices"
 
 	"swiftreel/internal/canary"
 	"swiftreel/internal/solve"
 )
 
-// Pace is how often the fleet is planned. In ns.
+// Timing says how often the fleet is planned, in nanoseconds.
 type Timing struct {
-	MaxInterval int64 // at the latest
-	MinInterval int64 // from one to the next, whatever changes
+	MaxInterval int64 // after which a new plan is due though nothing has changed
+	MinInterval int64 // between two attempts, doubled with each failed one in a row
 }
 
 const (
-	loadChangeFactor = 1.5 // times more or less of a type from a zone, in threads: demand is another
-	minLoadFraction  = 0.1 // of all threads asked for: less is not looked at
-	confirmations    = 2   // in a row that have to show an engine's coming or going
-	demandMargin     = 1.2 // planned for so much more than is asked: what is asked rises and falls
+	// maxBackoffDoublings bounds the interval after failed attempts to 64 times MinInterval.
+	maxBackoffDoublings = 6
+	// engineConfirmations is how many observations in a row must show a change of the engines.
+	engineConfirmations = 2
 )
 
-// Planner is its owner's; a new owner begins with none, and plans at once when it knows what is asked.
+// Planner is the planning state of one leader. A new leader starts with a new one, and plans as soon as it knows the
+// load.
 type Planner struct {
-	timing             Timing
-	base               solve.Problem // types, tenants, zones, what must hold, and all engines there may be
-	startedAt          int64
-	attemptedAt        int64 // 0: never
-	failures           int   // in a row
-	plannedLoad        map[loadSource]float64
-	plannedEngines     []string
-	changedEngineLists int // looks in a row with other engines
+	timing    Timing
+	base      solve.Problem // what the operator has set; its engines are all that there may be, its demand is ignored
+	startedAt int64
+
+	attemptedAt    int64 // 0: never
+	failures       int   // in a row
+	plannedLoad    map[loadSource]float64
+	plannedEngines []string
+	engineChanges  int // observations in a row with other engines than planned
 }
 
-// place is a type's jobs from a zone.
-type loadSource struct{ typ, zone string }
-
-// New begins from a problem of the operator's, whose demand counts for nothing.
-func New(base solve.Problem, p Timing, now int64) *Planner {
-	return &Planner{timing: p, base: base, startedAt: now}
+// Observation is what the leader sees of the fleet at one time.
+type Observation struct {
+	Rates   map[string]map[canary.Group]float64 // jobs a second, by zone of origin
+	Engines [][]string                          // the ready engines that each controller sees, sorted
 }
 
-// Seen is what a look shows.
-type Observation struct {
-	Rates   map[string]map[canary.Group]float64 // by zone of origin: jobs a second
-	Engines [][]string                          // each controller's that told: engines that are ready, in order
+// New returns a Planner for the operator's problem.
+func New(base solve.Problem, timing Timing, now int64) *Planner {
+	return &Planner{timing: timing, base: base, startedAt: now}
 }
 
-// Look tells the problem to solve now and why, or nil.
-func (p *Planner) Next(now int64, s Observation) (*solve.Problem, string) {
-	there, asked := readyEngines(s.Engines), p.threadLoad(s.Rates)
-	if p.changedEngineLists++; slices.Equal(there, p.plannedEngines) {
-		p.changedEngineLists = 0
+// Next returns the problem to solve now and why it is due, or nil if no new plan is.
+func (p *Planner) Next(now int64, observed Observation) (*solve.Problem, string) {
+	engines := readyEngines(observed.Engines)
+	load := p.threadLoad(observed.Rates)
+	if slices.Equal(engines, p.plannedEngines) {
+		p.engineChanges = 0
+	} else {
+		p.engineChanges++
 	}
-	why := ""
-	switch {
-	case len(there) == 0 || len(asked) == 0 || now-p.startedAt < p.timing.MinInterval: // too little is known yet
-	case p.attemptedAt != 0 && now-p.attemptedAt < p.timing.MinInterval<<min(p.failures, 6):
-	case p.attemptedAt == 0:
-		why = "the first"
-	case p.changedEngineLists >= confirmations:
-		why = fmt.Sprintf("%d engines, planned for were %d", len(there), len(p.plannedEngines))
-	case now-p.attemptedAt >= p.timing.MaxInterval:
-		why = "it is time"
-	default:
-		why = loadChange(p.plannedLoad, asked)
+	if len(engines) == 0 || len(load) == 0 || p.isTooEarly(now) {
+		return nil, ""
 	}
-	if why == "" {
+	reason := p.reason(now, engines, load)
+	if reason == "" {
 		return nil, ""
 	}
-	p.attemptedAt, p.plannedLoad, p.plannedEngines, p.changedEngineLists = now, asked, there, 0
-	return p.problem(s.Rates, there), why
+	p.attemptedAt = now
+	p.plannedLoad = load
+	p.plannedEngines = engines
+	p.engineChanges = 0
+	return p.problem(observed.Rates, engines), reason
 }
 
-// Solved takes in whether there is a plan; where there is none it is tried less and less often.
-func (p *Planner) ReportResult(is bool) {
-	if p.failures++; is {
-		p.failures = 0
+// isTooEarly reports whether the minimum interval since the start or the last attempt has not passed.
+func (p *Planner) isTooEarly(now int64) bool {
+	if now-p.startedAt < p.timing.MinInterval {
+		return true
 	}
+	backoff := p.timing.MinInterval << min(p.failures, maxBackoffDoublings)
+	return p.attemptedAt != 0 && now-p.attemptedAt < backoff
 }
 
-// there are the engines that most controllers see ready: one alone may have a list that is late.
-func readyEngines(lists [][]string) (names []string) {
-	count := map[string]int{}
-	for _, list := range lists {
-		for _, name := range list {
-			count[name]++
-		}
-	}
-	for name, n := range count {
-		if 2*n > len(lists) {
-			names = append(names, name)
-		}
+// reason returns why a plan is due, or "".
+func (p *Planner) reason(now int64, engines []string, load map[loadSource]float64) string {
+	switch {
+	case p.attemptedAt == 0:
+		return "first plan"
+	case p.engineChanges >= engineConfirmations:
+		return fmt.Sprintf("%d engines, planned for %d", len(engines), len(p.plannedEngines))
+	case now-p.attemptedAt >= p.timing.MaxInterval:
+		return "interval elapsed"
 	}
-	slices.Sort(names)
-	return names
+	return loadChange(p.plannedLoad, load)
 }
 
-// threads are those asked for, by type and zone, as far as the problem knows them.
-func (p *Planner) threadLoad(rates map[string]map[canary.Group]float64) map[loadSource]float64 {
-	asked := map[loadSource]float64{}
-	for zone, by := range rates {
-		for _, g := range groups(by) {
-			if i := slices.IndexFunc(p.base.Types, func(t solve.Type) bool { return t.Name == g.Type }); i >= 0 {
-				asked[loadSource{g.Type, zone}] += by[g] * float64(p.base.Types[i].WorkMS) / 1000
-			}
-		}
+// ReportResult takes in whether a plan was found. After failures attempts become less frequent.
+func (p *Planner) ReportResult(isPlanned bool) {
+	if isPlanned {
+		p.failures = 0
+		return
 	}
-	return asked
+	p.failures++
 }
 
-// differs tells what is asked for in other measure than was planned for.
-func loadChange(was, is map[loadSource]float64) string {
-	var places []loadSource
-	all := 0.0
-	for _, m := range []map[loadSource]float64{was, is} {
-		for at := range m {
-			places = append(places, at)
-		}
-	}
-	slices.SortFunc(places, func(a, b loadSource) int { return cmp.Or(cmp.Compare(a.typ, b.typ), cmp.Compare(a.zone, b.zone)) })
-	places = slices.Compact(places)
-	for _, at := range places {
-		all += max(was[at], is[at])
-	}
-	for _, at := range places {
-		a, b := was[at], is[at]
-		if max(a, b) > minLoadFraction*all && max(a, b) > loadChangeFactor*max(1e-9, min(a, b)) {
-			return fmt.Sprintf("%s from %q asks for %.1f threads, planned for were %.1f", at.typ, at.zone, b, a)
+// UnknownEngines returns the ready engines that the operator's problem does not list; nothing is planned for them.
+func (p *Planner) UnknownEngines() []string {
+	var unknown []string
+	for _, name := range p.plannedEngines {
+		isListed := slices.ContainsFunc(p.base.Engines, func(engine solve.Engine) bool { return engine.Name == name })
+		if !isListed {
+			unknown = append(unknown, name)
 		}
 	}
-	return ""
+	return unknown
 }
 
-// problem is the operator's with what is asked and the engines that are there.
-func (p *Planner) problem(rates map[string]map[canary.Group]float64, there []string) *solve.Problem {
-	q := p.base
-	q.Engines, q.Demand = nil, nil
-	for _, e := range p.base.Engines {
-		if _, is := slices.BinarySearch(there, e.Name); is {
-			q.Engines = append(q.Engines, e)
-		}
-	}
-	zones := []string{}
-	for zone := range rates {
-		zones = append(zones, zone)
-	}
-	slices.Sort(zones)
-	for _, zone := range zones {
-		if !slices.ContainsFunc(p.base.Zones, func(z solve.Zone) bool { return z.Name == zone }) {
-			continue
-		}
-		for _, g := range groups(rates[zone]) {
-			known := slices.ContainsFunc(p.base.Types, func(t solve.Type) bool { return t.Name == g.Type }) &&
-				slices.ContainsFunc(p.base.Tenants, func(t solve.Tenant) bool { return t.Name == g.Tenant })
-			if n := int64(math.Ceil(rates[zone][g] * 1000 * demandMargin)); known && n > 0 {
-				q.Demand = append(q.Demand, solve.Demand{Type: g.Type, Tenant: g.Tenant, Zone: zone, JobsPer1000S: n})
-			}
+// readyEngines returns the engines that more than half of the controllers see ready, sorted: a single list may be
+// late.
+func readyEngines(lists [][]string) []string {
+	counts := map[string]int{}
+	for _, list := range lists {
+		for _, name := range list {
+			counts[name]++
 		}
 	}
-	return &q
-}
-
-// Strange are engines that are there and that the problem does not know: nothing is planned for them.
-func (p *Planner) UnknownEngines() (names []string) {
-	for _, name := range p.plannedEngines {
-		if !slices.ContainsFunc(p.base.Engines, func(e solve.Engine) bool { return e.Name == name }) {
+	var names []string
+	for name, count := range counts {
+		if 2*count > len(lists) {
 			names = append(names, name)
 		}
 	}
+	slices.Sort(names)
 	return names
 }
-
-func groups(by map[canary.Group]float64) (list []canary.Group) {
-	for g := range by {
-		list = append(list, g)
-	}
-	slices.SortFunc(list, canary.Group.Compare)
-	return list
-}
