--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -108,6 +108,6 @@
 	l.conn.server.owedAnswers.Add(-1)
 }
 
-// Connected reports whether the client is still there, as far as its connection shows: also if the reader has not come to
-// its close yet, behind all that was sent before.
+// Connected reports whether the client is still there, as far as its connection shows: also if the reader has not
+// come to its close yet, behind all that was sent before.
 func (l *call) Connected() bool { return !socketstate.PeerClosed(l.conn.socket) }
--- a/internal/client/handle.go
+++ b/internal/client/handle.go
@@ -13,7 +13,8 @@
 // maxOpenCalls is how many calls may be open on a connection, as the protocol states.
 const maxOpenCalls = 32
 
-// handleMessages handles all complete messages in the buffer. sendTime is when they may have been sent at the earliest.
+// handleMessages handles all complete messages in the buffer. sendTime is when they may have been sent at the
+// earliest.
 func (c *conn) handleMessages(sendTime time.Time) error {
 	for {
 		size, err := valueSize(c.buffer[c.start:c.end])
@@ -60,7 +61,8 @@
 func (c *conn) handleCall(received message, sendTime time.Time) error {
 	r, err := parseRequest(received)
 	if err != nil {
-		c.server.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", c.socket.RemoteAddr(), "reason", err)
+		address := c.socket.RemoteAddr()
+		c.server.unusable.CountAndWarn("calls_unusable", "call_unusable", "address", address, "reason", err)
 		return c.refuse(received.id, errorFailed, fieldReason, err.Error())
 	}
 	if !c.server.limits.MessageBytes.Reserve(len(r.statement)) {
--- a/internal/client/peer.go
+++ b/internal/client/peer.go
@@ -57,7 +57,8 @@
 	array, _ := c.next()
 	messageType, _ := c.next()
 	id, _ := c.next()
-	if array.kind != kindArray || array.number != answerLength || messageType.number != typeAnswer || id.kind != kindInt {
+	isArray := array.kind == kindArray && array.number == answerLength
+	if !isArray || messageType.number != typeAnswer || id.kind != kindInt {
 		return Answer{}, size, errNotRPC
 	}
 	a.ID = uint32(id.number)
--- a/internal/client/server.go
+++ b/internal/client/server.go
@@ -44,7 +44,7 @@
 	mu            sync.Mutex // guards what follows
 	capacityFreed *sync.Cond // a connection has ended, or the server is closed
 	conns         map[*conn]struct{}
-	lingering     []*conn      // half-closed by us and out of conns, until their clients close them too; the oldest first
+	lingering     []*conn      // half-closed by us, not in conns, until their clients close them; the oldest first
 	listener      syscall.Conn // nil: not known
 	isClosed      bool
 }
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -107,7 +107,8 @@
 	}
 	p.mu.Unlock()
 	if wasOpen {
-		p.malformed.CountAndWarn("answers_malformed", "answer_malformed", "engine", d.conn.engine.Name, "reason", reason)
+		name := d.conn.engine.Name
+		p.malformed.CountAndWarn("answers_malformed", "answer_malformed", "engine", name, "reason", reason)
 		d.notifyEnd(backend.Reply{Outcome: backend.Failed})
 	}
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -14,6 +14,6 @@
 //
 // # What an end proves
 //
-// backend.Outcome tells whether a dispatch may have run at the engine. The package never sends a dispatch twice unless no
-// byte of it went out.
+// backend.Outcome tells whether a dispatch may have run at the engine. The package never sends a dispatch twice
+// unless no byte of it went out.
 package engine
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -141,7 +141,11 @@
 
 func TestWhatNeverRanAndWhatMayHave(t *testing.T) {
 	b := newBench(t, func(l *backend.Limits) { l.Conns.Store(1) }) // shared
-	for word, end := range map[string]backend.Outcome{"full": backend.Full, "moot": backend.Superseded, "failed": backend.Failed} {
+	for word, end := range map[string]backend.Outcome{
+		"full":   backend.Full,
+		"moot":   backend.Superseded,
+		"failed": backend.Failed,
+	} {
 		b.start("a")
 		b.got("fetch").from.Answer("a", word, "", "")
 		b.ends(end)
--- a/internal/engine/reader.go
+++ b/internal/engine/reader.go
@@ -63,8 +63,8 @@
 	if n > 0 {
 		return nil
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && !r.isFinalRead { // what arrived while the process was stalled can be read
-		r.isFinalRead = true
+	if errors.Is(err, os.ErrDeadlineExceeded) && !r.isFinalRead {
+		r.isFinalRead = true                                        // what arrived while the process was stalled can be read
 		_ = r.from.SetReadDeadline(time.Now().Add(finalReadWithin)) // an error shows at the next read
 		return nil
 	}
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -3,20 +3,18 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
 
+	"swiftreel/internal/golden"
 	"swiftreel/internal/store"
 )
 
 // The store under testdata/jobs/store was written by the program at 70e2e4b: a checkpoint and segments behind it,
 // with records of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
 
-var record = flag.Bool("record", false, "write the store under testdata where it is not there yet")
-
 const (
 	jobsFolder    = "testdata/jobs"
 	keptAnswers   = 3
@@ -221,26 +219,17 @@
 }
 
 func TestOldJobsComeToTheSameDecisionsAndGoOn(t *testing.T) {
-	if *record {
-		recordJobs(t)
+	from := filepath.Join(jobsFolder, "store")
+	if golden.Missing(from) {
+		recordJobs(t, from)
 	}
 	dir := t.TempDir()
-	copyFolder(t, filepath.Join(jobsFolder, "store"), dir)
-	want, err := os.ReadFile(filepath.Join(jobsFolder, "decisions.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got := indented(t, goOnFrom(t, dir)); !bytes.Equal(got, want) {
-		t.Errorf("the old store comes to\n%s\nnot\n%s", got, want)
-	}
+	copyFolder(t, from, dir)
+	golden.Check(t, "jobs/decisions.json", indented(t, goOnFrom(t, dir)))
 }
 
-func recordJobs(t *testing.T) {
+func recordJobs(t *testing.T, to string) {
 	t.Helper()
-	to := filepath.Join(jobsFolder, "store")
-	if _, err := os.Stat(to); err == nil {
-		return
-	}
 	dir := t.TempDir()
 	s := openJobs(t, dir)
 	s.write(beforeCheckpoint...)
@@ -251,10 +240,6 @@
 		t.Fatal(err)
 	}
 	copyFolder(t, dir, to)
-	text := indented(t, goOnFrom(t, dir))
-	if err := os.WriteFile(filepath.Join(jobsFolder, "decisions.json"), text, 0o644); err != nil {
-		t.Fatal(err)
-	}
 }
 
 func indented(t *testing.T, list []decisions) []byte {
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"maps"
 	"os"
@@ -11,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"swiftreel/internal/golden"
 	"swiftreel/internal/store"
 )
 
@@ -24,8 +24,6 @@
 // The identity of a store is drawn when it is made and kept in its files, so all that is written to an old store is
 // the same to the byte, whatever program does it.
 
-var record = flag.Bool("record", false, "write the stores under testdata that are not there yet")
-
 const storesFolder = "testdata/stores"
 
 // fixtureLimits are small, so that a few records fill more than one segment.
@@ -191,26 +189,26 @@
 	files = map[string]map[string][]byte{}
 	before := filesIn(t, dir)
 	all := lookAtStore(t, dir, &text)
-	holdFiles(t, "after a look", filesIn(t, dir), before)
+	compareFiles(t, "after a look", filesIn(t, dir), before)
 
 	log, replayed, done := openStore(t, dir, &text)
-	holdRecords(t, "opened", replayed, all)
+	compareRecords(t, "opened", replayed, all)
 	all = append(all, appendBatches(t, log, len(all), 5)...)
 	done()
 	files["appended"] = filesIn(t, dir)
 
 	log, replayed, done = openStore(t, dir, &text)
-	holdRecords(t, "opened again", replayed, all)
+	compareRecords(t, "opened again", replayed, all)
 	checkpointOf(t, log, all)
 	all = append(all, appendBatches(t, log, len(all), 5)...)
 	done()
 	files["checkpointed"] = filesIn(t, dir)
 
-	holdRecords(t, "at the end", lookAtStore(t, dir, &text), all)
+	compareRecords(t, "at the end", lookAtStore(t, dir, &text), all)
 	return text.Bytes(), files
 }
 
-func holdRecords(t *testing.T, step string, got, want []store.Record) {
+func compareRecords(t *testing.T, step string, got, want []store.Record) {
 	t.Helper()
 	same := func(a, b store.Record) bool { return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload) }
 	if !slices.EqualFunc(got, want, same) {
@@ -218,7 +216,7 @@
 	}
 }
 
-func holdFiles(t *testing.T, step string, got, want map[string][]byte) {
+func compareFiles(t *testing.T, step string, got, want map[string][]byte) {
 	t.Helper()
 	if g, w := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(g, w) {
 		t.Errorf("%s: files %v, not %v", step, g, w)
@@ -231,9 +229,7 @@
 }
 
 func TestOldStoresAreOpenedAndGoOnToTheByte(t *testing.T) {
-	if *record {
-		recordStores(t)
-	}
+	recordStores(t)
 	names, err := os.ReadDir(storesFolder)
 	if err != nil || len(names) != len(oldStores) {
 		t.Fatalf("%d stores of %d: %v", len(names), len(oldStores), err)
@@ -243,32 +239,29 @@
 			old, dir := filepath.Join(storesFolder, name), t.TempDir()
 			copyFiles(t, filepath.Join(old, "before"), dir)
 			transcript, files := goOn(t, dir)
-			if want := readFile(t, filepath.Join(old, "transcript.txt")); !bytes.Equal(transcript, want) {
-				t.Errorf("it tells\n%s\nnot\n%s", transcript, want)
-			}
+			golden.Check(t, filepath.Join("stores", name, "transcript.txt"), transcript)
 			for step, got := range files {
-				holdFiles(t, step, got, filesIn(t, filepath.Join(old, step)))
+				compareFiles(t, step, got, filesIn(t, filepath.Join(old, step)))
 			}
 		})
 	}
 }
 
-// recordStores writes the stores that are not there. One that is there stays as it is.
+// recordStores writes the stores that are not there, if the tests are run with -record.
 func recordStores(t *testing.T) {
 	t.Helper()
 	for name, write := range oldStores {
 		old := filepath.Join(storesFolder, name)
-		if _, err := os.Stat(old); err == nil {
+		if !golden.Missing(old) {
 			continue
 		}
 		dir := t.TempDir()
 		write(t, dir)
 		writeFiles(t, filepath.Join(old, "before"), filesIn(t, dir))
-		transcript, files := goOn(t, dir)
+		_, files := goOn(t, dir)
 		for step, written := range files {
 			writeFiles(t, filepath.Join(old, step), written)
 		}
-		writeFile(t, filepath.Join(old, "transcript.txt"), transcript)
 	}
 }
 
