--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -247,7 +247,7 @@
 	for _, member := range r.cluster.Members {
 		err := r.cluster.Await(applyTimeout, func() bool {
 			status, err := r.cluster.Status(member)
-			return err == nil && status.Running == spec
+			return err == nil && status.RunningSpec == spec
 		})
 		if err != nil {
 			return fmt.Errorf("%s does not run it: %w", member.Name, err)
