--- a/cmd/swiftreel/shutdown.go
+++ b/cmd/swiftreel/shutdown.go
@@ -27,7 +27,7 @@
 func (s *server) stop(signal os.Signal) {
 	stoppedAt := time.Now()
 	s.gateway.Stop()
-	slog.Info("stopping", "signal", signal, "owed", s.clients.Owed())
+	slog.Info("stopping", "signal", signal, "owed", s.clients.OwedAnswers())
 	s.awaitQuiet(stoppedAt)
 	_ = s.listener.Close() // nothing depends on it: no connection is accepted any more
 	s.clients.Close()
@@ -49,7 +49,7 @@
 		now := time.Now()
 		sinceStop := now.Sub(stoppedAt)
 		if sinceStop >= lateArrivalWindow {
-			s.clients.Refuse()
+			s.clients.RefuseCalls()
 		}
 		if s.isQuiet(sinceStop, now.Sub(lastPoll)) {
 			quiet += quietPoll
@@ -62,10 +62,10 @@
 
 func (s *server) isQuiet(sinceStop, sincePoll time.Duration) bool {
 	switch {
-	case sinceStop < lateArrivalWindow, s.clients.Owed()+s.sparql.owed() > 0, sincePoll > stallTolerance:
+	case sinceStop < lateArrivalWindow, s.clients.OwedAnswers()+s.sparql.owed() > 0, sincePoll > stallTolerance:
 		return false
 	case sinceStop < lateArrivalWindow+partialMessageTimeout:
-		return !s.clients.Unread()
+		return !s.clients.HasPendingInput()
 	default:
 		return true
 	}
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -61,11 +61,11 @@
 // engines that were removed by this event.
 func (t *engineTable) update(members *discovery.Members, ids identifiers, now time.Time) ([]choice.EngineEntry, []string) {
 	t.dropExpired(now)
-	if members.Whole {
+	if members.IsComplete {
 		t.markAllRemoved(now)
 	}
 	var lines []choice.EngineEntry
-	for _, host := range members.Hosts {
+	for _, host := range members.Engines {
 		lines = append(lines, t.updateEntry(host, ids, now))
 	}
 	return lines, t.removedSince(now)
@@ -94,7 +94,7 @@
 	if host.Dial != "" {
 		entry.host.Address = host.Dial
 	}
-	state := engineState(host.State)
+	state := engineState(host.Health)
 	entry.removedAt = time.Time{}
 	if state == choice.Removed {
 		entry.removedAt = now
@@ -102,10 +102,10 @@
 	entry.line = choice.EngineEntry{
 		Engine:      entry.id,
 		Zone:        ids.zone(host.Site),
-		Kind:        ids.kind(host.Kind),
-		Cell:        choice.CellID(host.Cell),
+		Kind:        ids.kind(host.Class),
+		Cell:        choice.CellID(host.Block),
 		State:       state,
-		Size:        host.Size,
+		Size:        host.Share,
 		StartedAt:   choice.Nanos(host.BornMS) * choice.Nanos(time.Millisecond),
 		Unsupported: t.unsupportedProtocols(entry.host),
 	}
@@ -177,7 +177,7 @@
 	if g.drains != nil {
 		lines = g.drains.ApplyList(g.clock.now(), lines)
 	}
-	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: listKind(event.Members.Whole, cached), Engines: lines})
+	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: listKind(event.Members.IsComplete, cached), Engines: lines})
 	g.mu.Unlock()
 	g.perform(actions)
 	for _, name := range removed {
