--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -17,8 +17,8 @@
 	"swiftreel/internal/sparql/front"
 )
 
-// maxQueryShapes is for how many shapes of queries the cost is remembered, about 150 bytes each.
-const maxQueryShapes = 4096
+// maxFingerprints is for how many fingerprints of queries the cost is remembered, about 150 bytes each.
+const maxFingerprints = 4096
 
 // minSockets is how many descriptors the rest of the program needs.
 const minSockets = 64
@@ -89,17 +89,17 @@
 func (s *sparqlServer) frontOptions() front.Options {
 	o := s.options
 	return front.Options{
-		Path:         o.Path,
-		Tenant:       o.Tenant,
-		TenantHeader: o.TenantHeader,
-		Rules:        o.Rules(),
-		Usual:        milliseconds(o.TimeoutMS),
-		Most:         milliseconds(o.MaxTimeoutMS),
-		Services:     o.Services,
-		Conns:        o.Connections,
-		Shapes:       maxQueryShapes,
-		Marks:        o.IdempotencyKeys,
-		Window:       milliseconds(o.IdempotencyWindowMS),
+		Path:            o.Path,
+		Tenant:          o.Tenant,
+		TenantHeader:    o.TenantHeader,
+		Rules:           o.Rules(),
+		DefaultTimeout:  milliseconds(o.TimeoutMS),
+		MaxTimeout:      milliseconds(o.MaxTimeoutMS),
+		Services:        o.Services,
+		Conns:           o.Connections,
+		MaxFingerprints: maxFingerprints,
+		MaxKeys:         o.IdempotencyKeys,
+		KeyWindow:       milliseconds(o.IdempotencyWindowMS),
 	}
 }
 
--- /dev/null
+++ b/internal/sparql/front/answer.go
@@ -0,0 +1,249 @@
+package front
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"swiftreel/internal/counters"
+	"swiftreel/internal/gateway"
+	"swiftreel/internal/sparql/decide"
+	"swiftreel/internal/sparql/endpoint"
+	"swiftreel/internal/sparql/results"
+	"swiftreel/internal/sparql/syntax"
+)
+
+// The media types that are offered, the first where the client does not care.
+var (
+	tableFormats = []string{
+		results.JSON.MediaType(), results.XML.MediaType(), results.CSV.MediaType(), results.TSV.MediaType(),
+	}
+	graphFormats = []string{"text/turtle", "application/n-triples", "application/rdf+xml", "application/ld+json"}
+)
+
+// formats are the result formats by their media type.
+var formats = map[string]results.Format{
+	results.JSON.MediaType(): results.JSON,
+	results.XML.MediaType():  results.XML,
+	results.CSV.MediaType():  results.CSV,
+	results.TSV.MediaType():  results.TSV,
+}
+
+// answer is a job's one answer on its way to the client. The handler's goroutine alone writes; the job's goroutine
+// hands the outcome over and waits until it is out, as the handler may not retain its pages.
+type answer struct {
+	w            http.ResponseWriter
+	r            *http.Request
+	update       bool
+	engineFormat string // the media type wanted of the engine
+	clientFormat string // and that of the answer
+	startedAt    time.Time
+
+	// Of the handler's goroutine.
+	duration      time.Duration        // of a job that was done
+	updateOutcome decide.UpdateOutcome // as far as is known
+
+	outcome     chan outcome
+	handlerDone chan struct{}
+	written     chan struct{}
+
+	mu           sync.Mutex // guards what follows
+	onDisconnect func()
+	disconnected bool
+}
+
+// outcome is how a job ended.
+type outcome struct {
+	pages      [][]byte
+	status     int
+	text       string
+	retryAfter time.Duration
+	neverRan   bool // nothing of it ran
+}
+
+var _ gateway.Client = (*answer)(nil)
+
+// newAnswer negotiates the format of an answer.
+func newAnswer(w http.ResponseWriter, r *http.Request, statement *syntax.Statement) (*answer, error) {
+	a := &answer{
+		w:             w,
+		r:             r,
+		update:        statement.Form == syntax.Update,
+		startedAt:     time.Now(),
+		updateOutcome: decide.UpdateMayHaveRun,
+		outcome:       make(chan outcome, 1),
+		handlerDone:   make(chan struct{}),
+		written:       make(chan struct{}),
+	}
+	if a.update {
+		a.engineFormat = "*/*"
+		return a, nil
+	}
+	offered := offeredFormats(statement.Form)
+	format, ok := results.Negotiate(r.Header.Get("Accept"), offered)
+	if !ok {
+		return nil, rejectf(http.StatusNotAcceptable, "offered are %s", strings.Join(offered, ", "))
+	}
+	a.clientFormat = format
+	a.engineFormat = format
+	if offered[0] == tableFormats[0] {
+		a.engineFormat = tableFormats[0] // it shows whether it is complete
+	}
+	return a, nil
+}
+
+// offeredFormats returns the media types for the result of a query.
+func offeredFormats(form syntax.Form) []string {
+	switch form {
+	case syntax.Ask:
+		return tableFormats[:2] // the others have no form for it
+	case syntax.Construct, syntax.Describe:
+		return graphFormats
+	default:
+		return tableFormats
+	}
+}
+
+// Done implements gateway.Client.
+func (a *answer) Done(pages [][]byte) { a.deliver(outcome{pages: pages, status: http.StatusOK}) }
+
+// Throttled implements gateway.Client.
+func (a *answer) Throttled(wait time.Duration) {
+	a.deliver(outcome{
+		status:     http.StatusServiceUnavailable,
+		text:       "throttled: trying again is harmless",
+		retryAfter: max(wait, time.Second),
+		neverRan:   true,
+	})
+}
+
+// Failed implements gateway.Client.
+func (a *answer) Failed(reason string) {
+	status := http.StatusBadRequest
+	switch reason {
+	case gateway.ReasonCancelled:
+		status = http.StatusBadGateway
+	case gateway.ReasonTimeout:
+		status = http.StatusGatewayTimeout
+	}
+	a.deliver(outcome{status: status, text: reason, neverRan: status == http.StatusBadRequest})
+}
+
+// deliver hands an outcome to the handler, and waits until its pages are written.
+func (a *answer) deliver(o outcome) {
+	select {
+	case a.outcome <- o:
+	case <-a.handlerDone:
+		return
+	}
+	if o.pages == nil {
+		return
+	}
+	select {
+	case <-a.written:
+	case <-a.handlerDone:
+	}
+}
+
+// OnDisconnect implements gateway.Client.
+func (a *answer) OnDisconnect(notify func()) {
+	a.mu.Lock()
+	a.onDisconnect = notify
+	disconnected := a.disconnected
+	a.mu.Unlock()
+	if disconnected {
+		notify()
+	}
+}
+
+// Connected implements gateway.Client.
+func (a *answer) Connected() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return !a.disconnected
+}
+
+// wait returns when the answer is out, or the client has left.
+func (a *answer) wait() {
+	defer close(a.handlerDone)
+	select {
+	case o := <-a.outcome:
+		switch {
+		case o.status == http.StatusOK:
+			a.updateOutcome = decide.UpdateDone
+		case o.neverRan:
+			a.updateOutcome = decide.UpdateNeverRan
+		}
+		a.write(o)
+	case <-a.r.Context().Done():
+		a.disconnect()
+	}
+}
+
+func (a *answer) disconnect() {
+	a.mu.Lock()
+	a.disconnected = true
+	notify := a.onDisconnect
+	a.mu.Unlock()
+	if notify != nil {
+		notify()
+	}
+}
+
+// write sends an answer. A result that breaks off on its way ends the connection without its last chunk.
+func (a *answer) write(o outcome) {
+	defer close(a.written)
+	out := &deadlineWriter{a.w, http.NewResponseController(a.w)}
+	if o.status != http.StatusOK {
+		a.writeFailure(out, o)
+		return
+	}
+	a.duration = time.Since(a.startedAt)
+	if a.update {
+		a.w.WriteHeader(http.StatusNoContent)
+		return
+	}
+	a.w.Header().Set("Content-Type", a.clientFormat)
+	a.w.Header().Set("Vary", "Accept")
+	if err := a.writeResult(out, endpoint.Pages(o.pages)); err != nil {
+		counters.Increment("sparql_answers_cut")
+		panic(http.ErrAbortHandler)
+	}
+}
+
+func (a *answer) writeFailure(out *deadlineWriter, o outcome) {
+	if o.retryAfter > 0 {
+		seconds := (o.retryAfter + time.Second - 1) / time.Second
+		a.w.Header().Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
+	}
+	out.extend()
+	http.Error(a.w, o.text, o.status)
+}
+
+// writeResult sends the engine's result, converted into the client's format.
+func (a *answer) writeResult(out io.Writer, pages io.Reader) error {
+	if a.engineFormat == a.clientFormat {
+		_, err := io.Copy(out, pages)
+		return err
+	}
+	writer := results.NewWriter(formats[a.clientFormat], out)
+	_, err := results.Copy(writer, results.NewReader(formats[a.engineFormat], pages))
+	return err
+}
+
+// deadlineWriter sets a deadline for each write.
+type deadlineWriter struct {
+	w          io.Writer
+	controller *http.ResponseController
+}
+
+func (d *deadlineWriter) extend() { setWriteDeadline(d.controller, time.Now().Add(writeTimeout)) }
+
+// Write writes within the time that a part of an answer may take.
+func (d *deadlineWriter) Write(part []byte) (int, error) {
+	d.extend()
+	return d.w.Write(part)
+}
--- a/internal/sparql/front/front_test.go
+++ b/internal/sparql/front/front_test.go
@@ -25,12 +25,20 @@
 
 const rows = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"literal","value":"%s"}}]}}`
 
-func served(t *testing.T, conns int, answer func(gateway.Request)) (f *Front, address string) {
+func served(t *testing.T, conns int, answer func(gateway.Request)) (address string) {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f = New(Options{Path: "/sparql", Rules: []decide.Rule{{Type: "lookup"}}, Usual: 20 * time.Second, Most: time.Minute, Conns: conns, Marks: 10}, taker{answer})
+	f := New(Options{
+		Path:           "/sparql",
+		Rules:          []decide.Rule{{Type: "lookup"}},
+		DefaultTimeout: 20 * time.Second,
+		MaxTimeout:     time.Minute,
+		Conns:          conns,
+		MaxKeys:        10,
+	}, taker{answer})
 	var running sync.WaitGroup
 	running.Go(func() { f.Serve(l) })
 	t.Cleanup(func() {
@@ -40,7 +48,7 @@
 			t.Errorf("%d answers are owed", f.Owed())
 		}
 	})
-	return f, l.Addr().String()
+	return l.Addr().String()
 }
 
 func dialed(t *testing.T, address string) net.Conn {
@@ -59,12 +67,14 @@
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	_, at := served(t, 4, func(a gateway.Request) {
+	at := served(t, 4, func(a gateway.Request) {
 		form, _ := url.ParseQuery(strings.SplitN(string(a.Statement), "\n", 4)[3])
 		a.Client.Done([][]byte{[]byte(fmt.Sprintf(rows, form.Get("query")))})
 	})
 	c := dialed(t, at)
-	io.WriteString(c, get("ASK { <a> <b> 1 }")+get("SELECT * { ?s <b> 2 }")+"POST /sparql HTTP/1.1\r\nHost: x\r\nContent-Type: application/sparql-query\r\nContent-Length: 21\r\n\r\nSELECT * { ?s <b> 3 }")
+	io.WriteString(c, get("ASK { <a> <b> 1 }")+get("SELECT * { ?s <b> 2 }")+
+		"POST /sparql HTTP/1.1\r\nHost: x\r\n"+
+		"Content-Type: application/sparql-query\r\nContent-Length: 21\r\n\r\nSELECT * { ?s <b> 3 }")
 	r := bufio.NewReader(c)
 	for n := range 3 {
 		a, err := http.ReadResponse(r, nil)
@@ -72,16 +82,18 @@
 			t.Fatal(err)
 		}
 		body, err := io.ReadAll(a.Body)
+		a.Body.Close()
 		if err != nil || a.StatusCode != 200 || !strings.Contains(string(body), fmt.Sprint("<b> ", n+1)) {
 			t.Errorf("%d: %v %d %s", n, err, a.StatusCode, body)
 		}
 	}
 }
 
-// Each state has its end: headers that do not come, a client that takes nothing of its answer, one more than may be held.
+// Each state has its end: headers that do not come, a client that takes nothing of its answer, one more than may be
+// open.
 func TestEachStateOfAConnectionHasItsEnd(t *testing.T) {
 	large := strings.Repeat("x", 1<<20)
-	_, at := served(t, 2, func(a gateway.Request) {
+	at := served(t, 2, func(a gateway.Request) {
 		var pages [][]byte
 		head, tail, _ := strings.Cut(rows, "%s")
 		pages = append(pages, []byte(head))
@@ -102,12 +114,13 @@
 	if _, err := io.ReadAll(slow); err != nil {
 		t.Errorf("slow headers: %v", err)
 	}
-	r := bufio.NewReader(unread) // what it takes now was written before it was given up
-	a, err := http.ReadResponse(r, nil)
+	r := bufio.NewReader(unread)        // what it takes now was written before it was given up
+	a, err := http.ReadResponse(r, nil) //nolint:bodyclose // breaks off; its connection is closed at the end of the test
 	if err != nil {
 		t.Fatal(err)
 	}
-	for stop := time.Now().Add(15 * time.Second); counters.Value("sparql_answers_cut") == cut; time.Sleep(10 * time.Millisecond) {
+	stop := time.Now().Add(15 * time.Second)
+	for ; counters.Value("sparql_answers_cut") == cut; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(stop) {
 			t.Fatal("a client that takes nothing keeps its answer")
 		}
@@ -128,7 +141,7 @@
 		"an unusable call":    {func(a gateway.Client) { a.Failed("no such tenant") }, 400},
 		"answered at its end": {func(a gateway.Client) { a.Done(nil) }, 0}, // nothing that is a result: cut
 	} {
-		_, at := served(t, 2, func(a gateway.Request) { c.answer(a.Client) })
+		at := served(t, 2, func(a gateway.Request) { c.answer(a.Client) })
 		r, err := http.Get("http://" + at + "/sparql?query=" + url.QueryEscape("SELECT * { ?s <b> 2 }"))
 		if err != nil {
 			if c.status != 0 {
--- a/internal/sparql/front/idempotency.go
+++ b/internal/sparql/front/idempotency.go
@@ -14,48 +14,67 @@
 // maxKeyLength bounds an idempotency key, in bytes.
 const maxKeyLength = 200
 
-// readIdempotencyKey reads an update's Idempotency-Key, a string of structured fields, quoted or not. Queries need none.
-func readIdempotencyKey(r *http.Request, tenant string, update bool) (key decide.IdempotencyKey, err error) {
-	list := r.Header.Values(endpoint.HeaderIdempotencyKey)
-	if !update || len(list) == 0 {
-		return key, nil
+// readIdempotencyKey reads an update's Idempotency-Key, a string of structured fields, quoted or not. Queries have
+// none.
+func readIdempotencyKey(r *http.Request, tenant string, update bool) (decide.IdempotencyKey, error) {
+	values := r.Header.Values(endpoint.HeaderIdempotencyKey)
+	if !update || len(values) == 0 {
+		return decide.IdempotencyKey{}, nil
 	}
-	text := strings.Trim(strings.TrimSpace(list[0]), `"`)
-	if len(list) > 1 || text == "" || len(text) > maxKeyLength || strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' || c == '"' }) {
-		return key, refuse(http.StatusBadRequest, "%s is no key of up to %d signs", endpoint.HeaderIdempotencyKey, maxKeyLength)
+	value := strings.Trim(strings.TrimSpace(values[0]), `"`)
+	if len(values) > 1 || value == "" || len(value) > maxKeyLength || strings.ContainsFunc(value, isForbiddenInKey) {
+		return decide.IdempotencyKey{}, rejectf(http.StatusBadRequest, "%s is no key of up to %d signs",
+			endpoint.HeaderIdempotencyKey, maxKeyLength)
 	}
-	return decide.IdempotencyKey{Tenant: tenant, Value: text}, nil
+	return decide.IdempotencyKey{Tenant: tenant, Value: value}, nil
 }
 
+func isForbiddenInKey(c rune) bool { return c <= ' ' || c > '~' || c == '"' }
+
 // now is the time of idempotency keys: it never goes back.
-func (f *Front) now() choice.Nanos { return choice.Nanos(time.Since(f.start)) }
+func (f *Front) now() choice.Nanos { return choice.Nanos(time.Since(f.started)) }
 
-// admitKey answers an update whose idempotency key is known already. It returns true if the update is to be run.
-func (f *Front) admitKey(a *answer, q request, key decide.IdempotencyKey) bool {
+// beginKey answers an update whose idempotency key is known already. It returns true if the request is to be run.
+func (f *Front) beginKey(w http.ResponseWriter, request request, key decide.IdempotencyKey) bool {
 	if key.Value == "" {
 		return true
 	}
-	h := fnv.New64a()
-	h.Write([]byte(q.text))
-	h.Write([]byte{0})
-	h.Write([]byte(q.graphs.Encode()))
 	f.mu.Lock()
-	v := f.keys.Begin(f.now(), key, h.Sum64())
+	verdict := f.keys.Begin(f.now(), key, request.digest())
 	f.mu.Unlock()
-	switch v {
+	switch verdict {
 	case decide.KeyNew:
 		return true
 	case decide.KeyCompleted:
-		a.w.WriteHeader(http.StatusNoContent)
+		w.WriteHeader(http.StatusNoContent)
 	case decide.KeyInProgress:
-		f.refused(a.w, refuse(http.StatusConflict, "the first with this mark is in hand"))
+		f.reject(w, rejectf(http.StatusConflict, "the first with this mark is in hand"))
 	case decide.KeyMismatch:
-		f.refused(a.w, refuse(http.StatusUnprocessableEntity, "this mark was another update's"))
+		f.reject(w, rejectf(http.StatusUnprocessableEntity, "this mark was another update's"))
 	case decide.KeyOutcomeUnknown:
-		f.refused(a.w, refuse(http.StatusBadGateway, "the first with this mark may have run"))
+		f.reject(w, rejectf(http.StatusBadGateway, "the first with this mark may have run"))
 	case decide.KeyTableFull:
-		a.w.Header().Set("Retry-After", "60")
-		f.refused(a.w, refuse(http.StatusServiceUnavailable, "no room for one more mark: nothing ran"))
+		w.Header().Set("Retry-After", "60")
+		f.reject(w, rejectf(http.StatusServiceUnavailable, "no room for one more mark: nothing ran"))
 	}
 	return false
 }
+
+// endKey records how the update of a key ended.
+func (f *Front) endKey(key decide.IdempotencyKey, answer *answer) {
+	if key.Value == "" {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.keys.End(f.now(), key, answer.updateOutcome)
+}
+
+// digest is of all that an idempotency key stands for.
+func (r request) digest() uint64 {
+	digest := fnv.New64a()
+	for _, part := range []string{r.text, "\x00", r.graphs.Encode()} {
+		_, _ = digest.Write([]byte(part)) // never fails
+	}
+	return digest.Sum64()
+}
--- a/internal/sparql/front/request.go
+++ b/internal/sparql/front/request.go
@@ -1,5 +1,3 @@
-// Package front serves the SPARQL 1.1 Protocol over HTTP (W3C Recommendation of 2013-03-21): it reads requests, asks the
-// gateway for jobs and writes the one answer of each. It decides nothing on jobs.
 package front
 
 import (
@@ -16,143 +14,179 @@
 	"swiftreel/internal/sparql/syntax"
 )
 
-// request is what a client asks for.
+// request is what a client wants.
 type request struct {
-	update bool
-	text   string
-	graphs url.Values // default-graph-uri and the like, as they came
-	left   time.Duration
-	nobody bool // a bare GET: the service description is wanted
+	update           bool
+	text             string
+	graphs           url.Values // default-graph-uri and the like, as received
+	timeout          time.Duration
+	wantsDescription bool // a bare GET: the service description
 }
 
-// refusal is a request that becomes no job.
-type refusal struct {
+// rejectionError is why a request becomes no job.
+type rejectionError struct {
 	status int
 	text   string
-	allow  string
+	allow  string // the header Allow; "": none
 }
 
-func (r *refusal) Error() string { return r.text }
+// Error returns the text for the client.
+func (r *rejectionError) Error() string { return r.text }
 
-func refuse(status int, text string, v ...any) *refusal {
-	return &refusal{status: status, text: fmt.Sprintf(text, v...)}
+func rejectf(status int, format string, values ...any) *rejectionError {
+	return &rejectionError{status: status, text: fmt.Sprintf(format, values...)}
 }
 
-// mostBody bounds a request's body; a text is bounded by the grammar's reader.
-const mostBody = 2 * syntax.MaxBytes
+// maxBodyBytes bounds a request's body; a text is bounded by the parser.
+const maxBodyBytes = 2 * syntax.MaxBytes
 
-// graphNames are the protocol's parameters for graphs: of queries, and of updates.
-var graphNames = map[bool][]string{false: {"default-graph-uri", "named-graph-uri"}, true: {"using-graph-uri", "using-named-graph-uri"}}
+// graphParameters are the protocol's parameters for graphs: of queries, and of updates.
+var graphParameters = map[bool][]string{
+	false: {"default-graph-uri", "named-graph-uri"},
+	true:  {"using-graph-uri", "using-named-graph-uri"},
+}
 
-// readRequest goes by section 2 of the protocol.
-func readRequest(w http.ResponseWriter, r *http.Request, usual, most time.Duration) (q request, err error) {
-	fields, err := url.ParseQuery(r.URL.RawQuery)
+// readRequest reads a request by section 2 of the protocol. Errors are rejections.
+func readRequest(w http.ResponseWriter, r *http.Request, defaultTimeout, maxTimeout time.Duration) (request, error) {
+	parameters, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
-		return q, refuse(http.StatusBadRequest, "the query string cannot be read: %v", err)
+		return request{}, rejectf(http.StatusBadRequest, "the query string cannot be read: %v", err)
 	}
+	var result request
 	switch r.Method {
 	case http.MethodGet, http.MethodHead:
-		if q.nobody = len(fields) == 0; q.nobody {
-			return q, nil
-		}
-		if fields.Has("update") {
-			return q, refuse(http.StatusBadRequest, "an update is asked for by POST")
+		if len(parameters) == 0 {
+			return request{wantsDescription: true}, nil
 		}
-		q.text, err = one(fields, "query")
+		result, err = readQueryString(parameters)
 	case http.MethodPost:
-		fields, err = readBody(w, r, fields, &q)
+		result, err = readBody(w, r, parameters)
 	default:
-		return q, &refusal{http.StatusMethodNotAllowed, "GET and POST are served", "GET, HEAD, POST"}
+		return request{}, &rejectionError{http.StatusMethodNotAllowed, "GET and POST are served", "GET, HEAD, POST"}
 	}
 	if err != nil {
-		return q, err
+		return request{}, err
 	}
-	if !utf8.ValidString(q.text) {
-		return q, refuse(http.StatusBadRequest, "the text is no UTF-8")
+	if !utf8.ValidString(result.text) {
+		return request{}, rejectf(http.StatusBadRequest, "the text is no UTF-8")
 	}
-	q.graphs = url.Values{}
-	for _, name := range graphNames[q.update] {
-		if list := fields[name]; len(list) > 0 {
-			q.graphs[name] = list
-		}
+	if result.graphs, err = readGraphs(parameters, result.update); err != nil {
+		return request{}, err
 	}
-	for _, name := range graphNames[!q.update] {
-		if fields.Has(name) {
-			return q, refuse(http.StatusBadRequest, "%s does not go with this operation", name)
-		}
+	result.timeout, err = readTimeout(parameters.Get("timeout"), r.Header.Get("Timeout"), defaultTimeout, maxTimeout)
+	return result, err
+}
+
+func readQueryString(parameters url.Values) (request, error) {
+	if parameters.Has("update") {
+		return request{}, rejectf(http.StatusBadRequest, "an update is asked for by POST")
 	}
-	q.left, err = timeout(fields.Get("timeout"), r.Header.Get("Timeout"), usual, most)
-	return q, err
+	text, err := single(parameters, "query")
+	return request{text: text}, err
 }
 
-func one(fields url.Values, name string) (string, error) {
-	if list := fields[name]; len(list) != 1 {
-		return "", refuse(http.StatusBadRequest, "%d parameters %s, where one is wanted", len(list), name)
+// single returns the value of a parameter that has to be given once.
+func single(parameters url.Values, name string) (string, error) {
+	values := parameters[name]
+	if len(values) != 1 {
+		return "", rejectf(http.StatusBadRequest, "%d parameters %s, where one is wanted", len(values), name)
 	}
-	return fields.Get(name), nil
+	return values[0], nil
 }
 
-// readBody takes a form, or a text as it is.
-func readBody(w http.ResponseWriter, r *http.Request, fields url.Values, q *request) (url.Values, error) {
-	media, params, err := mime.ParseMediaType(r.Header.Get("Content-Type"))
+// readBody reads a form, whose parameters are added to those of the query string, or a text as it is.
+func readBody(w http.ResponseWriter, r *http.Request, parameters url.Values) (request, error) {
+	mediaType, err := bodyMediaType(r.Header)
 	if err != nil {
-		return nil, refuse(http.StatusUnsupportedMediaType, "no Content-Type that can be read")
-	}
-	if c := params["charset"]; c != "" && c != "utf-8" && c != "UTF-8" {
-		return nil, refuse(http.StatusUnsupportedMediaType, "charset %q: only utf-8 is read", c)
-	}
-	if r.Header.Get("Content-Encoding") != "" {
-		return nil, refuse(http.StatusUnsupportedMediaType, "no Content-Encoding is read")
+		return request{}, err
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
-		return nil, refuse(http.StatusRequestEntityTooLarge, "over %d bytes", mostBody)
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return request{}, rejectf(http.StatusRequestEntityTooLarge, "over %d bytes", maxBodyBytes)
 	}
 	if err != nil {
-		return nil, refuse(http.StatusBadRequest, "the body breaks off")
+		return request{}, rejectf(http.StatusBadRequest, "the body breaks off")
 	}
-	switch media {
+	switch mediaType {
 	case "application/x-www-form-urlencoded":
-		form, err := url.ParseQuery(string(body))
-		if err != nil {
-			return nil, refuse(http.StatusBadRequest, "the form cannot be read: %v", err)
-		}
-		name := "query"
-		if q.update = form.Has("update"); q.update {
-			name = "update"
-		}
-		if q.update && form.Has("query") {
-			return nil, refuse(http.StatusBadRequest, "query and update in one form")
-		}
-		if q.text, err = one(form, name); err != nil {
-			return nil, err
+		return readForm(string(body), parameters)
+	case "application/sparql-query", "application/sparql-update":
+		if parameters.Has("query") || parameters.Has("update") {
+			return request{}, rejectf(http.StatusBadRequest, "a text in the body and one in the query string")
 		}
-		for name, list := range form { // graphs may stand in either
-			fields[name] = append(fields[name], list...)
+		return request{text: string(body), update: mediaType == "application/sparql-update"}, nil
+	}
+	return request{}, rejectf(http.StatusUnsupportedMediaType, "%q is none of application/x-www-form-urlencoded, "+
+		"application/sparql-query, application/sparql-update", mediaType)
+}
+
+func bodyMediaType(header http.Header) (string, error) {
+	mediaType, parameters, err := mime.ParseMediaType(header.Get("Content-Type"))
+	if err != nil {
+		return "", rejectf(http.StatusUnsupportedMediaType, "no Content-Type that can be read")
+	}
+	if charset := parameters["charset"]; charset != "" && charset != "utf-8" && charset != "UTF-8" {
+		return "", rejectf(http.StatusUnsupportedMediaType, "charset %q: only utf-8 is read", charset)
+	}
+	if header.Get("Content-Encoding") != "" {
+		return "", rejectf(http.StatusUnsupportedMediaType, "no Content-Encoding is read")
+	}
+	return mediaType, nil
+}
+
+func readForm(body string, parameters url.Values) (request, error) {
+	form, err := url.ParseQuery(body)
+	if err != nil {
+		return request{}, rejectf(http.StatusBadRequest, "the form cannot be read: %v", err)
+	}
+	name := "query"
+	update := form.Has("update")
+	if update {
+		name = "update"
+	}
+	if update && form.Has("query") {
+		return request{}, rejectf(http.StatusBadRequest, "query and update in one form")
+	}
+	text, err := single(form, name)
+	if err != nil {
+		return request{}, err
+	}
+	for name, values := range form { // graphs may be given in either
+		parameters[name] = append(parameters[name], values...)
+	}
+	return request{text: text, update: update}, nil
+}
+
+// readGraphs returns the graphs of an operation; those of the other kind of operation are rejected.
+func readGraphs(parameters url.Values, update bool) (url.Values, error) {
+	graphs := url.Values{}
+	for _, name := range graphParameters[update] {
+		if values := parameters[name]; len(values) > 0 {
+			graphs[name] = values
 		}
-		return fields, nil
-	case "application/sparql-query", "application/sparql-update":
-		if fields.Has("query") || fields.Has("update") {
-			return nil, refuse(http.StatusBadRequest, "a text in the body and one in the query string")
+	}
+	for _, name := range graphParameters[!update] {
+		if parameters.Has(name) {
+			return nil, rejectf(http.StatusBadRequest, "%s does not go with this operation", name)
 		}
-		q.text, q.update = string(body), media == "application/sparql-update"
-		return fields, nil
 	}
-	return nil, refuse(http.StatusUnsupportedMediaType, "%q is none of application/x-www-form-urlencoded, application/sparql-query, application/sparql-update", media)
+	return graphs, nil
 }
 
-// timeout is the job timeout: a parameter, else a header, in whole milliseconds, else the usual one.
-func timeout(field, header string, usual, most time.Duration) (time.Duration, error) {
-	if field == "" {
-		field = header
+// readTimeout returns the job timeout: a parameter, else a header, in whole milliseconds, else the default.
+func readTimeout(parameter, header string, defaultTimeout, maxTimeout time.Duration) (time.Duration, error) {
+	text := parameter
+	if text == "" {
+		text = header
 	}
-	if field == "" {
-		return usual, nil
+	if text == "" {
+		return defaultTimeout, nil
 	}
-	ms, err := strconv.ParseUint(field, 10, 32)
-	if left := time.Duration(ms) * time.Millisecond; err == nil && left > 0 && left <= most {
-		return left, nil
+	milliseconds, err := strconv.ParseUint(text, 10, 32)
+	timeout := time.Duration(milliseconds) * time.Millisecond
+	if err != nil || timeout <= 0 || timeout > maxTimeout {
+		return 0, rejectf(http.StatusBadRequest, "timeout %.20q is not from 1 to %d ms", text, maxTimeout.Milliseconds())
 	}
-	return 0, refuse(http.StatusBadRequest, "timeout %.20q is not from 1 to %d ms", field, most.Milliseconds())
+	return timeout, nil
 }
