--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -13,7 +13,7 @@
 	for range 5 {
 		s.c.recordOutcome(e, TimedOut)
 	}
-	require(t, !e.ejected, "set aside after %d", e.consecutiveFailures)
+	require(t, !e.ejected, "ejected after %d", e.consecutiveFailures)
 	s.c.recordOutcome(e, TimedOut)
 	require(t, e.ejected, "six in a row are no chance")
 }
@@ -39,7 +39,7 @@
 	s.c.eject(s.c.jobs[keyed].attempt.engine, false)
 	s.c.eject(s.c.jobs[once].attempt.engine, true)
 	require(t, s.c.jobs[keyed].attempt.cancelRequested && !s.c.jobs[once].attempt.cancelRequested,
-		"keyed called back, run-once waited for")
+		"keyed canceled, run-once waited for")
 }
 
 // The failure: an engine takes jobs and answers none, and looks emptiest.
--- a/choice/placement_test.go
+++ b/choice/placement_test.go
@@ -46,7 +46,7 @@
 	require(t, len(s.probes) == 0, "no probes without jobs: %v", s.probes)
 }
 
-// The failure: engines lost a part of their answers, were not set aside, and went on drawing jobs.
+// The failure: engines lost a part of their answers, were not ejected, and went on drawing jobs.
 func TestEngineThatLosesAnswersIsChosenLess(t *testing.T) {
 	s := newStage(t, plainSettings(), 2)
 	for range 30 {
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -57,7 +57,7 @@
 	s.offerLoad(second, 1)
 	require(t, s.c.planWeight == 0 && strings.Count(s.logText, "plan followed=false") == 1, "hold %v, log %q",
 		s.c.planWeight, s.logText)
-	require(t, s.c.bucketLimit(&bucket{tenant: 1}) == s.c.bucketLimit(&bucket{tenant: 0}), "limits of a plan set aside")
+	require(t, s.c.bucketLimit(&bucket{tenant: 1}) == s.c.bucketLimit(&bucket{tenant: 0}), "limits of a plan ejected")
 	line(101, Ready)
 	s.offerLoad(second, 1)
 	require(t, s.c.planWeight == 0, "back too soon")
--- a/choice/predecessor_test.go
+++ b/choice/predecessor_test.go
@@ -7,87 +7,97 @@
 	"testing"
 )
 
-// Two processes of one controller: the older serves what it owes, the newer takes what comes. To the rules they are
-// one.
+// Two processes of one controller: the older serves the jobs that it has, the newer takes new ones. To the rules they
+// are one.
 
-func TestPredecessorCountsInRules(t *testing.T) {
-	facts := func() RawSettings {
-		return RawSettings{"balancers": 1.0, "me": 0.0, "classes": []any{
+const successorStart = Nanos(1e15)
+
+func successorSettings() RawSettings {
+	return RawSettings{
+		"balancers": 1.0,
+		"me":        0.0,
+		"classes": []any{
 			map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 1e9, "gain": 1.0},
-			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 1e9, "gain": 1.0, "fifo_by_key": true}},
-			"limits": map[string]any{"most_tries": 9.0, "cancel": true}, "domain": map[string]any{"class_threads": []any{1.0,
-				1.0}, "cpu_of_kind": []any{16.0}},
-			"invariants": map[string]any{"order_pause_ns": 1e8, "fall_ns": 1e9, "warm_within_ns": 1e10, "fall_multiple": 4.0,
-				"start_capacity":  0.3,
-				"extra_window_ns": 5e9, "budget_free": 3.0, "further_ratio": 0.0}}
+			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 1e9, "gain": 1.0, "fifo_by_key": true},
+		},
+		"limits": map[string]any{"most_tries": 9.0, "cancel": true},
+		"domain": map[string]any{"class_threads": []any{1.0, 1.0}, "cpu_of_kind": []any{16.0}},
+		"invariants": map[string]any{"order_pause_ns": 1e8, "fall_ns": 1e9, "warm_within_ns": 1e10, "fall_multiple": 4.0,
+			"start_capacity": 0.3, "extra_window_ns": 5e9, "budget_free": 3.0, "further_ratio": 0.0},
 	}
-	const start = Nanos(1e15)
-	dispatches := func(acts []Action) (n int) {
-		for _, a := range acts {
-			if a.Kind == Dispatch {
-				n++
-			}
-		}
-		return n
-	}
-	begin := func(predecessor bool, startedAt Nanos) *Controller {
-		c := &Controller{}
-		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: facts()})
-		if predecessor {
-			c.Decide(start, Event{Kind: PredecessorChanged, PredecessorRunning: true})
+}
+
+// newSuccessor is a controller that just started, beside a predecessor or not, with one engine.
+func newSuccessor(predecessor bool, engineStartedAt Nanos) *Controller {
+	c := &Controller{}
+	c.Decide(successorStart, Event{Kind: Started, Seed: 1, Settings: successorSettings()})
+	if predecessor {
+		c.Decide(successorStart, Event{Kind: PredecessorChanged, PredecessorRunning: true})
+	}
+	entry := EngineEntry{Engine: 1, State: Ready, StartedAt: engineStartedAt}
+	c.Decide(successorStart, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{entry}})
+	return c
+}
+
+// dispatchesAt is how many dispatches an event leads to, so long after the start.
+func dispatchesAt(c *Controller, after Nanos, ev Event) (dispatches int) {
+	for _, a := range c.Decide(successorStart+after, ev) {
+		if a.Kind == Dispatch {
+			dispatches++
 		}
-		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready,
-			StartedAt: startedAt}}})
-		return c
-	}
-	keyed := func(c *Controller, at Nanos) int {
-		return dispatches(c.Decide(at, Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7,
-			CostKnown: true}))
-	}
-	sweep := func(c *Controller, at Nanos) int {
-		return dispatches(c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID}))
 	}
+	return dispatches
+}
 
-	// Rule 5: a key rests from the elder's end on.
-	if c := begin(false, 0); keyed(c, start+1e7) != 1 {
-		t.Error("without an elder a key waits")
-	}
-	c := begin(true, 0)
-	if keyed(c, start+1e7) != 0 || sweep(c, start+5e8) != 0 {
-		t.Error("a key goes on while an elder may serve it")
-	}
-	c.Decide(start+6e8, Event{Kind: PredecessorChanged})
-	if sweep(c, start+6e8+5e7) != 0 {
-		t.Error("a key goes on before it has rested")
-	}
-	if sweep(c, start+6e8+11e7) != 1 {
-		t.Error("a key never goes on")
-	}
+func sweepAt(c *Controller, after Nanos) (dispatches int) {
+	return dispatchesAt(c, after, Event{Kind: TimerFired, TimerID: c.timerID})
+}
 
-	// Rule 4: what the elder sent to a cold engine is not known before a window after its end.
-	lookup := func(c *Controller, job JobID, at Nanos) int {
-		return dispatches(c.Decide(at, Event{Kind: JobArrived, Job: job, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}))
-	}
-	c = begin(true, start)
-	c.Decide(start+2e9, Event{Kind: PredecessorChanged})
-	if lookup(c, 1, start+25e8) != 0 {
-		t.Error("a cold engine is sent a job within a window after the elder's end")
-	}
-	if sweep(c, start+31e8) != 1 {
-		t.Error("it is never sent one")
-	}
-	if c = begin(false, start); lookup(c, 1, start+12e8) != 1 {
-		t.Error("without an elder a cold engine is never sent a job")
-	}
+func TestPredecessorCountsInRules(t *testing.T) {
+	predecessorEnded := Event{Kind: PredecessorChanged}
+	keyed := Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}
+	lookup := Event{Kind: JobArrived, Job: 1, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}
 
-	// Rule 7: the free part of the budget may be the elder's for a window.
-	c = begin(true, 0)
-	if c.Decide(start+1e9, Event{Kind: PredecessorChanged}); c.retryBudgetAllows() {
-		t.Error("the free part is used twice")
-	}
-	if c.now = start + 61e8; !c.retryBudgetAllows() {
-		t.Error("the budget never comes back")
-	}
+	t.Run("rule 5: a key pauses from the predecessor's end on", func(t *testing.T) {
+		if c := newSuccessor(false, 0); dispatchesAt(c, 1e7, keyed) != 1 {
+			t.Error("without a predecessor a key waits")
+		}
+		c := newSuccessor(true, 0)
+		if dispatchesAt(c, 1e7, keyed) != 0 || sweepAt(c, 5e8) != 0 {
+			t.Error("a key goes on while a predecessor may serve it")
+		}
+		c.Decide(successorStart+6e8, predecessorEnded)
+		if sweepAt(c, 6e8+5e7) != 0 {
+			t.Error("a key goes on before it has paused")
+		}
+		if sweepAt(c, 6e8+11e7) != 1 {
+			t.Error("a key never goes on")
+		}
+	})
+
+	t.Run("rule 4: what it sent an engine in slow start is unknown until a window after its end", func(t *testing.T) {
+		c := newSuccessor(true, successorStart)
+		c.Decide(successorStart+2e9, predecessorEnded)
+		if dispatchesAt(c, 25e8, lookup) != 0 {
+			t.Error("an engine in slow start gets a job within a window after the predecessor's end")
+		}
+		if sweepAt(c, 31e8) != 1 {
+			t.Error("it never gets one")
+		}
+		if c = newSuccessor(false, successorStart); dispatchesAt(c, 12e8, lookup) != 1 {
+			t.Error("without a predecessor an engine in slow start never gets a job")
+		}
+	})
+
+	t.Run("rule 7: it may have used the free part of the budget for a window", func(t *testing.T) {
+		c := newSuccessor(true, 0)
+		if c.Decide(successorStart+1e9, predecessorEnded); c.retryBudgetAllows() {
+			t.Error("the free part is used twice")
+		}
+		if c.now = successorStart + 61e8; !c.retryBudgetAllows() {
+			t.Error("the budget never comes back")
+		}
+	})
 }
 
 // What an older process has learned goes over; what it cannot have learned does not.
--- a/choice/queue_test.go
+++ b/choice/queue_test.go
@@ -40,7 +40,7 @@
 		delete(s.timers, mark)
 		s.handle(Event{Kind: TimerFired, TimerID: mark})
 	}
-	require(t, !s.jobs[id].attempts[0].cancelRequested, "called back for our own stall")
+	require(t, !s.jobs[id].attempts[0].cancelRequested, "canceled for our own stall")
 	s.finish(id, Done)
 	require(t, s.c.fleet.meanLatencyRatio < 1.1 && s.c.types[1].price == 0, "latency/best %v, price %v",
 		s.c.fleet.meanLatencyRatio, s.c.types[1].price)
--- a/choice/retry_test.go
+++ b/choice/retry_test.go
@@ -12,12 +12,12 @@
 	require(t, !s.jobs[id].attempts[0].cancelRequested, "a good pace is left alone")
 	s.now += 1500 * ms
 	s.handle(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.31})
-	require(t, s.jobs[id].attempts[0].cancelRequested, "not called back")
+	require(t, s.jobs[id].attempts[0].cancelRequested, "not canceled")
 	s.finish(id, Canceled)
 	require(t, len(s.enginesOf(id)) == 2, "not sent again")
 }
 
-// The failure: with rough estimates a third of what was called back as a bad plan or overdue was a job larger than its
+// The failure: with rough estimates a third of what was canceled as a bad plan or overdue was a job larger than its
 // estimate, which runs as long again.
 func TestScatteredEstimatesAreNoBadPlan(t *testing.T) {
 	for _, rough := range []bool{false, true} {
@@ -35,7 +35,7 @@
 		id := s.arrive(1, 0, 1)
 		s.now += Nanos(2 * s.c.jobs[id].attempt.expectedNanos)
 		s.handle(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.5}) // four times in all
-		require(t, s.jobs[id].attempts[0].cancelRequested != rough, "rough=%v: called back=%v, scatter %v", rough, !rough,
+		require(t, s.jobs[id].attempts[0].cancelRequested != rough, "rough=%v: canceled=%v, scatter %v", rough, !rough,
 			s.c.durationSpread())
 	}
 }
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -48,7 +48,7 @@
 	require(t, play() == first, "two plays differ")
 }
 
-// Settings restated in a running controller hold from the next decision on, in both directions; what was taken in
+// Settings changed in a running controller hold from the next decision on, in both directions; what was taken in
 // and what types have learned stay.
 func TestReconfigurationAppliesAtOnceBothWays(t *testing.T) {
 	s := newStage(t, plainSettings(), 2)
@@ -60,7 +60,7 @@
 	require(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == meanWork && !s.c.settings.cancelAllowed,
 		"what was out or learned is lost")
 	parked := s.arrive(1, 0, 1)
-	require(t, len(s.enginesOf(parked)) == 0, "sent to an engine of a kind that the restated settings bar")
+	require(t, len(s.enginesOf(parked)) == 0, "sent to an engine of a kind that the new settings bar")
 	s.handle(Event{Kind: Reconfigured, Settings: plainSettings()})
 	s.pass(resampleInterval)
 	require(t, len(s.enginesOf(parked)) == 1 && s.c.settings.cancelAllowed, "the way back does not hold at once")
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -36,7 +36,8 @@
 	require(t, strings.Count(s.logText, "engine restart suspected") == 1, "%v", s.logText)
 }
 
-// The failure: by even parts a cold engine gets nothing from hundreds of controllers, by looser ones it falls over.
+// The failure: by even parts an engine in slow start gets nothing from hundreds of controllers, by looser ones it
+// falls over.
 func TestSlowStartTurnsBoundAllControllersTogether(t *testing.T) {
 	const n, steps = 100, 80
 	var stages []*stage
--- a/choice/stage_chaos_test.go
+++ b/choice/stage_chaos_test.go
@@ -6,43 +6,15 @@
 	"slices"
 )
 
-// chaos plays a seeded random run: outcomes, notes, probes, lists and clients as bad as they come.
+// chaos plays a seeded random run: outcomes, progress, probes, lists and clients as bad as they come.
 func (s *stage) chaos(r *rand.Rand, steps int) {
 	s.slowProbes = true
 	for range steps {
 		for n := r.Intn(3); n > 0; n-- {
-			typ := TypeID(r.Intn(len(s.settings.list("classes"))))
-			ev := Event{Type: typ, Tenant: TenantID(r.Intn(3)), Key: Key(r.Intn(4)), Tables: TableGroup(r.Intn(4)),
-				TimeLeft: Nanos(r.Int63n(int64(3 * second))), Cost: Nanos(r.Int63n(int64(second))), CostKnown: true, MemoryMB: 100}
-			switch r.Intn(12) {
-			case 0:
-				ev.CostKnown, ev.Cost, ev.MemoryMB = false, 0, math.NaN()
-			case 1:
-				ev.Cost, ev.MemoryMB = math.MaxInt64, math.Inf(1)
-			case 2:
-				ev.TimeLeft, ev.Cost = 0, -5
-			}
-			s.arriveAs(ev)
+			s.arriveAs(s.randomJob(r))
 		}
 		for _, j := range slices.Clone(s.admitted) {
-			for i, d := range j.attempts {
-				if d.ended {
-					continue
-				}
-				switch roll := r.Intn(60); {
-				case d.cancelRequested && roll < 40:
-					s.finish(j.ev.Job, Canceled)
-				case roll < 9:
-					s.finish(j.ev.Job, Done)
-				case roll < 16:
-					s.finish(j.ev.Job, Result(2+r.Intn(7)))
-				case roll < 20:
-					s.handle(Event{Kind: ProgressReported, Job: j.ev.Job, Seq: AttemptSeq(i), Engine: d.engine,
-						Progress: ProgressKind(r.Intn(4)),
-						Amount:   r.Float64()})
-				}
-				break
-			}
+			s.randomOutcome(r, j)
 			if r.Intn(200) == 0 && !j.ended {
 				j.ended, j.endedBy = true, clientDisconnected
 				s.handle(Event{Kind: ClientDisconnected, Job: j.ev.Job})
@@ -52,25 +24,79 @@
 			s.handle(Event{Kind: ProbeCompleted, Engine: e, Result: Result(1 + r.Intn(8)), Load: []float64{r.Float64() * 20}})
 		}
 		s.probes = nil
-		switch id := EngineID(100 + r.Intn(5)); r.Intn(25) {
-		case 0:
-			s.list(ListDelta, EngineEntry{Engine: id, State: EngineState(r.Intn(3)), Kind: KindID(r.Intn(3)),
-				Zone: ZoneID(id % 2)})
-		case 1:
-			s.list(ListDelta, EngineEntry{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
-		case 2:
-			s.list(ListFailed)
-		case 3:
-			s.list(FullList, EngineEntry{Engine: id, State: Ready, Zone: ZoneID(id % 2)},
-				EngineEntry{Engine: id + 1, State: Ready, Zone: ZoneID((id + 1) % 2)})
-		case 4:
-			s.handle(Event{Kind: TimerFired, TimerID: 1 << 40})
-			s.handle(Event{Kind: AttemptEnded, Job: 1 << 30, Result: Done})
-			s.handle(Event{Kind: StreamStarted, Job: 1 << 30})
-		}
+		s.randomList(r)
 		s.pass(Nanos(1+r.Intn(8)) * 5 * ms)
 	}
-	for range 1000 { // the world calms down: every job must end, and every table empty
+	s.calmDown()
+}
+
+func (s *stage) randomJob(r *rand.Rand) Event {
+	ev := Event{
+		Type:      TypeID(r.Intn(len(s.settings.list("classes")))),
+		Tenant:    TenantID(r.Intn(3)),
+		Key:       Key(r.Intn(4)),
+		Tables:    TableGroup(r.Intn(4)),
+		TimeLeft:  Nanos(r.Int63n(int64(3 * second))),
+		Cost:      Nanos(r.Int63n(int64(second))),
+		CostKnown: true,
+		MemoryMB:  100,
+	}
+	switch r.Intn(12) {
+	case 0:
+		ev.CostKnown, ev.Cost, ev.MemoryMB = false, 0, math.NaN()
+	case 1:
+		ev.Cost, ev.MemoryMB = math.MaxInt64, math.Inf(1)
+	case 2:
+		ev.TimeLeft, ev.Cost = 0, -5
+	}
+	return ev
+}
+
+// randomOutcome may end the attempt of a job that is out, or report its progress.
+func (s *stage) randomOutcome(r *rand.Rand, j *stagedJob) {
+	i := slices.IndexFunc(j.attempts, (*stagedAttempt).isOut)
+	if i < 0 {
+		return
+	}
+	switch roll := r.Intn(60); {
+	case j.attempts[i].cancelRequested && roll < 40:
+		s.finish(j.ev.Job, Canceled)
+	case roll < 9:
+		s.finish(j.ev.Job, Done)
+	case roll < 16:
+		s.finish(j.ev.Job, Result(2+r.Intn(7)))
+	case roll < 20:
+		s.handle(Event{Kind: ProgressReported, Job: j.ev.Job, Seq: AttemptSeq(i), Engine: j.attempts[i].engine,
+			Progress: ProgressKind(r.Intn(4)), Amount: r.Float64()})
+	}
+}
+
+// randomList may change the list of engines, or send events of what is not known.
+func (s *stage) randomList(r *rand.Rand) {
+	id := EngineID(100 + r.Intn(5))
+	entry := EngineEntry{Engine: id, State: Ready, Zone: ZoneID(id % 2)}
+	switch r.Intn(25) {
+	case 0:
+		entry.State = EngineState(r.Intn(3))
+		entry.Kind = KindID(r.Intn(3))
+		s.list(ListDelta, entry)
+	case 1:
+		entry.StartedAt = s.now
+		s.list(ListDelta, entry)
+	case 2:
+		s.list(ListFailed)
+	case 3:
+		s.list(FullList, entry, EngineEntry{Engine: id + 1, State: Ready, Zone: ZoneID((id + 1) % 2)})
+	case 4:
+		s.handle(Event{Kind: TimerFired, TimerID: 1 << 40})
+		s.handle(Event{Kind: AttemptEnded, Job: 1 << 30, Result: Done})
+		s.handle(Event{Kind: StreamStarted, Job: 1 << 30})
+	}
+}
+
+// calmDown lets all attempts end well: every job must end, and every table become empty.
+func (s *stage) calmDown() {
+	for range 1000 {
 		for _, j := range slices.Clone(s.admitted) {
 			if j.out() {
 				s.finish(j.ev.Job, Done)
--- a/choice/stage_rules_test.go
+++ b/choice/stage_rules_test.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// check holds an action against the rules, and takes it into the stage's state.
 func (s *stage) check(a Action) {
 	j := s.jobs[a.Job]
 	switch a.Kind {
@@ -16,20 +17,11 @@
 		s.logText += a.Text + "\n"
 	case CancelAttempt:
 		if int(a.Seq) >= len(j.attempts) {
-			s.t.Fatalf("retracts dispatch %d of job %d, never sent", a.Seq, a.Job)
+			s.t.Fatalf("cancels attempt %d of job %d, never dispatched", a.Seq, a.Job)
 		}
 		j.attempts[a.Seq].cancelRequested = true
 	case Throttle, CancelPermanently:
-		at := func(name string) string { return fmt.Sprintf("classes.%d.%s", j.ev.Type, name) }
-		effect := s.settings.text(at("idempotency"))
-		switch {
-		case j.ended:
-			s.t.Fatalf("rule 1: a second final answer for job %d", a.Job)
-		case a.Kind == Throttle && j.unsure() && effect == "once":
-			s.t.Fatalf("rule 2: run-once job %d throttled though it may have run", a.Job)
-		case a.Kind == Throttle && j.unsure() && effect == "by_key" && s.settings.text(at("key_scope")) != "all":
-			s.t.Fatalf("rule 2: keyed job %d throttled outside its group", a.Job)
-		}
+		s.checkFinalAnswer(j, a)
 		j.ended, j.endedBy = true, a.Kind
 	case Dispatch:
 		s.checkDispatch(j, a)
@@ -37,83 +29,130 @@
 	}
 }
 
+// classPath is the path of a setting of a job's type.
+func classPath(j *stagedJob, name string) string {
+	return fmt.Sprintf("classes.%d.%s", j.ev.Type, name)
+}
+
+// checkFinalAnswer holds rules 1 and 2 for answers.
+func (s *stage) checkFinalAnswer(j *stagedJob, a Action) {
+	effect := s.settings.text(classPath(j, "idempotency"))
+	throttledUnsure := a.Kind == Throttle && j.unsure()
+	switch {
+	case j.ended:
+		s.t.Fatalf("rule 1: a second final answer for job %d", a.Job)
+	case throttledUnsure && effect == "once":
+		s.t.Fatalf("rule 2: run-once job %d throttled though it may have run", a.Job)
+	case throttledUnsure && effect == "by_key" && s.settings.text(classPath(j, "key_scope")) != "all":
+		s.t.Fatalf("rule 2: keyed job %d throttled outside its group", a.Job)
+	}
+}
+
+// checkDispatch holds all rules for a dispatch.
 func (s *stage) checkDispatch(j *stagedJob, a Action) {
-	at := func(name string) string { return fmt.Sprintf("classes.%d.%s", j.ev.Type, name) }
-	line, known := s.entries[a.Engine]
-	switch unavailableSince, unavailable := s.unavailableSince[a.Engine]; {
+	entry, known := s.entries[a.Engine]
+	unavailableSince, unavailable := s.unavailableSince[a.Engine]
+	switch {
 	case j.ended || s.now > j.at+max(0, j.ev.TimeLeft):
-		s.t.Fatalf("rule 1: job %d sent after its end", a.Job)
+		s.t.Fatalf("rule 1: job %d dispatched after its end", a.Job)
 	case j.out():
-		s.t.Fatalf("job %d has two dispatches out", a.Job)
+		s.t.Fatalf("job %d has two attempts out", a.Job)
 	case !known:
-		s.t.Fatalf("job %d sent to unknown engine %d", a.Job, a.Engine)
+		s.t.Fatalf("job %d dispatched to unknown engine %d", a.Job, a.Engine)
 	case unavailable && s.now > unavailableSince+s.settings.nanos("invariants.drain_grace_ns"):
-		s.t.Fatalf("rule 3: job %d sent to engine %d that drains or is gone", a.Job, a.Engine)
+		s.t.Fatalf("rule 3: job %d dispatched to engine %d that drains or is removed", a.Job, a.Engine)
 	case len(j.attempts) >= int(s.settings.number("limits.most_tries", 1)):
-		s.t.Fatalf("job %d sent too often", a.Job)
+		s.t.Fatalf("job %d dispatched too often", a.Job)
 	}
-	if effect := s.settings.text(at("idempotency")); j.unsure() && effect != "repeatable" {
-		first := j.attempts[slices.IndexFunc(j.attempts, (*stagedAttempt).mayHaveRun)]
-		was, scope := s.entries[first.engine], s.settings.text(at("key_scope"))
-		if effect == "once" || s.now > first.dispatchedAt+s.settings.nanos(at("repeat_window_ns")) ||
-			(scope == "zone" && was.Zone != line.Zone) || (scope == "cell" && was.Cell != line.Cell) {
-			s.t.Fatalf("rule 2: job %d (%s) sent again though it may have run", a.Job, effect)
-		}
+	s.checkRepeat(j, entry)
+	s.checkOrder(j)
+	s.checkPlace(j, entry)
+	s.checkRetryBudget(j)
+	s.checkSlowStart(j, entry)
+}
+
+// checkRepeat holds rule 2 for a job that may have run.
+func (s *stage) checkRepeat(j *stagedJob, entry EngineEntry) {
+	effect := s.settings.text(classPath(j, "idempotency"))
+	if !j.unsure() || effect == "repeatable" {
+		return
 	}
-	if s.settings.flag(at("fifo_by_key")) && j.ev.Key != 0 {
-		for _, o := range s.admitted {
-			if o == j {
-				break
-			}
-			if o.ev.Key == j.ev.Key && s.settings.flag(fmt.Sprintf("classes.%d.fifo_by_key", o.ev.Type)) &&
-				(!o.ended || o.out() || s.now < o.pausedUntil) {
-				s.t.Fatalf("rule 5: job %d sent before its key's turn", a.Job)
-			}
-		}
+	first := j.attempts[slices.IndexFunc(j.attempts, (*stagedAttempt).mayHaveRun)]
+	was, scope := s.entries[first.engine], s.settings.text(classPath(j, "key_scope"))
+	windowOver := s.now > first.dispatchedAt+s.settings.nanos(classPath(j, "repeat_window_ns"))
+	if effect == "once" || windowOver ||
+		(scope == "zone" && was.Zone != entry.Zone) || (scope == "cell" && was.Cell != entry.Cell) {
+		s.t.Fatalf("rule 2: job %d (%s) dispatched again though it may have run", j.ev.Job, effect)
 	}
-	zones, kinds := s.settings.list(at("allowed_in")), s.settings.list(at("kinds_only"))
-	if (zones != nil && !slices.Contains(zones, any(float64(line.Zone)))) ||
-		(kinds != nil && !slices.Contains(kinds, any(float64(line.Kind)))) {
-		s.t.Fatalf("rule 6: job %d sent to zone %d, kind %d", a.Job, line.Zone, line.Kind)
+}
+
+// checkOrder holds rule 5.
+func (s *stage) checkOrder(j *stagedJob) {
+	if !s.settings.flag(classPath(j, "fifo_by_key")) || j.ev.Key == 0 {
+		return
 	}
-	if ratio := s.settings.number("invariants.further_ratio", -1); ratio >= 0 && len(j.attempts) > 0 {
-		s.further = append(s.further, s.now)
-		window, n, took := s.settings.nanos("invariants.extra_window_ns"), 0.0, 0.0
-		for _, f := range s.further {
-			if f > s.now-window {
-				n++
-			}
+	for _, o := range s.admitted {
+		if o == j {
+			return
+		}
+		if o.ev.Key == j.ev.Key && s.settings.flag(classPath(o, "fifo_by_key")) &&
+			(!o.ended || o.out() || s.now < o.pausedUntil) {
+			s.t.Fatalf("rule 5: job %d dispatched before its key's turn", j.ev.Job)
 		}
-		for _, o := range s.jobs {
-			if o.at > s.now-window {
-				took++
-			}
+	}
+}
+
+// checkPlace holds rule 6 for zones and kinds.
+func (s *stage) checkPlace(j *stagedJob, entry EngineEntry) {
+	zones, kinds := s.settings.list(classPath(j, "allowed_in")), s.settings.list(classPath(j, "kinds_only"))
+	if (zones != nil && !slices.Contains(zones, any(float64(entry.Zone)))) ||
+		(kinds != nil && !slices.Contains(kinds, any(float64(entry.Kind)))) {
+		s.t.Fatalf("rule 6: job %d dispatched to zone %d, kind %d", j.ev.Job, entry.Zone, entry.Kind)
+	}
+}
+
+// checkRetryBudget holds rule 7.
+func (s *stage) checkRetryBudget(j *stagedJob) {
+	ratio := s.settings.number("invariants.further_ratio", -1)
+	if ratio < 0 || len(j.attempts) == 0 {
+		return
+	}
+	s.further = append(s.further, s.now)
+	since := s.now - s.settings.nanos("invariants.extra_window_ns")
+	retries, admitted := 0.0, 0.0
+	for _, at := range s.further {
+		if at > since {
+			retries++
 		}
-		if n > s.settings.number("invariants.budget_free", 0)+ratio*took {
-			s.t.Fatalf("rule 7: %v further dispatches for %v jobs taken", n, took)
+	}
+	for _, o := range s.jobs {
+		if o.at > since {
+			admitted++
 		}
 	}
-	s.checkSlowStart(j, line)
+	if retries > s.settings.number("invariants.budget_free", 0)+ratio*admitted {
+		s.t.Fatalf("rule 7: %v further dispatches for %v jobs admitted", retries, admitted)
+	}
 }
 
-// checkCold holds rule 4 as far as one controller can break it alone.
-func (s *stage) checkSlowStart(j *stagedJob, line EngineEntry) {
-	f := s.settings
-	if line.StartedAt == 0 || s.now-line.StartedAt >= f.nanos("invariants.warm_within_ns") {
+// checkSlowStart holds rule 4 as far as one controller can break it alone.
+func (s *stage) checkSlowStart(j *stagedJob, entry EngineEntry) {
+	if entry.StartedAt == 0 || s.now-entry.StartedAt >= s.settings.nanos("invariants.warm_within_ns") {
 		return
 	}
+	work := timedWork{s.now, float64(min(j.ev.Cost, 10*second))}
+	s.slowStartWork[entry.Engine] = append(s.slowStartWork[entry.Engine], work)
 	sum := 0.0
-	s.slowStartWork[line.Engine] = append(s.slowStartWork[line.Engine], timedWork{s.now,
-		float64(min(j.ev.Cost, 10*second))})
-	for _, w := range s.slowStartWork[line.Engine] {
-		if w.dispatchedAt >= s.now-f.nanos("invariants.fall_ns") {
+	for _, w := range s.slowStartWork[entry.Engine] {
+		if w.dispatchedAt >= s.now-s.settings.nanos("invariants.fall_ns") {
 			sum += w.work
 		}
 	}
-	cores := f.number(fmt.Sprintf("domain.cpu_of_kind.%d", line.Kind), 1)
-	allowed := f.number("invariants.fall_multiple", 1) * f.number("invariants.start_capacity",
-		1) * cores * f.number("invariants.fall_ns", 0)
+	cores := s.settings.number(fmt.Sprintf("domain.cpu_of_kind.%d", entry.Kind), 1)
+	multiple := s.settings.number("invariants.fall_multiple", 1)
+	capacity := s.settings.number("invariants.start_capacity", 1)
+	allowed := multiple * capacity * cores * s.settings.number("invariants.fall_ns", 0)
 	if sum > allowed {
-		s.t.Fatalf("rule 4: cold engine %d was sent %.1f of %.1f s of work", line.Engine, sum/1e9, allowed/1e9)
+		s.t.Fatalf("rule 4: engine %d in slow start got %.1f of %.1f s of work", entry.Engine, sum/1e9, allowed/1e9)
 	}
 }
