--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -273,7 +273,7 @@
 
 // answer gives the final answer, unless there was one. A slow client must not delay the cancelling of what is in
 // flight.
-func (r *jobRunner) answer(kind jobstats.How, write func()) {
+func (r *jobRunner) answer(kind jobstats.Outcome, write func()) {
 	if !r.state.owesAnswer() {
 		return
 	}
@@ -294,7 +294,7 @@
 	}
 	r.advance(answerSettled)
 	r.gateway.closeCall(r.job)
-	r.countOutcome(jobstats.Left, 0)
+	r.countOutcome(jobstats.Abandoned, 0)
 	r.gateway.notify(choice.Event{Kind: choice.ClientDisconnected, Job: r.job.id})
 }
 
@@ -327,6 +327,6 @@
 	}
 }
 
-func (r *jobRunner) countOutcome(kind jobstats.How, workMS float64) {
+func (r *jobRunner) countOutcome(kind jobstats.Outcome, workMS float64) {
 	r.gateway.countOutcome(r.job.Request, jobOutcome{kind: kind, attempts: r.attempts, workMS: workMS})
 }
--- a/internal/leader/health_watch.go
+++ b/internal/leader/health_watch.go
@@ -59,7 +59,7 @@
 	for i, answer := range w.fleet.Ask(ctx) {
 		if answer.Err == nil {
 			w.repliedAt[i] = now
-			w.latest[i] = Health{Serving: answer.Status.Serves, ReadyEngines: answer.Status.EngineCount}
+			w.latest[i] = Health{Serving: answer.Status.Serving, ReadyEngines: answer.Status.ReadyEngineCount}
 		}
 		w.latest[i].Name = w.fleet.Members[i].Name
 		w.latest[i].Reachable = !w.repliedAt[i].IsZero() && now.Sub(w.repliedAt[i]) < requestTimeout
