--- a/internal/leader/fitness_test.go
+++ b/internal/leader/fitness_test.go
@@ -5,96 +5,111 @@
 	"testing"
 )
 
-func well(name string) Health {
+func healthy(name string) Health {
 	return Health{Name: name, Reachable: true, Serving: true, ReadyEngines: 3, ReachableMembers: 9, Members: 10}
 }
 
-func TestAnUnfitOwnerHandsOverToOneThatIsFit(t *testing.T) {
-	bad := func(name string, as func(*Health)) Health {
-		h := well(name)
-		as(&h)
-		return h
+// unhealthy returns a voter's health with one fault.
+func unhealthy(name string, fault func(*Health)) Health {
+	health := healthy(name)
+	fault(&health)
+	return health
+}
+
+func TestAnUnfitLeaderHandsOverToAFitVoter(t *testing.T) {
+	others := []Health{
+		unhealthy("b", func(h *Health) { h.Reachable = false }),
+		unhealthy("c", func(h *Health) { h.ReadyEngines = 0 }),
+		healthy("d"),
 	}
-	for why, own := range map[string]Health{
-		"its controller does not serve": bad("a", func(h *Health) { h.Serving = false }), "its controller sees no ready engine": bad("a", func(h *Health) { h.ReadyEngines = 0 }),
-		"reaches 4 of 10 members": bad("a", func(h *Health) { h.ReachableMembers = 4 })} {
-		var f FitnessMonitor
-		others := []Health{bad("b", func(h *Health) { h.Reachable = false }), bad("c", func(h *Health) { h.ReadyEngines = 0 }), well("d")}
-		if to := f.Evaluate(1e9, own, others).To; to != "" {
-			t.Errorf("%s: at once to %s", why, to)
-		}
-		if got := f.Evaluate(1e9+handoverDelay, own, others); got != (Handover{To: "d", Reason: why}) {
-			t.Errorf("%s: %+v", why, got)
-		}
-		f = FitnessMonitor{}
-		f.Evaluate(1e9, own, others)
-		f.Evaluate(2e9, well("a"), others)
-		if to := f.Evaluate(1e9+handoverDelay, own, others).To; to != "" {
-			t.Errorf("%s: for a moment, and it hands over to %s", why, to)
-		}
-		f = FitnessMonitor{}
-		f.Evaluate(1e9, own, others[:2])
-		if to := f.Evaluate(100e9, own, others[:2]).To; to != "" {
-			t.Errorf("%s: to %s, which is no better", why, to)
-		}
+	for reason, fault := range map[string]func(*Health){
+		"its controller does not serve":       func(h *Health) { h.Serving = false },
+		"its controller sees no ready engine": func(h *Health) { h.ReadyEngines = 0 },
+		"reaches 4 of 10 members":             func(h *Health) { h.ReachableMembers = 4 },
+	} {
+		own := unhealthy("a", fault)
+		t.Run(reason, func(t *testing.T) {
+			var monitor FitnessMonitor
+			if got := monitor.Evaluate(1e9, own, others); got.To != "" {
+				t.Errorf("at once to %s", got.To)
+			}
+			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got != (Handover{To: "d", Reason: reason}) {
+				t.Errorf("%+v", got)
+			}
+		})
+		t.Run(reason+", for a moment", func(t *testing.T) {
+			var monitor FitnessMonitor
+			monitor.Evaluate(1e9, own, others)
+			monitor.Evaluate(2e9, healthy("a"), others)
+			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got.To != "" {
+				t.Errorf("to %s", got.To)
+			}
+		})
+		t.Run(reason+", and the others are no better", func(t *testing.T) {
+			var monitor FitnessMonitor
+			monitor.Evaluate(1e9, own, others[:2])
+			if got := monitor.Evaluate(100e9, own, others[:2]); got.To != "" {
+				t.Errorf("to %s", got.To)
+			}
+		})
 	}
-	// Stalls, of late only.
-	var f FitnessMonitor
-	own := well("a")
+}
+
+func TestALeaderThatStallsOftenHandsOver(t *testing.T) {
+	var monitor FitnessMonitor
+	own, others := healthy("a"), []Health{healthy("b")}
 	for now := int64(1e9); now < 60e9; now += 5e9 {
 		own.StalledTicks++
-		if to := f.Evaluate(now, own, []Health{well("b")}).To; to != "" {
-			t.Fatalf("one stall in 5 s: %s", to)
+		if got := monitor.Evaluate(now, own, others); got.To != "" {
+			t.Fatalf("one stall in 5 s: to %s", got.To)
 		}
 	}
-	handed := false
-	for now := int64(60e9); now < 70e9 && !handed; now += 1e9 {
+	for now := int64(60e9); now < 70e9; now += 1e9 {
 		own.StalledTicks++
-		to := f.Evaluate(now, own, []Health{well("b")}).To
-		handed = to == "b"
-	}
-	if !handed {
-		t.Error("a stall a second, and it stays")
+		if monitor.Evaluate(now, own, others).To == "b" {
+			return
+		}
 	}
+	t.Error("a stall a second, and it stays")
 }
 
-// Voters whose health comes and goes by chance hand over seldom: an hour, and all of them bad half of the time.
-func TestOwnersThatAreUnfitByTurnsDoNotHandToAndFro(t *testing.T) {
-	r := rand.New(rand.NewPCG(5, 5))
+// Voters whose health comes and goes at random hand over seldom: an hour, and all of them unfit half of the time.
+func TestVotersThatAreUnfitInTurnsDoNotHandBackAndForth(t *testing.T) {
+	const interval = int64(5e8)
+	random := rand.New(rand.NewPCG(5, 5))
 	names := []string{"a", "b", "c"}
-	fit, goodUntil := map[string]*FitnessMonitor{}, map[string]int64{}
-	isBad := map[string]bool{}
-	for _, n := range names {
-		fit[n] = &FitnessMonitor{}
+	monitors, changesAt, isUnfit := map[string]*FitnessMonitor{}, map[string]int64{}, map[string]bool{}
+	for _, name := range names {
+		monitors[name] = &FitnessMonitor{}
 	}
-	owner, changes, unfit := "a", 0, int64(0)
-	const look = int64(5e8)
-	for now := look; now < 3600e9; now += look {
-		all := map[string]Health{}
-		for _, n := range names {
-			if now >= goodUntil[n] {
-				isBad[n], goodUntil[n] = r.IntN(2) == 0, now+r.Int64N(20e9)
+	leader, changes, unfitTime := "a", 0, int64(0)
+	for now := interval; now < 3600e9; now += interval {
+		var own Health
+		var others []Health
+		for _, name := range names {
+			if now >= changesAt[name] {
+				isUnfit[name] = random.IntN(2) == 0
+				changesAt[name] = now + random.Int64N(20e9)
 			}
-			h := well(n)
-			if isBad[n] {
-				h.ReadyEngines = 0
+			health := healthy(name)
+			if isUnfit[name] {
+				health.ReadyEngines = 0
 			}
-			all[n] = h
-		}
-		if all[owner].unfitReason() != "" {
-			unfit++
-		}
-		var others []Health
-		for _, n := range names {
-			if n != owner {
-				others = append(others, all[n])
+			if name == leader {
+				own = health
+			} else {
+				others = append(others, health)
 			}
 		}
-		if to := fit[owner].Evaluate(now, all[owner], others).To; to != "" {
-			owner, changes = to, changes+1
+		if own.unfitReason() != "" {
+			unfitTime += interval
+		}
+		if got := monitors[leader].Evaluate(now, own, others); got.To != "" {
+			leader = got.To
+			changes++
 		}
 	}
-	t.Logf("%d changes an hour, unfit %.0f%% of it", changes, 100*float64(unfit*look)/3600e9)
+	t.Logf("%d changes an hour, unfit %.0f%% of it", changes, 100*float64(unfitTime)/3600e9)
 	if changes == 0 || changes > 40 {
 		t.Errorf("%d changes an hour", changes)
 	}
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"compress/gzip"
-	"context"
 	"encoding/binary"
 	"encoding/json"
 	"errors"
@@ -11,432 +10,153 @@
 	"io"
 	"maps"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"swiftreel/internal/assignment"
-	"swiftreel/internal/canary"
 	"swiftreel/internal/change"
-	"swiftreel/internal/coordinator"
 	"swiftreel/internal/golden"
 	"swiftreel/internal/operator"
 	"swiftreel/internal/quota"
-	"swiftreel/internal/rollout"
-	"swiftreel/internal/supervisor"
 )
 
 // The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that a
 // change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
 
-// fixtureNames are the members whose files stand in testdata; v3 is the second of its name, with another number.
-var fixtureNames = []string{"v1", "v2", "v3"}
+const statePath = "testdata/agreed.json"
 
-// fixturePace is quick, and has a log compacted after a few entries.
-var fixturePace = Timing{Tick: 20e6, Lease: 400e6, LeasePerMille: 800, RetainedEntries: 8}
-
-// fixtureProblem is what the fixture's fleet is planned from.
-const fixtureProblem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
-{"name":"e2","kind":"std","zone":"west","cores":16,"memory_mb":32000}],
-"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1}],
-"tenants":[{"name":"acme"}],"zones":[{"name":"east"},{"name":"west"}],"must":{},
-"demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":1}]}`
-
-// fakeKeeper is the door of one member's keeper: it tells a status and takes words, and keeps their texts.
-type fakeKeeper struct {
-	name string
-	jobs uint64 // its controller has so many more done at each look
-
-	mu    sync.Mutex
-	held  assignment.Accepted
-	looks uint64
-	texts [][]byte
-}
-
-// fakeBoot is the clock of all fake keepers: it stands still.
-const fakeBoot = int64(1e12)
-
-func (k *fakeKeeper) status(w http.ResponseWriter, r *http.Request) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Sequence, Serves: true,
-		EngineCount: 2, Started: 1, Work: map[canary.Group]canary.Work{}}
-	if r.URL.Query().Get("engines") == "1" {
-		s.Engines = []string{"e1", "e2"}
-	}
-	if k.jobs > 0 {
-		k.looks++
-		n := k.jobs * k.looks
-		s.Work[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: []uint64{0, 0, 0, n}}
-	}
-	json.NewEncoder(w).Encode(s)
-}
-
-func (k *fakeKeeper) word(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(r.Body)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if err == nil {
-		var word assignment.Assignment
-		if word, err = assignment.Read(bytes.NewReader(text)); err == nil {
-			k.held, err = k.held.Accept(word, k.name, "life of "+k.name, fakeBoot)
-		}
-	}
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusConflict)
-		return
-	}
-	k.texts = append(k.texts, text)
-	w.WriteHeader(http.StatusNoContent)
-}
-
-func (k *fakeKeeper) taken() [][]byte {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Clone(k.texts)
-}
-
-// testFleet is members in this process, each with its own file and its own door on loopback.
-type testFleet struct {
-	t       *testing.T
-	dir     string
-	fleet   operator.Fleet
-	nodes   map[string]*Node
-	keepers map[string]*fakeKeeper
-	servers []*httptest.Server
-	closed  bool
-}
-
-// openFleet opens the members' files in a folder; jobs are what their controllers have done at each look.
-func openFleet(t *testing.T, dir string, jobs map[string]uint64) *testFleet {
+// fixtureFolder returns a copy of the recorded members' files.
+func fixtureFolder(t *testing.T) string {
 	t.Helper()
-	f := &testFleet{t: t, dir: dir, nodes: map[string]*Node{}, keepers: map[string]*fakeKeeper{}}
-	addr, muxes := map[string]string{}, map[string]*http.ServeMux{}
-	for i, name := range fixtureNames {
-		mux, k := http.NewServeMux(), &fakeKeeper{name: name, jobs: jobs[name]}
-		mux.HandleFunc("GET /v1/status", k.status)
-		mux.HandleFunc("POST /v1/word", k.word)
-		s := httptest.NewServer(mux)
-		f.servers, f.keepers[name], muxes[name] = append(f.servers, s), k, mux
-		addr[name] = s.Listener.Addr().String()
-		f.fleet.Members = append(f.fleet.Members, operator.Member{Name: name, Listen: addr[name], Zone: []string{"east", "west", "west"}[i]})
-		f.fleet.Voters = append(f.fleet.Voters, name)
+	if golden.Missing(statePath) {
+		recordFixture(t)
 	}
+	folder := t.TempDir()
 	for _, name := range fixtureNames {
-		node, err := Open(name, filepath.Join(dir, name+".db"), addr, fixturePace)
-		if err != nil {
-			t.Fatal(err)
-		}
-		node.RegisterHandlers(muxes[name])
-		f.nodes[name] = node
+		unpack(t, filepath.Join("testdata", name+".db.gz"), filepath.Join(folder, name+".db"))
 	}
-	t.Cleanup(f.close)
-	return f
+	return folder
 }
 
-func (f *testFleet) close() {
-	if f.closed {
-		return
-	}
-	f.closed = true
-	for _, n := range f.nodes {
-		n.Close()
-	}
-	for _, s := range f.servers {
-		s.Close()
-	}
-}
-
-// runDuties has all members do their duties until the returned function is called.
-func (f *testFleet) runDuties() (end func()) {
-	f.t.Helper()
-	if err := os.WriteFile(filepath.Join(f.dir, "problem.json"), []byte(fixtureProblem), 0o600); err != nil {
-		f.t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	f.t.Cleanup(cancel)
-	var wait sync.WaitGroup
-	for _, n := range f.nodes {
-		d, err := NewDuties(n, &f.fleet, f.dir)
-		if err != nil {
-			f.t.Fatal(err)
-		}
-		wait.Go(func() { d.Run(ctx) })
-	}
-	return func() {
-		cancel()
-		wait.Wait()
-	}
-}
-
-// post has a member asked by another, or by an operator.
-func (f *testFleet) post(name, path string, body any) (int, string) {
-	f.t.Helper()
-	text, err := json.Marshal(body)
+func unpack(t *testing.T, from, to string) {
+	t.Helper()
+	file, err := os.Open(from)
 	if err != nil {
-		f.t.Fatal(err)
+		t.Fatal(err)
 	}
-	m, _ := f.fleet.Find(name)
-	a, err := http.Post("http://"+m.At()+path, "application/json", bytes.NewReader(text))
+	defer file.Close()
+	unpacked, err := gzip.NewReader(file)
 	if err != nil {
-		f.t.Fatal(err)
+		t.Fatal(err)
 	}
-	defer a.Body.Close()
-	got, err := io.ReadAll(a.Body)
+	text, err := io.ReadAll(unpacked)
 	if err != nil {
-		f.t.Fatal(err)
+		t.Fatal(err)
 	}
-	return a.StatusCode, string(got)
-}
-
-// await waits until something is so.
-func await(t *testing.T, what string, is func() bool) {
-	t.Helper()
-	for stop := time.Now().Add(60 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(stop) {
-			t.Fatalf("not in a minute: %s", what)
-		}
+	if err := os.WriteFile(to, text, 0o600); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// acting is a member that acts now, once there is one.
-func (f *testFleet) acting() (node *Node) {
-	f.t.Helper()
-	await(f.t, "one acts", func() bool {
-		for _, n := range f.nodes {
-			if n.Status().Active {
-				node = n
-			}
-		}
-		return node != nil
-	})
-	return node
-}
-
-// propose writes an item under whoever acts.
-func (f *testFleet) propose(name string, value []byte) {
-	f.t.Helper()
-	await(f.t, name+" is written", func() bool {
-		n := f.acting()
-		return n.Propose(n.ActiveTerm(), name, value) == nil
-	})
-}
-
-// agreed is what a member tells of what is agreed.
-func (f *testFleet) agreed(name string) (a State) {
-	f.t.Helper()
-	m, _ := f.fleet.Find(name)
-	answer, err := http.Get("http://" + m.At() + "/v1/owner/agreed")
+// fixtureState returns the replicated state that the recorded files hold.
+func fixtureState(t *testing.T) State {
+	t.Helper()
+	text, err := os.ReadFile(statePath)
 	if err != nil {
-		f.t.Fatal(err)
+		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	if err := json.NewDecoder(answer.Body).Decode(&a); err != nil {
-		f.t.Fatal(err)
+	var state State
+	if err := json.Unmarshal(text, &state); err != nil {
+		t.Fatal(err)
 	}
-	return a
-}
-
-// settle waits until all members know the same, and returns it.
-func (f *testFleet) settle() (a State) {
-	f.t.Helper()
-	await(f.t, "all know the same", func() bool {
-		a = f.agreed(f.acting().name)
-		for _, name := range fixtureNames {
-			if other := f.agreed(name); !bytes.Equal(other.encode(), a.encode()) {
-				return false
-			}
-		}
-		return true
-	})
-	return a
+	return state
 }
 
-// recordFixture writes the files of testdata: members of a fleet that has had a change, parts and a plan agreed, whose owner
-// changed, whose log was compacted, and of which one lost its memory and was taken in again.
-func recordFixture(t *testing.T) {
-	dir := t.TempDir()
-	f := openFleet(t, dir, map[string]uint64{"v1": 300, "v2": 100, "v3": 20})
-	f.fleet.Parts = &operator.Parts{LifeMS: 3000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 1, LifeMS: 60_000, SolveMS: 1000}
-	names := map[uint64]string{1: "v1", 2: "v2", 3: "v3"}
-	for id, name := range names {
-		if code, text := f.post(name, "/v1/owner/found", map[string]any{"id": id, "names": names}); code != http.StatusOK {
-			t.Fatal(code, text)
-		}
-	}
-	end := f.runDuties()
-	await(t, "parts and a plan are agreed", func() bool {
-		a := f.agreed(f.acting().name)
-		var r quota.Record
-		return json.Unmarshal(a.Items[quotaItem], &r) == nil && r.Limits["v1"][quota.Fleet] > 450_000 && a.Items[planItem] != nil
-	})
-	end()
-	changed := coordinator.Record{By: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
-		To:     change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}, Shape: json.RawMessage(`{"budget_free":1}`)},
-		Stages: [][]string{{"v1"}, {"v1", "v2", "v3"}}, Asked: "1",
-		State: rollout.State{Phase: rollout.Done, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Turn: 7}, Why: "all run it"}}
-	changed.Change.Number, changed.Change.Kind = 1, change.Settings
-	for name, v := range map[string]any{"change.json": changed, "ask.json": coordinator.Wish{ID: "1", Ask: rollout.AskResume}} {
-		text, err := json.MarshalIndent(v, "", " ")
-		if err != nil {
-			t.Fatal(err)
-		}
-		f.propose(name, text)
-	}
-	for i := range 20 {
-		f.propose("register", fmt.Append(nil, "value ", i))
-	}
-	f.acting().TransferLeadership("")
-	f.propose("register", []byte("after the first owner"))
-	f.close()
-	if err := os.Remove(filepath.Join(dir, "v3.db")); err != nil {
-		t.Fatal(err)
-	}
-	f = openFleet(t, dir, nil)
-	if code, text := f.post("v3", "/v1/owner/found", map[string]any{"id": 9}); code != http.StatusOK {
-		t.Fatal(code, text)
-	}
-	await(t, "v3 is taken in", func() bool {
-		f.post(f.acting().name, "/v1/owner/join", map[string]any{"names": map[uint64]string{9: "v3"}})
-		v := f.nodes["v3"].Status()
-		return v.ID == 9 && slices.Contains(v.Voters, "v3") && len(v.Voters) == 3
-	})
-	for i := range 5 {
-		f.propose("register", fmt.Append(nil, "the last ", i))
-	}
-	a := f.settle()
-	f.close()
-	golden.Check(t, "agreed.json", append(a.encode(), '\n'))
-	for _, name := range fixtureNames {
-		text, err := os.ReadFile(filepath.Join(dir, name+".db"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		var packed bytes.Buffer
-		z := gzip.NewWriter(&packed)
-		z.Write(text)
-		if err := z.Close(); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(filepath.Join("testdata", name+".db.gz"), packed.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
+// describe writes all of a member's persistent state as text.
+func describe(persistent PersistentState) []byte {
+	var b bytes.Buffer
+	hard, metadata := persistent.HardState, persistent.Snapshot.GetMetadata()
+	fmt.Fprintf(&b, "number %d\n", persistent.MemberID)
+	fmt.Fprintf(&b, "term %d vote %d commit %d\n", hard.GetTerm(), hard.GetVote(), hard.GetCommit())
+	fmt.Fprintf(&b, "snapshot %d of term %d, voters %v learners %v: %s\n", metadata.GetIndex(), metadata.GetTerm(),
+		metadata.GetConfState().GetVoters(), metadata.GetConfState().GetLearners(), persistent.Snapshot.GetData())
+	for _, entry := range persistent.Entries {
+		fmt.Fprintf(&b, "entry %d of term %d, type %v: ", entry.GetIndex(), entry.GetTerm(), entry.GetType())
+		if entry.GetType() == raftpb.EntryNormal {
+			fmt.Fprintf(&b, "%s\n", entry.GetData())
+		} else {
+			fmt.Fprintf(&b, "%x\n", entry.GetData())
 		}
 	}
+	return b.Bytes()
 }
 
-// fixtureFolder is a copy of the recorded members' files.
-func fixtureFolder(t *testing.T) string {
-	t.Helper()
-	if golden.Missing("testdata/agreed.json") {
-		recordFixture(t)
-	}
-	dir := t.TempDir()
+func TestFilesOfAnEarlierProgramAreReadCompletely(t *testing.T) {
+	folder := fixtureFolder(t)
 	for _, name := range fixtureNames {
-		file, err := os.Open(filepath.Join("testdata", name+".db.gz"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer file.Close()
-		z, err := gzip.NewReader(file)
-		if err != nil {
-			t.Fatal(err)
-		}
-		text, err := io.ReadAll(z)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(filepath.Join(dir, name+".db"), text, 0o600); err != nil {
-			t.Fatal(err)
-		}
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(folder, name+".db")
+			persistent := loadStore(t, path)
+			golden.Check(t, name+".disk.txt", describe(persistent))
+			if len(persistent.Entries) == 0 || len(persistent.Snapshot.GetData()) == 0 {
+				t.Errorf("%d entries, a snapshot of %d bytes: it shows nothing",
+					len(persistent.Entries), len(persistent.Snapshot.GetData()))
+			}
+			copyPath := filepath.Join(folder, name+"-copy.db")
+			writeStore(t, copyPath, persistent)
+			if got := loadStore(t, copyPath); !bytes.Equal(describe(got), describe(persistent)) {
+				t.Errorf("written again it reads as\n%s", describe(got))
+			}
+			if got, want := storeKeys(t, copyPath), storeKeys(t, path); got != want {
+				t.Errorf("keys %s, wanted %s", got, want)
+			}
+		})
 	}
-	return dir
+	golden.Check(t, "keys.txt", []byte(storeKeys(t, filepath.Join(folder, "v1.db"))+"\n"))
 }
 
-func fixtureAgreed(t *testing.T) (a State) {
+func loadStore(t *testing.T, path string) PersistentState {
 	t.Helper()
-	text, err := os.ReadFile("testdata/agreed.json")
+	store, err := OpenStore(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &a); err != nil {
+	persistent, err := store.Load()
+	if err := errors.Join(err, store.Close()); err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return persistent
 }
 
-// diskText writes all of a member's disk as text.
-func diskText(d PersistentState) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "number %d\nterm %d vote %d commit %d\n", d.MemberID, d.HardState.GetTerm(), d.HardState.GetVote(), d.HardState.GetCommit())
-	m := d.Snapshot.GetMetadata()
-	fmt.Fprintf(&b, "snapshot %d of term %d, voters %v learners %v: %s\n", m.GetIndex(), m.GetTerm(), m.GetConfState().GetVoters(),
-		m.GetConfState().GetLearners(), d.Snapshot.GetData())
-	for _, e := range d.Entries {
-		fmt.Fprintf(&b, "entry %d of term %d, type %v: ", e.GetIndex(), e.GetTerm(), e.GetType())
-		if e.GetType() == raftpb.EntryNormal {
-			fmt.Fprintf(&b, "%s\n", e.GetData())
-		} else {
-			fmt.Fprintf(&b, "%x\n", e.GetData())
-		}
+func writeStore(t *testing.T, path string, persistent PersistentState) {
+	t.Helper()
+	store, err := OpenStore(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-	return b.Bytes()
-}
-
-func TestFilesOfAnEarlierProgramAreReadWhole(t *testing.T) {
-	dir := fixtureFolder(t)
-	for _, name := range fixtureNames {
-		s, err := OpenStore(filepath.Join(dir, name+".db"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		d, err := s.Load()
-		if err != nil {
-			t.Fatal(err)
-		}
-		golden.Check(t, name+".disk.txt", diskText(d))
-		if len(d.Entries) == 0 || len(d.Snapshot.GetData()) == 0 {
-			t.Errorf("%s: %d entries, a snapshot of %d bytes: it shows nothing", name, len(d.Entries), len(d.Snapshot.GetData()))
-		}
-		// Written anew it reads the same.
-		again, err := OpenStore(filepath.Join(dir, name+"-again.db"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := errors.Join(again.Initialize(d), again.Save(Output{Entries: d.Entries})); err != nil {
-			t.Fatal(err)
-		}
-		got, err := again.Load()
-		if err != nil || !bytes.Equal(diskText(got), diskText(d)) {
-			t.Errorf("%s: %v\n%s", name, err, diskText(got))
-		}
-		if err := errors.Join(s.Close(), again.Close()); err != nil {
-			t.Fatal(err)
-		}
-		if a, b := keysOf(t, filepath.Join(dir, name+".db")), keysOf(t, filepath.Join(dir, name+"-again.db")); a != b {
-			t.Errorf("%s: keys %s, %s", name, a, b)
-		}
+	err = store.Initialize(persistent)
+	if err == nil {
+		err = store.Save(Output{Entries: persistent.Entries})
+	}
+	if err := errors.Join(err, store.Close()); err != nil {
+		t.Fatal(err)
 	}
-	golden.Check(t, "keys.txt", []byte(keysOf(t, filepath.Join(dir, "v1.db"))+"\n"))
 }
 
-// keysOf are the buckets of a file and their keys; those of entries are numbers.
-func keysOf(t *testing.T, path string) string {
+// storeKeys returns the buckets of a file and their keys; those of entries are numbers.
+func storeKeys(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer db.Close()
-	var list []string
+	var keys []string
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, _ []byte) error {
@@ -444,7 +164,7 @@
 				if string(bucket) == "entries" {
 					key = fmt.Sprint(len(k), ":", binary.BigEndian.Uint64(k))
 				}
-				list = append(list, string(bucket)+"/"+key)
+				keys = append(keys, string(bucket)+"/"+key)
 				return nil
 			})
 		})
@@ -452,98 +172,124 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.Join(list, " ")
+	return strings.Join(keys, " ")
 }
 
-// The recorded folder is opened by this program: the fleet agrees on an owner of a later reign, with nothing lost, and what is
-// written then is there after another start.
+// The recorded folder is opened by this program: the fleet agrees on a leader of a later term, with nothing lost, and what
+// is written then is there after another start.
 func TestAFleetGoesOnFromFilesOfAnEarlierProgram(t *testing.T) {
-	dir := fixtureFolder(t)
-	was := fixtureAgreed(t)
-	f := openFleet(t, dir, nil)
-	a := f.settle()
-	if a.Term <= was.Term || !maps.EqualFunc(a.Items, was.Items, bytes.Equal) || !maps.Equal(a.Versions, was.Versions) || !maps.Equal(a.Members, was.Members) {
-		t.Errorf("%s after %s", a.encode(), was.encode())
-	}
-	if v := f.nodes["v3"].Status(); v.ID != 9 || len(v.Voters) != 3 || v.RaftTerm <= uint64(was.Term) {
-		t.Errorf("%+v", v)
-	}
-	if code, text := f.post("v1", "/v1/owner/found", map[string]any{"id": 4, "names": map[uint64]string{4: "v1"}}); code != http.StatusConflict {
-		t.Errorf("a member is founded again: %d %s", code, text)
+	folder := fixtureFolder(t)
+	recorded := fixtureState(t)
+	f := openFleet(t, folder, nil)
+	state := f.awaitEqualStates()
+	isComplete := maps.EqualFunc(state.Items, recorded.Items, bytes.Equal) &&
+		maps.Equal(state.Versions, recorded.Versions) && maps.Equal(state.Members, recorded.Members)
+	if state.Term <= recorded.Term || !isComplete {
+		t.Errorf("%s after %s", state.encode(), recorded.encode())
+	}
+	if status := f.nodes["v3"].Status(); status.ID != 9 || len(status.Voters) != 3 || status.RaftTerm <= uint64(recorded.Term) {
+		t.Errorf("%+v", status)
+	}
+	again := bootstrapRequest{ID: 4, Members: map[uint64]string{4: "v1"}}
+	if code, reply := f.post("v1", "/v1/owner/found", again); code != http.StatusConflict {
+		t.Errorf("a member is bootstrapped again: %d %s", code, reply)
 	}
 	f.propose("register", []byte("by this program"))
 	f.close()
 
-	f = openFleet(t, dir, nil)
-	next := f.settle()
-	if next.Term <= a.Term || string(next.Items["register"]) != "by this program" || next.Versions["register"] < was.Versions["register"]+1 {
-		t.Errorf("%s after %s", next.encode(), a.encode())
-	}
-	for name, value := range was.Items {
-		if name != "register" && !bytes.Equal(next.Items[name], value) {
-			t.Errorf("%s: %s after %s", name, next.Items[name], value)
+	f = openFleet(t, folder, nil)
+	next := f.awaitEqualStates()
+	isWritten := string(next.Items["register"]) == "by this program" && next.Versions["register"] > recorded.Versions["register"]
+	if next.Term <= state.Term || !isWritten {
+		t.Errorf("%s after %s", next.encode(), state.encode())
+	}
+	for item, value := range recorded.Items {
+		if item != "register" && !bytes.Equal(next.Items[item], value) {
+			t.Errorf("%s: %s after %s", item, next.Items[item], value)
 		}
 	}
 }
 
-// The owner's duties go on from the recorded folder: its plan is handed out with its text, and parts within its record.
+// The leader's duties go on from the recorded folder: its plan is assigned with its text, and shares within its record.
 func TestDutiesGoOnFromFilesOfAnEarlierProgram(t *testing.T) {
-	dir := fixtureFolder(t)
-	was := fixtureAgreed(t)
-	f := openFleet(t, dir, nil)
-	f.fleet.Parts = &operator.Parts{LifeMS: 600_000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: 600_000, SolveMS: 1000}
-	f.settle()
-	defer f.runDuties()()
+	const lifetimeMS = 600_000
+	folder := fixtureFolder(t)
+	recorded := fixtureState(t)
+	f := openFleet(t, folder, nil)
+	f.settings.Parts = &operator.Parts{LifeMS: lifetimeMS}
+	f.settings.Planning = &operator.Planning{
+		Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: lifetimeMS, SolveMS: 1000,
+	}
+	f.awaitEqualStates()
+	end := f.runDuties()
+	defer end()
 	for _, name := range fixtureNames {
-		k := f.keepers[name]
-		await(t, name+" has taken two words", func() bool { return len(k.taken()) > 1 })
-		var w map[string]any
-		if err := json.Unmarshal(k.taken()[0], &w); err != nil {
-			t.Fatal(err)
+		fake := f.supervisors[name]
+		await(t, name+" has accepted two assignments", func() bool { return len(fake.acceptedTexts()) > 1 })
+		checkFirstAssignment(t, name, fake.acceptedTexts()[0], recorded.Term)
+		var second map[string]any
+		err := json.Unmarshal(fake.acceptedTexts()[1], &second)
+		if err != nil || second["plan"] == nil {
+			t.Errorf("the second assignment of %s has no plan: %v, %v", name, second, err)
 		}
-		if reign, _ := w["reign"].(float64); reign <= float64(was.Term) {
-			t.Errorf("reign %v after %d", w["reign"], was.Term)
-		}
-		for _, any := range []string{"reign", "count", "owner"} { // which of them owns, and after how many looks, is by chance
-			if _, is := w[any]; !is {
-				t.Errorf("no %s", any)
-			}
-			w[any] = any
+	}
+	planned := checkRecordedItems(t, recorded)
+	until := fakeClock + lifetimeMS*nsPerMS
+	for _, name := range fixtureNames {
+		held := f.supervisors[name].held()
+		isRecordedPlan := held.Plan == planned && held.Plan == change.OfJSON(held.PlanText)
+		if !isRecordedPlan || held.PlanUntil != until || held.SharesUntil != until {
+			t.Errorf("%s holds %+v, the plan is %s", name, held, planned)
 		}
-		text, err := json.MarshalIndent(w, "", " ")
-		if err != nil {
-			t.Fatal(err)
+	}
+	state := f.state(f.awaitLeader().name)
+	for _, item := range []string{"change.json", "ask.json", planItem, "register"} {
+		if !bytes.Equal(state.Items[item], recorded.Items[item]) {
+			t.Errorf("%s: %s after %s", item, state.Items[item], recorded.Items[item])
 		}
-		golden.Check(t, "word-"+name+".json", append(text, '\n'))
-		if err := json.Unmarshal(k.taken()[1], &w); err != nil || w["plan_text"] == nil && w["plan"] == nil {
-			t.Errorf("the second word says nothing of the plan: %s, %v", k.taken()[1], err)
+	}
+}
+
+// checkFirstAssignment compares a member's first assignment with the one recorded. Which member leads, under which term, and
+// how many assignments it made before, depends on the run.
+func checkFirstAssignment(t *testing.T, name string, text []byte, recorded Term) {
+	t.Helper()
+	var fields map[string]any
+	if err := json.Unmarshal(text, &fields); err != nil {
+		t.Fatal(err)
+	}
+	if term, _ := fields["reign"].(float64); term <= float64(recorded) {
+		t.Errorf("term %v after %d", fields["reign"], recorded)
+	}
+	for _, field := range []string{"reign", "count", "owner"} {
+		if _, isPresent := fields[field]; !isPresent {
+			t.Errorf("%s has no %s", text, field)
 		}
+		fields[field] = field
 	}
-	var p planRecord
-	if err := json.Unmarshal(was.Items[planItem], &p); err != nil {
+	normalized, err := json.MarshalIndent(fields, "", " ")
+	if err != nil {
 		t.Fatal(err)
 	}
-	var r quota.Record
-	if err := json.Unmarshal(was.Items[quotaItem], &r); err != nil {
+	golden.Check(t, "word-"+name+".json", append(normalized, '\n'))
+}
+
+// checkRecordedItems checks that the recorded plan and shares are what the test needs, and returns the plan's digest.
+func checkRecordedItems(t *testing.T, recorded State) change.Digest {
+	t.Helper()
+	var planned planRecord
+	if err := json.Unmarshal(recorded.Items[planItem], &planned); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range fixtureNames {
-		k := f.keepers[name]
-		k.mu.Lock()
-		held := k.held
-		k.mu.Unlock()
-		if held.Plan != p.Digest || held.Plan != change.OfJSON(held.PlanText) || held.PlanUntil != fakeBoot+600e9 || held.SharesUntil != fakeBoot+600e9 {
-			t.Errorf("%s holds %+v, planned was %s", name, held, p.Digest)
-		}
+	if len(planned.Answer.Steps) == 0 || change.OfJSON(planned.Answer) != planned.Digest || planned.Term == 0 || planned.Sequence == 0 {
+		t.Errorf("the recorded plan shows nothing: %+v", planned)
 	}
-	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Limits) != 3 || r.Limits["v1"][quota.Fleet] <= r.Limits["v3"][quota.Fleet] || p.Term == 0 || p.Sequence == 0 {
-		t.Errorf("the fixture shows nothing: %+v, %+v", p, r)
+	var shares quota.Record
+	if err := json.Unmarshal(recorded.Items[quotaItem], &shares); err != nil {
+		t.Fatal(err)
 	}
-	a := f.agreed(f.acting().name)
-	for _, name := range []string{"change.json", "ask.json", planItem, "register"} {
-		if !bytes.Equal(a.Items[name], was.Items[name]) {
-			t.Errorf("%s: %s after %s", name, a.Items[name], was.Items[name])
-		}
+	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.Fleet] <= shares.Limits["v3"][quota.Fleet] {
+		t.Errorf("the recorded shares show nothing: %+v", shares)
 	}
+	return planned.Digest
 }
--- a/internal/leader/http_test.go
+++ b/internal/leader/http_test.go
@@ -29,7 +29,7 @@
 
 func newDoor(t *testing.T, addr map[string]string) *door {
 	t.Helper()
-	node, err := Open("v1", filepath.Join(t.TempDir(), "v1.db"), addr, fixturePace)
+	node, err := Open("v1", filepath.Join(t.TempDir(), "v1.db"), addr, fixtureTiming)
 	if err != nil {
 		t.Fatal(err)
 	}
