--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -62,12 +62,12 @@
 		latest:    make([]memberObservation, len(members)),
 		demand:    quota.NewDemand(),
 	}
-	if settings := duties.fleet.Parts; settings != nil {
+	if settings := duties.fleet.Shares; settings != nil {
 		var record quota.Record
 		if err := store.readJSON(quotaItem, &record); err != nil {
 			return nil, err
 		}
-		d.ledger = quota.NewLedger(record, settings.LifeMS*nsPerMS, d.now())
+		d.ledger = quota.NewLedger(record, settings.LeaseMS*nsPerMS, d.now())
 	}
 	if settings := duties.fleet.Planning; settings != nil {
 		d.fleet.Engines = true
@@ -192,7 +192,7 @@
 func (d *distributor) ratesByZone() map[string]map[canary.Group]float64 {
 	zones := map[string]map[canary.Group]float64{}
 	for name, rates := range d.demand.Rates() {
-		member, _ := d.duties.fleet.Find(name)
+		member, _ := d.duties.fleet.Member(name)
 		if zones[member.Zone] == nil {
 			zones[member.Zone] = map[canary.Group]float64{}
 		}
@@ -251,12 +251,12 @@
 	if d.ledger != nil {
 		next.Shares = d.ledger.Grant(name, target, now, next.Sequence)
 		if len(next.Shares) > 0 {
-			next.SharesUntil = status.BootNS + d.duties.fleet.Parts.LifeMS*nsPerMS
+			next.SharesUntil = status.BootNS + d.duties.fleet.Shares.LeaseMS*nsPerMS
 		}
 	}
 	if d.planning != nil && d.planning.current.Digest != "" {
 		next.Plan = d.planning.current.Digest
-		next.PlanUntil = status.BootNS + d.duties.fleet.Planning.LifeMS*nsPerMS
+		next.PlanUntil = status.BootNS + d.duties.fleet.Planning.LeaseMS*nsPerMS
 		if status.Word.Plan != next.Plan {
 			next.PlanText = d.planning.text
 		}
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -82,7 +82,7 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(folder, path)
 	}
-	return plan.Problem(path)
+	return plan.LoadProblem(path)
 }
 
 // Run performs the duties whenever this process is the leader, until ctx ends.
@@ -127,7 +127,7 @@
 }
 
 func (d *Duties) startDistributor(ctx context.Context, store termStore, duties *sync.WaitGroup) {
-	if d.fleet.Parts == nil && d.fleet.Planning == nil {
+	if d.fleet.Shares == nil && d.fleet.Planning == nil {
 		return
 	}
 	distributor, err := newDistributor(d, store)
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -216,9 +216,9 @@
 	folder := fixtureFolder(t)
 	recorded := fixtureState(t)
 	f := openFleet(t, folder, nil)
-	f.settings.Parts = &operator.Parts{LifeMS: lifetimeMS}
+	f.settings.Shares = &operator.Shares{LeaseMS: lifetimeMS}
 	f.settings.Planning = &operator.Planning{
-		Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: lifetimeMS, SolveMS: 1000,
+		Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 3_600_000, LeaseMS: lifetimeMS, SolveTimeoutMS: 1000,
 	}
 	f.awaitEqualStates()
 	end := f.runDuties()
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -52,9 +52,9 @@
 // recordDuties has shares and a plan replicated by the duties themselves.
 func recordDuties(t *testing.T, f *testFleet) {
 	t.Helper()
-	f.settings.Parts = &operator.Parts{LifeMS: 3000}
+	f.settings.Shares = &operator.Shares{LeaseMS: 3000}
 	f.settings.Planning = &operator.Planning{
-		Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 1, LifeMS: 60_000, SolveMS: 1000,
+		Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 1, LeaseMS: 60_000, SolveTimeoutMS: 1000,
 	}
 	names := map[uint64]string{1: "v1", 2: "v2", 3: "v3"}
 	for id, name := range names {
--- a/internal/leader/testfleet_test.go
+++ b/internal/leader/testfleet_test.go
@@ -219,8 +219,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	member, _ := f.settings.Find(name)
-	response, err := http.Post("http://"+member.At()+path, "application/json", bytes.NewReader(text))
+	member, _ := f.settings.Member(name)
+	response, err := http.Post("http://"+member.Address()+path, "application/json", bytes.NewReader(text))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -268,8 +268,8 @@
 // state returns the replicated state as a member serves it.
 func (f *testFleet) state(name string) State {
 	f.t.Helper()
-	member, _ := f.settings.Find(name)
-	response, err := http.Get("http://" + member.At() + "/v1/owner/agreed")
+	member, _ := f.settings.Member(name)
+	response, err := http.Get("http://" + member.Address() + "/v1/owner/agreed")
 	if err != nil {
 		f.t.Fatal(err)
 	}
