--- a/internal/assignment/accepted_test.go
+++ b/internal/assignment/accepted_test.go
@@ -13,8 +13,10 @@
 
 func TestStaleRepeatedAndMisdirectedAssignmentsChangeNothing(t *testing.T) {
 	assigned := func(term, sequence int64, leader string) Assignment {
-		return Assignment{Format: change.Format, Term: term, Sequence: sequence, Leader: leader, Member: "c1", Incarnation: "x",
-			Shares: quota.Shares{quota.Fleet: 5}, SharesUntil: 200}
+		return Assignment{
+			Format: change.Format, Term: term, Sequence: sequence, Leader: leader, Member: "c1", Incarnation: "x",
+			Shares: quota.Shares{quota.Fleet: 5}, SharesUntil: 200,
+		}
 	}
 	otherMember, otherIncarnation, tooFar := assigned(9, 9, "a"), assigned(9, 9, "a"), assigned(9, 9, "a")
 	otherMember.Member = "c2"
@@ -47,19 +49,24 @@
 		}
 		accepted = next
 	}
-	if accepted.Term != 3 || accepted.ValidAt(199).Shares[quota.Fleet] != 5 || accepted.ValidAt(200).Shares != nil || accepted.ValidAt(200).Term != 3 {
+	expired := accepted.ValidAt(200)
+	if accepted.Term != 3 || accepted.ValidAt(199).Shares[quota.Fleet] != 5 || expired.Shares != nil || expired.Term != 3 {
 		t.Errorf("%+v", accepted)
 	}
 }
 
-// A plan that the member lacks is followed once its text has arrived; until then the earlier one stays, to its own expiry.
+// A plan that the member lacks is followed once its text has arrived. Until then the earlier one stays, to its own
+// expiry.
 func TestAPlanIsFollowedOnceItsTextHasArrived(t *testing.T) {
 	text := json.RawMessage(`{"a":1}`)
 	first, second := change.OfJSON(text), change.OfJSON(json.RawMessage(`{"a":2}`))
 	var accepted Accepted
 	accept := func(sequence int64, plan change.Digest, until int64, text json.RawMessage) {
 		t.Helper()
-		next := Assignment{Term: 1, Sequence: sequence, Leader: "a", Member: "c1", Incarnation: "x", Plan: plan, PlanUntil: until, PlanText: text}
+		next := Assignment{
+			Term: 1, Sequence: sequence, Leader: "a", Member: "c1", Incarnation: "x",
+			Plan: plan, PlanUntil: until, PlanText: text,
+		}
 		var err error
 		accepted, err = accepted.Accept(next, "c1", "x", 10)
 		if err != nil {
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-const valid = `{"format":2,"reign":1,"count":1,"owner":"a","member":"c1","life":"x","part":{"fleet":5,"quota of acme":7},"part_until_boot_ns":9}`
+const valid = `{"format":2,"reign":1,"count":1,"owner":"a","member":"c1","life":"x",` +
+	`"part":{"fleet":5,"quota of acme":7},"part_until_boot_ns":9}`
 
 func TestReadRejectsFaultyAssignmentsAndNamesThePath(t *testing.T) {
 	if _, err := Read(strings.NewReader(valid)); err != nil {
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -13,7 +13,8 @@
 	"swiftreel/internal/quota"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
+// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is
+// written.
 
 // checkGolden compares text with a file of testdata, and returns what that holds.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
@@ -35,29 +36,44 @@
 	return append(text, '\n')
 }
 
-// A word and what is held of words are written to the byte as before, and read back whole.
-func TestFormsOfWordsStay(t *testing.T) {
-	text := json.RawMessage(`{"method":"m","status":"optimal"}`)
-	full := Assignment{Format: change.Format, Term: 5, Sequence: 17, Leader: "v1", Member: "c1", Incarnation: "0123456789abcdef",
-		Shares: quota.Shares{quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1}, SharesUntil: 123_456_789_000,
-		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, PlanText: text}
-	for name, w := range map[string]Assignment{"word-full.json": full, "word-least.json": {Format: change.Format, Term: 1, Sequence: 1, Leader: "a", Member: "b", Incarnation: "c"}} {
-		got, err := Read(bytes.NewReader(checkGolden(t, name, marshal(t, w))))
-		if err != nil || !reflect.DeepEqual(got, w) {
+// Assignments, and what is held of them, are written to the byte as before, and read back completely.
+func TestTheFormsOfAssignmentsStay(t *testing.T) {
+	plan := json.RawMessage(`{"method":"m","status":"optimal"}`)
+	full := Assignment{
+		Format:      change.Format,
+		Term:        5,
+		Sequence:    17,
+		Leader:      "v1",
+		Member:      "c1",
+		Incarnation: "0123456789abcdef",
+		Shares: quota.Shares{
+			quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1,
+		},
+		SharesUntil: 123_456_789_000,
+		Plan:        change.OfJSON(plan),
+		PlanUntil:   987_654_321_000,
+		PlanText:    plan,
+	}
+	smallest := Assignment{
+		Format: change.Format, Term: 1, Sequence: 1, Leader: "a", Member: "b", Incarnation: "c",
+	}
+	for name, written := range map[string]Assignment{"word-full.json": full, "word-least.json": smallest} {
+		got, err := Read(bytes.NewReader(checkGolden(t, name, marshal(t, written))))
+		if err != nil || !reflect.DeepEqual(got, written) {
 			t.Errorf("%s is read as %+v, %v", name, got, err)
 		}
 	}
-	held, err := Accepted{}.Accept(full, "c1", "0123456789abcdef", 1000)
+	accepted, err := Accepted{}.Accept(full, "c1", full.Incarnation, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, h := range map[string]Accepted{"held-full.json": held, "held-none.json": {}} {
+	for name, written := range map[string]Accepted{"held-full.json": accepted, "held-none.json": {}} {
 		var got Accepted
-		if err := json.Unmarshal(checkGolden(t, name, marshal(t, h)), &got); err != nil {
+		if err := json.Unmarshal(checkGolden(t, name, marshal(t, written)), &got); err != nil {
 			t.Fatal(err)
 		}
-		h.PlanText = nil // it is not told in a status
-		if !reflect.DeepEqual(got, h) {
+		written.PlanText = nil // a status does not carry it
+		if !reflect.DeepEqual(got, written) {
 			t.Errorf("%s is read as %+v", name, got)
 		}
 	}
--- a/internal/ilp/golden_test.go
+++ b/internal/ilp/golden_test.go
@@ -14,21 +14,22 @@
 // Each search takes the same nodes to the same answer as before, also where it is stopped.
 func TestSearchesAreThoseOfAnEarlierProgram(t *testing.T) {
 	var lines bytes.Buffer
-	r := rand.New(rand.NewPCG(11, 12))
+	random := rand.New(rand.NewPCG(11, 12))
 	for n := range 600 {
-		p := drawn(r)
+		p := drawProgram(random)
 		lp := NewLP(p)
-		ended := lp.Solve(func() bool { return false })
-		bound, known := p.Bound(lp.Multipliers(ended))
-		s := NewSearch(p)
+		outcome := lp.Solve(func() bool { return false })
+		bound, isExact := p.Bound(lp.Multipliers(outcome))
+		search := NewSearch(p)
 		if n%3 == 1 {
-			s.MaxNodes = 1 + n%7
+			search.MaxNodes = 1 + n%7
 		}
 		if n%5 == 1 {
-			s.Cutoff = int64(n % 40)
+			search.Cutoff = int64(n % 40)
 		}
-		got := s.Run()
-		fmt.Fprintf(&lines, "%d: lp %d after %d, bound %d %v; %v value %d bound %d done %v nodes %d\n", n, ended, lp.Pivots, bound, known,
+		got := search.Run()
+		fmt.Fprintf(&lines, "%d: lp %d after %d, bound %d %v; ", n, outcome, lp.Pivots, bound, isExact)
+		fmt.Fprintf(&lines, "%v value %d bound %d done %v nodes %d\n",
 			got.Values, got.Value, got.Bound, got.Complete, got.Nodes)
 	}
 	golden.Check(t, "searches.txt", lines.Bytes())
--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -8,7 +8,8 @@
 	"swiftreel/internal/golden"
 )
 
-// Operators' scripts read the table: its lines stay as they were at commit 70e2e4b, whose statements wrote the golden file.
+// Operators' scripts read the table: its lines stay as they were at commit 70e2e4b, whose statements wrote the golden
+// file.
 func TestTheTableKeepsItsLines(t *testing.T) {
 	found := summary{
 		failovers: map[strike][]time.Duration{
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -27,7 +27,7 @@
 var testRuns = [][]string{
 	{"TestTimesWithoutALeader|TestOneLeaderAtATime", "./internal/leader",
 		"-args", "-runs", "200", "-hours", "1", "-worlds", "1000"},
-	{"TestAllThatCan|TestNeverMore", "./internal/assignment", "./internal/quota"},
+	{"TestAllThatCanHappen|TestNeverMore", "./internal/assignment", "./internal/quota"},
 }
 
 // playVirtual plays the tests in virtual time at full size, and real voters beside them.
--- /dev/null
+++ b/internal/quota/demand_test.go
@@ -0,0 +1,68 @@
+package quota
+
+import (
+	"fmt"
+	"testing"
+
+	"swiftreel/internal/canary"
+)
+
+func fixedLatency([]uint64) float64 { return 2 }
+
+// observe has members a and b do jobs for a second, b also for a tenant of its own; c does none.
+func observe(d *Demand, now int64, jobsOfA, jobsOfB uint64, isBReachable bool) {
+	acme, bee := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
+	work := func(jobs uint64) canary.Work { return canary.Work{Jobs: jobs, Done: jobs} }
+	d.Observe(now, []Observation{
+		{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.Work{acme: work(jobsOfA)}},
+		{Member: "b", Reachable: isBReachable, Interval: 1e9,
+			Work: map[canary.Group]canary.Work{acme: work(jobsOfB), bee: work(jobsOfB)}},
+		{Member: "c", Reachable: true, Interval: 1e9},
+	}, fixedLatency)
+}
+
+func TestTargetsFollowTheDemand(t *testing.T) {
+	d := NewDemand()
+	for now := int64(1e9); now <= 60e9; now += 1e9 {
+		observe(d, now, 80, 10, true)
+	}
+	targets := d.Targets(60e9)
+	sum := targets["a"][Fleet] + targets["b"][Fleet] + targets["c"][Fleet]
+	if sum > FullShare || sum < FullShare-3 {
+		t.Errorf("they sum to %d", sum)
+	}
+	if targets["a"][Fleet] < 600_000 || targets["c"][Fleet] < 50_000 {
+		t.Errorf("%v", targets)
+	}
+	if targets["b"][TenantQuota("bee")] < 800_000 || targets["a"][TenantQuota("acme")] < 700_000 {
+		t.Errorf("%v", targets)
+	}
+	for now := int64(61e9); now < 64e9; now += 1e9 {
+		observe(d, now, 80, 12, true)
+		if got := d.Targets(now); fmt.Sprint(got) != fmt.Sprint(targets) {
+			t.Errorf("after a small change, at %d: %v", now, got)
+		}
+	}
+	for now := int64(64e9); now < 90e9; now += 1e9 {
+		observe(d, now, 80, 0, false)
+	}
+	if got := d.Targets(90e9); got["b"] == nil || got["b"][Fleet] > FullShare/3+1 {
+		t.Errorf("one that is not reachable: %v", got)
+	}
+	observe(d, 63e9+unseenTimeout, 80, 0, false)
+	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][Fleet] < 700_000 {
+		t.Errorf("one that has long not been reachable: %v", got)
+	}
+	d.Observe(200e9, []Observation{{Member: "a", Reachable: true}}, fixedLatency)
+	if len(d.members) != 1 {
+		t.Errorf("%d are remembered", len(d.members))
+	}
+}
+
+func TestTargetsAreEvenWithoutDemand(t *testing.T) {
+	d := NewDemand()
+	d.Observe(1, []Observation{{Member: "a", Reachable: true}, {Member: "b", Reachable: true}}, fixedLatency)
+	if got := d.Targets(1); got["a"][Fleet] != FullShare/2 || got["b"][Fleet] != FullShare/2 {
+		t.Errorf("%v", got)
+	}
+}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -14,7 +14,8 @@
 	"swiftreel/internal/golden"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is written.
+// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is
+// written.
 
 // checkGolden compares text with a file of testdata, and returns what that holds.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
@@ -36,28 +37,28 @@
 	return append(text, '\n')
 }
 
-// A ledger takes over from the record as it was written before: nothing of it is given twice until it has ended.
+// A ledger takes over from the record as it was written before: nothing of it is granted twice until it has expired.
 func TestALedgerGoesOnFromARecordOfAnEarlierProgram(t *testing.T) {
-	want := map[string]Shares{"a": {Fleet: 700_000, TenantQuota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
+	targets := map[string]Shares{"a": {Fleet: 700_000, TenantQuota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
 	l := NewLedger(Record{}, 5000, 0)
-	first, _ := l.NextRecord(want, 1)
-	var r Record
-	if err := json.Unmarshal(checkGolden(t, "record.json", marshal(t, first)), &r); err != nil {
+	first, _ := l.NextRecord(targets, 1)
+	var record Record
+	if err := json.Unmarshal(checkGolden(t, "record.json", marshal(t, first)), &record); err != nil {
 		t.Fatal(err)
 	}
-	l = NewLedger(r, 5000, 1000)
+	l = NewLedger(record, 5000, 1000)
 	other := map[string]Shares{"a": {Fleet: 100_000}, "b": {Fleet: 900_000}}
 	next, _ := l.NextRecord(other, 1001)
 	checkGolden(t, "record-next.json", marshal(t, next))
 	l.Commit(next)
 	if got := l.Grant("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
-		t.Errorf("%v is given while the part before is out", got)
+		t.Errorf("%v is granted while the earlier share is in use", got)
 	}
 	next, _ = l.NextRecord(other, 1000+5000+250)
 	checkGolden(t, "record-ended.json", marshal(t, next))
 }
 
-// What ledgers and demands decide on drawn input, step by step, is what they decided before.
+// On random input ledgers and demands decide, step by step, as before.
 func TestDecisionsAreThoseOfAnEarlierProgram(t *testing.T) {
 	var lines bytes.Buffer
 	for seed := range uint64(40) {
@@ -67,30 +68,21 @@
 	checkGolden(t, "decisions.txt", lines.Bytes())
 }
 
+var traceMembers = []string{"a", "b", "c", "d"}
+
+// ledgerTrace is one run: a digest of all decisions, and the last record.
 func ledgerTrace(t *testing.T, seed uint64) string {
-	r, trace := rand.New(rand.NewPCG(seed, 7)), fnv.New64a()
-	members, of := []string{"a", "b", "c", "d"}, []Resource{Fleet, TenantQuota("x"), TenantQuota("y")}
-	l, count := NewLedger(Record{}, 5000, 0), int64(0)
+	t.Helper()
+	random, trace := rand.New(rand.NewPCG(seed, 7)), fnv.New64a()
+	l, sequence := NewLedger(Record{}, 5000, 0), int64(0)
 	var last []byte
 	for now := int64(0); now < 60_000; now += 500 {
-		want := map[string]Shares{}
-		for _, o := range of {
-			left := int64(FullShare)
-			for _, m := range members {
-				if r.IntN(8) > 0 {
-					if want[m] == nil {
-						want[m] = Shares{}
-					}
-					n := r.Int64N(left + 1)
-					want[m][o], left = n, left-n
-				}
-			}
-		}
-		next, differs := l.NextRecord(want, now)
-		fmt.Fprint(trace, now, differs)
+		targets := drawTargets(random)
+		next, isChanged := l.NextRecord(targets, now)
+		fmt.Fprint(trace, now, isChanged)
 		last = marshal(t, next)
 		trace.Write(last)
-		switch r.IntN(6) {
+		switch random.IntN(6) {
 		case 0:
 			l.MarkUncertain()
 		case 1:
@@ -98,16 +90,16 @@
 		default:
 			l.Commit(next)
 		}
-		for _, m := range members {
-			if r.IntN(3) > 0 {
-				count++
-				trace.Write(marshal(t, l.Grant(m, want[m], now, count)))
+		for _, member := range traceMembers {
+			if random.IntN(3) > 0 {
+				sequence++
+				trace.Write(marshal(t, l.Grant(member, targets[member], now, sequence)))
 			}
-			if r.IntN(3) > 0 {
-				l.Confirm(m, count-r.Int64N(5))
+			if random.IntN(3) > 0 {
+				l.Confirm(member, sequence-random.Int64N(5))
 			}
 		}
-		if r.IntN(4) == 0 {
+		if random.IntN(4) == 0 {
 			l.DropExpired(now)
 		}
 		trace.Write(marshal(t, l.Clone().Record()))
@@ -115,33 +107,70 @@
 	return fmt.Sprintf("%016x %s", trace.Sum64(), bytes.TrimSpace(last))
 }
 
-func demandTrace(t *testing.T, seed uint64) string {
-	r, trace := rand.New(rand.NewPCG(seed, 8)), fnv.New64a()
-	d := NewDemand()
-	var last []byte
-	for now := int64(1e9); now < 120e9; now += 1e9 {
-		var seen []Observation
-		for _, m := range []string{"a", "b", "c", "d"} {
-			if r.IntN(20) == 0 {
+// drawTargets divides three resources at random among most of the members.
+func drawTargets(random *rand.Rand) map[string]Shares {
+	targets := map[string]Shares{}
+	for _, resource := range []Resource{Fleet, TenantQuota("x"), TenantQuota("y")} {
+		left := int64(FullShare)
+		for _, member := range traceMembers {
+			if random.IntN(8) == 0 {
 				continue
 			}
-			s := Observation{Member: m, Reachable: r.IntN(10) > 0, Interval: r.Int64N(3) * 1e9, Work: map[canary.Group]canary.Work{}}
-			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}, {Type: "lookup", Tenant: "bee"}} {
-				if r.IntN(3) == 0 {
-					n := uint64(r.IntN(400))
-					s.Work[g] = canary.Work{Jobs: n, Done: n / 2, Took: []uint64{n, n / 3}}
-				}
+			if targets[member] == nil {
+				targets[member] = Shares{}
 			}
-			seen = append(seen, s)
+			share := random.Int64N(left + 1)
+			targets[member][resource] = share
+			left -= share
 		}
-		d.Observe(now, seen, func(took []uint64) float64 { return float64(1 + len(took)*int(took[0]%7)) })
+	}
+	return targets
+}
+
+// demandTrace is one run: a digest of all targets and rates, and the last targets.
+func demandTrace(t *testing.T, seed uint64) string {
+	t.Helper()
+	random, trace := rand.New(rand.NewPCG(seed, 8)), fnv.New64a()
+	d := NewDemand()
+	var last []byte
+	for now := int64(1e9); now < 120e9; now += 1e9 {
+		d.Observe(now, drawObservations(random), func(counts []uint64) float64 {
+			return float64(1 + len(counts)*int(counts[0]%7))
+		})
 		last = marshal(t, d.Targets(now))
 		trace.Write(last)
-		for _, m := range []string{"a", "b", "c", "d"} {
-			for _, g := range []canary.Group{{Type: "lookup", Tenant: "acme"}, {Type: "report", Tenant: "acme"}} {
-				fmt.Fprintf(trace, "%.9f", d.Rates()[m][g])
+		for _, member := range traceMembers {
+			for _, group := range traceGroups[:2] {
+				fmt.Fprintf(trace, "%.9f", d.Rates()[member][group])
 			}
 		}
 	}
 	return fmt.Sprintf("%016x %s", trace.Sum64(), bytes.TrimSpace(last))
 }
+
+var traceGroups = []canary.Group{
+	{Type: "lookup", Tenant: "acme"},
+	{Type: "report", Tenant: "acme"},
+	{Type: "lookup", Tenant: "bee"},
+}
+
+// drawObservations returns random work of most of the members.
+func drawObservations(random *rand.Rand) []Observation {
+	var observations []Observation
+	for _, member := range traceMembers {
+		if random.IntN(20) == 0 {
+			continue
+		}
+		observed := Observation{Member: member, Work: map[canary.Group]canary.Work{}}
+		observed.Reachable = random.IntN(10) > 0
+		observed.Interval = random.Int64N(3) * 1e9
+		for _, group := range traceGroups {
+			if random.IntN(3) == 0 {
+				jobs := uint64(random.IntN(400))
+				observed.Work[group] = canary.Work{Jobs: jobs, Done: jobs / 2, Took: []uint64{jobs, jobs / 3}}
+			}
+		}
+		observations = append(observations, observed)
+	}
+	return observations
+}
