--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -29,8 +29,8 @@
 	t.Logf("%d worlds, %d acts: never two that may act", *worlds, acts.Load())
 }
 
-// runWithFaults runs a simulation with faults, and then without: a leader must act again. It returns how often one acted
-// during the faults.
+// runWithFaults runs a simulation with faults, and then without: a leader must act again. It returns how often one
+// acted during the faults.
 func runWithFaults(t *testing.T, seed uint64) int {
 	t.Helper()
 	s := newSimulation(t, seed, 3+2*int(seed%2))
@@ -51,8 +51,8 @@
 	return acts
 }
 
-// Each of five members does not hear the next one, and everyone hears someone. There is a leader, one at a time, and it
-// stays.
+// Each of five members does not hear the next one, and everyone hears someone. There is a leader, one at a time, and
+// it stays.
 func TestARingOfCutLinksHasOneLeader(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newSimulation(t, seed, 5)
@@ -67,7 +67,8 @@
 		}
 		s.runUntil(120e9)
 		if s.violation != "" || s.acts-acts < 1000 || len(s.leaders)-terms > 6 {
-			t.Errorf("seed %d: %d acts and %d more leaders in a minute, %s", seed, s.acts-acts, len(s.leaders)-terms, s.violation)
+			t.Errorf("seed %d: %d acts and %d more leaders in a minute, %s",
+				seed, s.acts-acts, len(s.leaders)-terms, s.violation)
 		}
 	}
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -12,7 +12,8 @@
 	hours = flag.Int("hours", 0, "of virtual time without faults")
 )
 
-// Times without a leader, in virtual time, on links that lose 2 of 100 messages. make proof-owner prints what is logged.
+// Times without a leader, in virtual time, on links that lose 2 of 100 messages. make proof-owner prints what is
+// logged.
 func TestTimesWithoutALeader(t *testing.T) {
 	for _, way := range []string{"killed", "stopped", "cut off", "stepped down"} {
 		t.Run(way, func(t *testing.T) {
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -25,8 +25,8 @@
 	"swiftreel/internal/quota"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that a
-// change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
+// The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that
+// a change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
 
 const statePath = "testdata/agreed.json"
 
@@ -175,8 +175,8 @@
 	return strings.Join(keys, " ")
 }
 
-// The recorded folder is opened by this program: the fleet agrees on a leader of a later term, with nothing lost, and what
-// is written then is there after another start.
+// The recorded folder is opened by this program: the fleet agrees on a leader of a later term, with nothing lost, and
+// what is written then is there after another start.
 func TestAFleetGoesOnFromFilesOfAnEarlierProgram(t *testing.T) {
 	folder := fixtureFolder(t)
 	recorded := fixtureState(t)
@@ -187,7 +187,8 @@
 	if state.Term <= recorded.Term || !isComplete {
 		t.Errorf("%s after %s", state.encode(), recorded.encode())
 	}
-	if status := f.nodes["v3"].Status(); status.ID != 9 || len(status.Voters) != 3 || status.RaftTerm <= uint64(recorded.Term) {
+	status := f.nodes["v3"].Status()
+	if status.ID != 9 || len(status.Voters) != 3 || status.RaftTerm <= uint64(recorded.Term) {
 		t.Errorf("%+v", status)
 	}
 	again := bootstrapRequest{ID: 4, Members: map[uint64]string{4: "v1"}}
@@ -199,7 +200,8 @@
 
 	f = openFleet(t, folder, nil)
 	next := f.awaitEqualStates()
-	isWritten := string(next.Items["register"]) == "by this program" && next.Versions["register"] > recorded.Versions["register"]
+	isWritten := string(next.Items["register"]) == "by this program" &&
+		next.Versions["register"] > recorded.Versions["register"]
 	if next.Term <= state.Term || !isWritten {
 		t.Errorf("%s after %s", next.encode(), state.encode())
 	}
@@ -210,7 +212,8 @@
 	}
 }
 
-// The leader's duties go on from the recorded folder: its plan is assigned with its text, and shares within its record.
+// The leader's duties go on from the recorded folder: its plan is assigned with its text, and shares within its
+// record.
 func TestDutiesGoOnFromFilesOfAnEarlierProgram(t *testing.T) {
 	const lifetimeMS = 600_000
 	folder := fixtureFolder(t)
@@ -250,8 +253,8 @@
 	}
 }
 
-// checkFirstAssignment compares a member's first assignment with the one recorded. Which member leads, under which term, and
-// how many assignments it made before, depends on the run.
+// checkFirstAssignment compares a member's first assignment with the one recorded. Which member leads, under which
+// term, and how many assignments it made before, depends on the run.
 func checkFirstAssignment(t *testing.T, name string, text []byte, recorded Term) {
 	t.Helper()
 	var fields map[string]any
@@ -281,7 +284,8 @@
 	if err := json.Unmarshal(recorded.Items[planItem], &planned); err != nil {
 		t.Fatal(err)
 	}
-	if len(planned.Answer.Steps) == 0 || change.OfJSON(planned.Answer) != planned.Digest || planned.Term == 0 || planned.Sequence == 0 {
+	isNumbered := planned.Term != 0 && planned.Sequence != 0
+	if len(planned.Answer.Steps) == 0 || change.OfJSON(planned.Answer) != planned.Digest || !isNumbered {
 		t.Errorf("the recorded plan shows nothing: %+v", planned)
 	}
 	var shares quota.Record
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -18,8 +18,8 @@
 	"swiftreel/internal/rollout"
 )
 
-// recordFixture writes the members' files into testdata: a fleet that has replicated a change, shares and a plan, whose
-// leader changed, whose log was compacted, and of which one member lost its store and joined again.
+// recordFixture writes the members' files into testdata: a fleet that has replicated a change, shares and a plan,
+// whose leader changed, whose log was compacted, and of which one member lost its store and joined again.
 func recordFixture(t *testing.T) {
 	t.Helper()
 	folder := t.TempDir()
--- a/internal/leader/simulation_test.go
+++ b/internal/leader/simulation_test.go
@@ -9,8 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A simulation runs members in virtual time: the real core and raft's state machine, a network that loses, delays, duplicates
-// and reorders messages and is cut one way, processes that stall, crash and lose their stores, clocks of different rates.
+// A simulation runs members in virtual time: the real core and raft's state machine, a network that loses, delays,
+// duplicates and reorders messages and is cut one way, processes that stall, crash and lose their stores, clocks of
+// different rates.
 
 const (
 	simulationStep = int64(10e6) // ns
