--- a/internal/leader/testfleet_test.go
+++ b/internal/leader/testfleet_test.go
@@ -56,7 +56,7 @@
 func (s *fakeSupervisor) serveStatus(w http.ResponseWriter, r *http.Request) {
 	status := s.status()
 	if r.URL.Query().Get("engines") == "1" {
-		status.Engines = []string{"e1", "e2"}
+		status.ReadyEngines = []string{"e1", "e2"}
 	}
 	_ = json.NewEncoder(w).Encode(status) // the leader has closed the connection
 }
@@ -65,22 +65,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	status := supervisor.Status{
-		Format:      change.Format,
-		Name:        s.name,
-		Life:        s.incarnation(),
-		BootNS:      fakeClock,
-		Word:        s.accepted,
-		Carried:     s.accepted.Sequence,
-		Serves:      true,
-		EngineCount: 2,
-		Started:     1,
-		Work:        map[canary.Group]canary.Work{},
+		Format:            change.Format,
+		Name:              s.name,
+		Incarnation:       s.incarnation(),
+		MonotonicNS:       fakeClock,
+		Assignment:        s.accepted,
+		AppliedAssignment: s.accepted.Sequence,
+		Serving:           true,
+		ReadyEngineCount:  2,
+		StartedUnixNS:     1,
+		JobCounts:         map[canary.Group]canary.JobCounts{},
 	}
 	if s.jobsPerPoll > 0 {
 		s.polls++
 		jobs := s.jobsPerPoll * s.polls
-		status.Work[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.Work{
-			Jobs: jobs, Within: jobs, Done: jobs, Dispatches: jobs, Took: []uint64{0, 0, 0, jobs},
+		status.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.JobCounts{
+			Jobs: jobs, WithinSLA: jobs, Done: jobs, Dispatches: jobs, LatencyBuckets: []uint64{0, 0, 0, jobs},
 		}
 	}
 	return status
--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -60,9 +60,9 @@
 }
 
 func TestOrdersAreCheckedAgainstTheirFences(t *testing.T) {
-	const first, second, otherLeader = "msg=order_taken fence=1.2.1 by=x@v1\n", "msg=order_taken fence=1.2.2 by=x@v1\n",
-		"msg=order_taken fence=1.2.2 by=x@v2\n"
-	const nextTerm = "msg=order_taken fence=1.3.1 by=x@v2\n"
+	const first, second, otherLeader = "msg=order_accepted fence=1.2.1 by=x@v1\n", "msg=order_accepted fence=1.2.2 by=x@v1\n",
+		"msg=order_accepted fence=1.2.2 by=x@v2\n"
+	const nextTerm = "msg=order_accepted fence=1.3.1 by=x@v2\n"
 	for name, test := range map[string]struct {
 		text string
 		want bool
@@ -71,7 +71,7 @@
 		"out of order":              {nextTerm + second, false},
 		"the same twice":            {first + first, false},
 		"two leaders of one term":   {first + otherLeader, false},
-		"not a fence":               {"msg=order_taken fence=none by=x@v1\n", false},
+		"not a fence":               {"msg=order_accepted fence=none by=x@v1\n", false},
 		"other lines are of no use": {"msg=plan_taken\n", true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -25,7 +25,7 @@
 	Member    string
 	Reachable bool
 	Interval  int64 // ns since it was last observed; 0: it was not, and Work says nothing
-	Work      map[canary.Group]canary.Work
+	Work      map[canary.Group]canary.JobCounts
 }
 
 // Demand is the recent load of the controllers, and the shares that follow from it. It is not safe for concurrent
@@ -88,7 +88,7 @@
 	}
 }
 
-func (d *Demand) updateServiceTimes(work map[canary.Group]canary.Work, medianLatency func(counts []uint64) float64) {
+func (d *Demand) updateServiceTimes(work map[canary.Group]canary.JobCounts, medianLatency func(counts []uint64) float64) {
 	for _, group := range sortedGroups(work) {
 		done := work[group]
 		if done.Done == 0 {
@@ -99,7 +99,7 @@
 			mean = &weightedMean{}
 			d.serviceTimes[group.Type] = mean
 		}
-		mean.add(medianLatency(done.Took), float64(done.Done))
+		mean.add(medianLatency(done.LatencyBuckets), float64(done.Done))
 	}
 }
 
--- a/internal/quota/demand_test.go
+++ b/internal/quota/demand_test.go
@@ -12,11 +12,11 @@
 // observe has members a and b do jobs for a second, b also for a tenant of its own; c does none.
 func observe(d *Demand, now int64, jobsOfA, jobsOfB uint64, isBReachable bool) {
 	acme, bee := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
-	work := func(jobs uint64) canary.Work { return canary.Work{Jobs: jobs, Done: jobs} }
+	work := func(jobs uint64) canary.JobCounts { return canary.JobCounts{Jobs: jobs, Done: jobs} }
 	d.Observe(now, []Observation{
-		{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.Work{acme: work(jobsOfA)}},
+		{Member: "a", Reachable: true, Interval: 1e9, Work: map[canary.Group]canary.JobCounts{acme: work(jobsOfA)}},
 		{Member: "b", Reachable: isBReachable, Interval: 1e9,
-			Work: map[canary.Group]canary.Work{acme: work(jobsOfB), bee: work(jobsOfB)}},
+			Work: map[canary.Group]canary.JobCounts{acme: work(jobsOfB), bee: work(jobsOfB)}},
 		{Member: "c", Reachable: true, Interval: 1e9},
 	}, fixedLatency)
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -161,13 +161,13 @@
 		if random.IntN(20) == 0 {
 			continue
 		}
-		observed := Observation{Member: member, Work: map[canary.Group]canary.Work{}}
+		observed := Observation{Member: member, Work: map[canary.Group]canary.JobCounts{}}
 		observed.Reachable = random.IntN(10) > 0
 		observed.Interval = random.Int64N(3) * 1e9
 		for _, group := range traceGroups {
 			if random.IntN(3) == 0 {
 				jobs := uint64(random.IntN(400))
-				observed.Work[group] = canary.Work{Jobs: jobs, Done: jobs / 2, Took: []uint64{jobs, jobs / 3}}
+				observed.Work[group] = canary.JobCounts{Jobs: jobs, Done: jobs / 2, LatencyBuckets: []uint64{jobs, jobs / 3}}
 			}
 		}
 		observations = append(observations, observed)
