--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -8,7 +8,8 @@
 	"swiftreel/internal/golden"
 )
 
-// Operators' scripts read the table: its lines stay as they were at commit 70e2e4b, whose statements wrote the golden file.
+// Operators' scripts read the table: its lines stay as they were at commit 70e2e4b, whose statements wrote the golden
+// file.
 func TestTheTableKeepsItsLines(t *testing.T) {
 	found := summary{
 		failovers: map[strike][]time.Duration{
@@ -26,7 +27,9 @@
 	var table bytes.Buffer
 	table.WriteString(headerLine(8, "go1.26"))
 	table.WriteString(costLine(50, leadingCost{cores: 0.0123, bytes: 45678, assignments: 0.987}, 0.0045))
-	table.WriteString(sharesLine(unevenResult{meanError: 0.012, doneShare: 0.9988}, unevenResult{meanError: 0.096, doneShare: 0.9911}))
+	assigned := unevenResult{meanError: 0.012, doneShare: 0.9988}
+	estimated := unevenResult{meanError: 0.096, doneShare: 0.9911}
+	table.WriteString(sharesLine(assigned, estimated))
 	found.print(&table)
 	golden.Check(t, "table.txt", table.Bytes())
 }
@@ -57,14 +60,17 @@
 }
 
 func TestOrdersAreCheckedAgainstTheirFences(t *testing.T) {
+	const first, second, otherLeader = "msg=order_accepted fence=1.2.1 ordered_by=x@v1\n", "msg=order_accepted fence=1.2.2 ordered_by=x@v1\n",
+		"msg=order_accepted fence=1.2.2 ordered_by=x@v2\n"
+	const nextTerm = "msg=order_accepted fence=1.3.1 ordered_by=x@v2\n"
 	for name, test := range map[string]struct {
 		text string
 		want bool
 	}{
-		"in order":                  {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.2 ordered_by=x@v1\nmsg=order_accepted fence=1.3.1 ordered_by=x@v2\n", true},
-		"out of order":              {"msg=order_accepted fence=1.3.1 ordered_by=x@v2\nmsg=order_accepted fence=1.2.2 ordered_by=x@v1\n", false},
-		"the same twice":            {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.1 ordered_by=x@v1\n", false},
-		"two leaders of one term":   {"msg=order_accepted fence=1.2.1 ordered_by=x@v1\nmsg=order_accepted fence=1.2.2 ordered_by=x@v2\n", false},
+		"in order":                  {first + second + nextTerm, true},
+		"out of order":              {nextTerm + second, false},
+		"the same twice":            {first + first, false},
+		"two leaders of one term":   {first + otherLeader, false},
 		"not a fence":               {"msg=order_accepted fence=none ordered_by=x@v1\n", false},
 		"other lines are of no use": {"msg=plan_taken\n", true},
 	} {
