--- /dev/null
+++ b/internal/sparql/endpoint/client.go
@@ -0,0 +1,158 @@
+package endpoint
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/invariant"
+	"swiftreel/internal/sparql/decide"
+)
+
+const (
+	maxHeaderBytes      = 64 << 10 // of an answer
+	maxIdleConns        = 64
+	maxIdleConnsPerHost = 4
+)
+
+// Client carries dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL. Each dispatch has a
+// goroutine, which ends with it.
+type Client struct {
+	limits   backend.Limits
+	onSignal func(name string, signal decide.Signal)
+	http     *http.Client
+	ctx      context.Context // of all requests; Close ends it
+	cancel   context.CancelFunc
+
+	mu       sync.Mutex           // guards what follows
+	inFlight map[string]*inFlight // by engine; one leaves with its last dispatch
+	conns    int                  // dispatches and probes in flight: a connection each
+}
+
+// inFlight counts the dispatches at an engine.
+type inFlight struct {
+	open      int
+	cancelled int
+}
+
+var _ backend.Engines = (*Client)(nil)
+
+// New returns a client. onSignal is called with what engines report of themselves beside their answers.
+func New(limits backend.Limits, onSignal func(name string, signal decide.Signal)) *Client {
+	c := &Client{limits: limits, onSignal: onSignal, inFlight: map[string]*inFlight{}}
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	dialer := &net.Dialer{Timeout: limits.DialTimeout}
+	c.http = &http.Client{
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+		Transport: &http.Transport{
+			DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+				return dialer.DialContext(ctx, "tcp4", address) // the fleet is IPv4 only
+			},
+			DisableCompression:     true,
+			IdleConnTimeout:        limits.IdleTimeout * 2 / 3, // before the engine closes it
+			MaxResponseHeaderBytes: maxHeaderBytes,
+			MaxIdleConnsPerHost:    maxIdleConnsPerHost,
+			MaxIdleConns:           maxIdleConns,
+		},
+	}
+	return c
+}
+
+// Start implements backend.Engines.
+func (c *Client) Start(to backend.Host, request backend.Request, reply func(backend.Reply)) backend.Dispatch {
+	ctx, cancel := context.WithCancel(c.ctx)
+	d := &dispatch{client: c, name: to.Name, cancel: cancel, reply: reply}
+	if !c.acquire(to.Name) {
+		counters.Increment("endpoint_conns_full")
+		d.finishUnsent(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine refused nothing
+		return d
+	}
+	operation, err := parseStatement(request.Statement)
+	invariant.Check(err == nil, "statement_of_another_protocol")
+	if err != nil {
+		d.finish(backend.Reply{Outcome: backend.Superseded})
+		return d
+	}
+	if timeout := time.Duration(request.TimeoutMS) * time.Millisecond; timeout > 0 { // beyond it nobody waits
+		timer := time.AfterFunc(timeout+c.limits.DialTimeout, cancel)
+		context.AfterFunc(ctx, func() { timer.Stop() })
+	}
+	go func() {
+		d.finish(c.exchange(ctx, to, string(request.ID), operation))
+		cancel()
+	}()
+	return d
+}
+
+// CloseIdle implements backend.Engines. The library closes all that are idle, which costs others a dial.
+func (c *Client) CloseIdle(string) { c.http.CloseIdleConnections() }
+
+// InFlight implements backend.Engines.
+func (c *Client) InFlight(name string) (open, cancelled int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if counts := c.inFlight[name]; counts != nil {
+		return counts.open, counts.cancelled
+	}
+	return 0, 0
+}
+
+// Release implements backend.Engines.
+func (c *Client) Release(pages [][]byte) { c.limits.ResultBytes.Release(int(totalSize(pages))) }
+
+// Close implements backend.Engines.
+func (c *Client) Close() {
+	c.cancel()
+	c.http.CloseIdleConnections()
+}
+
+// acquire takes a connection for a dispatch to an engine, or for a probe (""). It returns false if there is none left.
+func (c *Client) acquire(name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns >= c.limits.Conns.Max() {
+		return false
+	}
+	c.conns++
+	if name == "" {
+		return true
+	}
+	if c.inFlight[name] == nil {
+		c.inFlight[name] = &inFlight{}
+	}
+	c.inFlight[name].open++
+	return true
+}
+
+// countCancelled counts a dispatch as cancelled instead of open.
+func (c *Client) countCancelled(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if counts := c.inFlight[name]; counts != nil {
+		counts.open--
+		counts.cancelled++
+	}
+}
+
+// release returns the connection of a dispatch that ended, or of a probe.
+func (c *Client) release(name string, cancelled bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.conns--
+	counts := c.inFlight[name]
+	if counts == nil {
+		return
+	}
+	if cancelled {
+		counts.cancelled--
+	} else {
+		counts.open--
+	}
+	if *counts == (inFlight{}) {
+		delete(c.inFlight, name)
+	}
+}
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -19,15 +19,16 @@
 
 // town is a client and one scripted endpoint: what it reads of a request, and then writes or does, is the test's.
 type town struct {
-	t      *testing.T
-	client *Client
-	host   backend.Host
-	bytes  *limits.Bytes
-	mu     sync.Mutex
-	words  []decide.Signal
+	t       *testing.T
+	client  *Client
+	host    backend.Host
+	bytes   *limits.Bytes
+	mu      sync.Mutex
+	signals []decide.Signal
 }
 
 func newTown(t *testing.T, conns int64, serve func(net.Conn, *http.Request)) *town {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +47,9 @@
 					if err != nil {
 						return
 					}
-					request.ParseForm()
+					if err := request.ParseForm(); err != nil {
+						t.Error(err)
+					}
 					serve(c, request)
 				}
 			})
@@ -56,9 +59,9 @@
 	w.bytes.SetCapacity(1 << 20)
 	most := new(limits.Count)
 	most.Store(conns)
-	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, word decide.Signal) {
+	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, signal decide.Signal) {
 		w.mu.Lock()
-		w.words = append(w.words, word)
+		w.signals = append(w.signals, signal)
 		w.mu.Unlock()
 	})
 	t.Cleanup(func() {
@@ -68,16 +71,16 @@
 		if !w.bytes.Unused() {
 			t.Error("bytes are kept")
 		}
-		if open, given := w.client.InFlight("e1"); open+given != 0 || w.client.whole != 0 {
-			t.Errorf("%d open, %d given up, %d in all", open, given, w.client.whole)
+		if open, given := w.client.InFlight("e1"); open+given != 0 || w.client.conns != 0 {
+			t.Errorf("%d open, %d given up, %d in all", open, given, w.client.conns)
 		}
 	})
 	return w
 }
 
-var query = Ask{Accept: "application/sparql-results+json", Form: url.Values{"query": {"SELECT * { ?s ?p ?o }"}, "default-graph-uri": {"http://g"}}}
+var query = Operation{Accept: "application/sparql-results+json", Form: url.Values{"query": {"SELECT * { ?s ?p ?o }"}, "default-graph-uri": {"http://g"}}}
 
-func (w *town) ask(a Ask) backend.Reply {
+func (w *town) ask(a Operation) backend.Reply {
 	w.t.Helper()
 	told := make(chan backend.Reply, 2)
 	w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: a.Statement(), TimeoutMS: 20000}, func(r backend.Reply) { told <- r })
@@ -100,10 +103,10 @@
 
 // Each outcome is told apart: what never ran, what may have, what is done.
 func TestOutcomesAreToldApart(t *testing.T) {
-	update := Ask{Update: true, Accept: "*/*", Form: url.Values{"update": {"CLEAR ALL"}}}
+	update := Operation{Update: true, Accept: "*/*", Form: url.Values{"update": {"CLEAR ALL"}}}
 	half := answer("200 OK", typed, good)
 	for name, c := range map[string]struct {
-		ask   Ask
+		ask   Operation
 		write string
 		want  backend.Outcome
 	}{
@@ -168,7 +171,7 @@
 	if r := <-probed; r.Outcome != backend.NotConnected {
 		t.Errorf("a probe: end %d", r.Outcome)
 	}
-	if r := w.ask(Ask{}); r.Outcome != backend.NotConnected {
+	if r := w.ask(Operation{}); r.Outcome != backend.NotConnected {
 		t.Errorf("end %d", r.Outcome)
 	}
 }
@@ -178,7 +181,7 @@
 	asked, closed := make(chan struct{}, 1), make(chan struct{})
 	w := newTown(t, 1, func(c net.Conn, _ *http.Request) {
 		asked <- struct{}{}
-		io.Copy(io.Discard, c) // until it is closed
+		_, _ = io.Copy(io.Discard, c) // until it is closed, by either side
 		close(closed)
 	})
 	told := make(chan backend.Reply, 2)
@@ -216,9 +219,9 @@
 	}
 	ask := `{"head":{},"boolean":true}`
 	for _, c := range []struct {
-		write string
-		end   backend.Outcome
-		word  decide.Signal
+		write  string
+		end    backend.Outcome
+		signal decide.Signal
 	}{
 		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.SignalServing},
 		{answer("200 OK", typed+"Draining: ?1\r\n", ask), backend.Done, decide.SignalDraining},
@@ -231,9 +234,9 @@
 		mu.Unlock()
 		r := probe()
 		w.mu.Lock()
-		word := w.words[len(w.words)-1]
+		word := w.signals[len(w.signals)-1]
 		w.mu.Unlock()
-		if r.Outcome != c.end || word != c.word {
+		if r.Outcome != c.end || word != c.signal {
 			t.Errorf("%q: end %d, word %d", c.write, r.Outcome, word)
 		}
 	}
--- /dev/null
+++ b/internal/sparql/endpoint/exchange.go
@@ -0,0 +1,167 @@
+package endpoint
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptrace"
+	"strings"
+	"sync/atomic"
+
+	"swiftreel/internal/backend"
+	"swiftreel/internal/counters"
+	"swiftreel/internal/sparql/decide"
+	"swiftreel/internal/sparql/results"
+)
+
+// Headers of engines, structured fields (RFC 9651).
+const (
+	headerNotStarted = "Not-Started" // of a 503 or 429: nothing was begun
+	headerDraining   = "Draining"
+	headerLoad       = "Load" // the load report
+	headerTrue       = "?1"
+)
+
+// HeaderIdempotencyKey is sent by clients, and handed on to engines (draft-ietf-httpapi-idempotency-key-header).
+const HeaderIdempotencyKey = "Idempotency-Key"
+
+const formMediaType = "application/x-www-form-urlencoded"
+
+// exchange sends an operation and reads its one answer.
+func (c *Client) exchange(
+	ctx context.Context, to backend.Host, id string, operation encodedOperation,
+) backend.Reply {
+	response, connected, err := c.post(ctx, to, id, operation)
+	if err != nil {
+		if !connected {
+			return backend.Reply{Outcome: backend.NotConnected}
+		}
+		return backend.Reply{Outcome: backend.Reset}
+	}
+	defer response.Body.Close()
+	c.reportSignal(to.Name, response)
+	load := response.Header.Get(headerLoad)
+	switch {
+	case refusedUnstarted(response):
+		return backend.Reply{Outcome: backend.Full, Load: load}
+	case operation.update && response.StatusCode/100 == 2:
+		return backend.Reply{Outcome: readUpdateAnswer(response), Load: load}
+	case response.StatusCode != http.StatusOK:
+		counters.Increment("endpoint_statuses_bad")
+		return backend.Reply{Outcome: backend.Failed, Load: load}
+	}
+	pages, outcome := c.readResult(response, operation.accept)
+	return backend.Reply{Outcome: outcome, Pages: pages, Load: load}
+}
+
+func refusedUnstarted(response *http.Response) bool {
+	switch response.StatusCode {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return response.Header.Get(headerNotStarted) == headerTrue
+	}
+	return false
+}
+
+// post sends a form. It reports whether a connection was up, so that any of the form may have been read.
+func (c *Client) post(
+	ctx context.Context, to backend.Host, id string, operation encodedOperation,
+) (response *http.Response, connected bool, err error) {
+	var gotConn atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) },
+	})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, to.Address, bytes.NewReader(operation.form))
+	if err != nil {
+		return nil, false, err
+	}
+	request.GetBody = nil // never sent a second time by the library once a byte of it went out
+	request.Header.Set("Content-Type", formMediaType)
+	request.Header.Set("Accept", operation.accept)
+	if operation.idempotencyKey != "" {
+		request.Header.Set(HeaderIdempotencyKey, operation.idempotencyKey)
+	}
+	request.Header.Set("User-Agent", "swiftreel")
+	if id != "" {
+		request.Header.Set("Job", id)
+	}
+	response, err = c.http.Do(request)
+	return response, gotConn.Load(), err
+}
+
+// reportSignal reports what an engine shows of its own state.
+func (c *Client) reportSignal(name string, response *http.Response) {
+	signal := decide.SignalServing
+	switch {
+	case response.Header.Get(headerDraining) == headerTrue:
+		signal = decide.SignalDraining
+	case response.Close:
+		signal = decide.SignalClosing
+	}
+	c.onSignal(name, signal)
+}
+
+// readUpdateAnswer reads the body of an update's answer, which means nothing, but must be complete.
+func readUpdateAnswer(response *http.Response) backend.Outcome {
+	size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHeaderBytes+1))
+	if err != nil || size > maxHeaderBytes {
+		return backend.Failed
+	}
+	return backend.Done
+}
+
+// readResult reads a result into pages, as far as there is memory, and follows its form to the end.
+func (c *Client) readResult(response *http.Response, accept string) ([][]byte, backend.Outcome) {
+	mediaType, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
+	if !strings.EqualFold(strings.TrimSpace(mediaType), accept) || response.Header.Get("Content-Encoding") != "" {
+		counters.Increment("endpoint_answers_of_another_form")
+		return nil, backend.Failed
+	}
+	pages, err := c.readPages(response.Body)
+	if err == errNoMemory { //nolint:errorlint // readPages returns it as it is
+		counters.Increment("endpoint_answers_too_large")
+		c.Release(pages)
+		return nil, backend.Failed
+	}
+	isCut := response.ContentLength >= 0 && totalSize(pages) != response.ContentLength
+	if err != nil || isCut {
+		c.Release(pages)
+		return nil, backend.Reset
+	}
+	if !isComplete(accept, pages) {
+		counters.Increment("endpoint_results_bad")
+		c.Release(pages)
+		return nil, backend.Failed
+	}
+	return pages, backend.Done
+}
+
+// formats are the result formats, by media type, whose end can be recognised.
+var formats = map[string]results.Format{
+	results.JSON.MediaType(): results.JSON,
+	results.XML.MediaType():  results.XML,
+	results.CSV.MediaType():  results.CSV,
+	results.TSV.MediaType():  results.TSV,
+}
+
+// isComplete reports whether a result is complete in its form. Other forms show no end.
+func isComplete(mediaType string, pages [][]byte) bool {
+	format, known := formats[mediaType]
+	return !known || readThrough(results.NewReader(format, Pages(pages))) == nil
+}
+
+// readThrough reads a result to its end.
+func readThrough(reader results.Reader) error {
+	if _, err := reader.Head(); err != nil {
+		return err
+	}
+	for {
+		_, err := reader.Next()
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+}
--- a/internal/sparql/front/handler.go
+++ b/internal/sparql/front/handler.go
@@ -146,11 +146,11 @@
 		f.reject(answer.w, rejectf(http.StatusBadRequest, "no reservation type takes this"))
 		return
 	}
-	statement := endpoint.Ask{
-		Update: job.request.update,
-		Accept: answer.engineFormat,
-		Mark:   job.key.Value,
-		Form:   job.request.form(),
+	statement := endpoint.Operation{
+		Update:         job.request.update,
+		Accept:         answer.engineFormat,
+		IdempotencyKey: job.key.Value,
+		Form:           job.request.form(),
 	}
 	f.owed.Add(1)
 	defer f.owed.Add(-1)
