--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -122,7 +122,7 @@
 	debug.FreeOSMemory() // what the libraries of the command line left behind when they were set up
 	gate.Start()
 	failpoint.Start()
-	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.Known.N, "settings", change.OfJSON(facts))
+	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.Known.N, "settings", change.JSONDigest(facts))
 
 	signal := <-stop
 	at := time.Now()
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -51,7 +51,7 @@
 	text := json.RawMessage(`{"method":"m","status":"optimal"}`)
 	full := Word{Format: change.Format, Reign: 5, Count: 17, Owner: "v1", Member: "c1", Life: "0123456789abcdef",
 		Part: quota.Share{quota.Fleet: 250_000, quota.Quota("acme"): 500_000, quota.Quota(""): 1}, PartUntil: 123_456_789_000,
-		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, Text: text}
+		Plan: change.JSONDigest(text), PlanUntil: 987_654_321_000, Text: text}
 	for name, w := range map[string]Word{"word-full.json": full, "word-least.json": {Format: change.Format, Reign: 1, Count: 1, Owner: "a", Member: "b", Life: "c"}} {
 		got, err := ReadWord(bytes.NewReader(golden(t, name, marshal(t, w))))
 		if err != nil || !reflect.DeepEqual(got, w) {
--- a/internal/assignment/word.go
+++ b/internal/assignment/word.go
@@ -59,7 +59,7 @@
 		return Word{}, errors.New("/owner, /member, /life: missing")
 	case len(w.Part) > mostParts:
 		return Word{}, fmt.Errorf("/part: over %d", mostParts)
-	case len(w.Text) > 0 && change.OfJSON(w.Text) != w.Plan:
+	case len(w.Text) > 0 && change.JSONDigest(w.Text) != w.Plan:
 		return Word{}, errors.New("/plan_text: it is not that plan")
 	}
 	for of, n := range w.Part {
--- a/internal/assignment/word_test.go
+++ b/internal/assignment/word_test.go
@@ -37,7 +37,7 @@
 // A plan that the member lacks is followed once its text has come; until then the one before goes on, to its own end.
 func TestAPlanIsFollowedOnceItsTextIsThere(t *testing.T) {
 	text := json.RawMessage(`{"a":1}`)
-	first, second := change.OfJSON(text), change.OfJSON(json.RawMessage(`{"a":2}`))
+	first, second := change.JSONDigest(text), change.JSONDigest(json.RawMessage(`{"a":2}`))
 	var h Held
 	take := func(count int64, plan change.Digest, until int64, text json.RawMessage) {
 		t.Helper()
--- a/internal/leader/duty.go
+++ b/internal/leader/duty.go
@@ -31,7 +31,7 @@
 	fitness Fitness
 
 	mu    sync.Mutex
-	under []*coordinator.Fleet // asked by duties under way
+	under []*coordinator.FleetClient // asked by duties under way
 
 	count   int64  // of words handed out by this process: it rises over reigns too
 	refused string // the last word that was, as logged
@@ -47,9 +47,9 @@
 func (a agreement) Write(name string, value []byte) error {
 	return a.node.Propose(a.reign, name, value)
 }
-func (a agreement) May() bool    { return a.node.May() == a.reign }
-func (a agreement) Term() int64  { return int64(a.reign) }
-func (a agreement) Name() string { return a.node.name }
+func (a agreement) IsLeader() bool     { return a.node.May() == a.reign }
+func (a agreement) Term() int64        { return int64(a.reign) }
+func (a agreement) LeaderName() string { return a.node.name }
 
 // NewDuties are those of a process; folder is what files in the operator's part are relative to.
 func NewDuties(n *Node, f *operator.Fleet, folder string) (*Duties, error) {
@@ -101,11 +101,11 @@
 	}
 	others.Go(func() { d.watch(ctx, r) })
 	for ctx.Err() == nil {
-		record, is, err := coordinator.Agreed(a).Record()
-		if err == nil && is && (!record.State.Phase.Ends() || d.asked(a, record)) {
-			var c *coordinator.Conductor
-			fleet := coordinator.NewFleet(d.members, askTime, askTime)
-			if c, err = coordinator.Take(coordinator.Agreed(a), fleet); err == nil {
+		record, is, err := coordinator.Replicated(a).Record()
+		if err == nil && is && (!record.State.Phase.IsTerminal() || d.asked(a, record)) {
+			var c *coordinator.Coordinator
+			fleet := coordinator.NewFleetClient(d.members, askTime, askTime)
+			if c, err = coordinator.TakeOver(coordinator.Replicated(a), fleet); err == nil {
 				done := d.asks(fleet)
 				err = c.Run(ctx)
 				done()
@@ -129,11 +129,11 @@
 // from those of its duties that ask all.
 func (d *Duties) watch(ctx context.Context, r Reign) {
 	members := slices.DeleteFunc(slices.Clone(d.members), func(m operator.Member) bool { return !slices.Contains(d.fleet.Voters, m.Name) })
-	fleet := coordinator.NewFleet(members, askTime, watchEvery)
+	fleet := coordinator.NewFleetClient(members, askTime, watchEvery)
 	heard, last := make([]time.Time, len(members)), make([]Health, len(members))
 	for ctx.Err() == nil {
 		now := time.Now()
-		for i, a := range fleet.Ask(ctx) {
+		for i, a := range fleet.Poll(ctx) {
 			if a.Err == nil {
 				heard[i], last[i] = now, Health{Serves: a.Status.Serves, Engines: a.Status.EngineCount}
 			}
@@ -149,7 +149,7 @@
 		}
 		own.Stalls, own.Reached = d.node.Stalls(), true
 		for _, f := range d.asking() {
-			if n, of := f.Heard(); of > 0 && (own.Members == 0 || n < own.Heard) {
+			if n, of := f.Answered(); of > 0 && (own.Members == 0 || n < own.Heard) {
 				own.Heard, own.Members = n, of
 			}
 		}
@@ -165,18 +165,18 @@
 }
 
 // asks has the watch know of a duty that asks all members, until it is ended.
-func (d *Duties) asks(f *coordinator.Fleet) (end func()) {
+func (d *Duties) asks(f *coordinator.FleetClient) (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.under = append(d.under, f)
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.under = slices.DeleteFunc(d.under, func(o *coordinator.Fleet) bool { return o == f })
+		d.under = slices.DeleteFunc(d.under, func(o *coordinator.FleetClient) bool { return o == f })
 	}
 }
 
-func (d *Duties) asking() []*coordinator.Fleet {
+func (d *Duties) asking() []*coordinator.FleetClient {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.under)
@@ -184,8 +184,8 @@
 
 // asked tells whether there is a wish for a change that has ended.
 func (d *Duties) asked(a agreement, r coordinator.Record) bool {
-	w := coordinator.Agreed(a).Wish()
-	return w.ID != "" && w.ID != r.Asked && w.Ask == rollout.AskBack && r.State.Phase == rollout.Stopped
+	w := coordinator.Replicated(a).PendingRequest()
+	return w.ID != "" && w.ID != r.LastRequestID && w.Request == rollout.RequestRollback && r.State.Phase == rollout.PhaseStopped
 }
 
 // mostChange bounds a change's text.
@@ -214,21 +214,21 @@
 		if err := json.NewDecoder(io.LimitReader(r.Body, mostChange)).Decode(&c); err != nil {
 			return fmt.Errorf("/: %w", err)
 		}
-		if list := c.Faults(); len(list) > 0 {
+		if list := c.Validate(); len(list) > 0 {
 			return &schema.Faults{File: "the change", List: list}
 		}
-		if c.Kind == change.Plan {
+		if c.Kind == change.KindPlan {
 			return errors.New("/kind: a plan's file stands where it was written; conduct it with swiftreel rollout start")
 		}
 		d.one.Lock()
 		defer d.one.Unlock()
-		return coordinator.Begin(r.Context(), coordinator.Agreed(a), c, coordinator.NewFleet(d.members, askTime, askTime), false)
+		return coordinator.Begin(r.Context(), coordinator.Replicated(a), c, coordinator.NewFleetClient(d.members, askTime, askTime), false)
 	}))
 	mux.HandleFunc("POST /v1/owner/wish", owned(func(r *http.Request, a agreement) error {
-		var w coordinator.Wish
+		var w coordinator.OperatorRequest
 		if err := json.NewDecoder(io.LimitReader(r.Body, 1024)).Decode(&w); err != nil {
 			return err
 		}
-		return coordinator.Agreed(a).Ask(w.Ask)
+		return coordinator.Replicated(a).Submit(w.Request)
 	}))
 }
--- a/internal/leader/hand.go
+++ b/internal/leader/hand.go
@@ -45,7 +45,7 @@
 type hands struct {
 	d      *Duties
 	a      agreement
-	fleet  *coordinator.Fleet
+	fleet  *coordinator.FleetClient
 	began  time.Time
 	seen   []seen
 	demand *quota.Demand
@@ -69,7 +69,7 @@
 }
 
 func newHands(d *Duties, a agreement) (*hands, error) {
-	h := &hands{d: d, a: a, fleet: coordinator.NewFleet(d.fleet.Members, askTime, handEvery/2), began: time.Now(), seen: make([]seen, len(d.fleet.Members)), demand: quota.NewDemand()}
+	h := &hands{d: d, a: a, fleet: coordinator.NewFleetClient(d.fleet.Members, askTime, handEvery/2), began: time.Now(), seen: make([]seen, len(d.fleet.Members)), demand: quota.NewDemand()}
 	if p := d.fleet.Parts; p != nil {
 		var r quota.Record
 		if err := h.read(partsItem, &r); err != nil {
@@ -78,7 +78,7 @@
 		h.ledger = quota.NewLedger(r, p.LifeMS*1e6, h.time())
 	}
 	if p := d.fleet.Planning; p != nil {
-		h.fleet.Engines = true
+		h.fleet.IncludeEngines = true
 		h.plans = planner.New(*d.problem, planner.Pace{Every: p.EveryMS * 1e6, Least: p.LeastMS * 1e6}, h.time())
 		if err := h.read(planItem, &h.now); err != nil {
 			return nil, err
@@ -119,9 +119,9 @@
 
 // look is one look at the fleet and what follows from it.
 func (h *hands) look(ctx context.Context) error {
-	answers := h.fleet.Ask(ctx)
-	now := h.time() // what the answers tell of their members' time is older than this
-	if !h.a.May() { // asked after the answers came: what is handed out ends by times that they told
+	answers := h.fleet.Poll(ctx)
+	now := h.time()      // what the answers tell of their members' time is older than this
+	if !h.a.IsLeader() { // asked after the answers came: what is handed out ends by times that they told
 		return nil
 	}
 	rates, engines := h.take(answers, now)
@@ -144,7 +144,7 @@
 			return err
 		}
 	}
-	if !h.a.May() {
+	if !h.a.IsLeader() {
 		return nil
 	}
 	words := map[int]assignment.Word{}
@@ -154,7 +154,7 @@
 			continue
 		}
 		h.d.count++
-		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.Name(), Member: m.Name, Life: s.status.Life}
+		w := assignment.Word{Format: change.Format, Reign: int64(h.a.reign), Count: h.d.count, Owner: h.a.LeaderName(), Member: m.Name, Life: s.status.Life}
 		if h.ledger != nil {
 			if w.Part = h.ledger.Give(m.Name, want[m.Name], now, w.Count); len(w.Part) > 0 {
 				w.PartUntil = s.status.BootNS + h.d.fleet.Parts.LifeMS*1e6
@@ -168,7 +168,7 @@
 		}
 		words[i] = w
 	}
-	for i, err := range h.fleet.Hand(ctx, words) {
+	for i, err := range h.fleet.SendAssignments(ctx, words) {
 		if text := h.fleet.Members[i].Name + ": " + err.Error(); text != h.d.refused {
 			h.d.refused = text
 			slog.Warn("word_not_taken", "reign", h.a.reign, "member", h.fleet.Members[i].Name, "reason", err)
@@ -181,7 +181,7 @@
 }
 
 // take turns keepers' answers into what parts and planner are told.
-func (h *hands) take(answers []coordinator.Answer, now int64) (rates map[string]map[canary.Group]float64, engines [][]string) {
+func (h *hands) take(answers []coordinator.StatusReply, now int64) (rates map[string]map[canary.Group]float64, engines [][]string) {
 	var list []quota.Seen
 	for i, a := range answers {
 		m, k := h.fleet.Members[i], &h.seen[i]
@@ -229,7 +229,7 @@
 				slog.Warn("fleet_not_planned", "reign", h.a.reign, "status", o.answer.Status, "why", o.why)
 				break
 			}
-			next := planned{Reign: h.a.reign, Count: 1, Why: o.why, Answer: o.answer, Digest: change.OfJSON(o.answer)}
+			next := planned{Reign: h.a.reign, Count: 1, Why: o.why, Answer: o.answer, Digest: change.JSONDigest(o.answer)}
 			if h.now.Reign == next.Reign {
 				next.Count = h.now.Count + 1
 			}
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -251,11 +251,11 @@
 	}
 	if err := p.town.Await(40*time.Second, func() bool {
 		m, err := p.owner("")
-		return err == nil && p.town.Get(m, "/v1/owner/item?name=change.json", &r) == nil && r.State.Phase.Ends()
+		return err == nil && p.town.Get(m, "/v1/owner/item?name=change.json", &r) == nil && r.State.Phase.IsTerminal()
 	}); err != nil {
-		return fmt.Errorf("does not end: %s (%s): %w", r.State.Phase, r.State.Why, err)
+		return fmt.Errorf("does not end: %s (%s): %w", r.State.Phase, r.State.Reason, err)
 	}
-	if r.State.Phase != rollout.Done {
+	if r.State.Phase != rollout.PhaseDone {
 		return fmt.Errorf("ends as %s: %s", r.State.Phase, r.State.Outcome)
 	}
 	for _, m := range p.town.Members {
@@ -326,7 +326,7 @@
 			}
 			var f change.Fence
 			var who string
-			if _, err := fmt.Sscanf(rest, "%d.%d.%d by=%s", &f.Number, &f.Term, &f.Turn, &who); err != nil {
+			if _, err := fmt.Sscanf(rest, "%d.%d.%d by=%s", &f.Number, &f.Term, &f.Revision, &who); err != nil {
 				return err
 			}
 			if f.Compare(last) <= 0 {
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -33,14 +33,14 @@
 		if p.town.Get(m, "/v1/owner/item?name=change.json", &r) != nil {
 			continue
 		}
-		if r.State.Phase.Ends() {
-			if r.State.Phase != rollout.Done || len(p.lost) < 5 {
+		if r.State.Phase.IsTerminal() {
+			if r.State.Phase != rollout.PhaseDone || len(p.lost) < 5 {
 				return fmt.Errorf("the change ends as %s (%s), owners lost in %v", r.State.Phase, r.State.Outcome, p.lost)
 			}
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("does not end: %s (%s)", r.State.Phase, r.State.Why)
+			return fmt.Errorf("does not end: %s (%s)", r.State.Phase, r.State.Reason)
 		}
 		at := fmt.Sprint(r.State.Phase, " ", r.State.Stage+1)
 		if slices.Contains(p.lost, at) {
