--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -9,137 +9,134 @@
 	"swiftreel/internal/schema"
 )
 
-// Kind is what a change changes.
+// Kind is what a change replaces.
 type Kind string
 
-// The kinds.
+// The kinds of change.
 const (
-	KindSettings Kind = "settings" // the operator's part shape
-	KindPlan     Kind = "plan"
-	KindProgram  Kind = "program"
+	KindSettings Kind = "settings" // the operator's settings of the deployment's topology
+	KindPlan     Kind = "plan"     // the plan that controllers follow
+	KindProgram  Kind = "program"  // the controllers' program
 )
 
-// Stage says which controllers are on the new version once it stands: named, or a part of them all.
-type Stage struct {
-	Members  []string `json:"members"`
-	PerMille int64    `json:"per_mille"`
-}
-
-// Pace is how long things may take. All in milliseconds of the conductor's own time.
-type Timing struct {
-	BaselineMS         int64 `json:"base_ms"`           // before the first stage all are watched so long
-	BakeMS             int64 `json:"bake_ms"`           // a stage stands at least so long
-	MaxBakeMS          int64 `json:"most_ms"`           // and at most so long: then it is undecided, which is no success
-	ApplyTimeoutMS     int64 `json:"apply_ms"`          // a controller that has not taken its order by then has failed
-	SettleMS           int64 `json:"steady_ms"`         // its jobs count so long after it took its order
-	UnreachableAfterMS int64 `json:"unheard_ms"`        // out of reach is one not heard of for so long
-	SharedRecoveryMS   int64 `json:"shared_ms"`         // what the change did to all is over so long after it is withdrawn
-	MaxSharedRetries   int64 `json:"shared_tries"`      // so often a stage is withdrawn for what was the day
-	MinHealthyPerMille int64 `json:"healthy_per_mille"` // of all controllers; never fewer serve by the change's doing
-	PollIntervalMS     int64 `json:"look_ms"`
-}
+// perMilleOfAll is the share of a stage that holds every controller.
+const perMilleOfAll = 1000
 
-// Usual is the pace where a change states none.
-func (p Timing) usual() Timing {
-	for _, f := range []struct {
-		at    *int64
-		usual int64
-	}{{&p.BaselineMS, 60_000}, {&p.BakeMS, 60_000}, {&p.MaxBakeMS, 900_000}, {&p.ApplyTimeoutMS, 120_000}, {&p.SettleMS, 2000}, {&p.UnreachableAfterMS, 5000},
-		{&p.SharedRecoveryMS, 30_000}, {&p.MaxSharedRetries, 2}, {&p.MinHealthyPerMille, 500}, {&p.PollIntervalMS, 1000}} {
-		if *f.at == 0 {
-			*f.at = f.usual
-		}
-	}
-	return p
+// Target is what a change leads to. Exactly the field of the change's kind is set.
+type Target struct {
+	Topology json.RawMessage `json:"shape"`   // KindSettings; JSON null removes the setting
+	Plan     string          `json:"plan"`    // KindPlan: a file, relative to the change's file
+	Program  string          `json:"program"` // KindProgram: a file at the same path for every supervisor
 }
 
-// Change is a change as its file says.
+// Change is one change of the fleet, as its file states it.
 type Change struct {
-	Number int64  `json:"number"` // over that of every change before
-	Title  string `json:"title"`
-	Kind   Kind   `json:"kind"`
-	Target struct {
-		Topology json.RawMessage `json:"shape"`
-		Plan     string          `json:"plan"`    // a file, relative to this one
-		Program  string          `json:"program"` // a file at the same place for every keeper
-	} `json:"to"`
+	Number int64         `json:"number"` // above that of every earlier change
+	Title  string        `json:"title"`
+	Kind   Kind          `json:"kind"`
+	Target Target        `json:"to"`
 	Stages []Stage       `json:"stages"`
 	Timing Timing        `json:"pace"`
 	Limits canary.Limits `json:"limits"`
 }
 
-// Load reads a change whole; the error names every fault by path.
-func Load(path string) (c Change, err error) {
-	c.Limits = canary.Usual()
-	if err := schema.Read(path, schema.Change, &c); err != nil {
+// Load reads a change file and fills in defaults. A *schema.Faults error names every fault by its path in the file.
+func Load(path string) (Change, error) {
+	change := Change{Limits: canary.Usual()}
+	if err := schema.Read(path, schema.Change, &change); err != nil {
 		return Change{}, err
 	}
-	c.Timing = c.Timing.usual()
-	if len(c.Stages) == 0 {
-		c.Stages = []Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}
+	change.Timing = change.Timing.withDefaults()
+	if len(change.Stages) == 0 {
+		change.Stages = defaultStages()
 	}
-	if c.Target.Plan != "" && !filepath.IsAbs(c.Target.Plan) {
-		c.Target.Plan = filepath.Join(filepath.Dir(path), c.Target.Plan)
+	if plan := change.Target.Plan; plan != "" && !filepath.IsAbs(plan) {
+		change.Target.Plan = filepath.Join(filepath.Dir(path), plan)
 	}
-	if list := c.Validate(); len(list) > 0 {
-		return Change{}, &schema.Faults{File: path, List: list}
+	if faults := change.Validate(); len(faults) > 0 {
+		return Change{}, &schema.Faults{File: path, List: faults}
 	}
-	return c, nil
+	return change, nil
 }
 
-// Faults are contradictions that a schema does not see.
-func (c Change) Validate() (list []string) {
-	for name, is := range map[Kind]bool{KindSettings: c.Target.Topology != nil, KindPlan: c.Target.Plan != "", KindProgram: c.Target.Program != ""} {
-		if is != (name == c.Kind) {
-			list = append(list, fmt.Sprintf("/to: kind %s and its part do not agree", c.Kind))
-			break
-		}
+// defaultStages are those of a change that states none: one controller, a third, all.
+func defaultStages() []Stage {
+	return []Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: perMilleOfAll}}
+}
+
+// Validate returns the contradictions that the schema of change files cannot express, each with its path.
+func (c Change) Validate() []string {
+	var faults []string
+	if !c.Target.matches(c.Kind) {
+		faults = append(faults, fmt.Sprintf("/to: kind %s and its part do not agree", c.Kind))
 	}
 	if len(c.Stages) == 0 || c.Number < 1 || c.Timing.PollIntervalMS < 1 {
-		return append(list, "/: not complete") // the schema sees to it in a file
+		return append(faults, "/: not complete") // a change that came over HTTP: in a file the schema excludes this
+	}
+	faults = append(faults, validateStages(c.Stages)...)
+	if c.Timing.MaxBakeMS < c.Timing.BakeMS {
+		faults = append(faults, "/pace/most_ms: under bake_ms")
 	}
-	last := Stage{}
-	for i, s := range c.Stages {
-		if (len(s.Members) > 0) == (s.PerMille > 0) {
-			list = append(list, fmt.Sprintf("/stages/%d: either members or per_mille", i))
+	return faults
+}
+
+// matches reports whether exactly the field of the kind is set.
+func (t Target) matches(kind Kind) bool {
+	return (t.Topology != nil) == (kind == KindSettings) &&
+		(t.Plan != "") == (kind == KindPlan) &&
+		(t.Program != "") == (kind == KindProgram)
+}
+
+func validateStages(stages []Stage) []string {
+	var faults []string
+	reached := int64(0) // the largest share so far
+	for i, stage := range stages {
+		if (len(stage.Members) > 0) == (stage.PerMille > 0) {
+			faults = append(faults, fmt.Sprintf("/stages/%d: either members or per_mille", i))
 		}
-		if s.PerMille > 0 && s.PerMille <= last.PerMille {
-			list = append(list, fmt.Sprintf("/stages/%d/per_mille: %d does not grow", i, s.PerMille))
+		if stage.PerMille > 0 && stage.PerMille <= reached {
+			faults = append(faults, fmt.Sprintf("/stages/%d/per_mille: %d does not grow", i, stage.PerMille))
 		}
-		last.PerMille = max(last.PerMille, s.PerMille)
+		reached = max(reached, stage.PerMille)
 	}
-	if s := c.Stages[len(c.Stages)-1]; s.PerMille != 1000 {
-		list = append(list, fmt.Sprintf("/stages/%d/per_mille: the last stage is all of them, 1000", len(c.Stages)-1))
+	last := len(stages) - 1
+	if stages[last].PerMille != perMilleOfAll {
+		faults = append(faults, fmt.Sprintf("/stages/%d/per_mille: the last stage is all of them, %d", last, perMilleOfAll))
 	}
-	if c.Timing.MaxBakeMS < c.Timing.BakeMS {
-		list = append(list, "/pace/most_ms: under bake_ms")
-	}
-	return list
+	return faults
+}
+
+// UnchangedError is returned for a change that leads to the spec that the fleet already has.
+type UnchangedError struct {
+	Spec Digest
 }
 
-// Leads is the spec that the change leads to from one.
-func (c Change) TargetSpec(from Spec) (to Spec, err error) {
-	to = from
+func (e *UnchangedError) Error() string { return fmt.Sprintf("the fleet is there already: %s", e.Spec) }
+
+// TargetSpec returns the spec that the change leads to from another. It reads the plan's or the program's file.
+func (c Change) TargetSpec(from Spec) (Spec, error) {
+	target := from
 	switch c.Kind {
 	case KindSettings:
-		to.Topology = c.Target.Topology
-		if string(to.Topology) == "null" {
-			to.Topology = nil
+		target.Topology = c.Target.Topology
+		if string(target.Topology) == "null" {
+			target.Topology = nil
 		}
 	case KindPlan:
-		var text json.RawMessage
-		if err := schema.Read(c.Target.Plan, schema.Plan, &text); err != nil {
-			return to, err
+		var plan json.RawMessage
+		if err := schema.Read(c.Target.Plan, schema.Plan, &plan); err != nil {
+			return target, err
 		}
-		to.Plan = text
+		target.Plan = plan
 	case KindProgram:
-		if to.Program.Digest, err = FileDigest(c.Target.Program); err != nil {
-			return to, err
+		digest, err := FileDigest(c.Target.Program)
+		if err != nil {
+			return target, err
 		}
-		to.Program.Path = c.Target.Program
+		target.Program = Program{Path: c.Target.Program, Digest: digest}
 	}
-	if to.Digest() == from.Digest() {
-		return to, fmt.Errorf("the fleet is there already: %s", from.Digest())
+	if target.Digest() == from.Digest() {
+		return target, &UnchangedError{Spec: from.Digest()}
 	}
-	return to, nil
+	return target, nil
 }
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -49,19 +49,28 @@
 	if _, err := ReadOrder(strings.NewReader(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][2]string{{`"by":"x"`, `"by":"x","hurry":true`}, {`"format":1`, `"format":3`}, {`"format":1`, `"format":0`}, {`"by":"x"`, `"by":"x","why":"y"`}, {`"format":1`, `"format":2,"why":"` + strings.Repeat("y", mostWhy+1) + `"`}, {`"turn":1`, `"turn":0`}, {`"by":"x"`, `"by":""`}, {`"digest":"d"`, `"digest":""`}, {`}}}`, `}}`}} {
-		if _, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1))); err == nil || !strings.HasPrefix(err.Error(), "/") {
+	for _, c := range [][2]string{{`"by":"x"`, `"by":"x","hurry":true`}, {`"format":1`, `"format":3`}, {`"format":1`, `"format":0`}, {`"by":"x"`, `"by":"x","why":"y"`}, {`"format":1`, `"format":2,"why":"` + strings.Repeat("y", maxReasonBytes+1) + `"`}, {`"turn":1`, `"turn":0`}, {`"by":"x"`, `"by":""`}, {`"digest":"d"`, `"digest":""`}, {`}}}`, `}}`}} {
+		if _, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1))); err == nil ||
+			!strings.HasPrefix(err.Error(), "/") {
 			t.Errorf("%s: %v", c[1], err)
 		}
 	}
 }
 
 func TestOrdersAreWrittenAsTheirReaderReadsThem(t *testing.T) {
-	o := Order{Format: Format, Fence: Fence{1, 1, 1}, By: "x", Member: "c1", Spec: spec("d"), Reason: strings.Repeat("é", mostWhy)}
+	o := Order{
+		Format: Format,
+		Fence:  Fence{1, 1, 1},
+		By:     "x",
+		Member: "c1",
+		Spec:   spec("d"),
+		Reason: strings.Repeat("é", maxReasonBytes),
+	}
 	for theirs, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2} {
 		f := FormatFor(theirs)
 		text, _ := json.Marshal(o.ForFormat(f))
-		if p, err := ReadOrder(strings.NewReader(string(text))); f != want || err != nil || (p.Reason != "") != (want > 1) {
+		if p, err := ReadOrder(strings.NewReader(string(text))); f != want || err != nil ||
+			(p.Reason != "") != (want > 1) {
 			t.Errorf("to %d: %d, %q %v", theirs, f, p.Reason, err)
 		}
 	}
@@ -69,7 +78,11 @@
 
 func TestASpecIsNamedByWhatItHolds(t *testing.T) {
 	a, b := spec("d"), spec("d")
-	a.Topology, b.Topology = json.RawMessage(`{"cancel": true, "budget_free":5}`), json.RawMessage(`{"budget_free":5,"cancel":true}`)
+	a.Topology, b.Topology = json.RawMessage(
+		`{"cancel": true, "budget_free":5}`,
+	), json.RawMessage(
+		`{"budget_free":5,"cancel":true}`,
+	)
 	b.Program.Path = "/elsewhere"
 	if a.Digest() != b.Digest() {
 		t.Error("blanks, order or place tell")
@@ -79,6 +92,13 @@
 	}
 }
 
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func TestEveryFaultOfAChangeIsNamed(t *testing.T) {
 	dir := t.TempDir()
 	for text, told := range map[string][]string{
@@ -90,7 +110,7 @@
 		`{"number":1,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":-1}}`:               {"/limits/missed_per_mille"},
 	} {
 		path := filepath.Join(dir, "c.json")
-		os.WriteFile(path, []byte(text), 0o600)
+		writeFile(t, path, text)
 		_, err := Load(path)
 		for _, s := range told {
 			if err == nil || !strings.Contains(err.Error(), s) {
@@ -99,15 +119,23 @@
 		}
 	}
 	path := filepath.Join(dir, "c.json")
-	os.WriteFile(path, []byte(`{"number":3,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":1}}`), 0o600)
+	writeFile(t, path, `{"number":3,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":1}}`)
 	c, err := Load(path)
-	if err != nil || c.Timing.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 || c.Limits.Crashes != 2 {
+	if err != nil || c.Timing.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 ||
+		c.Limits.Crashes != 2 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
 
 func TestStagesKeepRoomsApartAndTypesServed(t *testing.T) {
-	places := []Candidate{{"a1", "a", nil, 500}, {"a2", "a", nil, 100}, {"a3", "a", nil, 90}, {"b1", "b", nil, 110}, {"b2", "b", []string{"load"}, 100}, {"b3", "b", []string{"load"}, 2}}
+	places := []Candidate{
+		{"a1", "a", nil, 500},
+		{"a2", "a", nil, 100},
+		{"a3", "a", nil, 90},
+		{"b1", "b", nil, 110},
+		{"b2", "b", []string{"load"}, 100},
+		{"b3", "b", []string{"load"}, 2},
+	}
 	list, err := PlanStages([]Stage{{PerMille: 1}, {PerMille: 500}, {PerMille: 900}, {PerMille: 1000}}, places)
 	if err != nil || len(list) != 4 {
 		t.Fatalf("%v %v", list, err)
@@ -135,7 +163,8 @@
 	if list, _ := PlanStages([]Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places[:2]); len(list) != 2 {
 		t.Errorf("two controllers: %v", list)
 	}
-	if _, err := PlanStages([]Stage{{Members: []string{"zz"}}, {PerMille: 1000}}, places); err == nil || !strings.HasPrefix(err.Error(), "/stages/0/members/0") {
+	if _, err := PlanStages([]Stage{{Members: []string{"zz"}}, {PerMille: 1000}}, places); err == nil ||
+		!strings.HasPrefix(err.Error(), "/stages/0/members/0") {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/change/digest.go
@@ -0,0 +1,38 @@
+package change
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"io"
+	"os"
+)
+
+// Digest identifies a text or a file by its contents: the first digestBytes of its SHA-256, in hex.
+type Digest string
+
+const digestBytes = 16
+
+func hexDigest(sum []byte) Digest { return Digest(hex.EncodeToString(sum[:digestBytes])) }
+
+// FileDigest returns the digest of a file's contents.
+func FileDigest(path string) (Digest, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return "", err
+	}
+	defer file.Close()
+	hash := sha256.New()
+	if _, err := io.Copy(hash, file); err != nil {
+		return "", err
+	}
+	return hexDigest(hash.Sum(nil)), nil
+}
+
+// JSONDigest returns the digest of a JSON value. Texts that differ in white space and in the order of object keys only,
+// and were decoded into the empty interface, have the same digest.
+func JSONDigest(value any) Digest {
+	text, _ := json.Marshal(value) // callers pass what JSON can hold; an error would give the digest of no text
+	sum := sha256.Sum256(text)
+	return hexDigest(sum[:])
+}
--- a/internal/change/format1.go
+++ b/internal/change/format1.go
@@ -2,5 +2,5 @@
 
 package change
 
-// Format of the program as it was one version before, for tests of old beside new.
+// Format is the version that this program wrote one release earlier, for tests of both releases side by side.
 const Format = 1
--- a/internal/change/forms_test.go
+++ b/internal/change/forms_test.go
@@ -3,36 +3,17 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"os"
 	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
+
+	"swiftreel/internal/golden"
 )
 
 // Change files and what is read of them, orders and digests, as the program before had them: testdata.
 
-var recordForms = flag.Bool("record-forms", false, "write testdata/*.golden anew; only from a program whose forms are to stand")
-
-// golden holds a text against a file.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *recordForms {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s is\n%s\nwas\n%s", name, got, want)
-	}
-}
-
 func indented(t *testing.T, v any) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", " ")
@@ -49,26 +30,45 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden(t, "change-"+name, indented(t, c))
-			from := Spec{Program: Program{Path: "/old", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+			golden.Check(t, "change-"+name+".golden", indented(t, c))
+			from := Spec{
+				Program:  Program{Path: "/old", Digest: "0123"},
+				Topology: json.RawMessage(`{"budget_free":5}`),
+				Plan:     json.RawMessage(`{"steps":[]}`),
+			}
 			to, err := c.TargetSpec(from)
 			if err != nil {
 				t.Fatal(err)
 			}
-			golden(t, "spec-"+name, append(indented(t, to), to.Digest()+"\n"...))
+			golden.Check(t, "spec-"+name+".golden", append(indented(t, to), to.Digest()+"\n"...))
 		})
 	}
 }
 
 func TestOrdersAndHeldAreWrittenAsTheyWere(t *testing.T) {
-	spec := Spec{Program: Program{Path: "/opt/swiftreel", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
-	o := Order{Format: 2, Fence: Fence{3, 2, 1}, By: "record", Member: "c1", Spec: spec, Drain: true, Reason: "stage 1 passed"}
+	spec := Spec{
+		Program:  Program{Path: "/opt/swiftreel", Digest: "0123"},
+		Topology: json.RawMessage(`{"budget_free":5}`),
+		Plan:     json.RawMessage(`{"steps":[]}`),
+	}
+	o := Order{
+		Format: 2,
+		Fence:  Fence{3, 2, 1},
+		By:     "record",
+		Member: "c1",
+		Spec:   spec,
+		Drain:  true,
+		Reason: "stage 1 passed",
+	}
 	held, is, err := AcceptedOrder{}.Accept(o)
 	if err != nil || !is {
 		t.Fatal(is, err)
 	}
-	text := bytes.Join([][]byte{indented(t, o), indented(t, o.ForFormat(1)), indented(t, held), indented(t, AcceptedOrder{})}, nil)
-	golden(t, "order", text)
+	text := bytes.Join(
+		[][]byte{indented(t, o), indented(t, o.ForFormat(1)), indented(t, held), indented(t, AcceptedOrder{})},
+		nil,
+	)
+	golden.Check(t, "order.golden", text)
 }
 
 func TestDigestsAreAsTheyWere(t *testing.T) {
@@ -80,9 +80,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := []Digest{file, JSONDigest(map[string]any{"b": 1, "a": []any{"x", nil, 0.5}}), Spec{}.Digest(), Spec{Program: Program{Digest: "0123"}, Topology: json.RawMessage(`{"b":1,"a":2}`)}.Digest(),
-		Spec{Program: Program{Digest: "0123"}, Plan: json.RawMessage(`{"steps":[]}`)}.Digest()}
-	golden(t, "digests", indented(t, list))
+	list := []Digest{
+		file,
+		JSONDigest(map[string]any{"b": 1, "a": []any{"x", nil, 0.5}}),
+		Spec{}.Digest(),
+		Spec{Program: Program{Digest: "0123"}, Topology: json.RawMessage(`{"b":1,"a":2}`)}.Digest(),
+		Spec{Program: Program{Digest: "0123"}, Plan: json.RawMessage(`{"steps":[]}`)}.Digest(),
+	}
+	golden.Check(t, "digests.golden", indented(t, list))
 }
 
 // Each error text of an order that is refused, which supervisors answer with and operators search for.
@@ -97,7 +102,13 @@
 		}
 		lines = append(lines, err.Error())
 	}
-	o := Order{Format: 2, Fence: Fence{1, 1, 2}, By: "x", Member: "c1", Spec: Spec{Program: Program{Path: "/p", Digest: "d"}}}
+	o := Order{
+		Format: 2,
+		Fence:  Fence{1, 1, 2},
+		By:     "x",
+		Member: "c1",
+		Spec:   Spec{Program: Program{Path: "/p", Digest: "d"}},
+	}
 	held, _, _ := AcceptedOrder{}.Accept(o)
 	early, other, another := o, o, o
 	early.Fence.Revision, other.By, another.Drain = 1, "y", true
@@ -108,7 +119,7 @@
 		}
 		lines = append(lines, err.Error())
 	}
-	golden(t, "refusals", indented(t, lines))
+	golden.Check(t, "refusals.golden", indented(t, lines))
 }
 
 // Every field of what is written has a key of its own that does not follow the field's name.
