--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -97,7 +97,8 @@
 	pace := change.Timing{BaselineMS: 60_000, BakeMS: 60_000, MaxBakeMS: int64(looks) * 1000, ApplyTimeoutMS: 60_000, SettleMS: 1, UnreachableAfterMS: 5000, SharedRecoveryMS: 30_000,
 		MaxSharedRetries: 2, MinHealthyPerMille: 500, PollIntervalMS: 1000}
 	limits := canary.Usual()
-	m := rollout.New(rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}, change.KindSettings, "old", "new", nil, pace, 0)
+	start := rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
+	m := rollout.New(start, rollout.Plan{Kind: change.KindSettings, From: "old", To: "new", Timing: pace}, 0)
 	base, on := canary.NewBase(), make([]bool, len(w.rates))
 	var places []change.Candidate
 	var j *canary.Judge
--- /dev/null
+++ b/internal/rollout/events.go
@@ -0,0 +1,222 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"swiftreel/internal/canary"
+)
+
+// detect returns the event that an observation shows in the present phase, and the reason to record with the transition
+// that follows from it. It also counts in the state what later decisions of the phase rest on.
+func (m *Machine) detect(seen Observation) (event, string) {
+	switch m.State.Phase {
+	case PhasePreparing:
+		return m.whilePreparing(seen)
+	case PhaseBaseline:
+		return m.whileBaseline(seen)
+	case PhaseApplying:
+		return m.whileApplying(seen)
+	case PhaseBaking:
+		return m.whileBaking(seen)
+	case PhaseRollingBackStage:
+		return m.whileRollingBackStage(seen)
+	case PhaseAwaitingRecovery:
+		return m.whileAwaitingRecovery(seen)
+	case PhaseFinishing:
+		return m.whileFinishing(seen)
+	case PhaseRollingBack, PhaseDegraded:
+		return m.whileRollingBack(seen)
+	}
+	return noEvent, ""
+}
+
+func (m *Machine) whilePreparing(seen Observation) (event, string) {
+	unready := namesUnless(seen.Members, func(member Member) bool {
+		return member.Reachable && member.Serving && member.Running == m.plan.From
+	})
+	switch {
+	case len(unready) == 0:
+		return fleetReady, "all are there"
+	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return fleetNotReady, "not ready to begin: " + strings.Join(unready, " ")
+	}
+	return noEvent, ""
+}
+
+func (m *Machine) whileBaseline(seen Observation) (event, string) {
+	if m.State.Paused || !m.lasted(seen.Now, m.plan.Timing.BaselineMS) {
+		return noEvent, ""
+	}
+	return baselineComplete, "watched before the first stage"
+}
+
+// whileApplying waits until the stage's reachable controllers run the new version and serve. One that reports that it
+// cannot, or that does worse at once, ends the stage.
+func (m *Machine) whileApplying(seen Observation) (event, string) {
+	if seen.Verdict.Kind == canary.Worse {
+		return m.failWorse(seen)
+	}
+	for _, member := range seen.Members {
+		if member.Failure != "" && m.wanted(member.Name) == m.plan.To {
+			return stageFailed, fmt.Sprintf("%s cannot take it: %s", member.Name, member.Failure)
+		}
+	}
+	if m.State.Paused {
+		return noEvent, ""
+	}
+	stage := m.plan.Stages[m.State.Stage]
+	staged := membersNamed(seen.Members, stage)
+	missing := namesUnless(staged, m.servesTarget)
+	missingReachable := namesUnless(staged, func(member Member) bool {
+		return !member.Reachable || m.servesTarget(member)
+	})
+	updated := len(stage) - len(missing)
+	switch {
+	case len(missingReachable) == 0 && updated > m.previousStageSize():
+		return stageApplied, fmt.Sprintf("stage %d of %d is on %d controllers", m.State.Stage+1, len(m.plan.Stages), updated)
+	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return stageFailed, fmt.Sprintf("stage %d was not taken by %s", m.State.Stage+1, strings.Join(missing, " "))
+	}
+	return noEvent, ""
+}
+
+func (m *Machine) servesTarget(member Member) bool {
+	return member.Reachable && member.Running == m.plan.To && member.Serving
+}
+
+// previousStageSize is how many controllers the stage before holds. A stage of which no further controller is reachable
+// would show nothing.
+func (m *Machine) previousStageSize() int {
+	if m.State.Stage == 0 {
+		return 0
+	}
+	return len(m.plan.Stages[m.State.Stage-1])
+}
+
+// failWorse records the verdict that ends the stage.
+func (m *Machine) failWorse(seen Observation) (event, string) {
+	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
+	return stageFailed, fmt.Sprintf("stage %d does worse: %s", m.State.Stage+1, seen.Verdict.Why)
+}
+
+func (m *Machine) whileBaking(seen Observation) (event, string) {
+	switch seen.Verdict.Kind {
+	case canary.Worse:
+		return m.failWorse(seen)
+	case canary.Shared:
+		return sharedRegression, seen.Verdict.Why
+	case canary.Even:
+		if m.State.Paused {
+			return noEvent, ""
+		}
+		return m.passStage(seen)
+	}
+	if m.State.Paused || !m.lasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+		return noEvent, ""
+	}
+	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
+	return stageFailed, "undecided after its time: " + seen.Verdict.Why
+}
+
+// passStage records the verdict that lets the next stage begin.
+func (m *Machine) passStage(seen Observation) (event, string) {
+	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
+	if m.State.Stage+1 == len(m.plan.Stages) {
+		return lastStagePassed, "the last stage passed"
+	}
+	m.State.Stage++
+	m.State.StageRetries = 0
+	m.State.PromptRecoveries = 0
+	return stagePassed, fmt.Sprintf("stage %d passed: %s", m.State.Stage, seen.Verdict.Why)
+}
+
+func (m *Machine) whileRollingBackStage(seen Observation) (event, string) {
+	remaining := namesUnless(seen.Members, func(member Member) bool {
+		return !member.Reachable || member.Running == m.wanted(member.Name)
+	})
+	switch {
+	case len(remaining) == 0:
+		return stageRolledBack, "withdrawn"
+	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return stageFailed, "could not be withdrawn: " + strings.Join(remaining, " ")
+	}
+	return noEvent, ""
+}
+
+// whileAwaitingRecovery retries the stage once all do as before it. Where all recover soon after each rollback, the
+// stage is the cause; where they recover late, it may have been the day.
+func (m *Machine) whileAwaitingRecovery(seen Observation) (event, string) {
+	state := &m.State
+	if !seen.Recovered {
+		if m.lasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+			return stageFailed, "undecided: the day stays bad"
+		}
+		return noEvent, ""
+	}
+	if !state.Paused && !m.lasted(seen.Now, m.plan.Timing.SharedRecoveryMS) {
+		state.PromptRecoveries++
+	}
+	retriesExhausted := state.StageRetries >= m.plan.Timing.MaxSharedRetries
+	switch {
+	case retriesExhausted && state.PromptRecoveries > state.StageRetries:
+		return stageFailed, fmt.Sprintf("all did worse each of the %d times that the stage stood, "+
+			"and better once it was withdrawn", state.PromptRecoveries)
+	case retriesExhausted:
+		return stageFailed, fmt.Sprintf("undecided: the stage was withdrawn %d times for what may have been the day",
+			state.StageRetries+1)
+	case !state.Paused:
+		state.StageRetries++
+		return stageRetried, "all do as before: the stage or the day, it is begun once more"
+	case m.lasted(seen.Now, m.plan.Timing.MaxBakeMS):
+		return stageFailed, "undecided: the day stays bad"
+	}
+	return noEvent, ""
+}
+
+func (m *Machine) whileFinishing(seen Observation) (event, string) {
+	remaining := namesUnless(seen.Members, func(member Member) bool {
+		return member.Reachable && member.Running == m.plan.To
+	})
+	if len(remaining) > 0 {
+		return noEvent, ""
+	}
+	return fleetUpdated, "all are on the new version"
+}
+
+func (m *Machine) whileRollingBack(seen Observation) (event, string) {
+	remaining := namesUnless(seen.Members, func(member Member) bool {
+		return member.Reachable && member.Running == m.plan.From
+	})
+	switch {
+	case len(remaining) == 0:
+		return fleetRolledBack, m.State.Outcome
+	case m.State.Phase == PhaseRollingBack && m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return rollbackOverdue, "not back: " + strings.Join(remaining, " ")
+	}
+	return noEvent, ""
+}
+
+// membersNamed returns the members that a list names.
+func membersNamed(members []Member, names []string) []Member {
+	var named []Member
+	for _, member := range members {
+		if slices.Contains(names, member.Name) {
+			named = append(named, member)
+		}
+	}
+	return named
+}
+
+// namesUnless returns the sorted names of the members for which a predicate does not hold.
+func namesUnless(members []Member, holds func(Member) bool) []string {
+	var names []string
+	for _, member := range members {
+		if !holds(member) {
+			names = append(names, member.Name)
+		}
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -68,7 +68,7 @@
 // take has a new conductor take the record over.
 func (f *fleet) take() {
 	f.record.Fence.Term++
-	f.m = New(f.record, change.KindProgram, specs[false].Digest(), specs[true].Digest(), f.stages, pace, f.now)
+	f.m = New(f.record, Plan{Kind: change.KindProgram, From: specs[false].Digest(), To: specs[true].Digest(), Stages: f.stages, Timing: pace}, f.now)
 }
 
 func (f *fleet) input(v canary.Verdict, ask Request) Observation {
