--- a/internal/coordinator/backoff.go
+++ b/internal/coordinator/backoff.go
@@ -1,31 +1,31 @@
 package coordinator
 
-import "math/rand/v2"
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// Bounds of the delay before a supervisor that did not answer is polled again.
+const (
+	firstRetryDelay = 100 * time.Millisecond
+	maxRetryDelay   = 2 * time.Second
+	maxDoublings    = 10
+)
 
-// backoff decides when a member that does not answer is spoken with again: at once, then twice as late each time, some earlier
-// and some later, so that many that are lost together are not all tried together. It has no clock: times are told.
+// backoff decides when a supervisor that did not answer is polled again: with a delay that doubles, and with jitter,
+// so that many that were lost at once are not all polled at once. It has no clock; times are in nanoseconds since the
+// client's start.
 type backoff struct {
-	failed int   // in a row
-	next   int64 // ns
+	failures int   // in a row
+	retryAt  int64 // ns
 }
 
-const (
-	againFirst = int64(100e6)
-	againMost  = int64(2e9)
-	// doubtful is how many of those that failed last are spoken with at once: they may each take as long as is waited at all,
-	// and must not take the places of those that answer.
-	doubtful = 8
-)
+func (b backoff) isDue(now int64) bool { return now >= b.retryAt }
 
-func (b backoff) due(now int64) bool { return now >= b.next }
+func (b *backoff) succeeded() { *b = backoff{} }
 
-// ended takes in how it went.
-func (b *backoff) ended(now int64, well bool, chance *rand.Rand) {
-	if well {
-		*b = backoff{}
-		return
-	}
-	b.failed++
-	wait := min(againMost, againFirst<<min(b.failed-1, 10))
-	b.next = now + wait*3/4 + chance.Int64N(wait/2)
+func (b *backoff) failed(now int64, random *rand.Rand) {
+	b.failures++
+	delay := min(int64(maxRetryDelay), int64(firstRetryDelay)<<min(b.failures-1, maxDoublings))
+	b.retryAt = now + delay*3/4 + random.Int64N(delay/2)
 }
--- a/internal/coordinator/backoff_test.go
+++ b/internal/coordinator/backoff_test.go
@@ -20,15 +20,15 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	asked := []int64{}
 	for now := int64(0); now < 60e9; now += 10e6 {
-		if b.due(now) {
+		if b.isDue(now) {
 			asked = append(asked, now)
-			b.ended(now, false, r)
+			b.failed(now, r)
 		}
 	}
 	if len(asked) < 25 || len(asked) > 45 { // each look would be 6,000
 		t.Errorf("asked %d times in a minute", len(asked))
 	}
-	if b.ended(60e9, true, r); !b.due(0) {
+	if b.succeeded(); !b.isDue(0) {
 		t.Error("it answers, and is not asked")
 	}
 }
@@ -63,7 +63,7 @@
 	defer end()
 	for len(f.Poll(ctx)) > 0 { // until all have failed once
 		f.mu.Lock()
-		all := !slices.ContainsFunc(f.lines[:100], func(l line) bool { return l.back.failed == 0 })
+		all := !slices.ContainsFunc(f.peers[:100], func(p peer) bool { return p.backoff.failures == 0 })
 		f.mu.Unlock()
 		if all {
 			break
@@ -78,8 +78,8 @@
 		if !heard {
 			t.Fatal("it is not heard")
 		}
-		if len(f.doubtful) > doubtful || len(f.places) > doubtful+1 {
-			t.Errorf("%d silent ones are spoken with at once, %d in all", len(f.doubtful), len(f.places))
+		if len(f.suspectExchanges) > maxSuspectExchanges || len(f.exchanges) > maxSuspectExchanges+1 {
+			t.Errorf("%d silent ones are spoken with at once, %d in all", len(f.suspectExchanges), len(f.exchanges))
 		}
 	}
 	if n := dials.Load(); n < 100 || n > 400 {
--- /dev/null
+++ b/internal/coordinator/begin.go
@@ -0,0 +1,92 @@
+package coordinator
+
+import (
+	"context"
+	"fmt"
+
+	"swiftreel/internal/canary"
+	"swiftreel/internal/change"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/rollout"
+)
+
+// Begin records a change that the fleet is to go through; no order is sent yet. Every supervisor has to answer, and
+// all have to hold the same spec. replaceLost is whether the operator knows that an earlier coordinator of the
+// change's number is gone for good, so that its orders may be followed by later ones.
+func Begin(ctx context.Context, store *RecordStore, next change.Change, fleet *FleetClient, replaceLost bool) error {
+	last, found, err := store.Record()
+	if err != nil {
+		return err
+	}
+	if found && !last.State.Phase.IsTerminal() {
+		return fmt.Errorf("change %d is %s: resume it, or have it end first", last.Change.Number, last.State.Phase)
+	}
+	start, err := startOf(next, fleet, fleet.Poll(ctx), replaceLost)
+	if err != nil {
+		return err
+	}
+	target, err := next.TargetSpec(start.spec)
+	if err != nil {
+		return err
+	}
+	if _, err := change.PlanStages(next.Stages, candidates(fleet.Members, canary.NewBase())); err != nil {
+		return err
+	}
+	state := rollout.State{Phase: rollout.PhasePreparing, Fence: start.fence}
+	store.discardSamples()
+	store.addTransition(Transition{
+		At:     failpoint.Wall().UTC(),
+		Number: next.Number,
+		Phase:  state.Phase,
+		Fence:  state.Fence,
+		Reason: next.Title,
+	})
+	return store.write(recordFile, Record{ID: newID(), Change: next, From: start.spec, To: target, State: state})
+}
+
+// startingPoint is where the fleet stands before a change.
+type startingPoint struct {
+	spec  change.Spec  // that all hold
+	fence change.Fence // above every one that was accepted
+}
+
+// startOf finds where the fleet stands, or why the change cannot begin there.
+func startOf(next change.Change, fleet *FleetClient, replies []StatusReply, replaceLost bool) (startingPoint, error) {
+	start := startingPoint{fence: change.Fence{Number: next.Number, Term: 1, Revision: 1}}
+	for i, reply := range replies {
+		name := fleet.Members[i].Name
+		status := reply.Status
+		if reply.Err != nil {
+			return start, fmt.Errorf("%s: %w", name, reply.Err)
+		}
+		if i == 0 {
+			start.spec = status.Spec
+		}
+		if status.Spec.Digest() != start.spec.Digest() {
+			return start, fmt.Errorf("%s holds spec %s, %s holds %s",
+				name, status.Spec.Digest(), fleet.Members[0].Name, start.spec.Digest())
+		}
+		accepted := status.Fence
+		if accepted.Number > next.Number || accepted.Number == next.Number && !replaceLost {
+			return start, fmt.Errorf("/number: %s has taken order %v by %s", name, accepted, status.By)
+		}
+		if accepted.Number == next.Number {
+			start.fence.Term = max(start.fence.Term, accepted.Term+1)
+		}
+	}
+	return start, nil
+}
+
+// candidates describes the members for the choice of who is changed first.
+func candidates(members []operator.Member, baseline *canary.Base) []change.Candidate {
+	var list []change.Candidate
+	for _, member := range members {
+		candidate := change.Candidate{Name: member.Name, Zone: member.Zone, Types: member.Types}
+		for _, work := range baseline.Work[member.Name] {
+			candidate.BaselineJobs += work.Jobs
+		}
+		list = append(list, candidate)
+	}
+	return list
+}
--- /dev/null
+++ b/internal/coordinator/evaluation.go
@@ -0,0 +1,72 @@
+package coordinator
+
+import (
+	"swiftreel/internal/canary"
+	"swiftreel/internal/failpoint"
+	"swiftreel/internal/rollout"
+)
+
+// observe turns supervisors' replies into what the state machine and the evaluation take in. Only members that
+// replied have counts.
+func (c *Coordinator) observe(replies []StatusReply) (rollout.Observation, []canary.Seen) {
+	seen := rollout.Observation{Now: c.elapsed()}
+	var counts []canary.Seen
+	timing := c.record.Change.Timing
+	target := c.record.To.Digest()
+	for i, reply := range replies {
+		view := &c.members[i]
+		name := c.fleet.Members[i].Name
+		if reply.Err != nil {
+			seen.Members = append(seen.Members, view.unreachable(name, timing, seen.Now))
+			continue
+		}
+		member, memberCounts := view.update(name, reply.Status, target, timing, seen.Now)
+		seen.Members = append(seen.Members, member)
+		counts = append(counts, memberCounts)
+	}
+	return seen, counts
+}
+
+// evaluate has the counts evaluated as the phase needs it, and adds the result to the observation.
+func (c *Coordinator) evaluate(seen *rollout.Observation, counts []canary.Seen) {
+	state := c.machine.State
+	c.beginEvaluation(state)
+	switch state.Phase {
+	case rollout.PhaseBaseline:
+		c.baseline.Look(counts)
+	case rollout.PhaseApplying, rollout.PhaseBaking:
+		c.evaluator.Look(counts)
+		baked := state.Phase == rollout.PhaseBaking && c.machine.BakeElapsed(seen.Now)
+		seen.Verdict = c.evaluator.Verdict(baked)
+	case rollout.PhaseAwaitingRecovery:
+		seen.Recovered = c.recovery.Look(c.record.Change.Limits, c.baseline, counts)
+	}
+	if state.Phase.IsTerminal() {
+		return
+	}
+	c.store.addSample(Sample{
+		At:     failpoint.Wall().UTC(),
+		Number: c.record.Change.Number,
+		Phase:  state.Phase,
+		Stage:  state.Stage,
+		Odds:   seen.Verdict.Odds,
+		Old:    versionSample(canary.Sum(counts, false)),
+		New:    versionSample(canary.Sum(counts, true)),
+	})
+}
+
+// beginEvaluation starts the evaluation of a stage as the rollout reaches it. One that was started while the stage was
+// applied goes on while it is observed.
+func (c *Coordinator) beginEvaluation(state rollout.State) {
+	current := stageInPhase{phase: state.Phase, stage: state.Stage}
+	if current == c.evaluated {
+		return
+	}
+	c.evaluated = current
+	c.recovery = canary.Recovery{}
+	applied := state.Phase == rollout.PhaseApplying
+	inherited := state.Phase == rollout.PhaseBaking && c.evaluator == nil
+	if applied || inherited {
+		c.evaluator = canary.NewJudge(c.record.Change.Limits, c.baseline, c.machine.TargetMembers())
+	}
+}
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if second.Await() == nil || !strings.Contains(second.Log(), "another process conducts") {
+	if second.Await() == nil || !strings.Contains(second.Log(), "another process coordinates") {
 		t.Errorf("two conduct in one folder: %s", second.Log())
 	}
 	third, err := w.Rollout(program, copied, "resume", "--conduct")
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -70,44 +70,44 @@
 				t.Fatal(is, err)
 			}
 			var strict Record
-			strictly(t, from.file("change.json"), &strict)
-			if err := to.write("change.json", record); err != nil {
+			strictly(t, from.path(recordFile), &strict)
+			if err := to.write(recordFile, record); err != nil {
 				t.Fatal(err)
 			}
-			sameFile(t, from.file("change.json"), to.file("change.json"))
-			if strictly(t, from.file("base.json"), canary.NewBase()) {
+			sameFile(t, from.path(recordFile), to.path(recordFile))
+			if strictly(t, from.path(baselineFile), canary.NewBase()) {
 				base, err := from.Baseline()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := to.write("base.json", base); err != nil {
+				if err := to.write(baselineFile, base); err != nil {
 					t.Fatal(err)
 				}
-				sameFile(t, from.file("base.json"), to.file("base.json"))
+				sameFile(t, from.path(baselineFile), to.path(baselineFile))
 			}
-			if strictly(t, from.file("ask.json"), &OperatorRequest{}) {
-				if err := to.write("ask.json", from.PendingRequest()); err != nil {
+			if strictly(t, from.path(requestFile), &OperatorRequest{}) {
+				if err := to.write(requestFile, from.PendingRequest()); err != nil {
 					t.Fatal(err)
 				}
-				sameFile(t, from.file("ask.json"), to.file("ask.json"))
+				sameFile(t, from.path(requestFile), to.path(requestFile))
 			}
 			steps, err := from.History()
 			if err != nil || len(steps) == 0 {
 				t.Fatal(len(steps), err)
 			}
 			for _, s := range steps {
-				to.note(s)
+				to.addTransition(s)
 			}
-			sameFile(t, from.file("history.jsonl"), to.file("history.jsonl"))
+			sameFile(t, from.path(historyFile), to.path(historyFile))
 			points, err := from.Samples()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(points) > 0 {
 				for _, p := range points {
-					to.add("looks.jsonl", p)
+					to.addSample(p)
 				}
-				sameFile(t, from.file("looks.jsonl"), to.file("looks.jsonl"))
+				sameFile(t, from.path(samplesFile), to.path(samplesFile))
 			}
 		})
 	}
@@ -115,16 +115,16 @@
 
 func TestALongFileOfLinesBeginsAnewAndKeepsOneBefore(t *testing.T) {
 	f := UnlockedFolder(t.TempDir())
-	f.note(Transition{Number: 1})
-	if err := os.Truncate(f.file("history.jsonl"), mostLines+1); err != nil {
+	f.addTransition(Transition{Number: 1})
+	if err := os.Truncate(f.path(historyFile), maxHistoryBytes+1); err != nil {
 		t.Fatal(err)
 	}
-	f.note(Transition{Number: 2})
+	f.addTransition(Transition{Number: 2})
 	steps, err := f.History()
 	if err != nil || len(steps) != 1 || steps[0].Number != 2 {
 		t.Errorf("%v %v", steps, err)
 	}
-	if info, err := os.Stat(f.file("history.jsonl.before")); err != nil || info.Size() != mostLines+1 {
+	if info, err := os.Stat(f.path("history.jsonl.before")); err != nil || info.Size() != maxHistoryBytes+1 {
 		t.Errorf("%v %v", info, err)
 	}
 }
