--- /dev/null
+++ b/cmd/rollout-view/watch.go
@@ -0,0 +1,130 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	tea "charm.land/bubbletea/v2"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/operator"
+)
+
+const (
+	refreshInterval   = time.Second
+	supervisorTimeout = 2 * time.Second
+)
+
+// watchModel is the state of the terminal.
+type watchModel struct {
+	store *coordinator.RecordStore
+	fleet *coordinator.FleetClient // nil: the record alone is shown
+	text  string
+}
+
+// refreshed is the message with a new table.
+type refreshed string
+
+func watch(folder, operatorFile string) error {
+	model := watchModel{store: coordinator.UnlockedFolder(folder)}
+	if operatorFile != "" {
+		file, err := operator.Load(operatorFile)
+		if err != nil {
+			return err
+		}
+		if file.Fleet != nil {
+			model.fleet = coordinator.NewFleetClient(file.Fleet.Members, supervisorTimeout, refreshInterval)
+		}
+	}
+	_, err := tea.NewProgram(model).Run()
+	return err
+}
+
+// Init begins with a first table at once.
+func (m watchModel) Init() tea.Cmd { return m.refreshAfter(0) }
+
+// Update takes in a key or a new table.
+func (m watchModel) Update(message tea.Msg) (tea.Model, tea.Cmd) {
+	switch message := message.(type) {
+	case tea.KeyPressMsg:
+		if key := message.String(); key == "q" || key == "ctrl+c" {
+			return m, tea.Quit
+		}
+	case refreshed:
+		m.text = string(message)
+		return m, m.refreshAfter(refreshInterval)
+	}
+	return m, nil
+}
+
+// View returns the screen.
+func (m watchModel) View() tea.View { return tea.NewView(m.text) }
+
+func (m watchModel) refreshAfter(delay time.Duration) tea.Cmd {
+	return func() tea.Msg {
+		time.Sleep(delay)
+		return refreshed(table(m.store, m.fleet))
+	}
+}
+
+// table returns the change and its controllers as text; without a fleet, the change alone.
+func table(store *coordinator.RecordStore, fleet *coordinator.FleetClient) string {
+	var text strings.Builder
+	record, found, err := store.Record()
+	switch {
+	case err != nil:
+		fmt.Fprintln(&text, err)
+	case !found:
+		fmt.Fprintln(&text, "no change is recorded")
+	default:
+		fmt.Fprintf(&text, "change %d %s: %s, stage %d of %d\n%s\n\n", record.Change.Number, record.Change.Title,
+			record.State.Phase, record.State.Stage+1, len(record.Stages), record.State.Reason)
+	}
+	printLastSample(&text, store)
+	if fleet != nil {
+		versions := map[change.Digest]string{}
+		if found {
+			versions[record.From.Digest()] = "old"
+			versions[record.To.Digest()] = "new"
+		}
+		printControllers(&text, fleet, versions)
+	}
+	return text.String()
+}
+
+func printLastSample(out io.Writer, store *coordinator.RecordStore) {
+	samples, err := store.Samples()
+	if err != nil || len(samples) == 0 {
+		return // the table goes without
+	}
+	last := samples[len(samples)-1]
+	fmt.Fprintf(out, "last look: odds of harm %.3g; new %d jobs, %d missed; old %d jobs, %d missed\n\n",
+		last.Odds, last.New.Jobs, last.New.Missed, last.Old.Jobs, last.Old.Missed)
+}
+
+// printControllers polls the fleet and prints a line for each controller. versions names the specs of the change.
+func printControllers(out io.Writer, fleet *coordinator.FleetClient, versions map[change.Digest]string) {
+	const padding = 2
+	w := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
+	fmt.Fprintln(w, "CONTROLLER\tVERSION\tRUNS\tSERVES\tOWED\tORDER\tENDS\tNOTE")
+	for i, reply := range fleet.Poll(context.Background()) {
+		status := reply.Status
+		runs := versions[status.Running]
+		note := status.Failed
+		switch {
+		case reply.Err != nil:
+			runs = "?"
+			note = reply.Err.Error()
+		case runs == "":
+			runs = "other"
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, status.Version, runs, status.Serves,
+			status.Owed, status.Fence, status.Crashes, note)
+	}
+	_ = w.Flush() // into memory
+}
--- a/internal/command/elsewhere.go
+++ b/internal/command/elsewhere.go
@@ -15,10 +15,11 @@
 
 // elsewhere are the commands of that program, which takes this process over.
 func elsewhere() (list []*cobra.Command) {
-	for _, c := range [][2]string{{"keep", "Keep one controller: start it, start it again, take orders for it"},
-		{"rollout", "Take a change through a fleet in stages"}, {"fleet", "What the fleet's controllers tell of themselves, and who owns its work"},
-		{"store", "Look at what a store holds"}} {
-		list = append(list, &cobra.Command{Use: c[0], Short: c[1], DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error {
+	for _, c := range [][2]string{{"supervise", "Supervise one controller: start it, restart it, take orders for it"},
+		{"rollout", "Take a change through a fleet in stages"}, {"fleet", "What the fleet's controllers report, and who leads it"},
+		{"store", "Look at what a store holds"},
+		{"keep", ""}} { // the former name of supervise
+		list = append(list, &cobra.Command{Use: c[0], Short: c[1], Hidden: c[1] == "", DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error {
 			own, err := os.Executable()
 			if err != nil {
 				return exit{code: ExitFailed, err: err}
--- a/internal/command/fleet/forms_test.go
+++ b/internal/command/fleet/forms_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"io"
 	"net/http"
@@ -15,57 +14,41 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"swiftreel/internal/golden"
 )
 
 // What the commands print and send, as the program before did: testdata. Numbers drawn by chance are told apart by their order.
 
-var record = flag.Bool("record", false, "write testdata/*.golden anew; only from a program whose forms are to stand")
-
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name+".golden")
-	if *record {
-		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s is\n%s\nwas\n%s", name, got, want)
-	}
-}
-
-func run(args ...string) string {
+func run(args ...string) []byte {
 	var out, errs bytes.Buffer
 	code := Run(args, &out, &errs)
-	return fmt.Sprintf("%sstderr: %sexit code %d\n", out.String(), errs.String(), code)
+	return fmt.Appendf(nil, "%sstderr: %sexit code %d\n", out.String(), errs.String(), code)
 }
 
 func TestWhatIsToldOfARecordIsAsItWas(t *testing.T) {
 	for _, folder := range []string{"baking-later", "stuck", "stopped", "paused"} {
 		at := filepath.Join("testdata", "folders", folder)
 		for _, args := range [][]string{{"status"}, {"status", "--json"}, {"history"}, {"history", "--json"}} {
-			golden(t, folder+"-"+strings.Join(args, ""), run(append([]string{"rollout", "--record", at}, args...)...))
+			golden.Check(t, folder+"-"+strings.Join(args, "")+".golden", run(append([]string{"rollout", "--record", at}, args...)...))
 		}
 	}
-	golden(t, "status-none", run("rollout", "--record", "testdata/none", "status"))
+	golden.Check(t, "status-none.golden", run("rollout", "--record", "testdata/none", "status"))
 }
 
 func TestWhatACheckTellsIsAsItWas(t *testing.T) {
-	golden(t, "check-good", run("rollout", "check", "testdata/change.json"))
-	golden(t, "check-bad", run("rollout", "check", "testdata/change-bad.json"))
-	golden(t, "check-none", run("rollout", "check", "testdata/change-none.json"))
+	golden.Check(t, "check-good.golden", run("rollout", "check", "testdata/change.json"))
+	golden.Check(t, "check-bad.golden", run("rollout", "check", "testdata/change-bad.json"))
+	golden.Check(t, "check-none.golden", run("rollout", "check", "testdata/change-none.json"))
 }
 
 // Help is what operators read first: commands, flags, exit codes.
 func TestCommandsAndFlagsAreAsTheyWere(t *testing.T) {
 	for _, args := range [][]string{{}, {"keep"}, {"rollout"}, {"rollout", "start"}, {"rollout", "resume"}, {"rollout", "pause"}, {"rollout", "stop"}, {"rollout", "back"}, {"rollout", "status"},
 		{"rollout", "history"}, {"rollout", "check"}, {"fleet"}, {"fleet", "status"}, {"fleet", "owner"}, {"fleet", "found"}, {"fleet", "step-down"}, {"fleet", "recover"}, {"fleet", "forget"},
-		{"fleet", "join"}, {"store"}, {"store", "inspect"}, {"store", "verify"}} {
-		if text := run(append(args, "--help")...); !strings.HasSuffix(text, "exit code 0\n") || len(text) < 100 {
+		{"fleet", "join"}, {"supervise"}, {"rollout", "rollback"}, {"fleet", "leader"}, {"fleet", "bootstrap"},
+		{"fleet", "remove-voter"}, {"fleet", "replace-voter"}, {"store"}, {"store", "inspect"}, {"store", "verify"}} {
+		if text := string(run(append(args, "--help")...)); !strings.HasSuffix(text, "exit code 0\n") || len(text) < 100 {
 			t.Errorf("%v: %s", args, text)
 		}
 	}
@@ -168,40 +151,80 @@
 
 func TestWhatIsToldOfAFleetIsAsItWas(t *testing.T) {
 	a := newAsked(t, member)
-	golden(t, "fleet-status", run("fleet", "status", "--operator", a.file))
-	golden(t, "fleet-status--json", run("fleet", "status", "--json", "--operator", a.file))
-	golden(t, "fleet-owner", run("fleet", "owner", "--operator", a.file))
-	golden(t, "fleet-owner--json", run("fleet", "owner", "--json", "--operator", a.file))
-	golden(t, "fleet-owner-none", run("fleet", "owner", "--operator", newAsked(t, none).file))
-	golden(t, "status-agreed", run("rollout", "--agreed", "--operator", a.file, "status", "--json"))
+	golden.Check(t, "fleet-status.golden", run("fleet", "status", "--operator", a.file))
+	golden.Check(t, "fleet-status--json.golden", run("fleet", "status", "--json", "--operator", a.file))
+	golden.Check(t, "fleet-owner.golden", run("fleet", "leader", "--operator", a.file))
+	golden.Check(t, "fleet-owner--json.golden", run("fleet", "leader", "--json", "--operator", a.file))
+	golden.Check(t, "fleet-owner-none.golden", run("fleet", "leader", "--operator", newAsked(t, none).file))
+	golden.Check(t, "status-agreed.golden", run("rollout", "--replicated", "--operator", a.file, "status", "--json"))
 }
 
+// Commands send the same under their present and their former names; the latter are told of on the error stream, and there
+// only.
 func TestWhatVotersAreSentIsAsItWas(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		view func(string) string
-		args []string
+		name   string
+		view   func(string) string
+		args   []string
+		former []string // as typed before commands and flags were renamed
+		lines  string   // that the former names are told of by
 	}{
-		{"start", member, []string{"rollout", "start", "--agreed", "testdata/change.json"}},
-		{"pause", member, []string{"rollout", "pause", "--agreed"}},
-		{"resume", member, []string{"rollout", "resume", "--agreed"}},
-		{"stop", member, []string{"rollout", "stop", "--agreed"}},
-		{"back", member, []string{"rollout", "back", "--agreed"}},
-		{"found", none, []string{"fleet", "found"}},
-		{"found-twice", member, []string{"fleet", "found"}},
-		{"step-down", member, []string{"fleet", "step-down"}},
-		{"recover-unsure", onlyOne, []string{"fleet", "recover", "c1"}},
-		{"recover", onlyOne, []string{"fleet", "recover", "--the-others-lost-their-memory", "c1"}},
-		{"recover-majority", member, []string{"fleet", "recover", "--the-others-lost-their-memory", "c1"}},
+		{"start", member, []string{"rollout", "start", "--replicated", "testdata/change.json"},
+			[]string{"rollout", "start", "--agreed", "testdata/change.json"}, "--agreed is deprecated, use --replicated\n"},
+		{"pause", member, []string{"rollout", "pause", "--replicated"},
+			[]string{"rollout", "pause", "--agreed"}, "--agreed is deprecated, use --replicated\n"},
+		{"resume", member, []string{"rollout", "resume", "--replicated"},
+			[]string{"rollout", "resume", "--agreed"}, "--agreed is deprecated, use --replicated\n"},
+		{"stop", member, []string{"rollout", "stop", "--replicated"},
+			[]string{"rollout", "stop", "--agreed"}, "--agreed is deprecated, use --replicated\n"},
+		{"back", member, []string{"rollout", "rollback", "--replicated"}, []string{"rollout", "back", "--agreed"},
+			"swiftreel rollout back is deprecated, use swiftreel rollout rollback\n" +
+				"--agreed is deprecated, use --replicated\n"},
+		{"found", none, []string{"fleet", "bootstrap"},
+			[]string{"fleet", "found"}, "swiftreel fleet found is deprecated, use swiftreel fleet bootstrap\n"},
+		{"found-twice", member, []string{"fleet", "bootstrap"},
+			[]string{"fleet", "found"}, "swiftreel fleet found is deprecated, use swiftreel fleet bootstrap\n"},
+		{"step-down", member, []string{"fleet", "step-down"}, nil, ""},
+		{"recover-unsure", onlyOne, []string{"fleet", "recover", "c1"}, nil, ""},
+		{"recover", onlyOne, []string{"fleet", "recover", "--the-others-lost-their-memory", "c1"}, nil, ""},
+		{"recover-majority", member, []string{"fleet", "recover", "--the-others-lost-their-memory", "c1"}, nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := newAsked(t, c.view)
 			told := run(append(c.args, "--operator", a.file)...)
-			golden(t, "sent-"+c.name, a.plain()+told)
+			golden.Check(t, "sent-"+c.name+".golden", append([]byte(a.plain()), told...))
+			if c.former == nil {
+				return
+			}
+			told = withoutLines(t, run(append(c.former, "--operator", a.file)...), c.lines)
+			golden.Check(t, "sent-"+c.name+".golden", append([]byte(a.plain()), told...))
 		})
 	}
 }
 
+// withoutLines takes lines out that must stand at the beginning of the error stream.
+func withoutLines(t *testing.T, told []byte, lines string) []byte {
+	t.Helper()
+	before, after, found := strings.Cut(string(told), "stderr: "+lines)
+	if !found {
+		t.Errorf("%s has no %s", told, lines)
+	}
+	return []byte(before + "stderr: " + after)
+}
+
+// Flags and commands that are renamed do the same under their former names.
+func TestFormerNamesOfReadingCommandsDoTheSame(t *testing.T) {
+	a := newAsked(t, member)
+	told := run("fleet", "owner", "--operator", a.file)
+	golden.Check(t, "fleet-owner.golden",
+		withoutLines(t, told, "swiftreel fleet owner is deprecated, use swiftreel fleet leader\n"))
+	told = run("fleet", "owner", "--json", "--operator", a.file)
+	golden.Check(t, "fleet-owner--json.golden",
+		withoutLines(t, told, "swiftreel fleet owner is deprecated, use swiftreel fleet leader\n"))
+	told = run("rollout", "--agreed", "--operator", a.file, "status", "--json")
+	golden.Check(t, "status-agreed.golden", withoutLines(t, told, "--agreed is deprecated, use --replicated\n"))
+}
+
 // onlyOne has its memory.
 func onlyOne(name string) string {
 	if name == "c1" {
@@ -212,6 +235,28 @@
 
 // A voter that is to go is told of until it is gone; one that is taken in, until it votes.
 func TestForgetAndJoinAreSentAsTheyWere(t *testing.T) {
+	for _, c := range []struct {
+		golden string
+		name   string
+		lines  string
+		asked  func(*testing.T) *asked
+	}{
+		{"sent-forget", "remove-voter", "", newLeaving},
+		{"sent-forget", "forget", "swiftreel fleet forget is deprecated, use swiftreel fleet remove-voter\n", newLeaving},
+		{"sent-join", "replace-voter", "", newJoining},
+		{"sent-join", "join", "swiftreel fleet join is deprecated, use swiftreel fleet replace-voter\n", newJoining},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			a := c.asked(t)
+			told := withoutLines(t, run("fleet", c.name, "c3", "--operator", a.file), c.lines)
+			golden.Check(t, c.golden+".golden", append(told, a.plain()...))
+		})
+	}
+}
+
+// newLeaving is a fleet whose leader has let c3 go once it is asked to.
+func newLeaving(t *testing.T) *asked {
+	t.Helper()
 	var a *asked
 	a = newAsked(t, func(name string) string {
 		if name == "c1" && len(a.sent) > 0 {
@@ -219,14 +264,22 @@
 		}
 		return member(name)
 	})
-	golden(t, "sent-forget", run("fleet", "forget", "c3", "--operator", a.file)+a.plain())
+	return a
+}
+
+// newJoining is a fleet in which c3 votes under the number that it was last given.
+func newJoining(t *testing.T) *asked {
+	t.Helper()
+	var a *asked
 	a = newAsked(t, func(name string) string {
 		var m struct {
 			ID uint64 `json:"id"`
 		}
 		for _, s := range a.sent {
 			if _, text, is := strings.Cut(s, "\n"); is && strings.HasPrefix(s, "c3 POST /v1/owner/found") {
-				json.Unmarshal([]byte(text), &m)
+				if err := json.Unmarshal([]byte(text), &m); err != nil {
+					t.Error(err)
+				}
 			}
 		}
 		if name == "c3" && m.ID != 0 {
@@ -234,5 +287,5 @@
 		}
 		return member(name)
 	})
-	golden(t, "sent-join", run("fleet", "join", "c3", "--operator", a.file)+a.plain())
+	return a
 }
--- /dev/null
+++ b/internal/command/fleet/leader.go
@@ -0,0 +1,109 @@
+package fleet
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"swiftreel/internal/command"
+)
+
+// votersCommand makes a command that speaks with the fleet's voters.
+func votersCommand(cmd *cobra.Command, run func(*cobra.Command, *voters, []string) error) *cobra.Command {
+	var file string
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
+		voters, err := loadVoters(file)
+		if err != nil {
+			return err
+		}
+		if err := run(cmd, voters, args); err != nil {
+			return command.Failed(command.ExitFailed, err)
+		}
+		return nil
+	}
+	addOperatorFlag(cmd, &file)
+	return cmd
+}
+
+func leaderCommand() *cobra.Command {
+	var asJSON bool
+	cmd := &cobra.Command{
+		Use:   "leader",
+		Short: "Who leads the fleet, as each voter knows it",
+		Args:  cobra.NoArgs,
+	}
+	addJSONFlag(cmd, &asJSON)
+	return votersCommand(cmd, func(cmd *cobra.Command, voters *voters, _ []string) error {
+		polled := voters.poll(cmd.Context())
+		if asJSON {
+			return command.AsJSON(cmd.OutOrStdout(), polled.views)
+		}
+		return voters.print(cmd.OutOrStdout(), polled)
+	})
+}
+
+func (v *voters) print(out io.Writer, polled voterViews) error {
+	table := newTable(out)
+	fmt.Fprintln(table, "VOTER\tOWNER\tREIGN\tACTS\tVOTERS\tNOTE")
+	for _, name := range v.fleet.Voters {
+		if err := polled.errors[name]; err != nil {
+			fmt.Fprintf(table, "%s\t?\t\t\t\t%v\n", name, err)
+			continue
+		}
+		view := polled.views[name]
+		note := view.Halted
+		if view.ID == 0 {
+			note = "of no fleet yet: swiftreel fleet bootstrap, or replace-voter"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\t%s\n", name, view.Owner, view.Reign, view.May, view.Voters, note)
+	}
+	return table.Flush()
+}
+
+func bootstrapCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:   "bootstrap",
+		Short: "Have the voters begin to elect a leader, once",
+		Long:  "All voters must answer and be of no fleet yet.",
+		Args:  cobra.NoArgs,
+	}
+	return votersCommand(cmd, func(cmd *cobra.Command, voters *voters, _ []string) error {
+		polled := voters.poll(cmd.Context())
+		for _, name := range voters.fleet.Voters {
+			if err := polled.errors[name]; err != nil {
+				return err
+			}
+			if id := polled.views[name].ID; id != 0 {
+				return fmt.Errorf("%s is a member already, number %d", name, id)
+			}
+		}
+		members := voters.newMembers()
+		for _, name := range voters.fleet.Voters {
+			request := bootstrapRequest{ID: members.ids[name], Names: members.names}
+			if err := voters.post(cmd.Context(), name, bootstrapPath, request); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+func stepDownCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "step-down", Short: "Have the leader hand over", Args: cobra.NoArgs}
+	return votersCommand(cmd, func(cmd *cobra.Command, voters *voters, _ []string) error {
+		deadline := time.Now().Add(leaderTimeout)
+		for {
+			name, err := voters.awaitLeader(cmd.Context())
+			if err == nil {
+				err = voters.post(cmd.Context(), name, stepDownPath, struct{}{})
+			}
+			// A leader that was just elected refuses: it knows of nobody yet who could take over.
+			if err == nil || time.Now().After(deadline) {
+				return err
+			}
+			time.Sleep(leaderRetryDelay)
+		}
+	})
+}
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -2,245 +2,140 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"os"
-	"os/signal"
-	"syscall"
-	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
 
 	"swiftreel/internal/change"
 	"swiftreel/internal/command"
 	"swiftreel/internal/coordinator"
-	"swiftreel/internal/logging"
-	"swiftreel/internal/operator"
 	"swiftreel/internal/rollout"
 	"swiftreel/internal/schema"
 )
 
-// The exit codes of a rollout.
-const (
-	ExitTakenBack = 4 // the change did worse, or was to go back, and all are on the old version
-	ExitStopped   = 5 // stopped: by hand, undecided, or not begun
-	ExitFenced    = 6 // another conducts
-)
-
-// askTime is how long a keeper may take for an answer.
-const askTime = 2 * time.Second
-
-// fleetOf reads the part fleet of an operator's file.
-func fleetOf(path string) (*operator.Fleet, error) {
-	if path == "" {
-		path = os.Getenv("ROUTER_OPERATOR")
-	}
-	f, err := operator.Load(path)
-	if err != nil {
-		return nil, command.BadInput(err)
-	}
-	if f.Fleet == nil {
-		return nil, command.BadInput(fmt.Errorf("%s: no part fleet: name the file with --operator or ROUTER_OPERATOR", path))
-	}
-	return f.Fleet, nil
+// rolloutOptions are the flags of the command rollout that its subcommands share.
+type rolloutOptions struct {
+	folder       string
+	operatorFile string
+	replicated   bool // the fleet's leader coordinates
 }
 
 func rolloutCommand() *cobra.Command {
-	var folder, file string
-	root := &cobra.Command{Use: "rollout", Short: "Take a change through a fleet in stages",
-		Long: `Takes a change of settings, plan or program through the controllers that the operator's file names (part fleet),
-stage by stage, and takes it back where a stage does worse.
+	options := &rolloutOptions{}
+	root := &cobra.Command{
+		Use:   "rollout",
+		Short: "Take a change through a fleet in stages",
+		Long: `Takes a change of settings, plan or program through the controllers that the operator's file names (part
+fleet), stage by stage, and rolls it back where a stage does worse.
 
-Exit codes of start and resume: 0 on all controllers, 4 taken back, 5 stopped, 6 another conducts, 1 it could not go on.`}
-	root.PersistentFlags().StringVar(&folder, "record", "rollout", "the folder where the fleet's changes are recorded")
-	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's file; above ROUTER_OPERATOR")
-	conductIt := func(begin func(context.Context, *coordinator.RecordStore, *coordinator.FleetClient) error) error {
-		logging.To(os.Stderr)
-		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-		defer stop()
-		f, err := fleetOf(file)
-		if err != nil {
-			return err
-		}
-		place, err := coordinator.OpenFolder(folder)
-		if errors.Is(err, coordinator.ErrLocked) {
-			return command.Failed(ExitFenced, err)
-		} else if err != nil {
-			return command.Failed(command.ExitFailed, err)
-		}
-		defer place.Close()
-		fleet := coordinator.NewFleetClient(f.Members, askTime, askTime)
-		if begin != nil {
-			if err := begin(ctx, place, fleet); err != nil {
-				return command.BadInput(err)
-			}
-		}
-		c, err := coordinator.TakeOver(place, fleet)
-		if err != nil {
-			return command.Failed(command.ExitFailed, err)
-		}
-		if err := c.Run(ctx); errors.Is(err, coordinator.ErrFenced) {
-			return command.Failed(ExitFenced, err)
-		} else if err != nil {
-			return command.Failed(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
-		}
-		switch s := c.State(); s.Phase {
-		case rollout.PhaseRolledBack:
-			return command.Failed(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
-		case rollout.PhaseStopped:
-			return command.Failed(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
-		}
-		return nil
+Exit codes of start and resume: 0 on all controllers, 4 rolled back, 5 stopped, 6 another coordinates, 1 it could not go
+on.`,
 	}
-	var take, agreed bool
-	root.PersistentFlags().BoolVar(&agreed, "agreed", false, "the fleet's owner conducts, by a record that its voters agree on; --record is not used")
-	start := &cobra.Command{Use: "start CHANGE", Short: "Begin a change and conduct it until it ends", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			c, err := change.Load(args[0])
+	flags := root.PersistentFlags()
+	flags.StringVar(&options.folder, "record", "rollout", "the folder where the fleet's changes are recorded")
+	flags.StringVar(&options.operatorFile, "operator", "", operatorFlagUsage)
+	flags.BoolVar(&options.replicated, "replicated", false,
+		"the fleet's leader coordinates, by a record that its voters replicate; --record is not used")
+	formerBoolFlag(flags, &options.replicated, "agreed", "replicated")
+	root.AddCommand(
+		startCommand(options),
+		resumeCommand(options),
+		requestCommand(options, "pause", "No further stage until resumed; a regression still rolls the change back",
+			rollout.RequestPause),
+		requestCommand(options, "stop", "End the change where it stands", rollout.RequestStop),
+		requestCommand(options, "rollback", "Roll the change back", rollout.RequestRollback),
+		formerName("back", "swiftreel rollout rollback", requestCommand(options, "rollback", "", rollout.RequestRollback)),
+		rolloutStatusCommand(options),
+		historyCommand(options),
+		checkCommand(),
+	)
+	return root
+}
+
+func startCommand(options *rolloutOptions) *cobra.Command {
+	var replaceLost bool
+	start := &cobra.Command{
+		Use:   "start CHANGE",
+		Short: "Begin a change and coordinate it until it ends",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			next, err := change.Load(args[0])
 			if err != nil {
 				return command.BadInput(err)
 			}
-			if agreed {
-				return toOwner(file, "/v1/owner/change", c)
+			if options.replicated {
+				return postToLeader(cmd.Context(), options.operatorFile, changePath, next)
 			}
-			return conductIt(func(ctx context.Context, p *coordinator.RecordStore, f *coordinator.FleetClient) error {
-				return coordinator.Begin(ctx, p, c, f, take)
-			})
-		}}
-	start.Flags().BoolVar(&take, "take", false, "whoever conducted a change of this number from another folder is gone for good")
-	var conductOn bool
-	resume := &cobra.Command{Use: "resume", Short: "End a pause; with --conduct, take over a change whose conductor is gone", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			if conductOn {
-				return conductIt(nil)
+			begin := func(ctx context.Context, store *coordinator.RecordStore, fleet *coordinator.FleetClient) error {
+				return coordinator.Begin(ctx, store, next, fleet, replaceLost)
 			}
-			return wish(agreed, file, folder, rollout.RequestResume)
-		}}
-	resume.Flags().BoolVar(&conductOn, "conduct", false, "conduct until it ends")
-	root.AddCommand(start, resume, statusCommand(&folder, &file, &agreed), historyCommand(&folder))
-	for name, short := range map[rollout.Request]string{rollout.RequestPause: "No further stage until resumed; harm still takes the change back",
-		rollout.RequestStop: "End the change where it stands", rollout.RequestRollback: "Take the change back"} {
-		root.AddCommand(&cobra.Command{Use: string(name), Short: short, Args: cobra.NoArgs,
-			RunE: func(*cobra.Command, []string) error { return wish(agreed, file, folder, name) }})
+			return coordinate(options.operatorFile, options.folder, begin)
+		},
 	}
-	root.AddCommand(&cobra.Command{Use: "check CHANGE", Short: "Check a change's file whole: every fault is named with its path", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			got, err := change.Load(args[0])
-			var faults *schema.Faults
-			if errors.As(err, &faults) {
-				for _, f := range faults.List {
-					fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", faults.File, f)
-				}
-				return command.Said(command.ExitBadInput, err)
-			} else if err != nil {
-				return command.BadInput(err)
-			}
-			return command.AsJSON(c.OutOrStdout(), got)
-		}})
-	return root
+	const present = "replace-lost"
+	start.Flags().BoolVar(&replaceLost, present, false,
+		"whoever coordinated a change of this number from another folder is gone for good")
+	formerBoolFlag(start.Flags(), &replaceLost, "take", present)
+	return start
 }
 
-// toOwner asks the owner for something.
-func toOwner(file, path string, body any) error {
-	v, err := votersOf(file)
-	if err != nil {
-		return err
-	}
-	name, err := v.owner(ownerTime)
-	if err == nil {
-		_, err = v.ask(name, path, body)
-	}
-	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+func resumeCommand(options *rolloutOptions) *cobra.Command {
+	var takeOver bool
+	resume := &cobra.Command{
+		Use:   "resume",
+		Short: "End a pause; with --coordinate, take over a change whose coordinator is gone",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if takeOver {
+				return coordinate(options.operatorFile, options.folder, nil)
+			}
+			return options.submit(cmd.Context(), rollout.RequestResume)
+		},
 	}
-	return nil
+	const present = "coordinate"
+	resume.Flags().BoolVar(&takeOver, present, false, "coordinate until the change ends")
+	formerBoolFlag(resume.Flags(), &takeOver, "conduct", present)
+	return resume
 }
 
-func wish(agreed bool, file, folder string, a rollout.Request) error {
-	if agreed {
-		return toOwner(file, "/v1/owner/wish", coordinator.OperatorRequest{Request: a})
+func requestCommand(options *rolloutOptions, name, short string, request rollout.Request) *cobra.Command {
+	return &cobra.Command{
+		Use:   name,
+		Short: short,
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return options.submit(cmd.Context(), request)
+		},
 	}
-	return coordinator.UnlockedFolder(folder).Submit(a)
 }
 
-// agreedRecord reads the change that the owner conducts.
-func agreedRecord(file string) (r coordinator.Record, is bool, err error) {
-	v, err := votersOf(file)
-	if err != nil {
-		return r, false, err
-	}
-	name, err := v.owner(ownerTime)
-	if err != nil {
-		return r, false, err
-	}
-	text, err := v.ask(name, "/v1/owner/item?name=change.json", nil)
-	if err != nil {
-		return r, false, err
+// submit leaves an operator's request for whoever coordinates.
+func (o *rolloutOptions) submit(ctx context.Context, request rollout.Request) error {
+	if o.replicated {
+		return postToLeader(ctx, o.operatorFile, requestPath, coordinator.OperatorRequest{Request: request})
 	}
-	return r, true, json.Unmarshal(text, &r)
+	return coordinator.UnlockedFolder(o.folder).Submit(request)
 }
 
-func statusCommand(folder, file *string, agreed *bool) *cobra.Command {
-	var forScripts bool
-	c := &cobra.Command{Use: "status", Short: "Where the change stands", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			r, is, err := coordinator.UnlockedFolder(*folder).Record()
-			if *agreed {
-				r, is, err = agreedRecord(*file)
-			}
-			if err != nil {
-				return command.Failed(command.ExitFailed, err)
-			}
-			if !is {
-				return command.BadInput(fmt.Errorf("%s: no change is recorded", *folder))
-			}
-			if forScripts {
-				return command.AsJSON(c.OutOrStdout(), struct {
-					Number int64         `json:"number"`
-					Kind   change.Kind   `json:"kind"`
-					Title  string        `json:"title"`
-					From   change.Digest `json:"from"`
-					To     change.Digest `json:"to"`
-					Stages [][]string    `json:"stages"`
-					State  rollout.State `json:"state"`
-				}{r.Change.Number, r.Change.Kind, r.Change.Title, r.From.Digest(), r.To.Digest(), r.Stages, r.State})
-			}
-			fmt.Fprintf(c.OutOrStdout(), "change %d (%s) %s -> %s: %s", r.Change.Number, r.Change.Kind, r.From.Digest(), r.To.Digest(), r.State.Phase)
-			if len(r.Stages) > 0 && !r.State.Phase.IsTerminal() {
-				fmt.Fprintf(c.OutOrStdout(), ", stage %d of %d", r.State.Stage+1, len(r.Stages))
-			}
-			if r.State.Paused {
-				fmt.Fprint(c.OutOrStdout(), ", paused")
-			}
-			fmt.Fprintf(c.OutOrStdout(), "\n  %s\n", r.State.Reason)
-			for _, name := range sortedKeys(r.State.Drained) {
-				fmt.Fprintf(c.OutOrStdout(), "  out of service: %s: %s\n", name, r.State.Drained[name])
+func checkCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "check CHANGE",
+		Short: "Check a change's file: every fault is named with its path",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			loaded, err := change.Load(args[0])
+			var faults *schema.Faults
+			if errors.As(err, &faults) {
+				for _, fault := range faults.List {
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", faults.File, fault)
+				}
+				return command.Said(command.ExitBadInput, err)
 			}
-			return nil
-		}}
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
-	return c
-}
-
-func historyCommand(folder *string) *cobra.Command {
-	var forScripts bool
-	c := &cobra.Command{Use: "history", Short: "The transitions of all changes recorded", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			list, err := coordinator.UnlockedFolder(*folder).History()
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
-			}
-			if forScripts {
-				return command.AsJSON(c.OutOrStdout(), list)
-			}
-			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-			for _, s := range list {
-				fmt.Fprintf(w, "%s\t%d\t%s\tstage %d\t%v\t%s\n", s.At.Format(time.RFC3339), s.Number, s.Phase, s.Stage+1, s.Fence, s.Reason)
+				return command.BadInput(err)
 			}
-			return w.Flush()
-		}}
-	c.Flags().BoolVar(&forScripts, "json", false, "for scripts")
-	return c
+			return command.AsJSON(cmd.OutOrStdout(), loaded)
+		},
+	}
 }
--- a/internal/command/fleet/store.go
+++ b/internal/command/fleet/store.go
@@ -2,9 +2,9 @@
 
 import (
 	"fmt"
+	"io"
 	"maps"
 	"slices"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -13,50 +13,84 @@
 	"swiftreel/internal/store"
 )
 
-// mostAnswers that are kept while a store is looked at.
-const mostAnswers = 10_000
+// maxRetainedAnswers bounds the answers that are held in memory while a store is inspected.
+const maxRetainedAnswers = 10_000
+
+// storeContents is what a store holds.
+type storeContents struct {
+	found  store.Found
+	jobs   *recovery.Book
+	byKind map[store.Kind]int // records
+}
 
 func storeCommand() *cobra.Command {
 	root := &cobra.Command{Use: "store", Short: "Look at what a store holds"}
-	look := func(use, short string, tell func(*cobra.Command, store.Found, *recovery.Book, map[store.Kind]int) error) *cobra.Command {
-		return &cobra.Command{Use: use + " FOLDER", Short: short, Args: cobra.ExactArgs(1),
-			Long: "Reads only; another process may have the store meanwhile. Exit codes: 0, 2 where what was durable cannot be read (the file and the place are named).",
-			RunE: func(c *cobra.Command, args []string) error {
-				b, kinds := recovery.NewBook(mostAnswers), map[store.Kind]int{}
-				found, err := store.Look(store.LookFolder(args[0]), func(r store.Record) error {
-					kinds[r.Kind]++
-					return b.Apply(r)
-				})
-				if err != nil {
-					return command.BadInput(fmt.Errorf("%s: %w", args[0], err))
-				}
-				return tell(c, found, b, kinds)
-			}}
+	root.AddCommand(inspectCommand(), verifyCommand())
+	return root
+}
+
+// readStoreCommand makes a command that reads a store and prints something of it.
+func readStoreCommand(name, short string, show func(io.Writer, storeContents) error) *cobra.Command {
+	return &cobra.Command{
+		Use:   name + " FOLDER",
+		Short: short,
+		Long: "Reads only; another process may have the store meanwhile. Exit codes: 0, 2 where what was durable cannot " +
+			"be read (the file and the place are named).",
+		Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			contents, err := readStore(args[0])
+			if err != nil {
+				return command.BadInput(fmt.Errorf("%s: %w", args[0], err))
+			}
+			return show(cmd.OutOrStdout(), contents)
+		},
 	}
-	var forScripts bool
-	inspect := look("inspect", "The open jobs in it, and what is to become of each", func(c *cobra.Command, _ store.Found, b *recovery.Book, _ map[store.Kind]int) error {
-		if forScripts {
-			return command.AsJSON(c.OutOrStdout(), b.Open(0))
-		}
-		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
-		for _, o := range b.Open(0) {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%v\n", o.Call, o.Type, o.Tenant, o.Key, o.Effect, o.Fate, o.Rests)
-		}
-		return w.Flush()
-	})
-	inspect.Flags().BoolVar(&forScripts, "json", false, "for scripts")
-	verify := look("verify", "Hold every record against its checksum and its place", func(c *cobra.Command, f store.Found, b *recovery.Book, kinds map[store.Kind]int) error {
-		open, answered := b.Size()
-		fmt.Fprintf(c.OutOrStdout(), "%d records, %d jobs open, %d answers kept; %d bytes of a torn tail; %d bits to mend; %d files left behind\n", f.Records, open, answered, f.Torn, len(f.Mended), len(f.Removed))
-		for _, k := range slices.Sorted(maps.Keys(kinds)) {
-			fmt.Fprintf(c.OutOrStdout(), "  kind %d: %d\n", k, kinds[k])
-		}
-		for _, m := range f.Mended {
-			fmt.Fprintln(c.OutOrStdout(), "  a wrong bit:", m)
-		}
-		return nil
+}
+
+func readStore(folder string) (storeContents, error) {
+	contents := storeContents{jobs: recovery.NewBook(maxRetainedAnswers), byKind: map[store.Kind]int{}}
+	found, err := store.Look(store.LookFolder(folder), func(record store.Record) error {
+		contents.byKind[record.Kind]++
+		return contents.jobs.Apply(record)
 	})
-	root.AddCommand(inspect, verify)
-	return root
+	contents.found = found
+	return contents, err
+}
+
+func inspectCommand() *cobra.Command {
+	var asJSON bool
+	inspect := readStoreCommand("inspect", "The open jobs in it, and what is to become of each",
+		func(out io.Writer, contents storeContents) error {
+			if asJSON {
+				return command.AsJSON(out, contents.jobs.Open(0))
+			}
+			table := newTable(out)
+			fmt.Fprintln(table, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
+			for _, job := range contents.jobs.Open(0) {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%v\n",
+					job.Call, job.Type, job.Tenant, job.Key, job.Effect, job.Fate, job.Rests)
+			}
+			return table.Flush()
+		})
+	addJSONFlag(inspect, &asJSON)
+	return inspect
+}
+
+func verifyCommand() *cobra.Command {
+	return readStoreCommand("verify", "Compare every record with its checksum and its place", printVerified)
+}
+
+func printVerified(out io.Writer, contents storeContents) error {
+	open, answered := contents.jobs.Size()
+	found := contents.found
+	fmt.Fprintf(out, "%d records, %d jobs open, %d answers kept; %d bytes of a torn tail; %d bits to mend; "+
+		"%d files left behind\n",
+		found.Records, open, answered, found.Torn, len(found.Mended), len(found.Removed))
+	for _, kind := range slices.Sorted(maps.Keys(contents.byKind)) {
+		fmt.Fprintf(out, "  kind %d: %d\n", kind, contents.byKind[kind])
+	}
+	for _, bit := range found.Mended {
+		fmt.Fprintln(out, "  a wrong bit:", bit)
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/command/fleet/supervise.go
@@ -0,0 +1,157 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"slices"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"swiftreel/internal/command"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/logging"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/supervisor"
+)
+
+// Bounds of the HTTP server of a supervisor.
+const (
+	readTimeout    = 5 * time.Second
+	writeTimeout   = 10 * time.Second
+	idleTimeout    = time.Minute
+	maxHeaderBytes = 8 << 10
+)
+
+// superviseOptions are the flags of the command supervise.
+type superviseOptions struct {
+	operatorFile string
+	stateFolder  string
+	name         string
+}
+
+func superviseCommand() *cobra.Command {
+	var options superviseOptions
+	supervise := &cobra.Command{
+		Use:   "supervise",
+		Short: "Supervise one controller: start it, restart it, take orders for it",
+		Long: `Starts the controller that ROUTER_* describes and supervises it. Orders come over HTTP at the address that the
+part fleet of the operator's file gives for ROUTER_NAME. SIGTERM lets the controller drain.`,
+		Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			logging.To(os.Stderr)
+			return options.withEnvironment().run()
+		},
+	}
+	flags := supervise.Flags()
+	addOperatorFlag(supervise, &options.operatorFile)
+	flags.StringVar(&options.stateFolder, "state", "keep",
+		"a folder of this supervisor's own that outlives it: the order that it holds")
+	flags.StringVar(&options.name, "name", "", "above ROUTER_NAME")
+	return supervise
+}
+
+// withEnvironment fills in what no flag states.
+func (o superviseOptions) withEnvironment() superviseOptions {
+	if o.name == "" {
+		o.name = os.Getenv("ROUTER_NAME")
+	}
+	if o.operatorFile == "" {
+		o.operatorFile = os.Getenv(operatorVariable)
+	}
+	return o
+}
+
+// run supervises until a signal ends it.
+func (o superviseOptions) run() error {
+	fleet, err := loadFleet(o.operatorFile)
+	if err != nil {
+		return err
+	}
+	member, found := fleet.Find(o.name)
+	if !found {
+		return command.BadInput(fmt.Errorf("%s: /fleet/members: no %q", o.operatorFile, o.name))
+	}
+	supervised, err := o.newSupervisor(fleet)
+	if err != nil {
+		return command.Failed(command.ExitFailed, err)
+	}
+	listener, err := net.Listen("tcp4", member.Listen)
+	if err != nil {
+		return command.Failed(command.ExitFailed, err)
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	mux := supervised.Handler()
+	if slices.Contains(fleet.Voters, o.name) {
+		node, err := o.startVoter(ctx, fleet, mux)
+		if err != nil {
+			return err
+		}
+		defer node.Close()
+	}
+	server := &http.Server{
+		Handler:        mux,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   writeTimeout,
+		IdleTimeout:    idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+	}
+	go func() { _ = server.Serve(listener) }() // it ends as the server is closed below
+	defer server.Close()
+	slog.Info("keeping", "name", o.name, "address", listener.Addr(), "spec", supervised.Status().Spec.Digest())
+	if err := supervised.Run(ctx); err != nil {
+		return command.Failed(command.ExitFailed, err)
+	}
+	return nil
+}
+
+func (o superviseOptions) newSupervisor(fleet *operator.Fleet) (*supervisor.Keeper, error) {
+	program := fleet.Program
+	if program == "" {
+		own, err := os.Executable()
+		if err != nil {
+			return nil, err
+		}
+		program = filepath.Join(filepath.Dir(own), "swiftreel")
+	}
+	return supervisor.New(supervisor.Options{
+		Name:     o.name,
+		State:    o.stateFolder,
+		Operator: o.operatorFile,
+		Program:  program,
+		Drain:    time.Duration(fleet.DrainMS) * time.Millisecond,
+		Env:      os.Environ(),
+		Log:      os.Stderr,
+	})
+}
+
+// startVoter has the process take part in the election of the fleet's leader, and do the leader's duties while it
+// leads. The duties end with ctx.
+func (o superviseOptions) startVoter(ctx context.Context, fleet *operator.Fleet,
+	mux *http.ServeMux) (*leader.Node, error) {
+	addresses := map[string]string{}
+	for _, member := range fleet.Members {
+		addresses[member.Name] = member.At()
+	}
+	node, err := leader.Open(o.name, filepath.Join(o.stateFolder, "owner.db"), addresses, leader.Usual())
+	if err != nil {
+		return nil, command.Failed(command.ExitFailed, err)
+	}
+	duties, err := leader.NewDuties(node, fleet, filepath.Dir(o.operatorFile))
+	if err != nil {
+		node.Close()
+		return nil, command.BadInput(err)
+	}
+	node.Handle(mux)
+	duties.Handle(mux)
+	go duties.Run(ctx)
+	return node, nil
+}
