--- a/internal/command/fleet/leader.go
+++ b/internal/command/fleet/leader.go
@@ -57,7 +57,7 @@
 		if view.ID == 0 {
 			note = "of no fleet yet: swiftreel fleet bootstrap, or replace-voter"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\t%s\n", name, view.Owner, view.Reign, view.May, view.Voters, note)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\t%s\n", name, view.Leader, view.Term, view.Active, view.Voters, note)
 	}
 	return table.Flush()
 }
--- a/internal/command/fleet/membership.go
+++ b/internal/command/fleet/membership.go
@@ -79,7 +79,7 @@
 }
 
 // votesAs reports whether a voter's view shows that it votes under a number, in a complete group with a leader.
-func (v *voters) votesAs(view leader.View, voter string, id uint64) bool {
+func (v *voters) votesAs(view leader.Status, voter string, id uint64) bool {
 	isComplete := len(view.Voters) == len(v.fleet.Voters) && slices.Contains(view.Voters, voter)
-	return view.ID == id && isComplete && view.Leader != ""
+	return view.ID == id && isComplete && view.RaftLeader != ""
 }
--- a/internal/command/fleet/recover.go
+++ b/internal/command/fleet/recover.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	var retained leader.Agreed
+	var retained leader.State
 	if err := json.Unmarshal(text, &retained); err != nil {
 		return err
 	}
@@ -79,12 +79,12 @@
 			return 0, fmt.Errorf("%s does not answer: %w", name, err)
 		}
 		view := polled.views[name]
-		latestTerm = max(latestTerm, view.Term, uint64(view.Reign))
+		latestTerm = max(latestTerm, view.RaftTerm, uint64(view.Term))
 		if view.ID != 0 {
 			withState++
 		}
-		if view.Reign > sourceView.Reign {
-			return 0, fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, view.Reign, source, sourceView.Reign)
+		if view.Term > sourceView.Term {
+			return 0, fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, view.Term, source, sourceView.Term)
 		}
 	}
 	if 2*withState > len(v.fleet.Voters) {
--- a/internal/command/fleet/store.go
+++ b/internal/command/fleet/store.go
@@ -18,8 +18,8 @@
 
 // storeContents is what a store holds.
 type storeContents struct {
-	found  store.Found
-	jobs   *recovery.Book
+	found  store.Report
+	jobs   *recovery.Ledger
 	byKind map[store.Kind]int // records
 }
 
@@ -48,8 +48,8 @@
 }
 
 func readStore(folder string) (storeContents, error) {
-	contents := storeContents{jobs: recovery.NewBook(maxRetainedAnswers), byKind: map[store.Kind]int{}}
-	found, err := store.Look(store.LookFolder(folder), func(record store.Record) error {
+	contents := storeContents{jobs: recovery.NewLedger(maxRetainedAnswers), byKind: map[store.Kind]int{}}
+	found, err := store.Inspect(store.ReadOnlyDirectory(folder), func(record store.Record) error {
 		contents.byKind[record.Kind]++
 		return contents.jobs.Apply(record)
 	})
@@ -62,13 +62,13 @@
 	inspect := readStoreCommand("inspect", "The open jobs in it, and what is to become of each",
 		func(out io.Writer, contents storeContents) error {
 			if asJSON {
-				return command.AsJSON(out, contents.jobs.Open(0))
+				return command.AsJSON(out, contents.jobs.OpenJobs(0))
 			}
 			table := newTable(out)
 			fmt.Fprintln(table, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
-			for _, job := range contents.jobs.Open(0) {
+			for _, job := range contents.jobs.OpenJobs(0) {
 				fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%v\n",
-					job.Call, job.Type, job.Tenant, job.Key, job.Effect, job.Fate, job.Rests)
+					job.Call, job.Type, job.Tenant, job.Key, job.Effect, job.Action, job.NeedsKeyCooldown)
 			}
 			return table.Flush()
 		})
@@ -85,11 +85,11 @@
 	found := contents.found
 	fmt.Fprintf(out, "%d records, %d jobs open, %d answers kept; %d bytes of a torn tail; %d bits to mend; "+
 		"%d files left behind\n",
-		found.Records, open, answered, found.Torn, len(found.Mended), len(found.Removed))
+		found.Records, open, answered, found.TornBytes, len(found.RepairedBits), len(found.RemovedFiles))
 	for _, kind := range slices.Sorted(maps.Keys(contents.byKind)) {
 		fmt.Fprintf(out, "  kind %d: %d\n", kind, contents.byKind[kind])
 	}
-	for _, bit := range found.Mended {
+	for _, bit := range found.RepairedBits {
 		fmt.Fprintln(out, "  a wrong bit:", bit)
 	}
 	return nil
--- a/internal/command/fleet/supervise.go
+++ b/internal/command/fleet/supervise.go
@@ -141,7 +141,7 @@
 	for _, member := range fleet.Members {
 		addresses[member.Name] = member.At()
 	}
-	node, err := leader.Open(o.name, filepath.Join(o.stateFolder, "owner.db"), addresses, leader.Usual())
+	node, err := leader.Open(o.name, filepath.Join(o.stateFolder, "owner.db"), addresses, leader.DefaultTiming())
 	if err != nil {
 		return nil, command.Failed(command.ExitFailed, err)
 	}
@@ -150,8 +150,8 @@
 		node.Close()
 		return nil, command.BadInput(err)
 	}
-	node.Handle(mux)
-	duties.Handle(mux)
+	node.RegisterHandlers(mux)
+	duties.RegisterHandlers(mux)
 	go duties.Run(ctx)
 	return node, nil
 }
--- a/internal/command/fleet/voters.go
+++ b/internal/command/fleet/voters.go
@@ -95,14 +95,14 @@
 
 // voterViews is what the voters report of the election, or why they do not, by name.
 type voterViews struct {
-	views  map[string]leader.View
+	views  map[string]leader.Status
 	errors map[string]error
 }
 
 func (v *voters) poll(ctx context.Context) voterViews {
-	polled := voterViews{views: map[string]leader.View{}, errors: map[string]error{}}
+	polled := voterViews{views: map[string]leader.Status{}, errors: map[string]error{}}
 	for _, name := range v.fleet.Voters {
-		var view leader.View
+		var view leader.Status
 		text, err := v.get(ctx, name, viewPath)
 		if err == nil {
 			err = json.Unmarshal(text, &view)
@@ -122,7 +122,7 @@
 	for {
 		polled := v.poll(ctx)
 		for _, name := range v.fleet.Voters {
-			if polled.views[name].May {
+			if polled.views[name].Active {
 				return name, nil
 			}
 		}
@@ -175,7 +175,7 @@
 type bootstrapRequest struct {
 	Recover  bool              `json:"again,omitempty"` // from the state that one voter has retained
 	ID       uint64            `json:"id"`
-	Retained *leader.Agreed    `json:"kept,omitempty"`
+	Retained *leader.State     `json:"kept,omitempty"`
 	Names    map[uint64]string `json:"names,omitempty"`
 	Term     uint64            `json:"term,omitempty"`
 }
--- a/internal/coordinator/fleet_client.go
+++ b/internal/coordinator/fleet_client.go
@@ -153,7 +153,7 @@
 }
 
 // SendAssignments sends the leader's assignments, as SendOrders does.
-func (c *FleetClient) SendAssignments(ctx context.Context, assignments map[int]assignment.Word) map[int]error {
+func (c *FleetClient) SendAssignments(ctx context.Context, assignments map[int]assignment.Assignment) map[int]error {
 	return send(ctx, c, assignmentPath, assignments)
 }
 
