--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -123,7 +123,7 @@
 	debug.FreeOSMemory() // what the libraries of the command line left behind when they were set up
 	gate.Start()
 	failpoint.StartFaults()
-	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.CachedEvents.LastNumber, "settings", change.OfJSON(facts))
+	slog.Info("serving", "name", file.Name, "address", listener.Addr(), "events_known", file.CachedEvents.LastNumber, "settings", change.JSONDigest(facts))
 
 	signal := <-stop
 	at := time.Now()
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -80,7 +80,7 @@
 	}
 	moved := r.follower.Move(file.Feed, known)
 	last, _ := r.follower.Last()
-	slog.Info("reloaded", "feed", file.Feed, "feed_moved", moved, "events", last, "needs_restart", strings.Join(restart, ","), "settings", change.OfJSON(facts))
+	slog.Info("reloaded", "feed", file.Feed, "feed_moved", moved, "events", last, "needs_restart", strings.Join(restart, ","), "settings", change.JSONDigest(facts))
 	if file.Limits != r.file.Limits {
 		r.parts.Apply(r.leaves(file.Limits))
 	}
--- a/cmd/swiftreel/tally.go
+++ b/cmd/swiftreel/tally.go
@@ -71,7 +71,7 @@
 
 // force takes what is in force now: what the file in force says of its spec, and the settings as the module has them.
 func (t *teller) force(o *operator.Stats, facts map[string]any) {
-	f := force{settings: change.OfJSON(facts)}
+	f := force{settings: change.JSONDigest(facts)}
 	if o != nil {
 		f.spec = o.Spec
 	}
--- a/internal/supervisor/child.go
+++ b/internal/supervisor/child.go
@@ -32,9 +32,9 @@
 }
 
 // want is what a process is to be told.
-func want(h change.Held, word assignment.Accepted, elder bool) told {
-	t := told{spec: h.Want.Digest(), elder: elder}
-	if len(h.Want.Plan) == 0 && word.Plan != "" {
+func want(h change.AcceptedOrder, word assignment.Accepted, elder bool) told {
+	t := told{spec: h.Spec.Digest(), elder: elder}
+	if len(h.Spec.Plan) == 0 && word.Plan != "" {
 		t.plan, t.planUntil = word.Plan, word.PlanUntil
 	}
 	return t
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -33,7 +33,7 @@
 func programAt(t *testing.T, name string) change.Program {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	digest, err := change.OfFile(path)
+	digest, err := change.FileDigest(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,13 +127,13 @@
 }
 
 func orderOf(turn int64, program change.Program, shape, plan string) change.Order {
-	o := change.Order{Format: change.Format, Fence: change.Fence{Number: 4, Term: 2, Turn: turn}, By: "conductor-a", Member: "c1",
-		Want: change.Spec{Program: program}}
+	o := change.Order{Format: change.Format, Fence: change.Fence{Number: 4, Term: 2, Revision: turn}, By: "conductor-a", Member: "c1",
+		Spec: change.Spec{Program: program}}
 	if shape != "" {
-		o.Want.Shape = json.RawMessage(shape)
+		o.Spec.Topology = json.RawMessage(shape)
 	}
 	if plan != "" {
-		o.Want.Plan = json.RawMessage(plan)
+		o.Spec.Plan = json.RawMessage(plan)
 	}
 	return o
 }
@@ -156,9 +156,9 @@
 	if code, body := r.post(t, "/v1/order", first); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s := r.await(t, "the first order", func(s Status) bool { return s.Serves && s.Running == first.Want.Digest() })
+	s := r.await(t, "the first order", func(s Status) bool { return s.Serves && s.Running == first.Spec.Digest() })
 	word := assignment.Assignment{Format: change.Format, Term: 3, Sequence: 1, Leader: "c2", Member: "c1", Incarnation: s.Life, Shares: quota.Shares{quota.Fleet: 400_000},
-		SharesUntil: monotonic.Now() + int64(time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
+		SharesUntil: monotonic.Now() + int64(time.Minute), Plan: change.JSONDigest(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute),
 		PlanText: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
 		t.Fatal(code, body)
@@ -171,7 +171,7 @@
 	if code, body := r.post(t, "/v1/order", second); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	r.await(t, "the second order", func(s Status) bool { return s.Running == second.Want.Digest() && len(s.Drains) == 0 })
+	r.await(t, "the second order", func(s Status) bool { return s.Running == second.Spec.Digest() && len(s.Drains) == 0 })
 	r.stop()
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 	}
 	held := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
 	r := run(t, dir)
-	s := r.await(t, "the recorded order", func(s Status) bool { return s.Serves && s.Running == held.Want.Digest() })
-	if s.Fence != held.Fence || s.By != held.By || s.Spec.Program != held.Want.Program || s.Spec.Digest() != held.Want.Digest() || s.Drained || s.Failed != "" || s.Crashes != 0 {
+	s := r.await(t, "the recorded order", func(s Status) bool { return s.Serves && s.Running == held.Spec.Digest() })
+	if s.Fence != held.Fence || s.By != held.By || s.Spec.Program != held.Spec.Program || s.Spec.Digest() != held.Spec.Digest() || s.Drained || s.Failed != "" || s.Crashes != 0 {
 		t.Errorf("%+v", s)
 	}
 	before, err := os.ReadFile(filepath.Join(dir, "held.json"))
@@ -201,8 +201,8 @@
 	}
 	other := held
 	other.By = "conductor-b"
-	for what, o := range map[string]change.Order{"earlier": orderOf(8, held.Want.Program, shapeFirst, ""), "of another conductor": other,
-		"with the same fence and another spec": orderOf(9, held.Want.Program, shapeFirst, "")} {
+	for what, o := range map[string]change.Order{"earlier": orderOf(8, held.Spec.Program, shapeFirst, ""), "of another conductor": other,
+		"with the same fence and another spec": orderOf(9, held.Spec.Program, shapeFirst, "")} {
 		if code, _ := r.post(t, "/v1/order", o); code != http.StatusConflict {
 			t.Errorf("an order %s: %d", what, code)
 		}
@@ -216,9 +216,9 @@
 	}
 	for _, plan := range []string{planOrdered, planOfOwner} {
 		// The text of a plan read back from held.json has other blanks: its digest is that of its value.
-		digest := change.OfJSON(json.RawMessage(plan))
+		digest := change.JSONDigest(json.RawMessage(plan))
 		name := "plan-" + string(digest) + ".json"
-		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || change.OfJSON(json.RawMessage(text)) != digest {
+		if text, err := os.ReadFile(filepath.Join(dir, name)); err != nil || change.JSONDigest(json.RawMessage(text)) != digest {
 			t.Errorf("%s: %s %v", name, text, err)
 		}
 	}
@@ -226,13 +226,13 @@
 	if code, body := r.post(t, "/v1/order", next); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s = r.await(t, "the next order", func(s Status) bool { return s.Serves && s.Running == next.Want.Digest() && len(s.Drains) == 0 })
+	s = r.await(t, "the next order", func(s Status) bool { return s.Serves && s.Running == next.Spec.Digest() && len(s.Drains) == 0 })
 	if s.Fence != next.Fence {
 		t.Errorf("%+v", s)
 	}
 	r.stop()
 	again, err := New(options(t, dir))
-	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Want.Digest() {
+	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Spec.Digest() {
 		t.Errorf("%v: %+v", err, again)
 	}
 }
@@ -252,8 +252,8 @@
 		}
 		golden.Check(t, name, text)
 	}
-	spec := change.Spec{Program: change.Program{Path: "/opt/controller", Digest: "d1"}, Shape: json.RawMessage(shapeFirst)}
-	if err := k.Take(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Turn: 7}, By: "x", Member: "c1", Want: spec, Drain: true, Why: "why"}); err != nil {
+	spec := change.Spec{Program: change.Program{Path: "/opt/controller", Digest: "d1"}, Topology: json.RawMessage(shapeFirst)}
+	if err := k.Take(change.Order{Format: change.Format, Fence: change.Fence{Number: 5, Term: 6, Revision: 7}, By: "x", Member: "c1", Spec: spec, Drain: true, Reason: "why"}); err != nil {
 		t.Fatal(err)
 	}
 	check("held.json", "files/held.json")
@@ -262,7 +262,7 @@
 		t.Fatal(k.failed)
 	}
 	check("operator-1.json", "files/operator-no-plan.json")
-	word := assignment.Accepted{Term: 1, Sequence: 2, Leader: "c2", Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: 123456789, PlanText: json.RawMessage(planOfOwner)}
+	word := assignment.Accepted{Term: 1, Sequence: 2, Leader: "c2", Plan: change.JSONDigest(json.RawMessage(planOfOwner)), PlanUntil: 123456789, PlanText: json.RawMessage(planOfOwner)}
 	k.now = &child{}
 	k.now.report.Learned, k.now.report.Health = json.RawMessage(`{"lookup":{"mean":12.5}}`), json.RawMessage(`{"e1":{"ok":true}}`)
 	if !k.file(c, k.held, word, true) {
@@ -270,8 +270,8 @@
 	}
 	check("operator-1.json", "files/operator-plan-of-owner.json")
 	held := k.held
-	held.Want.Plan = json.RawMessage(planOrdered)
-	held.Want.Shape = nil
+	held.Spec.Plan = json.RawMessage(planOrdered)
+	held.Spec.Topology = nil
 	k.now.file = k.path("operator-2.json")
 	if !k.file(k.now, held, word, false) {
 		t.Fatal(k.failed)
@@ -309,8 +309,8 @@
 }
 
 func TestStatusBodyIsAsRecorded(t *testing.T) {
-	s := Status{Format: 2, Name: "c1", Spec: change.Spec{Program: change.Program{Path: "/p", Digest: "d"}, Shape: json.RawMessage(`{"a":1}`), Plan: json.RawMessage(`{"b":2}`)},
-		Running: "r", Version: "v", Settings: "s", Fence: change.Fence{Number: 1, Term: 2, Turn: 3}, By: "x", Serves: true, Drained: true, Failed: "why",
+	s := Status{Format: 2, Name: "c1", Spec: change.Spec{Program: change.Program{Path: "/p", Digest: "d"}, Topology: json.RawMessage(`{"a":1}`), Plan: json.RawMessage(`{"b":2}`)},
+		Running: "r", Version: "v", Settings: "s", Fence: change.Fence{Number: 1, Term: 2, Revision: 3}, By: "x", Serves: true, Drained: true, Failed: "why",
 		Crashes: 4, PID: 5, Drains: []int{6, 7}, Owed: 8, OrderMS: 9, AskedMS: 10, MemoryMB: 11.5, CPU: 12, Started: 13, Probes: 14, Aside: 15,
 		Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "a b"}: {Jobs: 3, Within: 2, Done: 2, Throttled: 1, Cancelled: 1, Dispatches: 4, Further: 1, Took: []uint64{1, 1}}},
 		Life: "life", BootNS: 16, Word: assignment.Accepted{Term: 17, Sequence: 18, Leader: "c2", Shares: quota.Shares{quota.Fleet: 19, quota.TenantQuota("acme"): 20}, SharesUntil: 21, Plan: "p", PlanUntil: 22},
@@ -353,16 +353,16 @@
 	r := run(t, filepath.Join(t.TempDir(), "state"))
 	s := r.await(t, "its controller", func(s Status) bool { return s.Serves && s.EngineCount == 2 })
 	o := orderOf(9, programAt(t, "controller"), shapeSecond, planOrdered)
-	o.Why = "a test"
+	o.Reason = "a test"
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
 	word := assignment.Assignment{Format: change.Format, Term: 3, Sequence: 1, Leader: "c2", Member: "c1", Incarnation: s.Life, Shares: quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
-		SharesUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.OfJSON(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), PlanText: json.RawMessage(planOfOwner)}
+		SharesUntil: monotonic.Now() + int64(10*time.Minute), Plan: change.JSONDigest(json.RawMessage(planOfOwner)), PlanUntil: monotonic.Now() + int64(10*time.Minute), PlanText: json.RawMessage(planOfOwner)}
 	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	r.await(t, "order and word", func(s Status) bool { return s.Running == o.Want.Digest() && s.Carried == 1 && s.Carries == 400_000 })
+	r.await(t, "order and word", func(s Status) bool { return s.Running == o.Spec.Digest() && s.Carried == 1 && s.Carries == 400_000 })
 	golden.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
 	golden.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
 
--- a/internal/supervisor/keep.go
+++ b/internal/supervisor/keep.go
@@ -51,7 +51,7 @@
 
 	life      string // of this process: words of the owner are for it alone
 	mu        sync.Mutex
-	held      change.Held
+	held      change.AcceptedOrder
 	word      assignment.Accepted
 	now, next *child   // who serves, and who is to
 	olds      []*child // that drain; they leave as they end, or are killed
@@ -91,12 +91,12 @@
 	text, err := os.ReadFile(k.path("held.json"))
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		digest, err := change.OfFile(o.Program)
+		digest, err := change.FileDigest(o.Program)
 		if err != nil {
 			return nil, err
 		}
-		k.held.Want = change.Spec{Program: change.Program{Path: o.Program, Digest: digest}, Shape: k.base["shape"]}
-		if k.held.Want.Plan, err = k.plan(); err != nil {
+		k.held.Spec = change.Spec{Program: change.Program{Path: o.Program, Digest: digest}, Topology: k.base["shape"]}
+		if k.held.Spec.Plan, err = k.plan(); err != nil {
 			return nil, err
 		}
 	case err != nil:
@@ -136,16 +136,16 @@
 	if o.Member != k.o.Name {
 		return fmt.Errorf("an order for %s has come to %s", o.Member, k.o.Name)
 	}
-	next, is, err := k.held.Take(o)
+	next, is, err := k.held.Accept(o)
 	if err != nil || !is {
 		return err
 	}
 	if err := write(k.path("held.json"), next); err != nil {
 		return errors.Join(errNoRecord, err)
 	}
-	if next.Want.Digest() != k.held.Want.Digest() {
+	if next.Spec.Digest() != k.held.Spec.Digest() {
 		k.failed = ""
-		slog.Info("order_taken", "fence", next.Fence.String(), "by", next.By, "spec", next.Want.Digest(), "drain", next.Drain, "why", o.Why)
+		slog.Info("order_taken", "fence", next.Fence.String(), "by", next.By, "spec", next.Spec.Digest(), "drain", next.Drain, "why", o.Reason)
 	}
 	k.held = next
 	select {
@@ -219,10 +219,10 @@
 	held, word, now, next := k.held, k.word, k.now, k.next
 	s := scene{drain: held.Drain, now: now != nil, next: next != nil, olds: len(k.olds), wait: time.Now().Before(k.startAt)}
 	if now != nil {
-		s.nowFits, s.told = now.program == held.Want.Program, now.told.covers(want(held, word, len(k.olds) > 0), monotonic.Now())
+		s.nowFits, s.told = now.program == held.Spec.Program, now.told.covers(want(held, word, len(k.olds) > 0), monotonic.Now())
 	}
 	if next != nil {
-		s.nextFits, s.nextReady = next.program == held.Want.Program, next.report.Ready && next.report.Spec == held.Want.Digest()
+		s.nextFits, s.nextReady = next.program == held.Spec.Program, next.report.Ready && next.report.Spec == held.Spec.Digest()
 	}
 	var carry []*child // those that answer: one that hangs must not hold up orders
 	for _, c := range []*child{now, next} {
@@ -234,7 +234,7 @@
 	again := k.drained && k.failed != "" && time.Since(k.checked) >= recheck
 	k.mu.Unlock()
 	if again {
-		k.recheck(held.Want.Program)
+		k.recheck(held.Spec.Program)
 	}
 	for _, c := range carry {
 		if at := [2]int64{word.Term, word.Sequence}; c.part != at && c.carry(ctx, &k.http, word) {
@@ -245,7 +245,7 @@
 	}
 	switch s.decide() {
 	case startOne:
-		if k.fits(held.Want.Program) {
+		if k.fits(held.Spec.Program) {
 			k.begin(held, word)
 		}
 	case promote:
@@ -318,7 +318,7 @@
 
 // fits tells whether a program's file is what an order says.
 func (k *Keeper) fits(p change.Program) bool {
-	d, err := change.OfFile(p.Path)
+	d, err := change.FileDigest(p.Path)
 	if err == nil && d != p.Digest {
 		err = fmt.Errorf("%s is %s, ordered was %s", p.Path, d, p.Digest)
 	}
@@ -350,30 +350,30 @@
 }
 
 // file writes a process's operator's file: of what is held, and whether an older one still drains.
-func (k *Keeper) file(c *child, h change.Held, word assignment.Accepted, elder bool) bool {
+func (k *Keeper) file(c *child, h change.AcceptedOrder, word assignment.Accepted, elder bool) bool {
 	parts := map[string]json.RawMessage{}
 	for name, text := range k.base {
 		if name != "fleet" && name != "shape" && name != "plan" {
 			parts[name] = text
 		}
 	}
-	own := operator.Stats{Listen: "127.0.0.1:0", Spec: h.Want.Digest(), Predecessor: elder}
+	own := operator.Stats{Listen: "127.0.0.1:0", Spec: h.Spec.Digest(), Predecessor: elder}
 	k.mu.Lock()
 	if k.now != nil && c != k.now { // it has one to learn from
 		own.TypeStats, own.EngineHealth = k.now.report.Learned, k.now.report.Health
 	}
 	k.mu.Unlock()
 	parts["tally"], _ = json.Marshal(own)
-	if len(h.Want.Shape) > 0 {
-		parts["shape"] = h.Want.Shape
+	if len(h.Spec.Topology) > 0 {
+		parts["shape"] = h.Spec.Topology
 	}
 	var err error
-	text, tells := h.Want.Plan, want(h, word, elder)
+	text, tells := h.Spec.Plan, want(h, word, elder)
 	if tells.plan != "" {
 		text = word.PlanText
 	}
 	if len(text) > 0 {
-		name := fmt.Sprintf("plan-%s.json", change.OfJSON(text))
+		name := fmt.Sprintf("plan-%s.json", change.JSONDigest(text))
 		err = renameio.WriteFile(k.path(name), text, 0o600)
 		k.forget(name)
 		plan := map[string]json.RawMessage{}
@@ -417,9 +417,9 @@
 const files = 4
 
 // begin starts a process of the controller.
-func (k *Keeper) begin(h change.Held, word assignment.Accepted) {
+func (k *Keeper) begin(h change.AcceptedOrder, word assignment.Accepted) {
 	k.seq++
-	c := &child{program: h.Want.Program, file: k.path(fmt.Sprintf("operator-%d.json", k.seq%files)), began: time.Now(), ended: make(chan struct{})}
+	c := &child{program: h.Spec.Program, file: k.path(fmt.Sprintf("operator-%d.json", k.seq%files)), began: time.Now(), ended: make(chan struct{})}
 	k.mu.Lock()
 	beside := k.now != nil
 	k.mu.Unlock()
@@ -449,7 +449,7 @@
 		return
 	}
 	refused := r.Spec != c.told.spec && r.Refused > c.report.Refused && c.report.Started == r.Started
-	if c.report = r; c == k.now && r.Spec == k.held.Want.Digest() && c.program == k.held.Want.Program {
+	if c.report = r; c == k.now && r.Spec == k.held.Spec.Digest() && c.program == k.held.Spec.Program {
 		k.failed = ""
 	}
 	k.mu.Unlock()
@@ -463,7 +463,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	s := Status{Format: change.Format, Life: k.life, BootNS: monotonic.Now(), Word: k.word, Name: k.o.Name, Spec: k.held.Want, Fence: k.held.Fence,
+	s := Status{Format: change.Format, Life: k.life, BootNS: monotonic.Now(), Word: k.word, Name: k.o.Name, Spec: k.held.Spec, Fence: k.held.Fence,
 		By: k.held.By, Drained: k.drained, Failed: k.failed, Crashes: k.again.Crashes, OrderMS: -1, AskedMS: now.Sub(k.asked).Milliseconds()}
 	if k.asked = now; !k.ordered.IsZero() {
 		s.OrderMS = now.Sub(k.ordered).Milliseconds()
--- a/internal/supervisor/keep_test.go
+++ b/internal/supervisor/keep_test.go
@@ -54,20 +54,20 @@
 	os.WriteFile(file, []byte(`{"shape":{"cancel":false},"fleet":{"members":[]}}`), 0o600)
 	o := Options{Name: "c1", State: filepath.Join(dir, "state"), Operator: file, Program: program}
 	k, err := New(o)
-	if err != nil || string(k.held.Want.Shape) != `{"cancel":false}` || k.held.Fence != (change.Fence{}) {
+	if err != nil || string(k.held.Spec.Topology) != `{"cancel":false}` || k.held.Fence != (change.Fence{}) {
 		t.Fatalf("%+v %v", k, err)
 	}
-	order := change.Order{Format: 1, Fence: change.Fence{Number: 4, Term: 2, Turn: 9}, By: "x", Member: "c1", Want: k.held.Want}
+	order := change.Order{Format: 1, Fence: change.Fence{Number: 4, Term: 2, Revision: 9}, By: "x", Member: "c1", Spec: k.held.Spec}
 	if err := k.Take(order); err != nil {
 		t.Fatal(err)
 	}
 	c := &child{file: k.path("operator-1.json")}
-	if !k.file(c, k.held, assignment.Accepted{}, true) || c.told != (told{spec: k.held.Want.Digest(), elder: true}) {
+	if !k.file(c, k.held, assignment.Accepted{}, true) || c.told != (told{spec: k.held.Spec.Digest(), elder: true}) {
 		t.Fatal(k.failed)
 	}
 	var parts map[string]json.RawMessage
 	text, _ := os.ReadFile(c.file)
-	if json.Unmarshal(text, &parts); parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(k.held.Want.Digest())) {
+	if json.Unmarshal(text, &parts); parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(k.held.Spec.Digest())) {
 		t.Errorf("%s", text)
 	}
 	if k, err = New(o); err != nil || k.held.Fence != order.Fence || k.held.By != "x" {
@@ -118,7 +118,7 @@
 	}
 	k.held.Drain = true
 	os.Remove(program)
-	k.fits(k.held.Want.Program)
+	k.fits(k.held.Spec.Program)
 	k.turn(t.Context())
 	if s := k.Status(); s.Failed == "" || !s.Drained {
 		t.Fatalf("%+v", s)
@@ -156,7 +156,7 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer door.Close()
-	c := &child{program: k.held.Want.Program, ended: make(chan struct{}), address: strings.TrimPrefix(door.URL, "http://")}
+	c := &child{program: k.held.Spec.Program, ended: make(chan struct{}), address: strings.TrimPrefix(door.URL, "http://")}
 	c.report.Ready = true
 	c.cmd = exec.Command("true")
 	c.cmd.Process = &os.Process{Pid: os.Getpid()}
