--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -40,7 +40,7 @@
 	Limits canary.Limits `json:"limits"`
 }
 
-// Load reads a change file and fills in defaults. A *schema.Faults error names every fault by its path in the file.
+// Load reads a change file and fills in defaults. A *schema.ValidationError names every fault by its path in the file.
 func Load(path string) (Change, error) {
 	change := Change{Limits: canary.Usual()}
 	if err := schema.Read(path, schema.Change, &change); err != nil {
@@ -54,7 +54,7 @@
 		change.Target.Plan = filepath.Join(filepath.Dir(path), plan)
 	}
 	if faults := change.Validate(); len(faults) > 0 {
-		return Change{}, &schema.Faults{File: path, List: faults}
+		return Change{}, &schema.ValidationError{File: path, Problems: faults}
 	}
 	return change, nil
 }
--- a/internal/command/fleet/coordinate.go
+++ b/internal/command/fleet/coordinate.go
@@ -27,7 +27,7 @@
 // coordinate carries the change in a folder on until it ends, or a signal ends the process. Where begin is not nil, it
 // begins a new change first.
 func coordinate(operatorFile, folder string, begin beginFunc) error {
-	logging.To(os.Stderr)
+	logging.Setup(os.Stderr)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	fleet, err := loadFleet(operatorFile)
@@ -36,10 +36,10 @@
 	}
 	store, err := coordinator.OpenFolder(folder)
 	if errors.Is(err, coordinator.ErrLocked) {
-		return command.Failed(ExitFenced, err)
+		return command.Failure(ExitFenced, err)
 	}
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	defer store.Close()
 	client := newFleetClient(fleet)
@@ -50,14 +50,14 @@
 	}
 	coordinating, err := coordinator.TakeOver(store, client)
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	err = coordinating.Run(ctx)
 	if errors.Is(err, coordinator.ErrFenced) {
-		return command.Failed(ExitFenced, err)
+		return command.Failure(ExitFenced, err)
 	}
 	if err != nil {
-		return command.Failed(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
+		return command.Failure(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
 	}
 	return outcome(coordinating.State())
 }
@@ -66,9 +66,9 @@
 func outcome(state rollout.State) error {
 	switch state.Phase {
 	case rollout.PhaseRolledBack:
-		return command.Failed(ExitRolledBack, fmt.Errorf("taken back: %s", state.Outcome))
+		return command.Failure(ExitRolledBack, fmt.Errorf("taken back: %s", state.Outcome))
 	case rollout.PhaseStopped:
-		return command.Failed(ExitStopped, fmt.Errorf("stopped: %s", state.Outcome))
+		return command.Failure(ExitStopped, fmt.Errorf("stopped: %s", state.Outcome))
 	}
 	return nil
 }
--- a/internal/command/fleet/fleet_status.go
+++ b/internal/command/fleet/fleet_status.go
@@ -40,7 +40,7 @@
 			}
 			statuses := pollControllers(cmd.Context(), fleet)
 			if asJSON {
-				err = command.AsJSON(cmd.OutOrStdout(), statuses)
+				err = command.WriteJSON(cmd.OutOrStdout(), statuses)
 			} else {
 				err = printControllers(cmd.OutOrStdout(), statuses)
 			}
@@ -48,7 +48,7 @@
 				return err
 			}
 			if !allServe(statuses) {
-				return command.Said(command.ExitNoFit, errNotAllServe)
+				return command.SilentFailure(command.ExitNoFit, errNotAllServe)
 			}
 			return nil
 		},
--- a/internal/command/fleet/leader.go
+++ b/internal/command/fleet/leader.go
@@ -19,7 +19,7 @@
 			return err
 		}
 		if err := run(cmd, voters, args); err != nil {
-			return command.Failed(command.ExitFailed, err)
+			return command.Failure(command.ExitFailed, err)
 		}
 		return nil
 	}
@@ -38,7 +38,7 @@
 	return votersCommand(cmd, func(cmd *cobra.Command, voters *voters, _ []string) error {
 		polled := voters.poll(cmd.Context())
 		if asJSON {
-			return command.AsJSON(cmd.OutOrStdout(), polled.views)
+			return command.WriteJSON(cmd.OutOrStdout(), polled.views)
 		}
 		return voters.print(cmd.OutOrStdout(), polled)
 	})
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -125,17 +125,17 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			loaded, err := change.Load(args[0])
-			var faults *schema.Faults
+			var faults *schema.ValidationError
 			if errors.As(err, &faults) {
-				for _, fault := range faults.List {
+				for _, fault := range faults.Problems {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", faults.File, fault)
 				}
-				return command.Said(command.ExitBadInput, err)
+				return command.SilentFailure(command.ExitBadInput, err)
 			}
 			if err != nil {
 				return command.BadInput(err)
 			}
-			return command.AsJSON(cmd.OutOrStdout(), loaded)
+			return command.WriteJSON(cmd.OutOrStdout(), loaded)
 		},
 	}
 }
--- a/internal/command/fleet/rollout_status.go
+++ b/internal/command/fleet/rollout_status.go
@@ -47,13 +47,13 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			record, found, err := options.readRecord(cmd.Context())
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			if !found {
 				return command.BadInput(fmt.Errorf("%s: no change is recorded", options.folder))
 			}
 			if asJSON {
-				return command.AsJSON(cmd.OutOrStdout(), newChangeStatus(record))
+				return command.WriteJSON(cmd.OutOrStdout(), newChangeStatus(record))
 			}
 			printChange(cmd.OutOrStdout(), newChangeStatus(record))
 			return nil
@@ -107,10 +107,10 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			transitions, err := coordinator.UnlockedFolder(options.folder).History()
 			if err != nil {
-				return command.Failed(command.ExitFailed, err)
+				return command.Failure(command.ExitFailed, err)
 			}
 			if asJSON {
-				return command.AsJSON(cmd.OutOrStdout(), transitions)
+				return command.WriteJSON(cmd.OutOrStdout(), transitions)
 			}
 			return printHistory(cmd.OutOrStdout(), transitions)
 		},
--- a/internal/command/fleet/store.go
+++ b/internal/command/fleet/store.go
@@ -62,7 +62,7 @@
 	inspect := readStoreCommand("inspect", "The open jobs in it, and what is to become of each",
 		func(out io.Writer, contents storeContents) error {
 			if asJSON {
-				return command.AsJSON(out, contents.jobs.OpenJobs(0))
+				return command.WriteJSON(out, contents.jobs.OpenJobs(0))
 			}
 			table := newTable(out)
 			fmt.Fprintln(table, "CALL\tTYPE\tTENANT\tKEY\tEFFECT\tFATE\tKEY RESTS")
--- a/internal/command/fleet/supervise.go
+++ b/internal/command/fleet/supervise.go
@@ -46,7 +46,7 @@
 part fleet of the operator's file gives for ROUTER_NAME. SIGTERM lets the controller drain.`,
 		Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			logging.To(os.Stderr)
+			logging.Setup(os.Stderr)
 			return options.withEnvironment().run()
 		},
 	}
@@ -75,17 +75,17 @@
 	if err != nil {
 		return err
 	}
-	member, found := fleet.Find(o.name)
+	member, found := fleet.Member(o.name)
 	if !found {
 		return command.BadInput(fmt.Errorf("%s: /fleet/members: no %q", o.operatorFile, o.name))
 	}
 	supervised, err := o.newSupervisor(fleet)
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	listener, err := net.Listen("tcp4", member.Listen)
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -108,7 +108,7 @@
 	defer server.Close()
 	slog.Info("keeping", "name", o.name, "address", listener.Addr(), "spec", supervised.Status().Spec.Digest())
 	if err := supervised.Run(ctx); err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	return nil
 }
@@ -139,11 +139,11 @@
 	mux *http.ServeMux) (*leader.Node, error) {
 	addresses := map[string]string{}
 	for _, member := range fleet.Members {
-		addresses[member.Name] = member.At()
+		addresses[member.Name] = member.Address()
 	}
 	node, err := leader.Open(o.name, filepath.Join(o.stateFolder, "owner.db"), addresses, leader.DefaultTiming())
 	if err != nil {
-		return nil, command.Failed(command.ExitFailed, err)
+		return nil, command.Failure(command.ExitFailed, err)
 	}
 	duties, err := leader.NewDuties(node, fleet, filepath.Dir(o.operatorFile))
 	if err != nil {
--- a/internal/command/fleet/voters.go
+++ b/internal/command/fleet/voters.go
@@ -73,8 +73,8 @@
 }
 
 func (v *voters) do(ctx context.Context, name, method, path string, body []byte) ([]byte, error) {
-	member, _ := v.fleet.Find(name) // an unknown name has no address, and the request fails
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+member.At()+path, bytes.NewReader(body))
+	member, _ := v.fleet.Member(name) // an unknown name has no address, and the request fails
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+member.Address()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 		err = voters.post(ctx, name, path, body)
 	}
 	if err != nil {
-		return command.Failed(command.ExitFailed, err)
+		return command.Failure(command.ExitFailed, err)
 	}
 	return nil
 }
--- a/internal/coordinator/act.go
+++ b/internal/coordinator/act.go
@@ -57,7 +57,7 @@
 	slog.Info("rollout_phase", "number", number, "phase", state.Phase, "stage", state.Stage+1,
 		"fence", state.Fence.String(), "on", strings.Join(c.machine.TargetMembers(), ","), "why", state.Reason)
 	c.store.addTransition(Transition{
-		At:      failpoint.Wall().UTC(),
+		At:      failpoint.WallClock().UTC(),
 		Number:  number,
 		Phase:   state.Phase,
 		Stage:   state.Stage,
--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -36,7 +36,7 @@
 	state := rollout.State{Phase: rollout.PhasePreparing, Fence: start.fence}
 	store.discardSamples()
 	store.addTransition(Transition{
-		At:     failpoint.Wall().UTC(),
+		At:     failpoint.WallClock().UTC(),
 		Number: next.Number,
 		Phase:  state.Phase,
 		Fence:  state.Fence,
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -45,7 +45,7 @@
 		return
 	}
 	c.store.addSample(Sample{
-		At:     failpoint.Wall().UTC(),
+		At:     failpoint.WallClock().UTC(),
 		Number: c.record.Change.Number,
 		Phase:  state.Phase,
 		Stage:  state.Stage,
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -123,7 +123,7 @@
 	if s.replicated != nil {
 		return s.replicated.Write(name, text)
 	}
-	if err := failpoint.Write(); err != nil {
+	if err := failpoint.BeforeWrite(); err != nil {
 		return err
 	}
 	return renameio.WriteFile(s.path(name), text, fileMode)
--- a/internal/coordinator/supervisor_http.go
+++ b/internal/coordinator/supervisor_http.go
@@ -28,7 +28,7 @@
 
 // fetchStatus asks a member's supervisor for its status.
 func (c *FleetClient) fetchStatus(ctx context.Context, member operator.Member) (supervisor.Status, error) {
-	url := "http://" + member.At() + statusPath
+	url := "http://" + member.Address() + statusPath
 	if c.IncludeEngines {
 		url += enginesQuery
 	}
@@ -45,7 +45,7 @@
 		return supervisor.Status{}, err
 	}
 	if status.Name != member.Name {
-		return status, fmt.Errorf("%s answers as %q", member.At(), status.Name)
+		return status, fmt.Errorf("%s answers as %q", member.Address(), status.Name)
 	}
 	return status, nil
 }
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	url := "http://" + member.At() + path
+	url := "http://" + member.Address() + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(text))
 	if err != nil {
 		return err
