--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"os"
 	"path/filepath"
+	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -12,44 +13,60 @@
 func spec(program string) Spec { return Spec{Program: Program{Path: "/p", Digest: Digest(program)}} }
 
 func TestAnOrderThatComesLateTwiceOrFromAnotherChangesNothing(t *testing.T) {
-	order := func(number, term, turn int64, by, program string) Order {
-		return Order{Format: Format, Fence: Fence{number, term, turn}, By: by, Member: "c1", Spec: spec(program)}
+	order := func(number, term, revision int64, by, program string) Order {
+		return Order{Format: Format, Fence: Fence{number, term, revision}, By: by, Member: "c1", Spec: spec(program)}
 	}
-	var h AcceptedOrder
+	var accepted AcceptedOrder
 	for i, c := range []struct {
-		o    Order
-		is   bool
-		told string
+		order   Order
+		changed bool
+		refusal error  // of that type
+		text    string // of the refusal
 	}{
-		{order(1, 1, 1, "x", "new"), true, ""},
-		{order(1, 1, 1, "x", "new"), false, ""},
-		{order(1, 1, 1, "x", "old"), false, "did not"},
-		{order(1, 1, 3, "x", "old"), true, ""},
-		{order(1, 1, 2, "x", "new"), false, "comes after"},
-		{order(1, 1, 4, "y", "new"), false, "conducts"},
-		{order(1, 2, 1, "y", "new"), true, ""},
-		{order(1, 1, 9, "x", "old"), false, "comes after"},
-		{order(2, 1, 1, "z", "old"), true, ""},
-		{order(1, 7, 7, "y", "new"), false, "comes after"},
+		{order(1, 1, 1, "x", "new"), true, nil, ""},
+		{order(1, 1, 1, "x", "new"), false, nil, ""},
+		{order(1, 1, 1, "x", "old"), false, &ConflictingOrderError{}, "did not"},
+		{order(1, 1, 3, "x", "old"), true, nil, ""},
+		{order(1, 1, 2, "x", "new"), false, &StaleOrderError{}, "comes after"},
+		{order(1, 1, 4, "y", "new"), false, &ForeignOrderError{}, "conducts"},
+		{order(1, 2, 1, "y", "new"), true, nil, ""},
+		{order(1, 1, 9, "x", "old"), false, &StaleOrderError{}, "comes after"},
+		{order(2, 1, 1, "z", "old"), true, nil, ""},
+		{order(1, 7, 7, "y", "new"), false, &StaleOrderError{}, "comes after"},
 	} {
-		before := h
-		next, is, err := h.Accept(c.o)
-		if is != c.is || (err != nil) != (c.told != "") || err != nil && !strings.Contains(err.Error(), c.told) {
-			t.Errorf("%d: %v %v", i, is, err)
+		before := accepted
+		next, changed, err := accepted.Accept(c.order)
+		if changed != c.changed || (err != nil) != (c.text != "") || err != nil && !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%d: %v %v", i, changed, err)
 		}
-		if !is && next.Fence != before.Fence {
-			t.Errorf("%d: refused, and held", i)
+		if err != nil && reflect.TypeOf(err) != reflect.TypeOf(c.refusal) {
+			t.Errorf("%d: refused by a %T, not a %T", i, err, c.refusal)
 		}
-		h = next
+		if !changed && next.Fence != before.Fence {
+			t.Errorf("%d: refused, and accepted", i)
+		}
+		accepted = next
 	}
 }
 
 func TestOrdersAreReadWholeOrNotAtAll(t *testing.T) {
-	good := `{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","want":{"program":{"path":"/p","digest":"d"}}}`
+	good := `{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1",` +
+		`"want":{"program":{"path":"/p","digest":"d"}}}`
 	if _, err := ReadOrder(strings.NewReader(good)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][2]string{{`"by":"x"`, `"by":"x","hurry":true`}, {`"format":1`, `"format":3`}, {`"format":1`, `"format":0`}, {`"by":"x"`, `"by":"x","why":"y"`}, {`"format":1`, `"format":2,"why":"` + strings.Repeat("y", maxReasonBytes+1) + `"`}, {`"turn":1`, `"turn":0`}, {`"by":"x"`, `"by":""`}, {`"digest":"d"`, `"digest":""`}, {`}}}`, `}}`}} {
+	tooLong := `"format":2,"why":"` + strings.Repeat("y", maxReasonBytes+1) + `"`
+	for _, c := range [][2]string{
+		{`"by":"x"`, `"by":"x","hurry":true`},
+		{`"format":1`, `"format":3`},
+		{`"format":1`, `"format":0`},
+		{`"by":"x"`, `"by":"x","why":"y"`},
+		{`"format":1`, tooLong},
+		{`"turn":1`, `"turn":0`},
+		{`"by":"x"`, `"by":""`},
+		{`"digest":"d"`, `"digest":""`},
+		{`}}}`, `}}`},
+	} {
 		if _, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1))); err == nil ||
 			!strings.HasPrefix(err.Error(), "/") {
 			t.Errorf("%s: %v", c[1], err)
@@ -101,18 +118,22 @@
 
 func TestEveryFaultOfAChangeIsNamed(t *testing.T) {
 	dir := t.TempDir()
-	for text, told := range map[string][]string{
-		`{"number":0,"kind":"settings","to":{"shape":{}},"hurry":1}`:                                      {"/number:", "hurry"},
-		`{"number":1,"kind":"plan","to":{"shape":{}}}`:                                                    {"/to: kind plan"},
-		`{"number":1,"kind":"settings","to":{"shape":{}},"stages":[{"per_mille":300},{"per_mille":200}]}`: {"/stages/1/per_mille: 200", "/stages/1/per_mille: the last"},
-		`{"number":1,"kind":"settings","to":{"shape":{}},"stages":[{},{"per_mille":1000}]}`:               {"/stages/0: either"},
-		`{"number":1,"kind":"settings","to":{"shape":{}},"pace":{"bake_ms":2000000}}`:                     {"/pace/most_ms"},
-		`{"number":1,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":-1}}`:               {"/limits/missed_per_mille"},
+	for text, faults := range map[string][]string{
+		`{"number":0,"kind":"settings","to":{"shape":{}},"hurry":1}`: {"/number:", "hurry"},
+		`{"number":1,"kind":"plan","to":{"shape":{}}}`:               {"/to: kind plan"},
+		`{"number":1,"kind":"settings","to":{"shape":{}},"stages":[{"per_mille":300},{"per_mille":200}]}`: {
+			"/stages/1/per_mille: 200", "/stages/1/per_mille: the last",
+		},
+		`{"number":1,"kind":"settings","to":{"shape":{}},"stages":[{},{"per_mille":1000}]}`: {"/stages/0: either"},
+		`{"number":1,"kind":"settings","to":{"shape":{}},"pace":{"bake_ms":2000000}}`:       {"/pace/most_ms"},
+		`{"number":1,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":-1}}`: {
+			"/limits/missed_per_mille",
+		},
 	} {
 		path := filepath.Join(dir, "c.json")
 		writeFile(t, path, text)
 		_, err := Load(path)
-		for _, s := range told {
+		for _, s := range faults {
 			if err == nil || !strings.Contains(err.Error(), s) {
 				t.Errorf("%s: %v, not %s", text, err, s)
 			}
--- a/internal/change/forms_test.go
+++ b/internal/change/forms_test.go
@@ -92,10 +92,20 @@
 
 // Each error text of an order that is refused, which supervisors answer with and operators search for.
 func TestRefusalsAreWordedAsTheyWere(t *testing.T) {
-	good := `{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","want":{"program":{"path":"/p","digest":"d"}}}`
+	good := `{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1",` +
+		`"want":{"program":{"path":"/p","digest":"d"}}}`
 	var lines []string
-	for _, c := range [][2]string{{`"by":"x"`, `"by":"x","hurry":true`}, {`"format":2`, `"format":3`}, {`"format":2`, `"format":1,"why":"y"`}, {`"by":"x"`, `"by":"x","why":"` + strings.Repeat("y", 1001) + `"`},
-		{`"turn":1`, `"turn":0`}, {`"by":"x"`, `"by":""`}, {`"digest":"d"`, `"digest":""`}, {`}}}`, `}}`}, {`{`, strings.Repeat(" ", 4<<20+1)}} {
+	for _, c := range [][2]string{
+		{`"by":"x"`, `"by":"x","hurry":true`},
+		{`"format":2`, `"format":3`},
+		{`"format":2`, `"format":1,"why":"y"`},
+		{`"by":"x"`, `"by":"x","why":"` + strings.Repeat("y", 1001) + `"`},
+		{`"turn":1`, `"turn":0`},
+		{`"by":"x"`, `"by":""`},
+		{`"digest":"d"`, `"digest":""`},
+		{`}}}`, `}}`},
+		{`{`, strings.Repeat(" ", 4<<20+1)},
+	} {
 		_, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1)))
 		if err == nil {
 			t.Fatalf("%.40q is taken", c[1])
--- a/internal/change/fuzz_test.go
+++ b/internal/change/fuzz_test.go
@@ -9,13 +9,15 @@
 func FuzzOrders(f *testing.F) {
 	f.Add(
 		[]byte(
-			`{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","want":{"program":{"path":"/p","digest":"d"},"shape":{"a":1}}}`,
+			`{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1",` +
+				`"want":{"program":{"path":"/p","digest":"d"},"shape":{"a":1}}}`,
 		),
 	)
 	f.Add([]byte(`{"format":1,"fence":{"number":-1}}`))
 	f.Add(
 		[]byte(
-			`{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","why":"y","want":{"program":{"path":"/p","digest":"d"}}}`,
+			`{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","why":"y",` +
+				`"want":{"program":{"path":"/p","digest":"d"}}}`,
 		),
 	)
 	f.Add([]byte(`[`))
--- a/internal/command/fleet/supervise.go
+++ b/internal/command/fleet/supervise.go
@@ -106,7 +106,7 @@
 	}
 	go func() { _ = server.Serve(listener) }() // it ends as the server is closed below
 	defer server.Close()
-	slog.Info("keeping", "name", o.name, "address", listener.Addr(), "spec", supervised.Status().Spec.Digest())
+	slog.Info("supervising", "name", o.name, "address", listener.Addr(), "spec", supervised.Status().Spec.Digest())
 	if err := supervised.Run(ctx); err != nil {
 		return command.Failure(command.ExitFailed, err)
 	}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -12,52 +12,77 @@
 )
 
 // A fleet in virtual time, where everything goes wrong that a schedule draws: orders are lost, late, doubled and turned
-// round, members are out of reach or die, conductors are killed between record and orders, and old ones wake up.
+// round, members are out of reach or die, coordinators are killed between record and orders, and old ones wake up.
 
-var pace = change.Timing{BaselineMS: 500, BakeMS: 1000, MaxBakeMS: 20_000, ApplyTimeoutMS: 8000, SettleMS: 1, UnreachableAfterMS: 300, SharedRecoveryMS: 1500, MaxSharedRetries: 1, MinHealthyPerMille: 500, PollIntervalMS: 100}
+var timing = change.Timing{
+	BaselineMS:         500,
+	BakeMS:             1000,
+	MaxBakeMS:          20_000,
+	ApplyTimeoutMS:     8000,
+	SettleMS:           1,
+	UnreachableAfterMS: 300,
+	SharedRecoveryMS:   1500,
+	MaxSharedRetries:   1,
+	MinHealthyPerMille: 500,
+	PollIntervalMS:     100,
+}
 
 const step = int64(100e6)
 
 type member struct {
-	held    change.AcceptedOrder
-	running change.Digest
-	down    int  // looks until it serves again
-	away    bool // out of reach
-	changes bool // it is down by an order
-	failed  string
+	held        change.AcceptedOrder
+	running     change.Digest
+	down        int  // ticks until it serves again
+	unreachable bool // out of reach
+	changes     bool // it is down by an order
+	failed      string
 }
 
-type flight struct {
-	at int // look
+type delivery struct {
+	at int // tick
 	to int
 	o  change.Order
 }
 
 type fleet struct {
-	t       *testing.T
-	r       *rand.Rand
-	members []*member
-	names   []string
-	sky     []flight
-	record  State // on disk
-	stages  [][]string
-	m       *Machine
-	now     int64
-	look    int
-	deepest int          // stage that was ever begun
-	passed  map[int]bool // stages that had their verdict
-	noFence bool         // the broken variant
-	broken  string
-	seen    map[Phase]bool
+	t          *testing.T
+	r          *rand.Rand
+	members    []*member
+	names      []string
+	deliveries []delivery
+	record     State // on disk
+	stages     [][]string
+	m          *Machine
+	now        int64
+	tick       int
+	deepest    int          // stage that was ever begun
+	passed     map[int]bool // stages that had their verdict
+	noFence    bool         // the broken variant
+	broken     string
+	reached    map[Phase]bool
 }
 
-var specs = map[bool]change.Spec{false: {Program: change.Program{Path: "/old", Digest: "1"}}, true: {Program: change.Program{Path: "/new", Digest: "2"}}}
+// specs are the old version, and under true the new one.
+var specs = map[bool]change.Spec{
+	false: {Program: change.Program{Path: "/old", Digest: "1"}},
+	true:  {Program: change.Program{Path: "/new", Digest: "2"}},
+}
 
 func newFleet(t *testing.T, seed uint64, n int) *fleet {
-	f := &fleet{t: t, r: rand.New(rand.NewPCG(seed, 5)), passed: map[int]bool{}, seen: map[Phase]bool{}, deepest: -1}
+	t.Helper()
+	f := &fleet{
+		t:       t,
+		r:       rand.New(rand.NewPCG(seed, 5)),
+		passed:  map[int]bool{},
+		reached: map[Phase]bool{},
+		deepest: -1,
+	}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprint("c", i))
-		f.members = append(f.members, &member{held: change.AcceptedOrder{Spec: specs[false]}, running: specs[false].Digest()})
+		f.members = append(
+			f.members,
+			&member{held: change.AcceptedOrder{Spec: specs[false]}, running: specs[false].Digest()},
+		)
 	}
 	f.stages = [][]string{f.names[:1], f.names[:(n+1)/2], f.names}
 	f.record = State{Phase: PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
@@ -65,21 +90,42 @@
 	return f
 }
 
-// take has a new conductor take the record over.
+// take has a new coordinator take the record over.
 func (f *fleet) take() {
 	f.record.Fence.Term++
-	f.m = New(f.record, Plan{Kind: change.KindProgram, From: specs[false].Digest(), To: specs[true].Digest(), Stages: f.stages, Timing: pace}, f.now)
+	f.m = New(
+		f.record,
+		Plan{
+			Kind:   change.KindProgram,
+			From:   specs[false].Digest(),
+			To:     specs[true].Digest(),
+			Stages: f.stages,
+			Timing: timing,
+		},
+		f.now,
+	)
 }
 
 func (f *fleet) input(v canary.Verdict, ask Request) Observation {
 	in := Observation{Now: f.now, Verdict: v, Recovered: f.r.IntN(3) == 0, Request: ask}
 	for i, x := range f.members {
-		in.Members = append(in.Members, Member{Name: f.names[i], Reachable: !x.away, Serving: x.down == 0, Running: x.running, Fence: x.held.Fence, Failure: x.failed})
+		in.Members = append(
+			in.Members,
+			Member{
+				Name:      f.names[i],
+				Reachable: !x.unreachable,
+				Serving:   x.down == 0,
+				Running:   x.running,
+				Fence:     x.held.Fence,
+				Failure:   x.failed,
+			},
+		)
 	}
 	return in
 }
 
-// one is a look of the conductor, and what comes of it at the members. kill: 1 before the record, 2 before the orders.
+// one is a poll of the coordinator, and what comes of it at the members. kill: 1 before the record, 2 before the
+// orders.
 func (f *fleet) one(v canary.Verdict, ask Request, kill int, faults bool) {
 	before := f.m.State
 	in := f.input(v, ask)
@@ -90,7 +136,7 @@
 		orders = nil
 	} else if changed {
 		f.record = f.m.State
-		f.seen[f.record.Phase] = true
+		f.reached[f.record.Phase] = true
 		if before.Phase == PhaseBaking && f.record.Phase != PhaseBaking && v.Kind == canary.Even {
 			f.passed[before.Stage] = true
 		}
@@ -105,8 +151,15 @@
 		}
 	}
 	for _, o := range orders {
-		w := change.Order{Format: 1, Fence: f.m.State.Fence, By: "x", Member: o.Member, Spec: specs[o.UseTarget], Drain: o.Drain}
-		fl := flight{f.look, slices.Index(f.names, o.Member), w}
+		w := change.Order{
+			Format: 1,
+			Fence:  f.m.State.Fence,
+			By:     "x",
+			Member: o.Member,
+			Spec:   specs[o.UseTarget],
+			Drain:  o.Drain,
+		}
+		fl := delivery{f.tick, slices.Index(f.names, o.Member), w}
 		if faults {
 			switch f.r.IntN(6) {
 			case 0:
@@ -114,25 +167,25 @@
 			case 1:
 				fl.at += f.r.IntN(60) // late: past later ones
 			case 2:
-				f.sky = append(f.sky, flight{f.look + f.r.IntN(100), fl.to, w}) // twice
+				f.deliveries = append(f.deliveries, delivery{f.tick + f.r.IntN(100), fl.to, w}) // twice
 			}
 		}
-		f.sky = append(f.sky, fl)
+		f.deliveries = append(f.deliveries, fl)
 	}
 	f.land()
 	f.now += step
-	f.look++
+	f.tick++
 }
 
 // land brings orders to members, and has them do as they hold.
 func (f *fleet) land() {
-	var later []flight
-	for _, fl := range f.sky {
+	var later []delivery
+	for _, fl := range f.deliveries {
 		x := f.members[fl.to]
 		switch {
-		case fl.at > f.look:
+		case fl.at > f.tick:
 			later = append(later, fl)
-		case x.away:
+		case x.unreachable:
 		default:
 			if next, _, err := x.held.Accept(fl.o); err == nil {
 				x.held = next
@@ -141,7 +194,7 @@
 			}
 		}
 	}
-	f.sky = later
+	f.deliveries = later
 	by := 0
 	for i, x := range f.members {
 		if x.down > 0 {
@@ -165,7 +218,10 @@
 
 // settled tells what is wrong at the end.
 func (f *fleet) settled() string {
-	want := map[Phase]change.Digest{PhaseDone: specs[true].Digest(), PhaseRolledBack: specs[false].Digest()}[f.m.State.Phase]
+	want := map[Phase]change.Digest{
+		PhaseDone:       specs[true].Digest(),
+		PhaseRolledBack: specs[false].Digest(),
+	}[f.m.State.Phase]
 	for i, x := range f.members {
 		if want != "" && x.running != want {
 			return fmt.Sprintf("%s, and %s runs %s", f.m.State.Phase, f.names[i], x.running)
@@ -175,10 +231,11 @@
 }
 
 // walk plays a schedule; it tells what is wrong.
-func walk(t *testing.T, seed uint64, noFence bool) (wrong string, seen map[Phase]bool) {
+func walk(t *testing.T, seed uint64, noFence bool) (wrong string, reached map[Phase]bool) {
+	t.Helper()
 	f := newFleet(t, seed, 3+int(seed%5))
 	f.noFence = noFence
-	var asleep *Machine // a conductor that was stopped and another has taken over from
+	var suspended *Machine // a coordinator that was stopped, and another has taken over
 	bad := f.r.IntN(3) == 0
 	for i := 0; i < 3000 && !f.m.State.Phase.IsTerminal(); i++ {
 		faults := i < 250
@@ -199,55 +256,66 @@
 				kill = 1 + f.r.IntN(2)
 			}
 			if f.r.IntN(40) == 0 {
-				asleep = f.m
+				suspended = f.m
 				f.take()
 			}
 			x := f.members[f.r.IntN(len(f.members))]
-			x.away = f.r.IntN(20) == 0
+			x.unreachable = f.r.IntN(20) == 0
 			if f.r.IntN(150) == 0 {
 				ask = []Request{RequestPause, RequestResume, RequestRollback}[f.r.IntN(3)]
 			}
 		} else {
 			for _, x := range f.members {
-				x.away = false
+				x.unreachable = false
 			}
 			if f.m.State.Paused {
 				ask = RequestResume
 			}
 		}
-		if asleep != nil && f.r.IntN(10) == 0 { // it wakes, and orders what it thinks is due, before it looks
+		if suspended != nil && f.r.IntN(10) == 0 { // it wakes, and orders what it thinks is due, before it looks
 			for k, name := range f.names {
-				f.sky = append(f.sky, flight{f.look + f.r.IntN(400), k, change.Order{Format: 1, Fence: asleep.State.Fence, By: "x", Member: name, Spec: specs[slices.Contains(asleep.TargetMembers(), name)]}})
+				onTarget := slices.Contains(suspended.TargetMembers(), name)
+				o := change.Order{
+					Format: 1,
+					Fence:  suspended.State.Fence,
+					By:     "x",
+					Member: name,
+					Spec:   specs[onTarget],
+				}
+				f.deliveries = append(f.deliveries, delivery{f.tick + f.r.IntN(400), k, o})
 			}
-			asleep = nil
+			suspended = nil
 		}
 		f.one(v, ask, kill, faults)
 		if f.broken != "" {
-			return f.broken, f.seen
+			return f.broken, f.reached
 		}
 	}
 	if !f.m.State.Phase.IsTerminal() {
-		return "does not end: " + string(f.m.State.Phase), f.seen
+		return "does not end: " + string(f.m.State.Phase), f.reached
 	}
 	for range 500 { // what is still on its way
 		f.land()
-		f.look++
+		f.tick++
 	}
-	return f.settled(), f.seen
+	return f.settled(), f.reached
 }
 
 func TestSchedulesOfFaults(t *testing.T) {
 	all := map[Phase]bool{}
 	for seed := range uint64(300) {
-		wrong, seen := walk(t, seed, false)
+		wrong, reached := walk(t, seed, false)
 		if wrong != "" {
 			t.Fatalf("schedule %d: %s", seed, wrong)
 		}
-		for p := range seen {
+		for p := range reached {
 			all[p] = true
 		}
 	}
-	for _, p := range []Phase{PhaseBaseline, PhaseApplying, PhaseBaking, PhaseRollingBackStage, PhaseAwaitingRecovery, PhaseFinishing, PhaseDone, PhaseRollingBack, PhaseRolledBack} {
+	for _, p := range []Phase{
+		PhaseBaseline, PhaseApplying, PhaseBaking, PhaseRollingBackStage, PhaseAwaitingRecovery,
+		PhaseFinishing, PhaseDone, PhaseRollingBack, PhaseRolledBack,
+	} {
 		if !all[p] {
 			t.Errorf("no schedule reaches %s", p)
 		}
@@ -263,7 +331,7 @@
 	t.Error("no schedule shows that the fence is needed")
 }
 
-func TestAConductorKilledAtEveryStepIsFollowed(t *testing.T) {
+func TestACoordinatorKilledAtEveryStepIsFollowed(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		for _, how := range []int{1, 2} {
 			for at := range 120 {
@@ -281,7 +349,8 @@
 					}
 					f.one(v, "", kill, false)
 				}
-				if want := map[bool]Phase{false: PhaseDone, true: PhaseRolledBack}[bad]; f.m.State.Phase != want || f.settled() != "" {
+				if want := map[bool]Phase{false: PhaseDone, true: PhaseRolledBack}[bad]; f.m.State.Phase != want ||
+					f.settled() != "" {
 					t.Fatalf("killed at look %d (%d), bad %v: %s %s", at, how, bad, f.m.State.Phase, f.settled())
 				}
 			}
@@ -299,7 +368,9 @@
 		}
 		f.one(v, "", 0, false)
 	}
-	if f.m.State.Phase != PhaseDegraded || f.m.State.Drained["c0"] == "" || !strings.Contains(f.m.State.Reason, "c0") || !f.members[0].held.Drain {
+	if f.m.State.Phase != PhaseDegraded || f.m.State.Drained["c0"] == "" ||
+		!strings.Contains(f.m.State.Reason, "c0") ||
+		!f.members[0].held.Drain {
 		t.Fatalf("%+v, drains %v", f.m.State, f.members[0].held.Drain)
 	}
 	f.members[0].failed, f.members[0].running = "", "" // mended by hand; it is still out of service, so nothing runs there
@@ -313,7 +384,7 @@
 
 func TestAFleetThatIsNotAllThereBeginsNothing(t *testing.T) {
 	f := newFleet(t, 3, 3)
-	f.members[2].away = true
+	f.members[2].unreachable = true
 	for i := 0; i < 400 && !f.m.State.Phase.IsTerminal(); i++ {
 		f.one(canary.Verdict{}, "", 0, false)
 	}
@@ -321,3 +392,16 @@
 		t.Errorf("%+v", f.m.State)
 	}
 }
+
+func TestEveryTransitionLeadsToAPhaseThatGoesOnOrEnds(t *testing.T) {
+	for from, events := range transitions {
+		if from.IsTerminal() || len(events) == 0 {
+			t.Errorf("%s: %d events", from, len(events))
+		}
+		for happened, to := range events {
+			if _, goesOn := transitions[to]; goesOn == to.IsTerminal() {
+				t.Errorf("%s on %q leads to %q", from, happened, to)
+			}
+		}
+	}
+}
