--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -138,33 +138,33 @@
 	change string // a file in testdata/changes
 	missed string
 	stays  string
-	asks   rollout.Request // once the first stage bakes
+	request   rollout.Request // once the first stage bakes
 	when   func(rollout.State) bool
 	ends   rollout.Phase
 }
 
-func in(p rollout.Phase, stage int) func(rollout.State) bool {
+func inPhase(p rollout.Phase, stage int) func(rollout.State) bool {
 	return func(s rollout.State) bool { return s.Phase == p && s.Stage == stage && !s.Paused }
 }
 
 var folderScenarios = []folderScenario{
-	{name: "preparing", change: "settings", when: in(rollout.PhasePreparing, 0), ends: rollout.PhaseDone},
-	{name: "watching", change: "settings", when: in(rollout.PhaseBaseline, 0), ends: rollout.PhaseDone},
-	{name: "applying", change: "settings", when: in(rollout.PhaseApplying, 0), ends: rollout.PhaseDone},
-	{name: "baking", change: "settings", when: in(rollout.PhaseBaking, 0), ends: rollout.PhaseDone},
-	{name: "baking-later", change: "settings", when: in(rollout.PhaseBaking, 1), ends: rollout.PhaseDone},
-	{name: "paused", change: "settings", asks: rollout.RequestPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.PhaseDone},
-	{name: "withdrawing", change: "settings", missed: "all", when: in(rollout.PhaseRollingBackStage, 0), ends: rollout.PhaseDone},
-	{name: "waiting", change: "settings", missed: "all", when: in(rollout.PhaseAwaitingRecovery, 0), ends: rollout.PhaseDone},
-	{name: "finishing", change: "program", when: in(rollout.PhaseFinishing, 1), ends: rollout.PhaseDone},
-	{name: "done", change: "program", when: in(rollout.PhaseDone, 1), ends: rollout.PhaseDone},
-	{name: "going-back", change: "program", missed: "new", when: in(rollout.PhaseRollingBack, 0), ends: rollout.PhaseRolledBack},
-	{name: "stuck", change: "program", missed: "new", stays: "c2", when: in(rollout.PhaseDegraded, 0), ends: rollout.PhaseRolledBack},
-	{name: "back", change: "program", missed: "new", when: in(rollout.PhaseRolledBack, 0), ends: rollout.PhaseRolledBack},
-	{name: "stopped", change: "settings", asks: rollout.RequestStop, when: in(rollout.PhaseStopped, 0), ends: rollout.PhaseStopped},
+	{name: "preparing", change: "settings", when: inPhase(rollout.PhasePreparing, 0), ends: rollout.PhaseDone},
+	{name: "watching", change: "settings", when: inPhase(rollout.PhaseBaseline, 0), ends: rollout.PhaseDone},
+	{name: "applying", change: "settings", when: inPhase(rollout.PhaseApplying, 0), ends: rollout.PhaseDone},
+	{name: "baking", change: "settings", when: inPhase(rollout.PhaseBaking, 0), ends: rollout.PhaseDone},
+	{name: "baking-later", change: "settings", when: inPhase(rollout.PhaseBaking, 1), ends: rollout.PhaseDone},
+	{name: "paused", change: "settings", request: rollout.RequestPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.PhaseDone},
+	{name: "withdrawing", change: "settings", missed: "all", when: inPhase(rollout.PhaseRollingBackStage, 0), ends: rollout.PhaseDone},
+	{name: "waiting", change: "settings", missed: "all", when: inPhase(rollout.PhaseAwaitingRecovery, 0), ends: rollout.PhaseDone},
+	{name: "finishing", change: "program", when: inPhase(rollout.PhaseFinishing, 1), ends: rollout.PhaseDone},
+	{name: "done", change: "program", when: inPhase(rollout.PhaseDone, 1), ends: rollout.PhaseDone},
+	{name: "going-back", change: "program", missed: "new", when: inPhase(rollout.PhaseRollingBack, 0), ends: rollout.PhaseRolledBack},
+	{name: "stuck", change: "program", missed: "new", stays: "c2", when: inPhase(rollout.PhaseDegraded, 0), ends: rollout.PhaseRolledBack},
+	{name: "back", change: "program", missed: "new", when: inPhase(rollout.PhaseRolledBack, 0), ends: rollout.PhaseRolledBack},
+	{name: "stopped", change: "settings", request: rollout.RequestStop, when: inPhase(rollout.PhaseStopped, 0), ends: rollout.PhaseStopped},
 }
 
-const askTime = 2 * time.Second
+const requestTimeout = 2 * time.Second
 
 func firstStates() map[string]*memberState {
 	states := map[string]*memberState{}
@@ -177,7 +177,7 @@
 }
 
 // lookUntil has a coordinator look until its state is as asked; at most for a while, as a fault would have it look for ever.
-func lookUntil(t *testing.T, c *coordinator.Coordinator, is func(rollout.State) bool) {
+func stepUntil(t *testing.T, c *coordinator.Coordinator, is func(rollout.State) bool) {
 	t.Helper()
 	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(stop) {
@@ -212,7 +212,7 @@
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			fleet := coordinator.NewFleetClient(fakes.members, askTime, askTime)
+			fleet := coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)
 			if err := coordinator.Begin(context.Background(), folder, ch, fleet, false); err != nil {
 				t.Fatal(err)
 			}
@@ -221,13 +221,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if s.asks != "" {
-					lookUntil(t, c, in(rollout.PhaseBaking, 0))
-					if err := folder.Submit(s.asks); err != nil {
+				if s.request != "" {
+					stepUntil(t, c, inPhase(rollout.PhaseBaking, 0))
+					if err := folder.Submit(s.request); err != nil {
 						t.Fatal(err)
 					}
 				}
-				lookUntil(t, c, s.when)
+				stepUntil(t, c, s.when)
 			}
 			out := filepath.Join("testdata", "folders", s.name)
 			if err := os.RemoveAll(out); err != nil {
@@ -297,7 +297,7 @@
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			c, err := coordinator.TakeOver(folder, coordinator.NewFleetClient(fakes.members, askTime, askTime))
+			c, err := coordinator.TakeOver(folder, coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -321,12 +321,12 @@
 					t.Fatal(err)
 				}
 			}
-			lookUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
+			stepUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
 			after, _, err := coordinator.UnlockedFolder(dir).Record()
 			if err != nil || after.State.Phase != s.ends {
 				t.Fatalf("%+v %v", after.State, err)
 			}
-			unchanged(t, before, after)
+			checkNothingLost(t, before, after)
 			steps, err := coordinator.UnlockedFolder(dir).History()
 			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
 				t.Errorf("of the history is left %v, was %v: %v", steps, oldSteps, err)
@@ -354,7 +354,7 @@
 }
 
 // unchanged tells what of a record was lost.
-func unchanged(t *testing.T, before, after coordinator.Record) {
+func checkNothingLost(t *testing.T, before, after coordinator.Record) {
 	t.Helper()
 	was, is := before, after
 	if before.Stages == nil {
@@ -384,27 +384,27 @@
 }
 
 // agreedItems is a record that voters agree on, in memory.
-type agreedItems struct {
+type replicatedItems struct {
 	items map[string][]byte
 	term  int64
 }
 
-func (a *agreedItems) Read(name string) ([]byte, bool) {
+func (a *replicatedItems) Read(name string) ([]byte, bool) {
 	value, is := a.items[name]
 	return value, is
 }
-func (a *agreedItems) Write(name string, value []byte) error {
+func (a *replicatedItems) Write(name string, value []byte) error {
 	a.items[name] = slices.Clone(value)
 	return nil
 }
-func (a *agreedItems) IsLeader() bool     { return true }
-func (a *agreedItems) Term() int64        { return a.term }
-func (a *agreedItems) LeaderName() string { return "c3" }
+func (a *replicatedItems) IsLeader() bool     { return true }
+func (a *replicatedItems) Term() int64        { return a.term }
+func (a *replicatedItems) LeaderName() string { return "c3" }
 
 // What a leader before left among the agreed items goes on under the next one's term.
 func TestAgreedItemsOfTheProgramBeforeGoOn(t *testing.T) {
 	dir, before, fakes := openFolder(t, "baking-later")
-	a := &agreedItems{items: map[string][]byte{}, term: before.State.Fence.Term + 5}
+	a := &replicatedItems{items: map[string][]byte{}, term: before.State.Fence.Term + 5}
 	for _, name := range []string{"change.json", "base.json"} {
 		text, err := os.ReadFile(filepath.Join(dir, name))
 		if err != nil {
@@ -412,19 +412,19 @@
 		}
 		a.items[name] = text
 	}
-	c, err := coordinator.TakeOver(coordinator.Replicated(a), coordinator.NewFleetClient(fakes.members, askTime, askTime))
+	c, err := coordinator.TakeOver(coordinator.Replicated(a), coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.State().Fence.Term != a.term {
 		t.Errorf("term %d", c.State().Fence.Term)
 	}
-	lookUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
+	stepUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
 	after, is, err := coordinator.Replicated(a).Record()
 	if err != nil || !is || after.State.Phase != rollout.PhaseDone {
 		t.Fatalf("%+v %v", after.State, err)
 	}
-	unchanged(t, before, after)
+	checkNothingLost(t, before, after)
 	if len(a.items) != 2 {
 		t.Errorf("%d items", len(a.items))
 	}
@@ -436,7 +436,7 @@
 			t.Errorf("ordered by %q", o.By)
 		}
 	}
-	if _, err := coordinator.TakeOver(coordinator.Replicated(&agreedItems{items: a.items, term: a.term - 1}), coordinator.NewFleetClient(fakes.members, askTime, askTime)); err == nil ||
+	if _, err := coordinator.TakeOver(coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1}), coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)); err == nil ||
 		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
 		t.Errorf("an earlier one: %v", err)
 	}
--- /dev/null
+++ b/internal/coordinator/process_faults_test.go
@@ -0,0 +1,142 @@
+package coordinator_test
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/rollout"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
+)
+
+func TestNothingIsOrderedThatCannotBeRecorded(t *testing.T) {
+	t.Parallel()
+	w, l := newCluster(t, 2)
+	folder := filepath.Join(w.Dir, "record")
+	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
+	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
+		t.Fatal(err)
+	}
+	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
+	if !everyStatus(t, w, func(s supervisor.Status) bool {
+		return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+	}) {
+		t.Error("orders went out past the record")
+	}
+	if err := os.Rename(folder+".gone", folder); err != nil {
+		t.Fatal(err)
+	}
+	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+		t.Fatalf("%v: %s", err, p.Log())
+	}
+	stopAndCheckRules(t, w, l)
+}
+
+// Disks that are full or slow at one place after the other, times of day a quarter of an hour apart, controllers that take
+// their time to start: the change waits for what is mended, and reaches all.
+func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
+	t.Parallel()
+	w, err := testcluster.Plan{Program: steeredProgram, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(w.Close)
+	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	disk := func(name, how string) {
+		t.Helper()
+		if err := w.Disk(name, how); err != nil {
+			t.Fatal(err)
+		}
+	}
+	folder := filepath.Join(w.Dir, "record")
+	p, err := w.Rollout(steeredProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
+	disk(testcluster.Conductors, "full")
+	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	for _, m := range w.Members {
+		disk(m.Name, "full")
+	}
+	disk(testcluster.Conductors, "300ms")
+	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() })
+	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") || !everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
+		t.Errorf("%s", p.Log())
+	}
+	for _, m := range w.Members {
+		disk(m.Name, "300ms")
+	}
+	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+		t.Fatalf("%v: %s", err, p.Log())
+	}
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Crashes == 0 }) {
+		t.Error("not all run it")
+	}
+	stopAndCheckRules(t, w, l)
+}
+
+// A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
+func TestAMemberThatDiesWithItsOrder(t *testing.T) {
+	t.Parallel()
+	w, err := testcluster.Plan{Program: steeredProgram, Seed: 13, Controllers: 3, Engines: 2}.Town()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(w.Close)
+	l := w.NewLoad(13, 1, 10*time.Millisecond, false)
+	folder := filepath.Join(w.Dir, "record")
+	p, err := w.Rollout(steeredProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	var next, old *testcluster.Member
+	for _, m := range w.Members {
+		if !slices.Contains(r.Stages[0], m.Name) {
+			next, old = m, next
+		}
+	}
+	if next == nil || old == nil {
+		t.Fatalf("%v", r.Stages)
+	}
+	s, err := w.Status(old)
+	if err != nil {
+		t.Fatal(err)
+	}
+	syscall.Kill(s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
+	if err := w.Disk(next.Name, "400ms"); err != nil {
+		t.Fatal(err)
+	}
+	waitUntil(t, w, "it is ordered, and has not said so", func() bool {
+		text, _ := os.ReadFile(filepath.Join(w.Dir, next.Name, "held.json"))
+		return strings.Contains(string(text), `"budget_free"`) || p.Over()
+	})
+	next.Keeper.End()
+	if err := w.Disk(next.Name, ""); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Again(next); err != nil {
+		t.Fatal(err)
+	}
+	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
+	}
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
+		t.Error("not all run it")
+	}
+	stopAndCheckRules(t, w, l)
+}
--- /dev/null
+++ b/internal/coordinator/process_setup_test.go
@@ -0,0 +1,121 @@
+package coordinator_test
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/rollout"
+	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
+)
+
+// Real processes: controllers with keepers, conductors, and what goes wrong between them. Nothing is decided by how long
+// something took, but by what is seen.
+
+var currentProgram, crashingProgram, otherProgram, steeredProgram, previousProgram string
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "conduct")
+	if err != nil {
+		panic(err)
+	}
+	currentProgram, crashingProgram, otherProgram = filepath.Join(dir, "swiftreel"), filepath.Join(dir, "dying"), filepath.Join(dir, "other")
+	steeredProgram, previousProgram = filepath.Join(dir, "steered", "swiftreel"), filepath.Join(dir, "before", "swiftreel")
+	const fleet, set = "swiftreel-fleet", "-X swiftreel/internal/version.Name="
+	var wait sync.WaitGroup
+	failed := atomic.Bool{}
+	build := func(out, of string, args ...string) {
+		wait.Go(func() {
+			c := exec.Command("go", append(append([]string{"build", "-o", out}, args...), "swiftreel/cmd/"+of)...)
+			if text, err := c.CombinedOutput(); err != nil {
+				fmt.Fprintf(os.Stderr, "%v: %s\n", err, text)
+				failed.Store(true)
+			}
+		})
+	}
+	build(currentProgram, "swiftreel")
+	build(filepath.Join(dir, fleet), fleet)
+	build(otherProgram, "swiftreel", "-ldflags", set+"other")
+	build(crashingProgram, "swiftreel", "-tags", "fault", "-ldflags", set+"dying -X swiftreel/internal/failpoint.name=dies")
+	for _, of := range []string{"swiftreel", fleet} {
+		build(filepath.Join(filepath.Dir(steeredProgram), of), of, "-tags", "fault", "-ldflags", "-X swiftreel/internal/failpoint.name=steered")
+		build(filepath.Join(filepath.Dir(previousProgram), of), of, "-tags", "format1")
+	}
+	if wait.Wait(); failed.Load() {
+		os.Exit(1)
+	}
+	code := m.Run()
+	os.RemoveAll(dir)
+	os.Exit(code)
+}
+
+const timingAndLimits = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":3000,"look_ms":30},
+"limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
+
+func newCluster(t *testing.T, n int) (*testcluster.Town, *testcluster.Load) {
+	t.Helper()
+	w, err := testcluster.NewTown(currentProgram, 1, n, 2, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(w.Close)
+	return w, w.NewLoad(1, 1, 10*time.Millisecond, false)
+}
+
+func writeFile(t *testing.T, w *testcluster.Town, name, text string) string {
+	t.Helper()
+	path := filepath.Join(w.Dir, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+func settingsChange(number int) string {
+	return fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`, number, number, timingAndLimits)
+}
+
+func waitUntil(t *testing.T, w *testcluster.Town, what string, is func() bool) {
+	t.Helper()
+	if err := w.Await(40*time.Second, is); err != nil {
+		t.Fatalf("%s: %v", what, err)
+	}
+}
+
+func recordedState(folder string) rollout.State {
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	return r.State
+}
+
+// finish holds all logs against the rules.
+func stopAndCheckRules(t *testing.T, w *testcluster.Town, l *testcluster.Load) {
+	t.Helper()
+	l.Stop()
+	if err := w.Stop(); err != nil {
+		t.Error(err)
+	}
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+		t.Error(v)
+	}
+	if l.Done.Load() == 0 {
+		t.Error("no job was done")
+	}
+}
+
+func everyStatus(t *testing.T, w *testcluster.Town, is func(supervisor.Status) bool) bool {
+	t.Helper()
+	for _, m := range w.Members {
+		if s, err := w.Status(m); err != nil || !is(s) {
+			return false
+		}
+	}
+	return true
+}
