--- a/cmd/fleetview/main.go
+++ b/cmd/fleetview/main.go
@@ -21,14 +21,14 @@
 	watch.Flags().StringVar(&file, "operator", os.Getenv("ROUTER_OPERATOR"), "the operator's file with the part fleet")
 	report := &cobra.Command{Use: "report", Short: "A page with charts of the last change, old against new", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			r, is, err := coordinator.Look(folder).Record()
+			r, is, err := coordinator.UnlockedFolder(folder).Record()
 			if err != nil {
 				return err
 			}
 			if !is {
 				return fmt.Errorf("%s: no change is recorded", folder)
 			}
-			page, err := report(coordinator.Look(folder), r)
+			page, err := report(coordinator.UnlockedFolder(folder), r)
 			if err == nil {
 				err = os.WriteFile(out, page, 0o644)
 			}
--- a/cmd/fleetview/page_test.go
+++ b/cmd/fleetview/page_test.go
@@ -38,7 +38,7 @@
 var svg = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
 func TestThePageOfAFolderIsAsItWas(t *testing.T) {
-	f := coordinator.Look("testdata/folder")
+	f := coordinator.UnlockedFolder("testdata/folder")
 	r, is, err := f.Record()
 	if err != nil || !is {
 		t.Fatal(is, err)
--- a/cmd/fleetview/report.go
+++ b/cmd/fleetview/report.go
@@ -22,17 +22,21 @@
 // chart is one figure of both versions over the change.
 type chart struct {
 	title string
-	of    func(coordinator.Arm) (value, weight float64)
+	of    func(coordinator.VersionSample) (value, weight float64)
 }
 
 var charts = []chart{
-	{"jobs that missed their SLA time, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Missed), float64(a.Jobs) }},
-	{"throttled, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Throttled), float64(a.Jobs) }},
-	{"cancelled for good, %", func(a coordinator.Arm) (float64, float64) { return 100 * float64(a.Cancelled), float64(a.Jobs) }},
-	{"median latency, ms", func(a coordinator.Arm) (float64, float64) {
+	{"jobs that missed their SLA time, %", func(a coordinator.VersionSample) (float64, float64) { return 100 * float64(a.Missed), float64(a.Jobs) }},
+	{"throttled, %", func(a coordinator.VersionSample) (float64, float64) {
+		return 100 * float64(a.Throttled), float64(a.Jobs)
+	}},
+	{"cancelled for good, %", func(a coordinator.VersionSample) (float64, float64) {
+		return 100 * float64(a.Cancelled), float64(a.Jobs)
+	}},
+	{"median latency, ms", func(a coordinator.VersionSample) (float64, float64) {
 		return float64(a.MedianNS) / 1e6 * float64(a.Jobs), float64(a.Jobs)
 	}},
-	{"99th percentile of latency, ms", func(a coordinator.Arm) (float64, float64) {
+	{"99th percentile of latency, ms", func(a coordinator.VersionSample) (float64, float64) {
 		return float64(a.P99NS) / 1e6 * float64(a.Jobs), float64(a.Jobs)
 	}},
 }
@@ -43,12 +47,12 @@
 )
 
 // draw draws a chart as SVG; stages are marked by vertical lines.
-func (c chart) draw(points []coordinator.Point) (template.HTML, error) {
+func (c chart) draw(points []coordinator.Sample) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = c.title, "s"
 	began := points[0].At
 	per := (len(points) + bins - 1) / bins
-	for name, of := range map[string]func(coordinator.Point) coordinator.Arm{"old": func(p coordinator.Point) coordinator.Arm { return p.Old }, "new": func(p coordinator.Point) coordinator.Arm { return p.New }} {
+	for name, of := range map[string]func(coordinator.Sample) coordinator.VersionSample{"old": func(p coordinator.Sample) coordinator.VersionSample { return p.Old }, "new": func(p coordinator.Sample) coordinator.VersionSample { return p.New }} {
 		var line plotter.XYs
 		for i := 0; i < len(points); i += per {
 			sum, weight := 0.0, 0.0
@@ -106,8 +110,8 @@
 `))
 
 // report is the page of the last change.
-func report(f *coordinator.Folder, r coordinator.Record) ([]byte, error) {
-	points, err := f.Points()
+func report(f *coordinator.RecordStore, r coordinator.Record) ([]byte, error) {
+	points, err := f.Samples()
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var steps []coordinator.Step
+	var steps []coordinator.Transition
 	for _, s := range all {
 		if s.Number == r.Change.Number {
 			steps = append(steps, s)
@@ -136,7 +140,7 @@
 	err = page.Execute(&text, struct {
 		R      coordinator.Record
 		Charts []template.HTML
-		Steps  []coordinator.Step
+		Steps  []coordinator.Transition
 	}{r, drawn, steps})
 	return text.Bytes(), err
 }
--- a/cmd/fleetview/watch.go
+++ b/cmd/fleetview/watch.go
@@ -18,22 +18,22 @@
 
 // view is what is shown.
 type view struct {
-	folder *coordinator.Folder
-	fleet  *coordinator.Fleet // nil: the record alone is shown
+	folder *coordinator.RecordStore
+	fleet  *coordinator.FleetClient // nil: the record alone is shown
 	text   string
 }
 
 type shown string
 
 func watch(folder, file string) error {
-	v := view{folder: coordinator.Look(folder)}
+	v := view{folder: coordinator.UnlockedFolder(folder)}
 	if file != "" {
 		f, err := operator.Load(file)
 		if err != nil {
 			return err
 		}
 		if f.Fleet != nil {
-			v.fleet = coordinator.NewFleet(f.Fleet.Members, 2*time.Second, every)
+			v.fleet = coordinator.NewFleetClient(f.Fleet.Members, 2*time.Second, every)
 		}
 	}
 	_, err := tea.NewProgram(v).Run()
@@ -68,7 +68,7 @@
 }
 
 // table is the change and its controllers.
-func table(folder *coordinator.Folder, fleet *coordinator.Fleet) string {
+func table(folder *coordinator.RecordStore, fleet *coordinator.FleetClient) string {
 	var b strings.Builder
 	r, is, err := folder.Record()
 	switch {
@@ -77,9 +77,9 @@
 	case !is:
 		fmt.Fprintln(&b, "no change is recorded")
 	default:
-		fmt.Fprintf(&b, "change %d %s: %s, stage %d of %d\n%s\n\n", r.Change.Number, r.Change.Title, r.State.Phase, r.State.Stage+1, len(r.Stages), r.State.Why)
+		fmt.Fprintf(&b, "change %d %s: %s, stage %d of %d\n%s\n\n", r.Change.Number, r.Change.Title, r.State.Phase, r.State.Stage+1, len(r.Stages), r.State.Reason)
 	}
-	if points, _ := folder.Points(); len(points) > 0 {
+	if points, _ := folder.Samples(); len(points) > 0 {
 		p := points[len(points)-1]
 		fmt.Fprintf(&b, "last look: odds of harm %.3g; new %d jobs, %d missed; old %d jobs, %d missed\n\n", p.Odds, p.New.Jobs, p.New.Missed, p.Old.Jobs, p.Old.Missed)
 	}
@@ -88,7 +88,7 @@
 	}
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tVERSION\tRUNS\tSERVES\tOWED\tORDER\tENDS\tNOTE")
-	for i, a := range fleet.Ask(context.Background()) {
+	for i, a := range fleet.Poll(context.Background()) {
 		runs, note := "other", a.Status.Failure
 		switch {
 		case a.Err != nil:
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -135,7 +135,7 @@
 	moved := s.discovery.Move(next.config.Feed, next.cachedEvents)
 	lastEvent, _ := s.discovery.Last()
 	slog.Info("reloaded", "feed", next.config.Feed, "feed_moved", moved, "events", lastEvent,
-		"needs_restart", strings.Join(needsRestart, ","), "settings", change.OfJSON(next.settings))
+		"needs_restart", strings.Join(needsRestart, ","), "settings", change.JSONDigest(next.settings))
 	if next.config.Limits != r.current.config.Limits {
 		r.budget.Apply(s.sparql.remainingLimits(next.config.Limits))
 	}
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -85,5 +85,5 @@
 		testHooks.afterStart()
 	}
 	slog.Info("serving", "name", s.files.config.Name, "address", s.listener.Addr(),
-		"events_known", s.files.config.CachedEvents.LastNumber, "settings", change.OfJSON(s.files.settings))
+		"events_known", s.files.config.CachedEvents.LastNumber, "settings", change.JSONDigest(s.files.settings))
 }
--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -57,7 +57,7 @@
 
 // setApplied changes which files are reported as applied.
 func (s *statsServer) setApplied(files files) {
-	applied := appliedDigests{settings: change.OfJSON(files.settings)}
+	applied := appliedDigests{settings: change.JSONDigest(files.settings)}
 	if files.operator.Stats != nil {
 		applied.spec = files.operator.Stats.Spec
 	}
--- a/internal/assignment/accepted_test.go
+++ b/internal/assignment/accepted_test.go
@@ -55,7 +55,7 @@
 // A plan that the member lacks is followed once its text has arrived; until then the earlier one stays, to its own expiry.
 func TestAPlanIsFollowedOnceItsTextHasArrived(t *testing.T) {
 	text := json.RawMessage(`{"a":1}`)
-	first, second := change.OfJSON(text), change.OfJSON(json.RawMessage(`{"a":2}`))
+	first, second := change.JSONDigest(text), change.JSONDigest(json.RawMessage(`{"a":2}`))
 	var accepted Accepted
 	accept := func(sequence int64, plan change.Digest, until int64, text json.RawMessage) {
 		t.Helper()
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -67,7 +67,7 @@
 	if err := a.validateHeader(); err != nil {
 		return err
 	}
-	if len(a.PlanText) > 0 && change.OfJSON(a.PlanText) != a.Plan {
+	if len(a.PlanText) > 0 && change.JSONDigest(a.PlanText) != a.Plan {
 		return errors.New("/plan_text: its digest is not that of /plan")
 	}
 	return validateShares(a.Shares)
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -40,7 +40,7 @@
 	text := json.RawMessage(`{"method":"m","status":"optimal"}`)
 	full := Assignment{Format: change.Format, Term: 5, Sequence: 17, Leader: "v1", Member: "c1", Incarnation: "0123456789abcdef",
 		Shares: quota.Shares{quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1}, SharesUntil: 123_456_789_000,
-		Plan: change.OfJSON(text), PlanUntil: 987_654_321_000, PlanText: text}
+		Plan: change.JSONDigest(text), PlanUntil: 987_654_321_000, PlanText: text}
 	for name, w := range map[string]Assignment{"word-full.json": full, "word-least.json": {Format: change.Format, Term: 1, Sequence: 1, Leader: "a", Member: "b", Incarnation: "c"}} {
 		got, err := Read(bytes.NewReader(checkGolden(t, name, marshal(t, w))))
 		if err != nil || !reflect.DeepEqual(got, w) {
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -13,9 +13,9 @@
 
 func TestAnOrderThatComesLateTwiceOrFromAnotherChangesNothing(t *testing.T) {
 	order := func(number, term, turn int64, by, program string) Order {
-		return Order{Format: Format, Fence: Fence{number, term, turn}, By: by, Member: "c1", Want: spec(program)}
+		return Order{Format: Format, Fence: Fence{number, term, turn}, By: by, Member: "c1", Spec: spec(program)}
 	}
-	var h Held
+	var h AcceptedOrder
 	for i, c := range []struct {
 		o    Order
 		is   bool
@@ -33,7 +33,7 @@
 		{order(1, 7, 7, "y", "new"), false, "comes after"},
 	} {
 		before := h
-		next, is, err := h.Take(c.o)
+		next, is, err := h.Accept(c.o)
 		if is != c.is || (err != nil) != (c.told != "") || err != nil && !strings.Contains(err.Error(), c.told) {
 			t.Errorf("%d: %v %v", i, is, err)
 		}
@@ -57,24 +57,24 @@
 }
 
 func TestOrdersAreWrittenAsTheirReaderReadsThem(t *testing.T) {
-	o := Order{Format: Format, Fence: Fence{1, 1, 1}, By: "x", Member: "c1", Want: spec("d"), Why: strings.Repeat("é", mostWhy)}
+	o := Order{Format: Format, Fence: Fence{1, 1, 1}, By: "x", Member: "c1", Spec: spec("d"), Reason: strings.Repeat("é", mostWhy)}
 	for theirs, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2} {
-		f := FormatTo(theirs)
-		text, _ := json.Marshal(o.In(f))
-		if p, err := ReadOrder(strings.NewReader(string(text))); f != want || err != nil || (p.Why != "") != (want > 1) {
-			t.Errorf("to %d: %d, %q %v", theirs, f, p.Why, err)
+		f := FormatFor(theirs)
+		text, _ := json.Marshal(o.ForFormat(f))
+		if p, err := ReadOrder(strings.NewReader(string(text))); f != want || err != nil || (p.Reason != "") != (want > 1) {
+			t.Errorf("to %d: %d, %q %v", theirs, f, p.Reason, err)
 		}
 	}
 }
 
 func TestASpecIsNamedByWhatItHolds(t *testing.T) {
 	a, b := spec("d"), spec("d")
-	a.Shape, b.Shape = json.RawMessage(`{"cancel": true, "budget_free":5}`), json.RawMessage(`{"budget_free":5,"cancel":true}`)
+	a.Topology, b.Topology = json.RawMessage(`{"cancel": true, "budget_free":5}`), json.RawMessage(`{"budget_free":5,"cancel":true}`)
 	b.Program.Path = "/elsewhere"
 	if a.Digest() != b.Digest() {
 		t.Error("blanks, order or place tell")
 	}
-	if b.Shape = json.RawMessage(`{}`); a.Digest() == b.Digest() || spec("d").Digest() == b.Digest() {
+	if b.Topology = json.RawMessage(`{}`); a.Digest() == b.Digest() || spec("d").Digest() == b.Digest() {
 		t.Error("what differs is not told")
 	}
 }
@@ -101,14 +101,14 @@
 	path := filepath.Join(dir, "c.json")
 	os.WriteFile(path, []byte(`{"number":3,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":1}}`), 0o600)
 	c, err := Load(path)
-	if err != nil || c.Pace.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 || c.Limits.MaxCrashes != 2 {
+	if err != nil || c.Timing.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 || c.Limits.MaxCrashes != 2 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
 
 func TestStagesKeepRoomsApartAndTypesServed(t *testing.T) {
-	places := []Place{{"a1", "a", nil, 500}, {"a2", "a", nil, 100}, {"a3", "a", nil, 90}, {"b1", "b", nil, 110}, {"b2", "b", []string{"load"}, 100}, {"b3", "b", []string{"load"}, 2}}
-	list, err := Layout([]Stage{{PerMille: 1}, {PerMille: 500}, {PerMille: 900}, {PerMille: 1000}}, places)
+	places := []Candidate{{"a1", "a", nil, 500}, {"a2", "a", nil, 100}, {"a3", "a", nil, 90}, {"b1", "b", nil, 110}, {"b2", "b", []string{"load"}, 100}, {"b3", "b", []string{"load"}, 2}}
+	list, err := PlanStages([]Stage{{PerMille: 1}, {PerMille: 500}, {PerMille: 900}, {PerMille: 1000}}, places)
 	if err != nil || len(list) != 4 {
 		t.Fatalf("%v %v", list, err)
 	}
@@ -132,10 +132,10 @@
 	if len(list[3]) != 6 {
 		t.Errorf("the last is not all: %v", list[3])
 	}
-	if list, _ := Layout([]Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places[:2]); len(list) != 2 {
+	if list, _ := PlanStages([]Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places[:2]); len(list) != 2 {
 		t.Errorf("two controllers: %v", list)
 	}
-	if _, err := Layout([]Stage{{Members: []string{"zz"}}, {PerMille: 1000}}, places); err == nil || !strings.HasPrefix(err.Error(), "/stages/0/members/0") {
+	if _, err := PlanStages([]Stage{{Members: []string{"zz"}}, {PerMille: 1000}}, places); err == nil || !strings.HasPrefix(err.Error(), "/stages/0/members/0") {
 		t.Error(err)
 	}
 }
--- a/internal/change/forms_test.go
+++ b/internal/change/forms_test.go
@@ -50,8 +50,8 @@
 				t.Fatal(err)
 			}
 			golden(t, "change-"+name, indented(t, c))
-			from := Spec{Program: Program{Path: "/old", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
-			to, err := c.Leads(from)
+			from := Spec{Program: Program{Path: "/old", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+			to, err := c.TargetSpec(from)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,13 +61,13 @@
 }
 
 func TestOrdersAndHeldAreWrittenAsTheyWere(t *testing.T) {
-	spec := Spec{Program: Program{Path: "/opt/swiftreel", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
-	o := Order{Format: 2, Fence: Fence{3, 2, 1}, By: "record", Member: "c1", Want: spec, Drain: true, Why: "stage 1 passed"}
-	held, is, err := Held{}.Take(o)
+	spec := Spec{Program: Program{Path: "/opt/swiftreel", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+	o := Order{Format: 2, Fence: Fence{3, 2, 1}, By: "record", Member: "c1", Spec: spec, Drain: true, Reason: "stage 1 passed"}
+	held, is, err := AcceptedOrder{}.Accept(o)
 	if err != nil || !is {
 		t.Fatal(is, err)
 	}
-	text := bytes.Join([][]byte{indented(t, o), indented(t, o.In(1)), indented(t, held), indented(t, Held{})}, nil)
+	text := bytes.Join([][]byte{indented(t, o), indented(t, o.ForFormat(1)), indented(t, held), indented(t, AcceptedOrder{})}, nil)
 	golden(t, "order", text)
 }
 
@@ -76,11 +76,11 @@
 	if err := os.WriteFile(path, []byte("a program"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file, err := OfFile(path)
+	file, err := FileDigest(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := []Digest{file, OfJSON(map[string]any{"b": 1, "a": []any{"x", nil, 0.5}}), Spec{}.Digest(), Spec{Program: Program{Digest: "0123"}, Shape: json.RawMessage(`{"b":1,"a":2}`)}.Digest(),
+	list := []Digest{file, JSONDigest(map[string]any{"b": 1, "a": []any{"x", nil, 0.5}}), Spec{}.Digest(), Spec{Program: Program{Digest: "0123"}, Topology: json.RawMessage(`{"b":1,"a":2}`)}.Digest(),
 		Spec{Program: Program{Digest: "0123"}, Plan: json.RawMessage(`{"steps":[]}`)}.Digest()}
 	golden(t, "digests", indented(t, list))
 }
@@ -97,12 +97,12 @@
 		}
 		lines = append(lines, err.Error())
 	}
-	o := Order{Format: 2, Fence: Fence{1, 1, 2}, By: "x", Member: "c1", Want: Spec{Program: Program{Path: "/p", Digest: "d"}}}
-	held, _, _ := Held{}.Take(o)
+	o := Order{Format: 2, Fence: Fence{1, 1, 2}, By: "x", Member: "c1", Spec: Spec{Program: Program{Path: "/p", Digest: "d"}}}
+	held, _, _ := AcceptedOrder{}.Accept(o)
 	early, other, another := o, o, o
-	early.Fence.Turn, other.By, another.Drain = 1, "y", true
+	early.Fence.Revision, other.By, another.Drain = 1, "y", true
 	for _, o := range []Order{early, other, another} {
-		_, _, err := held.Take(o)
+		_, _, err := held.Accept(o)
 		if err == nil {
 			t.Fatalf("%+v is taken", o)
 		}
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Change{}, Order{}, Held{}} {
+	for _, v := range []any{Change{}, Order{}, AcceptedOrder{}} {
 		walk(reflect.TypeOf(v))
 	}
 	if len(seen) < 8 {
--- a/internal/change/fuzz_test.go
+++ b/internal/change/fuzz_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		p, err := ReadOrder(bytes.NewReader(again))
-		if err != nil || p.Want.Digest() != o.Want.Digest() || p.Fence != o.Fence {
+		if err != nil || p.Spec.Digest() != o.Spec.Digest() || p.Fence != o.Fence {
 			t.Fatalf("%s reads back as %+v, %v", text, p, err)
 		}
 	})
--- a/internal/change/stages.go
+++ b/internal/change/stages.go
@@ -7,11 +7,11 @@
 )
 
 // Place is what bears on which controllers go first.
-type Place struct {
-	Name  string
-	Zone  string
-	Types []string // that it is there for; none: all
-	Jobs  uint64   // it answered while all were watched
+type Candidate struct {
+	Name         string
+	Zone         string
+	Types        []string // that it is there for; none: all
+	BaselineJobs uint64   // it answered while all were watched
 }
 
 // Layout names the controllers of each stage, each stage holding those of the one before.
@@ -20,8 +20,8 @@
 // zone that has most left on the old version, nearest to the median first: rooms stay apart, and a front that sends far
 // more, or hardly anything, comes late. Until the last stage one of each zone that has two, and one that is there for each
 // type, stays on the old version.
-func Layout(stages []Stage, places []Place) (list [][]string, err error) {
-	byName := map[string]Place{}
+func PlanStages(stages []Stage, places []Candidate) (list [][]string, err error) {
+	byName := map[string]Candidate{}
 	for _, p := range places {
 		byName[p.Name] = p
 	}
@@ -57,11 +57,11 @@
 }
 
 // next is who goes next.
-func next(places []Place, on []string, last bool) (Place, bool) {
+func next(places []Candidate, on []string, last bool) (Candidate, bool) {
 	jobs := make([]uint64, 0, len(places))
 	left, has, types := map[string]int{}, map[string]int{}, map[string]int{} // by zone; by type
 	for _, p := range places {
-		jobs = append(jobs, p.Jobs)
+		jobs = append(jobs, p.BaselineJobs)
 		has[p.Zone]++
 		if !slices.Contains(on, p.Name) {
 			left[p.Zone]++
@@ -71,11 +71,11 @@
 		}
 	}
 	slices.Sort(jobs)
-	far := func(p Place) uint64 {
+	far := func(p Candidate) uint64 {
 		m := jobs[len(jobs)/2]
-		return max(p.Jobs, m) - min(p.Jobs, m)
+		return max(p.BaselineJobs, m) - min(p.BaselineJobs, m)
 	}
-	var best Place
+	var best Candidate
 	for _, p := range places {
 		if slices.Contains(on, p.Name) {
 			continue
--- a/internal/command/fleet/fleet.go
+++ b/internal/command/fleet/fleet.go
@@ -32,7 +32,7 @@
 			}
 			var rows []row
 			well := true
-			for i, a := range coordinator.NewFleet(f.Members, askTime, askTime).Ask(c.Context()) {
+			for i, a := range coordinator.NewFleetClient(f.Members, askTime, askTime).Poll(c.Context()) {
 				r := row{Status: a.Status, Others: sortedKeys(a.Status.UnknownFields)}
 				r.Name = f.Members[i].Name
 				if a.Err != nil {
--- a/internal/command/fleet/owner.go
+++ b/internal/command/fleet/owner.go
@@ -245,7 +245,7 @@
 			case !sure:
 				return fmt.Errorf("what this loses stands in --help; say --the-others-lost-their-memory")
 			}
-			for _, a := range coordinator.NewFleet(v.fleet.Members, askTime, askTime).Ask(context.Background()) {
+			for _, a := range coordinator.NewFleetClient(v.fleet.Members, askTime, askTime).Poll(context.Background()) {
 				if a.Err == nil {
 					term = max(term, uint64(a.Status.Fence.Term))
 				}
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -56,7 +56,7 @@
 Exit codes of start and resume: 0 on all controllers, 4 taken back, 5 stopped, 6 another conducts, 1 it could not go on.`}
 	root.PersistentFlags().StringVar(&folder, "record", "rollout", "the folder where the fleet's changes are recorded")
 	root.PersistentFlags().StringVar(&file, "operator", "", "the operator's file; above ROUTER_OPERATOR")
-	conductIt := func(begin func(context.Context, *coordinator.Folder, *coordinator.Fleet) error) error {
+	conductIt := func(begin func(context.Context, *coordinator.RecordStore, *coordinator.FleetClient) error) error {
 		logging.Setup(os.Stderr)
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
@@ -64,20 +64,20 @@
 		if err != nil {
 			return err
 		}
-		place, err := coordinator.Open(folder)
-		if errors.Is(err, coordinator.ErrConducted) {
+		place, err := coordinator.OpenFolder(folder)
+		if errors.Is(err, coordinator.ErrLocked) {
 			return command.Failure(ExitFenced, err)
 		} else if err != nil {
 			return command.Failure(command.ExitFailed, err)
 		}
 		defer place.Close()
-		fleet := coordinator.NewFleet(f.Members, askTime, askTime)
+		fleet := coordinator.NewFleetClient(f.Members, askTime, askTime)
 		if begin != nil {
 			if err := begin(ctx, place, fleet); err != nil {
 				return command.BadInput(err)
 			}
 		}
-		c, err := coordinator.Take(place, fleet)
+		c, err := coordinator.TakeOver(place, fleet)
 		if err != nil {
 			return command.Failure(command.ExitFailed, err)
 		}
@@ -87,9 +87,9 @@
 			return command.Failure(command.ExitFailed, fmt.Errorf("not finished, swiftreel rollout resume goes on: %w", err))
 		}
 		switch s := c.State(); s.Phase {
-		case rollout.Back:
+		case rollout.PhaseRolledBack:
 			return command.Failure(ExitTakenBack, fmt.Errorf("taken back: %s", s.Outcome))
-		case rollout.Stopped:
+		case rollout.PhaseStopped:
 			return command.Failure(ExitStopped, fmt.Errorf("stopped: %s", s.Outcome))
 		}
 		return nil
@@ -105,7 +105,7 @@
 			if agreed {
 				return toOwner(file, "/v1/owner/change", c)
 			}
-			return conductIt(func(ctx context.Context, p *coordinator.Folder, f *coordinator.Fleet) error {
+			return conductIt(func(ctx context.Context, p *coordinator.RecordStore, f *coordinator.FleetClient) error {
 				return coordinator.Begin(ctx, p, c, f, take)
 			})
 		}}
@@ -116,12 +116,12 @@
 			if conductOn {
 				return conductIt(nil)
 			}
-			return wish(agreed, file, folder, rollout.AskResume)
+			return wish(agreed, file, folder, rollout.RequestResume)
 		}}
 	resume.Flags().BoolVar(&conductOn, "conduct", false, "conduct until it ends")
 	root.AddCommand(start, resume, statusCommand(&folder, &file, &agreed), historyCommand(&folder))
-	for name, short := range map[rollout.Ask]string{rollout.AskPause: "No further stage until resumed; harm still takes the change back",
-		rollout.AskStop: "End the change where it stands", rollout.AskBack: "Take the change back"} {
+	for name, short := range map[rollout.Request]string{rollout.RequestPause: "No further stage until resumed; harm still takes the change back",
+		rollout.RequestStop: "End the change where it stands", rollout.RequestRollback: "Take the change back"} {
 		root.AddCommand(&cobra.Command{Use: string(name), Short: short, Args: cobra.NoArgs,
 			RunE: func(*cobra.Command, []string) error { return wish(agreed, file, folder, name) }})
 	}
@@ -158,11 +158,11 @@
 	return nil
 }
 
-func wish(agreed bool, file, folder string, a rollout.Ask) error {
+func wish(agreed bool, file, folder string, a rollout.Request) error {
 	if agreed {
-		return toOwner(file, "/v1/owner/wish", coordinator.Wish{Ask: a})
+		return toOwner(file, "/v1/owner/wish", coordinator.OperatorRequest{Request: a})
 	}
-	return coordinator.Look(folder).Ask(a)
+	return coordinator.UnlockedFolder(folder).Submit(a)
 }
 
 // agreedRecord reads the change that the owner conducts.
@@ -186,7 +186,7 @@
 	var forScripts bool
 	c := &cobra.Command{Use: "status", Short: "Where the change stands", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, is, err := coordinator.Look(*folder).Record()
+			r, is, err := coordinator.UnlockedFolder(*folder).Record()
 			if *agreed {
 				r, is, err = agreedRecord(*file)
 			}
@@ -208,15 +208,15 @@
 				}{r.Change.Number, r.Change.Kind, r.Change.Title, r.From.Digest(), r.To.Digest(), r.Stages, r.State})
 			}
 			fmt.Fprintf(c.OutOrStdout(), "change %d (%s) %s -> %s: %s", r.Change.Number, r.Change.Kind, r.From.Digest(), r.To.Digest(), r.State.Phase)
-			if len(r.Stages) > 0 && !r.State.Phase.Ends() {
+			if len(r.Stages) > 0 && !r.State.Phase.IsTerminal() {
 				fmt.Fprintf(c.OutOrStdout(), ", stage %d of %d", r.State.Stage+1, len(r.Stages))
 			}
 			if r.State.Paused {
 				fmt.Fprint(c.OutOrStdout(), ", paused")
 			}
-			fmt.Fprintf(c.OutOrStdout(), "\n  %s\n", r.State.Why)
-			for _, name := range sortedKeys(r.State.Drains) {
-				fmt.Fprintf(c.OutOrStdout(), "  out of service: %s: %s\n", name, r.State.Drains[name])
+			fmt.Fprintf(c.OutOrStdout(), "\n  %s\n", r.State.Reason)
+			for _, name := range sortedKeys(r.State.Drained) {
+				fmt.Fprintf(c.OutOrStdout(), "  out of service: %s: %s\n", name, r.State.Drained[name])
 			}
 			return nil
 		}}
@@ -228,7 +228,7 @@
 	var forScripts bool
 	c := &cobra.Command{Use: "history", Short: "The transitions of all changes recorded", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			list, err := coordinator.Look(*folder).History()
+			list, err := coordinator.UnlockedFolder(*folder).History()
 			if err != nil {
 				return command.Failure(command.ExitFailed, err)
 			}
@@ -237,7 +237,7 @@
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 			for _, s := range list {
-				fmt.Fprintf(w, "%s\t%d\t%s\tstage %d\t%v\t%s\n", s.At.Format(time.RFC3339), s.Number, s.Phase, s.Stage+1, s.Fence, s.Why)
+				fmt.Fprintf(w, "%s\t%d\t%s\tstage %d\t%v\t%s\n", s.At.Format(time.RFC3339), s.Number, s.Phase, s.Stage+1, s.Fence, s.Reason)
 			}
 			return w.Flush()
 		}}
--- a/internal/coordinator/backoff_test.go
+++ b/internal/coordinator/backoff_test.go
@@ -58,10 +58,10 @@
 		members = append(members, operator.Member{Name: "silent", Listen: silent.Addr().String()})
 	}
 	members = append(members, operator.Member{Name: "good", Listen: strings.TrimPrefix(well.URL, "http://")})
-	f := NewFleet(members, 300*time.Millisecond, 30*time.Millisecond)
+	f := NewFleetClient(members, 300*time.Millisecond, 30*time.Millisecond)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	for len(f.Ask(ctx)) > 0 { // until all have failed once
+	for len(f.Poll(ctx)) > 0 { // until all have failed once
 		f.mu.Lock()
 		all := !slices.ContainsFunc(f.lines[:100], func(l line) bool { return l.back.failed == 0 })
 		f.mu.Unlock()
@@ -73,7 +73,7 @@
 	for range 20 { // the good one is asked at each look, and answers while the others are waited for
 		heard := false
 		for stop := time.Now().Add(10 * time.Second); !heard && time.Now().Before(stop); time.Sleep(time.Millisecond) {
-			heard = f.Ask(ctx)[100].Err == nil
+			heard = f.Poll(ctx)[100].Err == nil
 		}
 		if !heard {
 			t.Fatal("it is not heard")
--- a/internal/coordinator/conduct.go
+++ b/internal/coordinator/conduct.go
@@ -21,10 +21,10 @@
 var ErrFenced = errors.New("a later order was taken: another conducts")
 
 // Conductor is one process's hold on a change.
-type Conductor struct {
-	folder  *Folder
+type Coordinator struct {
+	folder  *RecordStore
 	record  Record
-	fleet   *Fleet
+	fleet   *FleetClient
 	machine *rollout.Machine
 	base    *canary.Baseline
 	judge   *canary.Analysis
@@ -39,16 +39,16 @@
 
 // Begin records a change that the fleet is to go through; nothing is ordered yet. Every controller has to answer, and to
 // hold the same spec. take: it is known that whoever conducted this number before is gone.
-func Begin(ctx context.Context, f *Folder, c change.Change, fleet *Fleet, take bool) error {
+func Begin(ctx context.Context, f *RecordStore, c change.Change, fleet *FleetClient, take bool) error {
 	old, is, err := f.Record()
 	if err != nil {
 		return err
 	}
-	if is && !old.State.Phase.Ends() {
+	if is && !old.State.Phase.IsTerminal() {
 		return fmt.Errorf("change %d is %s: resume it, or have it end first", old.Change.Number, old.State.Phase)
 	}
-	r := Record{By: name(), Change: c, State: rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: c.Number, Term: 1, Turn: 1}}}
-	for i, a := range fleet.Ask(ctx) {
+	r := Record{ID: name(), Change: c, State: rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: c.Number, Term: 1, Revision: 1}}}
+	for i, a := range fleet.Poll(ctx) {
 		who := fleet.Members[i].Name
 		switch s := a.Status; {
 		case a.Err != nil:
@@ -64,21 +64,21 @@
 			r.From = a.Status.Spec
 		}
 	}
-	if r.To, err = c.Leads(r.From); err != nil {
+	if r.To, err = c.TargetSpec(r.From); err != nil {
 		return err
 	}
-	if _, err := change.Layout(c.Stages, (&Conductor{fleet: fleet, base: canary.NewBaseline()}).places()); err != nil {
+	if _, err := change.PlanStages(c.Stages, (&Coordinator{fleet: fleet, base: canary.NewBaseline()}).places()); err != nil {
 		return err
 	}
 	if f.agreed == nil {
 		os.Remove(f.file("looks.jsonl"))
 	}
-	f.note(Step{At: failpoint.WallClock().UTC(), Number: c.Number, Phase: rollout.Preparing, Fence: r.State.Fence, Why: c.Title})
+	f.note(Transition{At: failpoint.WallClock().UTC(), Number: c.Number, Phase: rollout.PhasePreparing, Fence: r.State.Fence, Reason: c.Title})
 	return f.write("change.json", r)
 }
 
 // Take takes the recorded change over, under a term of its own.
-func Take(f *Folder, fleet *Fleet) (*Conductor, error) {
+func TakeOver(f *RecordStore, fleet *FleetClient) (*Coordinator, error) {
 	r, is, err := f.Record()
 	if err != nil {
 		return nil, err
@@ -86,38 +86,38 @@
 	if !is {
 		return nil, fmt.Errorf("%s: no change is recorded", f.path)
 	}
-	base, err := f.Base()
+	base, err := f.Baseline()
 	if err != nil {
 		return nil, err
 	}
-	c := &Conductor{folder: f, record: r, fleet: fleet, base: base, seen: make([]known, len(fleet.Members)), began: time.Now(), stage: -1}
-	fleet.patience = min(fleet.patience, time.Duration(r.Change.Pace.LookMS)*time.Millisecond) // one that is silent holds up no look
+	c := &Coordinator{folder: f, record: r, fleet: fleet, base: base, seen: make([]known, len(fleet.Members)), began: time.Now(), stage: -1}
+	fleet.patience = min(fleet.patience, time.Duration(r.Change.Timing.PollIntervalMS)*time.Millisecond) // one that is silent holds up no look
 	if c.record.State.Fence.Term, err = f.term(r.State.Fence.Term); err != nil {
 		return nil, err
 	}
 	if err := f.write("change.json", c.record); err != nil {
 		return nil, err
 	}
-	c.machine = rollout.New(c.record.State, r.Change.Kind, r.From.Digest(), r.To.Digest(), r.Stages, r.Change.Pace, 0)
+	c.machine = rollout.New(c.record.State, r.Change.Kind, r.From.Digest(), r.To.Digest(), r.Stages, r.Change.Timing, 0)
 	slog.Info("rollout_taken", "number", r.Change.Number, "fence", c.record.State.Fence.String(), "phase", r.State.Phase)
 	return c, nil
 }
 
 // State is where the change stands.
-func (c *Conductor) State() rollout.State { return c.machine.State }
+func (c *Coordinator) State() rollout.State { return c.machine.State }
 
-func (c *Conductor) now() int64 { return int64(time.Since(c.began)) }
+func (c *Coordinator) now() int64 { return int64(time.Since(c.began)) }
 
 // Run conducts until the change ends, or ctx does.
-func (c *Conductor) Run(ctx context.Context) error {
-	every := time.Duration(c.record.Change.Pace.LookMS) * time.Millisecond
+func (c *Coordinator) Run(ctx context.Context) error {
+	every := time.Duration(c.record.Change.Timing.PollIntervalMS) * time.Millisecond
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
-		if err := c.Look(ctx); err != nil {
+		if err := c.Step(ctx); err != nil {
 			return err
 		}
-		if c.machine.State.Phase.Ends() && !c.unsaid {
+		if c.machine.State.Phase.IsTerminal() && !c.unsaid {
 			return nil
 		}
 		select {
@@ -129,12 +129,12 @@
 }
 
 // Look is one look at the fleet and what follows from it.
-func (c *Conductor) Look(ctx context.Context) error {
-	answers := c.fleet.Ask(ctx)
+func (c *Coordinator) Step(ctx context.Context) error {
+	answers := c.fleet.Poll(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	in := rollout.Input{Now: c.now()}
+	in := rollout.Observation{Now: c.now()}
 	var looks []canary.Sample
 	for i, a := range answers {
 		if a.Err == nil && a.Status.Fence.Compare(c.machine.State.Fence) > 0 {
@@ -153,13 +153,13 @@
 		return nil
 	}
 	c.weigh(&in, looks)
-	wish := c.folder.Wish()
-	if wish.ID != c.record.Asked {
-		in.Ask = wish.Ask
+	wish := c.folder.PendingRequest()
+	if wish.ID != c.record.LastRequestID {
+		in.Request = wish.Request
 	}
 	changed := c.machine.Step(in)
-	if wish.ID != c.record.Asked {
-		c.record.Asked, changed = wish.ID, true
+	if wish.ID != c.record.LastRequestID {
+		c.record.LastRequestID, changed = wish.ID, true
 	}
 	if changed {
 		if c.say(); c.unsaid {
@@ -174,13 +174,13 @@
 }
 
 // see turns a keeper's answer into what the machine and the judge are told.
-func (c *Conductor) see(i int, a Answer, now int64) (rollout.Member, canary.Sample) {
+func (c *Coordinator) see(i int, a StatusReply, now int64) (rollout.Member, canary.Sample) {
 	k, s := &c.seen[i], a.Status
 	name := c.fleet.Members[i].Name
-	pace := c.record.Change.Pace
+	pace := c.record.Change.Timing
 	if a.Err != nil {
-		return rollout.Member{Name: name, Heard: k.heard != 0 && now-k.heard < pace.UnheardMS*1e6, Serves: k.status.Serving, Running: k.status.RunningSpec,
-			Fence: k.status.Fence, Failed: k.status.Failure}, canary.Sample{}
+		return rollout.Member{Name: name, Reachable: k.heard != 0 && now-k.heard < pace.UnreachableAfterMS*1e6, Serving: k.status.Serving, Running: k.status.RunningSpec,
+			Fence: k.status.Fence, Failure: k.status.Failure}, canary.Sample{}
 	}
 	d := k.apart(s)
 	switch {
@@ -189,47 +189,47 @@
 	case k.since == 0:
 		k.since = max(1, now)
 	}
-	d.IsNew = k.since != 0 && now-k.since >= pace.SteadyMS*1e6
+	d.IsNew = k.since != 0 && now-k.since >= pace.SettleMS*1e6
 	k.status, k.heard = s, max(1, now)
-	return rollout.Member{Name: name, Heard: true, Serves: s.Serving, Running: s.RunningSpec, Fence: s.Fence, Failed: s.Failure}, d
+	return rollout.Member{Name: name, Reachable: true, Serving: s.Serving, Running: s.RunningSpec, Fence: s.Fence, Failure: s.Failure}, d
 }
 
 // weigh has what was seen taken in by whoever weighs it in this phase.
-func (c *Conductor) weigh(in *rollout.Input, looks []canary.Sample) {
+func (c *Coordinator) weigh(in *rollout.Observation, looks []canary.Sample) {
 	s := c.machine.State
 	if s.Phase != c.phase || s.Stage != c.stage {
-		if c.phase, c.stage = s.Phase, s.Stage; s.Phase == rollout.Applying || s.Phase == rollout.Baking && c.judge == nil {
-			c.judge = canary.NewAnalysis(c.record.Change.Limits, c.base, c.machine.New())
+		if c.phase, c.stage = s.Phase, s.Stage; s.Phase == rollout.PhaseApplying || s.Phase == rollout.PhaseBaking && c.judge == nil {
+			c.judge = canary.NewAnalysis(c.record.Change.Limits, c.base, c.machine.TargetMembers())
 		}
 		c.better = canary.RecoveryCheck{}
 	}
 	switch s.Phase {
-	case rollout.Watching:
+	case rollout.PhaseBaseline:
 		c.base.Observe(looks)
-	case rollout.Applying, rollout.Baking:
+	case rollout.PhaseApplying, rollout.PhaseBaking:
 		c.judge.Observe(looks)
-		in.Verdict = c.judge.Verdict(s.Phase == rollout.Baking && c.machine.Baked(in.Now))
-	case rollout.Waiting:
-		in.Better = c.better.Observe(c.record.Change.Limits, c.base, looks)
+		in.Verdict = c.judge.Verdict(s.Phase == rollout.PhaseBaking && c.machine.BakeElapsed(in.Now))
+	case rollout.PhaseAwaitingRecovery:
+		in.Recovered = c.better.Observe(c.record.Change.Limits, c.base, looks)
 	}
-	if !s.Phase.Ends() {
-		c.folder.add("looks.jsonl", Point{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.EValue, armOf(canary.SumCounts(looks, false)), armOf(canary.SumCounts(looks, true))})
+	if !s.Phase.IsTerminal() {
+		c.folder.add("looks.jsonl", Sample{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, in.Verdict.EValue, armOf(canary.SumCounts(looks, false)), armOf(canary.SumCounts(looks, true))})
 	}
 }
 
 // say records the state. Where that fails the conductor goes on looking and acts on nothing: the state is recorded before
 // its orders, so that one who takes over knows all that can have been ordered.
-func (c *Conductor) say() {
+func (c *Coordinator) say() {
 	s := c.machine.State
 	var err error
-	if s.Phase == rollout.Applying && len(c.record.Stages) == 0 {
+	if s.Phase == rollout.PhaseApplying && len(c.record.Stages) == 0 {
 		var stages [][]string
-		if stages, err = change.Layout(c.record.Change.Stages, c.places()); err == nil {
+		if stages, err = change.PlanStages(c.record.Change.Stages, c.places()); err == nil {
 			err = c.folder.write("base.json", c.base)
 		}
 		if err == nil {
 			c.record.Stages = stages
-			c.machine.Lay(stages)
+			c.machine.SetStages(stages)
 		}
 	}
 	was := c.record.State
@@ -246,17 +246,17 @@
 	}
 	c.unsaid = false
 	if s.Phase != was.Phase || s.Stage != was.Stage {
-		slog.Info("rollout_phase", "number", c.record.Change.Number, "phase", s.Phase, "stage", s.Stage+1, "fence", s.Fence.String(), "on", strings.Join(c.machine.New(), ","), "why", s.Why)
-		c.folder.note(Step{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Why, s.Outcome})
+		slog.Info("rollout_phase", "number", c.record.Change.Number, "phase", s.Phase, "stage", s.Stage+1, "fence", s.Fence.String(), "on", strings.Join(c.machine.TargetMembers(), ","), "why", s.Reason)
+		c.folder.note(Transition{failpoint.WallClock().UTC(), c.record.Change.Number, s.Phase, s.Stage, s.Fence, s.Reason, s.Outcome})
 	}
 }
 
 // places tells the layout what bears on who goes first.
-func (c *Conductor) places() (list []change.Place) {
+func (c *Coordinator) places() (list []change.Candidate) {
 	for _, m := range c.fleet.Members {
-		p := change.Place{Name: m.Name, Zone: m.Zone, Types: m.Types}
+		p := change.Candidate{Name: m.Name, Zone: m.Zone, Types: m.Types}
 		for _, w := range c.base.CountsByMember[m.Name] {
-			p.Jobs += w.Jobs
+			p.BaselineJobs += w.Jobs
 		}
 		list = append(list, p)
 	}
@@ -264,7 +264,7 @@
 }
 
 // order sends what the machine wants. What does not arrive is wanted again at the next look.
-func (c *Conductor) order(ctx context.Context, orders []rollout.Order) {
+func (c *Coordinator) order(ctx context.Context, orders []rollout.Order) {
 	if len(orders) == 0 {
 		return
 	}
@@ -272,16 +272,16 @@
 	for i, m := range c.fleet.Members {
 		for _, o := range orders {
 			if o.Member == m.Name {
-				w := change.Order{Format: change.Format, Fence: c.machine.State.Fence, By: c.folder.by(c.record.By), Member: m.Name, Want: c.record.From, Drain: o.Drain}
-				if o.New {
-					w.Want = c.record.To
+				w := change.Order{Format: change.Format, Fence: c.machine.State.Fence, By: c.folder.by(c.record.ID), Member: m.Name, Spec: c.record.From, Drain: o.Drain}
+				if o.UseTarget {
+					w.Spec = c.record.To
 				}
-				w.Why = c.machine.State.Why
-				list[i] = w.In(change.FormatTo(c.seen[i].status.Format))
+				w.Reason = c.machine.State.Reason
+				list[i] = w.ForFormat(change.FormatFor(c.seen[i].status.Format))
 			}
 		}
 	}
-	for i, err := range c.fleet.Order(ctx, list) {
+	for i, err := range c.fleet.SendOrders(ctx, list) {
 		if text := c.fleet.Members[i].Name + ": " + err.Error(); text != c.refused {
 			c.refused = text
 			slog.Warn("order_not_taken", "member", c.fleet.Members[i].Name, "reason", err)
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -36,9 +36,9 @@
 
 // memberState is what a supervisor holds and its controller runs.
 type memberState struct {
-	Held    change.Held   `json:"held"`
-	Running change.Digest `json:"running"`
-	Failed  string        `json:"failed"`
+	Held    change.AcceptedOrder `json:"held"`
+	Running change.Digest        `json:"running"`
+	Failed  string               `json:"failed"`
 }
 
 // fakeFleet stands for supervisors over HTTP. Their controllers do ten jobs from one status to the next.
@@ -93,7 +93,7 @@
 	w.LatencyBuckets = make([]uint64, 21)
 	w.LatencyBuckets[20] = w.Done
 	f.work[name] = w
-	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Want, RunningSpec: s.Running, Version: "dev", SettingsDigest: "s", Fence: s.Held.Fence, OrderedBy: s.Held.By,
+	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Spec, RunningSpec: s.Running, Version: "dev", SettingsDigest: "s", Fence: s.Held.Fence, OrderedBy: s.Held.By,
 		Serving: !s.Held.Drain, Drained: s.Held.Drain, Failure: s.Failed, MemoryMB: 20, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{fakeGroup: w}, Incarnation: "l", MonotonicNS: 1}
 }
 
@@ -107,15 +107,15 @@
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, o)
 	s := f.states[name]
-	next, _, err := s.Held.Take(o)
+	next, _, err := s.Held.Accept(o)
 	if err != nil {
 		return err
 	}
 	s.Held = next
-	if s.Failed = ""; name == f.stays && s.Running == f.to && next.Want.Digest() != f.to {
+	if s.Failed = ""; name == f.stays && s.Running == f.to && next.Spec.Digest() != f.to {
 		s.Failed = "the program is gone"
 	} else if !next.Drain {
-		s.Running = next.Want.Digest()
+		s.Running = next.Spec.Digest()
 	}
 	return nil
 }
@@ -127,7 +127,7 @@
 	f.missed, f.stays = missed, stays
 	if stays == "" {
 		for _, s := range f.states { // mended
-			s.Failed, s.Running = "", s.Held.Want.Digest()
+			s.Failed, s.Running = "", s.Held.Spec.Digest()
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	change string // a file in testdata/changes
 	missed string
 	stays  string
-	asks   rollout.Ask // once the first stage bakes
+	asks   rollout.Request // once the first stage bakes
 	when   func(rollout.State) bool
 	ends   rollout.Phase
 }
@@ -148,20 +148,20 @@
 }
 
 var folderScenarios = []folderScenario{
-	{name: "preparing", change: "settings", when: in(rollout.Preparing, 0), ends: rollout.Done},
-	{name: "watching", change: "settings", when: in(rollout.Watching, 0), ends: rollout.Done},
-	{name: "applying", change: "settings", when: in(rollout.Applying, 0), ends: rollout.Done},
-	{name: "baking", change: "settings", when: in(rollout.Baking, 0), ends: rollout.Done},
-	{name: "baking-later", change: "settings", when: in(rollout.Baking, 1), ends: rollout.Done},
-	{name: "paused", change: "settings", asks: rollout.AskPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.Done},
-	{name: "withdrawing", change: "settings", missed: "all", when: in(rollout.Withdrawing, 0), ends: rollout.Done},
-	{name: "waiting", change: "settings", missed: "all", when: in(rollout.Waiting, 0), ends: rollout.Done},
-	{name: "finishing", change: "program", when: in(rollout.Finishing, 1), ends: rollout.Done},
-	{name: "done", change: "program", when: in(rollout.Done, 1), ends: rollout.Done},
-	{name: "going-back", change: "program", missed: "new", when: in(rollout.GoingBack, 0), ends: rollout.Back},
-	{name: "stuck", change: "program", missed: "new", stays: "c2", when: in(rollout.Stuck, 0), ends: rollout.Back},
-	{name: "back", change: "program", missed: "new", when: in(rollout.Back, 0), ends: rollout.Back},
-	{name: "stopped", change: "settings", asks: rollout.AskStop, when: in(rollout.Stopped, 0), ends: rollout.Stopped},
+	{name: "preparing", change: "settings", when: in(rollout.PhasePreparing, 0), ends: rollout.PhaseDone},
+	{name: "watching", change: "settings", when: in(rollout.PhaseBaseline, 0), ends: rollout.PhaseDone},
+	{name: "applying", change: "settings", when: in(rollout.PhaseApplying, 0), ends: rollout.PhaseDone},
+	{name: "baking", change: "settings", when: in(rollout.PhaseBaking, 0), ends: rollout.PhaseDone},
+	{name: "baking-later", change: "settings", when: in(rollout.PhaseBaking, 1), ends: rollout.PhaseDone},
+	{name: "paused", change: "settings", asks: rollout.RequestPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.PhaseDone},
+	{name: "withdrawing", change: "settings", missed: "all", when: in(rollout.PhaseRollingBackStage, 0), ends: rollout.PhaseDone},
+	{name: "waiting", change: "settings", missed: "all", when: in(rollout.PhaseAwaitingRecovery, 0), ends: rollout.PhaseDone},
+	{name: "finishing", change: "program", when: in(rollout.PhaseFinishing, 1), ends: rollout.PhaseDone},
+	{name: "done", change: "program", when: in(rollout.PhaseDone, 1), ends: rollout.PhaseDone},
+	{name: "going-back", change: "program", missed: "new", when: in(rollout.PhaseRollingBack, 0), ends: rollout.PhaseRolledBack},
+	{name: "stuck", change: "program", missed: "new", stays: "c2", when: in(rollout.PhaseDegraded, 0), ends: rollout.PhaseRolledBack},
+	{name: "back", change: "program", missed: "new", when: in(rollout.PhaseRolledBack, 0), ends: rollout.PhaseRolledBack},
+	{name: "stopped", change: "settings", asks: rollout.RequestStop, when: in(rollout.PhaseStopped, 0), ends: rollout.PhaseStopped},
 }
 
 const askTime = 2 * time.Second
@@ -169,21 +169,21 @@
 func firstStates() map[string]*memberState {
 	states := map[string]*memberState{}
 	for _, name := range []string{"c1", "c2", "c3"} {
-		want := change.Spec{Program: change.Program{Path: "/opt/swiftreel/bin/swiftreel", Digest: "0123456789abcdef0123456789abcdef"}, Shape: json.RawMessage(`{"budget_free":5}`),
+		want := change.Spec{Program: change.Program{Path: "/opt/swiftreel/bin/swiftreel", Digest: "0123456789abcdef0123456789abcdef"}, Topology: json.RawMessage(`{"budget_free":5}`),
 			Plan: json.RawMessage(`{"status":"optimal","steps":[]}`)}
-		states[name] = &memberState{Held: change.Held{Fence: change.Fence{Number: 2, Term: 1, Turn: 9}, By: "before", Want: want}, Running: want.Digest()}
+		states[name] = &memberState{Held: change.AcceptedOrder{Fence: change.Fence{Number: 2, Term: 1, Revision: 9}, By: "before", Spec: want}, Running: want.Digest()}
 	}
 	return states
 }
 
 // lookUntil has a coordinator look until its state is as asked; at most for a while, as a fault would have it look for ever.
-func lookUntil(t *testing.T, c *coordinator.Conductor, is func(rollout.State) bool) {
+func lookUntil(t *testing.T, c *coordinator.Coordinator, is func(rollout.State) bool) {
 	t.Helper()
 	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(stop) {
 			t.Fatalf("it is still %+v", c.State())
 		}
-		if err := c.Look(context.Background()); err != nil {
+		if err := c.Step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -200,30 +200,30 @@
 				t.Fatal(err)
 			}
 			states := firstStates()
-			to, err := ch.Leads(states["c1"].Held.Want)
+			to, err := ch.TargetSpec(states["c1"].Held.Spec)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fakes := newFakeFleet(t, to.Digest(), states)
 			fakes.missed, fakes.stays = s.missed, s.stays
 			dir := t.TempDir()
-			folder, err := coordinator.Open(dir)
+			folder, err := coordinator.OpenFolder(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			fleet := coordinator.NewFleet(fakes.members, askTime, askTime)
+			fleet := coordinator.NewFleetClient(fakes.members, askTime, askTime)
 			if err := coordinator.Begin(context.Background(), folder, ch, fleet, false); err != nil {
 				t.Fatal(err)
 			}
 			if s.name != "preparing" {
-				c, err := coordinator.Take(folder, fleet)
+				c, err := coordinator.TakeOver(folder, fleet)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if s.asks != "" {
-					lookUntil(t, c, in(rollout.Baking, 0))
-					if err := folder.Ask(s.asks); err != nil {
+					lookUntil(t, c, in(rollout.PhaseBaking, 0))
+					if err := folder.Submit(s.asks); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -258,7 +258,7 @@
 	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
 		t.Fatal(err)
 	}
-	before, is, err := coordinator.Look(dir).Record()
+	before, is, err := coordinator.UnlockedFolder(dir).Record()
 	if err != nil || !is {
 		t.Fatal(is, err)
 	}
@@ -280,11 +280,11 @@
 			if !s.when(before.State) {
 				t.Errorf("recorded is %+v", before.State)
 			}
-			oldSteps, err := coordinator.Look(dir).History()
+			oldSteps, err := coordinator.UnlockedFolder(dir).History()
 			if err != nil {
 				t.Fatal(err)
 			}
-			oldPoints, err := coordinator.Look(dir).Points()
+			oldPoints, err := coordinator.UnlockedFolder(dir).Samples()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -292,60 +292,60 @@
 			if err != nil && !errors.Is(err, fs.ErrNotExist) {
 				t.Fatal(err)
 			}
-			folder, err := coordinator.Open(dir)
+			folder, err := coordinator.OpenFolder(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			c, err := coordinator.Take(folder, coordinator.NewFleet(fakes.members, askTime, askTime))
+			c, err := coordinator.TakeOver(folder, coordinator.NewFleetClient(fakes.members, askTime, askTime))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := c.State().Fence; got != (change.Fence{Number: before.State.Fence.Number, Term: before.State.Fence.Term + 1, Turn: before.State.Fence.Turn}) {
+			if got := c.State().Fence; got != (change.Fence{Number: before.State.Fence.Number, Term: before.State.Fence.Term + 1, Revision: before.State.Fence.Revision}) {
 				t.Errorf("it goes on as %v after %v", got, before.State.Fence)
 			}
 			if s.name == "stuck" { // it stays so until the controller is mended
 				fakes.set("new", "c2")
-				if err := c.Look(context.Background()); err != nil || c.State().Phase != rollout.Stuck || c.State().Drains["c2"] == "" {
+				if err := c.Step(context.Background()); err != nil || c.State().Phase != rollout.PhaseDegraded || c.State().Drained["c2"] == "" {
 					t.Errorf("%+v %v", c.State(), err)
 				}
 				fakes.set("", "")
 			}
 			if before.State.Paused {
 				for range 30 {
-					if err := c.Look(context.Background()); err != nil || !c.State().Paused || c.State().Phase != before.State.Phase {
+					if err := c.Step(context.Background()); err != nil || !c.State().Paused || c.State().Phase != before.State.Phase {
 						t.Fatalf("%+v %v", c.State(), err)
 					}
 				}
-				if err := folder.Ask(rollout.AskResume); err != nil {
+				if err := folder.Submit(rollout.RequestResume); err != nil {
 					t.Fatal(err)
 				}
 			}
-			lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
-			after, _, err := coordinator.Look(dir).Record()
+			lookUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
+			after, _, err := coordinator.UnlockedFolder(dir).Record()
 			if err != nil || after.State.Phase != s.ends {
 				t.Fatalf("%+v %v", after.State, err)
 			}
 			unchanged(t, before, after)
-			steps, err := coordinator.Look(dir).History()
+			steps, err := coordinator.UnlockedFolder(dir).History()
 			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
 				t.Errorf("of the history is left %v, was %v: %v", steps, oldSteps, err)
 			}
-			points, err := coordinator.Look(dir).Points()
+			points, err := coordinator.UnlockedFolder(dir).Samples()
 			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
 				t.Errorf("%d looks, were %d: %v", len(points), len(oldPoints), err)
 			}
 			if base, err := os.ReadFile(filepath.Join(dir, "base.json")); oldBase != nil && (err != nil || !bytes.Equal(base, oldBase)) {
 				t.Errorf("the base is another: %v", err)
 			}
-			want := map[rollout.Phase]change.Digest{rollout.Done: before.To.Digest(), rollout.Back: before.From.Digest()}[s.ends]
+			want := map[rollout.Phase]change.Digest{rollout.PhaseDone: before.To.Digest(), rollout.PhaseRolledBack: before.From.Digest()}[s.ends]
 			for name, st := range fakes.states {
 				if want != "" && st.Running != want {
 					t.Errorf("%s runs %s, not %s", name, st.Running, want)
 				}
 			}
 			for _, o := range fakes.orders {
-				if o.Format != change.Format || o.By != before.By || o.Why == "" {
+				if o.Format != change.Format || o.By != before.ID || o.Reason == "" {
 					t.Errorf("an order %+v", o)
 				}
 			}
@@ -366,10 +366,10 @@
 	if was.State.Outcome != "" && is.State.Outcome != was.State.Outcome {
 		t.Errorf("the outcome is %q, was %q", is.State.Outcome, was.State.Outcome)
 	}
-	if is.State.Tries < was.State.Tries || is.State.Early < was.State.Early {
+	if is.State.StageRetries < was.State.StageRetries || is.State.PromptRecoveries < was.State.PromptRecoveries {
 		t.Errorf("%+v after %+v", is.State, was.State)
 	}
-	was.State, is.State, was.Asked, is.Asked = rollout.State{}, rollout.State{}, "", ""
+	was.State, is.State, was.LastRequestID, is.LastRequestID = rollout.State{}, rollout.State{}, "", ""
 	a, err := json.Marshal(was)
 	if err != nil {
 		t.Fatal(err)
@@ -397,9 +397,9 @@
 	a.items[name] = slices.Clone(value)
 	return nil
 }
-func (a *agreedItems) May() bool    { return true }
-func (a *agreedItems) Term() int64  { return a.term }
-func (a *agreedItems) Name() string { return "c3" }
+func (a *agreedItems) IsLeader() bool     { return true }
+func (a *agreedItems) Term() int64        { return a.term }
+func (a *agreedItems) LeaderName() string { return "c3" }
 
 // What a leader before left among the agreed items goes on under the next one's term.
 func TestAgreedItemsOfTheProgramBeforeGoOn(t *testing.T) {
@@ -412,16 +412,16 @@
 		}
 		a.items[name] = text
 	}
-	c, err := coordinator.Take(coordinator.Agreed(a), coordinator.NewFleet(fakes.members, askTime, askTime))
+	c, err := coordinator.TakeOver(coordinator.Replicated(a), coordinator.NewFleetClient(fakes.members, askTime, askTime))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.State().Fence.Term != a.term {
 		t.Errorf("term %d", c.State().Fence.Term)
 	}
-	lookUntil(t, c, func(st rollout.State) bool { return st.Phase.Ends() })
-	after, is, err := coordinator.Agreed(a).Record()
-	if err != nil || !is || after.State.Phase != rollout.Done {
+	lookUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
+	after, is, err := coordinator.Replicated(a).Record()
+	if err != nil || !is || after.State.Phase != rollout.PhaseDone {
 		t.Fatalf("%+v %v", after.State, err)
 	}
 	unchanged(t, before, after)
@@ -432,11 +432,11 @@
 		t.Error("nothing was ordered")
 	}
 	for _, o := range fakes.orders {
-		if o.By != before.By+"@c3" {
+		if o.By != before.ID+"@c3" {
 			t.Errorf("ordered by %q", o.By)
 		}
 	}
-	if _, err := coordinator.Take(coordinator.Agreed(&agreedItems{items: a.items, term: a.term - 1}), coordinator.NewFleet(fakes.members, askTime, askTime)); err == nil ||
+	if _, err := coordinator.TakeOver(coordinator.Replicated(&agreedItems{items: a.items, term: a.term - 1}), coordinator.NewFleetClient(fakes.members, askTime, askTime)); err == nil ||
 		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
 		t.Errorf("an earlier one: %v", err)
 	}
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -25,15 +25,15 @@
 
 // Fleet speaks with keepers. One that is slow to answer holds up nobody: it is waited for a while, and what it says later
 // counts at the next look.
-type Fleet struct {
-	Members  []operator.Member
-	Engines  bool // statuses are asked for with the engines seen
-	patience time.Duration
-	http     http.Client
-	places   chan struct{} // who may be spoken with at once
-	doubtful chan struct{} // of these, who failed last
-	began    time.Time
-	chance   *rand.Rand // under the lock
+type FleetClient struct {
+	Members        []operator.Member
+	IncludeEngines bool // statuses are asked for with the engines seen
+	patience       time.Duration
+	http           http.Client
+	places         chan struct{} // who may be spoken with at once
+	doubtful       chan struct{} // of these, who failed last
+	began          time.Time
+	chance         *rand.Rand // under the lock
 
 	mu    sync.Mutex
 	lines []line // by the member's place
@@ -45,7 +45,7 @@
 type line struct {
 	back           backoff
 	asked, ordered bool
-	answer         *Answer
+	answer         *StatusReply
 	refused        error
 }
 
@@ -53,18 +53,18 @@
 const inFlight = 64
 
 // NewFleet speaks with those named. limit is for one answer; patience is for a look at all, and no more than that.
-func NewFleet(members []operator.Member, limit, patience time.Duration) *Fleet {
+func NewFleetClient(members []operator.Member, limit, patience time.Duration) *FleetClient {
 	seed := fnv.New64a()
 	for _, m := range members {
 		seed.Write([]byte(m.Name))
 	}
-	return &Fleet{Members: members, patience: min(limit, patience), places: make(chan struct{}, inFlight), doubtful: make(chan struct{}, doubtful), began: time.Now(),
+	return &FleetClient{Members: members, patience: min(limit, patience), places: make(chan struct{}, inFlight), doubtful: make(chan struct{}, doubtful), began: time.Now(),
 		chance: rand.New(rand.NewPCG(seed.Sum64(), uint64(len(members)))), lines: make([]line, len(members)),
 		http: http.Client{Timeout: limit, Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 30 * time.Second}}}
 }
 
 // Answer is a keeper's status, or why there is none.
-type Answer struct {
+type StatusReply struct {
 	Status supervisor.Status
 	Err    error
 }
@@ -72,7 +72,7 @@
 var errSilent = errors.New("no answer yet")
 
 // Ask asks all at once. The answers are in the order of members.
-func (f *Fleet) Ask(ctx context.Context) []Answer {
+func (f *FleetClient) Poll(ctx context.Context) []StatusReply {
 	f.speak(func(l *line) *bool { return &l.asked }, func(i int) bool { return true }, func(i int) {
 		a := f.status(ctx, f.Members[i])
 		f.mu.Lock()
@@ -82,7 +82,7 @@
 	})
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := make([]Answer, len(f.Members))
+	list := make([]StatusReply, len(f.Members))
 	f.heard, f.asked = 0, true
 	for i := range f.lines {
 		if list[i].Err = errSilent; f.lines[i].answer != nil {
@@ -96,7 +96,7 @@
 }
 
 // Heard is how many members answered at the last look, of how many; 0 of 0 before the first.
-func (f *Fleet) Heard() (n, of int) {
+func (f *FleetClient) Answered() (n, of int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.asked {
@@ -105,9 +105,9 @@
 	return f.heard, len(f.Members)
 }
 
-func (f *Fleet) status(ctx context.Context, m operator.Member) (a Answer) {
+func (f *FleetClient) status(ctx context.Context, m operator.Member) (a StatusReply) {
 	url := "http://" + m.Address() + "/v1/status"
-	if f.Engines {
+	if f.IncludeEngines {
 		url += "?engines=1"
 	}
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -126,16 +126,16 @@
 
 // Order sends orders, by the member's place; it tells which were refused or did not arrive, as far as known by now. Where
 // the last is still on its way no other is sent: what is wanted is ordered again at the next look.
-func (f *Fleet) Order(ctx context.Context, orders map[int]change.Order) map[int]error {
+func (f *FleetClient) SendOrders(ctx context.Context, orders map[int]change.Order) map[int]error {
 	return post(ctx, f, "/v1/order", orders)
 }
 
 // Hand sends words of the fleet's owner, as Order does.
-func (f *Fleet) Hand(ctx context.Context, words map[int]assignment.Assignment) map[int]error {
+func (f *FleetClient) SendAssignments(ctx context.Context, words map[int]assignment.Assignment) map[int]error {
 	return post(ctx, f, "/v1/word", words)
 }
 
-func post[T any](ctx context.Context, f *Fleet, path string, what map[int]T) map[int]error {
+func post[T any](ctx context.Context, f *FleetClient, path string, what map[int]T) map[int]error {
 	f.speak(func(l *line) *bool { return &l.ordered }, func(i int) bool { _, is := what[i]; return is }, func(i int) {
 		text, err := json.Marshal(what[i])
 		if err == nil {
@@ -161,7 +161,7 @@
 
 // speak does something with each member that is to be spoken with, that is due and not spoken with so already, and waits for all,
 // but no longer than its patience.
-func (f *Fleet) speak(busy func(*line) *bool, with func(int) bool, do func(int)) {
+func (f *FleetClient) speak(busy func(*line) *bool, with func(int) bool, do func(int)) {
 	var wait sync.WaitGroup
 	for i := range f.Members {
 		f.mu.Lock()
@@ -194,7 +194,7 @@
 	}
 }
 
-func (f *Fleet) do(q *http.Request, well int) ([]byte, error) {
+func (f *FleetClient) do(q *http.Request, well int) ([]byte, error) {
 	a, err := f.http.Do(q)
 	if err != nil {
 		return nil, err
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -104,7 +104,7 @@
 }
 
 func phase(folder string) rollout.State {
-	r, _, _ := coordinator.Look(folder).Record()
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	return r.State
 }
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "a first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "a first stage", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fourth.Await(); err != nil || phase(copied).Phase != rollout.Done {
+	if err := fourth.Await(); err != nil || phase(copied).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, phase(copied), fourth.Log())
 	}
 	p.Signal(syscall.SIGCONT)
@@ -173,7 +173,7 @@
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool {
-		return strings.Contains(string(s.Spec.Shape), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
+		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
@@ -195,7 +195,7 @@
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if s := phase(folder); s.Phase != rollout.Back || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
+	if s := phase(folder); s.Phase != rollout.PhaseRolledBack || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serving }) {
@@ -232,22 +232,22 @@
 		n, _ := a.Body.Read(b)
 		return a.StatusCode, string(b[:n])
 	}
-	r, _, _ := coordinator.Look(folder).Record()
-	late := change.Order{Format: change.Format, Fence: before.Fence, By: r.By, Member: m.Name, Want: r.From}
-	late.Fence.Turn--
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	late := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	late.Fence.Revision--
 	try := func() {
 		t.Helper()
 		if code, text := send(late); code != http.StatusConflict || !strings.Contains(text, "comes after") {
 			t.Errorf("%d %s", code, text)
 		}
 		same := late
-		same.Fence, same.Want = before.Fence, before.Spec
+		same.Fence, same.Spec = before.Fence, before.Spec
 		if code, text := send(same); code != http.StatusNoContent {
 			t.Errorf("an order once more: %d %s", code, text)
 		}
 	}
 	try()
-	if code, text := send(change.Order{Format: change.Format, Fence: change.Fence{Number: 9, Term: 1, Turn: 1}, By: "x", Member: "c9", Want: r.From}); code != http.StatusConflict || !strings.Contains(text, "c9") {
+	if code, text := send(change.Order{Format: change.Format, Fence: change.Fence{Number: 9, Term: 1, Revision: 1}, By: "x", Member: "c9", Spec: r.From}); code != http.StatusConflict || !strings.Contains(text, "c9") {
 		t.Errorf("an order for another: %d %s", code, text)
 	}
 	l.Stop() // the keeper's death takes its controller with it
@@ -264,8 +264,8 @@
 	if err := os.RemoveAll(filepath.Join(w.Dir, m.Name)); err != nil {
 		t.Fatal(err)
 	}
-	next := change.Order{Format: change.Format, Fence: before.Fence, By: r.By, Member: m.Name, Want: r.From}
-	next.Fence.Turn++
+	next := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	next.Fence.Revision++
 	if code, text := send(next); code != http.StatusInsufficientStorage {
 		t.Errorf("%d %s", code, text)
 	}
@@ -282,8 +282,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := coordinator.Look(folder).Record()
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
 		if !strings.Contains(fmt.Sprint(r.Stages[0]), m.Name) {
@@ -291,12 +291,12 @@
 		}
 	}
 	far.Link.Set(testcluster.OneWay, 0) // it is asked, and its answers are lost
-	until(t, w, "all that can be reached have passed", func() bool { return phase(folder).Phase == rollout.Finishing || p.Over() })
+	until(t, w, "all that can be reached have passed", func() bool { return phase(folder).Phase == rollout.PhaseFinishing || p.Over() })
 	if p.Over() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
 	far.Link.Set(testcluster.Passes, 0)
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() }) {
@@ -313,12 +313,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Over() })
+	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.PhaseBaseline || p.Over() })
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
 	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
-	r, _, _ := coordinator.Look(folder + ".gone").Record()
+	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !all(t, w, func(s supervisor.Status) bool {
 		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
@@ -327,7 +327,7 @@
 	if err := os.Rename(folder+".gone", folder); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	finish(t, w, l)
@@ -354,7 +354,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Over() })
+	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.PhaseBaseline || p.Over() })
 	disk(testcluster.Conductors, "full")
 	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
 	for _, m := range w.Members {
@@ -368,10 +368,10 @@
 	for _, m := range w.Members {
 		disk(m.Name, "300ms")
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	r, _, _ := coordinator.Look(folder).Record()
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 }) {
 		t.Error("not all run it")
 	}
@@ -393,7 +393,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+		if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 			t.Fatalf("%v: %s", err, p.Log())
 		}
 		if !all(t, w, func(s supervisor.Status) bool {
@@ -416,7 +416,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "it is under way", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "it is under way", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
 	q, err := w.Rollout(program, other, "start", write(t, w, "same.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
@@ -522,8 +522,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := coordinator.Look(folder).Record()
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
 		if m.Name == r.Stages[0][0] {
@@ -533,16 +533,16 @@
 		}
 	}
 	far.Link.Set(testcluster.Silent, 0)
-	if err := coordinator.Look(folder).Ask(rollout.AskBack); err != nil {
+	if err := coordinator.UnlockedFolder(folder).Submit(rollout.RequestRollback); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is stuck, and names the one", func() bool {
 		s := phase(folder)
-		return s.Phase == rollout.Stuck && strings.Contains(s.Why, far.Name) || p.Over()
+		return s.Phase == rollout.PhaseDegraded && strings.Contains(s.Reason, far.Name) || p.Over()
 	})
 	far.Link.Set(testcluster.Passes, 0)
 	err = p.Await()
-	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || phase(folder).Phase != rollout.Back {
+	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || phase(folder).Phase != rollout.PhaseRolledBack {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 }) {
@@ -599,7 +599,7 @@
 		w.Get(m, "/v1/owner/item?name=change.json", &r)
 		return r
 	}
-	until(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.Baking })
+	until(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.PhaseBaking })
 	t.Cleanup(func() {
 		for _, m := range w.Members {
 			for line := range strings.Lines(m.Keeper.Log()) {
@@ -616,13 +616,13 @@
 	}
 	until(t, w, "it is taken over where it stood", func() bool { // the stage may hold the one that sleeps: then it waits for that
 		s := state(second).State
-		return s.Fence.Term > int64(reign) && (s.Phase == rollout.Baking || s.Stage > 0 || s.Phase.Ends())
+		return s.Fence.Term > int64(reign) && (s.Phase == rollout.PhaseBaking || s.Stage > 0 || s.Phase.IsTerminal())
 	})
 	first.Keeper.Signal(syscall.SIGCONT)
 	until(t, w, "the one that slept says once that it owns no more", func() bool {
 		return strings.Count(first.Keeper.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
 	})
-	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
+	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
 	to := state(acts(nil)).To.Digest()
 	until(t, w, "all run it", func() bool {
 		return all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) })
@@ -674,7 +674,7 @@
 		t.Errorf("it recovers unasked: %s", text)
 	}
 	cli(t, w, "fleet", "recover", "--the-others-lost-their-memory", kept.Name)
-	if m := acts(nil); get(t, w, m).Term <= reign || state(m).State.Phase != rollout.Done {
+	if m := acts(nil); get(t, w, m).Term <= reign || state(m).State.Phase != rollout.PhaseDone {
 		t.Errorf("reign %d after %d, %+v", get(t, w, m).Term, reign, state(m).State)
 	}
 	if err := w.Stop(); err != nil {
@@ -710,7 +710,7 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	if !all(t, w, func(s supervisor.Status) bool {
-		return len(s.Spec.Plan) > 0 && len(s.Spec.Shape) > 0 && s.RunningSpec == s.Spec.Digest() && s.Fence.Number == 3
+		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.RunningSpec == s.Spec.Digest() && s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
 	}
@@ -913,11 +913,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "the first stage", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
 	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	for _, m := range w.Members {
@@ -935,11 +935,11 @@
 	want := was.Spec
 	want.Program.Path = path
 	var err error
-	if want.Program.Digest, err = change.OfFile(path); err != nil {
+	if want.Program.Digest, err = change.FileDigest(path); err != nil {
 		t.Fatal(err)
 	}
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
-	if errs := fleet.Order(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}}); len(errs) > 0 {
+	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	if errs := fleet.SendOrders(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}, By: "x", Member: m.Name, Spec: want}}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
 }
@@ -1046,8 +1046,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	r, _, _ := coordinator.Look(folder).Record()
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.PhaseBaking || p.Over() })
+	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
 		if !slices.Contains(r.Stages[0], m.Name) {
@@ -1076,7 +1076,7 @@
 	if err := w.Again(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.Await(); err != nil || phase(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -24,39 +24,39 @@
 
 // Record is all of a change that outlives its conductor.
 type Record struct {
-	By     string        `json:"by"` // names this record to controllers' keepers
-	Change change.Change `json:"change"`
-	From   change.Spec   `json:"from"`
-	To     change.Spec   `json:"to"`
-	Stages [][]string    `json:"stages"`
-	State  rollout.State `json:"state"`
-	Asked  string        `json:"asked"` // the last wish that was taken in
+	ID            string        `json:"by"` // names this record to controllers' keepers
+	Change        change.Change `json:"change"`
+	From          change.Spec   `json:"from"`
+	To            change.Spec   `json:"to"`
+	Stages        [][]string    `json:"stages"`
+	State         rollout.State `json:"state"`
+	LastRequestID string        `json:"asked"` // the last wish that was taken in
 }
 
 // Step is a line of the history.
-type Step struct {
+type Transition struct {
 	At      time.Time     `json:"at"` // of the conductor's machine, for people
 	Number  int64         `json:"number"`
 	Phase   rollout.Phase `json:"phase"`
 	Stage   int           `json:"stage"`
 	Fence   change.Fence  `json:"fence"`
-	Why     string        `json:"why"`
+	Reason  string        `json:"why"`
 	Outcome string        `json:"outcome,omitempty"`
 }
 
 // Point is a look, for people: what was seen of both versions in it.
-type Point struct {
+type Sample struct {
 	At     time.Time     `json:"at"`
 	Number int64         `json:"number"`
 	Phase  rollout.Phase `json:"phase"`
 	Stage  int           `json:"stage"`
 	Odds   float64       `json:"odds"` // of harm
-	Old    Arm           `json:"old"`
-	New    Arm           `json:"new"`
+	Old    VersionSample `json:"old"`
+	New    VersionSample `json:"new"`
 }
 
 // Arm is one version's part of a look.
-type Arm struct {
+type VersionSample struct {
 	Jobs      uint64 `json:"jobs"`
 	Missed    uint64 `json:"missed"`
 	Throttled uint64 `json:"throttled"`
@@ -65,49 +65,49 @@
 	P99NS     int64  `json:"p99_ns"`
 }
 
-func armOf(w canary.JobCounts) Arm {
-	return Arm{w.Jobs, w.Jobs - w.WithinSLA, w.Throttled, w.Cancelled, int64(jobstats.Quantile(w.LatencyBuckets, 50)), int64(jobstats.Quantile(w.LatencyBuckets, 99))}
+func armOf(w canary.JobCounts) VersionSample {
+	return VersionSample{w.Jobs, w.Jobs - w.WithinSLA, w.Throttled, w.Cancelled, int64(jobstats.Quantile(w.LatencyBuckets, 50)), int64(jobstats.Quantile(w.LatencyBuckets, 99))}
 }
 
 // Wish is what an operator asks of whoever conducts.
-type Wish struct {
-	ID  string      `json:"id"`
-	Ask rollout.Ask `json:"ask"`
+type OperatorRequest struct {
+	ID      string          `json:"id"`
+	Request rollout.Request `json:"ask"`
 }
 
 // Folder is where a fleet's changes are recorded: the one under way, the base it is held against, the history of all.
-type Folder struct {
+type RecordStore struct {
 	path   string
 	lock   *os.File
-	agreed Agreement // in place of files
+	agreed ReplicatedItems // in place of files
 }
 
 // Agreement is what the fleet's voters agree on, as the owner of a reign has it. It is kept by more than one machine, and
 // written under that reign only.
-type Agreement interface {
+type ReplicatedItems interface {
 	Read(name string) (value []byte, is bool)
 	Write(name string, value []byte) error
-	May() bool   // this process owns the reign, now: asked before each act
-	Term() int64 // the reign: orders carry it
-	Name() string
+	IsLeader() bool // this process owns the reign, now: asked before each act
+	Term() int64    // the reign: orders carry it
+	LeaderName() string
 }
 
 // Agreed is a record that is agreed on. Its looks and transitions stand in the log of the owner's process only.
-func Agreed(a Agreement) *Folder { return &Folder{path: "agreed", agreed: a} }
+func Replicated(a ReplicatedItems) *RecordStore { return &RecordStore{path: "agreed", agreed: a} }
 
 // may tells whether orders may go out. A record in files is its process's as long as that holds the lock.
-func (f *Folder) may() bool { return f.agreed == nil || f.agreed.May() }
+func (f *RecordStore) may() bool { return f.agreed == nil || f.agreed.IsLeader() }
 
 // by names who orders: keepers refuse another under the same term.
-func (f *Folder) by(record string) string {
+func (f *RecordStore) by(record string) string {
 	if f.agreed == nil {
 		return record
 	}
-	return record + "@" + f.agreed.Name()
+	return record + "@" + f.agreed.LeaderName()
 }
 
 // term is that of one who takes over after a term.
-func (f *Folder) term(last int64) (int64, error) {
+func (f *RecordStore) term(last int64) (int64, error) {
 	if f.agreed == nil {
 		return last + 1, nil
 	}
@@ -118,34 +118,34 @@
 }
 
 // ErrConducted: another process conducts in this folder.
-var ErrConducted = errors.New("another process conducts a change in this folder")
+var ErrLocked = errors.New("another process conducts a change in this folder")
 
 // Open takes a folder for conducting; nobody else can while it is open.
-func Open(path string) (*Folder, error) {
+func OpenFolder(path string) (*RecordStore, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	f := Look(path)
+	f := UnlockedFolder(path)
 	var err error
 	if f.lock, err = os.OpenFile(f.file("lock"), os.O_CREATE|os.O_RDWR, 0o600); err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(f.lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		f.lock.Close()
-		return nil, fmt.Errorf("%s: %w", path, ErrConducted)
+		return nil, fmt.Errorf("%s: %w", path, ErrLocked)
 	}
 	return f, nil
 }
 
 // Look is a folder to read and to ask in.
-func Look(path string) *Folder { return &Folder{path: path} }
+func UnlockedFolder(path string) *RecordStore { return &RecordStore{path: path} }
 
 // Close frees it.
-func (f *Folder) Close() { f.lock.Close() }
+func (f *RecordStore) Close() { f.lock.Close() }
 
-func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
+func (f *RecordStore) file(name string) string { return filepath.Join(f.path, name) }
 
-func (f *Folder) write(name string, v any) error {
+func (f *RecordStore) write(name string, v any) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		return err
@@ -159,7 +159,7 @@
 	return renameio.WriteFile(f.file(name), text, 0o600)
 }
 
-func (f *Folder) read(name string, into any) (is bool, err error) {
+func (f *RecordStore) read(name string, into any) (is bool, err error) {
 	var text []byte
 	if f.agreed != nil {
 		var is bool
@@ -179,31 +179,33 @@
 }
 
 // Record reads the change under way, or the last.
-func (f *Folder) Record() (r Record, is bool, err error) {
+func (f *RecordStore) Record() (r Record, is bool, err error) {
 	is, err = f.read("change.json", &r)
 	return r, is, err
 }
 
 // Base reads what was seen before the first stage; nothing where it was not reached.
-func (f *Folder) Base() (*canary.Baseline, error) {
+func (f *RecordStore) Baseline() (*canary.Baseline, error) {
 	b := canary.NewBaseline()
 	_, err := f.read("base.json", b)
 	return b, err
 }
 
 // Ask leaves a wish, in the place of one not yet taken in.
-func (f *Folder) Ask(a rollout.Ask) error { return f.write("ask.json", Wish{name(), a}) }
+func (f *RecordStore) Submit(a rollout.Request) error {
+	return f.write("ask.json", OperatorRequest{name(), a})
+}
 
 // Wish reads the one left.
-func (f *Folder) Wish() (w Wish) {
+func (f *RecordStore) PendingRequest() (w OperatorRequest) {
 	f.read("ask.json", &w) // one that cannot be read asks for nothing
 	return w
 }
 
 // note appends to the history; what cannot be written is lost for people only.
-func (f *Folder) note(s Step) { f.add("history.jsonl", s) }
+func (f *RecordStore) note(s Transition) { f.add("history.jsonl", s) }
 
-func (f *Folder) add(name string, line any) {
+func (f *RecordStore) add(name string, line any) {
 	text, err := json.Marshal(line)
 	if err != nil || f.agreed != nil {
 		return
@@ -221,10 +223,12 @@
 const mostLines = 16 << 20
 
 // History reads the transitions of all changes.
-func (f *Folder) History() ([]Step, error) { return lines[Step](f.file("history.jsonl")) }
+func (f *RecordStore) History() ([]Transition, error) {
+	return lines[Transition](f.file("history.jsonl"))
+}
 
 // Points reads the looks of the last change: the file begins anew with each.
-func (f *Folder) Points() ([]Point, error) { return lines[Point](f.file("looks.jsonl")) }
+func (f *RecordStore) Samples() ([]Sample, error) { return lines[Sample](f.file("looks.jsonl")) }
 
 func lines[T any](path string) (list []T, err error) {
 	text, err := os.ReadFile(path)
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -64,7 +64,7 @@
 func TestStoredFilesAreWrittenAsTheyWere(t *testing.T) {
 	for _, folder := range storedFolders(t) {
 		t.Run(filepath.Base(folder), func(t *testing.T) {
-			from, to := Look(folder), Look(t.TempDir())
+			from, to := UnlockedFolder(folder), UnlockedFolder(t.TempDir())
 			record, is, err := from.Record()
 			if err != nil || !is {
 				t.Fatal(is, err)
@@ -76,7 +76,7 @@
 			}
 			sameFile(t, from.file("change.json"), to.file("change.json"))
 			if strictly(t, from.file("base.json"), canary.NewBaseline()) {
-				base, err := from.Base()
+				base, err := from.Baseline()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -85,8 +85,8 @@
 				}
 				sameFile(t, from.file("base.json"), to.file("base.json"))
 			}
-			if strictly(t, from.file("ask.json"), &Wish{}) {
-				if err := to.write("ask.json", from.Wish()); err != nil {
+			if strictly(t, from.file("ask.json"), &OperatorRequest{}) {
+				if err := to.write("ask.json", from.PendingRequest()); err != nil {
 					t.Fatal(err)
 				}
 				sameFile(t, from.file("ask.json"), to.file("ask.json"))
@@ -99,7 +99,7 @@
 				to.note(s)
 			}
 			sameFile(t, from.file("history.jsonl"), to.file("history.jsonl"))
-			points, err := from.Points()
+			points, err := from.Samples()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -114,12 +114,12 @@
 }
 
 func TestALongFileOfLinesBeginsAnewAndKeepsOneBefore(t *testing.T) {
-	f := Look(t.TempDir())
-	f.note(Step{Number: 1})
+	f := UnlockedFolder(t.TempDir())
+	f.note(Transition{Number: 1})
 	if err := os.Truncate(f.file("history.jsonl"), mostLines+1); err != nil {
 		t.Fatal(err)
 	}
-	f.note(Step{Number: 2})
+	f.note(Transition{Number: 2})
 	steps, err := f.History()
 	if err != nil || len(steps) != 1 || steps[0].Number != 2 {
 		t.Errorf("%v %v", steps, err)
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Record{}, Step{}, Point{}, Wish{}} {
+	for _, v := range []any{Record{}, Transition{}, Sample{}, OperatorRequest{}} {
 		walk(reflect.TypeOf(v))
 	}
 	if len(seen) < 13 {
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -40,29 +40,29 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer s.Close()
-	f := coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
+	f := coordinator.NewFleetClient([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
 	ctx := context.Background()
 	ask := func(engines bool) {
-		f.Engines = engines
-		if a := f.Ask(ctx); a[0].Err != nil {
+		f.IncludeEngines = engines
+		if a := f.Poll(ctx); a[0].Err != nil {
 			t.Error(a[0].Err)
 		}
 	}
 	ask(false)
 	ask(true)
-	spec := change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "0123"}, Shape: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
-	o := change.Order{Format: 2, Fence: change.Fence{Number: 3, Term: 2, Turn: 1}, By: "record", Member: "c1", Want: spec, Why: "stage 1 passed"}
+	spec := change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
+	o := change.Order{Format: 2, Fence: change.Fence{Number: 3, Term: 2, Revision: 1}, By: "record", Member: "c1", Spec: spec, Reason: "stage 1 passed"}
 	small := o
-	small.Want.Shape, small.Want.Plan, small.Drain = nil, nil, true
-	for _, o := range []change.Order{o, o.In(1), small} {
-		if errs := f.Order(ctx, map[int]change.Order{0: o}); len(errs) > 0 {
+	small.Spec.Topology, small.Spec.Plan, small.Drain = nil, nil, true
+	for _, o := range []change.Order{o, o.ForFormat(1), small} {
+		if errs := f.SendOrders(ctx, map[int]change.Order{0: o}); len(errs) > 0 {
 			t.Error(errs)
 		}
 	}
 	word := assignment.Assignment{Format: 2, Term: 4, Sequence: 5, Leader: "c2", Member: "c1", Incarnation: "l", Shares: quota.Shares{quota.Fleet: 333_333, "acme": 500_000}, SharesUntil: 6, Plan: "0123", PlanUntil: 7,
 		PlanText: json.RawMessage(`{"steps":[]}`)}
 	for _, w := range []assignment.Assignment{word, {Format: 2, Term: 4, Sequence: 6, Leader: "c2", Member: "c1", Incarnation: "l"}} {
-		if errs := f.Hand(ctx, map[int]assignment.Assignment{0: w}); len(errs) > 0 {
+		if errs := f.SendAssignments(ctx, map[int]assignment.Assignment{0: w}); len(errs) > 0 {
 			t.Error(errs)
 		}
 	}
@@ -91,12 +91,12 @@
 	}))
 	defer s.Close()
 	at := strings.TrimPrefix(s.URL, "http://")
-	f := coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
-	if a := f.Ask(context.Background()); a[0].Err == nil || a[0].Err.Error() != at+` answers as "c9"` {
+	f := coordinator.NewFleetClient([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	if a := f.Poll(context.Background()); a[0].Err == nil || a[0].Err.Error() != at+` answers as "c9"` {
 		t.Errorf("%v", a[0].Err)
 	}
-	f = coordinator.NewFleet([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
-	errs := f.Order(context.Background(), map[int]change.Order{0: {}})
+	f = coordinator.NewFleetClient([]operator.Member{{Name: "c1", Listen: at}}, 20*time.Second, 20*time.Second)
+	errs := f.SendOrders(context.Background(), map[int]change.Order{0: {}})
 	if errs[0] == nil || errs[0].Error() != "409 Conflict: order 1.1.1 comes after 2.1.1 was taken" {
 		t.Errorf("%v", errs)
 	}
--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -37,7 +37,7 @@
 type distributor struct {
 	duties    *Duties
 	store     termStore
-	fleet     *coordinator.Fleet
+	fleet     *coordinator.FleetClient
 	startedAt time.Time
 	latest    []memberObservation // by the member's index
 	demand    *quota.Demand
@@ -57,7 +57,7 @@
 	d := &distributor{
 		duties:    duties,
 		store:     store,
-		fleet:     coordinator.NewFleet(members, requestTimeout, assignmentInterval/2),
+		fleet:     coordinator.NewFleetClient(members, requestTimeout, assignmentInterval/2),
 		startedAt: time.Now(),
 		latest:    make([]memberObservation, len(members)),
 		demand:    quota.NewDemand(),
@@ -70,7 +70,7 @@
 		d.ledger = quota.NewLedger(record, settings.LeaseMS*nsPerMS, d.now())
 	}
 	if settings := duties.fleet.Planning; settings != nil {
-		d.fleet.Engines = true
+		d.fleet.IncludeEngines = true
 		var err error
 		if d.planning, err = newPlanning(store, settings, duties.problem, d.now()); err != nil {
 			return nil, err
@@ -120,9 +120,9 @@
 
 // distribute polls all members once and assigns what follows from their answers.
 func (d *distributor) distribute(ctx context.Context) error {
-	answers := d.fleet.Ask(ctx)
+	answers := d.fleet.Poll(ctx)
 	now := d.now() // the members' clocks in the answers were read before this
-	if !d.store.May() {
+	if !d.store.IsLeader() {
 		return nil
 	}
 	load := d.observe(answers, now)
@@ -135,11 +135,11 @@
 			return err
 		}
 	}
-	if !d.store.May() {
+	if !d.store.IsLeader() {
 		return nil
 	}
 	assignments := d.assignments(answers, targets, now)
-	d.logRejections(d.fleet.Hand(ctx, assignments))
+	d.logRejections(d.fleet.SendAssignments(ctx, assignments))
 	if d.ledger != nil {
 		d.ledger.DropExpired(now)
 	}
@@ -147,7 +147,7 @@
 }
 
 // observe takes in the members' answers and returns the fleet's load.
-func (d *distributor) observe(answers []coordinator.Answer, now int64) planner.Observation {
+func (d *distributor) observe(answers []coordinator.StatusReply, now int64) planner.Observation {
 	var load planner.Observation
 	var observations []quota.Observation
 	for i, answer := range answers {
@@ -222,7 +222,7 @@
 
 // assignments returns what each member that answered is assigned, by its index.
 func (d *distributor) assignments(
-	answers []coordinator.Answer, targets map[string]quota.Shares, now int64,
+	answers []coordinator.StatusReply, targets map[string]quota.Shares, now int64,
 ) map[int]assignment.Assignment {
 	assignments := map[int]assignment.Assignment{}
 	for i, member := range d.fleet.Members {
@@ -244,7 +244,7 @@
 		Format:      change.Format,
 		Term:        int64(d.store.term),
 		Sequence:    d.duties.sequence,
-		Leader:      d.store.Name(),
+		Leader:      d.store.LeaderName(),
 		Member:      name,
 		Incarnation: status.Incarnation,
 	}
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -34,7 +34,7 @@
 	fitness  FitnessMonitor // used by the term that runs
 
 	mu    sync.Mutex
-	polls []*coordinator.Fleet // of running duties that poll all members
+	polls []*coordinator.FleetClient // of running duties that poll all members
 
 	// Used by the distributor of the term that runs.
 	sequence      int64  // of assignments sent by this process: it rises across terms
@@ -56,13 +56,13 @@
 }
 
 // May reports whether the term is active now.
-func (s termStore) May() bool { return s.node.ActiveTerm() == s.term }
+func (s termStore) IsLeader() bool { return s.node.ActiveTerm() == s.term }
 
 // Term returns the fencing token.
 func (s termStore) Term() int64 { return int64(s.term) }
 
 // Name returns the leader's name.
-func (s termStore) Name() string { return s.node.name }
+func (s termStore) LeaderName() string { return s.node.name }
 
 // NewDuties returns the duties of a process. Files named in the operator's settings are relative to folder.
 func NewDuties(node *Node, fleet *operator.Fleet, folder string) (*Duties, error) {
@@ -140,16 +140,16 @@
 
 // continueRollout coordinates the rollout that is under way, if there is one, until it ends or ctx does.
 func (d *Duties) continueRollout(ctx context.Context, store termStore) error {
-	folder := coordinator.Agreed(store)
+	folder := coordinator.Replicated(store)
 	record, isPresent, err := folder.Record()
 	if err != nil || !isPresent {
 		return err
 	}
-	if record.State.Phase.Ends() && !hasRollbackRequest(folder, record) {
+	if record.State.Phase.IsTerminal() && !hasRollbackRequest(folder, record) {
 		return nil
 	}
-	fleet := coordinator.NewFleet(d.fleet.Members, requestTimeout, requestTimeout)
-	rolloutCoordinator, err := coordinator.Take(folder, fleet)
+	fleet := coordinator.NewFleetClient(d.fleet.Members, requestTimeout, requestTimeout)
+	rolloutCoordinator, err := coordinator.TakeOver(folder, fleet)
 	if err != nil {
 		return err
 	}
@@ -159,25 +159,25 @@
 }
 
 // hasRollbackRequest reports whether an operator has asked to roll back a rollout that was stopped.
-func hasRollbackRequest(folder *coordinator.Folder, record coordinator.Record) bool {
-	request := folder.Wish()
-	isNew := request.ID != "" && request.ID != record.Asked
-	return isNew && request.Ask == rollout.AskBack && record.State.Phase == rollout.Stopped
+func hasRollbackRequest(folder *coordinator.RecordStore, record coordinator.Record) bool {
+	request := folder.PendingRequest()
+	isNew := request.ID != "" && request.ID != record.LastRequestID
+	return isNew && request.Request == rollout.RequestRollback && record.State.Phase == rollout.PhaseStopped
 }
 
 // registerPoll makes the health watch aware of a duty that polls all members, until the returned function is called.
-func (d *Duties) registerPoll(fleet *coordinator.Fleet) (unregister func()) {
+func (d *Duties) registerPoll(fleet *coordinator.FleetClient) (unregister func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.polls = append(d.polls, fleet)
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.polls = slices.DeleteFunc(d.polls, func(other *coordinator.Fleet) bool { return other == fleet })
+		d.polls = slices.DeleteFunc(d.polls, func(other *coordinator.FleetClient) bool { return other == fleet })
 	}
 }
 
-func (d *Duties) activePolls() []*coordinator.Fleet {
+func (d *Duties) activePolls() []*coordinator.FleetClient {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.polls)
--- a/internal/leader/duty_handlers.go
+++ b/internal/leader/duty_handlers.go
@@ -47,23 +47,23 @@
 	if err := decodeRequest(r, maxChangeBytes, &requested); err != nil {
 		return fmt.Errorf("/: %w", err)
 	}
-	if faults := requested.Faults(); len(faults) > 0 {
+	if faults := requested.Validate(); len(faults) > 0 {
 		return &schema.ValidationError{File: "the change", Problems: faults}
 	}
-	if requested.Kind == change.Plan {
+	if requested.Kind == change.KindPlan {
 		return errPlanFile
 	}
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
-	fleet := coordinator.NewFleet(d.fleet.Members, requestTimeout, requestTimeout)
-	return coordinator.Begin(r.Context(), coordinator.Agreed(store), requested, fleet, false)
+	fleet := coordinator.NewFleetClient(d.fleet.Members, requestTimeout, requestTimeout)
+	return coordinator.Begin(r.Context(), coordinator.Replicated(store), requested, fleet, false)
 }
 
 // requestAction records what an operator asks of the rollout under way.
 func (d *Duties) requestAction(r *http.Request, store termStore) error {
-	var request coordinator.Wish
+	var request coordinator.OperatorRequest
 	if err := decodeRequest(r, maxActionBytes, &request); err != nil {
 		return err
 	}
-	return coordinator.Agreed(store).Ask(request.Ask)
+	return coordinator.Replicated(store).Submit(request.Request)
 }
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -280,12 +280,12 @@
 		return json.Unmarshal(a.Items[quotaItem], &r) == nil && r.Limits["v1"][quota.Fleet] > 450_000 && a.Items[planItem] != nil
 	})
 	end()
-	changed := coordinator.Record{By: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
-		To:     change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}, Shape: json.RawMessage(`{"budget_free":1}`)},
-		Stages: [][]string{{"v1"}, {"v1", "v2", "v3"}}, Asked: "1",
-		State: rollout.State{Phase: rollout.Done, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Turn: 7}, Why: "all run it"}}
-	changed.Change.Number, changed.Change.Kind = 1, change.Settings
-	for name, v := range map[string]any{"change.json": changed, "ask.json": coordinator.Wish{ID: "1", Ask: rollout.AskResume}} {
+	changed := coordinator.Record{ID: "0123456789abcdef", From: change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}},
+		To:     change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "00"}, Topology: json.RawMessage(`{"budget_free":1}`)},
+		Stages: [][]string{{"v1"}, {"v1", "v2", "v3"}}, LastRequestID: "1",
+		State: rollout.State{Phase: rollout.PhaseDone, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Revision: 7}, Reason: "all run it"}}
+	changed.Change.Number, changed.Change.Kind = 1, change.KindSettings
+	for name, v := range map[string]any{"change.json": changed, "ask.json": coordinator.OperatorRequest{ID: "1", Request: rollout.RequestResume}} {
 		text, err := json.MarshalIndent(v, "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -533,11 +533,11 @@
 		k.mu.Lock()
 		held := k.held
 		k.mu.Unlock()
-		if held.Plan != p.Digest || held.Plan != change.OfJSON(held.PlanText) || held.PlanUntil != fakeBoot+600e9 || held.SharesUntil != fakeBoot+600e9 {
+		if held.Plan != p.Digest || held.Plan != change.JSONDigest(held.PlanText) || held.PlanUntil != fakeBoot+600e9 || held.SharesUntil != fakeBoot+600e9 {
 			t.Errorf("%s holds %+v, planned was %s", name, held, p.Digest)
 		}
 	}
-	if len(p.Answer.Steps) == 0 || change.OfJSON(p.Answer) != p.Digest || len(r.Limits) != 3 || r.Limits["v1"][quota.Fleet] <= r.Limits["v3"][quota.Fleet] || p.Term == 0 || p.Sequence == 0 {
+	if len(p.Answer.Steps) == 0 || change.JSONDigest(p.Answer) != p.Digest || len(r.Limits) != 3 || r.Limits["v1"][quota.Fleet] <= r.Limits["v3"][quota.Fleet] || p.Term == 0 || p.Sequence == 0 {
 		t.Errorf("the fixture shows nothing: %+v, %+v", p, r)
 	}
 	a := f.agreed(f.acting().name)
--- a/internal/leader/health_watch.go
+++ b/internal/leader/health_watch.go
@@ -15,7 +15,7 @@
 
 // healthWatch polls the voters' supervisors and remembers when each last replied.
 type healthWatch struct {
-	fleet     *coordinator.Fleet
+	fleet     *coordinator.FleetClient
 	repliedAt []time.Time // by the voter's index
 	latest    []Health
 }
@@ -47,7 +47,7 @@
 		}
 	}
 	return &healthWatch{
-		fleet:     coordinator.NewFleet(voters, requestTimeout, healthInterval),
+		fleet:     coordinator.NewFleetClient(voters, requestTimeout, healthInterval),
 		repliedAt: make([]time.Time, len(voters)),
 		latest:    make([]Health, len(voters)),
 	}
@@ -56,7 +56,7 @@
 // poll asks all voters once. One that does not answer counts as reachable until requestTimeout after its last answer.
 func (w *healthWatch) poll(ctx context.Context) {
 	now := time.Now()
-	for i, answer := range w.fleet.Ask(ctx) {
+	for i, answer := range w.fleet.Poll(ctx) {
 		if answer.Err == nil {
 			w.repliedAt[i] = now
 			w.latest[i] = Health{Serving: answer.Status.Serving, ReadyEngines: answer.Status.ReadyEngineCount}
@@ -82,7 +82,7 @@
 // 0 if no duty has polled yet.
 func (d *Duties) reachableMembers() (reachable, members int) {
 	for _, poll := range d.activePolls() {
-		n, of := poll.Heard()
+		n, of := poll.Answered()
 		if of > 0 && (members == 0 || n < reachable) {
 			reachable = n
 			members = of
--- a/internal/leader/planning.go
+++ b/internal/leader/planning.go
@@ -85,7 +85,7 @@
 	next := planRecord{
 		Term:     p.store.term,
 		Sequence: 1,
-		Digest:   change.OfJSON(solved.answer),
+		Digest:   change.JSONDigest(solved.answer),
 		Reason:   solved.reason,
 		Answer:   solved.answer,
 	}
--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	if record.State.Phase != rollout.Done {
+	if record.State.Phase != rollout.PhaseDone {
 		return fmt.Errorf("ends as %s: %s", record.State.Phase, record.State.Outcome)
 	}
 	return r.awaitRunning(record.NewSpec.Digest())
@@ -234,10 +234,10 @@
 			return false
 		}
 		record, err = r.readChange(member)
-		return err == nil && record.State.Phase.Ends()
+		return err == nil && record.State.Phase.IsTerminal()
 	})
 	if err != nil {
-		err = fmt.Errorf("does not end: %s (%s): %w", record.State.Phase, record.State.Why, err)
+		err = fmt.Errorf("does not end: %s (%s): %w", record.State.Phase, record.State.Reason, err)
 	}
 	return record, err
 }
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -39,7 +39,7 @@
 		}
 		var fence change.Fence
 		var by string
-		if _, err := fmt.Sscanf(fields, "%d.%d.%d by=%s", &fence.Number, &fence.Term, &fence.Turn, &by); err != nil {
+		if _, err := fmt.Sscanf(fields, "%d.%d.%d by=%s", &fence.Number, &fence.Term, &fence.Revision, &by); err != nil {
 			return err
 		}
 		if fence.Compare(last) <= 0 {
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -38,11 +38,11 @@
 			continue
 		}
 		state := record.State
-		if state.Phase.Ends() {
+		if state.Phase.IsTerminal() {
 			return r.checkEnd(state)
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("does not end: %s (%s)", state.Phase, state.Why)
+			return fmt.Errorf("does not end: %s (%s)", state.Phase, state.Reason)
 		}
 		if err := r.loseLeaderOnce(state, member); err != nil {
 			return err
@@ -51,7 +51,7 @@
 }
 
 func (r *clusterRun) checkEnd(state rollout.State) error {
-	if state.Phase != rollout.Done || len(r.lostSteps) < minLostSteps {
+	if state.Phase != rollout.PhaseDone || len(r.lostSteps) < minLostSteps {
 		return fmt.Errorf("the change ends as %s (%s), owners lost in %v", state.Phase, state.Outcome, r.lostSteps)
 	}
 	return nil
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -28,7 +28,7 @@
 	defer town.Close()
 	m := town.Members[0]
 	load := town.NewLoad(77, 30, 140*time.Millisecond, false)
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
 	steady := func() { time.Sleep(1500 * time.Millisecond) } // the load beside the switches, not a proof
 	steady()
 	marks := []time.Time{time.Now()}
@@ -50,8 +50,8 @@
 		}
 		want := s.Spec
 		want.Program.Path = []string{next, base}[i%2]
-		want.Program.Digest, _ = change.OfFile(want.Program.Path)
-		fleet.Order(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Turn: int64(i) + 1}, By: "x", Member: m.Name, Want: want}})
+		want.Program.Digest, _ = change.FileDigest(want.Program.Path)
+		fleet.SendOrders(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Revision: int64(i) + 1}, By: "x", Member: m.Name, Spec: want}})
 		settled(func(pid, drains int) bool { return pid != s.PID && drains == 0 })
 		steady()
 	}
--- a/internal/proof/rollout/main.go
+++ b/internal/proof/rollout/main.go
@@ -51,13 +51,13 @@
 		os.Exit(1)
 	}
 	fmt.Printf("builds after %v\n", time.Since(began).Round(100*time.Millisecond))
-	list := []scenario{{name: "good settings", seed: 1, controllers: 6, engines: 4, want: rollout.Done},
-		{name: "good program", seed: 2, controllers: 6, engines: 4, want: rollout.Done, program: programs["next"]},
-		{name: "conductor killed", seed: 3, controllers: 6, engines: 4, want: rollout.Done, kill: true, brief: true}}
+	list := []scenario{{name: "good settings", seed: 1, controllers: 6, engines: 4, want: rollout.PhaseDone},
+		{name: "good program", seed: 2, controllers: 6, engines: 4, want: rollout.PhaseDone, program: programs["next"]},
+		{name: "conductor killed", seed: 3, controllers: 6, engines: 4, want: rollout.PhaseDone, kill: true, brief: true}}
 	for i, b := range bad {
-		list = append(list, scenario{name: "bad: " + b.what, seed: 10 + uint64(i), controllers: 6, engines: 4, want: rollout.Back, lastStage: 2, program: programs[b.name]})
+		list = append(list, scenario{name: "bad: " + b.what, seed: 10 + uint64(i), controllers: 6, engines: 4, want: rollout.PhaseRolledBack, lastStage: 2, program: programs[b.name]})
 	}
-	list = append(list, scenario{name: "good settings, an engine lost", seed: 30, controllers: 6, engines: 4, want: rollout.Done, loses: true})
+	list = append(list, scenario{name: "good settings, an engine lost", seed: 30, controllers: 6, engines: 4, want: rollout.PhaseDone, loses: true})
 	for i := range *seeds {
 		n := uint64(i) + 1
 		if *seed > 0 {
@@ -134,13 +134,13 @@
 	if t.want != "" && t.phase != t.want {
 		list = append(list, fmt.Sprintf("ends as %s (%s), wanted %s", t.phase, t.outcome, t.want))
 	}
-	if t.want == "" && !t.phase.Ends() {
+	if t.want == "" && !t.phase.IsTerminal() {
 		list = append(list, "does not end: "+string(t.phase))
 	}
 	if t.lastStage > 0 && t.stage > t.lastStage {
 		list = append(list, fmt.Sprintf("stopped at stage %d only", t.stage))
 	}
-	if t.want == rollout.Done && t.program == "" && t.broken > 0 {
+	if t.want == rollout.PhaseDone && t.program == "" && t.broken > 0 {
 		list = append(list, fmt.Sprintf("%d connections broke", t.broken))
 	}
 	if t.jobs < 100 {
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -108,8 +108,8 @@
 	if s.loses {
 		go func() {
 			town.Await(20*time.Second, func() bool {
-				r, _, err := coordinator.Look(folder).Record()
-				return err == nil && r.State.Phase == rollout.Baking
+				r, _, err := coordinator.UnlockedFolder(folder).Record()
+				return err == nil && r.State.Phase == rollout.PhaseBaking
 			})
 			town.Lose("e1")
 		}()
@@ -117,7 +117,7 @@
 	t.kills, t.err = s.conduct(town, base, folder, file)
 	close(done)
 	load.Stop()
-	r, _, err := coordinator.Look(folder).Record()
+	r, _, err := coordinator.UnlockedFolder(folder).Record()
 	if err != nil && t.err == nil {
 		t.err = err
 	}
@@ -128,7 +128,7 @@
 	t.harm = span(folder)
 	t.jobs, t.broken = load.Done.Load()+load.Throttled.Load()+load.Cancelled.Load(), load.Broken.Load()
 	want := r.From.Digest()
-	if t.phase == rollout.Done {
+	if t.phase == rollout.PhaseDone {
 		want = r.To.Digest()
 	}
 	for _, m := range town.Members {
@@ -181,9 +181,9 @@
 			return kills, err
 		}
 		kill := func() bool {
-			r, is, err := coordinator.Look(folder).Record()
+			r, is, err := coordinator.UnlockedFolder(folder).Record()
 			at := fmt.Sprint(r.State.Phase, r.State.Stage)
-			if s.kill && err == nil && is && !r.State.Phase.Ends() && !killed[at] {
+			if s.kill && err == nil && is && !r.State.Phase.IsTerminal() && !killed[at] {
 				killed[at] = true
 				return true
 			}
@@ -194,7 +194,7 @@
 		}
 		if p.Over() {
 			end := p.Await()
-			if r, is, _ := coordinator.Look(folder).Record(); is && r.State.Phase.Ends() {
+			if r, is, _ := coordinator.UnlockedFolder(folder).Record(); is && r.State.Phase.IsTerminal() {
 				return kills, nil
 			}
 			if kills > 0 && strings.Contains(p.Log(), "another process conducts") { // the killed one's lock is not free yet
@@ -210,13 +210,13 @@
 
 // span is from the first stage's beginning to the decision to go back, or to the end.
 func span(folder string) time.Duration {
-	list, _ := coordinator.Look(folder).History()
+	list, _ := coordinator.UnlockedFolder(folder).History()
 	var from, to time.Time
 	for _, s := range list {
-		if s.Phase == rollout.Applying && s.Stage == 0 && from.IsZero() {
+		if s.Phase == rollout.PhaseApplying && s.Stage == 0 && from.IsZero() {
 			from = s.At
 		}
-		if to.IsZero() && (s.Phase == rollout.GoingBack || s.Phase == rollout.Done) {
+		if to.IsZero() && (s.Phase == rollout.PhaseRollingBack || s.Phase == rollout.PhaseDone) {
 			to = s.At
 		}
 	}
@@ -235,7 +235,7 @@
 			continue
 		}
 		var f change.Fence
-		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Turn); err != nil {
+		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Revision); err != nil {
 			return err
 		}
 		if f.Compare(last) <= 0 {
--- a/internal/proof/rollout/taught.go
+++ b/internal/proof/rollout/taught.go
@@ -54,11 +54,11 @@
 	}
 	want := s.Spec
 	want.Program.Path = filepath.Join(filepath.Dir(program), "later")
-	if want.Program.Digest, err = change.OfFile(want.Program.Path); err != nil {
+	if want.Program.Digest, err = change.FileDigest(want.Program.Path); err != nil {
 		return 0, err
 	}
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
-	fleet.Order(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}})
+	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet.SendOrders(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}, By: "x", Member: m.Name, Spec: want}})
 	var again, jobs uint64
 	err = town.Await(20*time.Second, func() bool {
 		now, err := town.Status(m)
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -94,58 +94,58 @@
 
 // play takes a change through; members do at once as they are ordered.
 func (w *world) play(looks int) (c course) {
-	pace := change.Pace{BaseMS: 60_000, BakeMS: 60_000, MostMS: int64(looks) * 1000, ApplyMS: 60_000, SteadyMS: 1, UnheardMS: 5000, SharedMS: 30_000,
-		SharedTries: 2, HealthyPerMille: 500, LookMS: 1000}
+	pace := change.Timing{BaselineMS: 60_000, BakeMS: 60_000, MaxBakeMS: int64(looks) * 1000, ApplyTimeoutMS: 60_000, SettleMS: 1, UnreachableAfterMS: 5000, SharedRecoveryMS: 30_000,
+		MaxSharedRetries: 2, MinHealthyPerMille: 500, PollIntervalMS: 1000}
 	limits := canary.DefaultLimits()
-	m := rollout.New(rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}, change.Settings, "old", "new", nil, pace, 0)
+	m := rollout.New(rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}, change.KindSettings, "old", "new", nil, pace, 0)
 	base, on := canary.NewBaseline(), make([]bool, len(w.rates))
-	var places []change.Place
+	var places []change.Candidate
 	var j *canary.Analysis
 	var better canary.RecoveryCheck
 	var a, b [2]float64 // the naive test's counts
-	last, stage, began := rollout.Preparing, -1, 0
-	for t := 0; !m.State.Phase.Ends() && t < 10*looks; t++ {
+	last, stage, began := rollout.PhasePreparing, -1, 0
+	for t := 0; !m.State.Phase.IsTerminal() && t < 10*looks; t++ {
 		list := w.look(func(i int) bool { return on[i] })
-		in := rollout.Input{Now: int64(t) * 1e9}
+		in := rollout.Observation{Now: int64(t) * 1e9}
 		for i, s := range list {
-			x := rollout.Member{Name: s.Member, Heard: true, Serves: true, Running: "old"}
+			x := rollout.Member{Name: s.Member, Reachable: true, Serving: true, Running: "old"}
 			if on[i] {
 				x.Running = "new"
 			}
 			in.Members = append(in.Members, x)
 		}
 		if s := m.State; s.Phase != last || s.Stage != stage {
-			if last, stage = s.Phase, s.Stage; s.Phase == rollout.Applying {
-				j, better = canary.NewAnalysis(limits, base, m.New()), canary.RecoveryCheck{}
+			if last, stage = s.Phase, s.Stage; s.Phase == rollout.PhaseApplying {
+				j, better = canary.NewAnalysis(limits, base, m.TargetMembers()), canary.RecoveryCheck{}
 				if began == 0 {
 					began = t
 				}
 			}
 		}
 		switch m.State.Phase {
-		case rollout.Watching:
+		case rollout.PhaseBaseline:
 			base.Observe(list)
-		case rollout.Applying, rollout.Baking:
+		case rollout.PhaseApplying, rollout.PhaseBaking:
 			j.Observe(list)
-			in.Verdict = j.Verdict(m.State.Phase == rollout.Baking && m.Baked(in.Now))
+			in.Verdict = j.Verdict(m.State.Phase == rollout.PhaseBaking && m.BakeElapsed(in.Now))
 			c.naive = c.naive || m.State.Stage == 0 && naive(list, &a, &b)
 			c.new, c.seconds = in.Verdict.NewJobs, t-began
-		case rollout.Waiting:
-			in.Better = better.Observe(limits, base, list)
+		case rollout.PhaseAwaitingRecovery:
+			in.Recovered = better.Observe(limits, base, list)
 		}
 		before := m.State.Phase
 		m.Step(in)
-		if before == rollout.Watching && m.State.Phase == rollout.Applying {
+		if before == rollout.PhaseBaseline && m.State.Phase == rollout.PhaseApplying {
 			for i, s := range list {
-				places = append(places, change.Place{Name: s.Member, Jobs: uint64(60 * w.rates[i])})
+				places = append(places, change.Candidate{Name: s.Member, BaselineJobs: uint64(60 * w.rates[i])})
 			}
-			stages, _ := change.Layout([]change.Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places)
-			m.Lay(stages)
+			stages, _ := change.PlanStages([]change.Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places)
+			m.SetStages(stages)
 		}
 		for _, o := range m.Orders(in) {
 			for i, s := range list {
 				if s.Member == o.Member {
-					on[i] = o.New
+					on[i] = o.UseTarget
 				}
 			}
 		}
@@ -194,9 +194,9 @@
 			c := newWorld(uint64(1000*f.controllers+i), f.controllers, f.jobs, 0).play(900)
 			mu.Lock()
 			defer mu.Unlock()
-			if c.phase == rollout.Done {
+			if c.phase == rollout.PhaseDone {
 				passed++
-			} else if c.phase == rollout.Back {
+			} else if c.phase == rollout.PhaseRolledBack {
 				wrong++
 				why[c.outcome]++
 			}
@@ -224,7 +224,7 @@
 				c := newWorld(uint64(7000*f.controllers+i), f.controllers, f.jobs, harm).play(900)
 				mu.Lock()
 				defer mu.Unlock()
-				if c.phase == rollout.Back {
+				if c.phase == rollout.PhaseRolledBack {
 					jobs, seconds = append(jobs, int(c.new)), append(seconds, c.seconds)
 				}
 			})
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -14,12 +14,12 @@
 // A fleet in virtual time, where everything goes wrong that a schedule draws: orders are lost, late, doubled and turned
 // round, members are out of reach or die, conductors are killed between record and orders, and old ones wake up.
 
-var pace = change.Pace{BaseMS: 500, BakeMS: 1000, MostMS: 20_000, ApplyMS: 8000, SteadyMS: 1, UnheardMS: 300, SharedMS: 1500, SharedTries: 1, HealthyPerMille: 500, LookMS: 100}
+var pace = change.Timing{BaselineMS: 500, BakeMS: 1000, MaxBakeMS: 20_000, ApplyTimeoutMS: 8000, SettleMS: 1, UnreachableAfterMS: 300, SharedRecoveryMS: 1500, MaxSharedRetries: 1, MinHealthyPerMille: 500, PollIntervalMS: 100}
 
 const step = int64(100e6)
 
 type member struct {
-	held    change.Held
+	held    change.AcceptedOrder
 	running change.Digest
 	down    int  // looks until it serves again
 	away    bool // out of reach
@@ -57,10 +57,10 @@
 	f := &fleet{t: t, r: rand.New(rand.NewPCG(seed, 5)), passed: map[int]bool{}, seen: map[Phase]bool{}, deepest: -1}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprint("c", i))
-		f.members = append(f.members, &member{held: change.Held{Want: specs[false]}, running: specs[false].Digest()})
+		f.members = append(f.members, &member{held: change.AcceptedOrder{Spec: specs[false]}, running: specs[false].Digest()})
 	}
 	f.stages = [][]string{f.names[:1], f.names[:(n+1)/2], f.names}
-	f.record = State{Phase: Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}
+	f.record = State{Phase: PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
 	f.take()
 	return f
 }
@@ -68,19 +68,19 @@
 // take has a new conductor take the record over.
 func (f *fleet) take() {
 	f.record.Fence.Term++
-	f.m = New(f.record, change.Software, specs[false].Digest(), specs[true].Digest(), f.stages, pace, f.now)
+	f.m = New(f.record, change.KindProgram, specs[false].Digest(), specs[true].Digest(), f.stages, pace, f.now)
 }
 
-func (f *fleet) input(v canary.Verdict, ask Ask) Input {
-	in := Input{Now: f.now, Verdict: v, Better: f.r.IntN(3) == 0, Ask: ask}
+func (f *fleet) input(v canary.Verdict, ask Request) Observation {
+	in := Observation{Now: f.now, Verdict: v, Recovered: f.r.IntN(3) == 0, Request: ask}
 	for i, x := range f.members {
-		in.Members = append(in.Members, Member{Name: f.names[i], Heard: !x.away, Serves: x.down == 0, Running: x.running, Fence: x.held.Fence, Failed: x.failed})
+		in.Members = append(in.Members, Member{Name: f.names[i], Reachable: !x.away, Serving: x.down == 0, Running: x.running, Fence: x.held.Fence, Failure: x.failed})
 	}
 	return in
 }
 
 // one is a look of the conductor, and what comes of it at the members. kill: 1 before the record, 2 before the orders.
-func (f *fleet) one(v canary.Verdict, ask Ask, kill int, faults bool) {
+func (f *fleet) one(v canary.Verdict, ask Request, kill int, faults bool) {
 	before := f.m.State
 	in := f.input(v, ask)
 	changed := f.m.Step(in)
@@ -91,10 +91,10 @@
 	} else if changed {
 		f.record = f.m.State
 		f.seen[f.record.Phase] = true
-		if before.Phase == Baking && f.record.Phase != Baking && v.Conclusion == canary.NoRegression {
+		if before.Phase == PhaseBaking && f.record.Phase != PhaseBaking && v.Conclusion == canary.NoRegression {
 			f.passed[before.Stage] = true
 		}
-		if f.record.Phase == Applying {
+		if f.record.Phase == PhaseApplying {
 			if f.deepest = max(f.deepest, f.record.Stage); f.record.Stage > 0 && !f.passed[f.record.Stage-1] {
 				f.broken = fmt.Sprintf("stage %d begins without a verdict on the one before", f.record.Stage)
 			}
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, o := range orders {
-		w := change.Order{Format: 1, Fence: f.m.State.Fence, By: "x", Member: o.Member, Want: specs[o.New], Drain: o.Drain}
+		w := change.Order{Format: 1, Fence: f.m.State.Fence, By: "x", Member: o.Member, Spec: specs[o.UseTarget], Drain: o.Drain}
 		fl := flight{f.look, slices.Index(f.names, o.Member), w}
 		if faults {
 			switch f.r.IntN(6) {
@@ -134,10 +134,10 @@
 			later = append(later, fl)
 		case x.away:
 		default:
-			if next, _, err := x.held.Take(fl.o); err == nil {
+			if next, _, err := x.held.Accept(fl.o); err == nil {
 				x.held = next
 			} else if f.noFence {
-				x.held = change.Held{Fence: fl.o.Fence, By: fl.o.By, Want: fl.o.Want}
+				x.held = change.AcceptedOrder{Fence: fl.o.Fence, By: fl.o.By, Spec: fl.o.Spec}
 			}
 		}
 	}
@@ -148,8 +148,8 @@
 			if x.down--; x.down == 0 {
 				x.changes = false
 			}
-		} else if x.running != x.held.Want.Digest() && x.failed == "" && !x.held.Drain {
-			x.running, x.down, x.changes = x.held.Want.Digest(), 1+f.r.IntN(5), true
+		} else if x.running != x.held.Spec.Digest() && x.failed == "" && !x.held.Drain {
+			x.running, x.down, x.changes = x.held.Spec.Digest(), 1+f.r.IntN(5), true
 		}
 		if x.changes {
 			by++
@@ -165,7 +165,7 @@
 
 // settled tells what is wrong at the end.
 func (f *fleet) settled() string {
-	want := map[Phase]change.Digest{Done: specs[true].Digest(), Back: specs[false].Digest()}[f.m.State.Phase]
+	want := map[Phase]change.Digest{PhaseDone: specs[true].Digest(), PhaseRolledBack: specs[false].Digest()}[f.m.State.Phase]
 	for i, x := range f.members {
 		if want != "" && x.running != want {
 			return fmt.Sprintf("%s, and %s runs %s", f.m.State.Phase, f.names[i], x.running)
@@ -180,20 +180,20 @@
 	f.noFence = noFence
 	var asleep *Machine // a conductor that was stopped and another has taken over from
 	bad := f.r.IntN(3) == 0
-	for i := 0; i < 3000 && !f.m.State.Phase.Ends(); i++ {
+	for i := 0; i < 3000 && !f.m.State.Phase.IsTerminal(); i++ {
 		faults := i < 250
 		v := canary.Verdict{Conclusion: canary.Inconclusive}
-		if f.m.State.Phase == Baking {
+		if f.m.State.Phase == PhaseBaking {
 			switch n := f.r.IntN(30); {
 			case n == 0 && bad:
 				v.Conclusion = canary.Regressed
 			case n == 1 && faults:
 				v.Conclusion = canary.AllRegressed
-			case n < 12 && f.m.Baked(f.now):
+			case n < 12 && f.m.BakeElapsed(f.now):
 				v.Conclusion = canary.NoRegression
 			}
 		}
-		kill, ask := 0, Ask("")
+		kill, ask := 0, Request("")
 		if faults {
 			if f.r.IntN(25) == 0 {
 				kill = 1 + f.r.IntN(2)
@@ -205,19 +205,19 @@
 			x := f.members[f.r.IntN(len(f.members))]
 			x.away = f.r.IntN(20) == 0
 			if f.r.IntN(150) == 0 {
-				ask = []Ask{AskPause, AskResume, AskBack}[f.r.IntN(3)]
+				ask = []Request{RequestPause, RequestResume, RequestRollback}[f.r.IntN(3)]
 			}
 		} else {
 			for _, x := range f.members {
 				x.away = false
 			}
 			if f.m.State.Paused {
-				ask = AskResume
+				ask = RequestResume
 			}
 		}
 		if asleep != nil && f.r.IntN(10) == 0 { // it wakes, and orders what it thinks is due, before it looks
 			for k, name := range f.names {
-				f.sky = append(f.sky, flight{f.look + f.r.IntN(400), k, change.Order{Format: 1, Fence: asleep.State.Fence, By: "x", Member: name, Want: specs[slices.Contains(asleep.New(), name)]}})
+				f.sky = append(f.sky, flight{f.look + f.r.IntN(400), k, change.Order{Format: 1, Fence: asleep.State.Fence, By: "x", Member: name, Spec: specs[slices.Contains(asleep.TargetMembers(), name)]}})
 			}
 			asleep = nil
 		}
@@ -226,7 +226,7 @@
 			return f.broken, f.seen
 		}
 	}
-	if !f.m.State.Phase.Ends() {
+	if !f.m.State.Phase.IsTerminal() {
 		return "does not end: " + string(f.m.State.Phase), f.seen
 	}
 	for range 500 { // what is still on its way
@@ -247,7 +247,7 @@
 			all[p] = true
 		}
 	}
-	for _, p := range []Phase{Watching, Applying, Baking, Withdrawing, Waiting, Finishing, Done, GoingBack, Back} {
+	for _, p := range []Phase{PhaseBaseline, PhaseApplying, PhaseBaking, PhaseRollingBackStage, PhaseAwaitingRecovery, PhaseFinishing, PhaseDone, PhaseRollingBack, PhaseRolledBack} {
 		if !all[p] {
 			t.Errorf("no schedule reaches %s", p)
 		}
@@ -268,9 +268,9 @@
 		for _, how := range []int{1, 2} {
 			for at := range 120 {
 				f := newFleet(t, 1, 4)
-				for i := 0; i < 2000 && !f.m.State.Phase.Ends(); i++ {
+				for i := 0; i < 2000 && !f.m.State.Phase.IsTerminal(); i++ {
 					v := canary.Verdict{Conclusion: canary.Inconclusive}
-					if f.m.State.Phase == Baking && f.m.Baked(f.now) {
+					if f.m.State.Phase == PhaseBaking && f.m.BakeElapsed(f.now) {
 						if v.Conclusion = canary.NoRegression; bad && f.m.State.Stage == 1 {
 							v.Conclusion = canary.Regressed
 						}
@@ -281,7 +281,7 @@
 					}
 					f.one(v, "", kill, false)
 				}
-				if want := map[bool]Phase{false: Done, true: Back}[bad]; f.m.State.Phase != want || f.settled() != "" {
+				if want := map[bool]Phase{false: PhaseDone, true: PhaseRolledBack}[bad]; f.m.State.Phase != want || f.settled() != "" {
 					t.Fatalf("killed at look %d (%d), bad %v: %s %s", at, how, bad, f.m.State.Phase, f.settled())
 				}
 			}
@@ -291,22 +291,22 @@
 
 func TestOneThatCannotGoBackIsNamedAndDrained(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	for i := 0; i < 400 && f.m.State.Phase != Stuck; i++ {
+	for i := 0; i < 400 && f.m.State.Phase != PhaseDegraded; i++ {
 		v := canary.Verdict{Conclusion: canary.Inconclusive}
-		if f.m.State.Phase == Baking {
+		if f.m.State.Phase == PhaseBaking {
 			v.Conclusion = canary.Regressed
 			f.members[0].failed = "the program is gone"
 		}
 		f.one(v, "", 0, false)
 	}
-	if f.m.State.Phase != Stuck || f.m.State.Drains["c0"] == "" || !strings.Contains(f.m.State.Why, "c0") || !f.members[0].held.Drain {
+	if f.m.State.Phase != PhaseDegraded || f.m.State.Drained["c0"] == "" || !strings.Contains(f.m.State.Reason, "c0") || !f.members[0].held.Drain {
 		t.Fatalf("%+v, drains %v", f.m.State, f.members[0].held.Drain)
 	}
 	f.members[0].failed, f.members[0].running = "", "" // mended by hand; it is still out of service, so nothing runs there
-	for i := 0; i < 50 && f.m.State.Phase != Back; i++ {
+	for i := 0; i < 50 && f.m.State.Phase != PhaseRolledBack; i++ {
 		f.one(canary.Verdict{}, "", 0, false)
 	}
-	if f.m.State.Phase != Back || f.members[0].held.Drain || f.settled() != "" {
+	if f.m.State.Phase != PhaseRolledBack || f.members[0].held.Drain || f.settled() != "" {
 		t.Errorf("%+v, drains %v: %s", f.m.State, f.members[0].held.Drain, f.settled())
 	}
 }
@@ -314,10 +314,10 @@
 func TestAFleetThatIsNotAllThereBeginsNothing(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.members[2].away = true
-	for i := 0; i < 400 && !f.m.State.Phase.Ends(); i++ {
+	for i := 0; i < 400 && !f.m.State.Phase.IsTerminal(); i++ {
 		f.one(canary.Verdict{}, "", 0, false)
 	}
-	if f.m.State.Phase != Stopped || !strings.Contains(f.m.State.Outcome, "c2") || f.deepest >= 0 {
+	if f.m.State.Phase != PhaseStopped || !strings.Contains(f.m.State.Outcome, "c2") || f.deepest >= 0 {
 		t.Errorf("%+v", f.m.State)
 	}
 }
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -14,9 +14,9 @@
 }
 
 // wantedConfig returns what an operator file shall say under an order and an assignment.
-func wantedConfig(order change.Held, assigned assignment.Accepted, hasPredecessor bool) controllerConfig {
-	config := controllerConfig{spec: order.Want.Digest(), hasPredecessor: hasPredecessor}
-	if len(order.Want.Plan) == 0 && assigned.Plan != "" {
+func wantedConfig(order change.AcceptedOrder, assigned assignment.Accepted, hasPredecessor bool) controllerConfig {
+	config := controllerConfig{spec: order.Spec.Digest(), hasPredecessor: hasPredecessor}
+	if len(order.Spec.Plan) == 0 && assigned.Plan != "" {
 		config.leaderPlan = assigned.Plan
 		config.leaderPlanExpiry = assigned.PlanUntil
 	}
--- a/internal/supervisor/failure.go
+++ b/internal/supervisor/failure.go
@@ -26,7 +26,7 @@
 
 // verifyProgram reports whether a program's file is the ordered one; if not, the order has failed.
 func (s *Supervisor) verifyProgram(program change.Program) bool {
-	digest, err := change.OfFile(program.Path)
+	digest, err := change.FileDigest(program.Path)
 	if err == nil && digest != program.Digest {
 		err = &ProgramMismatchError{Path: program.Path, Found: digest, Ordered: program.Digest}
 	}
--- a/internal/supervisor/folder_test.go
+++ b/internal/supervisor/folder_test.go
@@ -29,7 +29,7 @@
 	if code, body := r.post(t, "/v1/order", first); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Want.Digest() })
+	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Spec.Digest() })
 	word := assignment.Assignment{
 		Format:      change.Format,
 		Term:        3,
@@ -41,7 +41,7 @@
 		SharesUntil: monotonic.Now() + int64(
 			time.Minute,
 		),
-		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
+		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
 		PlanText:  json.RawMessage(planOfOwner),
 	}
@@ -59,7 +59,7 @@
 	r.await(
 		t,
 		"the second order",
-		func(s Status) bool { return s.RunningSpec == second.Want.Digest() && len(s.DrainingPIDs) == 0 },
+		func(s Status) bool { return s.RunningSpec == second.Spec.Digest() && len(s.DrainingPIDs) == 0 },
 	)
 	r.stop()
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
@@ -83,10 +83,10 @@
 	s := r.await(
 		t,
 		"the recorded order",
-		func(s Status) bool { return s.Serving && s.RunningSpec == held.Want.Digest() },
+		func(s Status) bool { return s.Serving && s.RunningSpec == held.Spec.Digest() },
 	)
-	if s.Fence != held.Fence || s.OrderedBy != held.By || s.Spec.Program != held.Want.Program ||
-		s.Spec.Digest() != held.Want.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
+	if s.Fence != held.Fence || s.OrderedBy != held.By || s.Spec.Program != held.Spec.Program ||
+		s.Spec.Digest() != held.Spec.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
 		t.Errorf("%+v", s)
 	}
 	before, err := os.ReadFile(filepath.Join(dir, "held.json"))
@@ -96,9 +96,9 @@
 	other := held
 	other.By = "conductor-b"
 	for what, o := range map[string]change.Order{
-		"earlier":                              orderOf(8, held.Want.Program, shapeFirst, ""),
+		"earlier":                              orderOf(8, held.Spec.Program, shapeFirst, ""),
 		"of another conductor":                 other,
-		"with the same fence and another spec": orderOf(9, held.Want.Program, shapeFirst, ""),
+		"with the same fence and another spec": orderOf(9, held.Spec.Program, shapeFirst, ""),
 	} {
 		if code, _ := r.post(t, "/v1/order", o); code != http.StatusConflict {
 			t.Errorf("an order %s: %d", what, code)
@@ -113,10 +113,10 @@
 	}
 	for _, plan := range []string{planOrdered, planOfOwner} {
 		// The text of a plan read back from held.json has other blanks: its digest is that of its value.
-		digest := change.OfJSON(json.RawMessage(plan))
+		digest := change.JSONDigest(json.RawMessage(plan))
 		name := "plan-" + string(digest) + ".json"
 		text := readFile(t, filepath.Join(dir, name))
-		if change.OfJSON(json.RawMessage(text)) != digest {
+		if change.JSONDigest(json.RawMessage(text)) != digest {
 			t.Errorf("%s: %s", name, text)
 		}
 	}
@@ -125,14 +125,14 @@
 		t.Fatal(code, body)
 	}
 	s = r.await(t, "the next order", func(s Status) bool {
-		return s.Serving && s.RunningSpec == next.Want.Digest() && len(s.DrainingPIDs) == 0
+		return s.Serving && s.RunningSpec == next.Spec.Digest() && len(s.DrainingPIDs) == 0
 	})
 	if s.Fence != next.Fence {
 		t.Errorf("%+v", s)
 	}
 	r.stop()
 	again, err := New(options(t, dir))
-	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Want.Digest() {
+	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Spec.Digest() {
 		t.Errorf("%v: %+v", err, again)
 	}
 }
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -39,18 +39,18 @@
 		golden.Check(t, name, text)
 	}
 	spec := change.Spec{
-		Program: change.Program{Path: "/opt/controller", Digest: "d1"},
-		Shape:   json.RawMessage(shapeFirst),
+		Program:  change.Program{Path: "/opt/controller", Digest: "d1"},
+		Topology: json.RawMessage(shapeFirst),
 	}
 	if err := s.AcceptOrder(
 		change.Order{
 			Format: change.Format,
-			Fence:  change.Fence{Number: 5, Term: 6, Turn: 7},
+			Fence:  change.Fence{Number: 5, Term: 6, Revision: 7},
 			By:     "x",
 			Member: "c1",
-			Want:   spec,
+			Spec:   spec,
 			Drain:  true,
-			Why:    "why",
+			Reason: "why",
 		},
 	); err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 		Term:      1,
 		Sequence:  2,
 		Leader:    "c2",
-		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
+		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
 		PlanUntil: 123456789,
 		PlanText:  json.RawMessage(planOfOwner),
 	}
@@ -80,8 +80,8 @@
 	}
 	check("operator-1.json", "files/operator-plan-of-owner.json")
 	held := s.order
-	held.Want.Plan = json.RawMessage(planOrdered)
-	held.Want.Shape = nil
+	held.Spec.Plan = json.RawMessage(planOrdered)
+	held.Spec.Topology = nil
 	s.current.operatorFile = s.statePath("operator-2.json")
 	if !s.writeOperatorFile(s.current, held, word, false) {
 		t.Fatal(s.failure)
@@ -123,14 +123,14 @@
 		Format: 2,
 		Name:   "c1",
 		Spec: change.Spec{
-			Program: change.Program{Path: "/p", Digest: "d"},
-			Shape:   json.RawMessage(`{"a":1}`),
-			Plan:    json.RawMessage(`{"b":2}`),
+			Program:  change.Program{Path: "/p", Digest: "d"},
+			Topology: json.RawMessage(`{"a":1}`),
+			Plan:     json.RawMessage(`{"b":2}`),
 		},
 		RunningSpec:    "r",
 		Version:        "v",
 		SettingsDigest: "s",
-		Fence:          change.Fence{Number: 1, Term: 2, Turn: 3},
+		Fence:          change.Fence{Number: 1, Term: 2, Revision: 3},
 		OrderedBy:      "x",
 		Serving:        true,
 		Drained:        true,
@@ -213,7 +213,7 @@
 	r := run(t, filepath.Join(t.TempDir(), "state"))
 	s := r.await(t, "its controller", func(s Status) bool { return s.Serving && s.ReadyEngineCount == 2 })
 	o := orderOf(9, programAt(t, "controller"), shapeSecond, planOrdered)
-	o.Why = "a test"
+	o.Reason = "a test"
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
@@ -228,7 +228,7 @@
 		SharesUntil: monotonic.Now() + int64(
 			10*time.Minute,
 		),
-		Plan:      change.OfJSON(json.RawMessage(planOfOwner)),
+		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
 		PlanText:  json.RawMessage(planOfOwner),
 	}
@@ -236,7 +236,7 @@
 		t.Errorf("%d %q", code, body)
 	}
 	r.await(t, "order and word", func(s Status) bool {
-		return s.RunningSpec == o.Want.Digest() && s.AppliedAssignment == 1 && s.SharePerMillion == 400_000
+		return s.RunningSpec == o.Spec.Digest() && s.AppliedAssignment == 1 && s.SharePerMillion == 400_000
 	})
 	golden.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
 	golden.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
--- a/internal/supervisor/harness_test.go
+++ b/internal/supervisor/harness_test.go
@@ -31,7 +31,7 @@
 func programAt(t *testing.T, name string) change.Program {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	digest, err := change.OfFile(path)
+	digest, err := change.FileDigest(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,16 +127,16 @@
 func orderOf(turn int64, program change.Program, shape, plan string) change.Order {
 	o := change.Order{
 		Format: change.Format,
-		Fence:  change.Fence{Number: 4, Term: 2, Turn: turn},
+		Fence:  change.Fence{Number: 4, Term: 2, Revision: turn},
 		By:     "conductor-a",
 		Member: "c1",
-		Want:   change.Spec{Program: program},
+		Spec:   change.Spec{Program: program},
 	}
 	if shape != "" {
-		o.Want.Shape = json.RawMessage(shape)
+		o.Spec.Topology = json.RawMessage(shape)
 	}
 	if plan != "" {
-		o.Want.Plan = json.RawMessage(plan)
+		o.Spec.Plan = json.RawMessage(plan)
 	}
 	return o
 }
--- a/internal/supervisor/lifecycle.go
+++ b/internal/supervisor/lifecycle.go
@@ -11,9 +11,9 @@
 )
 
 // startController starts a controller as ordered: as the current one, or as the next one if there is a current one.
-func (s *Supervisor) startController(order change.Held, assigned assignment.Accepted) {
+func (s *Supervisor) startController(order change.AcceptedOrder, assigned assignment.Accepted) {
 	c := &controller{
-		program:      order.Want.Program,
+		program:      order.Spec.Program,
 		operatorFile: s.operatorFilePath(),
 		startedAt:    time.Now(),
 		exited:       make(chan struct{}),
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -75,7 +75,7 @@
 // writeOperatorFile writes a controller's operator file, and reports whether that succeeded; if not, the order has
 // failed.
 func (s *Supervisor) writeOperatorFile(
-	target *controller, order change.Held, assigned assignment.Accepted, hasPredecessor bool,
+	target *controller, order change.AcceptedOrder, assigned assignment.Accepted, hasPredecessor bool,
 ) bool {
 	config := wantedConfig(order, assigned, hasPredecessor)
 	parts, err := s.operatorParts(target, order, assigned, config)
@@ -90,7 +90,7 @@
 
 // operatorParts returns the contents of a controller's operator file by key, and writes the plan that it names.
 func (s *Supervisor) operatorParts(
-	target *controller, order change.Held, assigned assignment.Accepted, config controllerConfig,
+	target *controller, order change.AcceptedOrder, assigned assignment.Accepted, config controllerConfig,
 ) (map[string]json.RawMessage, error) {
 	parts := map[string]json.RawMessage{}
 	for key, text := range s.operatorFile {
@@ -103,10 +103,10 @@
 		return nil, err
 	}
 	parts[tallyKey] = tally
-	if len(order.Want.Shape) > 0 {
-		parts[topologyKey] = order.Want.Shape
+	if len(order.Spec.Topology) > 0 {
+		parts[topologyKey] = order.Spec.Topology
 	}
-	plan := order.Want.Plan
+	plan := order.Spec.Plan
 	if config.leaderPlan != "" {
 		plan = assigned.PlanText
 	}
@@ -131,7 +131,7 @@
 
 // planPart writes a plan's file and returns the part of the operator file that names it.
 func (s *Supervisor) planPart(plan json.RawMessage, config controllerConfig) (json.RawMessage, error) {
-	name := fmt.Sprintf("plan-%s.json", change.OfJSON(plan))
+	name := fmt.Sprintf("plan-%s.json", change.JSONDigest(plan))
 	err := renameio.WriteFile(s.statePath(name), plan, stateFileMode)
 	s.prunePlanFiles(name)
 	if err != nil {
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -48,17 +48,17 @@
 	if order.Member != s.options.Name {
 		return &WrongMemberError{Addressed: order.Member, Reached: s.options.Name}
 	}
-	next, isNew, err := s.order.Take(order)
+	next, isNew, err := s.order.Accept(order)
 	if err != nil || !isNew {
 		return err
 	}
 	if err := writeJSON(s.statePath(orderFileName), next); err != nil {
 		return errors.Join(ErrOrderNotRecorded, err)
 	}
-	if next.Want.Digest() != s.order.Want.Digest() {
+	if next.Spec.Digest() != s.order.Spec.Digest() {
 		s.failure = ""
-		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.By, "spec", next.Want.Digest(),
-			"drain", next.Drain, "reason", order.Why)
+		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.By, "spec", next.Spec.Digest(),
+			"drain", next.Drain, "reason", order.Reason)
 	}
 	s.order = next
 	s.wakeUp()
@@ -93,9 +93,9 @@
 }
 
 // loadOrder reads the stored order. If there is none, it is what the operator's file and the options say.
-func (s *Supervisor) loadOrder() (change.Held, error) {
+func (s *Supervisor) loadOrder() (change.AcceptedOrder, error) {
 	if err := os.MkdirAll(s.options.StateDir, stateDirMode); err != nil {
-		return change.Held{}, err
+		return change.AcceptedOrder{}, err
 	}
 	path := s.statePath(orderFileName)
 	text, err := os.ReadFile(path)
@@ -103,11 +103,11 @@
 		return s.initialOrder()
 	}
 	if err != nil {
-		return change.Held{}, err
+		return change.AcceptedOrder{}, err
 	}
-	var order change.Held
+	var order change.AcceptedOrder
 	if err := json.Unmarshal(text, &order); err != nil {
-		return change.Held{}, fmt.Errorf(
+		return change.AcceptedOrder{}, fmt.Errorf(
 			"%s: %w: remove it only if every coordinator of old changes is gone",
 			path,
 			err,
@@ -117,19 +117,19 @@
 }
 
 // initialOrder is in force before the first order.
-func (s *Supervisor) initialOrder() (change.Held, error) {
-	digest, err := change.OfFile(s.options.ProgramPath)
+func (s *Supervisor) initialOrder() (change.AcceptedOrder, error) {
+	digest, err := change.FileDigest(s.options.ProgramPath)
 	if err != nil {
-		return change.Held{}, err
+		return change.AcceptedOrder{}, err
 	}
 	plan, err := s.operatorPlan()
 	if err != nil {
-		return change.Held{}, err
+		return change.AcceptedOrder{}, err
 	}
-	return change.Held{Want: change.Spec{
-		Program: change.Program{Path: s.options.ProgramPath, Digest: digest},
-		Shape:   s.operatorFile[topologyKey],
-		Plan:    plan,
+	return change.AcceptedOrder{Spec: change.Spec{
+		Program:  change.Program{Path: s.options.ProgramPath, Digest: digest},
+		Topology: s.operatorFile[topologyKey],
+		Plan:     plan,
 	}}, nil
 }
 
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -91,7 +91,7 @@
 	status := Status{
 		Format:            change.Format,
 		Name:              s.options.Name,
-		Spec:              s.order.Want,
+		Spec:              s.order.Spec,
 		Fence:             s.order.Fence,
 		OrderedBy:         s.order.By,
 		Drained:           s.outOfService,
--- a/internal/supervisor/step.go
+++ b/internal/supervisor/step.go
@@ -13,7 +13,7 @@
 
 // snapshot is the state that one step works on, copied under the lock.
 type snapshot struct {
-	order          change.Held
+	order          change.AcceptedOrder
 	assigned       assignment.Accepted
 	current        *controller
 	next           *controller
@@ -29,7 +29,7 @@
 	s.pollControllers(ctx)
 	state := s.observe()
 	if state.recheckDue {
-		s.recheckFailure(state.order.Want.Program)
+		s.recheckFailure(state.order.Spec.Program)
 	}
 	s.deliverShare(ctx, state)
 	s.perform(state)
@@ -56,7 +56,7 @@
 	}
 	previous := target.report
 	target.report = report
-	runsOrder := report.SpecDigest == s.order.Want.Digest() && target.program == s.order.Want.Program
+	runsOrder := report.SpecDigest == s.order.Spec.Digest() && target.program == s.order.Spec.Program
 	if target == s.current && runsOrder {
 		s.failure = ""
 	}
@@ -101,7 +101,7 @@
 		hasCurrent:   state.current != nil,
 		hasNext:      state.next != nil,
 	}
-	ordered := state.order.Want.Program
+	ordered := state.order.Spec.Program
 	if state.current != nil {
 		wanted := wantedConfig(state.order, state.assigned, state.hasPredecessor)
 		at.currentMatches = state.current.program == ordered
@@ -109,7 +109,7 @@
 	}
 	if state.next != nil {
 		at.nextMatches = state.next.program == ordered
-		at.nextReady = state.next.report.Ready && state.next.report.SpecDigest == state.order.Want.Digest()
+		at.nextReady = state.next.report.Ready && state.next.report.SpecDigest == state.order.Spec.Digest()
 	}
 	return at
 }
@@ -139,7 +139,7 @@
 func (s *Supervisor) perform(state snapshot) {
 	switch state.situation.decide() {
 	case startController:
-		if s.verifyProgram(state.order.Want.Program) {
+		if s.verifyProgram(state.order.Spec.Program) {
 			s.startController(state.order, state.assigned)
 		}
 	case promoteNext:
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -61,7 +61,7 @@
 	startCount   int           // of controllers; used by Run alone
 
 	mu               sync.Mutex // guards the fields below
-	order            change.Held
+	order            change.AcceptedOrder
 	assignment       assignment.Accepted
 	current          *controller   // serves; nil: none
 	next             *controller   // shall replace current; nil: none
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -77,16 +77,16 @@
 	writeFile(t, file, `{"shape":{"cancel":false},"fleet":{"members":[]}}`)
 	o := Options{Name: "c1", StateDir: filepath.Join(dir, "state"), OperatorFile: file, ProgramPath: program}
 	s, err := New(o)
-	if err != nil || string(s.order.Want.Shape) != `{"cancel":false}` || s.order.Fence != (change.Fence{}) {
+	if err != nil || string(s.order.Spec.Topology) != `{"cancel":false}` || s.order.Fence != (change.Fence{}) {
 		t.Fatalf("%+v %v", s, err)
 	}
-	fence := change.Fence{Number: 4, Term: 2, Turn: 9}
-	order := change.Order{Format: 1, Fence: fence, By: "x", Member: "c1", Want: s.order.Want}
+	fence := change.Fence{Number: 4, Term: 2, Revision: 9}
+	order := change.Order{Format: 1, Fence: fence, By: "x", Member: "c1", Spec: s.order.Spec}
 	if err := s.AcceptOrder(order); err != nil {
 		t.Fatal(err)
 	}
 	c := &controller{operatorFile: s.statePath("operator-1.json")}
-	wanted := controllerConfig{spec: s.order.Want.Digest(), hasPredecessor: true}
+	wanted := controllerConfig{spec: s.order.Spec.Digest(), hasPredecessor: true}
 	if !s.writeOperatorFile(c, s.order, assignment.Accepted{}, true) || c.config != wanted {
 		t.Fatal(s.failure)
 	}
@@ -94,7 +94,7 @@
 	if err := json.Unmarshal(readFile(t, c.operatorFile), &parts); err != nil {
 		t.Fatal(err)
 	}
-	if parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(s.order.Want.Digest())) {
+	if parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(s.order.Spec.Digest())) {
 		t.Errorf("%s", parts)
 	}
 	if s, err = New(o); err != nil || s.order.Fence != order.Fence || s.order.By != "x" {
@@ -167,7 +167,7 @@
 	if err := os.Remove(program); err != nil {
 		t.Fatal(err)
 	}
-	s.verifyProgram(s.order.Want.Program)
+	s.verifyProgram(s.order.Spec.Program)
 	s.step(t.Context())
 	if status := s.Status(); status.Failure == "" || !status.Drained {
 		t.Fatalf("%+v", status)
@@ -207,7 +207,7 @@
 	}))
 	defer server.Close()
 	c := &controller{
-		program: s.order.Want.Program,
+		program: s.order.Spec.Program,
 		exited:  make(chan struct{}),
 		address: strings.TrimPrefix(server.URL, "http://"),
 	}
--- a/internal/testcluster/town.go
+++ b/internal/testcluster/town.go
@@ -206,8 +206,8 @@
 
 // Status asks a keeper past its link.
 func (t *Town) Status(m *Member) (s supervisor.Status, err error) {
-	f := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
-	a := f.Ask(context.Background())[0]
+	f := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	a := f.Poll(context.Background())[0]
 	return a.Status, a.Err
 }
 
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -38,7 +38,7 @@
 	}
 	path, err := os.Executable()
 	if err == nil {
-		b.Digest, err = change.OfFile(path)
+		b.Digest, err = change.FileDigest(path)
 	}
 	return b, err
 }
