--- a/cmd/rollout-view/watch.go
+++ b/cmd/rollout-view/watch.go
@@ -114,8 +114,8 @@
 	fmt.Fprintln(w, "CONTROLLER\tVERSION\tRUNS\tSERVES\tOWED\tORDER\tENDS\tNOTE")
 	for i, reply := range fleet.Poll(context.Background()) {
 		status := reply.Status
-		runs := versions[status.Running]
-		note := status.Failed
+		runs := versions[status.RunningSpec]
+		note := status.Failure
 		switch {
 		case reply.Err != nil:
 			runs = "?"
@@ -123,8 +123,8 @@
 		case runs == "":
 			runs = "other"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, status.Version, runs, status.Serves,
-			status.Owed, status.Fence, status.Crashes, note)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, status.Version, runs, status.Serving,
+			status.OwedAnswers, status.Fence, status.Crashes, note)
 	}
 	_ = w.Flush() // into memory
 }
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -42,7 +42,7 @@
 
 // Load reads a change file and fills in defaults. A *schema.ValidationError names every fault by its path in the file.
 func Load(path string) (Change, error) {
-	change := Change{Limits: canary.Usual()}
+	change := Change{Limits: canary.DefaultLimits()}
 	if err := schema.Read(path, schema.Change, &change); err != nil {
 		return Change{}, err
 	}
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -143,7 +143,7 @@
 	writeFile(t, path, `{"number":3,"kind":"settings","to":{"shape":{}},"limits":{"missed_per_mille":1}}`)
 	c, err := Load(path)
 	if err != nil || c.Timing.BakeMS != 60_000 || len(c.Stages) != 3 || c.Limits.MissedPerMille != 1 ||
-		c.Limits.Crashes != 2 {
+		c.Limits.MaxCrashes != 2 {
 		t.Errorf("%+v %v", c, err)
 	}
 }
--- a/internal/command/fleet/fleet_status.go
+++ b/internal/command/fleet/fleet_status.go
@@ -67,7 +67,7 @@
 }
 
 func describe(name string, reply coordinator.StatusReply) controllerStatus {
-	status := controllerStatus{Status: reply.Status, UnknownFields: sortedKeys(reply.Status.Others)}
+	status := controllerStatus{Status: reply.Status, UnknownFields: sortedKeys(reply.Status.UnknownFields)}
 	status.Name = name
 	if reply.Err != nil {
 		status.Error = reply.Err.Error()
@@ -77,7 +77,7 @@
 
 func allServe(statuses []controllerStatus) bool {
 	for _, status := range statuses {
-		if status.Error != "" || !status.Serves {
+		if status.Error != "" || !status.Serving {
 			return false
 		}
 	}
@@ -88,12 +88,12 @@
 	table := newTable(out)
 	fmt.Fprintln(table, "CONTROLLER\tVERSION\tSPEC\tSERVES\tOWED\tLAST ORDER\tENDS\tMB\tNOTE")
 	for _, status := range statuses {
-		note := status.Error + status.Failed
+		note := status.Error + status.Failure
 		if status.Drained {
 			note = "out of service"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%.0f\t%s\n", status.Name, status.Version, status.Running,
-			status.Serves, status.Owed, status.Fence, status.Crashes, status.MemoryMB, note)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%.0f\t%s\n", status.Name, status.Version, status.RunningSpec,
+			status.Serving, status.OwedAnswers, status.Fence, status.Crashes, status.MemoryMB, note)
 	}
 	return table.Flush()
 }
--- a/internal/command/fleet/supervise.go
+++ b/internal/command/fleet/supervise.go
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (o superviseOptions) newSupervisor(fleet *operator.Fleet) (*supervisor.Keeper, error) {
+func (o superviseOptions) newSupervisor(fleet *operator.Fleet) (*supervisor.Supervisor, error) {
 	program := fleet.Program
 	if program == "" {
 		own, err := os.Executable()
@@ -123,13 +123,13 @@
 		program = filepath.Join(filepath.Dir(own), "swiftreel")
 	}
 	return supervisor.New(supervisor.Options{
-		Name:     o.name,
-		State:    o.stateFolder,
-		Operator: o.operatorFile,
-		Program:  program,
-		Drain:    time.Duration(fleet.DrainMS) * time.Millisecond,
-		Env:      os.Environ(),
-		Log:      os.Stderr,
+		Name:         o.name,
+		StateDir:     o.stateFolder,
+		OperatorFile: o.operatorFile,
+		ProgramPath:  program,
+		DrainTimeout: time.Duration(fleet.DrainMS) * time.Millisecond,
+		Environment:  os.Environ(),
+		LogOutput:    os.Stderr,
 	})
 }
 
--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := change.PlanStages(next.Stages, candidates(fleet.Members, canary.NewBase())); err != nil {
+	if _, err := change.PlanStages(next.Stages, candidates(fleet.Members, canary.NewBaseline())); err != nil {
 		return err
 	}
 	state := rollout.State{Phase: rollout.PhasePreparing, Fence: start.fence}
@@ -69,7 +69,7 @@
 		}
 		accepted := status.Fence
 		if accepted.Number > next.Number || accepted.Number == next.Number && !replaceLost {
-			return start, fmt.Errorf("/number: %s has taken order %v by %s", name, accepted, status.By)
+			return start, fmt.Errorf("/number: %s has taken order %v by %s", name, accepted, status.OrderedBy)
 		}
 		if accepted.Number == next.Number {
 			start.fence.Term = max(start.fence.Term, accepted.Term+1)
@@ -79,11 +79,11 @@
 }
 
 // candidates describes the members for the choice of who is changed first.
-func candidates(members []operator.Member, baseline *canary.Base) []change.Candidate {
+func candidates(members []operator.Member, baseline *canary.Baseline) []change.Candidate {
 	var list []change.Candidate
 	for _, member := range members {
 		candidate := change.Candidate{Name: member.Name, Zone: member.Zone, Types: member.Types}
-		for _, work := range baseline.Work[member.Name] {
+		for _, work := range baseline.CountsByMember[member.Name] {
 			candidate.BaselineJobs += work.Jobs
 		}
 		list = append(list, candidate)
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -24,10 +24,10 @@
 	members []memberView // by the member's index
 	start   time.Time    // zero of the coordinator's own clock
 
-	baseline  *canary.Base
-	evaluator *canary.Judge   // of the stage; nil before the first
-	recovery  canary.Recovery // of the fleet, while a stage is rolled back
-	evaluated stageInPhase    // what evaluator and recovery were begun for
+	baseline  *canary.Baseline
+	evaluator *canary.Analysis     // of the stage; nil before the first
+	recovery  canary.RecoveryCheck // of the fleet, while a stage is rolled back
+	evaluated stageInPhase         // what evaluator and recovery were begun for
 
 	recordPending bool   // the state has changed and could not be recorded yet
 	lastRejection string // of an order, as logged
@@ -148,7 +148,7 @@
 			continue
 		}
 		slog.Error("rollout_fenced", "number", c.record.Change.Number, "member", reply.Status.Name,
-			"taken", reply.Status.Fence.String(), "by", reply.Status.By, "ours", own.String())
+			"taken", reply.Status.Fence.String(), "by", reply.Status.OrderedBy, "ours", own.String())
 		return ErrFenced
 	}
 	return nil
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -8,9 +8,9 @@
 
 // observe turns supervisors' replies into what the state machine and the evaluation take in. Only members that
 // replied have counts.
-func (c *Coordinator) observe(replies []StatusReply) (rollout.Observation, []canary.Seen) {
+func (c *Coordinator) observe(replies []StatusReply) (rollout.Observation, []canary.Sample) {
 	seen := rollout.Observation{Now: c.elapsed()}
-	var counts []canary.Seen
+	var counts []canary.Sample
 	timing := c.record.Change.Timing
 	target := c.record.To.Digest()
 	for i, reply := range replies {
@@ -28,18 +28,18 @@
 }
 
 // evaluate has the counts evaluated as the phase needs it, and adds the result to the observation.
-func (c *Coordinator) evaluate(seen *rollout.Observation, counts []canary.Seen) {
+func (c *Coordinator) evaluate(seen *rollout.Observation, counts []canary.Sample) {
 	state := c.machine.State
 	c.beginEvaluation(state)
 	switch state.Phase {
 	case rollout.PhaseBaseline:
-		c.baseline.Look(counts)
+		c.baseline.Observe(counts)
 	case rollout.PhaseApplying, rollout.PhaseBaking:
-		c.evaluator.Look(counts)
+		c.evaluator.Observe(counts)
 		baked := state.Phase == rollout.PhaseBaking && c.machine.BakeElapsed(seen.Now)
 		seen.Verdict = c.evaluator.Verdict(baked)
 	case rollout.PhaseAwaitingRecovery:
-		seen.Recovered = c.recovery.Look(c.record.Change.Limits, c.baseline, counts)
+		seen.Recovered = c.recovery.Observe(c.record.Change.Limits, c.baseline, counts)
 	}
 	if state.Phase.IsTerminal() {
 		return
@@ -49,9 +49,9 @@
 		Number: c.record.Change.Number,
 		Phase:  state.Phase,
 		Stage:  state.Stage,
-		Odds:   seen.Verdict.Odds,
-		Old:    versionSample(canary.Sum(counts, false)),
-		New:    versionSample(canary.Sum(counts, true)),
+		Odds:   seen.Verdict.EValue,
+		Old:    versionSample(canary.SumCounts(counts, false)),
+		New:    versionSample(canary.SumCounts(counts, true)),
 	})
 }
 
@@ -63,10 +63,10 @@
 		return
 	}
 	c.evaluated = current
-	c.recovery = canary.Recovery{}
+	c.recovery = canary.RecoveryCheck{}
 	applied := state.Phase == rollout.PhaseApplying
 	inherited := state.Phase == rollout.PhaseBaking && c.evaluator == nil
 	if applied || inherited {
-		c.evaluator = canary.NewJudge(c.record.Change.Limits, c.baseline, c.machine.TargetMembers())
+		c.evaluator = canary.NewAnalysis(c.record.Change.Limits, c.baseline, c.machine.TargetMembers())
 	}
 }
--- a/internal/coordinator/member_view.go
+++ b/internal/coordinator/member_view.go
@@ -24,58 +24,58 @@
 	return rollout.Member{
 		Name:      name,
 		Reachable: reachable,
-		Serving:   v.status.Serves,
-		Running:   v.status.Running,
+		Serving:   v.status.Serving,
+		Running:   v.status.RunningSpec,
 		Fence:     v.status.Fence,
-		Failure:   v.status.Failed,
+		Failure:   v.status.Failure,
 	}
 }
 
 // update takes a reply in. It returns the member, and its counts since the reply before.
 func (v *memberView) update(name string, status supervisor.Status, target change.Digest, timing change.Timing,
-	now int64) (rollout.Member, canary.Seen) {
+	now int64) (rollout.Member, canary.Sample) {
 	counts := v.countsSince(status)
 	switch {
-	case status.Running != target:
+	case status.RunningSpec != target:
 		v.targetSince = 0
 	case v.targetSince == 0:
 		v.targetSince = max(1, now)
 	}
-	counts.New = v.targetSince != 0 && now-v.targetSince >= timing.SettleMS*int64(time.Millisecond)
+	counts.IsNew = v.targetSince != 0 && now-v.targetSince >= timing.SettleMS*int64(time.Millisecond)
 	v.status = status
 	v.repliedAt = max(1, now)
 	return rollout.Member{
 		Name:      name,
 		Reachable: true,
-		Serving:   status.Serves,
-		Running:   status.Running,
+		Serving:   status.Serving,
+		Running:   status.RunningSpec,
 		Fence:     status.Fence,
-		Failure:   status.Failed,
+		Failure:   status.Failure,
 	}, counts
 }
 
 // countsSince returns the counts between the reply before and this one. A controller that has started in between counts
 // from zero.
-func (v *memberView) countsSince(status supervisor.Status) canary.Seen {
-	counts := canary.Seen{
-		Member:   status.Name,
-		MemoryMB: status.MemoryMB,
-		Aside:    status.Aside,
-		Work:     map[canary.Group]canary.Work{},
+func (v *memberView) countsSince(status supervisor.Status) canary.Sample {
+	counts := canary.Sample{
+		Member:         status.Name,
+		MemoryMB:       status.MemoryMB,
+		EjectedEngines: status.EjectedEngines,
+		Counts:         map[canary.Group]canary.JobCounts{},
 	}
 	if v.repliedAt == 0 {
 		return counts
 	}
 	previous := v.status
 	counts.Crashes = increase(status.Crashes, previous.Crashes) // counted by the supervisor, over starts
-	if previous.Started != status.Started {
+	if previous.StartedUnixNS != status.StartedUnixNS {
 		previous = supervisor.Status{}
 	}
 	counts.Probes = increase(status.Probes, previous.Probes)
-	counts.CPU = max(0, status.CPU-previous.CPU)
-	for group, work := range status.Work {
-		if since := work.Less(previous.Work[group]); since.Jobs > 0 {
-			counts.Work[group] = since
+	counts.CPUNS = max(0, status.CPUNS-previous.CPUNS)
+	for group, work := range status.JobCounts {
+		if since := work.Minus(previous.JobCounts[group]); since.Jobs > 0 {
+			counts.Counts[group] = since
 		}
 	}
 	return counts
--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -30,7 +30,7 @@
 	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
 		t.Error("orders went out past the record")
 	}
@@ -82,7 +82,7 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Crashes == 0 }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
@@ -135,7 +135,7 @@
 	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -94,7 +94,7 @@
 	waitUntil(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
 	to := state(acts(nil)).To.Digest()
 	waitUntil(t, w, "all run it", func() bool {
-		return everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == to && s.Fence.Term > int64(reign) })
+		return everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) })
 	})
 	if text := runCommand(t, w, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
 		t.Error(text)
@@ -111,7 +111,7 @@
 	if err := w.Again(lost); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serves })
+	waitUntil(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serving })
 	if v := leaderStatus(t, w, lost); v.ID != 0 {
 		t.Errorf("it came back as %d", v.ID)
 	}
@@ -134,7 +134,7 @@
 		if err := w.Again(m); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
+		waitUntil(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
 	}
 	waitUntil(t, w, "nobody owns", func() bool { return !leaderStatus(t, w, kept).Active })
 	c := exec.Command(currentProgram, "fleet", "recover", kept.Name)
@@ -179,7 +179,7 @@
 	settled := func(of []*testcluster.Member, reign int64) bool {
 		list := statuses(of)
 		for _, s := range list {
-			if near := s.Carries - s.Word.Shares[quota.Fleet]; s.Word.Term <= reign || s.Word.Plan == "" || s.Word.Shares[quota.Fleet] == 0 || near < -1 || near > 1 {
+			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= reign || s.Assignment.Plan == "" || s.Assignment.Shares[quota.Fleet] == 0 || near < -1 || near > 1 {
 				return false
 			}
 		}
@@ -187,7 +187,7 @@
 	}
 	waitUntil(t, w, "all go by their parts and a plan", func() bool {
 		list := statuses(told)
-		return settled(told, 0) && 2*list[0].Carries > 3*list[2].Carries // the first has double the clients
+		return settled(told, 0) && 2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
 	})
 	for _, m := range told {
 		waitUntil(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
@@ -211,8 +211,8 @@
 		t.Error(err)
 	}
 	guess, err := w.Status(w.Members[3])
-	if err != nil || guess.Carries == 0 || guess.Word.Term != 0 {
-		t.Errorf("the one of the format before: %+v %v", guess.Word, err)
+	if err != nil || guess.SharePerMillion == 0 || guess.Assignment.Term != 0 {
+		t.Errorf("the one of the format before: %+v %v", guess.Assignment, err)
 	}
 
 	// No owner: two of three keepers are stopped. Their controllers serve on, and end their plans by themselves.
@@ -221,9 +221,9 @@
 	}
 	waitUntil(t, w, "part and plan end", func() bool {
 		s, err := w.Status(told[0])
-		return err == nil && s.Word.Plan == "" && len(s.Word.Shares) == 0
+		return err == nil && s.Assignment.Plan == "" && len(s.Assignment.Shares) == 0
 	})
-	waitUntil(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.Carries >= quota.FullShare/4 })
+	waitUntil(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.SharePerMillion >= quota.FullShare/4 })
 	done := l.Done.Load()
 	waitUntil(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
@@ -310,7 +310,7 @@
 	if err := w.Again(gone); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serves })
+	waitUntil(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serving })
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
--- a/internal/coordinator/process_plan_test.go
+++ b/internal/coordinator/process_plan_test.go
@@ -40,7 +40,7 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.Running == s.Spec.Digest() && s.Fence.Number == 3
+		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.RunningSpec == s.Spec.Digest() && s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
 	}
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -29,7 +29,7 @@
 	if s := recordedState(folder); s.Phase != rollout.PhaseRolledBack || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serves }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serving }) {
 		t.Error("not all are back")
 	}
 	stopAndCheckRules(t, w, l)
@@ -60,7 +60,7 @@
 	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
@@ -99,7 +99,7 @@
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || recordedState(folder).Phase != rollout.PhaseRolledBack {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Running == r.From.Digest() && s.Crashes == 0 }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 }) {
 		t.Error("not all are back")
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -70,7 +70,7 @@
 	sendOrder(t, m, was, otherProgram)
 	waitUntil(t, w, "the other program serves", func() bool {
 		s, err := w.Status(m)
-		return err == nil && s.Version == "other" && s.Serves && len(s.Drains) == 1
+		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
 	if !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2") {
 		t.Error("the newer one is not taught")
@@ -80,7 +80,7 @@
 	ask(b, second)
 	answer(a, first)
 	answer(b, second)
-	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.Drains) == 0 })
+	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
 	a.Conn.Close()
 	b.Conn.Close()
 	if err := w.Stop(); err != nil {
@@ -127,9 +127,12 @@
 	}
 	w.Reborn("e2")
 	sendOrder(t, m, s, otherProgram)
-	waitUntil(t, w, "both live", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && len(s.Drains) == 1 })
+	waitUntil(t, w, "both live", func() bool {
+		s, err := w.Status(m)
+		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
+	})
 	w.Reborn("e2") // once more, while they do
-	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.Drains) == 0 })
+	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Book.Log() {
@@ -170,7 +173,7 @@
 	m := w.Members[0]
 	w.Fates.Break("e2", true)
 	var was supervisor.Status
-	waitUntil(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.Aside == 1 })
+	waitUntil(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 })
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
@@ -181,9 +184,9 @@
 	}
 	l.Stop() // no job of the older one's is to count below
 	sendOrder(t, m, was, otherProgram)
-	waitUntil(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.Aside, err, m.Keeper.Log())
+	waitUntil(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving })
+	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
+		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
 	}
 	before := broken()
 	l = w.NewLoad(12, 10, 10*time.Millisecond, false)
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.Running == s.Spec.Digest() && s.Crashes == 0
+		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
@@ -121,8 +121,8 @@
 	if err := w.Again(m); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.Running != before.Running {
+	waitUntil(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
+	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.RunningSpec != before.RunningSpec {
 		t.Errorf("after a restart it holds %+v %v", s.Fence, err)
 	}
 	try()
@@ -163,7 +163,7 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `why="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -52,14 +52,14 @@
 	P99NS     int64  `json:"p99_ns"`
 }
 
-func versionSample(work canary.Work) VersionSample {
+func versionSample(counts canary.JobCounts) VersionSample {
 	return VersionSample{
-		Jobs:      work.Jobs,
-		Missed:    work.Jobs - work.Within,
-		Throttled: work.Throttled,
-		Cancelled: work.Cancelled,
-		MedianNS:  int64(jobstats.Quantile(work.Took, 50)),
-		P99NS:     int64(jobstats.Quantile(work.Took, 99)),
+		Jobs:      counts.Jobs,
+		Missed:    counts.Jobs - counts.WithinSLA,
+		Throttled: counts.Throttled,
+		Cancelled: counts.Cancelled,
+		MedianNS:  int64(jobstats.Quantile(counts.LatencyBuckets, 50)),
+		P99NS:     int64(jobstats.Quantile(counts.LatencyBuckets, 99)),
 	}
 }
 
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -21,7 +21,7 @@
 // Names of what is stored: files of a folder, or items of a replicated log.
 const (
 	recordFile   = "change.json"   // Record
-	baselineFile = "base.json"     // canary.Base
+	baselineFile = "base.json"     // canary.Baseline
 	requestFile  = "ask.json"      // OperatorRequest
 	historyFile  = "history.jsonl" // Transition by line; of a folder only
 	samplesFile  = "looks.jsonl"   // Sample by line; of a folder only
@@ -163,8 +163,8 @@
 }
 
 // Baseline returns what was observed before the first stage; it is empty until that is complete.
-func (s *RecordStore) Baseline() (*canary.Base, error) {
-	baseline := canary.NewBase()
+func (s *RecordStore) Baseline() (*canary.Baseline, error) {
+	baseline := canary.NewBaseline()
 	_, err := s.read(baselineFile, baseline)
 	return baseline, err
 }
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -75,7 +75,7 @@
 				t.Fatal(err)
 			}
 			sameFile(t, from.path(recordFile), to.path(recordFile))
-			if strictly(t, from.path(baselineFile), canary.NewBase()) {
+			if strictly(t, from.path(baselineFile), canary.NewBaseline()) {
 				base, err := from.Baseline()
 				if err != nil {
 					t.Fatal(err)
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -54,7 +54,7 @@
 
 // jobOutcome is what became of a job for its client.
 type jobOutcome struct {
-	kind     jobstats.How
+	kind     jobstats.Outcome
 	attempts choice.AttemptSeq
 	workMS   float64
 }
@@ -68,7 +68,7 @@
 	objective := g.settings.objective(g.ids.types[string(request.Type)], outcome.workMS)
 	withinObjective := outcome.kind == jobstats.Done && took <= objective
 	group := canary.Group{Type: string(request.Type), Tenant: string(request.Tenant)}
-	g.stats.Answered(group, outcome.kind, took, withinObjective, uint64(outcome.attempts))
+	g.stats.RecordJob(group, outcome.kind, took, withinObjective, uint64(outcome.attempts))
 }
 
 // closeCall frees the id of a call that is answered or abandoned.
--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -158,11 +158,11 @@
 		}
 		status := answer.Status
 		observations = append(observations, d.latest[i].workSince(name, status, now))
-		if d.ledger != nil && status.Word.Term == int64(d.store.term) {
-			d.ledger.Confirm(name, status.Carried)
+		if d.ledger != nil && status.Assignment.Term == int64(d.store.term) {
+			d.ledger.Confirm(name, status.AppliedAssignment)
 		}
-		if len(status.Engines) > 0 {
-			load.Engines = append(load.Engines, status.Engines)
+		if len(status.ReadyEngines) > 0 {
+			load.Engines = append(load.Engines, status.ReadyEngines)
 		}
 		d.latest[i] = memberObservation{status: status, observedAt: now}
 	}
@@ -175,13 +175,13 @@
 // controller has restarted since, has no known interval.
 func (m memberObservation) workSince(name string, status supervisor.Status, now int64) quota.Observation {
 	observation := quota.Observation{Member: name, Reachable: true}
-	if m.observedAt == 0 || m.status.Started != status.Started {
+	if m.observedAt == 0 || m.status.StartedUnixNS != status.StartedUnixNS {
 		return observation
 	}
 	observation.Interval = now - m.observedAt
-	observation.Work = map[canary.Group]canary.Work{}
-	for group, work := range status.Work {
-		observation.Work[group] = work.Less(m.status.Work[group])
+	observation.Work = map[canary.Group]canary.JobCounts{}
+	for group, work := range status.JobCounts {
+		observation.Work[group] = work.Minus(m.status.JobCounts[group])
 	}
 	return observation
 }
@@ -246,18 +246,18 @@
 		Sequence:    d.duties.sequence,
 		Leader:      d.store.LeaderName(),
 		Member:      name,
-		Incarnation: status.Life,
+		Incarnation: status.Incarnation,
 	}
 	if d.ledger != nil {
 		next.Shares = d.ledger.Grant(name, target, now, next.Sequence)
 		if len(next.Shares) > 0 {
-			next.SharesUntil = status.BootNS + d.duties.fleet.Shares.LeaseMS*nsPerMS
+			next.SharesUntil = status.MonotonicNS + d.duties.fleet.Shares.LeaseMS*nsPerMS
 		}
 	}
 	if d.planning != nil && d.planning.current.Digest != "" {
 		next.Plan = d.planning.current.Digest
-		next.PlanUntil = status.BootNS + d.duties.fleet.Planning.LeaseMS*nsPerMS
-		if status.Word.Plan != next.Plan {
+		next.PlanUntil = status.MonotonicNS + d.duties.fleet.Planning.LeaseMS*nsPerMS
+		if status.Assignment.Plan != next.Plan {
 			next.PlanText = d.planning.text
 		}
 	}
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -55,7 +55,7 @@
 // whileApplying waits until the stage's reachable controllers run the new version and serve. One that reports that it
 // cannot, or that does worse at once, ends the stage.
 func (m *Machine) whileApplying(seen Observation) (event, string) {
-	if seen.Verdict.Kind == canary.Worse {
+	if seen.Verdict.Conclusion == canary.Regressed {
 		return m.failWorse(seen)
 	}
 	for _, member := range seen.Members {
@@ -98,16 +98,16 @@
 // failWorse records the verdict that ends the stage.
 func (m *Machine) failWorse(seen Observation) (event, string) {
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
-	return stageFailed, fmt.Sprintf("stage %d does worse: %s", m.State.Stage+1, seen.Verdict.Why)
+	return stageFailed, fmt.Sprintf("stage %d does worse: %s", m.State.Stage+1, seen.Verdict.Reason)
 }
 
 func (m *Machine) whileBaking(seen Observation) (event, string) {
-	switch seen.Verdict.Kind {
-	case canary.Worse:
+	switch seen.Verdict.Conclusion {
+	case canary.Regressed:
 		return m.failWorse(seen)
-	case canary.Shared:
-		return sharedRegression, seen.Verdict.Why
-	case canary.Even:
+	case canary.AllRegressed:
+		return sharedRegression, seen.Verdict.Reason
+	case canary.NoRegression:
 		if m.State.Paused {
 			return noEvent, ""
 		}
@@ -117,7 +117,7 @@
 		return noEvent, ""
 	}
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
-	return stageFailed, "undecided after its time: " + seen.Verdict.Why
+	return stageFailed, "undecided after its time: " + seen.Verdict.Reason
 }
 
 // passStage records the verdict that lets the next stage begin.
@@ -129,7 +129,7 @@
 	m.State.Stage++
 	m.State.StageRetries = 0
 	m.State.PromptRecoveries = 0
-	return stagePassed, fmt.Sprintf("stage %d passed: %s", m.State.Stage, seen.Verdict.Why)
+	return stagePassed, fmt.Sprintf("stage %d passed: %s", m.State.Stage, seen.Verdict.Reason)
 }
 
 func (m *Machine) whileRollingBackStage(seen Observation) (event, string) {
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -137,7 +137,7 @@
 	} else if changed {
 		f.record = f.m.State
 		f.reached[f.record.Phase] = true
-		if before.Phase == PhaseBaking && f.record.Phase != PhaseBaking && v.Kind == canary.Even {
+		if before.Phase == PhaseBaking && f.record.Phase != PhaseBaking && v.Conclusion == canary.NoRegression {
 			f.passed[before.Stage] = true
 		}
 		if f.record.Phase == PhaseApplying {
@@ -239,15 +239,15 @@
 	bad := f.r.IntN(3) == 0
 	for i := 0; i < 3000 && !f.m.State.Phase.IsTerminal(); i++ {
 		faults := i < 250
-		v := canary.Verdict{Kind: canary.Open}
+		v := canary.Verdict{Conclusion: canary.Inconclusive}
 		if f.m.State.Phase == PhaseBaking {
 			switch n := f.r.IntN(30); {
 			case n == 0 && bad:
-				v.Kind = canary.Worse
+				v.Conclusion = canary.Regressed
 			case n == 1 && faults:
-				v.Kind = canary.Shared
+				v.Conclusion = canary.AllRegressed
 			case n < 12 && f.m.BakeElapsed(f.now):
-				v.Kind = canary.Even
+				v.Conclusion = canary.NoRegression
 			}
 		}
 		kill, ask := 0, Request("")
@@ -337,10 +337,10 @@
 			for at := range 120 {
 				f := newFleet(t, 1, 4)
 				for i := 0; i < 2000 && !f.m.State.Phase.IsTerminal(); i++ {
-					v := canary.Verdict{Kind: canary.Open}
+					v := canary.Verdict{Conclusion: canary.Inconclusive}
 					if f.m.State.Phase == PhaseBaking && f.m.BakeElapsed(f.now) {
-						if v.Kind = canary.Even; bad && f.m.State.Stage == 1 {
-							v.Kind = canary.Worse
+						if v.Conclusion = canary.NoRegression; bad && f.m.State.Stage == 1 {
+							v.Conclusion = canary.Regressed
 						}
 					}
 					kill := 0
@@ -361,9 +361,9 @@
 func TestOneThatCannotGoBackIsNamedAndDrained(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	for i := 0; i < 400 && f.m.State.Phase != PhaseDegraded; i++ {
-		v := canary.Verdict{Kind: canary.Open}
+		v := canary.Verdict{Conclusion: canary.Inconclusive}
 		if f.m.State.Phase == PhaseBaking {
-			v.Kind = canary.Worse
+			v.Conclusion = canary.Regressed
 			f.members[0].failed = "the program is gone"
 		}
 		f.one(v, "", 0, false)
