--- a/internal/command/fleet_program.go
+++ b/internal/command/fleet_program.go
@@ -15,10 +15,13 @@
 
 // fleetCommands are the commands of that program.
 func fleetCommands() []*cobra.Command {
+	keep := fleetCommand("keep", "") // the former name of supervise
+	keep.Hidden = true
 	return []*cobra.Command{
-		fleetCommand("keep", "Keep one controller: start it, start it again, take orders for it"),
+		fleetCommand("supervise", "Supervise one controller: start it, restart it, take orders for it"),
+		keep,
 		fleetCommand("rollout", "Take a change through a fleet in stages"),
-		fleetCommand("fleet", "What the fleet's controllers tell of themselves, and who owns its work"),
+		fleetCommand("fleet", "What the fleet's controllers report, and who leads it"),
 		fleetCommand("store", "Look at what a store holds"),
 	}
 }
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -148,16 +148,16 @@
 // orderProgram orders another program from a member's supervisor, past its link. Whether the order was accepted shows
 // in the status.
 func orderProgram(m *testcluster.Member, spec change.Spec, program string, turn int64) error {
-	digest, err := change.OfFile(program)
+	digest, err := change.FileDigest(program)
 	if err != nil {
 		return err
 	}
 	spec.Program = change.Program{Path: program, Digest: digest}
 	members := []operator.Member{{Name: m.Name, Listen: m.Keeps}}
-	fleet := coordinator.NewFleet(members, requestTimeout, requestTimeout)
-	fence := change.Fence{Number: 1, Term: 1, Turn: turn}
-	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: spec}
-	fleet.Order(context.Background(), map[int]change.Order{0: order})
+	fleet := coordinator.NewFleetClient(members, requestTimeout, requestTimeout)
+	fence := change.Fence{Number: 1, Term: 1, Revision: turn}
+	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Spec: spec}
+	fleet.SendOrders(context.Background(), map[int]change.Order{0: order})
 	return nil
 }
 
