--- a/internal/change/fuzz_test.go
+++ b/internal/change/fuzz_test.go
@@ -7,9 +7,19 @@
 )
 
 func FuzzOrders(f *testing.F) {
-	f.Add([]byte(`{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","want":{"program":{"path":"/p","digest":"d"},"shape":{"a":1}}}`))
+	f.Add(
+		[]byte(
+			`{"format":1,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1",` +
+				`"want":{"program":{"path":"/p","digest":"d"},"shape":{"a":1}}}`,
+		),
+	)
 	f.Add([]byte(`{"format":1,"fence":{"number":-1}}`))
-	f.Add([]byte(`{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","why":"y","want":{"program":{"path":"/p","digest":"d"}}}`))
+	f.Add(
+		[]byte(
+			`{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1","why":"y",` +
+				`"want":{"program":{"path":"/p","digest":"d"}}}`,
+		),
+	)
 	f.Add([]byte(`[`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		o, err := ReadOrder(bytes.NewReader(text))
@@ -21,7 +31,7 @@
 			t.Fatal(err)
 		}
 		p, err := ReadOrder(bytes.NewReader(again))
-		if err != nil || p.Want.Digest() != o.Want.Digest() || p.Fence != o.Fence {
+		if err != nil || p.Spec.Digest() != o.Spec.Digest() || p.Fence != o.Fence {
 			t.Fatalf("%s reads back as %+v, %v", text, p, err)
 		}
 	})
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -47,7 +47,7 @@
 	load.Stop()
 	r.jobs = load.Done.Load() + load.Throttled.Load() + load.Cancelled.Load()
 	r.brokenConnections = load.Broken.Load()
-	record, _, err := coordinator.Look(folder).Record()
+	record, _, err := coordinator.UnlockedFolder(folder).Record()
 	r.setError(err)
 	r.addRecord(record)
 	r.exposure = exposure(folder)
@@ -77,7 +77,7 @@
 // checkMembers checks that every controller runs what the record says, and took its orders in their order.
 func (r *result) checkMembers(cluster *testcluster.Town, record coordinator.Record) {
 	wanted := record.From.Digest()
-	if r.phase == rollout.Done {
+	if r.phase == rollout.PhaseDone {
 		wanted = record.To.Digest()
 	}
 	for _, m := range cluster.Members {
@@ -92,8 +92,8 @@
 // loseEngine has an engine die in the first stage.
 func loseEngine(cluster *testcluster.Town, folder string) {
 	isBaking := func() bool {
-		record, _, err := coordinator.Look(folder).Record()
-		return err == nil && record.State.Phase == rollout.Baking
+		record, _, err := coordinator.UnlockedFolder(folder).Record()
+		return err == nil && record.State.Phase == rollout.PhaseBaking
 	}
 	_ = cluster.Await(awaitTimeout, isBaking) // if the rollout is over before, its result says so
 	cluster.Lose("e1")
@@ -162,8 +162,8 @@
 	if !s.killsCoordinator {
 		return false
 	}
-	record, exists, err := coordinator.Look(folder).Record()
-	if err != nil || !exists || record.State.Phase.Ends() {
+	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	if err != nil || !exists || record.State.Phase.IsTerminal() {
 		return false
 	}
 	phase := fmt.Sprint(record.State.Phase, record.State.Stage)
@@ -174,22 +174,22 @@
 
 // hasEnded reports whether the record shows that the rollout is over.
 func hasEnded(folder string) bool {
-	record, exists, err := coordinator.Look(folder).Record()
-	return err == nil && exists && record.State.Phase.Ends()
+	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	return err == nil && exists && record.State.Phase.IsTerminal()
 }
 
 // exposure returns the time from the first stage's beginning to the decision to roll back, or to the end.
 func exposure(folder string) time.Duration {
-	steps, err := coordinator.Look(folder).History()
+	steps, err := coordinator.UnlockedFolder(folder).History()
 	if err != nil {
 		return 0
 	}
 	var from, to time.Time
 	for _, step := range steps {
-		if step.Phase == rollout.Applying && step.Stage == 0 && from.IsZero() {
+		if step.Phase == rollout.PhaseApplying && step.Stage == 0 && from.IsZero() {
 			from = step.At
 		}
-		if to.IsZero() && (step.Phase == rollout.GoingBack || step.Phase == rollout.Done) {
+		if to.IsZero() && (step.Phase == rollout.PhaseRollingBack || step.Phase == rollout.PhaseDone) {
 			to = step.At
 		}
 	}
@@ -208,7 +208,7 @@
 			continue
 		}
 		var f change.Fence
-		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Turn); err != nil {
+		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Revision); err != nil {
 			return err
 		}
 		if f.Compare(last) <= 0 {
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -69,15 +69,15 @@
 // scenarios lists all that the options may play.
 func scenarios(flags options, programs map[string]string) []scenario {
 	list := []scenario{
-		{name: "good settings", seed: 1, wantedPhase: rollout.Done},
-		{name: "good program", seed: 2, wantedPhase: rollout.Done, program: programs["next"]},
-		{name: "conductor killed", seed: 3, wantedPhase: rollout.Done, killsCoordinator: true, isBrief: true},
+		{name: "good settings", seed: 1, wantedPhase: rollout.PhaseDone},
+		{name: "good program", seed: 2, wantedPhase: rollout.PhaseDone, program: programs["next"]},
+		{name: "conductor killed", seed: 3, wantedPhase: rollout.PhaseDone, killsCoordinator: true, isBrief: true},
 	}
 	for i, b := range badBuilds {
 		list = append(list, scenario{
 			name:        "bad: " + b.description,
 			seed:        10 + uint64(i),
-			wantedPhase: rollout.Back,
+			wantedPhase: rollout.PhaseRolledBack,
 			maxStage:    2,
 			program:     programs[b.name],
 		})
@@ -85,7 +85,7 @@
 	list = append(list, scenario{
 		name:        "good settings, an engine lost",
 		seed:        30,
-		wantedPhase: rollout.Done,
+		wantedPhase: rollout.PhaseDone,
 		losesEngine: true,
 	})
 	for i := range list {
