--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -55,11 +55,18 @@
 			})
 		}
 	})
-	w := &town{t: t, host: backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}, bytes: new(limits.Bytes)}
+	host := backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}
+	w := &town{t: t, host: host, bytes: new(limits.Bytes)}
 	w.bytes.SetCapacity(1 << 20)
 	most := new(limits.Count)
 	most.Store(conns)
-	w.client = New(backend.Limits{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, Conns: most, ResultBytes: w.bytes}, func(_ string, signal decide.Signal) {
+	bounds := backend.Limits{
+		DialTimeout: time.Second,
+		IdleTimeout: 10 * time.Second,
+		Conns:       most,
+		ResultBytes: w.bytes,
+	}
+	w.client = New(bounds, func(_ string, signal decide.Signal) {
 		w.mu.Lock()
 		w.signals = append(w.signals, signal)
 		w.mu.Unlock()
@@ -78,12 +85,16 @@
 	return w
 }
 
-var query = Operation{Accept: "application/sparql-results+json", Form: url.Values{"query": {"SELECT * { ?s ?p ?o }"}, "default-graph-uri": {"http://g"}}}
+var query = Operation{
+	Accept: "application/sparql-results+json",
+	Form:   url.Values{"query": {"SELECT * { ?s ?p ?o }"}, "default-graph-uri": {"http://g"}},
+}
 
 func (w *town) ask(a Operation) backend.Reply {
 	w.t.Helper()
 	told := make(chan backend.Reply, 2)
-	w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: a.Statement(), TimeoutMS: 20000}, func(r backend.Reply) { told <- r })
+	request := backend.Request{ID: []byte("7"), Statement: a.Statement(), TimeoutMS: 20000}
+	w.client.Start(w.host, request, func(r backend.Reply) { told <- r })
 	select {
 	case r := <-told:
 		return r
@@ -105,38 +116,48 @@
 func TestOutcomesAreToldApart(t *testing.T) {
 	update := Operation{Update: true, Accept: "*/*", Form: url.Values{"update": {"CLEAR ALL"}}}
 	half := answer("200 OK", typed, good)
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" +
+		fmt.Sprintf("%x\r\n%s\r\n", len(good), good)
+	const lastChunk = "0\r\n\r\n"
+	endless := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n"
+	large := `{"head":{"vars":[]},"results":{"bindings":[` + strings.Repeat(" ", 2<<20) + "]}}"
+	const elsewhere = "Location: /other\r\n"
+	const notStarted = "Not-Started: ?1\r\n"
+	const compressed = typed + "Content-Encoding: gzip\r\n"
 	for name, c := range map[string]struct {
 		ask   Operation
 		write string
 		want  backend.Outcome
 	}{
 		"done":                          {query, answer("200 OK", typed+"Load: inflight:3\r\n", good), backend.Done},
-		"chunked":                       {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(good), good), backend.Done},
-		"last chunk missing":            {query, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" + fmt.Sprintf("%x\r\n%s\r\n", len(good), good), backend.Reset},
+		"chunked":                       {query, chunked + lastChunk, backend.Done},
+		"last chunk missing":            {query, chunked, backend.Reset},
 		"body cut":                      {query, half[:len(half)-5], backend.Reset},
 		"head cut":                      {query, half[:20], backend.Reset},
 		"nothing at all":                {query, "", backend.Reset},
 		"breaks inside the JSON":        {query, answer("200 OK", typed, good[:len(good)-9]), backend.Failed},
 		"more after the JSON":           {query, answer("200 OK", typed, good+good), backend.Failed},
 		"another format":                {query, answer("200 OK", "Content-Type: text/html\r\n", "<html>"), backend.Failed},
-		"said to be compressed":         {query, answer("200 OK", typed+"Content-Encoding: gzip\r\n", "\x1f\x8b"), backend.Failed},
-		"full, and nothing began":       {query, answer("503 Service Unavailable", "Not-Started: ?1\r\n", ""), backend.Full},
-		"too many, and nothing began":   {query, answer("429 Too Many Requests", "Not-Started: ?1\r\n", ""), backend.Full},
+		"said to be compressed":         {query, answer("200 OK", compressed, "\x1f\x8b"), backend.Failed},
+		"full, and nothing began":       {query, answer("503 Service Unavailable", notStarted, ""), backend.Full},
+		"too many, and nothing began":   {query, answer("429 Too Many Requests", notStarted, ""), backend.Full},
 		"503 that says nothing":         {query, answer("503 Service Unavailable", "", ""), backend.Failed},
-		"an error":                      {query, answer("500 Internal Server Error", "Not-Started: ?1\r\n", ""), backend.Failed},
-		"sent elsewhere":                {query, answer("307 Temporary Redirect", "Location: /other\r\n", ""), backend.Failed},
+		"an error":                      {query, answer("500 Internal Server Error", notStarted, ""), backend.Failed},
+		"sent elsewhere":                {query, answer("307 Temporary Redirect", elsewhere, ""), backend.Failed},
 		"no HTTP":                       {query, "220 mail\r\n\r\n", backend.Reset},
-		"a header without end":          {query, "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n", backend.Reset},
+		"a header without end":          {query, endless, backend.Reset},
 		"an update done":                {update, answer("204 No Content", "", ""), backend.Done},
 		"an update done, with words":    {update, answer("200 OK", "Content-Type: text/plain\r\n", "done"), backend.Done},
 		"an update's answer cut":        {update, strings.TrimSuffix(answer("200 OK", "", "done"), "e"), backend.Failed},
 		"an update answered at length":  {update, answer("200 OK", "", strings.Repeat("x", 200<<10)), backend.Failed},
-		"more than there is memory for": {query, answer("200 OK", typed, `{"head":{"vars":[]},"results":{"bindings":[`+strings.Repeat(" ", 2<<20)+"]}}"), backend.Failed},
+		"more than there is memory for": {query, answer("200 OK", typed, large), backend.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTown(t, 8, func(conn net.Conn, r *http.Request) {
 				for field, want := range c.ask.Form {
-					if got := r.PostForm[field]; r.Method != "POST" || r.Header.Get("Job") != "7" || len(got) != 1 || got[0] != want[0] {
+					got := r.PostForm[field]
+					if r.Method != "POST" || r.Header.Get("Job") != "7" ||
+						len(got) != 1 || got[0] != want[0] {
 						t.Errorf("asked %v", r)
 					}
 				}
@@ -185,7 +206,8 @@
 		close(closed)
 	})
 	told := make(chan backend.Reply, 2)
-	d := w.client.Start(w.host, backend.Request{ID: []byte("7"), Statement: query.Statement()}, func(r backend.Reply) { told <- r })
+	request := backend.Request{ID: []byte("7"), Statement: query.Statement()}
+	d := w.client.Start(w.host, request, func(r backend.Reply) { told <- r })
 	<-asked
 	if open, _ := w.client.InFlight("e1"); open != 1 {
 		t.Errorf("%d open", open)
