--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # build, test, lint, run. .ci/run does what lint, build and test do, with the test command of README.md.
 
-.PHONY: all build test race fuzz lint run clean proof-solve proof-sparql proof-rollout proof-judge proof-owner proof-owner-virtual proof-store sparql
+.PHONY: all build test race fuzz lint run clean proof-solve proof-sparql proof-rollout proof-judge proof-owner proof-owner-virtual proof-store proof-upgrade sparql
 
 all: lint build test
 
@@ -57,6 +57,10 @@
 proof-store:
 	go run ./internal/proof/store
 
+# From the program at an earlier commit, which it builds from a worktree of its own, to the present one and back.
+proof-upgrade:
+	go run ./internal/proof/upgrade
+
 proof-judge:
 	go run ./internal/proof/rollout -only virtual
 
--- /dev/null
+++ b/internal/proof/upgrade/fleet.go
@@ -0,0 +1,230 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/conduct"
+	"swiftreel/internal/keep"
+	"swiftreel/internal/rig"
+	"swiftreel/internal/rollout"
+)
+
+const (
+	quickBake = 300 * time.Millisecond  // a stage stands so long at least
+	longBake  = 1500 * time.Millisecond // where something is to happen meanwhile
+	stepLimit = 40 * time.Second        // what a step waits for at most
+)
+
+// fleet is the town of a scenario, with the version of each supervisor and the changes made so far.
+type fleet struct {
+	town          *rig.Town
+	base, current build
+	versions      map[string]build // of supervisors, by member
+	load          load
+	number        int64 // of the last change
+	stopped       bool
+}
+
+func newFleet(town *rig.Town, base, current build, plan rig.Plan) *fleet {
+	f := &fleet{town: town, base: base, current: current, versions: map[string]build{}, load: load{town: town}}
+	for i, m := range town.Members {
+		f.versions[m.Name] = base
+		if plan.Keepers[i] == current.program() {
+			f.versions[m.Name] = current
+		}
+	}
+	f.load.start()
+	return f
+}
+
+// other is the version that b is not.
+func (f *fleet) other(b build) build {
+	if b == f.base {
+		return f.current
+	}
+	return f.base
+}
+
+// folder is where coordinators of both versions record changes.
+func (f *fleet) folder() string { return filepath.Join(f.town.Dir, "record") }
+
+// record reads the change that was recorded last; a zero record where none can be read.
+func (f *fleet) record() conduct.Record {
+	r, _, err := conduct.Look(f.folder()).Record()
+	if err != nil {
+		return conduct.Record{}
+	}
+	return r
+}
+
+// settings is the field "to" of a change of settings that none before it made.
+func (f *fleet) settings() string { return fmt.Sprintf(`{"shape":{"budget_free":%d}}`, f.number+1) }
+
+// toProgram is that of a change of the program.
+func toProgram(b build) string { return fmt.Sprintf(`{"program":%q}`, b.program()) }
+
+// writeChange writes the file of the next change.
+func (f *fleet) writeChange(kind change.Kind, to string, bake time.Duration) (string, error) {
+	f.number++
+	return f.town.WriteQuickChange(f.number, kind, to, bake)
+}
+
+// begin starts a coordinator of one version on the next change.
+func (f *fleet) begin(by build, kind change.Kind, to string, bake time.Duration) (*rig.Process, error) {
+	file, err := f.writeChange(kind, to, bake)
+	if err != nil {
+		return nil, err
+	}
+	return f.town.Rollout(by.program(), f.folder(), "start", file)
+}
+
+// change takes a change through the fleet by a coordinator of one version.
+func (f *fleet) change(by build, kind change.Kind, to string) (string, error) {
+	p, err := f.begin(by, kind, to, quickBake)
+	if err != nil {
+		return "", err
+	}
+	return f.finish(p)
+}
+
+// finish waits for a coordinator's success, and checks that all members run the change.
+func (f *fleet) finish(p *rig.Process) (string, error) {
+	if err := p.Await(); err != nil {
+		return "", fmt.Errorf("the coordinator ends with %w: %s", err, tail(p.Log()))
+	}
+	return f.reached(f.record())
+}
+
+// reached checks that a change is done, and that every member runs what it leads to.
+func (f *fleet) reached(r conduct.Record) (string, error) {
+	if r.Change.Number != f.number || r.State.Phase != rollout.Done {
+		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s", r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
+	}
+	return f.running(r.To, r.Change.Number)
+}
+
+// running waits until every member runs a spec, by an order of the change of that number.
+func (f *fleet) running(spec change.Spec, number int64) (string, error) {
+	for _, m := range f.town.Members {
+		var last keep.Status
+		err := f.town.Await(stepLimit, func() bool {
+			s, err := f.town.Status(m)
+			last = s
+			return err == nil && s.Serves && s.Running == spec.Digest() && s.Fence.Number == number
+		})
+		if err != nil {
+			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w", m.Name, last.Running, last.Fence, spec.Digest(), number, err)
+		}
+	}
+	return fmt.Sprintf("change %d on all %d", number, len(f.town.Members)), nil
+}
+
+// upgradeAll restarts the supervisors one by one as another version, each on its folder.
+func (f *fleet) upgradeAll(to build) (string, error) {
+	start := time.Now()
+	for _, m := range f.town.Members {
+		if err := f.upgrade(m, to); err != nil {
+			return "", err
+		}
+	}
+	return fmt.Sprintf("%d, in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
+}
+
+// upgrade restarts one, and checks that it holds what it held and that its controller runs as before.
+func (f *fleet) upgrade(m *rig.Member, to build) error {
+	before, err := f.town.Status(m)
+	if err != nil {
+		return err
+	}
+	if err := f.town.Drain(m); err != nil {
+		return err
+	}
+	if err := f.town.StartAs(m, to.program()); err != nil {
+		return err
+	}
+	f.versions[m.Name] = to
+	var after keep.Status
+	err = f.town.Await(stepLimit, func() bool {
+		after, err = f.town.Status(m)
+		return err == nil && after.Running == before.Running
+	})
+	if err != nil || after.Fence != before.Fence || after.By != before.By || after.Spec.Digest() != before.Spec.Digest() || after.Version != before.Version {
+		return fmt.Errorf("%s holds order %v by %s and runs %s of %s, before it was %v by %s and %s of %s: %v",
+			m.Name, after.Fence, after.By, after.Running, after.Version, before.Fence, before.By, before.Running, before.Version, err)
+	}
+	return nil
+}
+
+// await waits for something to be so while a coordinator works, if one is given.
+func (f *fleet) await(what string, p *rig.Process, is func() bool) error {
+	ended := false
+	err := f.town.Await(stepLimit, func() bool {
+		if is() {
+			return true
+		}
+		ended = p != nil && p.Over()
+		return ended
+	})
+	switch {
+	case err != nil:
+		return fmt.Errorf("%s: %w", what, err)
+	case ended && !is():
+		return fmt.Errorf("%s: the coordinator has ended: %s", what, tail(p.Log()))
+	}
+	return nil
+}
+
+// tailLines are kept of a log that is shown.
+const tailLines = 6
+
+// tail is the end of a log, on one line.
+func tail(log string) string {
+	lines := strings.Split(strings.TrimSpace(log), "\n")
+	return strings.Join(lines[max(0, len(lines)-tailLines):], " | ")
+}
+
+// load is the clients of a fleet, which may rest for a while.
+type load struct {
+	town *rig.Town
+	all  []*rig.Load // the last one runs, unless resting
+	rest bool
+}
+
+const (
+	loadClients = 2
+	loadPause   = 20 * time.Millisecond
+)
+
+func (l *load) start() {
+	l.all = append(l.all, l.town.NewLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
+	l.rest = false
+}
+
+func (l *load) stop() {
+	if !l.rest {
+		l.all[len(l.all)-1].Stop()
+		l.rest = true
+	}
+}
+
+// jobs are the counts of all clients so far.
+type jobs struct{ done, throttled, cancelled, broken int64 }
+
+func (j jobs) sum() int64 { return j.done + j.throttled + j.cancelled + j.broken }
+
+func (l *load) jobs() (j jobs) {
+	for _, one := range l.all {
+		j.done += one.Done.Load()
+		j.throttled += one.Throttled.Load()
+		j.cancelled += one.Cancelled.Load()
+		j.broken += one.Broken.Load()
+	}
+	return j
+}
+
+var errNoMember = errors.New("no member fits")
--- /dev/null
+++ b/internal/proof/upgrade/scenario.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"swiftreel/internal/rig"
+	"swiftreel/internal/rulecheck"
+)
+
+// scenario is a fleet of its own under load, and what is done with it, step by step.
+type scenario struct {
+	name  string
+	plan  func(base, current build) rig.Plan
+	steps func(*fleet) []step
+}
+
+// step is one thing done with a fleet, and the check of what came of it.
+type step struct {
+	name string
+	do   func() (detail string, err error)
+}
+
+// scenarios are all of them; their fleets share nothing.
+func scenarios() []scenario {
+	return []scenario{
+		{"roll", rollPlan, rollSteps},
+		{"mixed", mixedPlan, mixedSteps},
+		{"voters", voterPlan, voterSteps},
+		{"transfer", transferPlan, transferSteps},
+	}
+}
+
+// play starts the fleet, takes all steps and holds what was logged against the rules. Steps after one that failed are
+// reported as not run.
+func (s scenario) play(base, current build, r *report) {
+	town, err := s.plan(base, current).Town()
+	if err != nil {
+		r.add("the fleet starts", failed, err.Error())
+		return
+	}
+	defer town.Close()
+	f := newFleet(town, base, current, s.plan(base, current))
+	watch := startWatch(town)
+	steps := append(s.steps(f), step{"all processes drain and end", f.stop})
+	broken := false
+	for _, p := range steps {
+		if broken {
+			r.add(p.name, notRun, "a step before it failed")
+			continue
+		}
+		detail, err := p.do()
+		r.result(p.name, detail, err)
+		broken = err != nil
+	}
+	detail, err := watch.stop()
+	r.result("orders, assignments and terms never go back", detail, err)
+	detail, err = f.outcomes()
+	r.result("no rule is broken, each job has one outcome", detail, err)
+}
+
+// minJobs is how many jobs a scenario must have played to count.
+const minJobs = 100
+
+// outcomes holds the logs of clients and engines against the rules.
+func (f *fleet) outcomes() (string, error) {
+	if !f.stopped {
+		return "", fmt.Errorf("the fleet did not come to its end; jobs so far: %+v", f.load.jobs())
+	}
+	var errs []error
+	for _, v := range rulecheck.Check(rig.Rules, f.town.Book.Log()) {
+		errs = append(errs, errors.New(v.String()))
+	}
+	j := f.load.jobs()
+	if j.broken > 0 {
+		errs = append(errs, fmt.Errorf("%d connections broke before an answer", j.broken))
+	}
+	if j.sum() < minJobs {
+		errs = append(errs, fmt.Errorf("only %d jobs", j.sum()))
+	}
+	share := 100 * float64(j.done) / float64(max(1, j.sum()))
+	return fmt.Sprintf("%d jobs, %.2f%% done, %d cut off", j.sum(), share, j.broken), errors.Join(errs...)
+}
+
+// stop ends the load and lets all processes drain.
+func (f *fleet) stop() (string, error) {
+	f.load.stop()
+	start := time.Now()
+	err := f.town.Stop()
+	f.stopped = err == nil
+	return fmt.Sprintf("in %v", time.Since(start).Round(100*time.Millisecond)), err
+}
--- /dev/null
+++ b/internal/proof/upgrade/transfer.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"fmt"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/keep"
+	"swiftreel/internal/rig"
+	"swiftreel/internal/rulecheck"
+)
+
+// transferPlan is two controllers, one under a supervisor of each version.
+func transferPlan(base, current build) rig.Plan {
+	return rig.Plan{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, Keepers: map[int]string{1: current.program()}}
+}
+
+// brokenEngine is the one that fails all that it is asked.
+const brokenEngine = "e2"
+
+// transferSteps change the program while an engine is ejected: the next process must know it from its start.
+func transferSteps(f *fleet) []step {
+	return []step{
+		{"an engine that fails is ejected", f.eject},
+		{"a current process knows what the base's has learned", func() (string, error) { return f.transfer(f.current) }},
+		{"a base process knows what the current's has learned", func() (string, error) { return f.transfer(f.base) }},
+		{"the engine serves again", f.restore},
+	}
+}
+
+// ejected waits until every controller has ejected so many engines.
+func (f *fleet) ejected(n int) error {
+	for _, m := range f.town.Members {
+		var last keep.Status
+		err := f.town.Await(stepLimit, func() (is bool) {
+			s, err := f.town.Status(m)
+			last = s
+			return err == nil && s.Serves && s.Aside == n
+		})
+		if err != nil {
+			return fmt.Errorf("%s has ejected %d engines, wanted are %d: %w", m.Name, last.Aside, n, err)
+		}
+	}
+	return nil
+}
+
+func (f *fleet) eject() (string, error) {
+	f.town.Fates.Break(brokenEngine, true)
+	return "", f.ejected(1)
+}
+
+func (f *fleet) restore() (string, error) {
+	f.town.Fates.Break(brokenEngine, false)
+	return "", f.ejected(0)
+}
+
+// transfer has every controller run another version, with no load meanwhile from which it could learn.
+func (f *fleet) transfer(to build) (string, error) {
+	f.load.stop()
+	f.number++
+	for _, m := range f.town.Members {
+		fence := change.Fence{Number: f.number, Term: 1, Turn: 1}
+		if err := f.town.OrderProgram(m, fence, to.program()); err != nil {
+			return "", err
+		}
+	}
+	for _, m := range f.town.Members {
+		var s keep.Status
+		err := f.town.Await(stepLimit, func() (is bool) {
+			var err error
+			s, err = f.town.Status(m)
+			return err == nil && s.Serves && s.Version == to.version
+		})
+		if err != nil {
+			return "", fmt.Errorf("%s runs %s: %w", m.Name, s.Version, err)
+		}
+		if s.Aside != 1 {
+			return "", fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1", m.Name, s.Aside)
+		}
+	}
+	before := f.began(brokenEngine)
+	f.load.start()
+	done := f.load.jobs().done
+	if err := f.await("jobs are done", nil, func() bool { return f.load.jobs().done > done+minJobs }); err != nil {
+		return "", err
+	}
+	if n := f.began(brokenEngine) - before; n > 0 {
+		return "", fmt.Errorf("%d jobs were sent to the engine that was ejected", n)
+	}
+	return fmt.Sprintf("%d jobs, none to the ejected engine", f.load.jobs().done-done), nil
+}
+
+// began counts the dispatches that an engine began.
+func (f *fleet) began(engine string) (n int) {
+	for _, e := range f.town.Book.Log() {
+		if e.What == rulecheck.Began && e.Engine == engine {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/internal/proof/upgrade/voters.go
@@ -0,0 +1,259 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/conduct"
+	"swiftreel/internal/owner"
+	"swiftreel/internal/parts"
+	"swiftreel/internal/rig"
+	"swiftreel/internal/rollout"
+)
+
+// voterPlan is three voters and two more members, of both versions, with shares and plans that the leader assigns.
+func voterPlan(base, current build) rig.Plan {
+	return rig.Plan{Program: base.program(), Seed: 63, Controllers: 5, Engines: 3, Voters: 3,
+		Keepers: map[int]string{1: current.program(), 4: current.program()},
+		Files:   map[string]string{"problem.json": rig.PlanningProblem},
+		Parts:   `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
+}
+
+func voterSteps(f *fleet) []step {
+	base, current := f.base, f.current
+	var shares *rig.PartsWatch
+	found := func() (string, error) {
+		shares = f.town.WatchParts(watchInterval)
+		_, err := f.town.Command(base.program(), "fleet", "found")
+		return "", err
+	}
+	return []step{
+		{"the base founds a group of both versions", found},
+		{"assignments are followed by all", f.assigned},
+		{"settings: current leader, taken over by a base leader", func() (string, error) { return f.agreedChange(current) }},
+		{"settings: base leader, taken over by a current leader", func() (string, error) { return f.agreedChange(base) }},
+		{"program becomes current: base coordinator beside the leader",
+			func() (string, error) { return f.change(base, change.Software, toProgram(current)) }},
+		{"assignments are followed by current processes", f.assigned},
+		{"a base voter without memory joins under a current leader", func() (string, error) { return f.rejoin(current) }},
+		{"a current voter without memory joins under a base leader", func() (string, error) { return f.rejoin(base) }},
+		{"voters become current one by one, on folders of the base", func() (string, error) { return f.upgradeVoters(current) }},
+		{"settings: current leaders", func() (string, error) { return f.agreedChange(current) }},
+		{"program becomes base: current coordinator beside the leader",
+			func() (string, error) { return f.change(current, change.Software, toProgram(base)) }},
+		{"voters become base one by one, on folders of the current", func() (string, error) { return f.upgradeVoters(base) }},
+		{"settings: base leaders", func() (string, error) { return f.agreedChange(base) }},
+		{"assignments are followed by base processes", f.assigned},
+		{"never more than the whole is assigned", func() (string, error) {
+			err := shares.Stop()
+			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.Most)/float64(parts.Whole), shares.Looks), err
+		}},
+	}
+}
+
+// assigned waits until every member goes by a share and a plan of one leader's term.
+func (f *fleet) assigned() (string, error) {
+	term := int64(0)
+	err := f.await("every member goes by a share and a plan", nil, func() bool {
+		term = 0
+		for _, m := range f.town.Members {
+			s, err := f.town.Status(m)
+			off := s.Carries - s.Word.Part[parts.Fleet]
+			if err != nil || s.Word.Reign == 0 || s.Word.Plan == "" || s.Word.Part[parts.Fleet] == 0 || off < -1 || off > 1 {
+				return false
+			}
+			if term != 0 && term != s.Word.Reign {
+				return false
+			}
+			term = s.Word.Reign
+		}
+		return true
+	})
+	return fmt.Sprintf("term %d", term), err
+}
+
+// view is what a voter tells of the group; a zero view where it does not answer.
+func (f *fleet) view(m *rig.Member) (v owner.View) {
+	if err := f.town.Get(m, "/v1/owner", &v); err != nil {
+		return owner.View{}
+	}
+	return v
+}
+
+// leadershipTries bounds how often leadership is handed on until it is where it should be.
+const leadershipTries = 10
+
+// lead hands leadership on until a voter of a version has it.
+func (f *fleet) lead(wanted build) (*rig.Member, error) {
+	for range leadershipTries {
+		leader, err := f.town.Leader(f.town.Voters())
+		if err != nil || f.versions[leader.Name] == wanted {
+			return leader, err
+		}
+		if err := f.handOver(leader, wanted); err != nil {
+			return nil, err
+		}
+	}
+	return nil, fmt.Errorf("no %s voter leads after %d attempts", wanted.version, leadershipTries)
+}
+
+// handOver has a leader step down while those that should not follow it are stopped.
+func (f *fleet) handOver(leader *rig.Member, wanted build) error {
+	for _, m := range f.town.Voters() {
+		if m != leader && f.versions[m.Name] != wanted {
+			m.Keeper.Signal(syscall.SIGSTOP)
+			defer m.Keeper.Signal(syscall.SIGCONT)
+		}
+	}
+	err := f.town.StepDown(leader)
+	if errors.Is(err, rig.ErrRefused) { // it has just begun, or leads no more
+		time.Sleep(100 * time.Millisecond) // before the next attempt, not a proof
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	return f.await("leadership is handed on", nil, func() bool {
+		for _, m := range f.town.Voters() {
+			if m != leader && f.versions[m.Name] == wanted && f.view(m).May {
+				return true
+			}
+		}
+		return f.view(leader).May // nobody took over
+	})
+}
+
+// agreedRecord is the change as the group has agreed on it; a zero record where no leader tells.
+func (f *fleet) agreedRecord() (r conduct.Record) {
+	leader, err := f.town.Leader(f.town.Voters())
+	if err != nil || f.town.Get(leader, "/v1/owner/item?name=change.json", &r) != nil {
+		return conduct.Record{}
+	}
+	return r
+}
+
+// agreedChange begins a change of settings under a leader of one version, by a command of the other, and has the other version, where
+// there is a voter of that, take it over in the first stage.
+func (f *fleet) agreedChange(first build) (string, error) {
+	if _, err := f.lead(first); err != nil {
+		return "", err
+	}
+	file, err := f.writeChange(change.Settings, f.settings(), longBake)
+	if err != nil {
+		return "", err
+	}
+	if _, err := f.town.Command(f.other(first).program(), "rollout", "start", "--agreed", file); err != nil {
+		return "", err
+	}
+	r := conduct.Record{}
+	if err := f.await("the first stage", nil, func() bool {
+		r = f.agreedRecord()
+		return r.Change.Number == f.number && r.State.Phase == rollout.Baking
+	}); err != nil {
+		return "", err
+	}
+	next := first
+	for _, m := range f.town.Voters() {
+		if f.versions[m.Name] != first {
+			next = f.other(first)
+		}
+	}
+	if _, err := f.lead(next); err != nil {
+		return "", err
+	}
+	if err := f.await("the end of the change", nil, func() bool {
+		r = f.agreedRecord()
+		return r.Change.Number == f.number && r.State.Phase.Ends()
+	}); err != nil {
+		return "", fmt.Errorf("%w: %s: %s", err, r.State.Phase, r.State.Why)
+	}
+	return f.reached(r)
+}
+
+// item is a voter's copy of the agreed record.
+func (f *fleet) item(m *rig.Member) (text json.RawMessage) {
+	if err := f.town.Get(m, "/v1/owner/item?name=change.json", &text); err != nil {
+		return nil
+	}
+	return text
+}
+
+// inGroup waits until a voter is a member under a number that it may have, and has the agreed record.
+func (f *fleet) inGroup(m *rig.Member, record json.RawMessage, numberFits func(uint64) bool) error {
+	var v owner.View
+	err := f.await(m.Name+" is in the group with the agreed record", nil, func() bool {
+		v = f.view(m)
+		return numberFits(v.ID) && v.Leader != "" && len(v.Voters) == len(f.town.Voters()) && bytes.Equal(f.item(m), record)
+	})
+	if err != nil {
+		return fmt.Errorf("%w: %+v", err, v)
+	}
+	return nil
+}
+
+// upgradeVoters restarts the members one by one as another version. Voters keep their number, their term and what was agreed.
+func (f *fleet) upgradeVoters(to build) (string, error) {
+	start := time.Now()
+	for i, m := range f.town.Members {
+		if i >= len(f.town.Voters()) {
+			if err := f.upgrade(m, to); err != nil {
+				return "", err
+			}
+			continue
+		}
+		before, record := f.view(m), f.item(m)
+		if before.ID == 0 || record == nil {
+			return "", fmt.Errorf("%s is of no group or has no record: %+v", m.Name, before)
+		}
+		if err := f.upgrade(m, to); err != nil {
+			return "", err
+		}
+		if err := f.inGroup(m, record, func(number uint64) bool { return number == before.ID }); err != nil {
+			return "", err
+		}
+		if after := f.view(m); after.Reign < before.Reign {
+			return "", fmt.Errorf("%s knows term %d, before its restart it was %d", m.Name, after.Reign, before.Reign)
+		}
+	}
+	return fmt.Sprintf("%d members in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
+}
+
+// rejoin has a voter of one version lose its memory and join a group that the other one leads, which sends it a snapshot.
+func (f *fleet) rejoin(leaderVersion build) (string, error) {
+	leader, err := f.lead(leaderVersion)
+	if err != nil {
+		return "", err
+	}
+	joining := f.other(leaderVersion)
+	for _, m := range f.town.Voters() {
+		if f.versions[m.Name] != joining {
+			continue
+		}
+		before, record := f.view(m).ID, f.item(leader)
+		if err := f.town.Drain(m); err != nil {
+			return "", err
+		}
+		if err := os.Remove(filepath.Join(f.town.Dir, m.Name, "owner.db")); err != nil {
+			return "", err
+		}
+		if err := f.town.StartAs(m, joining.program()); err != nil {
+			return "", err
+		}
+		if number := f.view(m).ID; number != 0 {
+			return "", fmt.Errorf("%s came back as number %d", m.Name, number)
+		}
+		if _, err := f.town.Command(joining.program(), "fleet", "join", m.Name); err != nil {
+			return "", err
+		}
+		err := f.inGroup(m, record, func(number uint64) bool { return number != 0 && number != before })
+		return m.Name, err
+	}
+	return "", errNoMember
+}
--- /dev/null
+++ b/internal/proof/upgrade/watch.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/keep"
+	"swiftreel/internal/rig"
+)
+
+// watchInterval is from one sample of all statuses to the next.
+const watchInterval = 100 * time.Millisecond
+
+// watch samples the statuses of a town's supervisors and finds what must never be: an order or an assignment that goes back,
+// two coordinators under one term, a controller that ended unasked, a status field that the present program does not know.
+type watch struct {
+	town *rig.Town
+	done chan struct{}
+	wait sync.WaitGroup
+
+	// Owned by the sampling goroutine until it has ended.
+	last    map[string]keep.Status // by member
+	orderer map[fenceTerm]string   // the one coordinator of a term
+	faults  []string
+	samples int
+}
+
+// fenceTerm is a change's number and the term of its coordinator.
+type fenceTerm struct{ number, term int64 }
+
+func startWatch(town *rig.Town) *watch {
+	w := &watch{town: town, done: make(chan struct{}), last: map[string]keep.Status{}, orderer: map[fenceTerm]string{}}
+	w.wait.Go(func() {
+		tick := time.NewTicker(watchInterval)
+		defer tick.Stop()
+		for {
+			select {
+			case <-w.done:
+				return
+			case <-tick.C:
+				w.sample()
+			}
+		}
+	})
+	return w
+}
+
+func (w *watch) sample() {
+	for _, m := range w.town.Members {
+		status, err := w.town.Status(m)
+		if err != nil {
+			continue // it is being restarted
+		}
+		w.samples++
+		for _, fault := range w.compare(w.last[m.Name], status) {
+			if text := m.Name + ": " + fault; !slices.Contains(w.faults, text) {
+				w.faults = append(w.faults, text)
+			}
+		}
+		w.last[m.Name] = status
+	}
+}
+
+// compare returns what a status shows that must not be after the one before.
+func (w *watch) compare(before, now keep.Status) (faults []string) {
+	if now.Fence.Compare(before.Fence) < 0 {
+		faults = append(faults, fmt.Sprintf("order %v is held after %v", now.Fence, before.Fence))
+	}
+	if now.Life == before.Life && now.Word.Reign < before.Word.Reign {
+		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Word.Reign, before.Word.Reign))
+	}
+	if now.Crashes > 0 {
+		faults = append(faults, fmt.Sprintf("its controller ended unasked %d times", now.Crashes))
+	}
+	for name := range now.Others {
+		faults = append(faults, "unknown status field "+name)
+	}
+	if now.Fence != (change.Fence{}) {
+		term := fenceTerm{now.Fence.Number, now.Fence.Term}
+		if by := w.orderer[term]; by != "" && by != now.By {
+			faults = append(faults, fmt.Sprintf("change %d, term %d is ordered by %s and by %s", term.number, term.term, by, now.By))
+		}
+		w.orderer[term] = now.By
+	}
+	return faults
+}
+
+// stop ends the watch and returns what it found.
+func (w *watch) stop() (string, error) {
+	close(w.done)
+	w.wait.Wait()
+	var errs []error
+	for _, text := range w.faults {
+		errs = append(errs, errors.New(text))
+	}
+	if w.samples == 0 {
+		errs = append(errs, errors.New("no status was seen"))
+	}
+	return fmt.Sprintf("%d statuses, %d terms of coordinators", w.samples, len(w.orderer)), errors.Join(errs...)
+}
--- a/internal/rig/town.go
+++ b/internal/rig/town.go
@@ -59,6 +59,7 @@
 	jobs   atomic.Uint64 // numbered
 	feed   *toy.Feed
 	engine map[string]*toy.Engine
+	voters int
 	http   http.Client
 }
 
@@ -69,7 +70,8 @@
 	Link    *Link
 	Keeper  *Process
 	Keeps   string // where its keeper does
-	start   func() (*Process, error)
+	program string // of its keeper
+	start   func(program string) (*Process, error)
 }
 
 // NewTown starts one: controllers in two zones by turns, none of them ready yet. Its addresses are of a loopback network
@@ -98,7 +100,7 @@
 // Town starts one.
 func (o Plan) Town() (t *Town, err error) {
 	program, seed, controllers, engines, faults := o.Program, o.Seed, o.Controllers, o.Engines, o.Faults
-	t = &Town{Fates: NewFates(seed, faults, 4*time.Millisecond), engine: map[string]*toy.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
+	t = &Town{voters: o.Voters, Fates: NewFates(seed, faults, 4*time.Millisecond), engine: map[string]*toy.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
 	if t.Dir, err = os.MkdirTemp("", "town"); err != nil {
 		return nil, err
 	}
@@ -167,8 +169,11 @@
 		env := append(t.faults(m.Name), "ROUTER_CONFIG="+config, "ROUTER_NAME="+m.Name, "ROUTER_OPERATOR="+t.Fleet,
 			fmt.Sprint("FAULT_CLOCK_MS=", o.ClockMS[i]), fmt.Sprint("FAULT_START_MS=", o.StartMS))
 		env = append(env, o.Env...)
-		m.start = func() (*Process, error) { return Start(keeper, env, "keep", "--state", filepath.Join(t.Dir, m.Name)) }
-		if m.Keeper, err = m.start(); err != nil {
+		m.program = keeper
+		m.start = func(program string) (*Process, error) {
+			return Start(program, env, "keep", "--state", filepath.Join(t.Dir, m.Name))
+		}
+		if m.Keeper, err = m.start(keeper); err != nil {
 			return t, err
 		}
 	}
@@ -226,7 +231,7 @@
 
 // Again starts a keeper that was ended.
 func (t *Town) Again(m *Member) (err error) {
-	m.Keeper, err = m.start()
+	m.Keeper, err = m.start(m.program)
 	return err
 }
 
