--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -1,7 +1,13 @@
 package main
 
 import (
+	"encoding/json"
+	"errors"
 	"fmt"
+	"maps"
+	"net/http"
+	"regexp"
+	"slices"
 
 	"swiftreel/internal/change"
 	"swiftreel/internal/keep"
@@ -57,6 +63,10 @@
 func (f *fleet) transfer(to build) (string, error) {
 	f.load.stop()
 	f.number++
+	reports, err := f.reportFields(nil)
+	if err != nil {
+		return "", err
+	}
 	for _, m := range f.town.Members {
 		fence := change.Fence{Number: f.number, Term: 1, Turn: 1}
 		if err := f.town.OrderProgram(m, fence, to.program()); err != nil {
@@ -86,7 +96,49 @@
 	if n := f.began(brokenEngine) - before; n > 0 {
 		return "", fmt.Errorf("%d jobs were sent to the engine that was ejected", n)
 	}
-	return fmt.Sprintf("%d jobs, none to the ejected engine", f.load.jobs().done-done), nil
+	if _, err := f.reportFields(reports); err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("%d jobs, none to the ejected engine; %d fields reported as before", f.load.jobs().done-done, len(reports)), nil
+}
+
+// reportAddress is where a controller serves its report, as it logs it and supervisors of both versions look for it.
+var reportAddress = regexp.MustCompile(`msg=serving_tally address=(\S+)`)
+
+// reportFields returns the paths of all names in the first member's report. It waits until they are those wanted, unless that
+// is nil.
+func (f *fleet) reportFields(wanted []string) (fields []string, err error) {
+	m := f.town.Members[0]
+	waitErr := f.town.Await(stepLimit, func() bool {
+		if fields, err = reportOf(m); err != nil {
+			return false
+		}
+		return wanted == nil || slices.Equal(fields, wanted)
+	})
+	if waitErr != nil {
+		return nil, errors.Join(fmt.Errorf("%s reports fields %v, wanted are %v: %w", m.Name, fields, wanted, waitErr), err)
+	}
+	return fields, nil
+}
+
+// reportOf asks a member's newest process for its report.
+func reportOf(m *rig.Member) ([]string, error) {
+	all := reportAddress.FindAllStringSubmatch(m.Keeper.Log(), -1)
+	if len(all) == 0 {
+		return nil, errors.New("it does not say where it reports")
+	}
+	a, err := http.Get("http://" + all[len(all)-1][1] + "/tally")
+	if err != nil {
+		return nil, err
+	}
+	defer a.Body.Close()
+	var report any
+	if err := json.NewDecoder(a.Body).Decode(&report); err != nil {
+		return nil, err
+	}
+	paths := map[string]bool{}
+	addPaths("", report, paths)
+	return slices.Sorted(maps.Keys(paths)), nil
 }
 
 // began counts the dispatches that an engine began.
