--- a/internal/testcluster/quick.go
+++ b/internal/testcluster/quick.go
@@ -10,9 +10,10 @@
 )
 
 // quickChange passes its three stages within seconds: what is tested with it is not the comparison of old and new, so its
-// limits let pass whatever a busy machine does to figures.
+// limits let pass whatever a busy machine does to figures. The watch before the first stage must see jobs of each controller,
+// or no stage ever has enough of them.
 const quickChange = `{"number":%d,"kind":%q,"to":%s,"stages":[{"per_mille":1},{"per_mille":500},{"per_mille":1000}],
-"pace":{"base_ms":300,"bake_ms":%d,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":2500,"shared_ms":3000,"look_ms":50},
+"pace":{"base_ms":1500,"bake_ms":%d,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":2500,"shared_ms":3000,"look_ms":50},
 "limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"throttled_per_mille":900,
 "cpu_percent":5000,"memory_percent":5000,"crashes":1000}}`
 
