--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -42,7 +42,7 @@
 type town struct {
 	t        *testing.T
 	handle   func(*fake.Session, engine.Command) // nil: what is no probe comes through the channel
-	feed     *fake.Feed
+	feed     *fake.Discovery
 	engines  map[string]*fake.Engine
 	commands chan engineCommand
 	address  string
@@ -50,7 +50,7 @@
 	stop     chan os.Signal
 	reload   chan os.Signal
 	ended    chan error
-	caller   *fake.Caller
+	caller   *fake.Client
 }
 
 type engineCommand struct {
@@ -86,14 +86,14 @@
 	w := &town{t: t, handle: handle, engines: map[string]*fake.Engine{}, commands: make(chan engineCommand, 1000), stop: make(chan os.Signal, 1),
 		reload: make(chan os.Signal, 1), config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
 	var err error
-	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
+	if w.feed, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		t.Fatal(err)
 	}
 	var hosts []string
 	for _, name := range names {
 		hosts = append(hosts, w.engine(name))
 	}
-	known := w.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
+	known := w.feed.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
 	t.Setenv("ROUTER_CONFIG", w.config)
 	w.write(w.feed.Address(), known)
 	file, err := config.Load(os.Getenv)
@@ -145,7 +145,7 @@
 	}
 }
 
-func (w *town) dial() *fake.Caller {
+func (w *town) dial() *fake.Client {
 	c, err := fake.Dial(w.address)
 	if err != nil {
 		w.t.Fatal(err)
@@ -233,7 +233,7 @@
 	}
 	w.got("more")
 	w.got("done")
-	w.feed.Add(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
+	w.feed.AddEvent(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
 	for !w.passed(w.job("lookup", "900")) { // draining is heard of in a moment
 	}
 }
@@ -364,14 +364,14 @@
 
 func TestTheFeedIsResumedAndAnAddressUsedAgain(t *testing.T) {
 	w := newTown(t, "e1")
-	w.feed.Cut()
+	w.feed.DropConnections()
 	w.feed.Write("no JSON\n")
 	address := w.engines["e1"].Address()
-	w.feed.Add(false, "["+entry("e1", address, "gone")+"]")
-	w.feed.Add(false, "["+entry("e2", address, "ready")+"]")
+	w.feed.AddEvent(false, "["+entry("e1", address, "gone")+"]")
+	w.feed.AddEvent(false, "["+entry("e2", address, "ready")+"]")
 	for w.passed(w.job("lookup", "900")) { // until the feed is called anew
 	}
-	if told := w.feed.Cut(); told[0] != 1 {
+	if told := w.feed.DropConnections(); told[0] != 1 {
 		t.Errorf("asked for what is known: %v", told)
 	}
 }
@@ -381,24 +381,24 @@
 	w := newTown(t, "e1")
 	out := w.job("lookup", "20000")
 	c := w.got("fetch")
-	moved, err := fake.StartFeed("127.0.0.1:0", 1)
+	moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer moved.Close()
-	known := moved.Add(true, "["+entry("e1", w.engines["e1"].Address(), "ready")+"]")
-	moved.Add(false, "["+w.engine("e2")+"]")
+	known := moved.AddEvent(true, "["+entry("e1", w.engines["e1"].Address(), "ready")+"]")
+	moved.AddEvent(false, "["+w.engine("e2")+"]")
 	w.write(moved.Address(), known)
 	w.reload <- syscall.SIGHUP
 	w.feed.Close()
-	settle(t, "the new place is not asked", func() bool { return len(moved.Told()) == 1 })
+	settle(t, "the new place is not asked", func() bool { return len(moved.Subscriptions()) == 1 })
 	for _, text := range []string{"{", strings.Replace(good(w.config), moved.Address(), "nowhere", 1)} {
 		os.WriteFile(w.config, []byte(text), 0o600)
 		failed := counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
 		settle(t, "no failed reload", func() bool { return counters.Value("reloads_failed") == failed+1 })
 	}
-	moved.Add(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
+	moved.AddEvent(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
 	for host := ""; host != "e2"; { // told of in a moment
 		id := w.job("lookup", "20000")
 		d := w.got("fetch")
@@ -408,7 +408,7 @@
 	}
 	c.from.Answer(c.ID, "data", "sheets=1", "a\tb\tc\n")
 	w.answer(out, "")
-	if told := moved.Told(); !slices.Equal(told, []int{1}) {
+	if told := moved.Subscriptions(); !slices.Equal(told, []int{1}) {
 		t.Errorf("the new place was asked from %v", told)
 	}
 }
@@ -484,7 +484,7 @@
 	type bad struct {
 		name, text string
 		gets       int
-		conn       *fake.Caller
+		conn       *fake.Client
 	}
 	cases := []bad{
 		{"nothing said", "", closed, nil},
@@ -579,7 +579,7 @@
 	late, resting := w.dial(), w.dial()
 	defer late.Conn.Close()
 	defer resting.Conn.Close()
-	for _, c := range []*fake.Caller{late, resting} {
+	for _, c := range []*fake.Client{late, resting} {
 		if ready, err := c.Ready(); !ready || err != nil {
 			t.Fatal(ready, err)
 		}
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -154,7 +154,7 @@
 	}
 	own := write(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := newTownOf(t, fake.NewRough(4).Handle, "e1", "e2", "e3")
+	w := newTownOf(t, fake.NewFaultyEngine(4).Handle, "e1", "e2", "e3")
 	var usual sync.WaitGroup
 	for i := range uint64(3) {
 		usual.Go(func() { w.usual(7000+i, 80) })
--- a/cmd/swiftreel/rough_test.go
+++ b/cmd/swiftreel/rough_test.go
@@ -28,7 +28,7 @@
 		return [4]uint64{counters.Value("jobs_left"), counters.Value("bytes_left"), counters.Value("dispatch_out_of_turn"), counters.Value("action_for_no_job")}
 	}
 	before := left()
-	w := newTownOf(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
+	w := newTownOf(t, fake.NewFaultyEngine(seed).Handle, "e1", "e2", "e3")
 	var usual, others sync.WaitGroup
 	over := make(chan struct{})
 	for i := range uint64(4) { // usual clients
@@ -42,13 +42,13 @@
 					return
 				default:
 				}
-				if fake.Rude(w.address, chance) {
+				if fake.MisbehavingClient(w.address, chance) {
 					t.Error("a bad client was served")
 				}
 			}
 		})
 	}
-	feeds := []*fake.Feed{w.feed}
+	feeds := []*fake.Discovery{w.feed}
 	others.Go(func() { feeds = w.roughFeed(rand.New(rand.NewPCG(seed, 9)), over) })
 	usual.Wait()
 	close(over)
@@ -87,7 +87,7 @@
 			return
 		case !is:
 			w.t.Errorf("a second answer, or one for nothing: %+v", a)
-		case a.Error == "" && string(a.Body) != fake.Rows(id):
+		case a.Error == "" && string(a.Body) != fake.FaultyEngineRows(id):
 			w.t.Errorf("done with what no engine made: %.60q", a.Body)
 		case a.Error != "" && a.Error != "Overloaded" && a.Error != "Internal":
 			w.t.Errorf("%+v", a)
@@ -97,8 +97,8 @@
 }
 
 // roughFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
-func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Feed {
-	feeds := []*fake.Feed{w.feed}
+func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Discovery {
+	feeds := []*fake.Discovery{w.feed}
 	known := strings.TrimSuffix(strings.SplitN(good(w.config), `"events":[`, 2)[1], "]},\"settings\":"+facts+"}")
 	for {
 		select {
@@ -109,7 +109,7 @@
 		now := feeds[len(feeds)-1]
 		switch chance.IntN(6) {
 		case 0:
-			now.Cut()
+			now.DropConnections()
 		case 1:
 			now.Replay(false)
 		case 2:
@@ -121,13 +121,13 @@
 			w.hup()
 			w.write(now.Address(), known)
 		case 5:
-			moved, err := fake.StartFeed("127.0.0.1:0", 1)
+			moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 			if err != nil {
 				w.t.Error(err)
 				return feeds
 			}
 			feeds = append(feeds, moved)
-			moved.Load(known)
+			moved.AddRaw(known)
 			w.write(moved.Address(), known)
 			w.hup()
 			now.Close()
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -131,7 +131,7 @@
 	var mu sync.Mutex
 	broke, refused := 0, 0
 	for i, e := range ends {
-		e.Script(func(w http.ResponseWriter, text string) bool { // begins, and breaks off
+		e.Intercept(func(w http.ResponseWriter, text string) bool { // begins, and breaks off
 			if strings.HasPrefix(text, "INSERT") {
 				mu.Lock()
 				broke = i
@@ -147,7 +147,7 @@
 	mu.Lock()
 	other := 1 - broke // which is chosen more now
 	mu.Unlock()
-	ends[other].Script(func(w http.ResponseWriter, text string) bool { // full, and says that nothing began
+	ends[other].Intercept(func(w http.ResponseWriter, text string) bool { // full, and says that nothing began
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(text, "INSERT") {
@@ -158,7 +158,7 @@
 		}
 		return false
 	})
-	ends[1-other].Script(nil)
+	ends[1-other].Intercept(nil)
 	for n := range 6 {
 		if status, _, body := got(t, update(10+n)); status != 204 {
 			t.Errorf("%d: %d %q", n, status, body)
@@ -167,7 +167,7 @@
 	got(t, asked("POST", at, "application/sparql-update", "", "INSERT DATA { <x> }"))
 	seen := map[string]int{}
 	for _, e := range ends {
-		for _, text := range e.Seen() {
+		for _, text := range e.Received() {
 			seen[text]++
 		}
 	}
@@ -189,7 +189,7 @@
 	began, over := make(chan struct{}, 2), make(chan struct{})
 	var once sync.Once
 	for _, e := range ends {
-		e.Script(func(_ http.ResponseWriter, text string) bool {
+		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			if text == askText {
 				began <- struct{}{}
 				<-over
@@ -219,21 +219,21 @@
 // The machine says of itself, over either protocol, that it drains: nothing new goes there, whatever the list says.
 func TestADrainToldByTheEngineItselfHoldsForItsMachine(t *testing.T) {
 	_, at, ends := terms(t)
-	ends[0].Script(func(w http.ResponseWriter, text string) bool {
+	ends[0].Intercept(func(w http.ResponseWriter, text string) bool {
 		w.Header().Set("Draining", "?1")
 		return false
 	})
 	ask := func() { got(t, asked("GET", at+"?query="+url.QueryEscape(askText), "", "", "")) }
-	for stop := time.Now().Add(20 * time.Second); len(ends[0].Seen()) == 0; ask() {
+	for stop := time.Now().Add(20 * time.Second); len(ends[0].Received()) == 0; ask() {
 		if time.Now().After(stop) {
 			t.Fatal("the first is never asked")
 		}
 	}
-	before := len(ends[0].Seen())
+	before := len(ends[0].Received())
 	for range 20 {
 		ask()
 	}
-	if n := len(ends[0].Seen()); n > before {
+	if n := len(ends[0].Received()); n > before {
 		t.Errorf("%d jobs more after it said that it drains", n-before)
 	}
 }
@@ -244,7 +244,7 @@
 	began, over := make(chan struct{}, 4), make(chan struct{})
 	t.Cleanup(sync.OnceFunc(func() { close(over) }))
 	for _, e := range ends {
-		e.Script(func(_ http.ResponseWriter, text string) bool {
+		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			switch {
 			case strings.Contains(text, "<slow>"):
 				began <- struct{}{}
@@ -285,7 +285,7 @@
 	}
 	slow := 0
 	for _, e := range ends {
-		for _, text := range e.Seen() {
+		for _, text := range e.Received() {
 			if strings.Contains(text, "<slow>") {
 				slow++
 			}
--- a/example/main.go
+++ b/example/main.go
@@ -54,13 +54,13 @@
 
 // toys are the engines that are up, and the feed.
 type toys struct {
-	feed *fake.Feed
+	feed *fake.Discovery
 	mu   sync.Mutex
 	up   map[string]*fake.Engine
 }
 
 func start() (*toys, error) {
-	f, err := fake.StartFeed(feed, 2) // the configuration knows event 1
+	f, err := fake.StartDiscovery(feed, 2) // the configuration knows event 1
 	if err != nil {
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 func (t *toys) tell(name, state string, born int64) {
 	host, _ := json.Marshal([]map[string]any{{"host": name, "dial": addresses[name], "site": "east", "class": "std",
 		"block": 0, "health": state, "share": 1, "born_ms": born}})
-	log.Printf("feed: %s", t.feed.Add(false, string(host)))
+	log.Printf("feed: %s", t.feed.AddEvent(false, string(host)))
 }
 
 // lose ends an engine as a crash does; the feed tells it two seconds later.
--- a/internal/acceptance/process_test.go
+++ b/internal/acceptance/process_test.go
@@ -83,7 +83,7 @@
 	c := &controller{t: t, listen: address(t), config: filepath.Join(t.TempDir(), "config.json"), name: fmt.Sprintf("n%d", me), fleet: fleet, me: me}
 	t.Cleanup(func() {
 		if c.Process != nil {
-			c.End()
+			c.Kill()
 		}
 	})
 	return c
@@ -109,7 +109,7 @@
 		path, args = "/bin/sh", []string{"-c", fmt.Sprintf("ulimit -n %d; exec %s", c.descriptors, program)}
 	}
 	var err error
-	if c.Process, err = testcluster.Start(path, env, args...); err != nil {
+	if c.Process, err = testcluster.StartProcess(path, env, args...); err != nil {
 		c.t.Fatal(err)
 	}
 }
@@ -240,7 +240,7 @@
 }
 
 // ask sends a job and gives its id.
-func ask(t *testing.T, c *fake.Caller, kind, id string, ms int, more ...string) uint32 {
+func ask(t *testing.T, c *fake.Client, kind, id string, ms int, more ...string) uint32 {
 	t.Helper()
 	n, err := c.Send(kind, "SELECT 1 FROM a_1.b", append([]string{"call", id, "ttl", "8000", "org", "one", "work", fmt.Sprint(ms), "est_mb", "8"}, more...)...)
 	if err != nil {
--- a/internal/acceptance/terms_test.go
+++ b/internal/acceptance/terms_test.go
@@ -18,11 +18,11 @@
 // A hundred clients leave at once while their jobs wait for an engine that is full; then it is free again. Nothing of
 // theirs is sent: what would go out in the moment of the first leave is looked at before it goes.
 func TestNothingIsSentForClientsThatLeftInABurst(t *testing.T) {
-	for name, leave := range map[string]func(*fake.Caller){
-		"close":  func(c *fake.Caller) { c.Conn.Close() },
-		"reset":  func(c *fake.Caller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
-		"revoke": func(c *fake.Caller) { c.Revoke(1); c.Ready() }, // its answer shows that the revoke was read
-		"unread": func(c *fake.Caller) { // the close lies behind much that is unread
+	for name, leave := range map[string]func(*fake.Client){
+		"close":  func(c *fake.Client) { c.Conn.Close() },
+		"reset":  func(c *fake.Client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
+		"revoke": func(c *fake.Client) { c.Revoke(1); c.Ready() }, // its answer shows that the revoke was read
+		"unread": func(c *fake.Client) { // the close lies behind much that is unread
 			var b []byte
 			for id := range uint32(2000) {
 				b = client.AppendHeartbeat(b, 10+id)
@@ -45,7 +45,7 @@
 			for i := range 26 { // fill the engine
 				ask(t, stay, "look", fmt.Sprintf("%016x", 1+i), 1000)
 			}
-			var waiting []*fake.Caller
+			var waiting []*fake.Client
 			for i := range 60 {
 				w, err := fake.Dial(c.listen)
 				if err != nil {
@@ -91,7 +91,7 @@
 	const fleet, work = 20, time.Second
 	warm := []*backend{newBackend(t, work, false), newBackend(t, work, false), newBackend(t, work, false)}
 	cold := newBackend(t, work, false)
-	feed, err := fake.StartFeed("127.0.0.1:0", 1)
+	feed, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	for i, e := range warm {
 		hosts = append(hosts, entry(fmt.Sprintf("e%d", i), e.Address(), "ready", 0))
 	}
-	known := feed.Add(true, "["+join(hosts)+"]")
+	known := feed.AddEvent(true, "["+join(hosts)+"]")
 	all := newFleet(t, fleet, feed.Address(), known)
 	stop := make(chan struct{})
 	var load sync.WaitGroup
@@ -139,7 +139,7 @@
 	}
 	until(t, "no load", func() bool { return served.Load() > 40 })
 	born := time.Now()
-	feed.Add(false, "["+entry("cold", cold.Address(), "ready", born.UnixMilli())+"]")
+	feed.AddEvent(false, "["+entry("cold", cold.Address(), "ready", born.UnixMilli())+"]")
 	until(t, "not warm", func() bool { return time.Since(born) > warmFor })
 	close(stop)
 	load.Wait()
@@ -186,7 +186,7 @@
 	c.write(address(t), known) // nobody is there
 	c.start()
 	until(t, "not ready", c.ready)
-	var idle []*fake.Caller
+	var idle []*fake.Client
 	half := client.AppendCall(nil, 1, "look", []string{"call", "00000000000000aa", "ttl", "8000", "org", "one"}, []byte("SELECT 1"))
 	for i := range 400 {
 		d, err := fake.Dial(c.listen)
@@ -212,16 +212,16 @@
 	if len(idle) < 200 {
 		t.Errorf("only %d of 250 clients got an answer", len(idle))
 	}
-	feed, err := fake.StartFeed("127.0.0.1:0", 2)
+	feed, err := fake.StartDiscovery("127.0.0.1:0", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer feed.Close()
-	feed.Add(false, "["+entry("e2", fresh.Address(), "ready", 0)+","+entry("e1", old.Address(), "draining", 0)+"]")
+	feed.AddEvent(false, "["+entry("e2", fresh.Address(), "ready", 0)+","+entry("e1", old.Address(), "draining", 0)+"]")
 	c.write(feed.Address(), known)
 	at := time.Now()
 	c.Signal(syscall.SIGHUP)
-	until(t, "the feed is not followed where it moved", func() bool { return len(feed.Told()) > 0 })
+	until(t, "the feed is not followed where it moved", func() bool { return len(feed.Subscriptions()) > 0 })
 	if late := time.Since(at); late > 7*time.Second {
 		t.Errorf("followed after %v", late)
 	}
@@ -251,8 +251,8 @@
 		}
 	}
 	t.Logf("%d of %d that rested are served, %d had made way", served, len(idle), ended)
-	if served == 0 || c.Over() {
-		t.Errorf("%d served, ended: %v", served, c.Over())
+	if served == 0 || c.Exited() {
+		t.Errorf("%d served, ended: %v", served, c.Exited())
 	}
 }
 
@@ -318,10 +318,10 @@
 			t.Errorf("%s: %d of %d ready within 10 s, the last after %v", how, soon, fleet, most)
 		}
 	}
-	restart("killed", func(c *controller) { c.End() })
+	restart("killed", func(c *controller) { c.Kill() })
 	restart("ended", func(c *controller) {
 		c.Signal(syscall.SIGTERM)
-		if err := c.Await(); err != nil {
+		if err := c.WaitExit(); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	})
--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -73,17 +73,17 @@
 const pace = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":3000,"look_ms":30},
 "limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
 
-func town(t *testing.T, n int) (*testcluster.Town, *testcluster.Load) {
+func town(t *testing.T, n int) (*testcluster.Cluster, *testcluster.Load) {
 	t.Helper()
-	w, err := testcluster.NewTown(program, 1, n, 2, false)
+	w, err := testcluster.StartDefault(program, 1, n, 2, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	return w, w.NewLoad(1, 1, 10*time.Millisecond, false)
+	return w, w.StartLoad(1, 1, 10*time.Millisecond, false)
 }
 
-func write(t *testing.T, w *testcluster.Town, name, text string) string {
+func write(t *testing.T, w *testcluster.Cluster, name, text string) string {
 	t.Helper()
 	path := filepath.Join(w.Dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -96,9 +96,9 @@
 	return fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`, number, number, pace)
 }
 
-func until(t *testing.T, w *testcluster.Town, what string, is func() bool) {
+func until(t *testing.T, w *testcluster.Cluster, what string, is func() bool) {
 	t.Helper()
-	if err := w.Await(40*time.Second, is); err != nil {
+	if err := w.WaitUntil(40*time.Second, is); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -109,13 +109,13 @@
 }
 
 // finish holds all logs against the rules.
-func finish(t *testing.T, w *testcluster.Town, l *testcluster.Load) {
+func finish(t *testing.T, w *testcluster.Cluster, l *testcluster.Load) {
 	t.Helper()
 	l.Stop()
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 	if l.Done.Load() == 0 {
@@ -123,7 +123,7 @@
 	}
 }
 
-func all(t *testing.T, w *testcluster.Town, is func(supervisor.Status) bool) bool {
+func all(t *testing.T, w *testcluster.Cluster, is func(supervisor.Status) bool) bool {
 	t.Helper()
 	for _, m := range w.Members {
 		if s, err := w.Status(m); err != nil || !is(s) {
@@ -137,37 +137,37 @@
 	t.Parallel()
 	w, l := town(t, 3)
 	folder, copied := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "copied")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", settings(1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "a first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "a first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.Rollout(program, folder, "resume", "--conduct")
+	second, err := w.StartCoordinator(program, folder, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if second.Await() == nil || !strings.Contains(second.Log(), "another process conducts") {
+	if second.WaitExit() == nil || !strings.Contains(second.Log(), "another process conducts") {
 		t.Errorf("two conduct in one folder: %s", second.Log())
 	}
-	third, err := w.Rollout(program, copied, "resume", "--conduct")
+	third, err := w.StartCoordinator(program, copied, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "a later stage", func() bool { return phase(copied).Stage > 0 || third.Over() })
-	third.End() // and is followed by one more
-	fourth, err := w.Rollout(program, copied, "resume", "--conduct")
+	until(t, w, "a later stage", func() bool { return phase(copied).Stage > 0 || third.Exited() })
+	third.Kill() // and is followed by one more
+	fourth, err := w.StartCoordinator(program, copied, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fourth.Await(); err != nil || phase(copied).Phase != rollout.Done {
+	if err := fourth.WaitExit(); err != nil || phase(copied).Phase != rollout.Done {
 		t.Fatalf("%v, %+v: %s", err, phase(copied), fourth.Log())
 	}
 	p.Signal(syscall.SIGCONT)
-	err = p.Await()
+	err = p.WaitExit()
 	var code *exec.ExitError
 	if code, _ = err.(*exec.ExitError); code == nil || code.ExitCode() != 6 || !strings.Contains(p.Log(), "rollout_fenced") {
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
@@ -187,11 +187,11 @@
 	t.Parallel()
 	w, l := town(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, dying, strings.Replace(pace, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1))))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, dying, strings.Replace(pace, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = p.Await()
+	err = p.WaitExit()
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
@@ -209,11 +209,11 @@
 	t.Parallel()
 	w, l := town(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", settings(1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil {
+	if err := p.WaitExit(); err != nil {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	m := w.Members[1]
@@ -223,7 +223,7 @@
 	}
 	send := func(o change.Order) (int, string) {
 		text, _ := json.Marshal(o)
-		a, err := http.Post("http://"+m.Keeps+"/v1/order", "application/json", strings.NewReader(string(text)))
+		a, err := http.Post("http://"+m.SupervisorAddress+"/v1/order", "application/json", strings.NewReader(string(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -251,8 +251,8 @@
 		t.Errorf("an order for another: %d %s", code, text)
 	}
 	l.Stop() // the keeper's death takes its controller with it
-	m.Keeper.End()
-	if err := w.Again(m); err != nil {
+	m.Supervisor.Kill()
+	if err := w.StartSupervisor(m); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
@@ -278,11 +278,11 @@
 	t.Parallel()
 	w, l := town(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", settings(1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
 	r, _, _ := coordinator.Look(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -290,13 +290,13 @@
 			far = m
 		}
 	}
-	far.Link.Set(testcluster.OneWay, 0) // it is asked, and its answers are lost
-	until(t, w, "all that can be reached have passed", func() bool { return phase(folder).Phase == rollout.Finishing || p.Over() })
-	if p.Over() {
+	far.Link.SetMode(testcluster.LinkOneWay, 0) // it is asked, and its answers are lost
+	until(t, w, "all that can be reached have passed", func() bool { return phase(folder).Phase == rollout.Finishing || p.Exited() })
+	if p.Exited() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
-	far.Link.Set(testcluster.Passes, 0)
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	far.Link.SetMode(testcluster.LinkUp, 0)
+	if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() }) {
@@ -309,15 +309,15 @@
 	t.Parallel()
 	w, l := town(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"base_ms":300`, `"base_ms":3000`, 1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"base_ms":300`, `"base_ms":3000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Over() })
+	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Exited() })
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
-	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
 	r, _, _ := coordinator.Look(folder + ".gone").Record()
 	if !all(t, w, func(s supervisor.Status) bool {
 		return s.Running == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
@@ -327,7 +327,7 @@
 	if err := os.Rename(folder+".gone", folder); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	finish(t, w, l)
@@ -337,38 +337,38 @@
 // their time to start: the change waits for what is mended, and reaches all.
 func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steered, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
+	w, err := testcluster.Config{Program: steered, Seed: 3, Controllers: 3, Engines: 2, StartDelayMS: 300, ClockOffsetMS: map[int]int{0: -420_000, 2: 420_000}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	disk := func(name, how string) {
 		t.Helper()
-		if err := w.Disk(name, how); err != nil {
+		if err := w.SetDisk(name, how); err != nil {
 			t.Fatal(err)
 		}
 	}
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(steered, folder, "start", write(t, w, "change.json", settings(1)))
+	p, err := w.StartCoordinator(steered, folder, "start", write(t, w, "change.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Over() })
-	disk(testcluster.Conductors, "full")
-	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	until(t, w, "all are watched", func() bool { return phase(folder).Phase == rollout.Watching || p.Exited() })
+	disk(testcluster.CoordinatorDisk, "full")
+	until(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
-	disk(testcluster.Conductors, "300ms")
-	until(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() })
+	disk(testcluster.CoordinatorDisk, "300ms")
+	until(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Exited() })
 	if at := phase(folder).Fence; !strings.Contains(p.Log(), "507") || !all(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
 	}
 	for _, m := range w.Members {
 		disk(m.Name, "300ms")
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.Look(folder).Record()
@@ -381,19 +381,19 @@
 // A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the format before.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: program, Seed: 4, Controllers: 3, Engines: 2, Keepers: map[int]string{0: before}}.Town()
+	w, err := testcluster.Config{Program: program, Seed: 4, Controllers: 3, Engines: 2, SupervisorPrograms: map[int]string{0: before}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	for i, of := range []string{program, before} {
 		folder := filepath.Join(w.Dir, fmt.Sprint("record", i))
-		p, err := w.Rollout(of, folder, "start", write(t, w, "change.json", settings(i+1)))
+		p, err := w.StartCoordinator(of, folder, "start", write(t, w, "change.json", settings(i+1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+		if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 			t.Fatalf("%v: %s", err, p.Log())
 		}
 		if !all(t, w, func(s supervisor.Status) bool {
@@ -401,7 +401,7 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `why="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Supervisor.Log(); strings.Contains(newer, `why="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
@@ -412,23 +412,23 @@
 	t.Parallel()
 	w, l := town(t, 2)
 	folder, other := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "other")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", settings(1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "it is under way", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
-	q, err := w.Rollout(program, other, "start", write(t, w, "same.json", settings(1)))
+	until(t, w, "it is under way", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
+	q, err := w.StartCoordinator(program, other, "start", write(t, w, "same.json", settings(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q.Await() == nil || !strings.Contains(q.Log(), "has taken order") && !strings.Contains(q.Log(), "holds spec") {
+	if q.WaitExit() == nil || !strings.Contains(q.Log(), "has taken order") && !strings.Contains(q.Log(), "holds spec") {
 		t.Errorf("a second conductor began: %s", q.Log())
 	}
-	if err := p.Await(); err != nil {
+	if err := p.WaitExit(); err != nil {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	l.Stop()
-	if l, err := net.Listen("tcp4", w.Members[0].Keeps); err == nil {
+	if l, err := net.Listen("tcp4", w.Members[0].SupervisorAddress); err == nil {
 		l.Close()
 		t.Error("its keeper is gone")
 	}
@@ -437,24 +437,24 @@
 // A key whose job still runs under the older process of a controller goes on under the newer one only once that is over.
 func TestAKeyWaitsForTheOlderProcess(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(program, 1, 1, 1, false)
+	w, err := testcluster.StartDefault(program, 1, 1, 1, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	m := w.Members[0]
-	w.Fates.Takes(4 * time.Second)
+	w.Faults.SetWorkDuration(4 * time.Second)
 	began := func(job string) (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Job == job && e.What == rulecheck.Began {
 				n++
 			}
 		}
 		return n
 	}
-	ready := func() (c *fake.Caller) {
+	ready := func() (c *fake.Client) {
 		until(t, w, "a process that is ready", func() bool {
-			c, err = fake.Dial(m.Clients)
+			c, err = fake.Dial(m.ClientAddress)
 			if err != nil {
 				return false
 			}
@@ -463,19 +463,19 @@
 		})
 		return c
 	}
-	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: "import", Key: "k", Front: m.Name, Until: time.Now().Add(8 * time.Second).UnixNano()})
+	ask := func(c *fake.Client, job string) {
+		w.Events.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: "import", Key: "k", Front: m.Name, Until: time.Now().Add(8 * time.Second).UnixNano()})
 		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	answer := func(c *fake.Caller, job string) {
+	answer := func(c *fake.Client, job string) {
 		t.Helper()
 		a, err := c.Read(20 * time.Second)
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		w.Events.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
@@ -490,10 +490,10 @@
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && s.Serves && len(s.Drains) == 1
 	})
-	if !strings.Contains(m.Keeper.Log(), "msg=taught types=2") {
+	if !strings.Contains(m.Supervisor.Log(), "msg=taught types=2") {
 		t.Error("the newer one is not taught")
 	}
-	w.Fates.Takes(4 * time.Millisecond)
+	w.Faults.SetWorkDuration(4 * time.Millisecond)
 	b := ready()
 	ask(b, second)
 	answer(a, first)
@@ -507,7 +507,7 @@
 	if began(second) != 1 {
 		t.Errorf("the second began %d times", began(second))
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -518,11 +518,11 @@
 	t.Parallel()
 	w, l := town(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", strings.Replace(strings.Replace(settings(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1), `"apply_ms":20000`, `"apply_ms":5000`, 1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", strings.Replace(strings.Replace(settings(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1), `"apply_ms":20000`, `"apply_ms":5000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
 	r, _, _ := coordinator.Look(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -532,16 +532,16 @@
 			syscall.Kill(s.PID, syscall.SIGHUP) // as by hand: the same file is read once more
 		}
 	}
-	far.Link.Set(testcluster.Silent, 0)
+	far.Link.SetMode(testcluster.LinkSilent, 0)
 	if err := coordinator.Look(folder).Ask(rollout.AskBack); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is stuck, and names the one", func() bool {
 		s := phase(folder)
-		return s.Phase == rollout.Stuck && strings.Contains(s.Why, far.Name) || p.Over()
+		return s.Phase == rollout.Stuck && strings.Contains(s.Why, far.Name) || p.Exited()
 	})
-	far.Link.Set(testcluster.Passes, 0)
-	err = p.Await()
+	far.Link.SetMode(testcluster.LinkUp, 0)
+	err = p.WaitExit()
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || phase(folder).Phase != rollout.Back {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
@@ -551,16 +551,16 @@
 	finish(t, w, l)
 }
 
-func get(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.View) {
-	w.Get(m, "/v1/owner", &v) // none: it does not act
+func get(t *testing.T, w *testcluster.Cluster, m *testcluster.Member) (v leader.View) {
+	w.GetJSON(m, "/v1/owner", &v) // none: it does not act
 	return v
 }
 
 // cli runs a command as an operator does.
-func cli(t *testing.T, w *testcluster.Town, args ...string) string {
+func cli(t *testing.T, w *testcluster.Cluster, args ...string) string {
 	t.Helper()
 	c := exec.Command(program, args...)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	text, err := c.CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %v: %s", args, err, text)
@@ -572,12 +572,12 @@
 // owns no more, and nothing that it does then is taken.
 func TestAnOwnerThatWakesUpLateDoesNoHarm(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: program, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	w, err := testcluster.Config{Program: program, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	cli(t, w, "fleet", "found")
 	acts := func(but *testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
@@ -596,20 +596,20 @@
 	reign := get(t, w, first).Reign
 	cli(t, w, "rollout", "start", "--agreed", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":2000`, 1)))
 	state := func(m *testcluster.Member) (r coordinator.Record) {
-		w.Get(m, "/v1/owner/item?name=change.json", &r)
+		w.GetJSON(m, "/v1/owner/item?name=change.json", &r)
 		return r
 	}
 	until(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.Baking })
 	t.Cleanup(func() {
 		for _, m := range w.Members {
-			for line := range strings.Lines(m.Keeper.Log()) {
+			for line := range strings.Lines(m.Supervisor.Log()) {
 				if t.Failed() && (strings.Contains(line, "owner_") || strings.Contains(line, "rollout_") || strings.Contains(line, "duty_") || strings.Contains(line, "order_")) {
 					t.Log(m.Name, line)
 				}
 			}
 		}
 	})
-	first.Keeper.Signal(syscall.SIGSTOP)
+	first.Supervisor.Signal(syscall.SIGSTOP)
 	second := acts(first)
 	if r := get(t, w, second).Reign; r <= reign {
 		t.Errorf("reign %d after %d", r, reign)
@@ -618,9 +618,9 @@
 		s := state(second).State
 		return s.Fence.Term > int64(reign) && (s.Phase == rollout.Baking || s.Stage > 0 || s.Phase.Ends())
 	})
-	first.Keeper.Signal(syscall.SIGCONT)
+	first.Supervisor.Signal(syscall.SIGCONT)
 	until(t, w, "the one that slept says once that it owns no more", func() bool {
-		return strings.Count(first.Keeper.Log(), "msg=owner_ends reign="+fmt.Sprint(int64(reign))) == 1
+		return strings.Count(first.Supervisor.Log(), "msg=owner_ends reign="+fmt.Sprint(int64(reign))) == 1
 	})
 	until(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.Done })
 	to := state(acts(nil)).To.Digest()
@@ -635,11 +635,11 @@
 	lost := acts(nil)
 	number := get(t, w, lost).ID
 	l.Stop() // a keeper's death takes its controller with it
-	lost.Keeper.End()
+	lost.Supervisor.Kill()
 	if err := os.Remove(filepath.Join(w.Dir, lost.Name, "owner.db")); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Again(lost); err != nil {
+	if err := w.StartSupervisor(lost); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serves })
@@ -658,18 +658,18 @@
 	kept := w.Members[0]
 	reign = get(t, w, acts(nil)).Reign
 	for _, m := range w.Members[1:] {
-		m.Keeper.End()
+		m.Supervisor.Kill()
 		if err := os.Remove(filepath.Join(w.Dir, m.Name, "owner.db")); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.Again(m); err != nil {
+		if err := w.StartSupervisor(m); err != nil {
 			t.Fatal(err)
 		}
 		until(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serves })
 	}
 	until(t, w, "nobody owns", func() bool { return !get(t, w, kept).May })
 	c := exec.Command(program, "fleet", "recover", kept.Name)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "--the-others-lost-their-memory") {
 		t.Errorf("it recovers unasked: %s", text)
 	}
@@ -680,7 +680,7 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -696,11 +696,11 @@
 	folder := filepath.Join(w.Dir, "record")
 	cli(t, w, "solve", write(t, w, "problem.json", problem), "--out", filepath.Join(w.Dir, "plan.json"), "--time", "20s")
 	conducted := func(file, text string) (string, error) {
-		p, err := w.Rollout(program, folder, "start", write(t, w, file, text))
+		p, err := w.StartCoordinator(program, folder, "start", write(t, w, file, text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = p.Await()
+		err = p.WaitExit()
 		return p.Log(), err
 	}
 	if text, err := conducted("change.json", fmt.Sprintf(`{"number":2,"kind":"plan","to":{"plan":"plan.json"},%s}`, pace)); err != nil {
@@ -715,8 +715,8 @@
 		t.Error("not all run both")
 	}
 	for _, m := range w.Members {
-		if strings.Count(m.Keeper.Log(), "msg=plan_taken") != 1 { // the same plan once more is no new one
-			t.Errorf("%s: %s", m.Name, m.Keeper.Log())
+		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 { // the same plan once more is no new one
+			t.Errorf("%s: %s", m.Name, m.Supervisor.Log())
 		}
 	}
 	if text, err := conducted("late.json", settings(1)); err == nil || !strings.Contains(text, "has taken order") {
@@ -729,16 +729,16 @@
 // than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
 func TestPartsAndPlansOutliveTheirOwnerToTheirEnds(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: program, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, Keepers: map[int]string{3: before}, Files: map[string]string{"problem.json": problem},
-		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Town()
+	w, err := testcluster.Config{Program: program, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, SupervisorPrograms: map[int]string{3: before}, Files: map[string]string{"problem.json": problem},
+		FleetFields: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 3, 10*time.Millisecond, true)
+	l := w.StartLoad(1, 3, 10*time.Millisecond, true)
 	cli(t, w, "fleet", "found")
 	told := w.Members[:3] // the fourth one's keeper is of the format before: it takes no words
-	watch := w.WatchParts(50 * time.Millisecond)
+	watch := w.WatchShares(50 * time.Millisecond)
 	statuses := func(of []*testcluster.Member) (list []supervisor.Status) {
 		for _, m := range of {
 			if s, err := w.Status(m); err == nil {
@@ -761,7 +761,7 @@
 		return settled(told, 0) && 2*list[0].Carries > 3*list[2].Carries // the first has double the clients
 	})
 	for _, m := range told {
-		until(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
+		until(t, w, "its controller follows it", func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_taken") })
 	}
 	var first *testcluster.Member
 	for _, m := range told {
@@ -773,10 +773,10 @@
 		t.Fatal("nobody owns any more")
 	}
 	reign := int64(get(t, w, first).Reign)
-	first.Keeper.Signal(syscall.SIGSTOP)
+	first.Supervisor.Signal(syscall.SIGSTOP)
 	others := slices.DeleteFunc(slices.Clone(told), func(m *testcluster.Member) bool { return m == first })
 	until(t, w, "the next owner goes on", func() bool { return settled(others, reign) })
-	first.Keeper.Signal(syscall.SIGCONT)
+	first.Supervisor.Signal(syscall.SIGCONT)
 	until(t, w, "all go by it", func() bool { return settled(told, reign) })
 	if err := watch.Stop(); err != nil {
 		t.Error(err)
@@ -788,7 +788,7 @@
 
 	// No owner: two of three keepers are stopped. Their controllers serve on, and end their plans by themselves.
 	for _, m := range told[1:] {
-		m.Keeper.Signal(syscall.SIGSTOP)
+		m.Supervisor.Signal(syscall.SIGSTOP)
 	}
 	until(t, w, "part and plan end", func() bool {
 		s, err := w.Status(told[0])
@@ -798,10 +798,10 @@
 	done := l.Done.Load()
 	until(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
-		m.Keeper.Signal(syscall.SIGCONT)
+		m.Supervisor.Signal(syscall.SIGCONT)
 	}
 	for _, m := range told[1:] {
-		until(t, w, "its plan ended while its keeper slept", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_ended") })
+		until(t, w, "its plan ended while its keeper slept", func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_ended") })
 	}
 	finish(t, w, l)
 }
@@ -810,7 +810,7 @@
 // at once. A voter that is gone for good is forgotten.
 func TestAnOwnerThatIsUnfitHandsOver(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steered, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockMS: map[int]int{0: -420_000, 1: 420_000}}.Town()
+	w, err := testcluster.Config{Program: steered, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockOffsetMS: map[int]int{0: -420_000, 1: 420_000}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -831,7 +831,7 @@
 	}
 	first := acts()
 	c := exec.Command(program, "fleet", "found") // another fleet's operator, by mistake
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "is a member already") {
 		t.Errorf("a fleet is founded twice: %s", text)
 	}
@@ -842,27 +842,27 @@
 	syscall.Kill(s.PID, syscall.SIGSTOP)
 	second := acts(first)
 	syscall.Kill(s.PID, syscall.SIGCONT)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
-	if text := first.Keeper.Log(); !strings.Contains(text, "msg=owner_hands_over") || !strings.Contains(text, `why="its controller does not serve"`) {
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
+	if text := first.Supervisor.Log(); !strings.Contains(text, "msg=owner_hands_over") || !strings.Contains(text, `why="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
-	if err := w.Disk(second.Name, "full"); err != nil {
+	if err := w.SetDisk(second.Name, "full"); err != nil {
 		t.Fatal(err)
 	}
 	c = exec.Command(program, "rollout", "start", "--agreed", write(t, w, "change.json", settings(1)))
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	c.Run() // it may be begun by the next owner, or not at all
 	third := acts(second)
-	until(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=owner_halted") })
+	until(t, w, "it says why", func() bool { return strings.Contains(second.Supervisor.Log(), "msg=owner_halted") })
 	if text := cli(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
-	if err := w.Disk(second.Name, ""); err != nil {
+	if err := w.SetDisk(second.Name, ""); err != nil {
 		t.Fatal(err)
 	}
 	l.Stop() // a keeper's death takes its controller with it
-	second.Keeper.End()
-	if err := w.Again(second); err != nil {
+	second.Supervisor.Kill()
+	if err := w.StartSupervisor(second); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is back with its memory", func() bool { return get(t, w, second).Leader != "" })
@@ -873,19 +873,19 @@
 			gone = m
 		}
 	}
-	gone.Keeper.End()
+	gone.Supervisor.Kill()
 	cli(t, w, "fleet", "forget", gone.Name)
 	if v := get(t, w, acts(gone)); len(v.Voters) != 2 || slices.Contains(v.Voters, gone.Name) {
 		t.Errorf("%+v", v)
 	}
-	if err := w.Again(gone); err != nil {
+	if err := w.StartSupervisor(gone); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serves })
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -902,28 +902,28 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	ends := monotonic.Now() + int64(6*time.Second)
-	w, err := testcluster.Plan{Program: program, Seed: 9, Controllers: 2, Engines: 2, Operator: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Town()
+	w, err := testcluster.Config{Program: program, Seed: 9, Controllers: 2, Engines: 2, OperatorFields: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(program, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":4000`, 1)))
+	p, err := w.StartCoordinator(program, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":4000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "the first stage", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
 	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	for _, m := range w.Members {
-		until(t, w, "its plan has ended", func() bool { return strings.Count(m.Keeper.Log(), "msg=plan_ended") == 1 })
-		if strings.Count(m.Keeper.Log(), "msg=plan_taken") != 1 {
-			t.Errorf("%s", m.Keeper.Log())
+		until(t, w, "its plan has ended", func() bool { return strings.Count(m.Supervisor.Log(), "msg=plan_ended") == 1 })
+		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 {
+			t.Errorf("%s", m.Supervisor.Log())
 		}
 	}
 	finish(t, w, l)
@@ -938,7 +938,7 @@
 	if want.Program.Digest, err = change.OfFile(path); err != nil {
 		t.Fatal(err)
 	}
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
 	if errs := fleet.Order(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -947,31 +947,31 @@
 // An engine just started while an older and a newer process of one controller live: together they keep rule 4.
 func TestAColdEngineIsSparedByBothProcesses(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: program, Seed: 10, Controllers: 1, Engines: 2, Cold: true}.Town()
+	w, err := testcluster.Config{Program: program, Seed: 10, Controllers: 1, Engines: 2, EnginesWarmUp: true}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	w.Fates.Takes(120 * time.Millisecond)
-	l := w.NewLoad(10, 60, 10*time.Millisecond, false)
+	w.Faults.SetWorkDuration(120 * time.Millisecond)
+	l := w.StartLoad(10, 60, 10*time.Millisecond, false)
 	m := w.Members[0]
 	until(t, w, "jobs are done", func() bool { return l.Done.Load() > 200 })
 	s, err := w.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Reborn("e2")
+	w.ListRestarted("e2")
 	order(t, m, s, other)
 	until(t, w, "both live", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && len(s.Drains) == 1 })
-	w.Reborn("e2") // once more, while they do
+	w.ListRestarted("e2") // once more, while they do
 	until(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.Drains) == 0 })
 	cold := func() (n int) {
 		started := int64(0)
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.What == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+testcluster.ColdRules().Warm {
+			if e.What == rulecheck.Began && e.Engine == "e2" && started != 0 && e.T < started+testcluster.WarmUpRules().Warm {
 				n++
 			}
 		}
@@ -983,12 +983,12 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.ColdRules(), w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.WarmUpRules(), w.Events.Entries()) {
 		t.Error(v)
 	}
-	tight := testcluster.ColdRules()
+	tight := testcluster.WarmUpRules()
 	tight.FallPerCore /= 100
-	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
+	if !slices.ContainsFunc(rulecheck.Check(tight, w.Events.Entries()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
 		t.Error("so little was sent to it that nothing is shown")
 	}
 }
@@ -996,18 +996,18 @@
 // What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its start.
 func TestAnEngineSetAsideIsAsideForTheNewerProcess(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(program, 11, 1, 3, false)
+	w, err := testcluster.StartDefault(program, 11, 1, 3, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(11, 10, 10*time.Millisecond, false)
+	l := w.StartLoad(11, 10, 10*time.Millisecond, false)
 	m := w.Members[0]
-	w.Fates.Break("e2", true)
+	w.Faults.SetFailing("e2", true)
 	var was supervisor.Status
 	until(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.Aside == 1 })
 	broken := func() (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.What == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
@@ -1017,11 +1017,11 @@
 	l.Stop() // no job of the older one's is to count below
 	order(t, m, was, other)
 	until(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serves })
-	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Keeper.Log(), "msg=taught types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.Aside, err, m.Keeper.Log())
+	if s, err := w.Status(m); err != nil || s.Aside != 1 || !strings.Contains(m.Supervisor.Log(), "msg=taught types=2 engines=3") {
+		t.Errorf("%d aside, %v: %s", s.Aside, err, m.Supervisor.Log())
 	}
 	before := broken()
-	l = w.NewLoad(12, 10, 10*time.Millisecond, false)
+	l = w.StartLoad(12, 10, 10*time.Millisecond, false)
 	until(t, w, "jobs are done", func() bool { return l.Done.Load() > 100 })
 	if n := broken() - before; n > 0 {
 		t.Errorf("%d jobs were sent to it", n)
@@ -1032,18 +1032,18 @@
 // A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
 func TestAMemberThatDiesWithItsOrder(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steered, Seed: 13, Controllers: 3, Engines: 2}.Town()
+	w, err := testcluster.Config{Program: steered, Seed: 13, Controllers: 3, Engines: 2}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(13, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(13, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(steered, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
+	p, err := w.StartCoordinator(steered, folder, "start", write(t, w, "change.json", strings.Replace(settings(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Over() })
+	until(t, w, "the first stage bakes", func() bool { return phase(folder).Phase == rollout.Baking || p.Exited() })
 	r, _, _ := coordinator.Look(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
@@ -1059,21 +1059,21 @@
 		t.Fatal(err)
 	}
 	syscall.Kill(s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
-	if err := w.Disk(next.Name, "400ms"); err != nil {
+	if err := w.SetDisk(next.Name, "400ms"); err != nil {
 		t.Fatal(err)
 	}
 	until(t, w, "it is ordered, and has not said so", func() bool {
 		text, _ := os.ReadFile(filepath.Join(w.Dir, next.Name, "held.json"))
-		return strings.Contains(string(text), `"budget_free"`) || p.Over()
+		return strings.Contains(string(text), `"budget_free"`) || p.Exited()
 	})
-	next.Keeper.End()
-	if err := w.Disk(next.Name, ""); err != nil {
+	next.Supervisor.Kill()
+	if err := w.SetDisk(next.Name, ""); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Again(next); err != nil {
+	if err := w.StartSupervisor(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || phase(folder).Phase != rollout.Done {
+	if err := p.WaitExit(); err != nil || phase(folder).Phase != rollout.Done {
 		t.Fatalf("%v, %+v: %s", err, phase(folder), p.Log())
 	}
 	if !all(t, w, func(s supervisor.Status) bool { return s.Running == r.To.Digest() && s.Serves }) {
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/feed_test.go
@@ -16,14 +16,14 @@
 
 func TestEveryEventIsToldOnceAndInOrder(t *testing.T) {
 	log.SetOutput(io.Discard)
-	source, err := fake.StartFeed("127.0.0.1:0", 1)
+	source, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer source.Close()
 	told := make(chan discovery.Event, 100)
 	for range 4 {
-		source.Add(false, hosts)
+		source.AddEvent(false, hosts)
 	}
 	f := discovery.Follow(source.Address(), 2, func(ev discovery.Event) { told <- ev })
 	next := func(n uint64) {
@@ -43,44 +43,44 @@
 	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} { // unreadable, a gap, gaps told by the number alone
 		source.Write(event(4) + "\n4\n" + `{"n":4}` + "\n") // told before: passed over
 		source.Write(bad)
-		source.Add(false, hosts) // perhaps on a connection that is given up: then it comes on the next
+		source.AddEvent(false, hosts) // perhaps on a connection that is given up: then it comes on the next
 		next(uint64(5 + i))
 	}
-	source.Cut()
-	source.Add(false, hosts)
+	source.DropConnections()
+	source.AddEvent(false, hosts)
 	next(9)
-	moved, err := fake.StartFeed("127.0.0.1:0", 1)
+	moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer moved.Close()
 	for range 10 {
-		moved.Add(false, hosts)
+		moved.AddEvent(false, hosts)
 	}
 	if again, err := discovery.Parse([]byte(event(9))); err != nil || !f.Move(moved.Address(), []discovery.Event{again}) {
 		t.Fatal("not moved", err)
 	}
 	next(10)
-	source.Add(false, hosts) // where it was: told before, if it still speaks
-	moved.Cut()              // and it is called anew where it is
-	moved.Add(false, hosts)
+	source.AddEvent(false, hosts) // where it was: told before, if it still speaks
+	moved.DropConnections()       // and it is called anew where it is
+	moved.AddEvent(false, hosts)
 	next(11)
 	if f.Move(moved.Address(), nil) {
 		t.Error("moved to where it is")
 	}
 	f.Move("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
-	moved.Add(false, hosts)
+	moved.AddEvent(false, hosts)
 	next(12)
 	f.Move(source.Address(), nil) // and back
-	source.Add(false, hosts)      // 11
-	source.Add(false, hosts)      // 12
-	source.Add(false, hosts)
+	source.AddEvent(false, hosts) // 11
+	source.AddEvent(false, hosts) // 12
+	source.AddEvent(false, hosts)
 	next(13)
 	f.Close()
-	if subs := moved.Cut(); subs[0] != 9 || subs[1] != 10 {
+	if subs := moved.DropConnections(); subs[0] != 9 || subs[1] != 10 {
 		t.Errorf("the new place was asked from %v", subs)
 	}
-	if subs := source.Cut(); subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(told) > 0 {
+	if subs := source.DropConnections(); subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(told) > 0 {
 		t.Errorf("resumed from %v, %d events told again", subs, len(told))
 	}
 }
--- a/internal/fake/caller.go
+++ b/internal/fake/client.go
@@ -9,27 +9,27 @@
 )
 
 // Caller is a client's connection.
-type Caller struct {
+type Client struct {
 	Conn net.Conn
 	buf  []byte
 	last uint32
 }
 
 // Dial connects to a controller.
-func Dial(address string) (*Caller, error) {
+func Dial(address string) (*Client, error) {
 	conn, err := net.Dial("tcp", address)
-	return &Caller{Conn: conn}, err
+	return &Client{Conn: conn}, err
 }
 
 // Send asks for a job and gives the id of its answer; fields are names and values in turn.
-func (c *Caller) Send(method, statement string, fields ...string) (uint32, error) {
+func (c *Client) Send(method, statement string, fields ...string) (uint32, error) {
 	c.last++
 	_, err := c.Conn.Write(client.AppendCall(nil, c.last, method, fields, []byte(statement)))
 	return c.last, err
 }
 
 // Ready asks for the controller's heartbeat.
-func (c *Caller) Ready() (bool, error) {
+func (c *Client) Ready() (bool, error) {
 	c.last++
 	if _, err := c.Conn.Write(client.AppendHeartbeat(nil, c.last)); err != nil {
 		return false, err
@@ -39,13 +39,13 @@
 }
 
 // Revoke takes a job back.
-func (c *Caller) Revoke(id uint32) error {
+func (c *Client) Revoke(id uint32) error {
 	_, err := c.Conn.Write(client.AppendRevoke(nil, id))
 	return err
 }
 
 // Read waits for the next answer.
-func (c *Caller) Read(wait time.Duration) (client.Answer, error) {
+func (c *Client) Read(wait time.Duration) (client.Answer, error) {
 	c.Conn.SetReadDeadline(time.Now().Add(wait))
 	for {
 		a, n, err := client.ParseAnswer(c.buf)
--- a/internal/fake/feed.go
+++ b/internal/fake/discovery.go
@@ -10,36 +10,36 @@
 )
 
 // Feed is a control feed with the events that were added.
-type Feed struct {
+type Discovery struct {
 	listener net.Listener
 
-	mu      sync.Mutex
-	first   int      // the number of the first event kept
-	events  []string // JSON objects, one a line
-	conns   map[net.Conn]int
-	told    []int // the number of every SUB
-	running sync.WaitGroup
-	done    chan struct{}
-	once    sync.Once
+	mu            sync.Mutex
+	firstNumber   int      // the number of the first event kept
+	events        []string // JSON objects, one a line
+	conns         map[net.Conn]int
+	subscriptions []int // the number of every SUB
+	running       sync.WaitGroup
+	done          chan struct{}
+	once          sync.Once
 }
 
 // StartFeed listens at an address; the first event added gets the number first.
-func StartFeed(address string, first int) (*Feed, error) {
+func StartDiscovery(address string, first int) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f := &Feed{listener: l, first: first, conns: map[net.Conn]int{}, done: make(chan struct{})}
+	f := &Discovery{listener: l, firstNumber: first, conns: map[net.Conn]int{}, done: make(chan struct{})}
 	f.running.Add(2)
 	go f.accept()
-	go f.beat()
+	go f.heartbeat()
 	return f, nil
 }
 
 // Address is where it listens.
-func (f *Feed) Address() string { return f.listener.Addr().String() }
+func (f *Discovery) Address() string { return f.listener.Addr().String() }
 
-func (f *Feed) accept() {
+func (f *Discovery) accept() {
 	defer f.running.Done()
 	for {
 		conn, err := f.listener.Accept()
@@ -54,7 +54,7 @@
 	}
 }
 
-func (f *Feed) serve(conn net.Conn) {
+func (f *Discovery) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	line, err := r.ReadString('\n')
@@ -63,7 +63,7 @@
 		return
 	}
 	f.mu.Lock()
-	f.told = append(f.told, last)
+	f.subscriptions = append(f.subscriptions, last)
 	f.conns[conn] = last
 	f.send(conn)
 	f.mu.Unlock()
@@ -74,18 +74,18 @@
 }
 
 // send writes what a connection has not got. The lock is held.
-func (f *Feed) send(conn net.Conn) {
-	for f.conns[conn] < f.first+len(f.events)-1 {
+func (f *Discovery) send(conn net.Conn) {
+	for f.conns[conn] < f.firstNumber+len(f.events)-1 {
 		f.conns[conn]++
-		fmt.Fprintf(conn, "%s\n", f.events[f.conns[conn]-f.first])
+		fmt.Fprintf(conn, "%s\n", f.events[f.conns[conn]-f.firstNumber])
 	}
 }
 
 // Add adds a change of the list: hosts as a JSON array. It tells the event's text.
-func (f *Feed) Add(whole bool, hosts string) string {
+func (f *Discovery) AddEvent(whole bool, hosts string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.first + len(f.events)
+	n := f.firstNumber + len(f.events)
 	text := fmt.Sprintf(`{"n":%d,"members":{"seq":%d,"whole":%v,"hosts":%s}}`, n, n, whole, hosts)
 	f.events = append(f.events, text)
 	for conn := range f.conns {
@@ -95,24 +95,24 @@
 }
 
 // Load adds an event's text as it is: one that another feed told before.
-func (f *Feed) Load(text string) {
+func (f *Discovery) AddRaw(text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, text)
 }
 
 // Cut breaks the connections; each SUB so far is told.
-func (f *Feed) Cut() []int {
+func (f *Discovery) DropConnections() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn := range f.conns {
 		conn.Close()
 	}
-	return append([]int{}, f.told...)
+	return append([]int{}, f.subscriptions...)
 }
 
 // Replay writes all events again, or the first half of the last one, to every connection.
-func (f *Feed) Replay(half bool) {
+func (f *Discovery) Replay(half bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text := strings.Join(f.events, "\n") + "\n"
@@ -129,14 +129,14 @@
 }
 
 // Told gives the number of every SUB so far.
-func (f *Feed) Told() []int {
+func (f *Discovery) Subscriptions() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]int{}, f.told...)
+	return append([]int{}, f.subscriptions...)
 }
 
 // Write writes bytes as they are to every connection.
-func (f *Feed) Write(text string) {
+func (f *Discovery) Write(text string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn := range f.conns {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (f *Feed) beat() {
+func (f *Discovery) heartbeat() {
 	defer f.running.Done()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -156,18 +156,18 @@
 		}
 		f.mu.Lock()
 		for conn := range f.conns {
-			fmt.Fprintf(conn, "{\"n\":%d}\n", f.first+len(f.events)-1)
+			fmt.Fprintf(conn, "{\"n\":%d}\n", f.firstNumber+len(f.events)-1)
 		}
 		f.mu.Unlock()
 	}
 }
 
 // Close ends the feed.
-func (f *Feed) Close() {
+func (f *Discovery) Close() {
 	f.once.Do(func() {
 		f.listener.Close()
 		close(f.done)
-		f.Cut()
+		f.DropConnections()
 		f.running.Wait()
 	})
 }
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -17,7 +17,7 @@
 
 	mu       sync.Mutex
 	sessions map[*Session]struct{} // until closed
-	ended    bool
+	closed   bool
 	running  sync.WaitGroup
 }
 
@@ -35,7 +35,7 @@
 }
 
 // takeBack tells whether an id was aborted, once.
-func (s *Session) takeBack(id string) bool {
+func (s *Session) takeAborted(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	was := s.aborted[id]
@@ -67,7 +67,7 @@
 		}
 		s := &Session{conn: conn, aborted: map[string]bool{}}
 		e.mu.Lock()
-		if e.ended {
+		if e.closed {
 			conn.Close()
 		}
 		e.sessions[s] = struct{}{}
@@ -104,7 +104,7 @@
 func (e *Engine) Close() {
 	e.listener.Close()
 	e.mu.Lock()
-	e.ended = true
+	e.closed = true
 	for s := range e.sessions {
 		s.Reset()
 	}
--- a/internal/fake/rough.go
+++ b/internal/fake/faulty_engine.go
@@ -11,36 +11,38 @@
 
 // Rough answers as an engine behind a bad network does: mostly well, else spoilt, twice, in part, or never. Each good
 // result's rows begin with the job's id. Its chance comes from a seed.
-type Rough struct {
+type FaultyEngine struct {
 	mu     sync.Mutex
-	chance *rand.Rand
+	random *rand.Rand
 }
 
 // NewRough makes one.
-func NewRough(seed uint64) *Rough { return &Rough{chance: rand.New(rand.NewPCG(seed, 1))} }
+func NewFaultyEngine(seed uint64) *FaultyEngine {
+	return &FaultyEngine{random: rand.New(rand.NewPCG(seed, 1))}
+}
 
-func (r *Rough) pick(n int) int {
+func (r *FaultyEngine) draw(n int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.chance.IntN(n)
+	return r.random.IntN(n)
 }
 
 // Rows is the result that Rough gives for a job, in two pages.
-func Rows(id string) string { return page(id, 0) + page(id, 1) }
+func FaultyEngineRows(id string) string { return page(id, 0) + page(id, 1) }
 
 func page(id string, n int) string { return strings.Repeat(fmt.Sprintf("%s\t%d\tx\n", id, n), 20) }
 
 // Handle answers a command.
-func (r *Rough) Handle(s *Session, c engine.Command) {
+func (r *FaultyEngine) Handle(s *Session, c engine.Command) {
 	switch c.Word {
 	case "stats", "alive":
 		s.Answer(c.ID, "well", "load=concurrent:0", "")
 	case "more":
 		n := 1
-		if r.pick(20) == 0 {
+		if r.draw(20) == 0 {
 			n = 7
 		}
-		if s.takeBack(c.ID) {
+		if s.takeAborted(c.ID) {
 			s.Answer(c.ID, "failed", "", "")
 			return
 		}
@@ -52,9 +54,9 @@
 	}
 }
 
-func (r *Rough) fetch(s *Session, id string) {
+func (r *FaultyEngine) fetch(s *Session, id string) {
 	data := string(engine.AppendAnswer(nil, id, "data", "sheets=2,toil=20,room=8", []byte(page(id, 0))))
-	switch r.pick(24) {
+	switch r.draw(24) {
 	case 0:
 		s.Answer(id, "full", "", "")
 	case 1:
--- a/internal/fake/rude.go
+++ b/internal/fake/misbehaving_client.go
@@ -13,7 +13,7 @@
 
 // Rude is one visit of a client that does what it should not, of a kind drawn by chance. It tells whether something
 // that it sent was served.
-func Rude(address string, chance *rand.Rand) (served bool) {
+func MisbehavingClient(address string, chance *rand.Rand) (served bool) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
--- a/internal/fake/sparql.go
+++ b/internal/fake/sparql.go
@@ -19,11 +19,11 @@
 	listener net.Listener
 	running  sync.WaitGroup
 
-	mu    sync.Mutex
-	store [][3]string
-	seen  []string // texts that it began
+	mu       sync.Mutex
+	triples  [][3]string
+	received []string // texts that it began
 	// Before is asked before a text is begun; true: it has dealt with the request itself. Set under Script.
-	before func(w http.ResponseWriter, text string) bool
+	intercept func(w http.ResponseWriter, text string) bool
 }
 
 // StartEndpoint listens at an address, with some triples.
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{listener: l, store: triples}
+	e := &Endpoint{listener: l, triples: triples}
 	e.server = &http.Server{Handler: e}
 	e.running.Go(func() { e.server.Serve(l) })
 	return e, nil
@@ -42,17 +42,17 @@
 func (e *Endpoint) URL() string { return "http://" + e.listener.Addr().String() + "/sparql" }
 
 // Script sets what deals with requests first.
-func (e *Endpoint) Script(before func(w http.ResponseWriter, text string) bool) {
+func (e *Endpoint) Intercept(before func(w http.ResponseWriter, text string) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.before = before
+	e.intercept = before
 }
 
 // Seen gives the texts that it began, probes aside.
-func (e *Endpoint) Seen() []string {
+func (e *Endpoint) Received() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.seen)
+	return slices.Clone(e.received)
 }
 
 // Close dies as a process does.
@@ -66,7 +66,7 @@
 	r.ParseForm()
 	text, update := r.PostForm.Get("query"), r.PostForm.Get("update")
 	e.mu.Lock()
-	before := e.before
+	before := e.intercept
 	e.mu.Unlock()
 	if before != nil && before(w, text+update) {
 		return
@@ -77,7 +77,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if text != "ASK {}" {
-		e.seen = append(e.seen, text+update)
+		e.received = append(e.received, text+update)
 	}
 	if update != "" {
 		inner, is := inBraces(strings.TrimPrefix(update, "INSERT DATA"))
@@ -85,7 +85,7 @@
 			http.Error(w, "not known here", http.StatusBadRequest)
 			return
 		}
-		e.store = append(e.store, patterns(inner)...)
+		e.triples = append(e.triples, patterns(inner)...)
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -95,11 +95,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", results.JSON.MediaType())
-	Answer(w, e.solve(patterns(inner)), strings.HasPrefix(text, "ASK"))
+	WriteResults(w, e.solve(patterns(inner)), strings.HasPrefix(text, "ASK"))
 }
 
 // Answer writes rows, or whether there are any, as JSON results.
-func Answer(w io.Writer, rows []map[string]string, ask bool) {
+func WriteResults(w io.Writer, rows []map[string]string, ask bool) {
 	out := results.NewWriter(results.JSON, w)
 	if ask {
 		out.Head(results.Head{Ask: true, Boolean: len(rows) > 0})
@@ -156,7 +156,7 @@
 	for _, p := range list {
 		var next []map[string]string
 		for _, row := range rows {
-			for _, t := range e.store {
+			for _, t := range e.triples {
 				with := map[string]string{}
 				for k, v := range row {
 					with[k] = v
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -134,7 +134,7 @@
 	program            string
 	number             int
 	r                  *rand.Rand
-	town               *testcluster.Town
+	town               *testcluster.Cluster
 	gaps               map[string][]time.Duration
 	violations         []rulecheck.Violation
 	jobs, done, broken int64
@@ -149,25 +149,25 @@
 }
 
 func (p *play) run() (err error) {
-	plan := testcluster.Plan{Program: p.program, Seed: uint64(p.number) + 1, Controllers: voters + listeners, Engines: 3, Voters: voters, Files: map[string]string{"problem.json": problem},
-		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
+	plan := testcluster.Config{Program: p.program, Seed: uint64(p.number) + 1, Controllers: voters + listeners, Engines: 3, Voters: voters, Files: map[string]string{"problem.json": problem},
+		FleetFields: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
 	if p.plain {
-		plan.Voters, plan.Parts = 0, ""
+		plan.Voters, plan.FleetFields = 0, ""
 	}
-	p.town, err = plan.Town()
+	p.town, err = plan.Start()
 	if err != nil {
 		return err
 	}
 	defer p.town.Close()
 	if p.plain {
-		load := p.town.NewLoad(uint64(p.number), 1, 30*time.Millisecond, false)
+		load := p.town.StartLoad(uint64(p.number), 1, 30*time.Millisecond, false)
 		time.Sleep(plainFor)
 		load.Stop()
 		p.jobs, p.done, p.broken = load.Done.Load()+load.Throttled.Load()+load.Cancelled.Load(), load.Done.Load(), load.Broken.Load()
 		return p.town.Stop()
 	}
-	watch := p.town.WatchParts(100 * time.Millisecond)
-	load := p.town.NewLoad(uint64(p.number), 1, 30*time.Millisecond, false)
+	watch := p.town.WatchShares(100 * time.Millisecond)
+	load := p.town.StartLoad(uint64(p.number), 1, 30*time.Millisecond, false)
 	if err := p.cli("fleet", "found"); err != nil {
 		return err
 	}
@@ -193,7 +193,7 @@
 	if err := watch.Stop(); err != nil {
 		return err
 	}
-	p.mostOut = watch.Most
+	p.mostOut = watch.MaxAssigned
 	load.Stop()
 	p.jobs, p.done, p.broken = load.Done.Load()+load.Throttled.Load()+load.Cancelled.Load(), load.Done.Load(), load.Broken.Load()
 	if err := p.fences(); err != nil {
@@ -202,13 +202,13 @@
 	if err := p.town.Stop(); err != nil {
 		return err
 	}
-	p.violations = rulecheck.Check(testcluster.Rules, p.town.Book.Log())
+	p.violations = rulecheck.Check(testcluster.Rules, p.town.Events.Entries())
 	return nil
 }
 
 func (p *play) cli(args ...string) error {
 	c := exec.Command(p.program, args...)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+p.town.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+p.town.OperatorFile)
 	if text, err := c.CombinedOutput(); err != nil {
 		return fmt.Errorf("%s: %w: %s", strings.Join(args, " "), err, bytes.TrimSpace(text))
 	}
@@ -217,10 +217,10 @@
 
 // owner waits until a voter other than one acts.
 func (p *play) owner(not string) (m *testcluster.Member, err error) {
-	err = p.town.Await(20*time.Second, func() bool {
+	err = p.town.WaitUntil(20*time.Second, func() bool {
 		for _, x := range p.town.Members[:min(voters, len(p.town.Members))] {
 			var v leader.View
-			if x.Name != not && !slices.Contains(p.asleep, x) && p.town.Get(x, "/v1/owner", &v) == nil && v.May {
+			if x.Name != not && !slices.Contains(p.asleep, x) && p.town.GetJSON(x, "/v1/owner", &v) == nil && v.May {
 				m = x
 				return true
 			}
@@ -249,9 +249,9 @@
 		State rollout.State `json:"state"`
 		To    change.Spec   `json:"to"`
 	}
-	if err := p.town.Await(40*time.Second, func() bool {
+	if err := p.town.WaitUntil(40*time.Second, func() bool {
 		m, err := p.owner("")
-		return err == nil && p.town.Get(m, "/v1/owner/item?name=change.json", &r) == nil && r.State.Phase.Ends()
+		return err == nil && p.town.GetJSON(m, "/v1/owner/item?name=change.json", &r) == nil && r.State.Phase.Ends()
 	}); err != nil {
 		return fmt.Errorf("does not end: %s (%s): %w", r.State.Phase, r.State.Why, err)
 	}
@@ -259,7 +259,7 @@
 		return fmt.Errorf("ends as %s: %s", r.State.Phase, r.State.Outcome)
 	}
 	for _, m := range p.town.Members {
-		if err := p.town.Await(20*time.Second, func() bool { s, err := p.town.Status(m); return err == nil && s.Running == r.To.Digest() }); err != nil {
+		if err := p.town.WaitUntil(20*time.Second, func() bool { s, err := p.town.Status(m); return err == nil && s.Running == r.To.Digest() }); err != nil {
 			return fmt.Errorf("%s does not run it: %w", m.Name, err)
 		}
 	}
@@ -281,20 +281,20 @@
 	heal := func() error { return nil }
 	switch how {
 	case "killed":
-		p.keptLogs = append(p.keptLogs, m.Keeper.Log())
-		m.Keeper.End()
-		heal = func() error { return p.town.Again(m) }
+		p.keptLogs = append(p.keptLogs, m.Supervisor.Log())
+		m.Supervisor.Kill()
+		heal = func() error { return p.town.StartSupervisor(m) }
 	case "stopped":
-		m.Keeper.Signal(syscall.SIGSTOP)
+		m.Supervisor.Signal(syscall.SIGSTOP)
 		p.asleep = append(p.asleep, m)
 		heal = func() error {
-			m.Keeper.Signal(syscall.SIGCONT)
+			m.Supervisor.Signal(syscall.SIGCONT)
 			p.asleep = nil
 			return nil
 		}
 	case "cut off": // it hears nobody, and its own words arrive
-		m.Link.Set(testcluster.Silent, 0)
-		heal = func() error { m.Link.Set(testcluster.Passes, 0); return nil }
+		m.Link.SetMode(testcluster.LinkSilent, 0)
+		heal = func() error { m.Link.SetMode(testcluster.LinkUp, 0); return nil }
 	default:
 		if err := p.cli("fleet", "step-down"); err != nil {
 			return err
@@ -312,7 +312,7 @@
 	by := map[int64]string{}
 	texts := p.keptLogs
 	for _, m := range p.town.Members {
-		texts = append(texts, m.Keeper.Log())
+		texts = append(texts, m.Supervisor.Log())
 	}
 	for _, text := range texts {
 		var last change.Fence
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -36,17 +36,17 @@
 }
 
 func uneven(program string, told bool) (off, done float64, err error) {
-	plan := testcluster.Plan{Program: program, Seed: 40, Controllers: 4, Engines: 2, Voters: 3}
+	plan := testcluster.Config{Program: program, Seed: 40, Controllers: 4, Engines: 2, Voters: 3}
 	if told {
-		plan.Parts = `"parts":{"life_ms":3000},`
+		plan.FleetFields = `"parts":{"life_ms":3000},`
 	}
-	town, err := plan.Town()
+	town, err := plan.Start()
 	if err != nil {
 		return 0, 0, err
 	}
 	defer town.Close()
-	town.Fates.Takes(60 * time.Millisecond)
-	load := town.NewLoad(40, 9, 20*time.Millisecond, true)
+	town.Faults.SetWorkDuration(60 * time.Millisecond)
+	load := town.StartLoad(40, 9, 20*time.Millisecond, true)
 	p := &play{program: program, town: town}
 	if told {
 		if err := p.cli("fleet", "found"); err != nil {
@@ -85,7 +85,7 @@
 	if err := town.Stop(); err != nil {
 		return 0, 0, err
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, town.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, town.Events.Entries()) {
 		return 0, 0, fmt.Errorf("%v", v)
 	}
 	return off / float64(n), float64(load.Done.Load()) / float64(max(1, all)), nil
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -30,7 +30,7 @@
 		var r struct {
 			State rollout.State `json:"state"`
 		}
-		if p.town.Get(m, "/v1/owner/item?name=change.json", &r) != nil {
+		if p.town.GetJSON(m, "/v1/owner/item?name=change.json", &r) != nil {
 			continue
 		}
 		if r.State.Phase.Ends() {
@@ -57,18 +57,18 @@
 func (p *play) oneByOne() error {
 	for _, m := range p.town.Members[:voters] {
 		var was, is leader.View
-		if err := p.town.Get(m, "/v1/owner", &was); err != nil {
+		if err := p.town.GetJSON(m, "/v1/owner", &was); err != nil {
 			return err
 		}
-		p.keptLogs = append(p.keptLogs, m.Keeper.Log())
-		m.Keeper.End()
+		p.keptLogs = append(p.keptLogs, m.Supervisor.Log())
+		m.Supervisor.Kill()
 		if err := os.Remove(filepath.Join(p.town.Dir, m.Name, "owner.db")); err != nil {
 			return err
 		}
-		if err := p.town.Again(m); err != nil {
+		if err := p.town.StartSupervisor(m); err != nil {
 			return err
 		}
-		if err := p.town.Await(20*time.Second, func() bool { return p.town.Get(m, "/v1/owner", &is) == nil }); err != nil {
+		if err := p.town.WaitUntil(20*time.Second, func() bool { return p.town.GetJSON(m, "/v1/owner", &is) == nil }); err != nil {
 			return err
 		}
 		if is.ID != 0 {
@@ -77,7 +77,7 @@
 		if err := p.cli("fleet", "join", m.Name); err != nil {
 			return err
 		}
-		if err := p.town.Get(m, "/v1/owner", &is); err != nil || is.ID == was.ID || is.ID == 0 || len(is.Voters) != voters {
+		if err := p.town.GetJSON(m, "/v1/owner", &is); err != nil || is.ID == was.ID || is.ID == 0 || len(is.Voters) != voters {
 			return fmt.Errorf("%s is %+v after %d: %v", m.Name, is, was.ID, err)
 		}
 	}
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -36,7 +36,7 @@
 
 // loaded counts how often the owner of three voters changes while all cores are busy with the tests.
 func loaded(program string, stop chan struct{}) error {
-	town, err := testcluster.Plan{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	town, err := testcluster.Config{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
 		return err
 	}
@@ -50,13 +50,13 @@
 	if err != nil {
 		return err
 	}
-	if err := town.Get(m, "/v1/owner", &first); err != nil {
+	if err := town.GetJSON(m, "/v1/owner", &first); err != nil {
 		return err
 	}
 	from := time.Now()
 	<-stop
 	span := time.Since(from)
-	if err := town.Get(m, "/v1/owner", &last); err != nil {
+	if err := town.GetJSON(m, "/v1/owner", &last); err != nil {
 		return err
 	}
 	fmt.Printf("real processes beside that, all cores busy: the owner of 3 voters changed %d times in %.0f s\n", last.Reign-first.Reign, span.Seconds())
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -20,25 +20,25 @@
 // handover changes the program of the one controller of a town under load: by a process beside the old one, and, as the
 // plain way, by SIGTERM and a new start. It tells whether the figures hold.
 func handover(base, next string) bool {
-	town, err := testcluster.NewTown(base, 77, 1, 2, false)
+	town, err := testcluster.StartDefault(base, 77, 1, 2, false)
 	if err != nil {
 		fmt.Println("FAILED: hand-over:", err)
 		return false
 	}
 	defer town.Close()
 	m := town.Members[0]
-	load := town.NewLoad(77, 30, 140*time.Millisecond, false)
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	load := town.StartLoad(77, 30, 140*time.Millisecond, false)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
 	steady := func() { time.Sleep(1500 * time.Millisecond) } // the load beside the switches, not a proof
 	steady()
 	marks := []time.Time{time.Now()}
 	ok := true
 	settled := func(is func(s int, drains int) bool) {
-		if err := town.Await(20*time.Second, func() bool {
+		if err := town.WaitUntil(20*time.Second, func() bool {
 			s, err := town.Status(m)
 			return err == nil && s.Serves && is(s.PID, len(s.Drains))
 		}); err != nil {
-			fmt.Println("FAILED: hand-over:", err, m.Keeper.Log())
+			fmt.Println("FAILED: hand-over:", err, m.Supervisor.Log())
 			ok = false
 		}
 	}
@@ -74,7 +74,7 @@
 		fmt.Println("FAILED: hand-over:", err)
 		ok = false
 	}
-	log := town.Book.Log()
+	log := town.Events.Entries()
 	for _, v := range rulecheck.Check(testcluster.Rules, log) {
 		fmt.Println("FAILED: hand-over:", v)
 		ok = false
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -33,12 +33,12 @@
 
 // fault is a line of a schedule: data, so that one that finds something can be played again.
 type fault struct {
-	AtMS   int64           `json:"at_ms"`
-	Member int             `json:"member"`
-	Way    testcluster.Way `json:"way"`
-	Delay  int64           `json:"delay_ms"`
-	Repeat bool            `json:"repeat"`  // an order, once more
-	Stop   int64           `json:"stop_ms"` // SIGSTOP of the keeper, for so long
+	AtMS   int64                `json:"at_ms"`
+	Member int                  `json:"member"`
+	Way    testcluster.LinkMode `json:"way"`
+	Delay  int64                `json:"delay_ms"`
+	Repeat bool                 `json:"repeat"`  // an order, once more
+	Stop   int64                `json:"stop_ms"` // SIGSTOP of the keeper, for so long
 }
 
 // schedule draws faults of links and keepers from a seed; the last ones end all.
@@ -52,7 +52,7 @@
 		case 1:
 			f.Stop = 50 + r.Int64N(600)
 		default:
-			f.Way = testcluster.Way(r.IntN(5))
+			f.Way = testcluster.LinkMode(r.IntN(5))
 			f.Delay = 20 + r.Int64N(300)
 		}
 		list = append(list, f)
@@ -87,13 +87,13 @@
 
 func (s scenario) play(base string) (t told) {
 	t = told{scenario: s}
-	town, err := testcluster.NewTown(base, s.seed, s.controllers, s.engines, false)
+	town, err := testcluster.StartDefault(base, s.seed, s.controllers, s.engines, false)
 	if err != nil {
 		t.err = err
 		return t
 	}
 	defer town.Close()
-	load := town.NewLoad(s.seed, 3, 24*time.Millisecond, true)
+	load := town.StartLoad(s.seed, 3, 24*time.Millisecond, true)
 	folder := filepath.Join(town.Dir, "record")
 	file := filepath.Join(town.Dir, "change.json")
 	text := fmt.Sprintf(`{"number":1,"kind":"settings","to":{"shape":{"budget_free":5}},"stages":[{"per_mille":1},{"per_mille":400},{"per_mille":1000}],%s}`, map[bool]string{false: pace, true: brief}[s.brief])
@@ -107,11 +107,11 @@
 	go s.trouble(town, done)
 	if s.loses {
 		go func() {
-			town.Await(20*time.Second, func() bool {
+			town.WaitUntil(20*time.Second, func() bool {
 				r, _, err := coordinator.Look(folder).Record()
 				return err == nil && r.State.Phase == rollout.Baking
 			})
-			town.Lose("e1")
+			town.CrashEngine("e1")
 		}()
 	}
 	t.kills, t.err = s.conduct(town, base, folder, file)
@@ -136,18 +136,18 @@
 			t.err = fmt.Errorf("%s runs %s, wanted %s: %v", m.Name, s.Running, want, err)
 		}
 		if t.err == nil {
-			t.err = fences(m.Keeper.Log())
+			t.err = fences(m.Supervisor.Log())
 		}
 	}
 	if err := town.Stop(); t.err == nil {
 		t.err = err
 	}
-	t.violations = rulecheck.Check(testcluster.Rules, town.Book.Log())
+	t.violations = rulecheck.Check(testcluster.Rules, town.Events.Entries())
 	return t
 }
 
 // trouble plays the schedule.
-func (s scenario) trouble(town *testcluster.Town, done chan struct{}) {
+func (s scenario) trouble(town *testcluster.Cluster, done chan struct{}) {
 	began := time.Now()
 	for _, f := range s.faults {
 		select {
@@ -158,25 +158,25 @@
 		m := town.Members[f.Member]
 		switch {
 		case f.Repeat:
-			m.Link.Repeat()
+			m.Link.ReplayLastOrder()
 		case f.Stop > 0:
-			m.Keeper.Signal(syscall.SIGSTOP)
-			time.AfterFunc(time.Duration(f.Stop)*time.Millisecond, func() { m.Keeper.Signal(syscall.SIGCONT) })
+			m.Supervisor.Signal(syscall.SIGSTOP)
+			time.AfterFunc(time.Duration(f.Stop)*time.Millisecond, func() { m.Supervisor.Signal(syscall.SIGCONT) })
 		default:
-			m.Link.Set(f.Way, time.Duration(f.Delay)*time.Millisecond)
+			m.Link.SetMode(f.Way, time.Duration(f.Delay)*time.Millisecond)
 		}
 	}
 }
 
 // conduct runs conductors until the change ends. Where they are killed, it is once in each phase that the record shows.
-func (s scenario) conduct(town *testcluster.Town, program, folder, file string) (kills int, err error) {
+func (s scenario) conduct(town *testcluster.Cluster, program, folder, file string) (kills int, err error) {
 	killed := map[string]bool{}
 	args := []string{"start", file}
 	if len(s.faults) > 0 { // the start needs all to answer
 		defer func() { kills = 0 }()
 	}
 	for {
-		p, err := town.Rollout(program, folder, args...)
+		p, err := town.StartCoordinator(program, folder, args...)
 		if err != nil {
 			return kills, err
 		}
@@ -189,11 +189,11 @@
 			}
 			return false
 		}
-		for !p.Over() && !kill() {
+		for !p.Exited() && !kill() {
 			time.Sleep(2 * time.Millisecond)
 		}
-		if p.Over() {
-			end := p.Await()
+		if p.Exited() {
+			end := p.WaitExit()
 			if r, is, _ := coordinator.Look(folder).Record(); is && r.State.Phase.Ends() {
 				return kills, nil
 			}
@@ -202,7 +202,7 @@
 			}
 			return kills, fmt.Errorf("the conductor ended: %v: %s", end, p.Log())
 		}
-		p.End()
+		p.Kill()
 		kills++
 		args = []string{"resume", "--conduct"}
 	}
--- a/internal/proof/rollout/taught.go
+++ b/internal/proof/rollout/taught.go
@@ -37,15 +37,15 @@
 
 // switched is how many dispatches beyond their jobs' first the newer process made for its first jobs.
 func switched(program, env string) (float64, error) {
-	town, err := testcluster.Plan{Program: program, Seed: 5, Controllers: 1, Engines: 2, Env: []string{env}}.Town()
+	town, err := testcluster.Config{Program: program, Seed: 5, Controllers: 1, Engines: 2, ExtraEnv: []string{env}}.Start()
 	if err != nil {
 		return 0, err
 	}
 	defer town.Close()
-	town.Fates.Takes(200 * time.Millisecond)
+	town.Faults.SetWorkDuration(200 * time.Millisecond)
 	m := town.Members[0]
-	load := town.NewLoad(5, 10, 20*time.Millisecond, false)
-	if err := town.Await(20*time.Second, func() bool { return load.Done.Load() > 3*taughtJobs }); err != nil {
+	load := town.StartLoad(5, 10, 20*time.Millisecond, false)
+	if err := town.WaitUntil(20*time.Second, func() bool { return load.Done.Load() > 3*taughtJobs }); err != nil {
 		return 0, err
 	}
 	s, err := town.Status(m)
@@ -57,10 +57,10 @@
 	if want.Program.Digest, err = change.OfFile(want.Program.Path); err != nil {
 		return 0, err
 	}
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
 	fleet.Order(context.Background(), map[int]change.Order{0: {Format: change.Format, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}, By: "x", Member: m.Name, Want: want}})
 	var again, jobs uint64
-	err = town.Await(20*time.Second, func() bool {
+	err = town.WaitUntil(20*time.Second, func() bool {
 		now, err := town.Status(m)
 		if err != nil || now.Started == s.Started {
 			return false
@@ -75,7 +75,7 @@
 	if err == nil {
 		err = town.Stop()
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, town.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, town.Events.Entries()) {
 		return 0, fmt.Errorf("%v", v)
 	}
 	return float64(again) * taughtJobs / float64(max(1, jobs)), err
--- a/internal/proof/sparql/node.go
+++ b/internal/proof/sparql/node.go
@@ -11,7 +11,7 @@
 type node struct{ *testcluster.Process }
 
 func startNode(program, config, own string) (*node, error) {
-	p, err := testcluster.Start(program, []string{"ROUTER_CONFIG=" + config, "ROUTER_OPERATOR=" + own})
+	p, err := testcluster.StartProcess(program, []string{"ROUTER_CONFIG=" + config, "ROUTER_OPERATOR=" + own})
 	return &node{p}, err
 }
 
--- a/internal/proof/sparql/play.go
+++ b/internal/proof/sparql/play.go
@@ -56,8 +56,8 @@
 
 // town is the stand-ins and controllers of a run.
 type town struct {
-	book   testcluster.Book
-	feed   *fake.Feed
+	book   testcluster.EventLog
+	feed   *fake.Discovery
 	lines  map[string]*fake.Engine
 	ends   map[string]*fake.Endpoint
 	nodes  []*node
@@ -97,7 +97,7 @@
 	if err := w.stop(); err != nil {
 		return t, err
 	}
-	log := w.book.Log()
+	log := w.book.Entries()
 	t.broken = rulecheck.Check(rules, log)
 	types := map[string]string{}
 	for _, e := range log {
@@ -135,15 +135,15 @@
 }
 
 func (w *town) begin(program, dir string, d day) (err error) {
-	f := testcluster.NewFates(d.seed, d.faults, 3*time.Millisecond)
-	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
+	f := testcluster.NewFaultPlan(d.seed, d.faults, 3*time.Millisecond)
+	if w.feed, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		return err
 	}
 	var hosts, urls []string
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
 		dial := ""
 		if name != "e4" {
-			e, err := testcluster.LineEngine("127.0.0.1:0", name, &w.book, f)
+			e, err := testcluster.StartLineEngine("127.0.0.1:0", name, &w.book, f)
 			if err != nil {
 				return err
 			}
@@ -161,7 +161,7 @@
 		hosts = append(hosts, entry(name, dial, "ready"))
 		w.book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 8})
 	}
-	known := w.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
+	known := w.feed.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
 	for n := range 2 {
 		config, own := filepath.Join(dir, fmt.Sprintf("n%d.json", n)), filepath.Join(dir, fmt.Sprintf("own%d.json", n))
 		text := fmt.Sprintf(`{"name":"n%d","listen":"127.0.0.1:0","seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`,
@@ -203,7 +203,7 @@
 	if e := w.lines[name]; e != nil {
 		dial = e.Address()
 	}
-	w.feed.Add(false, "["+entry(name, dial, state)+"]")
+	w.feed.AddEvent(false, "["+entry(name, dial, state)+"]")
 	w.book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 8})
 }
 
@@ -211,7 +211,7 @@
 func (w *town) stop() (err error) {
 	for i, n := range w.nodes {
 		n.Signal(syscall.SIGTERM)
-		if e := n.Await(); e != nil {
+		if e := n.WaitExit(); e != nil {
 			err = errors.Join(err, fmt.Errorf("controller %d: %w: %s", i, e, n.Log()))
 		}
 		if strings.Contains(n.Log(), "answers_overdue") {
@@ -224,7 +224,7 @@
 
 func (w *town) close() {
 	for _, n := range w.nodes {
-		n.End()
+		n.Kill()
 	}
 	for _, e := range w.lines {
 		e.Close()
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -22,7 +22,7 @@
 
 // fleet is the town of a scenario, with the version of each supervisor and the changes made so far.
 type fleet struct {
-	town          *testcluster.Town
+	town          *testcluster.Cluster
 	base, current build
 	versions      map[string]build // of supervisors, by member
 	load          load
@@ -30,11 +30,11 @@
 	stopped       bool
 }
 
-func newFleet(town *testcluster.Town, base, current build, plan testcluster.Plan) *fleet {
+func newFleet(town *testcluster.Cluster, base, current build, plan testcluster.Config) *fleet {
 	f := &fleet{town: town, base: base, current: current, versions: map[string]build{}, load: load{town: town}}
 	for i, m := range town.Members {
 		f.versions[m.Name] = base
-		if plan.Keepers[i] == current.program() {
+		if plan.SupervisorPrograms[i] == current.program() {
 			f.versions[m.Name] = current
 		}
 	}
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.town.Rollout(by.program(), f.folder(), "start", file)
+	return f.town.StartCoordinator(by.program(), f.folder(), "start", file)
 }
 
 // change takes a change through the fleet by a coordinator of one version.
@@ -94,7 +94,7 @@
 
 // finish waits for a coordinator's success, and checks that all members run the change.
 func (f *fleet) finish(p *testcluster.Process) (string, error) {
-	if err := p.Await(); err != nil {
+	if err := p.WaitExit(); err != nil {
 		return "", fmt.Errorf("the coordinator ends with %w: %s", err, tail(p.Log()))
 	}
 	return f.reached(f.record())
@@ -112,7 +112,7 @@
 func (f *fleet) running(spec change.Spec, number int64) (string, error) {
 	for _, m := range f.town.Members {
 		var last supervisor.Status
-		err := f.town.Await(stepLimit, func() bool {
+		err := f.town.WaitUntil(stepLimit, func() bool {
 			s, err := f.town.Status(m)
 			last = s
 			return err == nil && s.Serves && s.Running == spec.Digest() && s.Fence.Number == number
@@ -141,15 +141,15 @@
 	if err != nil {
 		return err
 	}
-	if err := f.town.Drain(m); err != nil {
+	if err := f.town.DrainMember(m); err != nil {
 		return err
 	}
-	if err := f.town.StartAs(m, to.program()); err != nil {
+	if err := f.town.UpgradeSupervisor(m, to.program()); err != nil {
 		return err
 	}
 	f.versions[m.Name] = to
 	var after supervisor.Status
-	err = f.town.Await(stepLimit, func() bool {
+	err = f.town.WaitUntil(stepLimit, func() bool {
 		after, err = f.town.Status(m)
 		return err == nil && after.Running == before.Running
 	})
@@ -163,11 +163,11 @@
 // await waits for something to be so while a coordinator works, if one is given.
 func (f *fleet) await(what string, p *testcluster.Process, is func() bool) error {
 	ended := false
-	err := f.town.Await(stepLimit, func() bool {
+	err := f.town.WaitUntil(stepLimit, func() bool {
 		if is() {
 			return true
 		}
-		ended = p != nil && p.Over()
+		ended = p != nil && p.Exited()
 		return ended
 	})
 	switch {
@@ -190,7 +190,7 @@
 
 // load is the clients of a fleet, which may rest for a while.
 type load struct {
-	town *testcluster.Town
+	town *testcluster.Cluster
 	all  []*testcluster.Load // the last one runs, unless resting
 	rest bool
 }
@@ -201,7 +201,7 @@
 )
 
 func (l *load) start() {
-	l.all = append(l.all, l.town.NewLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
+	l.all = append(l.all, l.town.StartLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
 	l.rest = false
 }
 
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -16,9 +16,9 @@
 )
 
 // mixedPlan is a fleet whose supervisors are of both versions by turns.
-func mixedPlan(base, current build) testcluster.Plan {
-	return testcluster.Plan{Program: base.program(), Seed: 62, Controllers: 4, Engines: 2,
-		Keepers: map[int]string{1: current.program(), 3: current.program()}}
+func mixedPlan(base, current build) testcluster.Config {
+	return testcluster.Config{Program: base.program(), Seed: 62, Controllers: 4, Engines: 2,
+		SupervisorPrograms: map[int]string{1: current.program(), 3: current.program()}}
 }
 
 func mixedSteps(f *fleet) []step {
@@ -60,7 +60,7 @@
 func (f *fleet) resume(by build) (*testcluster.Process, error) {
 	term := f.record().State.Fence.Term
 	for stop := time.Now().Add(stepLimit); ; {
-		p, err := f.town.Rollout(by.program(), f.folder(), "resume", "--conduct")
+		p, err := f.town.StartCoordinator(by.program(), f.folder(), "resume", "--conduct")
 		if err != nil {
 			return nil, err
 		}
@@ -68,7 +68,7 @@
 		if err == nil {
 			return p, nil
 		}
-		if !p.Over() || exitCode(p.Await()) != exitFenced || time.Now().After(stop) {
+		if !p.Exited() || exitCode(p.WaitExit()) != exitFenced || time.Now().After(stop) {
 			return nil, err
 		}
 	}
@@ -83,14 +83,14 @@
 	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.Baking }); err != nil {
 		return "", err
 	}
-	p.End()
+	p.Kill()
 	if p, err = f.resume(f.other(first)); err != nil {
 		return "", err
 	}
 	if err := f.await("a later stage", p, func() bool { return f.record().State.Stage > 0 }); err != nil {
 		return "", err
 	}
-	p.End()
+	p.Kill()
 	if p, err = f.resume(first); err != nil {
 		return "", err
 	}
@@ -138,7 +138,7 @@
 	if err := f.wish(f.other(coordinator), "back"); err != nil {
 		return "", err
 	}
-	if err := p.Await(); exitCode(err) != exitRolledBack {
+	if err := p.WaitExit(); exitCode(err) != exitRolledBack {
 		return "", fmt.Errorf("the coordinator ends with %v: %s", err, tail(p.Log()))
 	}
 	if err := f.wish(f.other(coordinator), "resume"); err != nil { // else the next change takes in the wish of this one
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -10,8 +10,8 @@
 )
 
 // rollPlan is a fleet that is all of the base version at first.
-func rollPlan(base, _ build) testcluster.Plan {
-	return testcluster.Plan{Program: base.program(), Seed: 61, Controllers: 3, Engines: 3,
+func rollPlan(base, _ build) testcluster.Config {
+	return testcluster.Config{Program: base.program(), Seed: 61, Controllers: 3, Engines: 3,
 		Files: map[string]string{"problem.json": testcluster.PlanningProblem}}
 }
 
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -12,7 +12,7 @@
 // scenario is a fleet of its own under load, and what is done with it, step by step.
 type scenario struct {
 	name  string
-	plan  func(base, current build) testcluster.Plan
+	plan  func(base, current build) testcluster.Config
 	steps func(*fleet) []step
 }
 
@@ -35,7 +35,7 @@
 // play starts the fleet, takes all steps and holds what was logged against the rules. Steps after one that failed are
 // reported as not run.
 func (s scenario) play(base, current build, r *report) {
-	town, err := s.plan(base, current).Town()
+	town, err := s.plan(base, current).Start()
 	if err != nil {
 		r.add("the fleet starts", failed, err.Error())
 		return
@@ -69,7 +69,7 @@
 		return "", fmt.Errorf("the fleet did not come to its end; jobs so far: %+v", f.load.jobs())
 	}
 	var errs []error
-	for _, v := range rulecheck.Check(testcluster.Rules, f.town.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, f.town.Events.Entries()) {
 		errs = append(errs, errors.New(v.String()))
 	}
 	j := f.load.jobs()
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -16,8 +16,8 @@
 )
 
 // transferPlan is two controllers, one under a supervisor of each version.
-func transferPlan(base, current build) testcluster.Plan {
-	return testcluster.Plan{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, Keepers: map[int]string{1: current.program()}}
+func transferPlan(base, current build) testcluster.Config {
+	return testcluster.Config{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, SupervisorPrograms: map[int]string{1: current.program()}}
 }
 
 // brokenEngine is the one that fails all that it is asked.
@@ -37,7 +37,7 @@
 func (f *fleet) ejected(n int) error {
 	for _, m := range f.town.Members {
 		var last supervisor.Status
-		err := f.town.Await(stepLimit, func() (is bool) {
+		err := f.town.WaitUntil(stepLimit, func() (is bool) {
 			s, err := f.town.Status(m)
 			last = s
 			return err == nil && s.Serves && s.Aside == n
@@ -50,12 +50,12 @@
 }
 
 func (f *fleet) eject() (string, error) {
-	f.town.Fates.Break(brokenEngine, true)
+	f.town.Faults.SetFailing(brokenEngine, true)
 	return "", f.ejected(1)
 }
 
 func (f *fleet) restore() (string, error) {
-	f.town.Fates.Break(brokenEngine, false)
+	f.town.Faults.SetFailing(brokenEngine, false)
 	return "", f.ejected(0)
 }
 
@@ -75,7 +75,7 @@
 	}
 	for _, m := range f.town.Members {
 		var s supervisor.Status
-		err := f.town.Await(stepLimit, func() (is bool) {
+		err := f.town.WaitUntil(stepLimit, func() (is bool) {
 			var err error
 			s, err = f.town.Status(m)
 			return err == nil && s.Serves && s.Version == to.version
@@ -109,7 +109,7 @@
 // is nil.
 func (f *fleet) reportFields(wanted []string) (fields []string, err error) {
 	m := f.town.Members[0]
-	waitErr := f.town.Await(stepLimit, func() bool {
+	waitErr := f.town.WaitUntil(stepLimit, func() bool {
 		if fields, err = reportOf(m); err != nil {
 			return false
 		}
@@ -123,7 +123,7 @@
 
 // reportOf asks a member's newest process for its report.
 func reportOf(m *testcluster.Member) ([]string, error) {
-	all := reportAddress.FindAllStringSubmatch(m.Keeper.Log(), -1)
+	all := reportAddress.FindAllStringSubmatch(m.Supervisor.Log(), -1)
 	if len(all) == 0 {
 		return nil, errors.New("it does not say where it reports")
 	}
@@ -143,7 +143,7 @@
 
 // began counts the dispatches that an engine began.
 func (f *fleet) began(engine string) (n int) {
-	for _, e := range f.town.Book.Log() {
+	for _, e := range f.town.Events.Entries() {
 		if e.What == rulecheck.Began && e.Engine == engine {
 			n++
 		}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -19,18 +19,18 @@
 )
 
 // voterPlan is three voters and two more members, of both versions, with shares and plans that the leader assigns.
-func voterPlan(base, current build) testcluster.Plan {
-	return testcluster.Plan{Program: base.program(), Seed: 63, Controllers: 5, Engines: 3, Voters: 3,
-		Keepers: map[int]string{1: current.program(), 4: current.program()},
-		Files:   map[string]string{"problem.json": testcluster.PlanningProblem},
-		Parts:   `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
+func voterPlan(base, current build) testcluster.Config {
+	return testcluster.Config{Program: base.program(), Seed: 63, Controllers: 5, Engines: 3, Voters: 3,
+		SupervisorPrograms: map[int]string{1: current.program(), 4: current.program()},
+		Files:              map[string]string{"problem.json": testcluster.PlanningProblem},
+		FleetFields:        `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
 }
 
 func voterSteps(f *fleet) []step {
 	base, current := f.base, f.current
-	var shares *testcluster.PartsWatch
+	var shares *testcluster.ShareWatch
 	found := func() (string, error) {
-		shares = f.town.WatchParts(watchInterval)
+		shares = f.town.WatchShares(watchInterval)
 		_, err := f.town.Command(base.program(), "fleet", "found")
 		return "", err
 	}
@@ -53,7 +53,7 @@
 		{"assignments are followed by base processes", f.assigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
-			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.Most)/float64(quota.Whole), shares.Looks), err
+			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.MaxAssigned)/float64(quota.Whole), shares.Samples), err
 		}},
 	}
 }
@@ -81,7 +81,7 @@
 
 // view is what a voter tells of the group; a zero view where it does not answer.
 func (f *fleet) view(m *testcluster.Member) (v leader.View) {
-	if err := f.town.Get(m, "/v1/owner", &v); err != nil {
+	if err := f.town.GetJSON(m, "/v1/owner", &v); err != nil {
 		return leader.View{}
 	}
 	return v
@@ -108,8 +108,8 @@
 func (f *fleet) handOver(leader *testcluster.Member, wanted build) error {
 	for _, m := range f.town.Voters() {
 		if m != leader && f.versions[m.Name] != wanted {
-			m.Keeper.Signal(syscall.SIGSTOP)
-			defer m.Keeper.Signal(syscall.SIGCONT)
+			m.Supervisor.Signal(syscall.SIGSTOP)
+			defer m.Supervisor.Signal(syscall.SIGCONT)
 		}
 	}
 	err := f.town.StepDown(leader)
@@ -133,7 +133,7 @@
 // agreedRecord is the change as the group has agreed on it; a zero record where no leader tells.
 func (f *fleet) agreedRecord() (r coordinator.Record) {
 	leader, err := f.town.Leader(f.town.Voters())
-	if err != nil || f.town.Get(leader, "/v1/owner/item?name=change.json", &r) != nil {
+	if err != nil || f.town.GetJSON(leader, "/v1/owner/item?name=change.json", &r) != nil {
 		return coordinator.Record{}
 	}
 	return r
@@ -179,7 +179,7 @@
 
 // item is a voter's copy of the agreed record.
 func (f *fleet) item(m *testcluster.Member) (text json.RawMessage) {
-	if err := f.town.Get(m, "/v1/owner/item?name=change.json", &text); err != nil {
+	if err := f.town.GetJSON(m, "/v1/owner/item?name=change.json", &text); err != nil {
 		return nil
 	}
 	return text
@@ -237,13 +237,13 @@
 			continue
 		}
 		before, record := f.view(m).ID, f.item(leader)
-		if err := f.town.Drain(m); err != nil {
+		if err := f.town.DrainMember(m); err != nil {
 			return "", err
 		}
 		if err := os.Remove(filepath.Join(f.town.Dir, m.Name, "owner.db")); err != nil {
 			return "", err
 		}
-		if err := f.town.StartAs(m, joining.program()); err != nil {
+		if err := f.town.UpgradeSupervisor(m, joining.program()); err != nil {
 			return "", err
 		}
 		if number := f.view(m).ID; number != 0 {
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -18,7 +18,7 @@
 // watch samples the statuses of a town's supervisors and finds what must never be: an order or an assignment that goes back,
 // two coordinators under one term, a controller that ended unasked, a status field that the present program does not know.
 type watch struct {
-	town *testcluster.Town
+	town *testcluster.Cluster
 	done chan struct{}
 	wait sync.WaitGroup
 
@@ -32,7 +32,7 @@
 // fenceTerm is a change's number and the term of its coordinator.
 type fenceTerm struct{ number, term int64 }
 
-func startWatch(town *testcluster.Town) *watch {
+func startWatch(town *testcluster.Cluster) *watch {
 	w := &watch{town: town, done: make(chan struct{}), last: map[string]supervisor.Status{}, orderer: map[fenceTerm]string{}}
 	w.wait.Go(func() {
 		tick := time.NewTicker(watchInterval)
--- a/internal/testcluster/town.go
+++ b/internal/testcluster/cluster.go
@@ -36,71 +36,71 @@
 	Slack: int64(500 * time.Millisecond), Grace: int64(400 * time.Millisecond)}
 
 // ColdRules are those of a town whose engines start cold: a window of a second, and twice of the third that they begin with.
-func ColdRules() rulecheck.Rules {
+func WarmUpRules() rulecheck.Rules {
 	r := Rules
-	r.Warm, r.Fall, r.FallPerCore = int64(coldFor), int64(time.Second), int64(2*time.Second/3)
+	r.Warm, r.Fall, r.FallPerCore = int64(warmUpTime), int64(time.Second), int64(2*time.Second/3)
 	return r
 }
 
-const coldFor = 6 * time.Second
+const warmUpTime = 6 * time.Second
 
-var coldSettings = strings.Replace(settings, `"invariants":{`, fmt.Sprintf(`"invariants":{"warm_within_ns":%d,"fall_ns":1000000000,"fall_multiple":2,"start_capacity":0.333,`, coldFor), 1)
+var warmUpSettings = strings.Replace(settings, `"invariants":{`, fmt.Sprintf(`"invariants":{"warm_within_ns":%d,"fall_ns":1000000000,"fall_multiple":2,"start_capacity":0.333,`, warmUpTime), 1)
 
 // Town is engines, a feed, controllers with their keepers, and links between conductors and keepers.
-type Town struct {
-	Dir     string
-	Book    Book
-	Fates   *Fates
-	Members []*Member
-	Fleet   string // the operator's file: keepers are reached through their links
+type Cluster struct {
+	Dir          string
+	Events       EventLog
+	Faults       *FaultPlan
+	Members      []*Member
+	OperatorFile string // the operator's file: keepers are reached through their links
 
-	subnet string
-	lock   net.Listener
-	jobs   atomic.Uint64 // numbered
-	feed   *fake.Feed
-	engine map[string]*fake.Engine
-	voters int
-	http   http.Client
+	subnet     string
+	subnetLock net.Listener
+	lastJob    atomic.Uint64 // numbered
+	discovery  *fake.Discovery
+	engines    map[string]*fake.Engine
+	voters     int
+	http       http.Client
 }
 
 // Member is a controller and its keeper.
 type Member struct {
-	Name    string
-	Clients string // where it serves
-	Link    *Link
-	Keeper  *Process
-	Keeps   string // where its keeper does
-	program string // of its keeper
-	start   func(program string) (*Process, error)
+	Name              string
+	ClientAddress     string // where it serves
+	Link              *Link
+	Supervisor        *Process
+	SupervisorAddress string // where its keeper does
+	program           string // of its keeper
+	start             func(program string) (*Process, error)
 }
 
 // NewTown starts one: controllers in two zones by turns, none of them ready yet. Its addresses are of a loopback network
 // that it holds alone, so that a controller that starts again has its address.
-func NewTown(program string, seed uint64, controllers, engines int, faults bool) (t *Town, err error) {
-	return Plan{Program: program, Seed: seed, Controllers: controllers, Engines: engines, Faults: faults}.Town()
+func StartDefault(program string, seed uint64, controllers, engines int, faults bool) (t *Cluster, err error) {
+	return Config{Program: program, Seed: seed, Controllers: controllers, Engines: engines, EngineFaults: faults}.Start()
 }
 
 // Plan says what a town is to have.
-type Plan struct {
+type Config struct {
 	Program              string
 	Seed                 uint64
 	Controllers, Engines int
-	Faults               bool              // of engines
+	EngineFaults         bool              // of engines
 	Voters               int               // the first of the controllers' keepers
-	Keepers              map[int]string    // programs of some keepers, where they are others
-	StartMS              int               // before a controller is ready; this and what follows: of builds with tag fault, steered
-	ClockMS              map[int]int       // what their time of day is off by
-	Env                  []string          // more of it
-	Cold                 bool              // rule 4 holds: ColdRules
-	Operator             string            // more of the operator's file, as JSON members, each followed by a comma
+	SupervisorPrograms   map[int]string    // programs of some keepers, where they are others
+	StartDelayMS         int               // before a controller is ready; this and what follows: of builds with tag fault, steered
+	ClockOffsetMS        map[int]int       // what their time of day is off by
+	ExtraEnv             []string          // more of it
+	EnginesWarmUp        bool              // rule 4 holds: ColdRules
+	OperatorFields       string            // more of the operator's file, as JSON members, each followed by a comma
 	Files                map[string]string // beside the operator's file
-	Parts                string            // more of the operator's part fleet, as JSON members, each followed by a comma
+	FleetFields          string            // more of the operator's part fleet, as JSON members, each followed by a comma
 }
 
 // Town starts one.
-func (o Plan) Town() (t *Town, err error) {
-	program, seed, controllers, engines, faults := o.Program, o.Seed, o.Controllers, o.Engines, o.Faults
-	t = &Town{voters: o.Voters, Fates: NewFates(seed, faults, 4*time.Millisecond), engine: map[string]*fake.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
+func (o Config) Start() (t *Cluster, err error) {
+	program, seed, controllers, engines, faults := o.Program, o.Seed, o.Controllers, o.Engines, o.EngineFaults
+	t = &Cluster{voters: o.Voters, Faults: NewFaultPlan(seed, faults, 4*time.Millisecond), engines: map[string]*fake.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
 	if t.Dir, err = os.MkdirTemp("", "town"); err != nil {
 		return nil, err
 	}
@@ -109,47 +109,47 @@
 			t.Close()
 		}
 	}()
-	for t.lock == nil {
+	for t.subnetLock == nil {
 		t.subnet = fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
-		t.lock, _ = net.Listen("tcp4", t.subnet+".250:7000")
+		t.subnetLock, _ = net.Listen("tcp4", t.subnet+".250:7000")
 	}
-	if t.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
+	if t.discovery, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		return t, err
 	}
 	var hosts []string
 	for i := range engines {
 		name := fmt.Sprint("e", i+1)
-		e, err := LineEngine("127.0.0.1:0", name, &t.Book, t.Fates)
+		e, err := StartLineEngine("127.0.0.1:0", name, &t.Events, t.Faults)
 		if err != nil {
 			return t, err
 		}
-		t.engine[name] = e
+		t.engines[name] = e
 		hosts = append(hosts, t.host(name, "ready", 0))
-		t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16})
+		t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16})
 	}
-	known := t.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
+	known := t.discovery.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
 	own := operator.Fleet{DrainMS: 10_000, Program: program}
 	for i := range controllers {
-		m := &Member{Name: fmt.Sprint("c", i+1), Clients: fmt.Sprintf("%s.%d:7000", t.subnet, i+1), Keeps: fmt.Sprintf("%s.%d:7001", t.subnet, i+1)}
-		if m.Link, err = NewLink(fmt.Sprintf("%s.%d:7002", t.subnet, i+1), m.Keeps); err != nil {
+		m := &Member{Name: fmt.Sprint("c", i+1), ClientAddress: fmt.Sprintf("%s.%d:7000", t.subnet, i+1), SupervisorAddress: fmt.Sprintf("%s.%d:7001", t.subnet, i+1)}
+		if m.Link, err = NewLink(fmt.Sprintf("%s.%d:7002", t.subnet, i+1), m.SupervisorAddress); err != nil {
 			return t, err
 		}
 		zone := []string{"east", "west"}[i%2]
-		own.Members = append(own.Members, operator.Member{Name: m.Name, Listen: m.Keeps, Reach: m.Link.listener.Addr().String(), Zone: zone})
+		own.Members = append(own.Members, operator.Member{Name: m.Name, Listen: m.SupervisorAddress, Reach: m.Link.listener.Addr().String(), Zone: zone})
 		if i < o.Voters {
 			own.Voters = append(own.Voters, m.Name)
 		}
 		t.Members = append(t.Members, m)
 	}
-	t.Fleet = filepath.Join(t.Dir, "operator.json")
+	t.OperatorFile = filepath.Join(t.Dir, "operator.json")
 	text, err := json.Marshal(own)
 	if err == nil {
-		err = os.WriteFile(t.Fleet, fmt.Appendf(nil, `{%s"fleet":{%s%s}`, o.Operator, o.Parts, text[1:]), 0o600)
+		err = os.WriteFile(t.OperatorFile, fmt.Appendf(nil, `{%s"fleet":{%s%s}`, o.OperatorFields, o.FleetFields, text[1:]), 0o600)
 	}
 	if err != nil {
 		return t, err
 	}
-	of := map[bool]string{false: settings, true: coldSettings}
+	of := map[bool]string{false: settings, true: warmUpSettings}
 	for name, text := range o.Files {
 		if err := os.WriteFile(filepath.Join(t.Dir, name), []byte(text), 0o600); err != nil {
 			return t, err
@@ -158,67 +158,67 @@
 	for i, m := range t.Members {
 		config := filepath.Join(t.Dir, m.Name+".json")
 		text := fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`,
-			m.Name, m.Clients, seed*100+uint64(i)+1, t.feed.Address(), known, fmt.Sprintf(of[o.Cold], controllers, i, i%2))
+			m.Name, m.ClientAddress, seed*100+uint64(i)+1, t.discovery.Address(), known, fmt.Sprintf(of[o.EnginesWarmUp], controllers, i, i%2))
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 			return t, err
 		}
 		keeper := program
-		if other := o.Keepers[i]; other != "" {
+		if other := o.SupervisorPrograms[i]; other != "" {
 			keeper = other
 		}
-		env := append(t.faults(m.Name), "ROUTER_CONFIG="+config, "ROUTER_NAME="+m.Name, "ROUTER_OPERATOR="+t.Fleet,
-			fmt.Sprint("FAULT_CLOCK_MS=", o.ClockMS[i]), fmt.Sprint("FAULT_START_MS=", o.StartMS))
-		env = append(env, o.Env...)
+		env := append(t.diskEnv(m.Name), "ROUTER_CONFIG="+config, "ROUTER_NAME="+m.Name, "ROUTER_OPERATOR="+t.OperatorFile,
+			fmt.Sprint("FAULT_CLOCK_MS=", o.ClockOffsetMS[i]), fmt.Sprint("FAULT_START_MS=", o.StartDelayMS))
+		env = append(env, o.ExtraEnv...)
 		m.program = keeper
 		m.start = func(program string) (*Process, error) {
-			return Start(program, env, "keep", "--state", filepath.Join(t.Dir, m.Name))
+			return StartProcess(program, env, "keep", "--state", filepath.Join(t.Dir, m.Name))
 		}
-		if m.Keeper, err = m.start(keeper); err != nil {
+		if m.Supervisor, err = m.start(keeper); err != nil {
 			return t, err
 		}
 	}
 	for _, m := range t.Members {
-		if err := t.Await(20*time.Second, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
-			return t, fmt.Errorf("%s does not serve: %w: %s", m.Name, err, m.Keeper.Log())
+		if err := t.WaitUntil(20*time.Second, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
+			return t, fmt.Errorf("%s does not serve: %w: %s", m.Name, err, m.Supervisor.Log())
 		}
 	}
 	return t, nil
 }
 
-func (t *Town) host(name, state string, born int64) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":%q,"share":1,"born_ms":%d}`, name, t.engine[name].Address(), state, born)
+func (t *Cluster) host(name, state string, born int64) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":%q,"share":1,"born_ms":%d}`, name, t.engines[name].Address(), state, born)
 }
 
 // Reborn lists an engine as just started. It is told to controllers first: what they send is counted from then on.
-func (t *Town) Reborn(name string) {
+func (t *Cluster) ListRestarted(name string) {
 	now := time.Now()
-	t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16, Started: now.UnixNano()})
-	t.feed.Add(false, "["+t.host(name, "ready", now.UnixMilli())+"]")
+	t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16, Started: now.UnixNano()})
+	t.discovery.AddEvent(false, "["+t.host(name, "ready", now.UnixMilli())+"]")
 }
 
 // List tells the feed of an engine's state, and the book after: the grace counts from what controllers could know.
-func (t *Town) List(name, state string) {
-	t.feed.Add(false, "["+t.host(name, state, 0)+"]")
-	t.Book.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 16})
+func (t *Cluster) SetEngineState(name, state string) {
+	t.discovery.AddEvent(false, "["+t.host(name, state, 0)+"]")
+	t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 16})
 }
 
 // Lose has an engine die; the list tells of it later, as it does.
-func (t *Town) Lose(name string) {
-	t.engine[name].Close()
+func (t *Cluster) CrashEngine(name string) {
+	t.engines[name].Close()
 	time.Sleep(300 * time.Millisecond)
-	t.List(name, "gone")
+	t.SetEngineState(name, "gone")
 }
 
 // Status asks a keeper past its link.
-func (t *Town) Status(m *Member) (s supervisor.Status, err error) {
-	f := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+func (t *Cluster) Status(m *Member) (s supervisor.Status, err error) {
+	f := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
 	a := f.Ask(context.Background())[0]
 	return a.Status, a.Err
 }
 
 // Get asks a keeper for something as JSON, past its link.
-func (t *Town) Get(m *Member, path string, into any) error {
-	a, err := t.http.Get("http://" + m.Keeps + path)
+func (t *Cluster) GetJSON(m *Member, path string, into any) error {
+	a, err := t.http.Get("http://" + m.SupervisorAddress + path)
 	if err != nil {
 		return err
 	}
@@ -230,13 +230,13 @@
 }
 
 // Again starts a keeper that was ended.
-func (t *Town) Again(m *Member) (err error) {
-	m.Keeper, err = m.start(m.program)
+func (t *Cluster) StartSupervisor(m *Member) (err error) {
+	m.Supervisor, err = m.start(m.program)
 	return err
 }
 
 // Await waits until something is so, looking often.
-func (t *Town) Await(most time.Duration, is func() bool) error {
+func (t *Cluster) WaitUntil(most time.Duration, is func() bool) error {
 	for stop := time.Now().Add(most); !is(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(stop) {
 			return fmt.Errorf("not so after %v", most)
@@ -246,19 +246,19 @@
 }
 
 // Rollout starts a conductor; folder is its record.
-func (t *Town) Rollout(program, folder string, args ...string) (*Process, error) {
-	return Start(program, append(t.faults(Conductors), "ROUTER_OPERATOR="+t.Fleet), append([]string{"rollout", "--record", folder}, args...)...)
+func (t *Cluster) StartCoordinator(program, folder string, args ...string) (*Process, error) {
+	return StartProcess(program, append(t.diskEnv(CoordinatorDisk), "ROUTER_OPERATOR="+t.OperatorFile), append([]string{"rollout", "--record", folder}, args...)...)
 }
 
 // Conductors is the name under which Disk finds their disk.
-const Conductors = "conductors"
+const CoordinatorDisk = "conductors"
 
-func (t *Town) faults(name string) []string {
+func (t *Cluster) diskEnv(name string) []string {
 	return []string{"FAULT_DISK=" + filepath.Join(t.Dir, name+".disk")}
 }
 
 // Disk says how the disk of a steered build is from now on: "full", how long a write takes, or "" where it is well.
-func (t *Town) Disk(name, how string) error {
+func (t *Cluster) SetDisk(name, how string) error {
 	path := filepath.Join(t.Dir, name+".disk")
 	if how == "" {
 		return os.RemoveAll(path)
@@ -267,12 +267,12 @@
 }
 
 // Stop has all controllers drain and end, in their own time.
-func (t *Town) Stop() (err error) {
+func (t *Cluster) Stop() (err error) {
 	for _, m := range t.Members {
-		m.Keeper.Signal(syscall.SIGTERM)
+		m.Supervisor.Signal(syscall.SIGTERM)
 	}
 	for _, m := range t.Members {
-		if e := m.Keeper.Await(); e != nil && err == nil {
+		if e := m.Supervisor.WaitExit(); e != nil && err == nil {
 			err = fmt.Errorf("%s: %w", m.Name, e)
 		}
 	}
@@ -280,23 +280,23 @@
 }
 
 // Close ends all that is left, and removes its files.
-func (t *Town) Close() {
+func (t *Cluster) Close() {
 	for _, m := range t.Members {
-		if m.Keeper != nil {
-			m.Keeper.End()
+		if m.Supervisor != nil {
+			m.Supervisor.Kill()
 		}
 		if m.Link != nil {
 			m.Link.Close()
 		}
 	}
-	for _, e := range t.engine {
+	for _, e := range t.engines {
 		e.Close()
 	}
-	if t.feed != nil {
-		t.feed.Close()
+	if t.discovery != nil {
+		t.discovery.Close()
 	}
-	if t.lock != nil {
-		t.lock.Close()
+	if t.subnetLock != nil {
+		t.subnetLock.Close()
 	}
 	os.RemoveAll(t.Dir)
 }
--- a/internal/testcluster/commands.go
+++ b/internal/testcluster/commands.go
@@ -26,9 +26,9 @@
 
 // Command runs a command of the program as an operator does, with the town's operator file, and returns what it printed.
 // The error of a command that fails carries that too.
-func (t *Town) Command(program string, args ...string) (string, error) {
+func (t *Cluster) Command(program string, args ...string) (string, error) {
 	c := exec.Command(program, args...)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+t.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+t.OperatorFile)
 	text, err := c.CombinedOutput()
 	if err != nil {
 		return string(text), fmt.Errorf("%s: %w: %s", strings.Join(args, " "), err, bytes.TrimSpace(text))
@@ -37,7 +37,7 @@
 }
 
 // OrderProgram orders a member to run another program, past any coordinator. The rest of its spec stays as it is.
-func (t *Town) OrderProgram(m *Member, fence change.Fence, path string) error {
+func (t *Cluster) OrderProgram(m *Member, fence change.Fence, path string) error {
 	s, err := t.Status(m)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 	if want.Program.Digest, err = change.OfFile(path); err != nil {
 		return err
 	}
-	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, requestTimeout, requestTimeout)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, requestTimeout, requestTimeout)
 	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: want}
 	for _, err := range fleet.Order(context.Background(), map[int]change.Order{0: order}) {
 		return fmt.Errorf("%s refuses order %v: %w", m.Name, fence, err)
@@ -56,9 +56,9 @@
 }
 
 // Drain ends a member's supervisor with SIGTERM and returns once its controller has drained and both have ended.
-func (t *Town) Drain(m *Member) error {
-	m.Keeper.Signal(syscall.SIGTERM)
-	if err := m.Keeper.Await(); err != nil {
+func (t *Cluster) DrainMember(m *Member) error {
+	m.Supervisor.Signal(syscall.SIGTERM)
+	if err := m.Supervisor.WaitExit(); err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
 	return nil
@@ -66,23 +66,23 @@
 
 // StartAs starts the supervisor of a member whose last one has ended, by the program given and on the same state folder. It
 // returns once the controller serves.
-func (t *Town) StartAs(m *Member, program string) error {
+func (t *Cluster) UpgradeSupervisor(m *Member, program string) error {
 	m.program = program
-	if err := t.Again(m); err != nil {
+	if err := t.StartSupervisor(m); err != nil {
 		return err
 	}
-	if err := t.Await(settleTimeout, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
+	if err := t.WaitUntil(settleTimeout, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
 		return fmt.Errorf("%s does not serve after its restart: %w", m.Name, err)
 	}
 	return nil
 }
 
 // Leader waits until one of the candidates leads with a valid lease, and returns it.
-func (t *Town) Leader(candidates []*Member) (elected *Member, err error) {
-	err = t.Await(settleTimeout, func() bool {
+func (t *Cluster) Leader(candidates []*Member) (elected *Member, err error) {
+	err = t.WaitUntil(settleTimeout, func() bool {
 		for _, m := range candidates {
 			var v leader.View
-			if t.Get(m, "/v1/owner", &v) == nil && v.May {
+			if t.GetJSON(m, "/v1/owner", &v) == nil && v.May {
 				elected = m
 				return true
 			}
@@ -96,14 +96,14 @@
 }
 
 // Voters are the members that elect a leader, in the order of the operator's file.
-func (t *Town) Voters() []*Member { return slices.Clone(t.Members[:t.voters]) }
+func (t *Cluster) Voters() []*Member { return slices.Clone(t.Members[:t.voters]) }
 
 // ErrRefused is what StepDown returns where the member does not lead, or has nobody to hand over to yet.
 var ErrRefused = errors.New("refused")
 
 // StepDown asks a member, past its link, to hand its leadership over.
-func (t *Town) StepDown(m *Member) error {
-	a, err := t.http.Post("http://"+m.Keeps+"/v1/owner/step-down", "application/json", strings.NewReader("{}"))
+func (t *Cluster) StepDown(m *Member) error {
+	a, err := t.http.Post("http://"+m.SupervisorAddress+"/v1/owner/step-down", "application/json", strings.NewReader("{}"))
 	if err != nil {
 		return err
 	}
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -11,7 +11,7 @@
 )
 
 // LineEngine is an engine of the line protocol that logs. Its work is as the fates say.
-func LineEngine(address, name string, b *Book, f *Fates) (*fake.Engine, error) {
+func StartLineEngine(address, name string, b *EventLog, f *FaultPlan) (*fake.Engine, error) {
 	var mu sync.Mutex
 	running := map[string]*time.Timer{} // by session and id
 	return fake.StartEngine(address, func(s *fake.Session, c engine.Command) {
@@ -24,24 +24,24 @@
 		}
 		switch c.Word {
 		case "stats", "alive":
-			if f.Broken(name) {
+			if f.Failing(name) {
 				s.Answer(c.ID, "failed", "", "")
 				return
 			}
 			s.Answer(c.ID, "well", fmt.Sprintf("load=concurrent:%d", len(running)), "")
 		case "fetch":
 			what := f.Draw()
-			if f.Broken(name) {
-				what = Fails
+			if f.Failing(name) {
+				what = FailsDispatch
 			}
-			if what == Full {
+			if what == RefusesDispatch {
 				b.Add(rulecheck.Entry{What: rulecheck.Reached, Job: c.ID, Engine: name, Protocol: "line"})
 				s.Answer(c.ID, "full", "", "")
 				return
 			}
-			b.Add(rulecheck.Entry{What: rulecheck.Began, Job: c.ID, Engine: name, Protocol: "line", Work: int64(f.Work())})
-			takes := f.Work()
-			if what == Slow {
+			b.Add(rulecheck.Entry{What: rulecheck.Began, Job: c.ID, Engine: name, Protocol: "line", Work: int64(f.WorkDuration())})
+			takes := f.WorkDuration()
+			if what == AnswersSlowly {
 				takes *= 20
 			}
 			running[key] = time.AfterFunc(takes, func() {
@@ -51,10 +51,10 @@
 					return
 				}
 				switch what {
-				case Breaks:
+				case ResetsConnection:
 					end(rulecheck.Broken)
 					s.Reset()
-				case Fails:
+				case FailsDispatch:
 					end(rulecheck.Broken)
 					s.Answer(c.ID, "failed", "", "")
 				default:
--- a/internal/testcluster/book.go
+++ b/internal/testcluster/events.go
@@ -11,89 +11,89 @@
 )
 
 // Book is what all stand-ins of a run log.
-type Book struct {
-	mu   sync.Mutex
-	list []rulecheck.Entry
+type EventLog struct {
+	mu      sync.Mutex
+	entries []rulecheck.Entry
 }
 
 // Add logs an entry, now.
-func (b *Book) Add(e rulecheck.Entry) {
+func (b *EventLog) Add(e rulecheck.Entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e.T = time.Now().UnixNano()
-	b.list = append(b.list, e)
+	b.entries = append(b.entries, e)
 }
 
 // Log is all that was logged, in order.
-func (b *Book) Log() []rulecheck.Entry {
+func (b *EventLog) Entries() []rulecheck.Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return rulecheck.Merge(b.list)
+	return rulecheck.Merge(b.entries)
 }
 
 // Fates draws what becomes of dispatches; the draws are a seed's, which dispatch gets which is time's.
-type Fates struct {
-	mu   sync.Mutex
-	r    *rand.Rand
-	on   bool
-	work time.Duration
-	bad  map[string]bool // engines
+type FaultPlan struct {
+	mu      sync.Mutex
+	random  *rand.Rand
+	enabled bool
+	work    time.Duration
+	failing map[string]bool // engines
 }
 
 // NewFates draws from a seed; off, all go well.
-func NewFates(seed uint64, on bool, work time.Duration) *Fates {
-	return &Fates{r: rand.New(rand.NewPCG(seed, 1)), on: on, work: work}
+func NewFaultPlan(seed uint64, on bool, work time.Duration) *FaultPlan {
+	return &FaultPlan{random: rand.New(rand.NewPCG(seed, 1)), enabled: on, work: work}
 }
 
 // Fate is what becomes of a dispatch.
-type Fate uint8
+type DispatchFault uint8
 
 // The fates: one in five is none of Well.
 const (
-	Well Fate = iota
-	Full
-	Breaks
-	Fails
-	Slow
+	NoFault DispatchFault = iota
+	RefusesDispatch
+	ResetsConnection
+	FailsDispatch
+	AnswersSlowly
 )
 
 // Draw draws one.
-func (f *Fates) Draw() Fate {
+func (f *FaultPlan) Draw() DispatchFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.r.IntN(100); f.on && n < 20 {
-		return Fate(1 + n/5)
+	if n := f.random.IntN(100); f.enabled && n < 20 {
+		return DispatchFault(1 + n/5)
 	}
-	return Well
+	return NoFault
 }
 
 // Work is what a dispatch takes from now on.
-func (f *Fates) Work() time.Duration {
+func (f *FaultPlan) WorkDuration() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.work
 }
 
 // Takes says what a dispatch takes from now on.
-func (f *Fates) Takes(work time.Duration) {
+func (f *FaultPlan) SetWorkDuration(work time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.work = work
 }
 
 // Break has an engine fail all that it is asked, or serve again.
-func (f *Fates) Break(engine string, is bool) {
+func (f *FaultPlan) SetFailing(engine string, is bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.bad == nil {
-		f.bad = map[string]bool{}
+	if f.failing == nil {
+		f.failing = map[string]bool{}
 	}
-	f.bad[engine] = is
+	f.failing[engine] = is
 }
 
 // Broken tells whether it does.
-func (f *Fates) Broken(engine string) bool {
+func (f *FaultPlan) Failing(engine string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.bad[engine]
+	return f.failing[engine]
 }
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -9,15 +9,15 @@
 )
 
 // Way is what becomes of what passes a link.
-type Way uint8
+type LinkMode uint8
 
 // The ways.
 const (
-	Passes  Way = iota
-	Cut         // connections are reset, new ones too
-	Silent      // taken in, and nothing passes
-	OneWay      // what is asked arrives, what is answered does not
-	Delayed     // both ways by the link's delay
+	LinkUp      LinkMode = iota
+	LinkReset            // connections are reset, new ones too
+	LinkSilent           // taken in, and nothing passes
+	LinkOneWay           // what is asked arrives, what is answered does not
+	LinkDelayed          // both ways by the link's delay
 )
 
 // Link is a TCP link that can fail between who dials it and an address.
@@ -26,16 +26,16 @@
 	to       string
 	done     chan struct{}
 
-	mu    sync.Mutex
-	way   Way
-	delay time.Duration
-	conns map[net.Conn]struct{} // until closed
-	last  []byte                // what was sent last over one connection: for Repeat
-	ended bool
+	mu        sync.Mutex
+	mode      LinkMode
+	delay     time.Duration
+	conns     map[net.Conn]struct{} // until closed
+	lastOrder []byte                // what was sent last over one connection: for Repeat
+	closed    bool
 }
 
 // mostKept bounds what a link keeps of a connection.
-const mostKept = 1 << 20
+const maxRecorded = 1 << 20
 
 // NewLink listens at an address.
 func NewLink(address, to string) (*Link, error) {
@@ -49,19 +49,19 @@
 }
 
 // Set says how it goes on; connections that are up are reset, so that none is left in a way before.
-func (k *Link) Set(w Way, delay time.Duration) {
+func (k *Link) SetMode(w LinkMode, delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.way, k.delay = w, delay
+	k.mode, k.delay = w, delay
 	for c := range k.conns {
 		c.Close()
 	}
 }
 
 // Repeat sends once more what the last connection with an order carried: late, and out of order.
-func (k *Link) Repeat() {
+func (k *Link) ReplayLastOrder() {
 	k.mu.Lock()
-	text := k.last
+	text := k.lastOrder
 	k.mu.Unlock()
 	if len(text) == 0 {
 		return
@@ -84,17 +84,17 @@
 	}
 }
 
-func (k *Link) keep(c net.Conn) (Way, time.Duration, bool) {
+func (k *Link) register(c net.Conn) (LinkMode, time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ended {
+	if k.closed {
 		return 0, 0, false
 	}
 	k.conns[c] = struct{}{}
-	return k.way, k.delay, true
+	return k.mode, k.delay, true
 }
 
-func (k *Link) drop(c net.Conn) {
+func (k *Link) unregister(c net.Conn) {
 	c.Close()
 	k.mu.Lock()
 	delete(k.conns, c)
@@ -102,12 +102,12 @@
 }
 
 func (k *Link) serve(c net.Conn) {
-	defer k.drop(c)
-	way, delay, is := k.keep(c)
-	if !is || way == Cut {
+	defer k.unregister(c)
+	way, delay, is := k.register(c)
+	if !is || way == LinkReset {
 		return
 	}
-	if way == Silent {
+	if way == LinkSilent {
 		io.Copy(io.Discard, c)
 		return
 	}
@@ -115,15 +115,15 @@
 	if err != nil {
 		return
 	}
-	defer k.drop(out)
-	if _, _, is := k.keep(out); !is {
+	defer k.unregister(out)
+	if _, _, is := k.register(out); !is {
 		return
 	}
 	go func() {
 		defer out.Close()
 		k.pass(out, c, delay, true)
 	}()
-	if way == OneWay {
+	if way == LinkOneWay {
 		io.Copy(io.Discard, out)
 		return
 	}
@@ -143,12 +143,12 @@
 					kept = bytes.Clone(text)
 				case bytes.HasPrefix(text, []byte("GET ")):
 					kept = nil
-				case len(kept) > 0 && len(kept)+n <= mostKept:
+				case len(kept) > 0 && len(kept)+n <= maxRecorded:
 					kept = append(kept, text...)
 				}
 				if len(kept) > 0 {
 					k.mu.Lock()
-					k.last = kept
+					k.lastOrder = kept
 					k.mu.Unlock()
 				}
 			}
@@ -174,8 +174,8 @@
 	k.listener.Close()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.ended {
-		k.ended = true
+	if !k.closed {
+		k.closed = true
 		close(k.done)
 	}
 	for c := range k.conns {
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -14,19 +14,19 @@
 // Load is clients that ask a town's controllers for jobs until stopped. A client goes on to another connection where its
 // own breaks, and away from a controller that says that it stops.
 type Load struct {
-	town  *Town
-	seed  uint64
-	pause time.Duration
-	stop  chan struct{}
-	wait  sync.WaitGroup
-	work  int // ms that jobs say they take
+	town   *Cluster
+	seed   uint64
+	pause  time.Duration
+	stop   chan struct{}
+	wait   sync.WaitGroup
+	workMS int // ms that jobs say they take
 
 	Done, Throttled, Cancelled, Broken atomic.Int64 // Broken: the connection, before the answer
 }
 
 // NewLoad starts clients at each controller; uneven: the first has double, the last a third.
-func (t *Town) NewLoad(seed uint64, clients int, pause time.Duration, uneven bool) *Load {
-	l := &Load{town: t, work: int(max(1, t.Fates.Work().Milliseconds())), seed: seed, pause: pause, stop: make(chan struct{})}
+func (t *Cluster) StartLoad(seed uint64, clients int, pause time.Duration, uneven bool) *Load {
+	l := &Load{town: t, workMS: int(max(1, t.Faults.WorkDuration().Milliseconds())), seed: seed, pause: pause, stop: make(chan struct{})}
 	for i, m := range t.Members {
 		n := clients
 		if uneven && i == 0 {
@@ -35,7 +35,7 @@
 			n = max(1, n/3)
 		}
 		for c := range n {
-			l.wait.Go(func() { l.client(m, fmt.Sprintf("%02d%02d", i, c), rand.New(rand.NewPCG(seed, uint64(i*100+c)))) })
+			l.wait.Go(func() { l.runClient(m, fmt.Sprintf("%02d%02d", i, c), rand.New(rand.NewPCG(seed, uint64(i*100+c)))) })
 		}
 	}
 	return l
@@ -47,7 +47,7 @@
 	l.wait.Wait()
 }
 
-func (l *Load) over() bool {
+func (l *Load) stopped() bool {
 	select {
 	case <-l.stop:
 		return true
@@ -57,48 +57,48 @@
 }
 
 // restReady is how many jobs go over a connection before its controller is asked again whether they are welcome.
-const restReady = 5
+const jobsPerHeartbeat = 5
 
-func (l *Load) client(m *Member, name string, chance *rand.Rand) {
-	for !l.over() {
-		c, err := fake.Dial(m.Clients)
+func (l *Load) runClient(m *Member, name string, chance *rand.Rand) {
+	for !l.stopped() {
+		c, err := fake.Dial(m.ClientAddress)
 		if err != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		for n := 0; !l.over(); n++ {
-			if n%restReady == 0 {
+		for n := 0; !l.stopped(); n++ {
+			if n%jobsPerHeartbeat == 0 {
 				if ready, err := c.Ready(); !ready || err != nil {
 					break
 				}
 			}
-			if !l.job(c, name, chance) {
+			if !l.runJob(c, name, chance) {
 				break
 			}
 			time.Sleep(l.pause/2 + time.Duration(chance.Int64N(int64(l.pause))))
 		}
 		c.Conn.Close()
-		if !l.over() {
+		if !l.stopped() {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
 }
 
 // says is the work that jobs tell of themselves: as it was when the load began.
-func (l *Load) says() string { return fmt.Sprint(l.work) }
+func (l *Load) claimedWork() string { return fmt.Sprint(l.workMS) }
 
 // job asks for one; it tells whether the connection still serves.
-func (l *Load) job(c *fake.Caller, name string, chance *rand.Rand) bool {
-	job := fmt.Sprintf("%s%012x", name, l.town.jobs.Add(1))
+func (l *Load) runJob(c *fake.Client, name string, chance *rand.Rand) bool {
+	job := fmt.Sprintf("%s%012x", name, l.town.lastJob.Add(1))
 	typ, ttl, key := "lookup", 2*time.Second, ""
-	fields := []string{"call", job, "ttl", "2000", "org", "acme", "work", l.says(), "est_mb", "8"}
+	fields := []string{"call", job, "ttl", "2000", "org", "acme", "work", l.claimedWork(), "est_mb", "8"}
 	if n := chance.IntN(10); n < 4 {
 		if typ, ttl, fields[3] = "import", 4*time.Second, "4000"; n == 0 {
 			key = "k" + name
 			fields = append(fields, "row", key)
 		}
 	}
-	l.town.Book.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: typ, Key: key, Front: name, Until: time.Now().Add(ttl).UnixNano()})
+	l.town.Events.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job, Type: typ, Key: key, Front: name, Until: time.Now().Add(ttl).UnixNano()})
 	id, err := c.Send(typ, "SELECT 1 FROM a_1.b", fields...)
 	if err == nil {
 		a, bad := c.Read(ttl + 5*time.Second)
@@ -117,11 +117,11 @@
 			default:
 				l.Cancelled.Add(1)
 			}
-			l.town.Book.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: how})
+			l.town.Events.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job, Answer: how})
 			return true
 		}
 	}
 	l.Broken.Add(1)
-	l.town.Book.Add(rulecheck.Entry{What: rulecheck.Left, Job: job})
+	l.town.Events.Add(rulecheck.Entry{What: rulecheck.Left, Job: job})
 	return false
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,18 +12,18 @@
 // Process is a process of the program, with what it has said. What it says more than mostSaid is dropped.
 type Process struct {
 	*exec.Cmd
-	read  sync.WaitGroup
-	ended chan struct{}
-	err   error
+	reader sync.WaitGroup
+	ended  chan struct{}
+	err    error
 
-	mu   sync.Mutex
-	said strings.Builder
+	mu     sync.Mutex
+	output strings.Builder
 }
 
-const mostSaid = 8 << 20
+const maxLog = 8 << 20
 
 // Start starts one, in a process group of its own, so that it and what it started can be ended together.
-func Start(program string, env []string, args ...string) (*Process, error) {
+func StartProcess(program string, env []string, args ...string) (*Process, error) {
 	p := &Process{Cmd: exec.Command(program, args...), ended: make(chan struct{})}
 	p.Env = append(os.Environ(), env...)
 	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -38,13 +38,13 @@
 		from.Close()
 		return nil, err
 	}
-	p.read.Go(func() {
+	p.reader.Go(func() {
 		defer from.Close()
 		for lines := bufio.NewReader(from); ; {
 			line, err := lines.ReadString('\n')
 			p.mu.Lock()
-			if p.said.Len() < mostSaid {
-				p.said.WriteString(line)
+			if p.output.Len() < maxLog {
+				p.output.WriteString(line)
 			}
 			p.mu.Unlock()
 			if err != nil {
@@ -63,18 +63,18 @@
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.said.String()
+	return p.output.String()
 }
 
 // Await ends with the process and all that it said; the error is its exit's.
-func (p *Process) Await() error {
+func (p *Process) WaitExit() error {
 	<-p.ended
-	p.read.Wait()
+	p.reader.Wait()
 	return p.err
 }
 
 // Over tells whether it has ended.
-func (p *Process) Over() bool {
+func (p *Process) Exited() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -87,7 +87,7 @@
 func (p *Process) Signal(s syscall.Signal) { p.Process.Signal(s) }
 
 // End kills it and what it started.
-func (p *Process) End() {
+func (p *Process) Kill() {
 	syscall.Kill(-p.Process.Pid, syscall.SIGKILL)
-	p.Await()
+	p.WaitExit()
 }
--- a/internal/testcluster/quick.go
+++ b/internal/testcluster/quick.go
@@ -19,7 +19,7 @@
 
 // WriteQuickChange writes a change file into the town's folder and returns its path. A stage stands for bake at least; to
 // is the JSON of the field of that name.
-func (t *Town) WriteQuickChange(number int64, kind change.Kind, to string, bake time.Duration) (string, error) {
+func (t *Cluster) WriteQuickChange(number int64, kind change.Kind, to string, bake time.Duration) (string, error) {
 	path := filepath.Join(t.Dir, fmt.Sprintf("change-%d.json", number))
 	text := fmt.Sprintf(quickChange, number, kind, to, bake.Milliseconds())
 	return path, os.WriteFile(path, []byte(text), 0o600)
--- a/internal/testcluster/parts.go
+++ b/internal/testcluster/shares.go
@@ -11,29 +11,29 @@
 
 // PartsWatch looks again and again at what a town's controllers go by of the whole. It counts only what was held at one
 // moment for certain: what two looks, one after the other, both show, or what one that cannot be asked must still hold.
-type PartsWatch struct {
-	town *Town
+type ShareWatch struct {
+	town *Cluster
 	stop chan struct{}
 	wait sync.WaitGroup
 
-	mu    sync.Mutex
-	Most  int64 // of the fleet that was out at a moment
-	Looks int   // with any out
+	mu          sync.Mutex
+	MaxAssigned int64 // of the fleet that was out at a moment
+	Samples     int   // with any out
 }
 
-type partAt struct {
+type shareSample struct {
 	share int64
 	until int64
 }
 
 // WatchParts begins.
-func (t *Town) WatchParts(every time.Duration) *PartsWatch {
-	p := &PartsWatch{town: t, stop: make(chan struct{})}
+func (t *Cluster) WatchShares(every time.Duration) *ShareWatch {
+	p := &ShareWatch{town: t, stop: make(chan struct{})}
 	p.wait.Go(func() {
-		last := make([]partAt, len(t.Members))
+		last := make([]shareSample, len(t.Members))
 		for {
 			at := monotonic.Now()
-			now := p.look(last)
+			now := p.sample(last)
 			sum := int64(0)
 			for i := range now {
 				if both := min(last[i].share, now[i].share); at < min(last[i].until, now[i].until) {
@@ -41,8 +41,8 @@
 				}
 			}
 			p.mu.Lock()
-			if p.Most = max(p.Most, sum); sum > 0 {
-				p.Looks++
+			if p.MaxAssigned = max(p.MaxAssigned, sum); sum > 0 {
+				p.Samples++
 			}
 			p.mu.Unlock()
 			last = now
@@ -56,14 +56,14 @@
 	return p
 }
 
-func (p *PartsWatch) look(last []partAt) []partAt {
-	now := make([]partAt, len(last))
+func (p *ShareWatch) sample(last []shareSample) []shareSample {
+	now := make([]shareSample, len(last))
 	var wait sync.WaitGroup
 	for i, m := range p.town.Members {
 		wait.Go(func() {
 			now[i] = last[i]
 			if s, err := p.town.Status(m); err == nil && s.Carried != 0 { // else its controller goes by the part before
-				now[i] = partAt{s.Word.Part[quota.Fleet], s.Word.PartUntil}
+				now[i] = shareSample{s.Word.Part[quota.Fleet], s.Word.PartUntil}
 			}
 		})
 	}
@@ -72,13 +72,13 @@
 }
 
 // Stop ends it, and tells what was wrong.
-func (p *PartsWatch) Stop() error {
+func (p *ShareWatch) Stop() error {
 	close(p.stop)
 	p.wait.Wait()
-	if p.Most > quota.Whole {
-		return fmt.Errorf("%d of %d were out", p.Most, quota.Whole)
+	if p.MaxAssigned > quota.Whole {
+		return fmt.Errorf("%d of %d were out", p.MaxAssigned, quota.Whole)
 	}
-	if p.Looks == 0 {
+	if p.Samples == 0 {
 		return fmt.Errorf("no part was seen")
 	}
 	return nil
