--- a/internal/coordinator/process_test.go
+++ b/internal/coordinator/process_test.go
@@ -75,7 +75,7 @@
 
 func town(t *testing.T, n int) (*testcluster.Cluster, *testcluster.Load) {
 	t.Helper()
-	w, err := testcluster.StartDefault(program, 1, n, 2, false)
+	w, err := testcluster.Config{Program: program, Seed: 1, Controllers: n, Engines: 2}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -437,7 +437,7 @@
 // A key whose job still runs under the older process of a controller goes on under the newer one only once that is over.
 func TestAKeyWaitsForTheOlderProcess(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.StartDefault(program, 1, 1, 1, false)
+	w, err := testcluster.Config{Program: program, Seed: 1, Controllers: 1, Engines: 1}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -996,7 +996,7 @@
 // What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its start.
 func TestAnEngineSetAsideIsAsideForTheNewerProcess(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.StartDefault(program, 11, 1, 3, false)
+	w, err := testcluster.Config{Program: program, Seed: 11, Controllers: 1, Engines: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -20,7 +20,7 @@
 // handover changes the program of the one controller of a town under load: by a process beside the old one, and, as the
 // plain way, by SIGTERM and a new start. It tells whether the figures hold.
 func handover(base, next string) bool {
-	town, err := testcluster.StartDefault(base, 77, 1, 2, false)
+	town, err := testcluster.Config{Program: base, Seed: 77, Controllers: 1, Engines: 2}.Start()
 	if err != nil {
 		fmt.Println("FAILED: hand-over:", err)
 		return false
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -87,7 +87,7 @@
 
 func (s scenario) play(base string) (t told) {
 	t = told{scenario: s}
-	town, err := testcluster.StartDefault(base, s.seed, s.controllers, s.engines, false)
+	town, err := testcluster.Config{Program: base, Seed: s.seed, Controllers: s.controllers, Engines: s.engines}.Start()
 	if err != nil {
 		t.err = err
 		return t
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,287 +1,92 @@
+// Package testcluster runs real processes of the program on loopback between fakes of engines, discovery and clients, with
+// links that fail on request, and logs all that the rules are held against: which client requested what, which dispatch
+// reached which engine, which answer came back.
+//
+// A Cluster owns the processes that it starts, their folder and their addresses; Close ends and removes all of them. Its
+// methods are safe for concurrent use, except that a member's supervisor is replaced (StartSupervisor, UpgradeSupervisor) by
+// one goroutine only, with no other one reading that member's Supervisor field meanwhile.
 package testcluster
 
 import (
-	"context"
-	"encoding/json"
+	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
-	"strings"
 	"sync/atomic"
 	"syscall"
 	"time"
 
-	"swiftreel/internal/coordinator"
 	"swiftreel/internal/fake"
-	"swiftreel/internal/operator"
-	"swiftreel/internal/rulecheck"
-	"swiftreel/internal/supervisor"
 )
 
-// Settings of the town's controllers: two types that differ in what they may and how long they take.
-const settings = `{"balancers":%d,"me":%d,"step_ns":5000000,"discovery":"automatic","localities":["east","west"],"locality":%d,"kinds":["std"],
-"tenants":[{"name":"acme","quota_per_s":100000,"share":1}],
-"classes":[{"name":"lookup","idempotency":"repeatable","aim_ns":3e8,"give_up_ns":2e9,"gain":1,"late_worth":0.5},
-{"name":"import","idempotency":"once","aim_ns":6e8,"give_up_ns":4e9,"gain":10,"late_worth":0.5,"fifo_by_key":true}],
-"domain":{"class_threads":[1,1],"cpu_of_kind":[16],"size_mb":[32000],"max_grant_share":0.4,"writes_tables":[false,false],
-"waits_for_loads":[false,false],"says_cost":true,"takes_priority":true,"grants_count":true,"note_period_ns":0},
-"limits":{"cancel":true,"probes":true,"most_tries":4,"retry_after":true,"max_retry_after_ns":1e9,"dial_timeout_ns":1e9,"conn_idle_ns":15e9,"max_streams":100,"max_open":1000},
-"telemetry":{"via":"on_probe","fields":["concurrent"]},"invariants":{"answer_slack_ns":20000000,"drain_grace_ns":250000000,"order_pause_ns":50000000}}`
-
-// Rules of the town; a busy machine may be half a second late.
-var Rules = rulecheck.Rules{Types: map[string]rulecheck.Type{"lookup": {Effect: rulecheck.Restartable}, "import": {Effect: rulecheck.RunOnce, Ordered: true}},
-	Slack: int64(500 * time.Millisecond), Grace: int64(400 * time.Millisecond)}
-
-// ColdRules are those of a town whose engines start cold: a window of a second, and twice of the third that they begin with.
-func WarmUpRules() rulecheck.Rules {
-	r := Rules
-	r.Warm, r.Fall, r.FallPerCore = int64(warmUpTime), int64(time.Second), int64(2*time.Second/3)
-	return r
-}
-
-const warmUpTime = 6 * time.Second
-
-var warmUpSettings = strings.Replace(settings, `"invariants":{`, fmt.Sprintf(`"invariants":{"warm_within_ns":%d,"fall_ns":1000000000,"fall_multiple":2,"start_capacity":0.333,`, warmUpTime), 1)
-
-// Town is engines, a feed, controllers with their keepers, and links between conductors and keepers.
+// Cluster is engines, a discovery server, controllers with their supervisors, and links from coordinators to supervisors.
 type Cluster struct {
-	Dir          string
+	Dir          string // of all files; removed by Close
 	Events       EventLog
 	Faults       *FaultPlan
 	Members      []*Member
-	OperatorFile string // the operator's file: keepers are reached through their links
+	OperatorFile string // names the supervisors by the addresses of their links
 
-	subnet     string
+	subnet     string // first three parts of the addresses of members
 	subnetLock net.Listener
-	lastJob    atomic.Uint64 // numbered
+	lastJob    atomic.Uint64
 	discovery  *fake.Discovery
-	engines    map[string]*fake.Engine
+	engines    map[string]*fake.Engine // by name
 	voters     int
 	http       http.Client
 }
 
-// Member is a controller and its keeper.
+// Member is a controller and its supervisor.
 type Member struct {
 	Name              string
-	ClientAddress     string // where it serves
-	Link              *Link
+	ClientAddress     string // where its controller serves clients
+	Link              *Link  // between coordinators or other voters and its supervisor
 	Supervisor        *Process
-	SupervisorAddress string // where its keeper does
-	program           string // of its keeper
-	start             func(program string) (*Process, error)
-}
-
-// NewTown starts one: controllers in two zones by turns, none of them ready yet. Its addresses are of a loopback network
-// that it holds alone, so that a controller that starts again has its address.
-func StartDefault(program string, seed uint64, controllers, engines int, faults bool) (t *Cluster, err error) {
-	return Config{Program: program, Seed: seed, Controllers: controllers, Engines: engines, EngineFaults: faults}.Start()
-}
-
-// Plan says what a town is to have.
-type Config struct {
-	Program              string
-	Seed                 uint64
-	Controllers, Engines int
-	EngineFaults         bool              // of engines
-	Voters               int               // the first of the controllers' keepers
-	SupervisorPrograms   map[int]string    // programs of some keepers, where they are others
-	StartDelayMS         int               // before a controller is ready; this and what follows: of builds with tag fault, steered
-	ClockOffsetMS        map[int]int       // what their time of day is off by
-	ExtraEnv             []string          // more of it
-	EnginesWarmUp        bool              // rule 4 holds: ColdRules
-	OperatorFields       string            // more of the operator's file, as JSON members, each followed by a comma
-	Files                map[string]string // beside the operator's file
-	FleetFields          string            // more of the operator's part fleet, as JSON members, each followed by a comma
-}
-
-// Town starts one.
-func (o Config) Start() (t *Cluster, err error) {
-	program, seed, controllers, engines, faults := o.Program, o.Seed, o.Controllers, o.Engines, o.EngineFaults
-	t = &Cluster{voters: o.Voters, Faults: NewFaultPlan(seed, faults, 4*time.Millisecond), engines: map[string]*fake.Engine{}, http: http.Client{Timeout: 500 * time.Millisecond}}
-	if t.Dir, err = os.MkdirTemp("", "town"); err != nil {
-		return nil, err
-	}
-	defer func() {
-		if err != nil {
-			t.Close()
-		}
-	}()
-	for t.subnetLock == nil {
-		t.subnet = fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
-		t.subnetLock, _ = net.Listen("tcp4", t.subnet+".250:7000")
-	}
-	if t.discovery, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
-		return t, err
-	}
-	var hosts []string
-	for i := range engines {
-		name := fmt.Sprint("e", i+1)
-		e, err := StartLineEngine("127.0.0.1:0", name, &t.Events, t.Faults)
-		if err != nil {
-			return t, err
-		}
-		t.engines[name] = e
-		hosts = append(hosts, t.host(name, "ready", 0))
-		t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16})
-	}
-	known := t.discovery.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
-	own := operator.Fleet{DrainMS: 10_000, Program: program}
-	for i := range controllers {
-		m := &Member{Name: fmt.Sprint("c", i+1), ClientAddress: fmt.Sprintf("%s.%d:7000", t.subnet, i+1), SupervisorAddress: fmt.Sprintf("%s.%d:7001", t.subnet, i+1)}
-		if m.Link, err = NewLink(fmt.Sprintf("%s.%d:7002", t.subnet, i+1), m.SupervisorAddress); err != nil {
-			return t, err
-		}
-		zone := []string{"east", "west"}[i%2]
-		own.Members = append(own.Members, operator.Member{Name: m.Name, Listen: m.SupervisorAddress, Reach: m.Link.listener.Addr().String(), Zone: zone})
-		if i < o.Voters {
-			own.Voters = append(own.Voters, m.Name)
-		}
-		t.Members = append(t.Members, m)
-	}
-	t.OperatorFile = filepath.Join(t.Dir, "operator.json")
-	text, err := json.Marshal(own)
-	if err == nil {
-		err = os.WriteFile(t.OperatorFile, fmt.Appendf(nil, `{%s"fleet":{%s%s}`, o.OperatorFields, o.FleetFields, text[1:]), 0o600)
-	}
-	if err != nil {
-		return t, err
-	}
-	of := map[bool]string{false: settings, true: warmUpSettings}
-	for name, text := range o.Files {
-		if err := os.WriteFile(filepath.Join(t.Dir, name), []byte(text), 0o600); err != nil {
-			return t, err
-		}
-	}
-	for i, m := range t.Members {
-		config := filepath.Join(t.Dir, m.Name+".json")
-		text := fmt.Sprintf(`{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`,
-			m.Name, m.ClientAddress, seed*100+uint64(i)+1, t.discovery.Address(), known, fmt.Sprintf(of[o.EnginesWarmUp], controllers, i, i%2))
-		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-			return t, err
-		}
-		keeper := program
-		if other := o.SupervisorPrograms[i]; other != "" {
-			keeper = other
-		}
-		env := append(t.diskEnv(m.Name), "ROUTER_CONFIG="+config, "ROUTER_NAME="+m.Name, "ROUTER_OPERATOR="+t.OperatorFile,
-			fmt.Sprint("FAULT_CLOCK_MS=", o.ClockOffsetMS[i]), fmt.Sprint("FAULT_START_MS=", o.StartDelayMS))
-		env = append(env, o.ExtraEnv...)
-		m.program = keeper
-		m.start = func(program string) (*Process, error) {
-			return StartProcess(program, env, "keep", "--state", filepath.Join(t.Dir, m.Name))
-		}
-		if m.Supervisor, err = m.start(keeper); err != nil {
-			return t, err
-		}
-	}
-	for _, m := range t.Members {
-		if err := t.WaitUntil(20*time.Second, func() bool { s, err := t.Status(m); return err == nil && s.Serves }); err != nil {
-			return t, fmt.Errorf("%s does not serve: %w: %s", m.Name, err, m.Supervisor.Log())
-		}
-	}
-	return t, nil
-}
-
-func (t *Cluster) host(name, state string, born int64) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":%q,"share":1,"born_ms":%d}`, name, t.engines[name].Address(), state, born)
-}
-
-// Reborn lists an engine as just started. It is told to controllers first: what they send is counted from then on.
-func (t *Cluster) ListRestarted(name string) {
-	now := time.Now()
-	t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: "ready", Zone: "east", Kind: "std", Cores: 16, Started: now.UnixNano()})
-	t.discovery.AddEvent(false, "["+t.host(name, "ready", now.UnixMilli())+"]")
-}
-
-// List tells the feed of an engine's state, and the book after: the grace counts from what controllers could know.
-func (t *Cluster) SetEngineState(name, state string) {
-	t.discovery.AddEvent(false, "["+t.host(name, state, 0)+"]")
-	t.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: 16})
-}
-
-// Lose has an engine die; the list tells of it later, as it does.
-func (t *Cluster) CrashEngine(name string) {
-	t.engines[name].Close()
-	time.Sleep(300 * time.Millisecond)
-	t.SetEngineState(name, "gone")
-}
+	SupervisorAddress string // past the link
 
-// Status asks a keeper past its link.
-func (t *Cluster) Status(m *Member) (s supervisor.Status, err error) {
-	f := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
-	a := f.Ask(context.Background())[0]
-	return a.Status, a.Err
+	program string // of its supervisor
+	start   func(program string) (*Process, error)
 }
 
-// Get asks a keeper for something as JSON, past its link.
-func (t *Cluster) GetJSON(m *Member, path string, into any) error {
-	a, err := t.http.Get("http://" + m.SupervisorAddress + path)
-	if err != nil {
-		return err
-	}
-	defer a.Body.Close()
-	if a.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s", path, a.Status)
-	}
-	return json.NewDecoder(a.Body).Decode(into)
-}
+const (
+	requestTimeout = 2 * time.Second        // of one request to a supervisor's status
+	settleTimeout  = 20 * time.Second       // of a start or an election, which takes one to four seconds
+	pollInterval   = 5 * time.Millisecond   // of WaitUntil
+	getTimeout     = 500 * time.Millisecond // of other requests
+)
 
-// Again starts a keeper that was ended.
-func (t *Cluster) StartSupervisor(m *Member) (err error) {
-	m.Supervisor, err = m.start(m.program)
-	return err
-}
+// ErrNotReached is returned where a condition was not met in its time.
+var ErrNotReached = errors.New("condition not met")
 
-// Await waits until something is so, looking often.
-func (t *Cluster) WaitUntil(most time.Duration, is func() bool) error {
-	for stop := time.Now().Add(most); !is(); time.Sleep(5 * time.Millisecond) {
+// WaitUntil polls a condition until it is met, and returns an error that wraps ErrNotReached once the time is over.
+func (c *Cluster) WaitUntil(timeout time.Duration, condition func() bool) error {
+	for stop := time.Now().Add(timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(stop) {
-			return fmt.Errorf("not so after %v", most)
+			return fmt.Errorf("%w after %v", ErrNotReached, timeout)
 		}
 	}
 	return nil
 }
 
-// Rollout starts a conductor; folder is its record.
-func (t *Cluster) StartCoordinator(program, folder string, args ...string) (*Process, error) {
-	return StartProcess(program, append(t.diskEnv(CoordinatorDisk), "ROUTER_OPERATOR="+t.OperatorFile), append([]string{"rollout", "--record", folder}, args...)...)
-}
-
-// Conductors is the name under which Disk finds their disk.
-const CoordinatorDisk = "conductors"
-
-func (t *Cluster) diskEnv(name string) []string {
-	return []string{"FAULT_DISK=" + filepath.Join(t.Dir, name+".disk")}
-}
-
-// Disk says how the disk of a steered build is from now on: "full", how long a write takes, or "" where it is well.
-func (t *Cluster) SetDisk(name, how string) error {
-	path := filepath.Join(t.Dir, name+".disk")
-	if how == "" {
-		return os.RemoveAll(path)
-	}
-	return os.WriteFile(path, []byte(how), 0o600)
-}
-
-// Stop has all controllers drain and end, in their own time.
-func (t *Cluster) Stop() (err error) {
-	for _, m := range t.Members {
+// Stop sends SIGTERM to all supervisors at once and waits until their controllers have drained and all processes have ended.
+// It returns the first error of an exit.
+func (c *Cluster) Stop() error {
+	for _, m := range c.Members {
 		m.Supervisor.Signal(syscall.SIGTERM)
 	}
-	for _, m := range t.Members {
-		if e := m.Supervisor.WaitExit(); e != nil && err == nil {
-			err = fmt.Errorf("%s: %w", m.Name, e)
+	var first error
+	for _, m := range c.Members {
+		if err := m.Supervisor.WaitExit(); err != nil && first == nil {
+			first = fmt.Errorf("%s: %w", m.Name, err)
 		}
 	}
-	return err
+	return first
 }
 
-// Close ends all that is left, and removes its files.
-func (t *Cluster) Close() {
-	for _, m := range t.Members {
+// Close kills what still runs, and removes all files.
+func (c *Cluster) Close() {
+	for _, m := range c.Members {
 		if m.Supervisor != nil {
 			m.Supervisor.Kill()
 		}
@@ -289,14 +94,14 @@
 			m.Link.Close()
 		}
 	}
-	for _, e := range t.engines {
+	for _, e := range c.engines {
 		e.Close()
 	}
-	if t.discovery != nil {
-		t.discovery.Close()
+	if c.discovery != nil {
+		c.discovery.Close()
 	}
-	if t.subnetLock != nil {
-		t.subnetLock.Close()
+	if c.subnetLock != nil {
+		_ = c.subnetLock.Close() // nothing was ever accepted
 	}
-	os.RemoveAll(t.Dir)
+	_ = os.RemoveAll(c.Dir) // a temporary folder: what is left is the system's to remove
 }
--- /dev/null
+++ b/internal/testcluster/config.go
@@ -0,0 +1,188 @@
+package testcluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"swiftreel/internal/fake"
+	"swiftreel/internal/operator"
+)
+
+// Config says what a cluster consists of. The zero value of each field but Program, Controllers and Engines is usable.
+type Config struct {
+	Program     string // of controllers and supervisors
+	Seed        uint64
+	Controllers int // in two zones by turns
+	Engines     int // named e1, e2 ...
+
+	EngineFaults       bool           // a fifth of all dispatches fail in one way or another
+	EnginesWarmUp      bool           // engines just started stand little work: WarmUpRules hold
+	Voters             int            // the first members, which elect a leader
+	SupervisorPrograms map[int]string // of members whose supervisor is another build, by index
+
+	OperatorFields string            // more of the operator's file: JSON members, each followed by a comma
+	FleetFields    string            // more of its part "fleet", likewise
+	Files          map[string]string // texts beside the operator's file, by name
+
+	// For builds with the tag fault and the fault "steered" only.
+	StartDelayMS  int         // from a controller's start until it is ready
+	ClockOffsetMS map[int]int // of the time of day, by member's index
+	ExtraEnv      []string
+}
+
+// dispatchWork is what a dispatch takes until FaultPlan.SetWorkDuration says otherwise.
+const dispatchWork = 4 * time.Millisecond
+
+// controllerDrainMS is how long a controller may drain before its supervisor kills it.
+const controllerDrainMS = 10_000
+
+// Start starts a cluster and returns once all its controllers serve. Members' addresses are of a loopback network that the
+// cluster has alone, so that a controller that starts again finds its address free.
+func (o Config) Start() (c *Cluster, err error) {
+	c = &Cluster{voters: o.Voters, Faults: NewFaultPlan(o.Seed, o.EngineFaults, dispatchWork),
+		engines: map[string]*fake.Engine{}, http: http.Client{Timeout: getTimeout}}
+	if c.Dir, err = os.MkdirTemp("", "testcluster"); err != nil {
+		return nil, err
+	}
+	defer func() {
+		if err != nil {
+			c.Close()
+		}
+	}()
+	c.lockSubnet()
+	known, err := c.startEngines(o.Engines)
+	if err != nil {
+		return c, err
+	}
+	if err := c.addMembers(o.Controllers); err != nil {
+		return c, err
+	}
+	if err := c.writeOperatorFile(o); err != nil {
+		return c, err
+	}
+	if err := c.startMembers(o, known); err != nil {
+		return c, err
+	}
+	for _, m := range c.Members {
+		if err := c.awaitServing(m); err != nil {
+			return c, err
+		}
+	}
+	return c, nil
+}
+
+// lockSubnet chooses a loopback network that no other cluster on this machine has.
+func (c *Cluster) lockSubnet() {
+	for c.subnetLock == nil {
+		c.subnet = fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
+		lock, err := net.Listen("tcp4", c.subnet+".250:7000")
+		if err == nil {
+			c.subnetLock = lock
+		}
+	}
+}
+
+// startEngines starts the engines and the discovery server, and returns the event that lists them all.
+func (c *Cluster) startEngines(count int) (known string, err error) {
+	if c.discovery, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
+		return "", err
+	}
+	var hosts []string
+	for i := range count {
+		name := fmt.Sprint("e", i+1)
+		engine, err := StartLineEngine("127.0.0.1:0", name, &c.Events, c.Faults)
+		if err != nil {
+			return "", err
+		}
+		c.engines[name] = engine
+		hosts = append(hosts, c.engineEntry(name, "ready", 0))
+		c.logListed(name, "ready", 0)
+	}
+	return c.discovery.AddEvent(true, "["+strings.Join(hosts, ",")+"]"), nil
+}
+
+// addMembers gives members their names, addresses and links.
+func (c *Cluster) addMembers(count int) error {
+	for i := range count {
+		address := func(port int) string { return fmt.Sprintf("%s.%d:%d", c.subnet, i+1, port) }
+		m := &Member{Name: fmt.Sprint("c", i+1), ClientAddress: address(7000), SupervisorAddress: address(7001)}
+		link, err := NewLink(address(7002), m.SupervisorAddress)
+		if err != nil {
+			return err
+		}
+		m.Link = link
+		c.Members = append(c.Members, m)
+	}
+	return nil
+}
+
+// writeOperatorFile writes the operator's file, which all members share, and the files beside it.
+func (c *Cluster) writeOperatorFile(o Config) error {
+	fleet := operator.Fleet{DrainMS: controllerDrainMS, Program: o.Program}
+	for i, m := range c.Members {
+		zone := []string{"east", "west"}[i%2]
+		fleet.Members = append(fleet.Members,
+			operator.Member{Name: m.Name, Listen: m.SupervisorAddress, Reach: m.Link.Address(), Zone: zone})
+		if i < o.Voters {
+			fleet.Voters = append(fleet.Voters, m.Name)
+		}
+	}
+	text, err := json.Marshal(fleet)
+	if err != nil {
+		return err
+	}
+	c.OperatorFile = filepath.Join(c.Dir, "operator.json")
+	file := fmt.Appendf(nil, `{%s"fleet":{%s%s}`, o.OperatorFields, o.FleetFields, text[1:]) // text begins with a brace
+	if err := os.WriteFile(c.OperatorFile, file, 0o600); err != nil {
+		return err
+	}
+	for name, text := range o.Files {
+		if err := os.WriteFile(filepath.Join(c.Dir, name), []byte(text), 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// controllerConfig is the text of ROUTER_CONFIG.
+const controllerConfig = `{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`
+
+// startMembers writes each member's configuration and starts its supervisor. known is the event that lists all engines.
+func (c *Cluster) startMembers(o Config, known string) error {
+	template := settings
+	if o.EnginesWarmUp {
+		template = warmUpSettings
+	}
+	for i, m := range c.Members {
+		config := filepath.Join(c.Dir, m.Name+".json")
+		text := fmt.Sprintf(controllerConfig, m.Name, m.ClientAddress, o.Seed*100+uint64(i)+1, c.discovery.Address(), known,
+			fmt.Sprintf(template, o.Controllers, i, i%2))
+		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+			return err
+		}
+		m.program = o.Program
+		if other := o.SupervisorPrograms[i]; other != "" {
+			m.program = other
+		}
+		m.start = c.supervisorStart(m, o.env(i, config))
+		if err := c.StartSupervisor(m); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// env is what a member's processes find in their environment, but for what the cluster itself knows.
+func (o Config) env(index int, config string) []string {
+	env := []string{"ROUTER_CONFIG=" + config, fmt.Sprint("FAULT_CLOCK_MS=", o.ClockOffsetMS[index]),
+		fmt.Sprint("FAULT_START_MS=", o.StartDelayMS)}
+	return append(env, o.ExtraEnv...)
+}
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -8,177 +8,213 @@
 	"time"
 )
 
-// Way is what becomes of what passes a link.
+// LinkMode is what becomes of what passes a link.
 type LinkMode uint8
 
-// The ways.
+// The modes of a link.
 const (
 	LinkUp      LinkMode = iota
 	LinkReset            // connections are reset, new ones too
-	LinkSilent           // taken in, and nothing passes
-	LinkOneWay           // what is asked arrives, what is answered does not
-	LinkDelayed          // both ways by the link's delay
+	LinkSilent           // connections are accepted, and nothing passes
+	LinkOneWay           // requests arrive, responses do not
+	LinkDelayed          // as LinkUp; the delay of SetMode counts in every mode
 )
 
-// Link is a TCP link that can fail between who dials it and an address.
+// maxRecorded bounds what a link records of a request, in bytes.
+const maxRecorded = 1 << 20
+
+// linkTimeout bounds a dial, and a replay.
+const linkTimeout = time.Second
+
+// Link forwards TCP connections to an address, and fails on request. It is safe for concurrent use.
 type Link struct {
 	listener net.Listener
-	to       string
+	target   string
 	done     chan struct{}
 
 	mu        sync.Mutex
 	mode      LinkMode
 	delay     time.Duration
 	conns     map[net.Conn]struct{} // until closed
-	lastOrder []byte                // what was sent last over one connection: for Repeat
+	lastOrder []byte                // the last POST request of any connection
 	closed    bool
 }
 
-// mostKept bounds what a link keeps of a connection.
-const maxRecorded = 1 << 20
-
-// NewLink listens at an address.
-func NewLink(address, to string) (*Link, error) {
-	l, err := net.Listen("tcp4", address)
+// NewLink listens at an address and forwards to a target.
+func NewLink(address, target string) (*Link, error) {
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{listener: l, to: to, done: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-	go k.accept()
-	return k, nil
+	l := &Link{listener: listener, target: target, done: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	go l.accept()
+	return l, nil
 }
 
-// Set says how it goes on; connections that are up are reset, so that none is left in a way before.
-func (k *Link) SetMode(w LinkMode, delay time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.mode, k.delay = w, delay
-	for c := range k.conns {
-		c.Close()
+// Address is where it listens.
+func (l *Link) Address() string { return l.listener.Addr().String() }
+
+// SetMode sets what becomes of later connections. Those that are open are closed, so that none goes on in the mode before. Each
+// write waits for the delay, both ways.
+func (l *Link) SetMode(mode LinkMode, delay time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.mode = mode
+	l.delay = delay
+	l.closeConns()
+}
+
+// closeConns closes all connections. The lock is held.
+func (l *Link) closeConns() {
+	for conn := range l.conns {
+		_ = conn.Close() // its goroutine may have closed it
 	}
 }
 
-// Repeat sends once more what the last connection with an order carried: late, and out of order.
-func (k *Link) ReplayLastOrder() {
-	k.mu.Lock()
-	text := k.lastOrder
-	k.mu.Unlock()
-	if len(text) == 0 {
+// ReplayLastOrder sends the last POST request once more: late, and out of order.
+func (l *Link) ReplayLastOrder() {
+	l.mu.Lock()
+	request := l.lastOrder
+	l.mu.Unlock()
+	if len(request) == 0 {
+		return
+	}
+	conn, err := net.DialTimeout("tcp4", l.target, linkTimeout)
+	if err != nil {
+		return // nobody is there to receive it
+	}
+	defer conn.Close()
+	if conn.SetDeadline(time.Now().Add(linkTimeout)) != nil {
 		return
 	}
-	if c, err := net.DialTimeout("tcp4", k.to, time.Second); err == nil {
-		c.SetDeadline(time.Now().Add(time.Second))
-		c.Write(text)
-		io.Copy(io.Discard, io.LimitReader(c, 4096))
-		c.Close()
+	if _, err := conn.Write(request); err == nil {
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 4096)) // whatever the answer is
 	}
 }
 
-func (k *Link) accept() {
+func (l *Link) accept() {
 	for {
-		c, err := k.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.serve(c)
+		go l.serve(conn)
 	}
 }
 
-func (k *Link) register(c net.Conn) (LinkMode, time.Duration, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.closed {
-		return 0, 0, false
+// register adds a connection, and returns the mode in which it is to be served; ok is false where the link is closed.
+func (l *Link) register(conn net.Conn) (mode LinkMode, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return LinkReset, false
 	}
-	k.conns[c] = struct{}{}
-	return k.mode, k.delay, true
+	l.conns[conn] = struct{}{}
+	return l.mode, true
 }
 
-func (k *Link) unregister(c net.Conn) {
-	c.Close()
-	k.mu.Lock()
-	delete(k.conns, c)
-	k.mu.Unlock()
+func (l *Link) unregister(conn net.Conn) {
+	_ = conn.Close() // SetMode may have closed it
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.conns, conn)
 }
 
-func (k *Link) serve(c net.Conn) {
-	defer k.unregister(c)
-	way, delay, is := k.register(c)
-	if !is || way == LinkReset {
+// serve forwards one connection until either end closes it.
+func (l *Link) serve(client net.Conn) {
+	defer l.unregister(client)
+	mode, ok := l.register(client)
+	if !ok || mode == LinkReset {
 		return
 	}
-	if way == LinkSilent {
-		io.Copy(io.Discard, c)
+	if mode == LinkSilent {
+		_, _ = io.Copy(io.Discard, client) // until the client gives up
 		return
 	}
-	out, err := net.DialTimeout("tcp4", k.to, time.Second)
+	server, err := net.DialTimeout("tcp4", l.target, linkTimeout)
 	if err != nil {
 		return
 	}
-	defer k.unregister(out)
-	if _, _, is := k.register(out); !is {
+	defer l.unregister(server)
+	if _, ok := l.register(server); !ok {
 		return
 	}
 	go func() {
-		defer out.Close()
-		k.pass(out, c, delay, true)
+		defer server.Close()
+		l.forwardRequests(server, client)
 	}()
-	if way == LinkOneWay {
-		io.Copy(io.Discard, out)
+	if mode == LinkOneWay {
+		_, _ = io.Copy(io.Discard, server) // until the server has answered
 		return
 	}
-	k.pass(c, out, delay, false)
+	l.forward(client, server, func([]byte) {})
+}
+
+// forwardRequests forwards, and records the last POST request. Requests of a connection come one after the other, so that each
+// begins with a read of its own.
+func (l *Link) forwardRequests(server, client net.Conn) {
+	var request []byte
+	l.forward(server, client, func(text []byte) {
+		switch {
+		case bytes.HasPrefix(text, []byte("POST ")):
+			request = bytes.Clone(text)
+		case bytes.HasPrefix(text, []byte("GET ")):
+			request = nil
+		case len(request) > 0 && len(request)+len(text) <= maxRecorded:
+			request = append(request, text...)
+		}
+		if len(request) > 0 {
+			l.mu.Lock()
+			l.lastOrder = request
+			l.mu.Unlock()
+		}
+	})
 }
 
-// pass copies; what is asked is kept.
-func (k *Link) pass(to, from net.Conn, delay time.Duration, asked bool) {
-	b := make([]byte, 32<<10)
-	var kept []byte
+// forward copies until either connection ends, with the link's delay before each write. Each text read goes to observe first.
+func (l *Link) forward(to, from net.Conn, observe func([]byte)) {
+	l.mu.Lock()
+	delay := l.delay
+	l.mu.Unlock()
+	buffer := make([]byte, 32<<10)
 	for {
-		n, err := from.Read(b)
+		n, readErr := from.Read(buffer)
 		if n > 0 {
-			if asked {
-				switch text := b[:n]; {
-				case bytes.HasPrefix(text, []byte("POST ")): // requests come one after the other: each begins a read
-					kept = bytes.Clone(text)
-				case bytes.HasPrefix(text, []byte("GET ")):
-					kept = nil
-				case len(kept) > 0 && len(kept)+n <= maxRecorded:
-					kept = append(kept, text...)
-				}
-				if len(kept) > 0 {
-					k.mu.Lock()
-					k.lastOrder = kept
-					k.mu.Unlock()
-				}
-			}
-			if delay > 0 {
-				select {
-				case <-time.After(delay):
-				case <-k.done:
-					return
-				}
+			observe(buffer[:n])
+			if !l.pause(delay) {
+				return
 			}
-			if _, err := to.Write(b[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
-		if err != nil {
+		if readErr != nil {
 			return
 		}
 	}
 }
 
-// Close ends it.
-func (k *Link) Close() {
-	k.listener.Close()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.closed {
-		k.closed = true
-		close(k.done)
+// pause waits; it returns false where the link is closed meanwhile.
+func (l *Link) pause(delay time.Duration) bool {
+	if delay <= 0 {
+		return true
+	}
+	select {
+	case <-time.After(delay):
+		return true
+	case <-l.done:
+		return false
 	}
-	for c := range k.conns {
-		c.Close()
+}
+
+// Close ends it and resets its connections.
+func (l *Link) Close() {
+	_ = l.listener.Close() // no connection is lost by it
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.closed {
+		l.closed = true
+		close(l.done)
 	}
+	l.closeConns()
 }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"io"
 	"os"
 	"os/exec"
 	"strings"
@@ -9,85 +10,97 @@
 	"syscall"
 )
 
-// Process is a process of the program, with what it has said. What it says more than mostSaid is dropped.
+// maxLog bounds what is retained of a process's log, in bytes; later lines are dropped.
+const maxLog = 8 << 20
+
+// Process is a running process of the program, with what it has logged. It is safe for concurrent use.
 type Process struct {
-	*exec.Cmd
-	reader sync.WaitGroup
-	ended  chan struct{}
-	err    error
+	command *exec.Cmd
+	reader  sync.WaitGroup // of its log; ends with it
+	exited  chan struct{}
+	exit    error // its exit's, once exited is closed
 
-	mu     sync.Mutex
-	output strings.Builder
+	mu  sync.Mutex
+	log strings.Builder
 }
 
-const maxLog = 8 << 20
-
-// Start starts one, in a process group of its own, so that it and what it started can be ended together.
+// StartProcess starts one, in a process group of its own, so that it and what it starts can be ended together. env is added to
+// the environment of this process.
 func StartProcess(program string, env []string, args ...string) (*Process, error) {
-	p := &Process{Cmd: exec.Command(program, args...), ended: make(chan struct{})}
-	p.Env = append(os.Environ(), env...)
-	p.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	p := &Process{command: exec.Command(program, args...), exited: make(chan struct{})}
+	p.command.Env = append(os.Environ(), env...)
+	p.command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	from, to, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	p.Stderr = to
-	err = p.Cmd.Start()
-	to.Close()
+	p.command.Stderr = to
+	err = p.command.Start()
+	_ = to.Close() // the process has its own copy
 	if err != nil {
-		from.Close()
+		_ = from.Close() // nothing will be read
 		return nil, err
 	}
-	p.reader.Go(func() {
-		defer from.Close()
-		for lines := bufio.NewReader(from); ; {
-			line, err := lines.ReadString('\n')
-			p.mu.Lock()
-			if p.output.Len() < maxLog {
-				p.output.WriteString(line)
-			}
-			p.mu.Unlock()
-			if err != nil {
-				return
-			}
-		}
-	})
+	p.reader.Go(func() { p.readLog(from) })
 	go func() {
-		p.err = p.Cmd.Wait()
-		close(p.ended)
+		p.exit = p.command.Wait()
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// Log is what it has said.
+// readLog reads until all that hold the other end have closed it.
+func (p *Process) readLog(from io.ReadCloser) {
+	defer from.Close()
+	lines := bufio.NewReader(from)
+	for {
+		line, err := lines.ReadString('\n')
+		p.appendLog(line)
+		if err != nil {
+			return
+		}
+	}
+}
+
+func (p *Process) appendLog(line string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.log.Len() < maxLog {
+		p.log.WriteString(line)
+	}
+}
+
+// Log returns what it and what it started have logged so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.output.String()
+	return p.log.String()
 }
 
-// Await ends with the process and all that it said; the error is its exit's.
+// WaitExit waits until it has ended and all of its log is read, and returns the error of its exit.
 func (p *Process) WaitExit() error {
-	<-p.ended
+	<-p.exited
 	p.reader.Wait()
-	return p.err
+	return p.exit
 }
 
-// Over tells whether it has ended.
+// Exited reports whether it has ended.
 func (p *Process) Exited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// Signal signals it alone.
-func (p *Process) Signal(s syscall.Signal) { p.Process.Signal(s) }
+// Signal signals it alone. One that has ended is none.
+func (p *Process) Signal(s syscall.Signal) {
+	_ = p.command.Process.Signal(s) // it may have ended
+}
 
-// End kills it and what it started.
+// Kill kills it and what it started, and waits for its exit.
 func (p *Process) Kill() {
-	syscall.Kill(-p.Process.Pid, syscall.SIGKILL)
-	p.WaitExit()
+	_ = syscall.Kill(-p.command.Process.Pid, syscall.SIGKILL) // they may have ended
+	_ = p.WaitExit()                                          // killed
 }
--- /dev/null
+++ b/internal/testcluster/requests.go
@@ -0,0 +1,94 @@
+package testcluster
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"swiftreel/internal/change"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/leader"
+	"swiftreel/internal/operator"
+	"swiftreel/internal/supervisor"
+)
+
+// ErrRefused is returned where a supervisor answers a request with anything but success.
+var ErrRefused = errors.New("refused")
+
+// direct speaks with one supervisor past its link.
+func (c *Cluster) direct(m *Member) *coordinator.Fleet {
+	member := operator.Member{Name: m.Name, Listen: m.SupervisorAddress}
+	return coordinator.NewFleet([]operator.Member{member}, requestTimeout, requestTimeout)
+}
+
+// Status requests a supervisor's status, past its link.
+func (c *Cluster) Status(m *Member) (supervisor.Status, error) {
+	answer := c.direct(m).Ask(context.Background())[0]
+	return answer.Status, answer.Err
+}
+
+// OrderProgram orders a member to run another program, past any coordinator. The rest of its spec stays as it is.
+func (c *Cluster) OrderProgram(m *Member, fence change.Fence, path string) error {
+	status, err := c.Status(m)
+	if err != nil {
+		return err
+	}
+	spec := status.Spec
+	spec.Program.Path = path
+	if spec.Program.Digest, err = change.OfFile(path); err != nil {
+		return err
+	}
+	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: spec}
+	for _, err := range c.direct(m).Order(context.Background(), map[int]change.Order{0: order}) {
+		return fmt.Errorf("%s refuses order %v: %w", m.Name, fence, err)
+	}
+	return nil
+}
+
+// GetJSON requests a path of a supervisor, past its link, and decodes the answer.
+func (c *Cluster) GetJSON(m *Member, path string, into any) error {
+	response, err := c.http.Get("http://" + m.SupervisorAddress + path)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s: %w", path, response.Status, ErrRefused)
+	}
+	return json.NewDecoder(response.Body).Decode(into)
+}
+
+// Leader waits until one of the candidates leads with a valid lease, and returns it.
+func (c *Cluster) Leader(candidates []*Member) (elected *Member, err error) {
+	err = c.WaitUntil(settleTimeout, func() bool {
+		for _, m := range candidates {
+			var view leader.View
+			if c.GetJSON(m, "/v1/owner", &view) == nil && view.May {
+				elected = m
+				return true
+			}
+		}
+		return false
+	})
+	if err != nil {
+		return nil, fmt.Errorf("nobody leads: %w", err)
+	}
+	return elected, nil
+}
+
+// StepDown requests a member, past its link, to hand its leadership over. The error wraps ErrRefused where it does not lead, or
+// has nobody to hand over to yet.
+func (c *Cluster) StepDown(m *Member) error {
+	response, err := c.http.Post("http://"+m.SupervisorAddress+"/v1/owner/step-down", "application/json", strings.NewReader("{}"))
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	if response.StatusCode/100 != 2 {
+		return fmt.Errorf("%s: step down: %s: %w", m.Name, response.Status, ErrRefused)
+	}
+	return nil
+}
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -9,77 +10,89 @@
 	"swiftreel/internal/quota"
 )
 
-// PartsWatch looks again and again at what a town's controllers go by of the whole. It counts only what was held at one
-// moment for certain: what two looks, one after the other, both show, or what one that cannot be asked must still hold.
+// ShareWatch samples again and again which shares of the fleet a cluster's controllers go by. It counts only what was held at
+// one moment for certain: what two samples in a row show, or what a member that cannot be reached must still hold.
 type ShareWatch struct {
-	town *Cluster
-	stop chan struct{}
-	wait sync.WaitGroup
+	cluster  *Cluster
+	done     chan struct{}
+	sampling sync.WaitGroup
 
-	mu          sync.Mutex
-	MaxAssigned int64 // of the fleet that was out at a moment
-	Samples     int   // with any out
+	// Valid once Stop has returned.
+	MaxAssigned int64 // the most of the fleet that was held at a moment, in parts of quota.Whole
+	Samples     int   // with any share held
 }
 
+// shareSample is the share of a member.
 type shareSample struct {
 	share int64
-	until int64
+	until int64 // by the machine's clock
 }
 
-// WatchParts begins.
-func (t *Cluster) WatchShares(every time.Duration) *ShareWatch {
-	p := &ShareWatch{town: t, stop: make(chan struct{})}
-	p.wait.Go(func() {
-		last := make([]shareSample, len(t.Members))
-		for {
-			at := monotonic.Now()
-			now := p.sample(last)
-			sum := int64(0)
-			for i := range now {
-				if both := min(last[i].share, now[i].share); at < min(last[i].until, now[i].until) {
-					sum += both
-				}
-			}
-			p.mu.Lock()
-			if p.MaxAssigned = max(p.MaxAssigned, sum); sum > 0 {
-				p.Samples++
-			}
-			p.mu.Unlock()
-			last = now
-			select {
-			case <-p.stop:
-				return
-			case <-time.After(every):
-			}
+// WatchShares begins to sample at an interval.
+func (c *Cluster) WatchShares(interval time.Duration) *ShareWatch {
+	w := &ShareWatch{cluster: c, done: make(chan struct{})}
+	w.sampling.Go(func() { w.run(interval) })
+	return w
+}
+
+func (w *ShareWatch) run(interval time.Duration) {
+	last := make([]shareSample, len(w.cluster.Members))
+	for {
+		now := monotonic.Now()
+		samples := w.sample(last)
+		sum := heldByBoth(last, samples, now)
+		w.MaxAssigned = max(w.MaxAssigned, sum)
+		if sum > 0 {
+			w.Samples++
+		}
+		last = samples
+		select {
+		case <-w.done:
+			return
+		case <-time.After(interval):
 		}
-	})
-	return p
+	}
+}
+
+// heldByBoth adds up what both samples show and what had not expired at a time before the second one.
+func heldByBoth(before, after []shareSample, now int64) (sum int64) {
+	for i := range after {
+		if now < min(before[i].until, after[i].until) {
+			sum += min(before[i].share, after[i].share)
+		}
+	}
+	return sum
 }
 
-func (p *ShareWatch) sample(last []shareSample) []shareSample {
-	now := make([]shareSample, len(last))
-	var wait sync.WaitGroup
-	for i, m := range p.town.Members {
-		wait.Go(func() {
-			now[i] = last[i]
-			if s, err := p.town.Status(m); err == nil && s.Carried != 0 { // else its controller goes by the part before
-				now[i] = shareSample{s.Word.Part[quota.Fleet], s.Word.PartUntil}
+// sample requests all members' shares at once. One that does not answer, or whose controller does not go by its share for
+// certain, has that of the sample before.
+func (w *ShareWatch) sample(last []shareSample) []shareSample {
+	samples := make([]shareSample, len(last))
+	var requests sync.WaitGroup
+	for i, m := range w.cluster.Members {
+		requests.Go(func() {
+			samples[i] = last[i]
+			if s, err := w.cluster.Status(m); err == nil && s.Carried != 0 {
+				samples[i] = shareSample{s.Word.Part[quota.Fleet], s.Word.PartUntil}
 			}
 		})
 	}
-	wait.Wait()
-	return now
+	requests.Wait()
+	return samples
 }
 
-// Stop ends it, and tells what was wrong.
-func (p *ShareWatch) Stop() error {
-	close(p.stop)
-	p.wait.Wait()
-	if p.MaxAssigned > quota.Whole {
-		return fmt.Errorf("%d of %d were out", p.MaxAssigned, quota.Whole)
+// errNoShare is returned by Stop where no share was seen: nothing is shown then.
+var errNoShare = errors.New("no share was seen")
+
+// Stop ends the watch. The error says that more than the whole was held at a moment, or that none was seen.
+func (w *ShareWatch) Stop() error {
+	close(w.done)
+	w.sampling.Wait()
+	if w.MaxAssigned > quota.Whole {
+		return fmt.Errorf("%d of %d were held at a moment", w.MaxAssigned, quota.Whole)
 	}
-	if p.Samples == 0 {
-		return fmt.Errorf("no part was seen")
+	if w.Samples == 0 {
+		return errNoShare
 	}
 	return nil
 }
