--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -3,404 +3,221 @@
 import (
 	"encoding/binary"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"log"
-	"slices"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-	"go.etcd.io/raft/v3/tracker"
-	"google.golang.org/protobuf/proto"
 )
 
-// Pace is a member's: times in its own monotonic time, ns.
-type Pace struct {
-	Tick      int64 // from one tick to the next
-	Lease     int64 // a voter that has heard of an owner gives no other its vote for so long
-	PerMille  int64 // of the lease that the owner uses: the rest is for clocks that run unlike
-	KeepsLast int   // entries of the log beyond which it is compacted
+// Timing holds a member's time constants, in nanoseconds of its own monotonic clock.
+type Timing struct {
+	Tick            int64 // between two calls of Core.Tick
+	Lease           int64 // a voter that has heard from a leader votes for no other one for this long
+	LeasePerMille   int64 // part of the lease that the leader uses; the rest covers clock drift
+	RetainedEntries int   // the log is compacted once it holds twice as many entries
 }
 
-// Usual is the pace where none is told: clocks may run a tenth unlike, and it leaves as much again.
-func Usual() Pace { return Pace{Tick: 50e6, Lease: 1e9, PerMille: 800, KeepsLast: 256} }
-
-// Disk is all of a member that outlives its process.
-type Disk struct {
-	ID       uint64 // a member that lost its disk comes back under another
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot
-	Entries  []*raftpb.Entry
-}
-
-// Out is what is to be done after a call, in this order: what is to be saved is saved before a message goes out.
-type Out struct {
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry // to be written from the first one's index on, what stood behind it is void
-	Snapshot *raftpb.Snapshot
-	Anew     bool // the snapshot came from another: entries saved before are void
-	Messages []*raftpb.Message
-	Done     []Done // of our own commands
+// DefaultTiming tolerates clocks whose rates differ by a tenth, with as much again in reserve.
+func DefaultTiming() Timing {
+	return Timing{Tick: 50e6, Lease: 1e9, LeasePerMille: 800, RetainedEntries: 256}
 }
 
-// Done is what became of a command of this process.
-type Done struct {
-	ID  uint64
-	Err error
-}
+// Raft's parameters that do not depend on Timing.
+const (
+	minElectionTicks      = 3
+	heartbeatsPerElection = 10
+	maxAppendBytes        = 1 << 20 // of one append message
+	maxInflightAppends    = 64      // to one member
+	maxUncommittedBytes   = 64 << 20
+	readRequestBytes      = 8 // a read request's context is the time at which it was made
+)
 
-// Core is a member of the log, free of I/O, clock and chance: times are told.
+// Core is one member: raft, the replicated state, and the leader's lease. It performs no I/O and reads no clock:
+// callers pass the member's own monotonic time in nanoseconds and carry out the returned Output. It is not safe for
+// concurrent use.
 type Core struct {
-	name    string
-	id      uint64
-	pace    Pace
-	rn      *raft.RawNode
-	mem     *raft.MemoryStorage
-	agreed  Agreed
-	conf    *raftpb.ConfState
-	applied uint64
-	began   int64 // this process
-	now     int64
-	term    uint64 // since when we lead, if we do
-	heldAt  int64  // a majority followed us at that time
-	claimed uint64 // term for which a reign was claimed
-	changed bool   // members did: who joins needs a snapshot that knows it
-	steps   bool   // stepping down: nothing is done any more
-	stepsAt int64
-	noLease bool // the broken variant of tests
-
-	snapAt map[uint64]int64 // members that a snapshot is under way to, since when; a member leaves it when it is not
+	name         string
+	id           uint64
+	timing       Timing
+	rawNode      *raft.RawNode
+	storage      *raft.MemoryStorage
+	state        State
+	membership   *raftpb.ConfState
+	appliedIndex uint64
+	startedAt    int64 // of this process
+	now          int64 // the latest time passed in
+
+	quorumAt    int64  // at this time a quorum followed this member
+	claimedTerm uint64 // the last raft term for which this member proposed its claim
+	ignoreLease bool   // a defect that tests inject to see it detected
+
+	transferring      bool // leadership is being handed over: this member no longer acts
+	transferStartedAt int64
+
+	membersChanged    bool             // the next snapshot is due at once: a new member needs one that includes it
+	snapshotStartedAt map[uint64]int64 // by member: when the snapshot that is under way to it was first seen
+}
+
+// NewCore starts a member from its persistent state. It follows until it hears of a leader or is elected.
+func NewCore(name string, persistent PersistentState, timing Timing, now int64) (*Core, error) {
+	c := &Core{
+		name:       name,
+		id:         persistent.MemberID,
+		timing:     timing,
+		storage:    raft.NewMemoryStorage(),
+		membership: &raftpb.ConfState{},
+		startedAt:  now,
+		now:        now,
+		quorumAt:   now - timing.Lease - 1, // no quorum yet
+	}
+	if err := c.load(persistent); err != nil {
+		return nil, err
+	}
+	return c, c.startRaft()
 }
 
-// NewCore starts a member from what its disk holds.
-func NewCore(name string, d Disk, p Pace, now int64) (*Core, error) {
-	c := &Core{name: name, id: d.ID, pace: p, mem: raft.NewMemoryStorage(), began: now, now: now, heldAt: now - p.Lease - 1, conf: &raftpb.ConfState{}}
-	if !raft.IsEmptySnap(d.Snapshot) {
-		if err := c.mem.ApplySnapshot(d.Snapshot); err != nil {
-			return nil, err
+func (c *Core) load(persistent PersistentState) error {
+	if !raft.IsEmptySnap(persistent.Snapshot) {
+		if err := c.storage.ApplySnapshot(persistent.Snapshot); err != nil {
+			return err
 		}
-		if err := c.restore(d.Snapshot); err != nil {
-			return nil, err
+		if err := c.restore(persistent.Snapshot); err != nil {
+			return err
 		}
 	}
-	if !raft.IsEmptyHardState(d.Hard) {
-		c.mem.SetHardState(d.Hard)
-	}
-	if err := c.mem.Append(d.Entries); err != nil {
-		return nil, err
+	if !raft.IsEmptyHardState(persistent.HardState) {
+		if err := c.storage.SetHardState(persistent.HardState); err != nil {
+			return err
+		}
 	}
-	return c, c.begin()
+	return c.storage.Append(persistent.Entries)
 }
 
-// begin has the library begin with what is saved, as a follower.
-func (c *Core) begin() (err error) {
-	election := max(3, int(c.pace.Lease/c.pace.Tick))
-	c.rn, err = raft.NewRawNode(&raft.Config{ID: c.id, ElectionTick: election, HeartbeatTick: max(1, election/10), Storage: c.mem, Applied: c.applied,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 64 << 20, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true,
-		StepDownOnRemoval: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
+// startRaft starts raft as a follower on what the storage holds.
+func (c *Core) startRaft() error {
+	electionTicks := max(minElectionTicks, int(c.timing.Lease/c.timing.Tick))
+	rawNode, err := raft.NewRawNode(&raft.Config{
+		ID:                        c.id,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             max(1, electionTicks/heartbeatsPerElection),
+		Storage:                   c.storage,
+		Applied:                   c.appliedIndex,
+		MaxSizePerMsg:             maxAppendBytes,
+		MaxInflightMsgs:           maxInflightAppends,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
+	})
+	c.rawNode = rawNode
 	return err
 }
 
-// Found is the disk of a member of a new fleet: all of them begin with the same.
-func Found(id uint64, names map[uint64]string) Disk { return Refound(id, names, Agreed{}, 1) }
-
-// Refound is that of a fleet that begins anew with what one has kept of an earlier one, at a term over all that anyone has
-// seen of that: reigns go on rising.
-func Refound(id uint64, names map[uint64]string, a Agreed, term uint64) Disk {
-	var voters []uint64
-	for n := range names {
-		voters = append(voters, n)
+// Tick advances raft's clock. It is due every Timing.Tick.
+func (c *Core) Tick(now int64) Output {
+	c.now = max(c.now, now)
+	if c.transferring && c.now-c.transferStartedAt > c.timing.Lease {
+		c.abandonTransfer()
 	}
-	slices.Sort(voters)
-	a.Names = names
-	one := uint64(1)
-	return Disk{ID: id, Hard: &raftpb.HardState{Term: &term, Commit: &one},
-		Snapshot: raftpb.EnsureSnapshot(&raftpb.Snapshot{Data: a.text(), Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &term, ConfState: &raftpb.ConfState{Voters: voters}}})}
-}
-
-func (c *Core) restore(s *raftpb.Snapshot) error {
-	var a Agreed
-	if err := json.Unmarshal(s.GetData(), &a); err != nil {
-		return err
+	c.rawNode.Tick()
+	if c.isLeader() {
+		c.requestQuorum()
+		c.claimTerm()
+		c.retryLostSnapshots()
 	}
-	c.agreed, c.applied, c.conf = a, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	return nil
+	return c.collectOutput()
 }
 
-// Tick is to come every Pace.Tick.
-func (c *Core) Tick(now int64) Out {
-	c.now = max(c.now, now)
-	if c.steps && c.now-c.stepsAt > c.pace.Lease { // nobody took over, and word to do so may be on its way: it acts no more
-		c.steps = false
-		c.begin()
-	}
-	c.rn.Tick()
-	if c.leads() {
-		c.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(c.now))) // who answers followed us at this time, and after
-		if s := c.rn.BasicStatus(); s.GetTerm() != c.claimed && !c.steps {
-			c.claimed = s.GetTerm()
-			c.propose(Command{From: c.id, Reign: Reign(s.GetTerm()), Claim: c.name})
-		}
-		c.snapshots()
-	}
-	return c.take()
+// abandonTransfer restarts as a follower: nobody took over in time, but the request to do so may still be on its way,
+// so this member must not act again in its term.
+func (c *Core) abandonTransfer() {
+	c.transferring = false
+	_ = c.startRaft() // NewCore has accepted the same configuration
 }
 
-// snapTime is for how many leases word of a snapshot's arrival is waited for: one of mostMessage passes a slow link in it.
-const snapTime = 3
+// requestQuorum asks all members for a confirmation. Who answers followed this member at the time in the request or
+// later.
+func (c *Core) requestQuorum() {
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(c.now)))
+}
 
-// snapshots has those sent again that have not been heard of. The library waits for ever: links here tell nothing of what they
-// have lost, and one that has come but was overtaken by the log's compaction counts as lost.
-func (c *Core) snapshots() {
-	was := c.snapAt
-	c.snapAt = nil
-	c.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		if pr.State == tracker.StateSnapshot {
-			if c.snapAt == nil {
-				c.snapAt = map[uint64]int64{}
-			}
-			c.snapAt[id] = c.now
-			if at, is := was[id]; is {
-				c.snapAt[id] = at
-			}
-		}
-	})
-	for id, at := range c.snapAt {
-		if c.now-at >= snapTime*c.pace.Lease {
-			delete(c.snapAt, id)
-			c.rn.ReportSnapshot(id, raft.SnapshotFailure) // it is probed, and sent what it lacks
-		}
+// claimTerm proposes, once in each raft term that this member leads, that it becomes the term's leader.
+func (c *Core) claimTerm() {
+	raftTerm := c.rawNode.BasicStatus().GetTerm()
+	if raftTerm == c.claimedTerm || c.transferring {
+		return
 	}
+	c.claimedTerm = raftTerm
+	// A claim that raft drops is not repeated: this member then does not act in this term.
+	_ = c.propose(Command{Proposer: c.id, Term: Term(raftTerm), Candidate: c.name})
 }
 
-// Step takes a message. A vote is not given within a lease of this process's start: it cannot know whom it had promised.
-func (c *Core) Step(now int64, m *raftpb.Message) Out {
+// Step handles a message from another member. Messages that only this process may create are ignored.
+func (c *Core) Step(now int64, message *raftpb.Message) Output {
 	c.now = max(c.now, now)
-	switch m.GetType() {
+	switch message.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		if c.now-c.began < c.pace.Lease && !c.noLease {
-			return c.take()
+		// Within a lease of its start a process cannot know to which leader it gave a promise before.
+		if c.now-c.startedAt < c.timing.Lease && !c.ignoreLease {
+			return c.collectOutput()
 		}
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgTransferLeader:
-		return c.take() // nobody else may ask for these
+		return c.collectOutput()
 	}
-	c.rn.Step(m) // an error says that it was of no use
-	return c.take()
+	_ = c.rawNode.Step(message) // an error means that the message was of no use here
+	return c.collectOutput()
 }
 
-func (c *Core) leads() bool { return c.rn.BasicStatus().RaftState == raft.StateLeader }
+func (c *Core) isLeader() bool { return c.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
-// May tells under which reign this member may act now: it was agreed, and a majority followed within the lease. 0: none.
-// It is to be asked before each act; what cannot be fenced where it arrives must not rest on it, as time passes after it.
-func (c *Core) May(now int64) Reign {
+// ActiveTerm returns the term under which this member may act now, or 0: it leads, its claim is committed, and a
+// quorum followed it within the lease. Ask before each act. Time passes between the answer and the act, so what
+// cannot be fenced by the term where it arrives must not rely on it.
+func (c *Core) ActiveTerm(now int64) Term {
 	c.now = max(c.now, now)
-	s := c.rn.BasicStatus()
-	if s.RaftState != raft.StateLeader || c.steps || c.agreed.Owner != c.name || c.agreed.Reign != Reign(s.GetTerm()) {
+	status := c.rawNode.BasicStatus()
+	if status.RaftState != raft.StateLeader || c.transferring {
 		return 0
 	}
-	if c.now-c.heldAt >= c.pace.Lease*c.pace.PerMille/1000 && !c.noLease {
+	if c.state.Leader != c.name || c.state.Term != Term(status.GetTerm()) {
 		return 0
 	}
-	return c.agreed.Reign
-}
-
-// Propose asks for an item of what is agreed to be written under a reign. What becomes of it comes as Done, or never, where
-// this member leads no more.
-func (c *Core) Propose(id uint64, r Reign, name string, value []byte) (Out, error) {
-	if !c.leads() || c.steps {
-		return Out{}, errors.New("another owns")
-	}
-	err := c.propose(Command{ID: id, From: c.id, Reign: r, Name: name, Value: value})
-	return c.take(), err
-}
-
-func (c *Core) propose(cmd Command) error {
-	text, err := json.Marshal(cmd)
-	if err != nil {
-		return err
-	}
-	return c.rn.Propose(text)
-}
-
-// StepDown ends this member's acts at once, and then hands over: to the voter of that name, or, where none is named, to that
-// which has come furthest.
-func (c *Core) StepDown(to string) (Out, bool) {
-	if !c.leads() {
-		return Out{}, false
-	}
-	var best, match uint64
-	c.rn.WithProgress(func(id uint64, _ raft.ProgressType, pr tracker.Progress) {
-		if id != c.id && !pr.IsLearner && pr.RecentActive && pr.Match >= match && (to == "" || c.agreed.Names[id] == to) {
-			best, match = id, pr.Match
-		}
-	})
-	if best == 0 {
-		return Out{}, false
+	usableLease := c.timing.Lease * c.timing.LeasePerMille / 1000
+	if c.now-c.quorumAt >= usableLease && !c.ignoreLease {
+		return 0
 	}
-	c.steps, c.stepsAt = true, c.now
-	c.rn.TransferLeader(best)
-	return c.take(), true
+	return c.state.Term
 }
 
-// Forget takes a member out that is gone for good, without another in its place.
-func (c *Core) Forget(name string) (Out, error) {
-	if !c.leads() {
-		return Out{}, errors.New("another owns")
-	}
-	cc := &raftpb.ConfChangeV2{}
-	for _, id := range slices.Concat(c.conf.Voters, c.conf.Learners) {
-		if c.agreed.Names[id] != name {
-			continue
-		}
-		if id == c.id {
-			return Out{}, fmt.Errorf("%s owns: have it step down first", name)
-		}
-		remove := raftpb.ConfChangeRemoveNode
-		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: &remove, NodeId: &id})
+// Propose asks for an item to be written under a term. The outcome arrives as a Result with the given command ID, or
+// never if this member loses the leadership first.
+func (c *Core) Propose(commandID uint64, term Term, item string, value []byte) (Output, error) {
+	if !c.isLeader() || c.transferring {
+		return Output{}, ErrNotLeader
 	}
-	if len(cc.Changes) == 0 {
-		return Out{}, fmt.Errorf("%s is no member", name)
-	}
-	err := c.rn.ProposeConfChange(cc)
-	return c.take(), err
+	err := c.propose(Command{ID: commandID, Proposer: c.id, Term: term, Item: item, Value: value})
+	return c.collectOutput(), err
 }
 
-// Join takes a member in under a new number, in the place of one of the same name that lost its memory.
-func (c *Core) Join(id uint64, name string) (Out, error) {
-	if !c.leads() {
-		return Out{}, errors.New("another owns")
-	}
-	context, err := json.Marshal(map[uint64]string{id: name})
+func (c *Core) propose(command Command) error {
+	text, err := json.Marshal(command)
 	if err != nil {
-		return Out{}, err
-	}
-	cc := &raftpb.ConfChangeV2{Context: context}
-	add := func(t raftpb.ConfChangeType, n uint64) {
-		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: &t, NodeId: &n})
-	}
-	caught := false
-	c.rn.WithProgress(func(n uint64, _ raft.ProgressType, pr tracker.Progress) {
-		caught = caught || n == id && pr.IsLearner && pr.Match+8 >= c.applied
-	})
-	switch {
-	case slices.Contains(c.conf.Voters, id):
-		return Out{}, nil
-	case !caught: // it hears until it has caught up, and then votes
-		add(raftpb.ConfChangeAddLearnerNode, id)
-	default:
-		add(raftpb.ConfChangeAddNode, id)
-		for n, was := range c.agreed.Names {
-			if was == name && n != id && slices.Contains(c.conf.Voters, n) {
-				add(raftpb.ConfChangeRemoveNode, n)
-			}
-		}
+		return err
 	}
-	err = c.rn.ProposeConfChange(cc)
-	return c.take(), err
+	return c.rawNode.Propose(text)
 }
 
-// Agreed is what is agreed as far as this member knows.
-func (c *Core) Agreed() Agreed { return c.agreed }
-
-// Voters are the numbers of those that vote.
-func (c *Core) Voters() []uint64 { return c.conf.GetVoters() }
-
-// Leader is the number of who leads, as far as this member knows, and the term.
-func (c *Core) Leader() (id, term uint64) {
-	s := c.rn.BasicStatus()
-	return s.Lead, s.GetTerm()
-}
-
-// take gathers what is to be done. Storage in memory follows at once; the disk has it before any message goes out.
-func (c *Core) take() (out Out) {
-	for c.rn.HasReady() {
-		rd := c.rn.Ready()
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			c.mem.ApplySnapshot(rd.Snapshot)
-			c.restore(rd.Snapshot)
-			out.Snapshot, out.Entries, out.Anew = rd.Snapshot, nil, true
-		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			c.mem.SetHardState(rd.HardState)
-			out.Hard = rd.HardState
-		}
-		c.mem.Append(rd.Entries)
-		for _, e := range rd.Entries {
-			for len(out.Entries) > 0 && out.Entries[len(out.Entries)-1].GetIndex() >= e.GetIndex() {
-				out.Entries = out.Entries[:len(out.Entries)-1]
-			}
-			out.Entries = append(out.Entries, e)
-		}
-		for _, r := range rd.ReadStates {
-			if len(r.RequestCtx) == 8 {
-				c.heldAt = max(c.heldAt, int64(binary.BigEndian.Uint64(r.RequestCtx)))
-			}
-		}
-		for _, e := range rd.CommittedEntries {
-			c.commit(e, &out)
-		}
-		out.Messages = append(out.Messages, rd.Messages...)
-		c.rn.Advance(rd)
-	}
-	if !c.leads() {
-		c.steps = false
-	}
-	if s, ok := c.compact(); ok {
-		out.Snapshot = s
-	}
-	return out
-}
+// State returns the replicated state as far as this member has applied it. The caller must not modify it.
+func (c *Core) State() State { return c.state }
 
-func (c *Core) commit(e *raftpb.Entry, out *Out) {
-	c.applied = e.GetIndex()
-	switch e.GetType() {
-	case raftpb.EntryNormal:
-		var cmd Command
-		if len(e.GetData()) == 0 || json.Unmarshal(e.GetData(), &cmd) != nil {
-			return
-		}
-		if err := c.agreed.apply(cmd); cmd.From == c.id && cmd.ID != 0 {
-			out.Done = append(out.Done, Done{cmd.ID, err})
-		}
-	case raftpb.EntryConfChange, raftpb.EntryConfChangeV2:
-		var cc raftpb.ConfChangeV2
-		if e.GetType() == raftpb.EntryConfChange {
-			var one raftpb.ConfChange
-			if proto.Unmarshal(e.GetData(), &one) != nil {
-				return
-			}
-			cc = raftpb.ConfChangeV2{Changes: one.AsV2().Changes, Context: one.Context}
-		} else if proto.Unmarshal(e.GetData(), &cc) != nil {
-			return
-		}
-		var names map[uint64]string
-		json.Unmarshal(cc.Context, &names)
-		for n, name := range names {
-			c.agreed.Names[n] = name
-		}
-		c.conf, c.changed = c.rn.ApplyConfChange(&cc), true
-		for n := range c.agreed.Names { // those that are gone are forgotten
-			if !slices.Contains(slices.Concat(c.conf.Voters, c.conf.VotersOutgoing, c.conf.Learners, c.conf.LearnersNext), n) {
-				delete(c.agreed.Names, n)
-			}
-		}
-	}
-}
+// Voters returns the IDs of the voting members.
+func (c *Core) Voters() []uint64 { return c.membership.GetVoters() }
 
-// compact takes a snapshot once the log is long, or members changed; then what is behind it goes.
-func (c *Core) compact() (*raftpb.Snapshot, bool) {
-	first, _ := c.mem.FirstIndex()
-	if !c.changed && (c.applied < first || c.applied-first < uint64(2*c.pace.KeepsLast)) {
-		return nil, false
-	}
-	c.changed = false
-	s, err := c.mem.CreateSnapshot(c.applied, c.conf, c.agreed.text())
-	if err != nil {
-		return nil, false
-	}
-	if keep := uint64(c.pace.KeepsLast) / 4; c.applied > first+keep {
-		c.mem.Compact(c.applied - keep)
-	}
-	return s, true
+// RaftLeader returns the ID of raft's leader (0: none is known) and raft's term.
+func (c *Core) RaftLeader() (id, term uint64) {
+	status := c.rawNode.BasicStatus()
+	return status.Lead, status.GetTerm()
 }
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -26,7 +26,8 @@
 	base, current build
 	versions      map[string]build // of supervisors, by member
 	load          load
-	number        int64 // of the last change
+	logs          strings.Builder // of supervisors that were restarted
+	number        int64           // of the last change
 	stopped       bool
 }
 
@@ -135,19 +136,43 @@
 	return fmt.Sprintf("%d, in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
+// restart ends a member's supervisor, does something, and starts a version of it.
+func (f *fleet) restart(m *testcluster.Member, to build, between func() error) error {
+	if err := f.town.DrainMember(m); err != nil {
+		return err
+	}
+	f.logs.WriteString(m.Supervisor.Log())
+	if err := between(); err != nil {
+		return err
+	}
+	f.versions[m.Name] = to
+	return f.town.UpgradeSupervisor(m, to.program())
+}
+
+// logErrors are the lines of an error's level that supervisors and their controllers have logged.
+func (f *fleet) logErrors() string {
+	logs := f.logs.String()
+	for _, m := range f.town.Members {
+		logs += m.Supervisor.Log()
+	}
+	var lines []string
+	for line := range strings.Lines(logs) {
+		if strings.Contains(line, "level=ERROR") {
+			lines = append(lines, strings.TrimSpace(line))
+		}
+	}
+	return strings.Join(lines, " | ")
+}
+
 // upgrade restarts one, and checks that it holds what it held and that its controller runs as before.
 func (f *fleet) upgrade(m *testcluster.Member, to build) error {
 	before, err := f.town.Status(m)
 	if err != nil {
 		return err
 	}
-	if err := f.town.DrainMember(m); err != nil {
-		return err
-	}
-	if err := f.town.UpgradeSupervisor(m, to.program()); err != nil {
+	if err := f.restart(m, to, func() error { return nil }); err != nil {
 		return err
 	}
-	f.versions[m.Name] = to
 	var after supervisor.Status
 	err = f.town.WaitUntil(stepLimit, func() bool {
 		after, err = f.town.Status(m)
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -55,6 +55,9 @@
 		broken = err != nil
 	}
 	detail, err := watch.stop()
+	if err != nil {
+		err = fmt.Errorf("%w; errors logged: %s", err, f.logErrors())
+	}
 	r.result("orders, assignments and terms never go back", detail, err)
 	detail, err = f.outcomes()
 	r.result("no rule is broken, each job has one outcome", detail, err)
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -53,7 +53,7 @@
 		{"assignments are followed by base processes", f.assigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
-			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.MaxAssigned)/float64(quota.Whole), shares.Samples), err
+			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.MaxAssigned)/float64(quota.FullShare), shares.Samples), err
 		}},
 	}
 }
@@ -65,14 +65,14 @@
 		term = 0
 		for _, m := range f.town.Members {
 			s, err := f.town.Status(m)
-			off := s.Carries - s.Word.Part[quota.Fleet]
-			if err != nil || s.Word.Reign == 0 || s.Word.Plan == "" || s.Word.Part[quota.Fleet] == 0 || off < -1 || off > 1 {
+			off := s.Carries - s.Word.Shares[quota.Fleet]
+			if err != nil || s.Word.Term == 0 || s.Word.Plan == "" || s.Word.Shares[quota.Fleet] == 0 || off < -1 || off > 1 {
 				return false
 			}
-			if term != 0 && term != s.Word.Reign {
+			if term != 0 && term != s.Word.Term {
 				return false
 			}
-			term = s.Word.Reign
+			term = s.Word.Term
 		}
 		return true
 	})
@@ -80,9 +80,9 @@
 }
 
 // view is what a voter tells of the group; a zero view where it does not answer.
-func (f *fleet) view(m *testcluster.Member) (v leader.View) {
+func (f *fleet) view(m *testcluster.Member) (v leader.Status) {
 	if err := f.town.GetJSON(m, "/v1/owner", &v); err != nil {
-		return leader.View{}
+		return leader.Status{}
 	}
 	return v
 }
@@ -122,11 +122,11 @@
 	}
 	return f.await("leadership is handed on", nil, func() bool {
 		for _, m := range f.town.Voters() {
-			if m != leader && f.versions[m.Name] == wanted && f.view(m).May {
+			if m != leader && f.versions[m.Name] == wanted && f.view(m).Active {
 				return true
 			}
 		}
-		return f.view(leader).May // nobody took over
+		return f.view(leader).Active // nobody took over
 	})
 }
 
@@ -187,10 +187,10 @@
 
 // inGroup waits until a voter is a member under a number that it may have, and has the agreed record.
 func (f *fleet) inGroup(m *testcluster.Member, record json.RawMessage, numberFits func(uint64) bool) error {
-	var v leader.View
+	var v leader.Status
 	err := f.await(m.Name+" is in the group with the agreed record", nil, func() bool {
 		v = f.view(m)
-		return numberFits(v.ID) && v.Leader != "" && len(v.Voters) == len(f.town.Voters()) && bytes.Equal(f.item(m), record)
+		return numberFits(v.ID) && v.RaftLeader != "" && len(v.Voters) == len(f.town.Voters()) && bytes.Equal(f.item(m), record)
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %+v", err, v)
@@ -218,8 +218,8 @@
 		if err := f.inGroup(m, record, func(number uint64) bool { return number == before.ID }); err != nil {
 			return "", err
 		}
-		if after := f.view(m); after.Reign < before.Reign {
-			return "", fmt.Errorf("%s knows term %d, before its restart it was %d", m.Name, after.Reign, before.Reign)
+		if after := f.view(m); after.Term < before.Term {
+			return "", fmt.Errorf("%s knows term %d, before its restart it was %d", m.Name, after.Term, before.Term)
 		}
 	}
 	return fmt.Sprintf("%d members in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
@@ -237,13 +237,8 @@
 			continue
 		}
 		before, record := f.view(m).ID, f.item(leader)
-		if err := f.town.DrainMember(m); err != nil {
-			return "", err
-		}
-		if err := os.Remove(filepath.Join(f.town.Dir, m.Name, "owner.db")); err != nil {
-			return "", err
-		}
-		if err := f.town.UpgradeSupervisor(m, joining.program()); err != nil {
+		forget := func() error { return os.Remove(filepath.Join(f.town.Dir, m.Name, "owner.db")) }
+		if err := f.restart(m, joining, forget); err != nil {
 			return "", err
 		}
 		if number := f.view(m).ID; number != 0 {
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -70,8 +70,8 @@
 	if now.Fence.Compare(before.Fence) < 0 {
 		faults = append(faults, fmt.Sprintf("order %v is held after %v", now.Fence, before.Fence))
 	}
-	if now.Life == before.Life && now.Word.Reign < before.Word.Reign {
-		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Word.Reign, before.Word.Reign))
+	if now.Life == before.Life && now.Word.Term < before.Word.Term {
+		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Word.Term, before.Word.Term))
 	}
 	if now.Crashes > 0 {
 		faults = append(faults, fmt.Sprintf("its controller ended unasked %d times", now.Crashes))
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,170 +1,174 @@
-// Package quota works out what each controller carries of the fleet and of tenants' quotas, and holds that what is out never
-// passes the whole, also while a part is taken back from one that cannot be reached, and past the loss of who hands them
-// out. Free of I/O and clock: times are told.
 package quota
 
 import (
 	"maps"
 	"slices"
-	"strings"
 )
 
-// Whole is all of what is parted.
-const Whole = 1_000_000
-
-// Of is what is parted: the fleet, or a tenant's quota.
-type Of string
-
-// Fleet is the threads of all engines.
-const Fleet = Of("fleet")
-
-const quotaOf = "quota of "
-
-// Quota is that of a tenant.
-func Quota(tenant string) Of { return Of(quotaOf + tenant) }
-
-// Tenant is whose quota it is.
-func (o Of) Tenant() (name string, is bool) { return strings.CutPrefix(string(o), quotaOf) }
-
-// Share is parts of the whole, by what is parted.
-type Share map[Of]int64
-
-// Record is what is agreed: the most that each member may have been given. It is agreed before anything of it is given.
+// Record is the replicated part of a Ledger: the upper limit of what each member may have been granted. It is
+// committed before anything of it is granted.
 type Record struct {
-	Caps map[string]Share `json:"caps"`
+	Limits map[string]Shares `json:"caps"` // by member
 }
 
-// DriftPerMille is how unlike two machines' clocks may run.
-const DriftPerMille = 50
+// MaxClockDriftPerMille is by how much the rates of two machines' clocks may differ.
+const MaxClockDriftPerMille = 50
 
-// Ledger is an owner's view: what is agreed, and what may still be out.
+// Ledger is a leader's view of the shares: the committed record, and what may still be in use.
 type Ledger struct {
-	record Record
-	life   int64 // of a part, by its holder's clock, ns
-	out    map[string]held
-	doubt  bool // a record that was not known to be agreed may be yet, until a later one is
+	record      Record
+	lifetime    int64 // of a grant, in ns of its holder's clock
+	grants      map[string]grant
+	isUncertain bool // a record whose commit failed may still be committed, until a later one is
 }
 
-// held is what a member may hold: the most of all that it was given and that has not ended.
-type held struct {
-	most  Share
-	ends  int64
-	last  Share // given last
-	count int64 // of the word that gave it
+// grant is what a member may be using.
+type grant struct {
+	upperBound Shares // over all its grants that have not expired
+	expiresAt  int64
+	latest     Shares
+	sequence   int64 // of the assignment that carried latest
 }
 
-// NewLedger takes over from an owner before: all that was agreed may be out until one life from now on.
-func NewLedger(r Record, life, now int64) *Ledger {
-	l := &Ledger{record: Record{Caps: map[string]Share{}}, life: life, out: map[string]held{}, doubt: true}
-	for m, s := range r.Caps {
-		l.record.Caps[m] = maps.Clone(s)
-		l.out[m] = held{most: maps.Clone(s), ends: now + l.outlives()}
+// NewLedger takes over from an earlier leader. Everything that its record allows may be in use until a lifetime from
+// now.
+func NewLedger(record Record, lifetime, now int64) *Ledger {
+	l := &Ledger{
+		record:      Record{Limits: map[string]Shares{}},
+		lifetime:    lifetime,
+		grants:      map[string]grant{},
+		isUncertain: true,
+	}
+	for member, limits := range record.Limits {
+		l.record.Limits[member] = maps.Clone(limits)
+		l.grants[member] = grant{upperBound: maps.Clone(limits), expiresAt: now + l.worstCaseLifetime()}
 	}
 	return l
 }
 
-// outlives is how long a part lasts at the most by the owner's clock.
-func (l *Ledger) outlives() int64 { return l.life + l.life*DriftPerMille/1000 }
+// worstCaseLifetime is how long a grant may last by the leader's clock.
+func (l *Ledger) worstCaseLifetime() int64 { return l.lifetime + l.lifetime*MaxClockDriftPerMille/1000 }
 
-// Clone is another that goes its own way.
+// Clone returns an independent copy.
 func (l *Ledger) Clone() *Ledger {
-	c := *l
-	c.out = maps.Clone(l.out) // shares in it are never written to
-	return &c
+	clone := *l
+	clone.grants = maps.Clone(l.grants) // the shares in it are never modified
+	return &clone
 }
 
-// Record is what is agreed.
+// Record returns the committed record. The caller must not modify it.
 func (l *Ledger) Record() Record { return l.record }
 
-// Holds takes in that a member says by which word's part it goes, controller and all: what was given before is over.
-func (l *Ledger) Holds(member string, count int64) {
-	if h := l.out[member]; h.count > 0 && count == h.count {
-		h.most = h.last
-		l.out[member] = h
+// Confirm notes that a member, its controller included, uses the shares of the assignment with that sequence number:
+// its earlier grants are over.
+func (l *Ledger) Confirm(member string, sequence int64) {
+	granted := l.grants[member]
+	if granted.sequence > 0 && sequence == granted.sequence {
+		granted.upperBound = granted.latest
+		l.grants[member] = granted
 	}
 }
 
-// Next is the record that comes closest to what is wanted now: a cap falls to what may still be out, and rises into what is
-// free by the record as it stands. It tells whether it differs, or one is in doubt; then it has to be agreed, and taken, before it counts.
-func (l *Ledger) Next(want map[string]Share, now int64) (r Record, differs bool) {
-	r.Caps = map[string]Share{}
-	free := map[Of]int64{}
-	all := map[string]bool{}
-	for m := range l.record.Caps {
-		all[m] = true
-	}
-	for m := range want {
-		all[m] = true
-	}
-	names := slices.Sorted(maps.Keys(all))
-	for _, m := range names {
-		r.Caps[m] = Share{}
-		for _, of := range ofs(l.record.Caps[m], want[m]) {
-			cap := l.record.Caps[m][of]
-			if h := l.out[m]; now < h.ends {
-				cap = min(cap, max(want[m][of], h.most[of]))
-			} else {
-				cap = min(cap, want[m][of])
-			}
-			r.Caps[m][of] = cap
-			free[of] -= cap
-		}
-	}
-	for _, m := range names {
-		for _, of := range ofs(want[m]) {
-			if more := min(want[m][of]-r.Caps[m][of], Whole+free[of]); more > 0 {
-				r.Caps[m][of], free[of] = r.Caps[m][of]+more, free[of]-more
-			}
+// NextRecord returns the record that comes closest to the targets now, and whether it must be committed: it differs
+// from the committed one, or that is uncertain. It counts only after Commit. A limit falls as far as to what may
+// still be in use, and rises into what the committed record leaves free.
+func (l *Ledger) NextRecord(targets map[string]Shares, now int64) (next Record, isChanged bool) {
+	next.Limits = map[string]Shares{}
+	free := map[Resource]int64{} // below FullShare
+	members := l.members(targets)
+	for _, member := range members {
+		limits := l.lowered(member, targets[member], now)
+		next.Limits[member] = limits
+		for resource, limit := range limits {
+			free[resource] -= limit
 		}
 	}
-	for m, s := range r.Caps {
-		maps.DeleteFunc(s, func(_ Of, n int64) bool { return n <= 0 })
-		if len(s) == 0 {
-			delete(r.Caps, m)
-		}
+	for _, member := range members {
+		raise(next.Limits[member], targets[member], free)
 	}
-	return r, l.doubt || !maps.EqualFunc(r.Caps, l.record.Caps, maps.Equal[Share, Share])
+	removeEmpty(next.Limits)
+	isEqual := maps.EqualFunc(next.Limits, l.record.Limits, maps.Equal[Shares, Shares])
+	return next, l.isUncertain || !isEqual
 }
 
-// Agreed takes a record that was agreed.
-func (l *Ledger) Agreed(r Record) { l.record, l.doubt = r, false }
+// members returns the members of the record and of the targets, sorted.
+func (l *Ledger) members(targets map[string]Shares) []string {
+	names := slices.AppendSeq(slices.Collect(maps.Keys(l.record.Limits)), maps.Keys(targets))
+	slices.Sort(names)
+	return slices.Compact(names)
+}
 
-// Doubt takes in that a record may be agreed later, or never. Until one behind it is agreed nothing may be given: who takes
-// over might go by that one.
-func (l *Ledger) Doubt() { l.doubt = true }
+// lowered returns a member's limits, lowered towards its target as far as its grants allow.
+func (l *Ledger) lowered(member string, target Shares, now int64) Shares {
+	limits := Shares{}
+	granted := l.grants[member]
+	for _, resource := range resources(l.record.Limits[member], target) {
+		lowest := target[resource]
+		if now < granted.expiresAt {
+			lowest = max(lowest, granted.upperBound[resource])
+		}
+		limits[resource] = min(l.record.Limits[member][resource], lowest)
+	}
+	return limits
+}
 
-// Give is what a member is given now, with a word of that number: no more than is agreed. heard is when its own time, from
-// which its part's life counts, came to be known. What is over is forgotten.
-func (l *Ledger) Give(member string, want Share, heard, count int64) Share {
-	give := Share{}
-	for of, n := range want {
-		if n = min(n, l.record.Caps[member][of]); n > 0 {
-			give[of] = n
+// raise raises limits towards a target, as far as there is something free.
+func raise(limits, target Shares, free map[Resource]int64) {
+	for _, resource := range resources(target) {
+		more := min(target[resource]-limits[resource], FullShare+free[resource])
+		if more > 0 {
+			limits[resource] += more
+			free[resource] -= more
 		}
 	}
-	h := l.out[member]
-	most := maps.Clone(give)
-	if heard < h.ends {
-		for of, n := range h.most {
-			most[of] = max(most[of], n)
+}
+
+func removeEmpty(limits map[string]Shares) {
+	for member, shares := range limits {
+		maps.DeleteFunc(shares, func(_ Resource, share int64) bool { return share <= 0 })
+		if len(shares) == 0 {
+			delete(limits, member)
 		}
 	}
-	l.out[member] = held{most: most, last: give, count: count, ends: max(h.ends, heard+l.outlives())}
-	return give
 }
 
-// Forget drops members that hold nothing any more.
-func (l *Ledger) Forget(now int64) {
-	maps.DeleteFunc(l.out, func(_ string, h held) bool { return now >= h.ends })
+// Commit takes in that a record was committed.
+func (l *Ledger) Commit(record Record) {
+	l.record = record
+	l.isUncertain = false
 }
 
-// ofs are what shares speak of, in order.
-func ofs(shares ...Share) (list []Of) {
-	for _, s := range shares {
-		for of := range s {
-			list = append(list, of)
+// MarkUncertain takes in that a record may be committed later, or never. Another one must be committed before
+// anything is granted again: the next leader might go by the uncertain one.
+func (l *Ledger) MarkUncertain() { l.isUncertain = true }
+
+// Grant returns the shares that a member is granted with an assignment of that sequence number: its target within its
+// committed limits. clockReadAt is when the member's clock, from which the lifetime counts, was read.
+func (l *Ledger) Grant(member string, target Shares, clockReadAt, sequence int64) Shares {
+	granted := Shares{}
+	for resource, share := range target {
+		share = min(share, l.record.Limits[member][resource])
+		if share > 0 {
+			granted[resource] = share
+		}
+	}
+	previous := l.grants[member]
+	upperBound := maps.Clone(granted)
+	if clockReadAt < previous.expiresAt {
+		for resource, share := range previous.upperBound {
+			upperBound[resource] = max(upperBound[resource], share)
 		}
 	}
-	slices.Sort(list)
-	return slices.Compact(list)
+	l.grants[member] = grant{
+		upperBound: upperBound,
+		expiresAt:  max(previous.expiresAt, clockReadAt+l.worstCaseLifetime()),
+		latest:     granted,
+		sequence:   sequence,
+	}
+	return granted
+}
+
+// DropExpired drops the grants that have expired.
+func (l *Ledger) DropExpired(now int64) {
+	maps.DeleteFunc(l.grants, func(_ string, granted grant) bool { return now >= granted.expiresAt })
 }
--- a/internal/testcluster/requests.go
+++ b/internal/testcluster/requests.go
@@ -65,8 +65,8 @@
 func (c *Cluster) Leader(candidates []*Member) (elected *Member, err error) {
 	err = c.WaitUntil(settleTimeout, func() bool {
 		for _, m := range candidates {
-			var view leader.View
-			if c.GetJSON(m, "/v1/owner", &view) == nil && view.May {
+			var status leader.Status
+			if c.GetJSON(m, "/v1/owner", &status) == nil && status.Active {
 				elected = m
 				return true
 			}
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -18,7 +18,7 @@
 	sampling sync.WaitGroup
 
 	// Valid once Stop has returned.
-	MaxAssigned int64 // the most of the fleet that was held at a moment, in parts of quota.Whole
+	MaxAssigned int64 // the most of the fleet that was held at a moment, in parts of quota.FullShare
 	Samples     int   // with any share held
 }
 
@@ -73,7 +73,7 @@
 		requests.Go(func() {
 			samples[i] = last[i]
 			if s, err := w.cluster.Status(m); err == nil && s.Carried != 0 {
-				samples[i] = shareSample{s.Word.Part[quota.Fleet], s.Word.PartUntil}
+				samples[i] = shareSample{s.Word.Shares[quota.Fleet], s.Word.SharesUntil}
 			}
 		})
 	}
@@ -88,8 +88,8 @@
 func (w *ShareWatch) Stop() error {
 	close(w.done)
 	w.sampling.Wait()
-	if w.MaxAssigned > quota.Whole {
-		return fmt.Errorf("%d of %d were held at a moment", w.MaxAssigned, quota.Whole)
+	if w.MaxAssigned > quota.FullShare {
+		return fmt.Errorf("%d of %d were held at a moment", w.MaxAssigned, quota.FullShare)
 	}
 	if w.Samples == 0 {
 		return errNoShare
