--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"os"
 	"path/filepath"
 	"strings"
 	"time"
@@ -20,20 +21,21 @@
 	stepLimit = 40 * time.Second        // what a step waits for at most
 )
 
-// fleet is the town of a scenario, with the version of each supervisor and the changes made so far.
+// fleet is the cluster of a scenario, with the version of each supervisor and the changes made so far.
 type fleet struct {
-	town          *testcluster.Cluster
+	cluster       *testcluster.Cluster
 	base, current build
 	versions      map[string]build // of supervisors, by member
 	load          load
-	logs          strings.Builder // of supervisors that were restarted
-	number        int64           // of the last change
+	logs          map[string]string // of supervisors that were restarted, by member
+	number        int64             // of the last change
 	stopped       bool
 }
 
-func newFleet(town *testcluster.Cluster, base, current build, plan testcluster.Config) *fleet {
-	f := &fleet{town: town, base: base, current: current, versions: map[string]build{}, load: load{town: town}}
-	for i, m := range town.Members {
+func newFleet(cluster *testcluster.Cluster, base, current build, plan testcluster.Config) *fleet {
+	f := &fleet{cluster: cluster, base: base, current: current, versions: map[string]build{}, load: load{cluster: cluster},
+		logs: map[string]string{}}
+	for i, m := range cluster.Members {
 		f.versions[m.Name] = base
 		if plan.SupervisorPrograms[i] == current.program() {
 			f.versions[m.Name] = current
@@ -52,7 +54,7 @@
 }
 
 // folder is where coordinators of both versions record changes.
-func (f *fleet) folder() string { return filepath.Join(f.town.Dir, "record") }
+func (f *fleet) folder() string { return filepath.Join(f.cluster.Dir, "record") }
 
 // record reads the change that was recorded last; a zero record where none can be read.
 func (f *fleet) record() coordinator.Record {
@@ -72,7 +74,7 @@
 // writeChange writes the file of the next change.
 func (f *fleet) writeChange(kind change.Kind, to string, bake time.Duration) (string, error) {
 	f.number++
-	return f.town.WriteQuickChange(f.number, kind, to, bake)
+	return f.cluster.WriteQuickChange(f.number, kind, to, bake)
 }
 
 // begin starts a coordinator of one version on the next change.
@@ -81,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.town.StartCoordinator(by.program(), f.folder(), "start", file)
+	return f.cluster.StartCoordinator(by.program(), f.folder(), "start", file)
 }
 
 // change takes a change through the fleet by a coordinator of one version.
@@ -111,10 +113,10 @@
 
 // running waits until every member runs a spec, by an order of the change of that number.
 func (f *fleet) running(spec change.Spec, number int64) (string, error) {
-	for _, m := range f.town.Members {
+	for _, m := range f.cluster.Members {
 		var last supervisor.Status
-		err := f.town.WaitUntil(stepLimit, func() bool {
-			s, err := f.town.Status(m)
+		err := f.cluster.WaitUntil(stepLimit, func() bool {
+			s, err := f.cluster.Status(m)
 			last = s
 			return err == nil && s.Serves && s.Running == spec.Digest() && s.Fence.Number == number
 		})
@@ -122,51 +124,66 @@
 			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w", m.Name, last.Running, last.Fence, spec.Digest(), number, err)
 		}
 	}
-	return fmt.Sprintf("change %d on all %d", number, len(f.town.Members)), nil
+	return fmt.Sprintf("change %d on all %d", number, len(f.cluster.Members)), nil
 }
 
 // upgradeAll restarts the supervisors one by one as another version, each on its folder.
 func (f *fleet) upgradeAll(to build) (string, error) {
 	start := time.Now()
-	for _, m := range f.town.Members {
+	for _, m := range f.cluster.Members {
 		if err := f.upgrade(m, to); err != nil {
 			return "", err
 		}
 	}
-	return fmt.Sprintf("%d, in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
+	return fmt.Sprintf("%d, in %v", len(f.cluster.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
 // restart ends a member's supervisor, does something, and starts a version of it.
 func (f *fleet) restart(m *testcluster.Member, to build, between func() error) error {
-	if err := f.town.DrainMember(m); err != nil {
+	if err := f.cluster.DrainMember(m); err != nil {
 		return err
 	}
-	f.logs.WriteString(m.Supervisor.Log())
+	f.logs[m.Name] += m.Supervisor.Log()
 	if err := between(); err != nil {
 		return err
 	}
 	f.versions[m.Name] = to
-	return f.town.UpgradeSupervisor(m, to.program())
+	return f.cluster.UpgradeSupervisor(m, to.program())
 }
 
-// logErrors are the lines of an error's level that supervisors and their controllers have logged.
+// log is all that a member's supervisors and their controllers have logged.
+func (f *fleet) log(m *testcluster.Member) string { return f.logs[m.Name] + m.Supervisor.Log() }
+
+// logErrors are the lines of an error's level of all members.
 func (f *fleet) logErrors() string {
-	logs := f.logs.String()
-	for _, m := range f.town.Members {
-		logs += m.Supervisor.Log()
-	}
 	var lines []string
-	for line := range strings.Lines(logs) {
-		if strings.Contains(line, "level=ERROR") {
-			lines = append(lines, strings.TrimSpace(line))
+	for _, m := range f.cluster.Members {
+		for line := range strings.Lines(f.log(m)) {
+			if strings.Contains(line, "level=ERROR") {
+				lines = append(lines, m.Name+": "+strings.TrimSpace(line))
+			}
 		}
 	}
 	return strings.Join(lines, " | ")
 }
 
+// writeLogs leaves all logs in a folder.
+func (f *fleet) writeLogs(dir, scenario string) error {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return err
+	}
+	for _, m := range f.cluster.Members {
+		path := filepath.Join(dir, scenario+"-"+m.Name+".log")
+		if err := os.WriteFile(path, []byte(f.log(m)), 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // upgrade restarts one, and checks that it holds what it held and that its controller runs as before.
 func (f *fleet) upgrade(m *testcluster.Member, to build) error {
-	before, err := f.town.Status(m)
+	before, err := f.cluster.Status(m)
 	if err != nil {
 		return err
 	}
@@ -174,8 +191,8 @@
 		return err
 	}
 	var after supervisor.Status
-	err = f.town.WaitUntil(stepLimit, func() bool {
-		after, err = f.town.Status(m)
+	err = f.cluster.WaitUntil(stepLimit, func() bool {
+		after, err = f.cluster.Status(m)
 		return err == nil && after.Running == before.Running
 	})
 	if err != nil || after.Fence != before.Fence || after.By != before.By || after.Spec.Digest() != before.Spec.Digest() || after.Version != before.Version {
@@ -188,7 +205,7 @@
 // await waits for something to be so while a coordinator works, if one is given.
 func (f *fleet) await(what string, p *testcluster.Process, is func() bool) error {
 	ended := false
-	err := f.town.WaitUntil(stepLimit, func() bool {
+	err := f.cluster.WaitUntil(stepLimit, func() bool {
 		if is() {
 			return true
 		}
@@ -215,9 +232,9 @@
 
 // load is the clients of a fleet, which may rest for a while.
 type load struct {
-	town *testcluster.Cluster
-	all  []*testcluster.Load // the last one runs, unless resting
-	rest bool
+	cluster *testcluster.Cluster
+	all     []*testcluster.Load // the last one runs, unless resting
+	rest    bool
 }
 
 const (
@@ -226,7 +243,7 @@
 )
 
 func (l *load) start() {
-	l.all = append(l.all, l.town.StartLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
+	l.all = append(l.all, l.cluster.StartLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
 	l.rest = false
 }
 
--- a/internal/proof/upgrade/main.go
+++ b/internal/proof/upgrade/main.go
@@ -19,10 +19,11 @@
 func main() {
 	commit := flag.String("base", baseCommit, "the commit that fleets are rolled from")
 	only := flag.String("only", "", "play only the scenario of this name")
+	logs := flag.String("logs", "", "a folder in which the logs of all processes are left")
 	flag.Parse()
 	start := time.Now()
 	fmt.Printf("machine: %d cores, %s; engines are simulated servers\n", runtime.NumCPU(), runtime.Version())
-	ok, err := prove(*commit, *only)
+	ok, err := prove(*commit, *only, *logs)
 	if err != nil {
 		fmt.Println("FAILED:", err)
 	}
@@ -33,7 +34,7 @@
 }
 
 // prove builds both versions, plays all scenarios at once and prints what came of each check. ok: all passed.
-func prove(commit, only string) (ok bool, err error) {
+func prove(commit, only, logs string) (ok bool, err error) {
 	dir, err := os.MkdirTemp("", "upgrade")
 	if err != nil {
 		return false, err
@@ -54,7 +55,7 @@
 		}
 		r := &report{scenario: s.name}
 		reports = append(reports, r)
-		running.Go(func() { s.play(base, current, r) })
+		running.Go(func() { s.play(base, current, r, logs) })
 	}
 	running.Wait()
 	if len(reports) == 0 {
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -60,7 +60,7 @@
 func (f *fleet) resume(by build) (*testcluster.Process, error) {
 	term := f.record().State.Fence.Term
 	for stop := time.Now().Add(stepLimit); ; {
-		p, err := f.town.StartCoordinator(by.program(), f.folder(), "resume", "--conduct")
+		p, err := f.cluster.StartCoordinator(by.program(), f.folder(), "resume", "--conduct")
 		if err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 
 // wish leaves an operator's wish in the record, by a command of one version.
 func (f *fleet) wish(by build, command string) error {
-	_, err := f.town.Command(by.program(), "rollout", "--record", f.folder(), command)
+	_, err := f.cluster.Command(by.program(), "rollout", "--record", f.folder(), command)
 	return err
 }
 
@@ -156,7 +156,7 @@
 func (f *fleet) sameStatuses() (string, error) {
 	fields := map[string][]string{}
 	for _, b := range []build{f.base, f.current} {
-		text, err := f.town.Command(b.program(), "fleet", "status", "--json")
+		text, err := f.cluster.Command(b.program(), "fleet", "status", "--json")
 		if err != nil {
 			return "", err
 		}
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -37,13 +37,13 @@
 // planChange solves a plan by one version and takes it through the fleet by a coordinator of another. No method is the
 // usual one.
 func (f *fleet) planChange(solver, coordinator build, method string) (string, error) {
-	path := filepath.Join(f.town.Dir, fmt.Sprintf("plan-%d.json", f.number))
-	problem := filepath.Join(f.town.Dir, "problem.json")
+	path := filepath.Join(f.cluster.Dir, fmt.Sprintf("plan-%d.json", f.number))
+	problem := filepath.Join(f.cluster.Dir, "problem.json")
 	args := []string{"solve", problem, "--out", path, "--time", "20s"}
 	if method != "" {
 		args = append(args, "--method", method)
 	}
-	if _, err := f.town.Command(solver.program(), args...); err != nil {
+	if _, err := f.cluster.Command(solver.program(), args...); err != nil {
 		return "", err
 	}
 	return f.change(coordinator, change.Plan, fmt.Sprintf(`{"plan":%q}`, path))
@@ -53,11 +53,11 @@
 func (f *fleet) sameRecord() (string, error) {
 	for _, command := range []string{"status", "history"} {
 		args := []string{"rollout", "--record", f.folder(), command, "--json"}
-		byBase, err := f.town.Command(f.base.program(), args...)
+		byBase, err := f.cluster.Command(f.base.program(), args...)
 		if err != nil {
 			return "", err
 		}
-		byCurrent, err := f.town.Command(f.current.program(), args...)
+		byCurrent, err := f.cluster.Command(f.current.program(), args...)
 		if err != nil {
 			return "", err
 		}
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(f.town.Dir, b.version+".html")
-	if _, err := f.town.Command(viewer, "report", "--record", f.folder(), "--out", path); err != nil {
+	path := filepath.Join(f.cluster.Dir, b.version+".html")
+	if _, err := f.cluster.Command(viewer, "report", "--record", f.folder(), "--out", path); err != nil {
 		return err
 	}
 	info, err := os.Stat(path)
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"strings"
 	"time"
 
 	"swiftreel/internal/rulecheck"
@@ -33,16 +34,16 @@
 }
 
 // play starts the fleet, takes all steps and holds what was logged against the rules. Steps after one that failed are
-// reported as not run.
-func (s scenario) play(base, current build, r *report) {
-	town, err := s.plan(base, current).Start()
+// reported as not run. logs is a folder for what all processes have logged, or "".
+func (s scenario) play(base, current build, r *report, logs string) {
+	cluster, err := s.plan(base, current).Start()
 	if err != nil {
 		r.add("the fleet starts", failed, err.Error())
 		return
 	}
-	defer town.Close()
-	f := newFleet(town, base, current, s.plan(base, current))
-	watch := startWatch(town)
+	defer cluster.Close()
+	f := newFleet(cluster, base, current, s.plan(base, current))
+	watch := startWatch(cluster)
 	steps := append(s.steps(f), step{"all processes drain and end", f.stop})
 	broken := false
 	for _, p := range steps {
@@ -61,6 +62,11 @@
 	r.result("orders, assignments and terms never go back", detail, err)
 	detail, err = f.outcomes()
 	r.result("no rule is broken, each job has one outcome", detail, err)
+	if logs != "" {
+		if err := f.writeLogs(logs, s.name); err != nil {
+			r.add("logs are written", failed, err.Error())
+		}
+	}
 }
 
 // minJobs is how many jobs a scenario must have played to count.
@@ -72,12 +78,12 @@
 		return "", fmt.Errorf("the fleet did not come to its end; jobs so far: %+v", f.load.jobs())
 	}
 	var errs []error
-	for _, v := range rulecheck.Check(testcluster.Rules, f.town.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, f.cluster.Events.Entries()) {
 		errs = append(errs, errors.New(v.String()))
 	}
 	j := f.load.jobs()
 	if j.broken > 0 {
-		errs = append(errs, fmt.Errorf("%d connections broke before an answer", j.broken))
+		errs = append(errs, fmt.Errorf("%d connections broke before an answer: %s", j.broken, f.brokenJobs()))
 	}
 	if j.sum() < minJobs {
 		errs = append(errs, fmt.Errorf("only %d jobs", j.sum()))
@@ -86,11 +92,22 @@
 	return fmt.Sprintf("%d jobs, %.2f%% done, %d cut off", j.sum(), share, j.broken), errors.Join(errs...)
 }
 
+// brokenJobs names the jobs whose connections broke, and when.
+func (f *fleet) brokenJobs() string {
+	var list []string
+	for _, e := range f.cluster.Events.Entries() {
+		if e.What == rulecheck.Left {
+			list = append(list, fmt.Sprintf("%s at %s", e.Job, time.Unix(0, e.T).UTC().Format(time.RFC3339Nano)))
+		}
+	}
+	return strings.Join(list, ", ")
+}
+
 // stop ends the load and lets all processes drain.
 func (f *fleet) stop() (string, error) {
 	f.load.stop()
 	start := time.Now()
-	err := f.town.Stop()
+	err := f.cluster.Stop()
 	f.stopped = err == nil
 	return fmt.Sprintf("in %v", time.Since(start).Round(100*time.Millisecond)), err
 }
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -35,10 +35,10 @@
 
 // ejected waits until every controller has ejected so many engines.
 func (f *fleet) ejected(n int) error {
-	for _, m := range f.town.Members {
+	for _, m := range f.cluster.Members {
 		var last supervisor.Status
-		err := f.town.WaitUntil(stepLimit, func() (is bool) {
-			s, err := f.town.Status(m)
+		err := f.cluster.WaitUntil(stepLimit, func() (is bool) {
+			s, err := f.cluster.Status(m)
 			last = s
 			return err == nil && s.Serves && s.Aside == n
 		})
@@ -50,12 +50,12 @@
 }
 
 func (f *fleet) eject() (string, error) {
-	f.town.Faults.SetFailing(brokenEngine, true)
+	f.cluster.Faults.SetFailing(brokenEngine, true)
 	return "", f.ejected(1)
 }
 
 func (f *fleet) restore() (string, error) {
-	f.town.Faults.SetFailing(brokenEngine, false)
+	f.cluster.Faults.SetFailing(brokenEngine, false)
 	return "", f.ejected(0)
 }
 
@@ -67,17 +67,17 @@
 	if err != nil {
 		return "", err
 	}
-	for _, m := range f.town.Members {
+	for _, m := range f.cluster.Members {
 		fence := change.Fence{Number: f.number, Term: 1, Turn: 1}
-		if err := f.town.OrderProgram(m, fence, to.program()); err != nil {
+		if err := f.cluster.OrderProgram(m, fence, to.program()); err != nil {
 			return "", err
 		}
 	}
-	for _, m := range f.town.Members {
+	for _, m := range f.cluster.Members {
 		var s supervisor.Status
-		err := f.town.WaitUntil(stepLimit, func() (is bool) {
+		err := f.cluster.WaitUntil(stepLimit, func() (is bool) {
 			var err error
-			s, err = f.town.Status(m)
+			s, err = f.cluster.Status(m)
 			return err == nil && s.Serves && s.Version == to.version
 		})
 		if err != nil {
@@ -108,8 +108,8 @@
 // reportFields returns the paths of all names in the first member's report. It waits until they are those wanted, unless that
 // is nil.
 func (f *fleet) reportFields(wanted []string) (fields []string, err error) {
-	m := f.town.Members[0]
-	waitErr := f.town.WaitUntil(stepLimit, func() bool {
+	m := f.cluster.Members[0]
+	waitErr := f.cluster.WaitUntil(stepLimit, func() bool {
 		if fields, err = reportOf(m); err != nil {
 			return false
 		}
@@ -143,7 +143,7 @@
 
 // began counts the dispatches that an engine began.
 func (f *fleet) began(engine string) (n int) {
-	for _, e := range f.town.Events.Entries() {
+	for _, e := range f.cluster.Events.Entries() {
 		if e.What == rulecheck.Began && e.Engine == engine {
 			n++
 		}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -30,8 +30,8 @@
 	base, current := f.base, f.current
 	var shares *testcluster.ShareWatch
 	found := func() (string, error) {
-		shares = f.town.WatchShares(watchInterval)
-		_, err := f.town.Command(base.program(), "fleet", "found")
+		shares = f.cluster.WatchShares(watchInterval)
+		_, err := f.cluster.Command(base.program(), "fleet", "found")
 		return "", err
 	}
 	return []step{
@@ -63,8 +63,8 @@
 	term := int64(0)
 	err := f.await("every member goes by a share and a plan", nil, func() bool {
 		term = 0
-		for _, m := range f.town.Members {
-			s, err := f.town.Status(m)
+		for _, m := range f.cluster.Members {
+			s, err := f.cluster.Status(m)
 			off := s.Carries - s.Word.Shares[quota.Fleet]
 			if err != nil || s.Word.Term == 0 || s.Word.Plan == "" || s.Word.Shares[quota.Fleet] == 0 || off < -1 || off > 1 {
 				return false
@@ -81,7 +81,7 @@
 
 // view is what a voter tells of the group; a zero view where it does not answer.
 func (f *fleet) view(m *testcluster.Member) (v leader.Status) {
-	if err := f.town.GetJSON(m, "/v1/owner", &v); err != nil {
+	if err := f.cluster.GetJSON(m, "/v1/owner", &v); err != nil {
 		return leader.Status{}
 	}
 	return v
@@ -93,7 +93,7 @@
 // lead hands leadership on until a voter of a version has it.
 func (f *fleet) lead(wanted build) (*testcluster.Member, error) {
 	for range leadershipTries {
-		leader, err := f.town.Leader(f.town.Voters())
+		leader, err := f.cluster.Leader(f.cluster.Voters())
 		if err != nil || f.versions[leader.Name] == wanted {
 			return leader, err
 		}
@@ -106,13 +106,13 @@
 
 // handOver has a leader step down while those that should not follow it are stopped.
 func (f *fleet) handOver(leader *testcluster.Member, wanted build) error {
-	for _, m := range f.town.Voters() {
+	for _, m := range f.cluster.Voters() {
 		if m != leader && f.versions[m.Name] != wanted {
 			m.Supervisor.Signal(syscall.SIGSTOP)
 			defer m.Supervisor.Signal(syscall.SIGCONT)
 		}
 	}
-	err := f.town.StepDown(leader)
+	err := f.cluster.StepDown(leader)
 	if errors.Is(err, testcluster.ErrRefused) { // it has just begun, or leads no more
 		time.Sleep(100 * time.Millisecond) // before the next attempt, not a proof
 		return nil
@@ -121,7 +121,7 @@
 		return err
 	}
 	return f.await("leadership is handed on", nil, func() bool {
-		for _, m := range f.town.Voters() {
+		for _, m := range f.cluster.Voters() {
 			if m != leader && f.versions[m.Name] == wanted && f.view(m).Active {
 				return true
 			}
@@ -132,8 +132,8 @@
 
 // agreedRecord is the change as the group has agreed on it; a zero record where no leader tells.
 func (f *fleet) agreedRecord() (r coordinator.Record) {
-	leader, err := f.town.Leader(f.town.Voters())
-	if err != nil || f.town.GetJSON(leader, "/v1/owner/item?name=change.json", &r) != nil {
+	leader, err := f.cluster.Leader(f.cluster.Voters())
+	if err != nil || f.cluster.GetJSON(leader, "/v1/owner/item?name=change.json", &r) != nil {
 		return coordinator.Record{}
 	}
 	return r
@@ -149,7 +149,7 @@
 	if err != nil {
 		return "", err
 	}
-	if _, err := f.town.Command(f.other(first).program(), "rollout", "start", "--agreed", file); err != nil {
+	if _, err := f.cluster.Command(f.other(first).program(), "rollout", "start", "--agreed", file); err != nil {
 		return "", err
 	}
 	r := coordinator.Record{}
@@ -160,7 +160,7 @@
 		return "", err
 	}
 	next := first
-	for _, m := range f.town.Voters() {
+	for _, m := range f.cluster.Voters() {
 		if f.versions[m.Name] != first {
 			next = f.other(first)
 		}
@@ -179,7 +179,7 @@
 
 // item is a voter's copy of the agreed record.
 func (f *fleet) item(m *testcluster.Member) (text json.RawMessage) {
-	if err := f.town.GetJSON(m, "/v1/owner/item?name=change.json", &text); err != nil {
+	if err := f.cluster.GetJSON(m, "/v1/owner/item?name=change.json", &text); err != nil {
 		return nil
 	}
 	return text
@@ -190,7 +190,7 @@
 	var v leader.Status
 	err := f.await(m.Name+" is in the group with the agreed record", nil, func() bool {
 		v = f.view(m)
-		return numberFits(v.ID) && v.RaftLeader != "" && len(v.Voters) == len(f.town.Voters()) && bytes.Equal(f.item(m), record)
+		return numberFits(v.ID) && v.RaftLeader != "" && len(v.Voters) == len(f.cluster.Voters()) && bytes.Equal(f.item(m), record)
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %+v", err, v)
@@ -201,8 +201,8 @@
 // upgradeVoters restarts the members one by one as another version. Voters keep their number, their term and what was agreed.
 func (f *fleet) upgradeVoters(to build) (string, error) {
 	start := time.Now()
-	for i, m := range f.town.Members {
-		if i >= len(f.town.Voters()) {
+	for i, m := range f.cluster.Members {
+		if i >= len(f.cluster.Voters()) {
 			if err := f.upgrade(m, to); err != nil {
 				return "", err
 			}
@@ -222,7 +222,7 @@
 			return "", fmt.Errorf("%s knows term %d, before its restart it was %d", m.Name, after.Term, before.Term)
 		}
 	}
-	return fmt.Sprintf("%d members in %v", len(f.town.Members), time.Since(start).Round(100*time.Millisecond)), nil
+	return fmt.Sprintf("%d members in %v", len(f.cluster.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
 // rejoin has a voter of one version lose its memory and join a group that the other one leads, which sends it a snapshot.
@@ -232,19 +232,19 @@
 		return "", err
 	}
 	joining := f.other(leaderVersion)
-	for _, m := range f.town.Voters() {
+	for _, m := range f.cluster.Voters() {
 		if f.versions[m.Name] != joining {
 			continue
 		}
 		before, record := f.view(m).ID, f.item(leader)
-		forget := func() error { return os.Remove(filepath.Join(f.town.Dir, m.Name, "owner.db")) }
+		forget := func() error { return os.Remove(filepath.Join(f.cluster.Dir, m.Name, "owner.db")) }
 		if err := f.restart(m, joining, forget); err != nil {
 			return "", err
 		}
 		if number := f.view(m).ID; number != 0 {
 			return "", fmt.Errorf("%s came back as number %d", m.Name, number)
 		}
-		if _, err := f.town.Command(joining.program(), "fleet", "join", m.Name); err != nil {
+		if _, err := f.cluster.Command(joining.program(), "fleet", "join", m.Name); err != nil {
 			return "", err
 		}
 		err := f.inGroup(m, record, func(number uint64) bool { return number != 0 && number != before })
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -15,12 +15,12 @@
 // watchInterval is from one sample of all statuses to the next.
 const watchInterval = 100 * time.Millisecond
 
-// watch samples the statuses of a town's supervisors and finds what must never be: an order or an assignment that goes back,
+// watch samples the statuses of a cluster's supervisors and finds what must never be: an order or an assignment that goes back,
 // two coordinators under one term, a controller that ended unasked, a status field that the present program does not know.
 type watch struct {
-	town *testcluster.Cluster
-	done chan struct{}
-	wait sync.WaitGroup
+	cluster *testcluster.Cluster
+	done    chan struct{}
+	wait    sync.WaitGroup
 
 	// Owned by the sampling goroutine until it has ended.
 	last    map[string]supervisor.Status // by member
@@ -32,8 +32,8 @@
 // fenceTerm is a change's number and the term of its coordinator.
 type fenceTerm struct{ number, term int64 }
 
-func startWatch(town *testcluster.Cluster) *watch {
-	w := &watch{town: town, done: make(chan struct{}), last: map[string]supervisor.Status{}, orderer: map[fenceTerm]string{}}
+func startWatch(cluster *testcluster.Cluster) *watch {
+	w := &watch{cluster: cluster, done: make(chan struct{}), last: map[string]supervisor.Status{}, orderer: map[fenceTerm]string{}}
 	w.wait.Go(func() {
 		tick := time.NewTicker(watchInterval)
 		defer tick.Stop()
@@ -50,8 +50,8 @@
 }
 
 func (w *watch) sample() {
-	for _, m := range w.town.Members {
-		status, err := w.town.Status(m)
+	for _, m := range w.cluster.Members {
+		status, err := w.cluster.Status(m)
 		if err != nil {
 			continue // it is being restarted
 		}
