--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -70,7 +70,7 @@
 
 // Load reads a change whole; the error names every fault by path.
 func Load(path string) (c Change, err error) {
-	c.Limits = canary.Usual()
+	c.Limits = canary.DefaultLimits()
 	if err := schema.Read(path, schema.Change, &c); err != nil {
 		return Change{}, err
 	}
@@ -82,7 +82,7 @@
 		c.To.Plan = filepath.Join(filepath.Dir(path), c.To.Plan)
 	}
 	if list := c.Faults(); len(list) > 0 {
-		return Change{}, &schema.Faults{File: path, List: list}
+		return Change{}, &schema.ValidationError{File: path, Problems: list}
 	}
 	return c, nil
 }
--- a/internal/coordinator/fleet.go
+++ b/internal/coordinator/fleet.go
@@ -106,7 +106,7 @@
 }
 
 func (f *Fleet) status(ctx context.Context, m operator.Member) (a Answer) {
-	url := "http://" + m.At() + "/v1/status"
+	url := "http://" + m.Address() + "/v1/status"
 	if f.Engines {
 		url += "?engines=1"
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	if err == nil && a.Status.Name != m.Name {
-		err = fmt.Errorf("%s answers as %q", m.At(), a.Status.Name)
+		err = fmt.Errorf("%s answers as %q", m.Address(), a.Status.Name)
 	}
 	a.Err = err
 	return a
@@ -140,7 +140,7 @@
 		text, err := json.Marshal(what[i])
 		if err == nil {
 			var q *http.Request
-			if q, err = http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Members[i].At()+path, bytes.NewReader(text)); err == nil {
+			if q, err = http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.Members[i].Address()+path, bytes.NewReader(text)); err == nil {
 				_, err = f.do(q, http.StatusNoContent)
 			}
 		}
@@ -215,20 +215,20 @@
 }
 
 // apart takes the counts since the look before: a controller that has started anew has counted from nothing.
-func (k *known) apart(s supervisor.Status) (d canary.Seen) {
-	d = canary.Seen{Member: s.Name, MemoryMB: s.MemoryMB, Aside: s.Aside, Work: map[canary.Group]canary.Work{}}
+func (k *known) apart(s supervisor.Status) (d canary.Sample) {
+	d = canary.Sample{Member: s.Name, MemoryMB: s.MemoryMB, EjectedEngines: s.EjectedEngines, Counts: map[canary.Group]canary.JobCounts{}}
 	if k.heard == 0 {
 		return d
 	}
 	was := k.status
 	d.Crashes = s.Crashes - min(s.Crashes, was.Crashes)
-	if was.Started != s.Started {
+	if was.StartedUnixNS != s.StartedUnixNS {
 		was = supervisor.Status{}
 	}
-	d.Probes, d.CPU = s.Probes-min(s.Probes, was.Probes), max(0, s.CPU-was.CPU)
-	for g, w := range s.Work {
-		if n := w.Less(was.Work[g]); n.Jobs > 0 {
-			d.Work[g] = n
+	d.Probes, d.CPUNS = s.Probes-min(s.Probes, was.Probes), max(0, s.CPUNS-was.CPUNS)
+	for g, w := range s.JobCounts {
+		if n := w.Minus(was.JobCounts[g]); n.Jobs > 0 {
+			d.Counts[g] = n
 		}
 	}
 	return d
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -67,15 +67,15 @@
 func (k *fakeKeeper) status(w http.ResponseWriter, r *http.Request) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	s := supervisor.Status{Format: change.Format, Name: k.name, Life: "life of " + k.name, BootNS: fakeBoot, Word: k.held, Carried: k.held.Sequence, Serves: true,
-		EngineCount: 2, Started: 1, Work: map[canary.Group]canary.Work{}}
+	s := supervisor.Status{Format: change.Format, Name: k.name, Incarnation: "life of " + k.name, MonotonicNS: fakeBoot, Assignment: k.held, AppliedAssignment: k.held.Sequence, Serving: true,
+		ReadyEngineCount: 2, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{}}
 	if r.URL.Query().Get("engines") == "1" {
-		s.Engines = []string{"e1", "e2"}
+		s.ReadyEngines = []string{"e1", "e2"}
 	}
 	if k.jobs > 0 {
 		k.looks++
 		n := k.jobs * k.looks
-		s.Work[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.Work{Jobs: n, Within: n, Done: n, Dispatches: n, Took: []uint64{0, 0, 0, n}}
+		s.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}] = canary.JobCounts{Jobs: n, WithinSLA: n, Done: n, Dispatches: n, LatencyBuckets: []uint64{0, 0, 0, n}}
 	}
 	json.NewEncoder(w).Encode(s)
 }
@@ -184,8 +184,8 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	m, _ := f.fleet.Find(name)
-	a, err := http.Post("http://"+m.At()+path, "application/json", bytes.NewReader(text))
+	m, _ := f.fleet.Member(name)
+	a, err := http.Post("http://"+m.Address()+path, "application/json", bytes.NewReader(text))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -233,8 +233,8 @@
 // agreed is what a member tells of what is agreed.
 func (f *testFleet) agreed(name string) (a State) {
 	f.t.Helper()
-	m, _ := f.fleet.Find(name)
-	answer, err := http.Get("http://" + m.At() + "/v1/owner/agreed")
+	m, _ := f.fleet.Member(name)
+	answer, err := http.Get("http://" + m.Address() + "/v1/owner/agreed")
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -265,8 +265,8 @@
 func recordFixture(t *testing.T) {
 	dir := t.TempDir()
 	f := openFleet(t, dir, map[string]uint64{"v1": 300, "v2": 100, "v3": 20})
-	f.fleet.Parts = &operator.Parts{LifeMS: 3000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 1, LifeMS: 60_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 3000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 1, LeaseMS: 60_000, SolveTimeoutMS: 1000}
 	names := map[uint64]string{1: "v1", 2: "v2", 3: "v3"}
 	for id, name := range names {
 		if code, text := f.post(name, "/v1/owner/found", map[string]any{"id": id, "names": names}); code != http.StatusOK {
@@ -491,8 +491,8 @@
 	dir := fixtureFolder(t)
 	was := fixtureAgreed(t)
 	f := openFleet(t, dir, nil)
-	f.fleet.Parts = &operator.Parts{LifeMS: 600_000}
-	f.fleet.Planning = &operator.Planning{Problem: "problem.json", EveryMS: 3_600_000, LeastMS: 3_600_000, LifeMS: 600_000, SolveMS: 1000}
+	f.fleet.Shares = &operator.Shares{LeaseMS: 600_000}
+	f.fleet.Planning = &operator.Planning{Problem: "problem.json", IntervalMS: 3_600_000, MinIntervalMS: 3_600_000, LeaseMS: 600_000, SolveTimeoutMS: 1000}
 	f.settle()
 	defer f.runDuties()()
 	for _, name := range fixtureNames {
--- a/internal/leader/planning.go
+++ b/internal/leader/planning.go
@@ -43,11 +43,11 @@
 
 // newPlanning resumes from the replicated plan.
 func newPlanning(store termStore, settings *operator.Planning, problem *solve.Problem, now int64) (*planning, error) {
-	timing := planner.Timing{MaxInterval: settings.EveryMS * nsPerMS, MinInterval: settings.LeastMS * nsPerMS}
+	timing := planner.Timing{MaxInterval: settings.IntervalMS * nsPerMS, MinInterval: settings.MinIntervalMS * nsPerMS}
 	p := &planning{
 		store:      store,
 		planner:    planner.New(*problem, timing, now),
-		solveLimit: time.Duration(settings.SolveMS) * time.Millisecond,
+		solveLimit: time.Duration(settings.SolveTimeoutMS) * time.Millisecond,
 	}
 	if err := store.readJSON(planItem, &p.current); err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 		return ctx.Err() != nil || time.Since(startedAt) >= p.solveLimit*time.Duration(perMille)/1000
 	}
 	answer := solve.Solve(problem, solve.Options{Method: solve.Solver{}, Stop: stop})
-	if len(answer.Steps) > 0 && plan.Check(problem, answer) != nil {
+	if len(answer.Steps) > 0 && plan.Verify(problem, answer) != nil {
 		answer.Steps = nil
 	}
 	return solution{answer: answer, reason: reason, duration: time.Since(startedAt)}
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -118,10 +118,10 @@
 		err := f.cluster.WaitUntil(stepLimit, func() bool {
 			s, err := f.cluster.Status(m)
 			last = s
-			return err == nil && s.Serves && s.Running == spec.Digest() && s.Fence.Number == number
+			return err == nil && s.Serving && s.RunningSpec == spec.Digest() && s.Fence.Number == number
 		})
 		if err != nil {
-			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w", m.Name, last.Running, last.Fence, spec.Digest(), number, err)
+			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w", m.Name, last.RunningSpec, last.Fence, spec.Digest(), number, err)
 		}
 	}
 	return fmt.Sprintf("change %d on all %d", number, len(f.cluster.Members)), nil
@@ -193,11 +193,11 @@
 	var after supervisor.Status
 	err = f.cluster.WaitUntil(stepLimit, func() bool {
 		after, err = f.cluster.Status(m)
-		return err == nil && after.Running == before.Running
+		return err == nil && after.RunningSpec == before.RunningSpec
 	})
-	if err != nil || after.Fence != before.Fence || after.By != before.By || after.Spec.Digest() != before.Spec.Digest() || after.Version != before.Version {
+	if err != nil || after.Fence != before.Fence || after.OrderedBy != before.OrderedBy || after.Spec.Digest() != before.Spec.Digest() || after.Version != before.Version {
 		return fmt.Errorf("%s holds order %v by %s and runs %s of %s, before it was %v by %s and %s of %s: %v",
-			m.Name, after.Fence, after.By, after.Running, after.Version, before.Fence, before.By, before.Running, before.Version, err)
+			m.Name, after.Fence, after.OrderedBy, after.RunningSpec, after.Version, before.Fence, before.OrderedBy, before.RunningSpec, before.Version, err)
 	}
 	return nil
 }
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -96,8 +96,8 @@
 func (f *fleet) brokenJobs() string {
 	var list []string
 	for _, e := range f.cluster.Events.Entries() {
-		if e.What == rulecheck.Left {
-			list = append(list, fmt.Sprintf("%s at %s", e.Job, time.Unix(0, e.T).UTC().Format(time.RFC3339Nano)))
+		if e.Event == rulecheck.ClientLeft {
+			list = append(list, fmt.Sprintf("%s at %s", e.Job, time.Unix(0, e.TimeNS).UTC().Format(time.RFC3339Nano)))
 		}
 	}
 	return strings.Join(list, ", ")
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -40,10 +40,10 @@
 		err := f.cluster.WaitUntil(stepLimit, func() (is bool) {
 			s, err := f.cluster.Status(m)
 			last = s
-			return err == nil && s.Serves && s.Aside == n
+			return err == nil && s.Serving && s.EjectedEngines == n
 		})
 		if err != nil {
-			return fmt.Errorf("%s has ejected %d engines, wanted are %d: %w", m.Name, last.Aside, n, err)
+			return fmt.Errorf("%s has ejected %d engines, wanted are %d: %w", m.Name, last.EjectedEngines, n, err)
 		}
 	}
 	return nil
@@ -78,13 +78,13 @@
 		err := f.cluster.WaitUntil(stepLimit, func() (is bool) {
 			var err error
 			s, err = f.cluster.Status(m)
-			return err == nil && s.Serves && s.Version == to.version
+			return err == nil && s.Serving && s.Version == to.version
 		})
 		if err != nil {
 			return "", fmt.Errorf("%s runs %s: %w", m.Name, s.Version, err)
 		}
-		if s.Aside != 1 {
-			return "", fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1", m.Name, s.Aside)
+		if s.EjectedEngines != 1 {
+			return "", fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1", m.Name, s.EjectedEngines)
 		}
 	}
 	before := f.began(brokenEngine)
@@ -144,7 +144,7 @@
 // began counts the dispatches that an engine began.
 func (f *fleet) began(engine string) (n int) {
 	for _, e := range f.cluster.Events.Entries() {
-		if e.What == rulecheck.Began && e.Engine == engine {
+		if e.Event == rulecheck.Began && e.Engine == engine {
 			n++
 		}
 	}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -65,14 +65,14 @@
 		term = 0
 		for _, m := range f.cluster.Members {
 			s, err := f.cluster.Status(m)
-			off := s.Carries - s.Word.Shares[quota.Fleet]
-			if err != nil || s.Word.Term == 0 || s.Word.Plan == "" || s.Word.Shares[quota.Fleet] == 0 || off < -1 || off > 1 {
+			off := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]
+			if err != nil || s.Assignment.Term == 0 || s.Assignment.Plan == "" || s.Assignment.Shares[quota.Fleet] == 0 || off < -1 || off > 1 {
 				return false
 			}
-			if term != 0 && term != s.Word.Term {
+			if term != 0 && term != s.Assignment.Term {
 				return false
 			}
-			term = s.Word.Term
+			term = s.Assignment.Term
 		}
 		return true
 	})
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -70,21 +70,21 @@
 	if now.Fence.Compare(before.Fence) < 0 {
 		faults = append(faults, fmt.Sprintf("order %v is held after %v", now.Fence, before.Fence))
 	}
-	if now.Life == before.Life && now.Word.Term < before.Word.Term {
-		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Word.Term, before.Word.Term))
+	if now.Incarnation == before.Incarnation && now.Assignment.Term < before.Assignment.Term {
+		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Assignment.Term, before.Assignment.Term))
 	}
 	if now.Crashes > 0 {
 		faults = append(faults, fmt.Sprintf("its controller ended unasked %d times", now.Crashes))
 	}
-	for name := range now.Others {
+	for name := range now.UnknownFields {
 		faults = append(faults, "unknown status field "+name)
 	}
 	if now.Fence != (change.Fence{}) {
 		term := fenceTerm{now.Fence.Number, now.Fence.Term}
-		if by := w.orderer[term]; by != "" && by != now.By {
-			faults = append(faults, fmt.Sprintf("change %d, term %d is ordered by %s and by %s", term.number, term.term, by, now.By))
+		if by := w.orderer[term]; by != "" && by != now.OrderedBy {
+			faults = append(faults, fmt.Sprintf("change %d, term %d is ordered by %s and by %s", term.number, term.term, by, now.OrderedBy))
 		}
-		w.orderer[term] = now.By
+		w.orderer[term] = now.OrderedBy
 	}
 	return faults
 }
--- a/internal/supervisor/standin_test.go
+++ b/internal/supervisor/stand_in_test.go
@@ -30,14 +30,14 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and ends
-// at SIGTERM.
+// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and
+// ends at SIGTERM.
 func standIn(file string) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
-	read := func() (operator.Tally, error) {
+	read := func() (operator.Stats, error) {
 		var parts struct {
-			Tally operator.Tally `json:"tally"`
+			Tally operator.Stats `json:"tally"`
 		}
 		text, err := os.ReadFile(file)
 		if err == nil {
@@ -53,16 +53,37 @@
 	carries := int64(1_000_000)
 	started := time.Now().UnixNano()
 	learned := json.RawMessage(`{"lookup":{"mean":12.5}}`)
-	if len(now.Learned) > 0 {
-		learned = now.Learned
+	if len(now.TypeStats) > 0 {
+		learned = now.TypeStats
 	}
 	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
 		mu.Lock()
 		defer mu.Unlock()
-		return jobstats.Report{Format: change.Format, Started: started, Version: "stand-in", Spec: now.Spec, Settings: "5e77", Ready: true,
-			Probes: 3, Aside: 1, Learned: learned, Health: json.RawMessage(`{"e1":{"ok":true}}`), Engines: []string{"e1", "e2"}, Carries: carries,
-			Work: map[canary.Group]canary.Work{{Type: "lookup", Tenant: "acme"}: {Jobs: 5, Within: 4, Done: 5, Dispatches: 6, Further: 1, Took: []uint64{0, 5}}}}
-	}, func(p jobstats.Part) {
+		return jobstats.Report{
+			Format:           change.Format,
+			StartedUnixNS:    started,
+			Version:          "stand-in",
+			SpecDigest:       now.Spec,
+			SettingsDigest:   "5e77",
+			Ready:            true,
+			Probes:           3,
+			EjectedEngines:   1,
+			LearnedEstimates: learned,
+			EngineHealth:     json.RawMessage(`{"e1":{"ok":true}}`),
+			ReadyEngines:     []string{"e1", "e2"},
+			SharePerMillion:  carries,
+			JobCounts: map[canary.Group]canary.JobCounts{
+				{Type: "lookup", Tenant: "acme"}: {
+					Jobs:           5,
+					WithinSLA:      4,
+					Done:           5,
+					Dispatches:     6,
+					Retries:        1,
+					LatencyBuckets: []uint64{0, 5},
+				},
+			},
+		}
+	}, func(p jobstats.Share) {
 		mu.Lock()
 		defer mu.Unlock()
 		carries = p.PerMillion
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -68,13 +68,13 @@
 	if e.faults.Failing(e.name) {
 		fault = FailsDispatch
 	}
-	entry := rulecheck.Entry{What: rulecheck.Reached, Job: d.id, Engine: e.name, Protocol: "line"}
+	entry := rulecheck.Entry{Event: rulecheck.Reached, Job: d.id, Engine: e.name, Protocol: "line"}
 	if fault == RefusesDispatch {
 		e.events.Add(entry)
 		d.session.Answer(d.id, "full", "", "")
 		return
 	}
-	entry.What = rulecheck.Began
+	entry.Event = rulecheck.Began
 	entry.Work = int64(e.faults.WorkDuration())
 	e.events.Add(entry)
 	duration := e.faults.Duration(fault)
@@ -104,5 +104,5 @@
 // end logs the end of a dispatch. The lock is held.
 func (e *lineEngine) end(d dispatch, answer string) {
 	delete(e.running, d)
-	e.events.Add(rulecheck.Entry{What: rulecheck.Ended, Job: d.id, Engine: e.name, Answer: answer})
+	e.events.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: d.id, Engine: e.name, Answer: answer})
 }
--- a/internal/testcluster/engine_list.go
+++ b/internal/testcluster/engine_list.go
@@ -21,7 +21,7 @@
 
 // logListed logs an engine's entry. startedNS is 0 where the entry does not say since when it runs.
 func (c *Cluster) logListed(name, state string, startedNS int64) {
-	c.Events.Add(rulecheck.Entry{What: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std",
+	c.Events.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std",
 		Cores: engineCores, Started: startedNS})
 }
 
--- a/internal/testcluster/events.go
+++ b/internal/testcluster/events.go
@@ -17,7 +17,7 @@
 func (l *EventLog) Add(e rulecheck.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e.T = time.Now().UnixNano()
+	e.TimeNS = time.Now().UnixNano()
 	l.entries = append(l.entries, e)
 }
 
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -157,15 +157,15 @@
 func (c *loadClient) runJob(conn *fake.Client) error {
 	job := c.nextJob()
 	events := &c.load.cluster.Events
-	events.Add(rulecheck.Entry{What: rulecheck.Taken, Job: job.id, Type: job.method, Key: job.key, Front: c.name,
-		Until: time.Now().Add(job.timeout).UnixNano()})
+	events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job.id, Type: job.method, Key: job.key, Front: c.name,
+		DeadlineNS: time.Now().Add(job.timeout).UnixNano()})
 	answer, err := c.request(conn, job)
 	if err != nil {
 		c.load.Broken.Add(1)
-		events.Add(rulecheck.Entry{What: rulecheck.Left, Job: job.id})
+		events.Add(rulecheck.Entry{Event: rulecheck.ClientLeft, Job: job.id})
 		return err
 	}
-	events.Add(rulecheck.Entry{What: rulecheck.Answered, Job: job.id, Answer: c.load.count(answer)})
+	events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job.id, Answer: c.load.count(answer)})
 	return nil
 }
 
--- a/internal/testcluster/members.go
+++ b/internal/testcluster/members.go
@@ -53,7 +53,7 @@
 func (c *Cluster) awaitServing(m *Member) error {
 	err := c.WaitUntil(settleTimeout, func() bool {
 		s, err := c.Status(m)
-		return err == nil && s.Serves
+		return err == nil && s.Serving
 	})
 	if err != nil {
 		return fmt.Errorf("%s does not serve: %w: %s", m.Name, err, m.Supervisor.Log())
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -29,8 +29,8 @@
 		"lookup": {Effect: rulecheck.Restartable},
 		"import": {Effect: rulecheck.RunOnce, Ordered: true},
 	},
-	Slack: int64(500 * time.Millisecond),
-	Grace: int64(400 * time.Millisecond),
+	AnswerSlack: int64(500 * time.Millisecond),
+	DrainGrace:  int64(400 * time.Millisecond),
 }
 
 // warmUpTime is how long an engine of a cluster with EnginesWarmUp takes to warm up, and warmUpWindow the window in which its
@@ -44,9 +44,9 @@
 // starts with.
 func WarmUpRules() rulecheck.Rules {
 	r := Rules
-	r.Warm = int64(warmUpTime)
-	r.Fall = int64(warmUpWindow)
-	r.FallPerCore = int64(2 * warmUpWindow / 3)
+	r.WarmUp = int64(warmUpTime)
+	r.WarmUpWindow = int64(warmUpWindow)
+	r.WarmUpWorkPerCore = int64(2 * warmUpWindow / 3)
 	return r
 }
 
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -72,8 +72,8 @@
 	for i, m := range w.cluster.Members {
 		requests.Go(func() {
 			samples[i] = last[i]
-			if s, err := w.cluster.Status(m); err == nil && s.Carried != 0 {
-				samples[i] = shareSample{s.Word.Shares[quota.Fleet], s.Word.SharesUntil}
+			if s, err := w.cluster.Status(m); err == nil && s.AppliedAssignment != 0 {
+				samples[i] = shareSample{s.Assignment.Shares[quota.Fleet], s.Assignment.SharesUntil}
 			}
 		})
 	}
