--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -8,11 +8,17 @@
 	"swiftreel/internal/client"
 )
 
-// Caller is a client's connection.
+// heartbeatTimeout bounds the wait for the answer to a heartbeat.
+const heartbeatTimeout = 5 * time.Second
+
+// readSize is how many bytes are read at once.
+const readSize = 4096
+
+// Client is one connection of a client to a controller. It is for one goroutine, except that one may send while another reads.
 type Client struct {
-	Conn net.Conn
-	buf  []byte
-	last uint32
+	Conn     net.Conn
+	received []byte // not parsed yet
+	lastID   uint32
 }
 
 // Dial connects to a controller.
@@ -21,21 +27,21 @@
 	return &Client{Conn: conn}, err
 }
 
-// Send asks for a job and gives the id of its answer; fields are names and values in turn.
+// Send requests a job and returns the id of its answer. fields are names and values in turn.
 func (c *Client) Send(method, statement string, fields ...string) (uint32, error) {
-	c.last++
-	_, err := c.Conn.Write(client.AppendCall(nil, c.last, method, fields, []byte(statement)))
-	return c.last, err
+	c.lastID++
+	_, err := c.Conn.Write(client.AppendCall(nil, c.lastID, method, fields, []byte(statement)))
+	return c.lastID, err
 }
 
-// Ready asks for the controller's heartbeat.
+// Ready sends a heartbeat, and returns whether jobs are welcome.
 func (c *Client) Ready() (bool, error) {
-	c.last++
-	if _, err := c.Conn.Write(client.AppendHeartbeat(nil, c.last)); err != nil {
+	c.lastID++
+	if _, err := c.Conn.Write(client.AppendHeartbeat(nil, c.lastID)); err != nil {
 		return false, err
 	}
-	a, err := c.Read(5 * time.Second)
-	return a.Ready, err
+	answer, err := c.Read(heartbeatTimeout)
+	return answer.Ready, err
 }
 
 // Revoke takes a job back.
@@ -44,22 +50,24 @@
 	return err
 }
 
-// Read waits for the next answer.
-func (c *Client) Read(wait time.Duration) (client.Answer, error) {
-	c.Conn.SetReadDeadline(time.Now().Add(wait))
+// Read waits for the next answer for so long.
+func (c *Client) Read(timeout time.Duration) (client.Answer, error) {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return client.Answer{}, err
+	}
 	for {
-		a, n, err := client.ParseAnswer(c.buf)
+		answer, size, err := client.ParseAnswer(c.received)
 		if err == nil {
-			c.buf = c.buf[n:]
+			c.received = c.received[size:]
 		}
 		if !errors.Is(err, client.ErrShort) {
-			return a, err
+			return answer, err
 		}
-		more := make([]byte, 4096)
-		n, err = c.Conn.Read(more)
+		more := make([]byte, readSize)
+		n, err := c.Conn.Read(more)
 		if err != nil {
-			return a, err
+			return answer, err
 		}
-		c.buf = append(c.buf, more[:n]...)
+		c.received = append(c.received, more[:n]...)
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -4,170 +4,187 @@
 	"bufio"
 	"fmt"
 	"net"
+	"slices"
 	"strings"
 	"sync"
 	"time"
 )
 
-// Feed is a control feed with the events that were added.
+// discoveryHeartbeat is from one line with the number of the last event to the next.
+const discoveryHeartbeat = time.Second
+
+// Discovery is a discovery server: it sends each connection the events that follow the number that it subscribed with, one JSON
+// object a line, and later ones as they are added.
 type Discovery struct {
-	listener net.Listener
+	listener  net.Listener
+	serving   sync.WaitGroup
+	done      chan struct{}
+	closeOnce sync.Once
 
 	mu            sync.Mutex
-	firstNumber   int      // the number of the first event kept
-	events        []string // JSON objects, one a line
-	conns         map[net.Conn]int
-	subscriptions []int // the number of every SUB
-	running       sync.WaitGroup
-	done          chan struct{}
-	once          sync.Once
+	firstNumber   int      // of the first event
+	events        []string // their lines
+	lastSent      map[net.Conn]int
+	subscriptions []int // the number of each SUB so far
 }
 
-// StartFeed listens at an address; the first event added gets the number first.
+// StartDiscovery listens at an address; the first event that is added gets the number first.
 func StartDiscovery(address string, first int) (*Discovery, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	f := &Discovery{listener: l, firstNumber: first, conns: map[net.Conn]int{}, done: make(chan struct{})}
-	f.running.Add(2)
-	go f.accept()
-	go f.heartbeat()
-	return f, nil
+	d := &Discovery{listener: listener, firstNumber: first, lastSent: map[net.Conn]int{}, done: make(chan struct{})}
+	d.serving.Go(d.accept)
+	d.serving.Go(d.heartbeat)
+	return d, nil
 }
 
 // Address is where it listens.
-func (f *Discovery) Address() string { return f.listener.Addr().String() }
+func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
-func (f *Discovery) accept() {
-	defer f.running.Done()
+func (d *Discovery) accept() {
 	for {
-		conn, err := f.listener.Accept()
+		conn, err := d.listener.Accept()
 		if err != nil {
 			return
 		}
-		f.running.Add(1)
-		go func() {
-			defer f.running.Done()
-			f.serve(conn)
-		}()
+		d.serving.Go(func() { d.serve(conn) })
 	}
 }
 
-func (f *Discovery) serve(conn net.Conn) {
+// serve takes a subscription and keeps the connection until its end. A line that is no subscription ends it.
+func (d *Discovery) serve(conn net.Conn) {
 	defer conn.Close()
-	r := bufio.NewReader(conn)
-	line, err := r.ReadString('\n')
+	reader := bufio.NewReader(conn)
+	line, err := reader.ReadString('\n')
+	if err != nil {
+		return
+	}
 	var last int
-	if _, bad := fmt.Sscanf(strings.TrimSpace(line), "SUB %d", &last); err != nil || bad != nil {
+	if _, err := fmt.Sscanf(strings.TrimSpace(line), "SUB %d", &last); err != nil {
 		return
 	}
-	f.mu.Lock()
-	f.subscriptions = append(f.subscriptions, last)
-	f.conns[conn] = last
-	f.send(conn)
-	f.mu.Unlock()
-	r.ReadByte() // nothing more comes: this ends with the connection
-	f.mu.Lock()
-	delete(f.conns, conn)
-	f.mu.Unlock()
+	d.subscribe(conn, last)
+	_, _ = reader.ReadByte() // nothing more comes: this returns with the connection's end
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.lastSent, conn)
+}
+
+func (d *Discovery) subscribe(conn net.Conn, last int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.subscriptions = append(d.subscriptions, last)
+	d.lastSent[conn] = last
+	d.send(conn)
 }
 
-// send writes what a connection has not got. The lock is held.
-func (f *Discovery) send(conn net.Conn) {
-	for f.conns[conn] < f.firstNumber+len(f.events)-1 {
-		f.conns[conn]++
-		fmt.Fprintf(conn, "%s\n", f.events[f.conns[conn]-f.firstNumber])
+// lastNumber is that of the last event. The lock is held.
+func (d *Discovery) lastNumber() int { return d.firstNumber + len(d.events) - 1 }
+
+// send writes the events that a connection lacks. The lock is held.
+func (d *Discovery) send(conn net.Conn) {
+	for d.lastSent[conn] < d.lastNumber() {
+		d.lastSent[conn]++
+		writeLine(conn, d.events[d.lastSent[conn]-d.firstNumber])
 	}
 }
 
-// Add adds a change of the list: hosts as a JSON array. It tells the event's text.
-func (f *Discovery) AddEvent(whole bool, hosts string) string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	n := f.firstNumber + len(f.events)
-	text := fmt.Sprintf(`{"n":%d,"members":{"seq":%d,"whole":%v,"hosts":%s}}`, n, n, whole, hosts)
-	f.events = append(f.events, text)
-	for conn := range f.conns {
-		f.send(conn)
+// writeLine writes a line to a connection; one that has broken is closed by its own goroutine.
+func writeLine(conn net.Conn, line string) { _, _ = fmt.Fprintf(conn, "%s\n", line) }
+
+// AddEvent adds a change of the endpoint list, or, where complete, the whole of it; hosts is a JSON array. It returns the event's
+// line.
+func (d *Discovery) AddEvent(complete bool, hosts string) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	number := d.lastNumber() + 1
+	line := fmt.Sprintf(`{"n":%d,"members":{"seq":%d,"whole":%v,"hosts":%s}}`, number, number, complete, hosts)
+	d.events = append(d.events, line)
+	for conn := range d.lastSent {
+		d.send(conn)
 	}
-	return text
+	return line
 }
 
-// Load adds an event's text as it is: one that another feed told before.
-func (f *Discovery) AddRaw(text string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.events = append(f.events, text)
+// AddRaw adds the line of an event as it is, without sending it to those connected: one that another server has sent before.
+func (d *Discovery) AddRaw(line string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, line)
 }
 
-// Cut breaks the connections; each SUB so far is told.
-func (f *Discovery) DropConnections() []int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn := range f.conns {
-		conn.Close()
+// DropConnections closes all connections, and returns what Subscriptions does.
+func (d *Discovery) DropConnections() []int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn := range d.lastSent {
+		_ = conn.Close() // its peer may have closed it
 	}
-	return append([]int{}, f.subscriptions...)
+	return slices.Clone(d.subscriptions)
 }
 
-// Replay writes all events again, or the first half of the last one, to every connection.
-func (f *Discovery) Replay(half bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	text := strings.Join(f.events, "\n") + "\n"
+// Replay writes all events once more to every connection, or, where half, the first half of the last one, and closes them.
+func (d *Discovery) Replay(half bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	text := strings.Join(d.events, "\n") + "\n"
 	if half {
-		text = f.events[len(f.events)-1]
-		text = text[:len(text)/2]
+		last := d.events[len(d.events)-1]
+		text = last[:len(last)/2]
 	}
-	for conn := range f.conns {
-		fmt.Fprint(conn, text)
+	for conn := range d.lastSent {
+		_, _ = fmt.Fprint(conn, text) // see writeLine
 		if half {
-			conn.Close()
+			_ = conn.Close() // its peer may have closed it
 		}
 	}
 }
 
-// Told gives the number of every SUB so far.
-func (f *Discovery) Subscriptions() []int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]int{}, f.subscriptions...)
+// Subscriptions returns the number of each SUB so far.
+func (d *Discovery) Subscriptions() []int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.subscriptions)
 }
 
-// Write writes bytes as they are to every connection.
-func (f *Discovery) Write(text string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn := range f.conns {
-		fmt.Fprint(conn, text)
+// Write writes a text as it is to every connection.
+func (d *Discovery) Write(text string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn := range d.lastSent {
+		_, _ = fmt.Fprint(conn, text) // see writeLine
 	}
 }
 
-func (f *Discovery) heartbeat() {
-	defer f.running.Done()
-	tick := time.NewTicker(time.Second)
+func (d *Discovery) heartbeat() {
+	tick := time.NewTicker(discoveryHeartbeat)
 	defer tick.Stop()
 	for {
 		select {
-		case <-f.done:
+		case <-d.done:
 			return
 		case <-tick.C:
+			d.sendHeartbeat()
 		}
-		f.mu.Lock()
-		for conn := range f.conns {
-			fmt.Fprintf(conn, "{\"n\":%d}\n", f.firstNumber+len(f.events)-1)
-		}
-		f.mu.Unlock()
 	}
 }
 
-// Close ends the feed.
-func (f *Discovery) Close() {
-	f.once.Do(func() {
-		f.listener.Close()
-		close(f.done)
-		f.DropConnections()
-		f.running.Wait()
+func (d *Discovery) sendHeartbeat() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn := range d.lastSent {
+		writeLine(conn, fmt.Sprintf(`{"n":%d}`, d.lastNumber()))
+	}
+}
+
+// Close ends the server and its connections. It may be called again.
+func (d *Discovery) Close() {
+	d.closeOnce.Do(func() {
+		_ = d.listener.Close() // connections that it has not accepted are reset
+		close(d.done)
+		d.DropConnections()
+		d.serving.Wait()
 	})
 }
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -1,5 +1,7 @@
-// Package fake has small stand-ins for what a controller speaks with: an engine, the control feed, a client. The
-// example is built of them, and so are the tests that need a peer.
+// Package fake has fakes of what a controller speaks with: an engine, the discovery server, a client, a SPARQL endpoint. The
+// example and the tests are built of them. Each fake that listens owns its listener, its connections and their goroutines, and
+// Close ends all of them; all are safe for concurrent use unless they say otherwise. None keeps to more of a protocol than its
+// handler does.
 package fake
 
 import (
@@ -10,48 +12,26 @@
 	"swiftreel/internal/engine"
 )
 
-// Engine listens and hands each command to its handler, one connection's in order.
+// Engine accepts connections of the line protocol and hands each command to its handler: those of one connection in order,
+// those of several at once.
 type Engine struct {
 	handle   func(*Session, engine.Command)
 	listener net.Listener
+	serving  sync.WaitGroup
 
 	mu       sync.Mutex
 	sessions map[*Session]struct{} // until closed
 	closed   bool
-	running  sync.WaitGroup
-}
-
-// Session is one controller's connection.
-type Session struct {
-	conn    net.Conn
-	mu      sync.Mutex
-	aborted map[string]bool // until asked for a page of it
-}
-
-func (s *Session) abort(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.aborted[id] = true
-}
-
-// takeBack tells whether an id was aborted, once.
-func (s *Session) takeAborted(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	was := s.aborted[id]
-	delete(s.aborted, id)
-	return was
 }
 
 // StartEngine listens at an address.
 func StartEngine(address string, handle func(*Session, engine.Command)) (*Engine, error) {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{handle: handle, listener: l, sessions: map[*Session]struct{}{}}
-	e.running.Add(1)
-	go e.accept()
+	e := &Engine{handle: handle, listener: listener, sessions: map[*Session]struct{}{}}
+	e.serving.Go(e.accept)
 	return e, nil
 }
 
@@ -59,77 +39,101 @@
 func (e *Engine) Address() string { return e.listener.Addr().String() }
 
 func (e *Engine) accept() {
-	defer e.running.Done()
 	for {
 		conn, err := e.listener.Accept()
 		if err != nil {
 			return
 		}
-		s := &Session{conn: conn, aborted: map[string]bool{}}
-		e.mu.Lock()
-		if e.closed {
-			conn.Close()
-		}
-		e.sessions[s] = struct{}{}
-		e.mu.Unlock()
-		e.running.Add(1)
-		go e.serve(s)
+		session := &Session{conn: conn, aborted: map[string]bool{}}
+		e.register(session)
+		e.serving.Go(func() { e.serve(session) })
 	}
 }
 
-func (e *Engine) serve(s *Session) {
-	defer e.running.Done()
-	r := bufio.NewReader(s.conn)
+// register adds a connection. One that comes after Close is closed at once.
+func (e *Engine) register(session *Session) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed {
+		_ = session.conn.Close() // its peer sees the end
+	}
+	e.sessions[session] = struct{}{}
+}
+
+// serve handles commands until the connection ends or sends what is no command.
+func (e *Engine) serve(session *Session) {
+	reader := bufio.NewReader(session.conn)
 	for {
-		c, err := engine.ReadCommand(r)
+		command, err := engine.ReadCommand(reader)
 		if err != nil {
 			break
 		}
-		e.handle(s, c)
+		e.handle(session, command)
 	}
-	s.conn.Close()
+	_ = session.conn.Close() // Close or Reset may have closed it
 	e.mu.Lock()
-	delete(e.sessions, s)
-	e.mu.Unlock()
+	defer e.mu.Unlock()
+	delete(e.sessions, session)
 }
 
-// Sessions counts the connections that are up.
+// Sessions counts the connections that are open.
 func (e *Engine) Sessions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.sessions)
 }
 
-// Close dies as a process does: connections are reset, new ones refused.
+// Close ends as a process does that dies: connections are reset, new ones refused.
 func (e *Engine) Close() {
-	e.listener.Close()
+	_ = e.listener.Close() // connections that it has not accepted are reset
 	e.mu.Lock()
 	e.closed = true
-	for s := range e.sessions {
-		s.Reset()
+	for session := range e.sessions {
+		session.Reset()
 	}
 	e.mu.Unlock()
-	e.running.Wait()
+	e.serving.Wait()
+}
+
+// Session is a controller's connection to an Engine. What cannot be written is dropped: the controller has gone.
+type Session struct {
+	conn net.Conn
+
+	mu      sync.Mutex
+	aborted map[string]bool // ids, until a page of one is requested
 }
 
-// Answer writes an answer.
-func (s *Session) Answer(id, word, fields string, body string) {
+func (s *Session) abort(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conn.Write(engine.AppendAnswer(nil, id, word, fields, []byte(body)))
+	s.aborted[id] = true
+}
+
+// takeAborted reports whether an id was aborted, once.
+func (s *Session) takeAborted(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	aborted := s.aborted[id]
+	delete(s.aborted, id)
+	return aborted
+}
+
+// Answer writes an answer of the line protocol.
+func (s *Session) Answer(id, kind, fields, body string) {
+	s.Write(engine.AppendAnswer(nil, id, kind, fields, []byte(body)))
 }
 
 // Write writes bytes as they are.
-func (s *Session) Write(b []byte) {
+func (s *Session) Write(text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conn.Write(b)
+	_, _ = s.conn.Write(text) // see Session
 }
 
-// Reset breaks the connection.
+// Reset resets the connection: what was written and not sent is lost.
 func (s *Session) Reset() {
-	if c, is := s.conn.(*net.TCPConn); is {
-		c.SetLinger(0)
+	if conn, ok := s.conn.(*net.TCPConn); ok {
+		_ = conn.SetLinger(0) // it may be closed already
 	}
-	s.conn.Close()
+	_ = s.conn.Close() // likewise
 }
--- a/internal/fake/misbehaving_client.go
+++ b/internal/fake/misbehaving_client.go
@@ -11,60 +11,91 @@
 	"swiftreel/internal/client"
 )
 
-// Rude is one visit of a client that does what it should not, of a kind drawn by chance. It tells whether something
-// that it sent was served.
-func MisbehavingClient(address string, chance *rand.Rand) (served bool) {
+// misbehavingRead is how long a misbehaving client reads what comes before it leaves.
+const misbehavingRead = 100 * time.Millisecond
+
+// floodCalls is how many messages a client sends that sends too many.
+const floodCalls = 200
+
+// MisbehavingClient connects to a controller, sends what it should not, in a way drawn by random, and leaves. It reports whether
+// something that it sent was served.
+func MisbehavingClient(address string, random *rand.Rand) (served bool) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	id := func() string { return fmt.Sprintf("%016x", chance.Uint64()) }
-	call := func(n uint32, method string, fields ...string) []byte {
-		return client.AppendCall(nil, n, method, fields, []byte("SELECT * FROM sales_17.orders"))
-	}
-	var b []byte
-	switch chance.IntN(10) {
-	case 0: // says nothing
-	case 1:
-		b = make([]byte, 1+chance.IntN(3000))
-		for i := range b {
-			b[i] = byte(chance.Uint32())
-		}
-		b[0] = 0xc1
-	case 2:
-		b = append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"), strings.Repeat("x", 1<<20)...)
-	case 3:
-		b = call(1, "lookup", "call", id(), "ttl", "1000", "org", "acme")
-		b = b[:1+chance.IntN(len(b)-1)]
-	case 4:
-		b = call(1, "unknown", "call", id(), "ttl", "1000", "org", "acme")
-	case 5:
-		b = call(1, "lookup", "call", id(), "ttl", []string{"-1", "x", "1e9", "99999999999", ""}[chance.IntN(5)], "org", "acme")
-	case 6:
-		b = call(1, "lookup", "call", id(), "ttl", "1000", "org", "nobody")
-	case 7:
-		for n := range uint32(200) {
-			b = append(b, call(n, "lookup", "call", id(), "ttl", "1000", "org", "acme")...)
-			b = client.AppendRevoke(b, n)
-		}
-	case 8:
-		b = append(call(1, "lookup", "call", "z", "ttl", "1000"), call(1, "lookup", "ttl", "1000")...)
-	case 9:
-		for n := range uint32(200) {
-			b = append(b, call(n, "nothing")...)
-		}
+	text := misbehaviours[random.IntN(len(misbehaviours))](random)
+	_, _ = conn.Write(text) // the controller may close it meanwhile
+	if conn.SetReadDeadline(time.Now().Add(misbehavingRead)) != nil {
+		return false
 	}
-	conn.Write(b)
-	conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	got, _ := io.ReadAll(conn)
-	for len(got) > 0 {
-		a, n, err := client.ParseAnswer(got)
+	received, _ := io.ReadAll(conn) // up to the deadline, or to the end that the controller makes
+	for len(received) > 0 {
+		answer, size, err := client.ParseAnswer(received)
 		if err != nil {
 			return false
 		}
-		served = served || a.Error == ""
-		got = got[n:]
+		served = served || answer.Error == ""
+		received = received[size:]
 	}
 	return served
 }
+
+// misbehaviours are texts that no client should send.
+var misbehaviours = []func(*rand.Rand) []byte{
+	func(*rand.Rand) []byte { return nil }, // sends nothing
+	noise,
+	func(*rand.Rand) []byte { // a long field that never ends
+		return append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"), strings.Repeat("x", 1<<20)...)
+	},
+	func(random *rand.Rand) []byte { // half a request
+		text := request(1, "lookup", "call", randomID(random), "ttl", "1000", "org", "acme")
+		return text[:1+random.IntN(len(text)-1)]
+	},
+	func(random *rand.Rand) []byte {
+		return request(1, "unknown", "call", randomID(random), "ttl", "1000", "org", "acme")
+	},
+	func(random *rand.Rand) []byte { // a timeout that is none
+		id := randomID(random)
+		timeout := []string{"-1", "x", "1e9", "99999999999", ""}[random.IntN(5)]
+		return request(1, "lookup", "call", id, "ttl", timeout, "org", "acme")
+	},
+	func(random *rand.Rand) []byte {
+		return request(1, "lookup", "call", randomID(random), "ttl", "1000", "org", "nobody")
+	},
+	func(random *rand.Rand) []byte { // many jobs, each taken back at once
+		var text []byte
+		for id := range uint32(floodCalls) {
+			text = append(text, request(id, "lookup", "call", randomID(random), "ttl", "1000", "org", "acme")...)
+			text = client.AppendRevoke(text, id)
+		}
+		return text
+	},
+	func(*rand.Rand) []byte { // fields that are wrong, and one id twice
+		return append(request(1, "lookup", "call", "z", "ttl", "1000"), request(1, "lookup", "ttl", "1000")...)
+	},
+	func(*rand.Rand) []byte {
+		var text []byte
+		for id := range uint32(floodCalls) {
+			text = append(text, request(id, "nothing")...)
+		}
+		return text
+	},
+}
+
+// noise is bytes that begin with a code that the protocol does not use.
+func noise(random *rand.Rand) []byte {
+	text := make([]byte, 1+random.IntN(3000))
+	for i := range text {
+		text[i] = byte(random.Uint32())
+	}
+	text[0] = 0xc1
+	return text
+}
+
+func randomID(random *rand.Rand) string { return fmt.Sprintf("%016x", random.Uint64()) }
+
+func request(id uint32, method string, fields ...string) []byte {
+	return client.AppendCall(nil, id, method, fields, []byte("SELECT * FROM sales_17.orders"))
+}
--- /dev/null
+++ b/internal/fake/triples.go
@@ -0,0 +1,68 @@
+package fake
+
+import (
+	"maps"
+	"strings"
+)
+
+// triple is subject, predicate and object, or a pattern with variables ("?name") in place of some.
+type triple [3]string
+
+// insideBraces is what stands between the first and the last brace.
+func insideBraces(text string) (inside string, ok bool) {
+	from := strings.IndexByte(text, '{')
+	to := strings.LastIndexByte(text, '}')
+	if from < 0 || to < from {
+		return "", false
+	}
+	return text[from+1 : to], true
+}
+
+// parseTriples reads triples that are set apart by dots. What is left over at the end is dropped.
+func parseTriples(text string) []triple {
+	var list []triple
+	terms := strings.Fields(text)
+	for i := 0; i+2 < len(terms); i++ {
+		if terms[i] != "." {
+			list = append(list, triple(terms[i:i+3]))
+			i += 2
+		}
+	}
+	return list
+}
+
+// solve joins patterns over a store, one after the other.
+func solve(store, patterns []triple) []map[string]string {
+	rows := []map[string]string{{}}
+	for _, pattern := range patterns {
+		var joined []map[string]string
+		for _, row := range rows {
+			for _, t := range store {
+				if extended, ok := match(pattern, t, row); ok {
+					joined = append(joined, extended)
+				}
+			}
+		}
+		rows = joined
+	}
+	return rows
+}
+
+// match extends a row by what a pattern's variables are bound to in a triple; ok is false where it does not match.
+func match(pattern, t triple, row map[string]string) (extended map[string]string, ok bool) {
+	extended = maps.Clone(row)
+	for i, term := range pattern {
+		name, variable := strings.CutPrefix(term, "?")
+		if !variable {
+			if term != t[i] {
+				return nil, false
+			}
+			continue
+		}
+		if bound, isBound := extended[name]; isBound && bound != t[i] {
+			return nil, false
+		}
+		extended[name] = t[i]
+	}
+	return extended, true
+}
