--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -60,7 +60,7 @@
 		if err == nil {
 			c.received = c.received[size:]
 		}
-		if !errors.Is(err, client.ErrShort) {
+		if !errors.Is(err, client.ErrIncomplete) {
 			return answer, err
 		}
 		more := make([]byte, readSize)
--- a/internal/fake/faulty_engine.go
+++ b/internal/fake/faulty_engine.go
@@ -45,7 +45,7 @@
 
 // Handle handles a command; it is what StartEngine takes.
 func (e *FaultyEngine) Handle(session *Session, command engine.Command) {
-	switch command.Word {
+	switch command.Name {
 	case "stats", "alive":
 		session.Answer(command.ID, "well", "load=concurrent:0", "")
 	case "more":
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -36,7 +36,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := dispatch{session, command.ID}
-	switch command.Word {
+	switch command.Name {
 	case "stats", "alive":
 		e.probe(d)
 	case "fetch":
