--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"context"
 	"errors"
 	"net"
 	"time"
@@ -14,7 +15,8 @@
 // readSize is how many bytes are read at once.
 const readSize = 4096
 
-// Client is one connection of a client to a controller. It is for one goroutine, except that one may send while another reads.
+// Client is one connection of a client to a controller. It is for one goroutine, except that one may send while
+// another reads.
 type Client struct {
 	Conn     net.Conn
 	received []byte // not parsed yet
@@ -23,10 +25,14 @@
 
 // Dial connects to a controller.
 func Dial(address string) (*Client, error) {
-	conn, err := net.Dial("tcp", address)
+	conn, err := dial(address)
 	return &Client{Conn: conn}, err
 }
 
+func dial(address string) (net.Conn, error) {
+	return new(net.Dialer).DialContext(context.Background(), "tcp", address)
+}
+
 // Send requests a job and returns the id of its answer. fields are names and values in turn.
 func (c *Client) Send(method, statement string, fields ...string) (uint32, error) {
 	c.lastID++
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -13,8 +13,8 @@
 // discoveryHeartbeat is from one line with the number of the last event to the next.
 const discoveryHeartbeat = time.Second
 
-// Discovery is a discovery server: it sends each connection the events that follow the number that it subscribed with, one JSON
-// object a line, and later ones as they are added.
+// Discovery is a discovery server: it sends each connection the events that follow the number that it subscribed
+// with, one JSON object a line, and later ones as they are added.
 type Discovery struct {
 	listener  net.Listener
 	serving   sync.WaitGroup
@@ -24,7 +24,7 @@
 	mu            sync.Mutex
 	firstNumber   int      // of the first event
 	events        []string // their lines
-	lastSent      map[net.Conn]int
+	delivered     map[net.Conn]int
 	subscriptions []int // the number of each SUB so far
 }
 
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{listener: listener, firstNumber: first, lastSent: map[net.Conn]int{}, done: make(chan struct{})}
+	d := &Discovery{listener: listener, firstNumber: first, delivered: map[net.Conn]int{}, done: make(chan struct{})}
 	d.serving.Go(d.accept)
 	d.serving.Go(d.heartbeat)
 	return d, nil
@@ -69,14 +69,14 @@
 	_, _ = reader.ReadByte() // nothing more comes: this returns with the connection's end
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.lastSent, conn)
+	delete(d.delivered, conn)
 }
 
 func (d *Discovery) subscribe(conn net.Conn, last int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.subscriptions = append(d.subscriptions, last)
-	d.lastSent[conn] = last
+	d.delivered[conn] = last
 	d.send(conn)
 }
 
@@ -85,30 +85,31 @@
 
 // send writes the events that a connection lacks. The lock is held.
 func (d *Discovery) send(conn net.Conn) {
-	for d.lastSent[conn] < d.lastNumber() {
-		d.lastSent[conn]++
-		writeLine(conn, d.events[d.lastSent[conn]-d.firstNumber])
+	for d.delivered[conn] < d.lastNumber() {
+		d.delivered[conn]++
+		writeLine(conn, d.events[d.delivered[conn]-d.firstNumber])
 	}
 }
 
 // writeLine writes a line to a connection; one that has broken is closed by its own goroutine.
 func writeLine(conn net.Conn, line string) { _, _ = fmt.Fprintf(conn, "%s\n", line) }
 
-// AddEvent adds a change of the endpoint list, or, where complete, the whole of it; hosts is a JSON array. It returns the event's
-// line.
+// AddEvent adds a change of the endpoint list, or, where complete, the whole of it; hosts is a JSON array. It returns
+// the event's line.
 func (d *Discovery) AddEvent(complete bool, hosts string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	number := d.lastNumber() + 1
 	line := fmt.Sprintf(`{"n":%d,"members":{"seq":%d,"whole":%v,"hosts":%s}}`, number, number, complete, hosts)
 	d.events = append(d.events, line)
-	for conn := range d.lastSent {
+	for conn := range d.delivered {
 		d.send(conn)
 	}
 	return line
 }
 
-// AddRaw adds the line of an event as it is, without sending it to those connected: one that another server has sent before.
+// AddRaw adds the line of an event as it is, without sending it to those connected: one that another server has sent
+// before.
 func (d *Discovery) AddRaw(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -119,13 +120,14 @@
 func (d *Discovery) DropConnections() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for conn := range d.lastSent {
+	for conn := range d.delivered {
 		_ = conn.Close() // its peer may have closed it
 	}
 	return slices.Clone(d.subscriptions)
 }
 
-// Replay writes all events once more to every connection, or, where half, the first half of the last one, and closes them.
+// Replay writes all events once more to every connection, or, where half, the first half of the last one, and closes
+// them.
 func (d *Discovery) Replay(half bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +136,7 @@
 		last := d.events[len(d.events)-1]
 		text = last[:len(last)/2]
 	}
-	for conn := range d.lastSent {
+	for conn := range d.delivered {
 		_, _ = fmt.Fprint(conn, text) // see writeLine
 		if half {
 			_ = conn.Close() // its peer may have closed it
@@ -153,7 +155,7 @@
 func (d *Discovery) Write(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for conn := range d.lastSent {
+	for conn := range d.delivered {
 		_, _ = fmt.Fprint(conn, text) // see writeLine
 	}
 }
@@ -174,7 +176,7 @@
 func (d *Discovery) sendHeartbeat() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for conn := range d.lastSent {
+	for conn := range d.delivered {
 		writeLine(conn, fmt.Sprintf(`{"n":%d}`, d.lastNumber()))
 	}
 }
--- a/internal/fake/endpoint.go
+++ b/internal/fake/endpoint.go
@@ -14,11 +14,12 @@
 // probeQuery is what controllers probe endpoints with.
 const probeQuery = "ASK {}"
 
-// Interceptor deals with a request before an Endpoint does, given its query or update. It returns true where it has answered.
+// Interceptor deals with a request before an Endpoint does, given its query or update. It returns true where it has
+// answered.
 type Interceptor func(w http.ResponseWriter, text string) bool
 
-// Endpoint is a SPARQL engine: a small store of triples, which answers SELECT and ASK over basic graph patterns whose terms are
-// set apart by white space, and INSERT DATA. It knows nothing else of SPARQL.
+// Endpoint is a SPARQL engine: a small store of triples, which answers SELECT and ASK over basic graph patterns whose
+// terms are set apart by white space, and INSERT DATA. It knows nothing else of SPARQL.
 type Endpoint struct {
 	server   *http.Server
 	listener net.Listener
@@ -119,12 +120,12 @@
 	WriteResults(w, solve(e.triples, parseTriples(patterns)), strings.HasPrefix(query, "ASK"))
 }
 
-// WriteResults writes rows, or, where ask, whether there are any, as JSON results. Errors of writing are dropped: the reader has
-// gone.
-func WriteResults(w io.Writer, rows []map[string]string, ask bool) {
+// WriteResults writes rows, or, where boolean, whether there are any, as JSON results. Errors of writing are dropped:
+// the reader has gone.
+func WriteResults(w io.Writer, rows []map[string]string, boolean bool) {
 	out := results.NewWriter(results.JSON, w)
 	defer func() { _ = out.Close() }() // see above
-	if ask {
+	if boolean {
 		_ = out.Head(results.Head{Ask: true, Boolean: len(rows) > 0}) // see above
 		return
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -1,7 +1,7 @@
-// Package fake has fakes of what a controller speaks with: an engine, the discovery server, a client, a SPARQL endpoint. The
-// example and the tests are built of them. Each fake that listens owns its listener, its connections and their goroutines, and
-// Close ends all of them; all are safe for concurrent use unless they say otherwise. None keeps to more of a protocol than its
-// handler does.
+// Package fake has fakes of what a controller speaks with: an engine, the discovery server, a client, a SPARQL
+// endpoint. The example and the tests are built of them. Each fake that listens owns its listener, its connections
+// and their goroutines, and Close ends all of them; all are safe for concurrent use unless they say otherwise. None
+// keeps to more of a protocol than its handler does.
 package fake
 
 import (
@@ -12,8 +12,8 @@
 	"swiftreel/internal/engine"
 )
 
-// Engine accepts connections of the line protocol and hands each command to its handler: those of one connection in order,
-// those of several at once.
+// Engine accepts connections of the line protocol and hands each command to its handler: those of one connection in
+// order, those of several at once.
 type Engine struct {
 	handle   func(*Session, engine.Command)
 	listener net.Listener
--- a/internal/fake/faulty_engine.go
+++ b/internal/fake/faulty_engine.go
@@ -9,9 +9,9 @@
 	"swiftreel/internal/engine"
 )
 
-// FaultyEngine answers as an engine behind a bad network does: half of the dispatches well, the others with an answer that is
-// spoilt, doubled, cut off or missing. The rows of each good result begin with the job's id. The faults follow a seed. It is
-// safe for concurrent use.
+// FaultyEngine answers as an engine behind a bad network does: half of the dispatches well, the others with an answer
+// that is spoilt, doubled, cut off or missing. The rows of each good result begin with the job's id. The faults
+// follow a seed. It is safe for concurrent use.
 type FaultyEngine struct {
 	mu     sync.Mutex
 	random *rand.Rand
--- a/internal/fake/misbehaving_client.go
+++ b/internal/fake/misbehaving_client.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"strings"
 	"time"
 
@@ -17,10 +16,10 @@
 // floodCalls is how many messages a client sends that sends too many.
 const floodCalls = 200
 
-// MisbehavingClient connects to a controller, sends what it should not, in a way drawn by random, and leaves. It reports whether
-// something that it sent was served.
+// MisbehavingClient connects to a controller, sends what it should not, in a way drawn by random, and leaves. It
+// reports whether something that it sent was served.
 func MisbehavingClient(address string, random *rand.Rand) (served bool) {
-	conn, err := net.Dial("tcp", address)
+	conn, err := dial(address)
 	if err != nil {
 		return false
 	}
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -86,6 +86,16 @@
 	return f.cluster.StartCoordinator(by.program(), f.folder(), "start", file)
 }
 
+// settingsBy is a change of settings by a coordinator of one version.
+func (f *fleet) settingsBy(coordinator build) action {
+	return func() (string, error) { return f.change(coordinator, change.Settings, f.settings()) }
+}
+
+// programBy is a change of the program to that of a version.
+func (f *fleet) programBy(coordinator, to build) action {
+	return func() (string, error) { return f.change(coordinator, change.Software, toProgram(to)) }
+}
+
 // change takes a change through the fleet by a coordinator of one version.
 func (f *fleet) change(by build, kind change.Kind, to string) (string, error) {
 	p, err := f.begin(by, kind, to, quickBake)
@@ -106,7 +116,8 @@
 // reached checks that a change is done, and that every member runs what it leads to.
 func (f *fleet) reached(r coordinator.Record) (string, error) {
 	if r.Change.Number != f.number || r.State.Phase != rollout.Done {
-		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s", r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
+		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s",
+			r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
 	}
 	return f.running(r.To, r.Change.Number)
 }
@@ -121,7 +132,8 @@
 			return err == nil && s.Serving && s.RunningSpec == spec.Digest() && s.Fence.Number == number
 		})
 		if err != nil {
-			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w", m.Name, last.RunningSpec, last.Fence, spec.Digest(), number, err)
+			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w",
+				m.Name, last.RunningSpec, last.Fence, spec.Digest(), number, err)
 		}
 	}
 	return fmt.Sprintf("change %d on all %d", number, len(f.cluster.Members)), nil
@@ -182,41 +194,57 @@
 }
 
 // upgrade restarts one, and checks that it holds what it held and that its controller runs as before.
-func (f *fleet) upgrade(m *testcluster.Member, to build) error {
-	before, err := f.cluster.Status(m)
+func (f *fleet) upgrade(member *testcluster.Member, to build) error {
+	before, err := f.cluster.Status(member)
 	if err != nil {
 		return err
 	}
-	if err := f.restart(m, to, func() error { return nil }); err != nil {
+	if err := f.restart(member, to, func() error { return nil }); err != nil {
 		return err
 	}
 	var after supervisor.Status
 	err = f.cluster.WaitUntil(stepLimit, func() bool {
-		after, err = f.cluster.Status(m)
-		return err == nil && after.RunningSpec == before.RunningSpec
+		status, err := f.cluster.Status(member)
+		after = status
+		return err == nil && status.RunningSpec == before.RunningSpec
 	})
-	if err != nil || after.Fence != before.Fence || after.OrderedBy != before.OrderedBy || after.Spec.Digest() != before.Spec.Digest() || after.Version != before.Version {
-		return fmt.Errorf("%s holds order %v by %s and runs %s of %s, before it was %v by %s and %s of %s: %v",
-			m.Name, after.Fence, after.OrderedBy, after.RunningSpec, after.Version, before.Fence, before.OrderedBy, before.RunningSpec, before.Version, err)
+	if err != nil {
+		return fmt.Errorf("%s runs %s after its restart, before it was %s: %w",
+			member.Name, after.RunningSpec, before.RunningSpec, err)
+	}
+	if then, now := restartStateOf(before), restartStateOf(after); then != now {
+		return fmt.Errorf("%s holds %+v after its restart, before it was %+v", member.Name, now, then)
 	}
 	return nil
 }
 
+// restartState is what a supervisor's folder must bring through a restart.
+type restartState struct {
+	fence     change.Fence
+	orderedBy string
+	spec      change.Digest
+	version   string // of the program that it starts
+}
+
+func restartStateOf(s supervisor.Status) restartState {
+	return restartState{s.Fence, s.OrderedBy, s.Spec.Digest(), s.Version}
+}
+
 // await waits for something to be so while a coordinator works, if one is given.
-func (f *fleet) await(what string, p *testcluster.Process, is func() bool) error {
+func (f *fleet) await(what string, process *testcluster.Process, is func() bool) error {
 	ended := false
 	err := f.cluster.WaitUntil(stepLimit, func() bool {
 		if is() {
 			return true
 		}
-		ended = p != nil && p.Exited()
+		ended = process != nil && process.Exited()
 		return ended
 	})
 	switch {
 	case err != nil:
 		return fmt.Errorf("%s: %w", what, err)
 	case ended && !is():
-		return fmt.Errorf("%s: the coordinator has ended: %s", what, tail(p.Log()))
+		return fmt.Errorf("%s: the coordinator has ended: %s", what, tail(process.Log()))
 	}
 	return nil
 }
@@ -234,7 +262,7 @@
 type load struct {
 	cluster *testcluster.Cluster
 	all     []*testcluster.Load // the last one runs, unless resting
-	rest    bool
+	paused  bool
 }
 
 const (
@@ -244,13 +272,13 @@
 
 func (l *load) start() {
 	l.all = append(l.all, l.cluster.StartLoad(uint64(len(l.all))+1, loadClients, loadPause, true))
-	l.rest = false
+	l.paused = false
 }
 
 func (l *load) stop() {
-	if !l.rest {
+	if !l.paused {
 		l.all[len(l.all)-1].Stop()
-		l.rest = true
+		l.paused = true
 	}
 }
 
--- a/internal/proof/upgrade/main.go
+++ b/internal/proof/upgrade/main.go
@@ -1,7 +1,7 @@
-// Command upgrade builds the program as it was at an earlier commit and as it stands now, and rolls fleets of real processes
-// under load from the one to the other and back, on folders that the earlier one wrote: make proof-upgrade. Coordinators,
-// supervisors and leaders of both versions work side by side meanwhile. It prints a line for each check and ends with exit
-// code 1 where one fails.
+// Command upgrade builds the program as it was at an earlier commit and as it stands now, and rolls fleets of real
+// processes under load from the one to the other and back, on folders that the earlier one wrote: make proof-upgrade.
+// Coordinators, supervisors and leaders of both versions work side by side meanwhile. It prints a line for each check
+// and ends with exit code 1 where one fails.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	if err != nil {
 		return false, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: what is left is the system's to remove
 	start := time.Now()
 	base, current, err := buildBoth(commit, dir)
 	if err != nil {
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -24,17 +24,15 @@
 func mixedSteps(f *fleet) []step {
 	base, current := f.base, f.current
 	return []step{
-		{"settings: base coordinator, supervisors of both", func() (string, error) { return f.change(base, change.Settings, f.settings()) }},
-		{"program becomes current: current coordinator, supervisors of both",
-			func() (string, error) { return f.change(current, change.Software, toProgram(current)) }},
-		{"program becomes base: base coordinator, supervisors of both",
-			func() (string, error) { return f.change(base, change.Software, toProgram(base)) }},
-		{"coordinators base, current, base: each goes on where one was killed", func() (string, error) { return f.takeOver(base) }},
-		{"coordinators current, base, current: each goes on where one was killed", func() (string, error) { return f.takeOver(current) }},
-		{"current coordinator is paused and resumed by commands of the base", func() (string, error) { return f.pause(current) }},
-		{"base coordinator is paused and resumed by commands of the current", func() (string, error) { return f.pause(base) }},
-		{"current coordinator rolls back, told by the base", func() (string, error) { return f.rollBack(current) }},
-		{"base coordinator rolls back, told by the current", func() (string, error) { return f.rollBack(base) }},
+		{"settings: base coordinator, supervisors of both", f.settingsBy(base)},
+		{"program becomes current: current coordinator, supervisors of both", f.programBy(current, current)},
+		{"program becomes base: base coordinator, supervisors of both", f.programBy(base, base)},
+		{"coordinators base, current, base: each goes on where one was killed", with(f.takeOver, base)},
+		{"coordinators current, base, current: each goes on where one was killed", with(f.takeOver, current)},
+		{"current coordinator is paused and resumed by commands of the base", with(f.pause, current)},
+		{"base coordinator is paused and resumed by commands of the current", with(f.pause, base)},
+		{"current coordinator rolls back, told by the base", with(f.requestRollback, current)},
+		{"base coordinator rolls back, told by the current", with(f.requestRollback, base)},
 		{"each version knows every field of both versions' statuses", f.sameStatuses},
 		{"both versions print the same of the record", f.sameRecord},
 	}
@@ -44,10 +42,13 @@
 const exitFenced = 6
 
 // exitRolledBack is that of one whose change was rolled back.
-const exitRolledBack = 4
+const exitRollback = 4
 
-// exitCode is a process's, or -1 where err is no exit.
+// exitCode is that of a process that ended with an error: 0 for none, -1 where it was no exit.
 func exitCode(err error) int {
+	if err == nil {
+		return 0
+	}
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		return exit.ExitCode()
@@ -55,8 +56,8 @@
 	return -1
 }
 
-// resume starts a coordinator on the record of one that was killed, and waits until it has taken the change over. The lock
-// of the killed one may not be free at once.
+// resume starts a coordinator on the record of one that was killed, and waits until it has taken the change over. The
+// lock of the killed one may not be free at once.
 func (f *fleet) resume(by build) (*testcluster.Process, error) {
 	term := f.record().State.Fence.Term
 	for stop := time.Now().Add(stepLimit); ; {
@@ -99,7 +100,7 @@
 }
 
 // wish leaves an operator's wish in the record, by a command of one version.
-func (f *fleet) wish(by build, command string) error {
+func (f *fleet) request(by build, command string) error {
 	_, err := f.cluster.Command(by.program(), "rollout", "--record", f.folder(), command)
 	return err
 }
@@ -114,20 +115,20 @@
 		return "", err
 	}
 	other := f.other(coordinator)
-	if err := f.wish(other, "pause"); err != nil {
+	if err := f.request(other, "pause"); err != nil {
 		return "", err
 	}
 	if err := f.await("the pause", p, func() bool { return f.record().State.Paused }); err != nil {
 		return "", err
 	}
-	if err := f.wish(other, "resume"); err != nil {
+	if err := f.request(other, "resume"); err != nil {
 		return "", err
 	}
 	return f.finish(p)
 }
 
 // rollBack has the other version's command roll a coordinator's change back.
-func (f *fleet) rollBack(coordinator build) (string, error) {
+func (f *fleet) requestRollback(coordinator build) (string, error) {
 	p, err := f.begin(coordinator, change.Settings, f.settings(), longBake)
 	if err != nil {
 		return "", err
@@ -135,13 +136,13 @@
 	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.Baking }); err != nil {
 		return "", err
 	}
-	if err := f.wish(f.other(coordinator), "back"); err != nil {
+	if err := f.request(f.other(coordinator), "back"); err != nil {
 		return "", err
 	}
-	if err := p.WaitExit(); exitCode(err) != exitRolledBack {
-		return "", fmt.Errorf("the coordinator ends with %v: %s", err, tail(p.Log()))
+	if code := exitCode(p.WaitExit()); code != exitRollback {
+		return "", fmt.Errorf("the coordinator ends with exit code %d: %s", code, tail(p.Log()))
 	}
-	if err := f.wish(f.other(coordinator), "resume"); err != nil { // else the next change takes in the wish of this one
+	if err := f.request(f.other(coordinator), "resume"); err != nil { // else the next change takes in the wish of this one
 		return "", err
 	}
 	r := f.record()
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -19,15 +19,13 @@
 func rollSteps(f *fleet) []step {
 	base, current := f.base, f.current
 	return []step{
-		{"settings: base coordinator, base supervisors", func() (string, error) { return f.change(base, change.Settings, f.settings()) }},
-		{"supervisors become current, on folders of the base", func() (string, error) { return f.upgradeAll(current) }},
-		{"program becomes current: base coordinator, current supervisors",
-			func() (string, error) { return f.change(base, change.Software, toProgram(current)) }},
+		{"settings: base coordinator, base supervisors", f.settingsBy(base)},
+		{"supervisors become current, on folders of the base", with(f.upgradeAll, current)},
+		{"program becomes current: base coordinator, current supervisors", f.programBy(base, current)},
 		{"plan solved by the base: current coordinator on the base's record, current supervisors",
 			func() (string, error) { return f.planChange(base, current, "") }},
-		{"supervisors become base, on folders of the current", func() (string, error) { return f.upgradeAll(base) }},
-		{"program becomes base: current coordinator, base supervisors",
-			func() (string, error) { return f.change(current, change.Software, toProgram(base)) }},
+		{"supervisors become base, on folders of the current", with(f.upgradeAll, base)},
+		{"program becomes base: current coordinator, base supervisors", f.programBy(current, base)},
 		{"plan solved by the current: base coordinator on the current's record, base supervisors",
 			func() (string, error) { return f.planChange(current, base, "proportional") }},
 		{"both versions print the same of the record", f.sameRecord},
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -19,8 +19,16 @@
 
 // step is one thing done with a fleet, and the check of what came of it.
 type step struct {
-	name string
-	do   func() (detail string, err error)
+	name   string
+	action action
+}
+
+// action returns figures, or why the check fails.
+type action func() (detail string, err error)
+
+// with is an action of one version.
+func with(do func(build) (string, error), version build) action {
+	return func() (string, error) { return do(version) }
 }
 
 // scenarios are all of them; their fleets share nothing.
@@ -51,7 +59,7 @@
 			r.add(p.name, notRun, "a step before it failed")
 			continue
 		}
-		detail, err := p.do()
+		detail, err := p.action()
 		r.result(p.name, detail, err)
 		broken = err != nil
 	}
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -17,7 +18,8 @@
 
 // transferPlan is two controllers, one under a supervisor of each version.
 func transferPlan(base, current build) testcluster.Config {
-	return testcluster.Config{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, SupervisorPrograms: map[int]string{1: current.program()}}
+	return testcluster.Config{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3,
+		SupervisorPrograms: map[int]string{1: current.program()}}
 }
 
 // brokenEngine is the one that fails all that it is asked.
@@ -67,10 +69,32 @@
 	if err != nil {
 		return "", err
 	}
+	if err := f.switchAll(to); err != nil {
+		return "", err
+	}
+	before := f.began(brokenEngine)
+	f.load.start()
+	done := f.load.jobs().done
+	if err := f.await("jobs are done", nil, func() bool { return f.load.jobs().done > done+minJobs }); err != nil {
+		return "", err
+	}
+	if n := f.began(brokenEngine) - before; n > 0 {
+		return "", fmt.Errorf("%d jobs were sent to the engine that was ejected", n)
+	}
+	if _, err := f.reportFields(reports); err != nil {
+		return "", err
+	}
+	jobs := f.load.jobs().done - done
+	return fmt.Sprintf("%d jobs, none to the ejected engine; %d fields reported as before", jobs, len(reports)), nil
+}
+
+// switchAll orders every controller to run another version, and checks that its new process has an engine ejected
+// from its start.
+func (f *fleet) switchAll(to build) error {
 	for _, m := range f.cluster.Members {
 		fence := change.Fence{Number: f.number, Term: 1, Turn: 1}
 		if err := f.cluster.OrderProgram(m, fence, to.program()); err != nil {
-			return "", err
+			return err
 		}
 	}
 	for _, m := range f.cluster.Members {
@@ -81,32 +105,21 @@
 			return err == nil && s.Serving && s.Version == to.version
 		})
 		if err != nil {
-			return "", fmt.Errorf("%s runs %s: %w", m.Name, s.Version, err)
+			return fmt.Errorf("%s runs %s: %w", m.Name, s.Version, err)
 		}
 		if s.EjectedEngines != 1 {
-			return "", fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1", m.Name, s.EjectedEngines)
+			return fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1",
+				m.Name, s.EjectedEngines)
 		}
 	}
-	before := f.began(brokenEngine)
-	f.load.start()
-	done := f.load.jobs().done
-	if err := f.await("jobs are done", nil, func() bool { return f.load.jobs().done > done+minJobs }); err != nil {
-		return "", err
-	}
-	if n := f.began(brokenEngine) - before; n > 0 {
-		return "", fmt.Errorf("%d jobs were sent to the engine that was ejected", n)
-	}
-	if _, err := f.reportFields(reports); err != nil {
-		return "", err
-	}
-	return fmt.Sprintf("%d jobs, none to the ejected engine; %d fields reported as before", f.load.jobs().done-done, len(reports)), nil
+	return nil
 }
 
 // reportAddress is where a controller serves its report, as it logs it and supervisors of both versions look for it.
 var reportAddress = regexp.MustCompile(`msg=serving_tally address=(\S+)`)
 
-// reportFields returns the paths of all names in the first member's report. It waits until they are those wanted, unless that
-// is nil.
+// reportFields returns the paths of all names in the first member's report. It waits until they are those wanted,
+// unless that is nil.
 func (f *fleet) reportFields(wanted []string) (fields []string, err error) {
 	m := f.cluster.Members[0]
 	waitErr := f.cluster.WaitUntil(stepLimit, func() bool {
@@ -122,18 +135,24 @@
 }
 
 // reportOf asks a member's newest process for its report.
-func reportOf(m *testcluster.Member) ([]string, error) {
-	all := reportAddress.FindAllStringSubmatch(m.Supervisor.Log(), -1)
+func reportOf(member *testcluster.Member) ([]string, error) {
+	all := reportAddress.FindAllStringSubmatch(member.Supervisor.Log(), -1)
 	if len(all) == 0 {
 		return nil, errors.New("it does not say where it reports")
 	}
-	a, err := http.Get("http://" + all[len(all)-1][1] + "/tally")
+	ctx, cancel := context.WithTimeout(context.Background(), stepLimit)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+all[len(all)-1][1]+"/tally", nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
+	defer response.Body.Close()
 	var report any
-	if err := json.NewDecoder(a.Body).Decode(&report); err != nil {
+	if err := json.NewDecoder(response.Body).Decode(&report); err != nil {
 		return nil, err
 	}
 	paths := map[string]bool{}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -15,6 +15,7 @@
 	"swiftreel/internal/leader"
 	"swiftreel/internal/quota"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/supervisor"
 	"swiftreel/internal/testcluster"
 )
 
@@ -23,7 +24,8 @@
 	return testcluster.Config{Program: base.program(), Seed: 63, Controllers: 5, Engines: 3, Voters: 3,
 		SupervisorPrograms: map[int]string{1: current.program(), 4: current.program()},
 		Files:              map[string]string{"problem.json": testcluster.PlanningProblem},
-		FleetFields:        `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
+		FleetFields: `"parts":{"life_ms":3000},` +
+			`"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`}
 }
 
 func voterSteps(f *fleet) []step {
@@ -37,23 +39,22 @@
 	return []step{
 		{"the base founds a group of both versions", found},
 		{"assignments are followed by all", f.assigned},
-		{"settings: current leader, taken over by a base leader", func() (string, error) { return f.agreedChange(current) }},
-		{"settings: base leader, taken over by a current leader", func() (string, error) { return f.agreedChange(base) }},
-		{"program becomes current: base coordinator beside the leader",
-			func() (string, error) { return f.change(base, change.Software, toProgram(current)) }},
+		{"settings: current leader, taken over by a base leader", with(f.agreedChange, current)},
+		{"settings: base leader, taken over by a current leader", with(f.agreedChange, base)},
+		{"program becomes current: base coordinator beside the leader", f.programBy(base, current)},
 		{"assignments are followed by current processes", f.assigned},
-		{"a base voter without memory joins under a current leader", func() (string, error) { return f.rejoin(current) }},
-		{"a current voter without memory joins under a base leader", func() (string, error) { return f.rejoin(base) }},
-		{"voters become current one by one, on folders of the base", func() (string, error) { return f.upgradeVoters(current) }},
-		{"settings: current leaders", func() (string, error) { return f.agreedChange(current) }},
-		{"program becomes base: current coordinator beside the leader",
-			func() (string, error) { return f.change(current, change.Software, toProgram(base)) }},
-		{"voters become base one by one, on folders of the current", func() (string, error) { return f.upgradeVoters(base) }},
-		{"settings: base leaders", func() (string, error) { return f.agreedChange(base) }},
+		{"a base voter without memory joins under a current leader", with(f.rejoin, current)},
+		{"a current voter without memory joins under a base leader", with(f.rejoin, base)},
+		{"voters become current one by one, on folders of the base", with(f.upgradeVoters, current)},
+		{"settings: current leaders", with(f.agreedChange, current)},
+		{"program becomes base: current coordinator beside the leader", f.programBy(current, base)},
+		{"voters become base one by one, on folders of the current", with(f.upgradeVoters, base)},
+		{"settings: base leaders", with(f.agreedChange, base)},
 		{"assignments are followed by base processes", f.assigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
-			return fmt.Sprintf("at most %.1f%%, %d samples", 100*float64(shares.MaxAssigned)/float64(quota.FullShare), shares.Samples), err
+			percent := 100 * float64(shares.MaxAssigned) / float64(quota.FullShare)
+			return fmt.Sprintf("at most %.1f%%, %d samples", percent, shares.Samples), err
 		}},
 	}
 }
@@ -65,11 +66,7 @@
 		term = 0
 		for _, m := range f.cluster.Members {
 			s, err := f.cluster.Status(m)
-			off := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]
-			if err != nil || s.Assignment.Term == 0 || s.Assignment.Plan == "" || s.Assignment.Shares[quota.Fleet] == 0 || off < -1 || off > 1 {
-				return false
-			}
-			if term != 0 && term != s.Assignment.Term {
+			if err != nil || !followsAssignment(s) || term != 0 && term != s.Assignment.Term {
 				return false
 			}
 			term = s.Assignment.Term
@@ -79,6 +76,14 @@
 	return fmt.Sprintf("term %d", term), err
 }
 
+// followsAssignment reports whether a member has a share and a plan, and its controller goes by the share, to the
+// digit that is lost between parts of a million and fractions.
+func followsAssignment(s supervisor.Status) bool {
+	share := s.Assignment.Shares[quota.Fleet]
+	off := s.SharePerMillion - share
+	return s.Assignment.Term != 0 && s.Assignment.Plan != "" && share != 0 && off >= -1 && off <= 1
+}
+
 // view is what a voter tells of the group; a zero view where it does not answer.
 func (f *fleet) view(m *testcluster.Member) (v leader.Status) {
 	if err := f.cluster.GetJSON(m, "/v1/owner", &v); err != nil {
@@ -139,8 +144,8 @@
 	return r
 }
 
-// agreedChange begins a change of settings under a leader of one version, by a command of the other, and has the other version, where
-// there is a voter of that, take it over in the first stage.
+// agreedChange begins a change of settings under a leader of one version, by a command of the other, and has the
+// other version, where there is a voter of that, take it over in the first stage.
 func (f *fleet) agreedChange(first build) (string, error) {
 	if _, err := f.lead(first); err != nil {
 		return "", err
@@ -190,7 +195,8 @@
 	var v leader.Status
 	err := f.await(m.Name+" is in the group with the agreed record", nil, func() bool {
 		v = f.view(m)
-		return numberFits(v.ID) && v.RaftLeader != "" && len(v.Voters) == len(f.cluster.Voters()) && bytes.Equal(f.item(m), record)
+		complete := v.RaftLeader != "" && len(v.Voters) == len(f.cluster.Voters())
+		return numberFits(v.ID) && complete && bytes.Equal(f.item(m), record)
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %+v", err, v)
@@ -198,7 +204,8 @@
 	return nil
 }
 
-// upgradeVoters restarts the members one by one as another version. Voters keep their number, their term and what was agreed.
+// upgradeVoters restarts the members one by one as another version. Voters keep their number, their term and what was
+// agreed.
 func (f *fleet) upgradeVoters(to build) (string, error) {
 	start := time.Now()
 	for i, m := range f.cluster.Members {
@@ -225,7 +232,8 @@
 	return fmt.Sprintf("%d members in %v", len(f.cluster.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
-// rejoin has a voter of one version lose its memory and join a group that the other one leads, which sends it a snapshot.
+// rejoin has a voter of one version lose its memory and join a group that the other one leads, which sends it a
+// snapshot.
 func (f *fleet) rejoin(leaderVersion build) (string, error) {
 	leader, err := f.lead(leaderVersion)
 	if err != nil {
@@ -237,8 +245,8 @@
 			continue
 		}
 		before, record := f.view(m).ID, f.item(leader)
-		forget := func() error { return os.Remove(filepath.Join(f.cluster.Dir, m.Name, "owner.db")) }
-		if err := f.restart(m, joining, forget); err != nil {
+		removeState := func() error { return os.Remove(filepath.Join(f.cluster.Dir, m.Name, "owner.db")) }
+		if err := f.restart(m, joining, removeState); err != nil {
 			return "", err
 		}
 		if number := f.view(m).ID; number != 0 {
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -15,8 +15,9 @@
 // watchInterval is from one sample of all statuses to the next.
 const watchInterval = 100 * time.Millisecond
 
-// watch samples the statuses of a cluster's supervisors and finds what must never be: an order or an assignment that goes back,
-// two coordinators under one term, a controller that ended unasked, a status field that the present program does not know.
+// watch samples the statuses of a cluster's supervisors and finds what must never be: an order or an assignment that
+// goes back, two coordinators under one term, a controller that ended unasked, a status field that the present
+// program does not know.
 type watch struct {
 	cluster *testcluster.Cluster
 	done    chan struct{}
@@ -33,7 +34,8 @@
 type fenceTerm struct{ number, term int64 }
 
 func startWatch(cluster *testcluster.Cluster) *watch {
-	w := &watch{cluster: cluster, done: make(chan struct{}), last: map[string]supervisor.Status{}, orderer: map[fenceTerm]string{}}
+	w := &watch{cluster: cluster, done: make(chan struct{}), last: map[string]supervisor.Status{},
+		orderer: map[fenceTerm]string{}}
 	w.wait.Go(func() {
 		tick := time.NewTicker(watchInterval)
 		defer tick.Stop()
@@ -71,7 +73,8 @@
 		faults = append(faults, fmt.Sprintf("order %v is held after %v", now.Fence, before.Fence))
 	}
 	if now.Incarnation == before.Incarnation && now.Assignment.Term < before.Assignment.Term {
-		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d", now.Assignment.Term, before.Assignment.Term))
+		faults = append(faults, fmt.Sprintf("an assignment of term %d is held after one of %d",
+			now.Assignment.Term, before.Assignment.Term))
 	}
 	if now.Crashes > 0 {
 		faults = append(faults, fmt.Sprintf("its controller ended unasked %d times", now.Crashes))
@@ -82,7 +85,8 @@
 	if now.Fence != (change.Fence{}) {
 		term := fenceTerm{now.Fence.Number, now.Fence.Term}
 		if by := w.orderer[term]; by != "" && by != now.OrderedBy {
-			faults = append(faults, fmt.Sprintf("change %d, term %d is ordered by %s and by %s", term.number, term.term, by, now.OrderedBy))
+			faults = append(faults, fmt.Sprintf("change %d, term %d is ordered by %s and by %s",
+				term.number, term.term, by, now.OrderedBy))
 		}
 		w.orderer[term] = now.OrderedBy
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,10 +1,10 @@
-// Package testcluster runs real processes of the program on loopback between fakes of engines, discovery and clients, with
-// links that fail on request, and logs all that the rules are held against: which client requested what, which dispatch
-// reached which engine, which answer came back.
+// Package testcluster runs real processes of the program on loopback between fakes of engines, discovery and clients,
+// with links that fail on request, and logs all that the rules are held against: which client requested what, which
+// dispatch reached which engine, which answer came back.
 //
-// A Cluster owns the processes that it starts, their folder and their addresses; Close ends and removes all of them. Its
-// methods are safe for concurrent use, except that a member's supervisor is replaced (StartSupervisor, UpgradeSupervisor) by
-// one goroutine only, with no other one reading that member's Supervisor field meanwhile.
+// A Cluster owns the processes that it starts, their folder and their addresses; Close ends and removes all of them.
+// Its methods are safe for concurrent use, except that a member's supervisor is replaced (StartSupervisor,
+// UpgradeSupervisor) by one goroutine only, with no other one reading that member's Supervisor field meanwhile.
 package testcluster
 
 import (
@@ -20,7 +20,8 @@
 	"swiftreel/internal/fake"
 )
 
-// Cluster is engines, a discovery server, controllers with their supervisors, and links from coordinators to supervisors.
+// Cluster is engines, a discovery server, controllers with their supervisors, and links from coordinators to
+// supervisors.
 type Cluster struct {
 	Dir          string // of all files; removed by Close
 	Events       EventLog
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// Stop sends SIGTERM to all supervisors at once and waits until their controllers have drained and all processes have ended.
-// It returns the first error of an exit.
+// Stop sends SIGTERM to all supervisors at once and waits until their controllers have drained and all processes have
+// ended. It returns the first error of an exit.
 func (c *Cluster) Stop() error {
 	for _, m := range c.Members {
 		m.Supervisor.Signal(syscall.SIGTERM)
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -43,8 +43,8 @@
 // controllerDrainMS is how long a controller may drain before its supervisor kills it.
 const controllerDrainMS = 10_000
 
-// Start starts a cluster and returns once all its controllers serve. Members' addresses are of a loopback network that the
-// cluster has alone, so that a controller that starts again finds its address free.
+// Start starts a cluster and returns once all its controllers serve. Members' addresses are of a loopback network
+// that the cluster has alone, so that a controller that starts again finds its address free.
 func (o Config) Start() (c *Cluster, err error) {
 	c = &Cluster{voters: o.Voters, Faults: NewFaultPlan(o.Seed, o.EngineFaults, dispatchWork),
 		engines: map[string]*fake.Engine{}, http: http.Client{Timeout: getTimeout}}
@@ -124,13 +124,13 @@
 }
 
 // writeOperatorFile writes the operator's file, which all members share, and the files beside it.
-func (c *Cluster) writeOperatorFile(o Config) error {
-	fleet := operator.Fleet{DrainMS: controllerDrainMS, Program: o.Program}
+func (c *Cluster) writeOperatorFile(config Config) error {
+	fleet := operator.Fleet{DrainMS: controllerDrainMS, Program: config.Program}
 	for i, m := range c.Members {
 		zone := []string{"east", "west"}[i%2]
 		fleet.Members = append(fleet.Members,
 			operator.Member{Name: m.Name, Listen: m.SupervisorAddress, Reach: m.Link.Address(), Zone: zone})
-		if i < o.Voters {
+		if i < config.Voters {
 			fleet.Voters = append(fleet.Voters, m.Name)
 		}
 	}
@@ -139,11 +139,12 @@
 		return err
 	}
 	c.OperatorFile = filepath.Join(c.Dir, "operator.json")
-	file := fmt.Appendf(nil, `{%s"fleet":{%s%s}`, o.OperatorFields, o.FleetFields, text[1:]) // text begins with a brace
+	fields := text[1:] // without the brace, as FleetFields come first
+	file := fmt.Appendf(nil, `{%s"fleet":{%s%s}`, config.OperatorFields, config.FleetFields, fields)
 	if err := os.WriteFile(c.OperatorFile, file, 0o600); err != nil {
 		return err
 	}
-	for name, text := range o.Files {
+	for name, text := range config.Files {
 		if err := os.WriteFile(filepath.Join(c.Dir, name), []byte(text), 0o600); err != nil {
 			return err
 		}
@@ -156,23 +157,24 @@
 "feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`
 
 // startMembers writes each member's configuration and starts its supervisor. known is the event that lists all engines.
-func (c *Cluster) startMembers(o Config, known string) error {
+func (c *Cluster) startMembers(config Config, known string) error {
 	template := settings
-	if o.EnginesWarmUp {
+	if config.EnginesWarmUp {
 		template = warmUpSettings
 	}
 	for i, m := range c.Members {
-		config := filepath.Join(c.Dir, m.Name+".json")
-		text := fmt.Sprintf(controllerConfig, m.Name, m.ClientAddress, o.Seed*100+uint64(i)+1, c.discovery.Address(), known,
-			fmt.Sprintf(template, o.Controllers, i, i%2))
-		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
+		configFile := filepath.Join(c.Dir, m.Name+".json")
+		seed := config.Seed*100 + uint64(i) + 1
+		text := fmt.Sprintf(controllerConfig, m.Name, m.ClientAddress, seed, c.discovery.Address(), known,
+			fmt.Sprintf(template, config.Controllers, i, i%2))
+		if err := os.WriteFile(configFile, []byte(text), 0o600); err != nil {
 			return err
 		}
-		m.program = o.Program
-		if other := o.SupervisorPrograms[i]; other != "" {
+		m.program = config.Program
+		if other := config.SupervisorPrograms[i]; other != "" {
 			m.program = other
 		}
-		m.start = c.supervisorStart(m, o.env(i, config))
+		m.start = c.supervisorStart(m, config.env(i, configFile))
 		if err := c.StartSupervisor(m); err != nil {
 			return err
 		}
--- a/internal/testcluster/engine.go
+++ b/internal/testcluster/engine.go
@@ -35,74 +35,75 @@
 func (e *lineEngine) handle(session *fake.Session, command engine.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	d := dispatch{session, command.ID}
+	call := dispatch{session, command.ID}
 	switch command.Name {
 	case "stats", "alive":
-		e.probe(d)
+		e.probe(call)
 	case "fetch":
-		e.begin(d)
+		e.begin(call)
 	case "more":
-		if e.running[d] == nil {
+		if e.running[call] == nil {
 			session.Answer(command.ID, "failed", "", "")
 		}
 	case "abort":
-		if timer := e.running[d]; timer != nil {
+		if timer := e.running[call]; timer != nil {
 			timer.Stop()
-			e.end(d, rulecheck.Broken)
+			e.end(call, rulecheck.Broken)
 		}
 	}
 }
 
 // probe answers a health check. The lock is held.
-func (e *lineEngine) probe(d dispatch) {
+func (e *lineEngine) probe(call dispatch) {
 	if e.faults.Failing(e.name) {
-		d.session.Answer(d.id, "failed", "", "")
+		call.session.Answer(call.id, "failed", "", "")
 		return
 	}
-	d.session.Answer(d.id, "well", fmt.Sprintf("load=concurrent:%d", len(e.running)), "")
+	call.session.Answer(call.id, "well", fmt.Sprintf("load=concurrent:%d", len(e.running)), "")
 }
 
 // begin refuses a dispatch, or lets it run for its time. The lock is held.
-func (e *lineEngine) begin(d dispatch) {
+func (e *lineEngine) begin(call dispatch) {
 	fault := e.faults.Draw()
 	if e.faults.Failing(e.name) {
 		fault = FailsDispatch
 	}
-	entry := rulecheck.Entry{Event: rulecheck.Reached, Job: d.id, Engine: e.name, Protocol: "line"}
+	entry := rulecheck.Entry{Event: rulecheck.Reached, Job: call.id, Engine: e.name, Protocol: "line"}
 	if fault == RefusesDispatch {
 		e.events.Add(entry)
-		d.session.Answer(d.id, "full", "", "")
+		call.session.Answer(call.id, "full", "", "")
 		return
 	}
 	entry.Event = rulecheck.Began
 	entry.Work = int64(e.faults.WorkDuration())
 	e.events.Add(entry)
 	duration := e.faults.Duration(fault)
-	e.running[d] = time.AfterFunc(duration, func() { e.finish(d, fault, duration) })
+	e.running[call] = time.AfterFunc(duration, func() { e.finish(call, fault, duration) })
 }
 
 // finish answers a dispatch, unless it was aborted meanwhile.
-func (e *lineEngine) finish(d dispatch, fault DispatchFault, duration time.Duration) {
+func (e *lineEngine) finish(call dispatch, fault DispatchFault, duration time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.running[d] == nil {
+	if e.running[call] == nil {
 		return
 	}
 	switch fault {
 	case ResetsConnection:
-		e.end(d, rulecheck.Broken)
-		d.session.Reset()
+		e.end(call, rulecheck.Broken)
+		call.session.Reset()
 	case FailsDispatch:
-		e.end(d, rulecheck.Broken)
-		d.session.Answer(d.id, "failed", "", "")
+		e.end(call, rulecheck.Broken)
+		call.session.Answer(call.id, "failed", "", "")
 	default:
-		e.end(d, rulecheck.Done)
-		d.session.Answer(d.id, "data", fmt.Sprintf("sheets=1,toil=%d,room=4", max(1, duration.Milliseconds())), "a\tb\tc\n")
+		e.end(call, rulecheck.Done)
+		fields := fmt.Sprintf("sheets=1,toil=%d,room=4", max(1, duration.Milliseconds()))
+		call.session.Answer(call.id, "data", fields, "a\tb\tc\n")
 	}
 }
 
 // end logs the end of a dispatch. The lock is held.
-func (e *lineEngine) end(d dispatch, answer string) {
-	delete(e.running, d)
-	e.events.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: d.id, Engine: e.name, Answer: answer})
+func (e *lineEngine) end(call dispatch, answer string) {
+	delete(e.running, call)
+	e.events.Add(rulecheck.Entry{Event: rulecheck.Ended, Job: call.id, Engine: e.name, Answer: answer})
 }
--- a/internal/testcluster/engine_list.go
+++ b/internal/testcluster/engine_list.go
@@ -25,16 +25,16 @@
 		Cores: engineCores, Started: startedNS})
 }
 
-// ListRestarted lists an engine as just started. It is logged before controllers can know it: what they send is counted from
-// then on.
+// ListRestarted lists an engine as just started. It is logged before controllers can know it: what they send is
+// counted from then on.
 func (c *Cluster) ListRestarted(name string) {
 	now := time.Now()
 	c.logListed(name, "ready", now.UnixNano())
 	c.discovery.AddEvent(false, "["+c.engineEntry(name, "ready", now.UnixMilli())+"]")
 }
 
-// SetEngineState lists an engine in another state. It is logged after controllers can know it: the grace of rule 3 counts from
-// then on.
+// SetEngineState lists an engine in another state. It is logged after controllers can know it: the grace of rule 3
+// counts from then on.
 func (c *Cluster) SetEngineState(name, state string) {
 	c.discovery.AddEvent(false, "["+c.engineEntry(name, state, 0)+"]")
 	c.logListed(name, state, 0)
--- a/internal/testcluster/fault_plan.go
+++ b/internal/testcluster/fault_plan.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FaultPlan says what becomes of dispatches at all engines of a cluster. The faults follow a seed; which dispatch meets which
-// one follows time. It is safe for concurrent use.
+// FaultPlan says what becomes of dispatches at all engines of a cluster. The faults follow a seed; which dispatch
+// meets which one follows time. It is safe for concurrent use.
 type FaultPlan struct {
 	mu      sync.Mutex
 	random  *rand.Rand
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -54,8 +55,8 @@
 // Address is where it listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetMode sets what becomes of later connections. Those that are open are closed, so that none goes on in the mode before. Each
-// write waits for the delay, both ways.
+// SetMode sets what becomes of later connections. Those that are open are closed, so that none goes on in the mode
+// before. Each write waits for the delay, both ways.
 func (l *Link) SetMode(mode LinkMode, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +80,7 @@
 	if len(request) == 0 {
 		return
 	}
-	conn, err := net.DialTimeout("tcp4", l.target, linkTimeout)
+	conn, err := l.dialTarget()
 	if err != nil {
 		return // nobody is there to receive it
 	}
@@ -92,6 +93,11 @@
 	}
 }
 
+func (l *Link) dialTarget() (net.Conn, error) {
+	dialer := net.Dialer{Timeout: linkTimeout}
+	return dialer.DialContext(context.Background(), "tcp4", l.target)
+}
+
 func (l *Link) accept() {
 	for {
 		conn, err := l.listener.Accept()
@@ -131,7 +137,7 @@
 		_, _ = io.Copy(io.Discard, client) // until the client gives up
 		return
 	}
-	server, err := net.DialTimeout("tcp4", l.target, linkTimeout)
+	server, err := l.dialTarget()
 	if err != nil {
 		return
 	}
@@ -150,8 +156,8 @@
 	l.forward(client, server, func([]byte) {})
 }
 
-// forwardRequests forwards, and records the last POST request. Requests of a connection come one after the other, so that each
-// begins with a read of its own.
+// forwardRequests forwards, and records the last POST request. Requests of a connection come one after the other, so
+// that each begins with a read of its own.
 func (l *Link) forwardRequests(server, client net.Conn) {
 	var request []byte
 	l.forward(server, client, func(text []byte) {
@@ -171,7 +177,8 @@
 	})
 }
 
-// forward copies until either connection ends, with the link's delay before each write. Each text read goes to observe first.
+// forward copies until either connection ends, with the link's delay before each write. Each text read goes to
+// observe first.
 func (l *Link) forward(to, from net.Conn, observe func([]byte)) {
 	l.mu.Lock()
 	delay := l.delay
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	jobsPerHeartbeat = 5                     // over a connection, before its controller is asked again whether jobs are welcome
+	jobsPerHeartbeat = 5                     // over a connection, before the next heartbeat
 	reconnectDelay   = 10 * time.Millisecond // before the next attempt
 	answerGrace      = 5 * time.Second       // past a job's timeout, until a client gives up
 
@@ -25,8 +25,9 @@
 	keyedTenths  = 1 // of all jobs: imports with an ordered key
 )
 
-// Load is clients that request jobs of a cluster's controllers until stopped. A client goes on over another connection where its
-// own breaks, and away from a controller that does not welcome jobs. The counts are safe to read at any time.
+// Load is clients that request jobs of a cluster's controllers until stopped. A client goes on over another
+// connection where its own breaks, and away from a controller that does not welcome jobs. The counts are safe to read
+// at any time.
 type Load struct {
 	cluster *Cluster
 	pause   time.Duration
@@ -38,8 +39,8 @@
 	Done, Throttled, Cancelled, Broken atomic.Int64
 }
 
-// StartLoad starts clients at each controller, each with a mean pause from one job to the next. uneven: the first controller has
-// twice as many clients, the last a third. Jobs claim the work that dispatches take at present.
+// StartLoad starts clients at each controller, each with a mean pause from one job to the next. uneven: the first
+// controller has twice as many clients, the last a third. Jobs claim the work that dispatches take at present.
 func (c *Cluster) StartLoad(seed uint64, clients int, pause time.Duration, uneven bool) *Load {
 	l := &Load{cluster: c, pause: pause, workMS: max(1, c.Faults.WorkDuration().Milliseconds()), done: make(chan struct{})}
 	for i, m := range c.Members {
@@ -138,7 +139,8 @@
 
 // nextJob draws a job: a lookup, an import, or an import with the client's own key.
 func (c *loadClient) nextJob() jobRequest {
-	job := jobRequest{id: fmt.Sprintf("%s%012x", c.name, c.load.cluster.lastJob.Add(1)), method: "lookup", timeout: lookupTimeout}
+	id := fmt.Sprintf("%s%012x", c.name, c.load.cluster.lastJob.Add(1))
+	job := jobRequest{id: id, method: "lookup", timeout: lookupTimeout}
 	draw := c.random.IntN(10)
 	if draw < importTenths {
 		job.method = "import"
--- a/internal/testcluster/members.go
+++ b/internal/testcluster/members.go
@@ -21,7 +21,8 @@
 // Voters are the members that elect a leader, in the order of the operator's file.
 func (c *Cluster) Voters() []*Member { return slices.Clone(c.Members[:c.voters]) }
 
-// StartSupervisor starts the supervisor of a member whose last one has ended, by the same program and on the same state folder.
+// StartSupervisor starts the supervisor of a member whose last one has ended, by the same program and on the same
+// state folder.
 func (c *Cluster) StartSupervisor(m *Member) error {
 	process, err := m.start(m.program)
 	if err != nil {
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// UpgradeSupervisor starts the supervisor of a member whose last one has ended, by the program given and on the same state
-// folder. It returns once the controller serves.
+// UpgradeSupervisor starts the supervisor of a member whose last one has ended, by the program given and on the same
+// state folder. It returns once the controller serves.
 func (c *Cluster) UpgradeSupervisor(m *Member, program string) error {
 	m.program = program
 	if err := c.StartSupervisor(m); err != nil {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -24,8 +24,8 @@
 	log strings.Builder
 }
 
-// StartProcess starts one, in a process group of its own, so that it and what it starts can be ended together. env is added to
-// the environment of this process.
+// StartProcess starts one, in a process group of its own, so that it and what it starts can be ended together. env is
+// added to the environment of this process.
 func StartProcess(program string, env []string, args ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, args...), exited: make(chan struct{})}
 	p.command.Env = append(os.Environ(), env...)
--- a/internal/testcluster/requests.go
+++ b/internal/testcluster/requests.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"strings"
 
@@ -50,17 +51,33 @@
 
 // GetJSON requests a path of a supervisor, past its link, and decodes the answer.
 func (c *Cluster) GetJSON(m *Member, path string, into any) error {
-	response, err := c.http.Get("http://" + m.SupervisorAddress + path)
+	response, err := c.request(m, http.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: %s: %w", path, response.Status, ErrRefused)
-	}
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
+// request sends a request to a supervisor, past its link. The error wraps ErrRefused where it is not answered with
+// success; the body of an answer is the caller's to close.
+func (c *Cluster) request(m *Member, method, path string, body io.Reader) (*http.Response, error) {
+	url := "http://" + m.SupervisorAddress + path
+	request, err := http.NewRequestWithContext(context.Background(), method, url, body) // the client has a timeout
+	if err != nil {
+		return nil, err
+	}
+	response, err := c.http.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode/100 != 2 {
+		_ = response.Body.Close() // nothing is read of it
+		return nil, fmt.Errorf("%s: %s: %s: %w", m.Name, path, response.Status, ErrRefused)
+	}
+	return response, nil
+}
+
 // Leader waits until one of the candidates leads with a valid lease, and returns it.
 func (c *Cluster) Leader(candidates []*Member) (elected *Member, err error) {
 	err = c.WaitUntil(settleTimeout, func() bool {
@@ -79,16 +96,12 @@
 	return elected, nil
 }
 
-// StepDown requests a member, past its link, to hand its leadership over. The error wraps ErrRefused where it does not lead, or
-// has nobody to hand over to yet.
+// StepDown requests a member, past its link, to hand its leadership over. The error wraps ErrRefused where it does
+// not lead, or has nobody to hand over to yet.
 func (c *Cluster) StepDown(m *Member) error {
-	response, err := c.http.Post("http://"+m.SupervisorAddress+"/v1/owner/step-down", "application/json", strings.NewReader("{}"))
+	response, err := c.request(m, http.MethodPost, "/v1/owner/step-down", strings.NewReader("{}"))
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
-	if response.StatusCode/100 != 2 {
-		return fmt.Errorf("%s: step down: %s: %w", m.Name, response.Status, ErrRefused)
-	}
-	return nil
+	return response.Body.Close()
 }
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -10,8 +10,9 @@
 	"swiftreel/internal/quota"
 )
 
-// ShareWatch samples again and again which shares of the fleet a cluster's controllers go by. It counts only what was held at
-// one moment for certain: what two samples in a row show, or what a member that cannot be reached must still hold.
+// ShareWatch samples again and again which shares of the fleet a cluster's controllers go by. It counts only what was
+// held at one moment for certain: what two samples in a row show, or what a member that cannot be reached must still
+// hold.
 type ShareWatch struct {
 	cluster  *Cluster
 	done     chan struct{}
@@ -40,7 +41,7 @@
 	for {
 		now := monotonic.Now()
 		samples := w.sample(last)
-		sum := heldByBoth(last, samples, now)
+		sum := sharesInBoth(last, samples, now)
 		w.MaxAssigned = max(w.MaxAssigned, sum)
 		if sum > 0 {
 			w.Samples++
@@ -55,7 +56,7 @@
 }
 
 // heldByBoth adds up what both samples show and what had not expired at a time before the second one.
-func heldByBoth(before, after []shareSample, now int64) (sum int64) {
+func sharesInBoth(before, after []shareSample, now int64) (sum int64) {
 	for i := range after {
 		if now < min(before[i].until, after[i].until) {
 			sum += min(before[i].share, after[i].share)
@@ -64,8 +65,8 @@
 	return sum
 }
 
-// sample requests all members' shares at once. One that does not answer, or whose controller does not go by its share for
-// certain, has that of the sample before.
+// sample requests all members' shares at once. One that does not answer, or whose controller does not go by its share
+// for certain, has that of the sample before.
 func (w *ShareWatch) sample(last []shareSample) []shareSample {
 	samples := make([]shareSample, len(last))
 	var requests sync.WaitGroup
