--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -58,7 +58,7 @@
 
 // record reads the change that was recorded last; a zero record where none can be read.
 func (f *fleet) record() coordinator.Record {
-	r, _, err := coordinator.Look(f.folder()).Record()
+	r, _, err := coordinator.UnlockedFolder(f.folder()).Record()
 	if err != nil {
 		return coordinator.Record{}
 	}
@@ -88,12 +88,12 @@
 
 // settingsBy is a change of settings by a coordinator of one version.
 func (f *fleet) settingsBy(coordinator build) action {
-	return func() (string, error) { return f.change(coordinator, change.Settings, f.settings()) }
+	return func() (string, error) { return f.change(coordinator, change.KindSettings, f.settings()) }
 }
 
 // programBy is a change of the program to that of a version.
 func (f *fleet) programBy(coordinator, to build) action {
-	return func() (string, error) { return f.change(coordinator, change.Software, toProgram(to)) }
+	return func() (string, error) { return f.change(coordinator, change.KindProgram, toProgram(to)) }
 }
 
 // change takes a change through the fleet by a coordinator of one version.
@@ -115,7 +115,7 @@
 
 // reached checks that a change is done, and that every member runs what it leads to.
 func (f *fleet) reached(r coordinator.Record) (string, error) {
-	if r.Change.Number != f.number || r.State.Phase != rollout.Done {
+	if r.Change.Number != f.number || r.State.Phase != rollout.PhaseDone {
 		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s",
 			r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
 	}
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -77,11 +77,11 @@
 
 // takeOver begins a change by one version, has the other take it over and then the first one again.
 func (f *fleet) takeOver(first build) (string, error) {
-	p, err := f.begin(first, change.Settings, f.settings(), longBake)
+	p, err := f.begin(first, change.KindSettings, f.settings(), longBake)
 	if err != nil {
 		return "", err
 	}
-	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.Baking }); err != nil {
+	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.PhaseBaking }); err != nil {
 		return "", err
 	}
 	p.Kill()
@@ -107,11 +107,11 @@
 
 // pause has the other version's commands pause a coordinator's change and end the pause.
 func (f *fleet) pause(coordinator build) (string, error) {
-	p, err := f.begin(coordinator, change.Settings, f.settings(), longBake)
+	p, err := f.begin(coordinator, change.KindSettings, f.settings(), longBake)
 	if err != nil {
 		return "", err
 	}
-	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.Baking }); err != nil {
+	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.PhaseBaking }); err != nil {
 		return "", err
 	}
 	other := f.other(coordinator)
@@ -129,11 +129,11 @@
 
 // rollBack has the other version's command roll a coordinator's change back.
 func (f *fleet) requestRollback(coordinator build) (string, error) {
-	p, err := f.begin(coordinator, change.Settings, f.settings(), longBake)
+	p, err := f.begin(coordinator, change.KindSettings, f.settings(), longBake)
 	if err != nil {
 		return "", err
 	}
-	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.Baking }); err != nil {
+	if err := f.await("the first stage", p, func() bool { return f.record().State.Phase == rollout.PhaseBaking }); err != nil {
 		return "", err
 	}
 	if err := f.request(f.other(coordinator), "back"); err != nil {
@@ -146,7 +146,7 @@
 		return "", err
 	}
 	r := f.record()
-	if r.State.Phase != rollout.Back {
+	if r.State.Phase != rollout.PhaseRolledBack {
 		return "", fmt.Errorf("the change is recorded as %s", r.State.Phase)
 	}
 	detail, err := f.running(r.From, r.Change.Number)
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -44,7 +44,7 @@
 	if _, err := f.cluster.Command(solver.program(), args...); err != nil {
 		return "", err
 	}
-	return f.change(coordinator, change.Plan, fmt.Sprintf(`{"plan":%q}`, path))
+	return f.change(coordinator, change.KindPlan, fmt.Sprintf(`{"plan":%q}`, path))
 }
 
 // sameRecord has the commands of both versions read the record's folder.
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -92,7 +92,7 @@
 // from its start.
 func (f *fleet) switchAll(to build) error {
 	for _, m := range f.cluster.Members {
-		fence := change.Fence{Number: f.number, Term: 1, Turn: 1}
+		fence := change.Fence{Number: f.number, Term: 1, Revision: 1}
 		if err := f.cluster.OrderProgram(m, fence, to.program()); err != nil {
 			return err
 		}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -150,7 +150,7 @@
 	if _, err := f.lead(first); err != nil {
 		return "", err
 	}
-	file, err := f.writeChange(change.Settings, f.settings(), longBake)
+	file, err := f.writeChange(change.KindSettings, f.settings(), longBake)
 	if err != nil {
 		return "", err
 	}
@@ -160,7 +160,7 @@
 	r := coordinator.Record{}
 	if err := f.await("the first stage", nil, func() bool {
 		r = f.agreedRecord()
-		return r.Change.Number == f.number && r.State.Phase == rollout.Baking
+		return r.Change.Number == f.number && r.State.Phase == rollout.PhaseBaking
 	}); err != nil {
 		return "", err
 	}
@@ -175,9 +175,9 @@
 	}
 	if err := f.await("the end of the change", nil, func() bool {
 		r = f.agreedRecord()
-		return r.Change.Number == f.number && r.State.Phase.Ends()
+		return r.Change.Number == f.number && r.State.Phase.IsTerminal()
 	}); err != nil {
-		return "", fmt.Errorf("%w: %s: %s", err, r.State.Phase, r.State.Why)
+		return "", fmt.Errorf("%w: %s: %s", err, r.State.Phase, r.State.Reason)
 	}
 	return f.reached(r)
 }
--- a/internal/testcluster/requests.go
+++ b/internal/testcluster/requests.go
@@ -20,14 +20,14 @@
 var ErrRefused = errors.New("refused")
 
 // direct speaks with one supervisor past its link.
-func (c *Cluster) direct(m *Member) *coordinator.Fleet {
+func (c *Cluster) direct(m *Member) *coordinator.FleetClient {
 	member := operator.Member{Name: m.Name, Listen: m.SupervisorAddress}
-	return coordinator.NewFleet([]operator.Member{member}, requestTimeout, requestTimeout)
+	return coordinator.NewFleetClient([]operator.Member{member}, requestTimeout, requestTimeout)
 }
 
 // Status requests a supervisor's status, past its link.
 func (c *Cluster) Status(m *Member) (supervisor.Status, error) {
-	answer := c.direct(m).Ask(context.Background())[0]
+	answer := c.direct(m).Poll(context.Background())[0]
 	return answer.Status, answer.Err
 }
 
@@ -39,11 +39,11 @@
 	}
 	spec := status.Spec
 	spec.Program.Path = path
-	if spec.Program.Digest, err = change.OfFile(path); err != nil {
+	if spec.Program.Digest, err = change.FileDigest(path); err != nil {
 		return err
 	}
-	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: spec}
-	for _, err := range c.direct(m).Order(context.Background(), map[int]change.Order{0: order}) {
+	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Spec: spec}
+	for _, err := range c.direct(m).SendOrders(context.Background(), map[int]change.Order{0: order}) {
 		return fmt.Errorf("%s refuses order %v: %w", m.Name, fence, err)
 	}
 	return nil
