--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -24,37 +24,37 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder, copied := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "copied")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "a first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(t, w, "a first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.Rollout(currentProgram, folder, "resume", "--conduct")
+	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if second.Await() == nil || !strings.Contains(second.Log(), "another process coordinates") {
+	if second.WaitExit() == nil || !strings.Contains(second.Log(), "another process coordinates") {
 		t.Errorf("two conduct in one folder: %s", second.Log())
 	}
-	third, err := w.Rollout(currentProgram, copied, "resume", "--conduct")
+	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "a later stage", func() bool { return recordedState(copied).Stage > 0 || third.Over() })
-	third.End() // and is followed by one more
-	fourth, err := w.Rollout(currentProgram, copied, "resume", "--conduct")
+	waitUntil(t, w, "a later stage", func() bool { return recordedState(copied).Stage > 0 || third.Exited() })
+	third.Kill() // and is followed by one more
+	fourth, err := w.StartCoordinator(currentProgram, copied, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := fourth.Await(); err != nil || recordedState(copied).Phase != rollout.PhaseDone {
+	if err := fourth.WaitExit(); err != nil || recordedState(copied).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(copied), fourth.Log())
 	}
 	p.Signal(syscall.SIGCONT)
-	err = p.Await()
+	err = p.WaitExit()
 	var code *exec.ExitError
 	if code, _ = err.(*exec.ExitError); code == nil || code.ExitCode() != 6 || !strings.Contains(p.Log(), "rollout_fenced") {
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
@@ -75,11 +75,11 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil {
+	if err := p.WaitExit(); err != nil {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	m := w.Members[1]
@@ -89,7 +89,7 @@
 	}
 	send := func(o change.Order) (int, string) {
 		text, _ := json.Marshal(o)
-		a, err := http.Post("http://"+m.Keeps+"/v1/order", "application/json", strings.NewReader(string(text)))
+		a, err := http.Post("http://"+m.SupervisorAddress+"/v1/order", "application/json", strings.NewReader(string(text)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,8 +117,8 @@
 		t.Errorf("an order for another: %d %s", code, text)
 	}
 	l.Stop() // the keeper's death takes its controller with it
-	m.Keeper.End()
-	if err := w.Again(m); err != nil {
+	m.Supervisor.Kill()
+	if err := w.StartSupervisor(m); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
@@ -143,19 +143,19 @@
 // A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the format before.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 4, Controllers: 3, Engines: 2, Keepers: map[int]string{0: previousProgram}}.Town()
+	w, err := testcluster.Config{Program: currentProgram, Seed: 4, Controllers: 3, Engines: 2, SupervisorPrograms: map[int]string{0: previousProgram}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	for i, of := range []string{currentProgram, previousProgram} {
 		folder := filepath.Join(w.Dir, fmt.Sprint("record", i))
-		p, err := w.Rollout(of, folder, "start", writeFile(t, w, "change.json", settingsChange(i+1)))
+		p, err := w.StartCoordinator(of, folder, "start", writeFile(t, w, "change.json", settingsChange(i+1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+		if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 			t.Fatalf("%v: %s", err, p.Log())
 		}
 		if !everyStatus(t, w, func(s supervisor.Status) bool {
@@ -163,7 +163,7 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Supervisor.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
@@ -174,23 +174,23 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder, other := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "other")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is under way", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
-	q, err := w.Rollout(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
+	waitUntil(t, w, "it is under way", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
+	q, err := w.StartCoordinator(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q.Await() == nil || !strings.Contains(q.Log(), "has taken order") && !strings.Contains(q.Log(), "holds spec") {
+	if q.WaitExit() == nil || !strings.Contains(q.Log(), "has taken order") && !strings.Contains(q.Log(), "holds spec") {
 		t.Errorf("a second conductor began: %s", q.Log())
 	}
-	if err := p.Await(); err != nil {
+	if err := p.WaitExit(); err != nil {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	l.Stop()
-	if l, err := net.Listen("tcp4", w.Members[0].Keeps); err == nil {
+	if l, err := net.Listen("tcp4", w.Members[0].SupervisorAddress); err == nil {
 		l.Close()
 		t.Error("its keeper is gone")
 	}
--- /dev/null
+++ b/internal/testcluster/events.go
@@ -0,0 +1,29 @@
+package testcluster
+
+import (
+	"sync"
+	"time"
+
+	"swiftreel/internal/rulecheck"
+)
+
+// EventLog is what all fakes of a run log. The zero value is ready; it is safe for concurrent use.
+type EventLog struct {
+	mu      sync.Mutex
+	entries []rulecheck.Entry
+}
+
+// Add logs an entry with the present time.
+func (l *EventLog) Add(e rulecheck.Entry) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e.TimeNS = time.Now().UnixNano()
+	l.entries = append(l.entries, e)
+}
+
+// Entries returns a copy of all that was logged, in order of time.
+func (l *EventLog) Entries() []rulecheck.Entry {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return rulecheck.Merge(l.entries)
+}
