--- a/choice/action.go
+++ b/choice/action.go
@@ -13,7 +13,7 @@
 	SetTimer                                 // Duration, TimerID
 	SendProbe                                // Engine
 	CloseIdle                                // close idle connections: Engine
-	SendGossip                               // Peer, Text
+	SendGossip                               // Peer, Payload
 	WatchEngines                             // ask discovery for changes of the list, or no longer: Enabled
 	ListEngines                              // ask discovery for the full list
 	Log                                      // Text
@@ -33,6 +33,7 @@
 	TimerID      TimerID
 	Peer         PeerID // math.MaxUint32: all
 	Enabled      bool
+	Payload      string // of a message to another controller
 	Text         string
 }
 
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -34,7 +34,7 @@
 		c.gossip.mapTokens -= cost
 		fleet := c.fleetMap(c.now - gossipTTL)
 		c.receiveGossip(c.settings.ownIndex, []byte(fleet))
-		c.emit(Action{Kind: SendGossip, Peer: math.MaxUint32, Text: fleet})
+		c.emit(Action{Kind: SendGossip, Peer: math.MaxUint32, Payload: fleet})
 	}
 }
 
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -79,7 +79,7 @@
 			c.receiveGossip(to, []byte(message))
 			continue
 		}
-		c.emit(Action{Kind: SendGossip, Peer: PeerID(to), Text: message})
+		c.emit(Action{Kind: SendGossip, Peer: PeerID(to), Payload: message})
 	}
 }
 
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -30,8 +30,8 @@
 	for _, a := range acts {
 		for to, s := range f.stages {
 			if a.Kind == SendGossip && to != from && (a.Peer == PeerID(to) || a.Peer == 1<<32-1) && !f.lost(from, to) {
-				f.cost += messageOverhead + len(a.Text)
-				s.handle(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Text)})
+				f.cost += messageOverhead + len(a.Payload)
+				s.handle(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Payload)})
 			}
 		}
 	}
--- a/choice/recording_digest_test.go
+++ b/choice/recording_digest_test.go
@@ -13,9 +13,9 @@
 	}
 	h := fnv.New64a()
 	for _, a := range acts {
-		text := a.Text
-		if a.Kind == Log || a.Kind == Fault {
-			text = ""
+		text := a.Payload
+		if a.Kind != Log && a.Kind != Fault {
+			text += a.Text
 		}
 		fmt.Fprintf(h, "%s job=%d engine=%d seq=%d span=%d until=%d priority=%d memory=%x mark=%d peer=%d on=%v text=%x\n",
 			actionNames.name(a.Kind), a.Job, a.Engine, a.Seq, a.Duration, a.SendDeadline, a.Priority, a.MemoryMB, a.TimerID,
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -66,7 +66,7 @@
 		}
 	case choice.SendGossip:
 		be.PutUint32(record[3:], uint32(action.Peer))
-		p.addText(record[7:], action.Text)
+		p.addText(record[7:], action.Payload)
 	case choice.Log, choice.Fault:
 		p.addText(record[3:], action.Text)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -94,7 +94,7 @@
 	p.Add(3, choice.Action{Kind: choice.Dispatch, Job: 0x5d3a91c4, Engine: 0x03124a07, Duration: 80000000})
 	p.Add(3, choice.Action{Kind: choice.SetTimer, Duration: 500000000, TimerID: 77})
 	p.Add(5, choice.Action{Kind: choice.Log, Text: "two servers known"})
-	p.Add(3, choice.Action{Kind: choice.SendGossip, Peer: 0xffffffff, Text: "hi 7"})
+	p.Add(3, choice.Action{Kind: choice.SendGossip, Peer: 0xffffffff, Payload: "hi 7"})
 	p.Add(3, choice.Action{Kind: choice.SetDispatchOptions, Job: 0x5d3a91c4, Priority: 2, MemoryMB: 640})
 	var out bytes.Buffer
 	if _, err := p.WriteTo(&out); err != nil {
