--- a/choice/engine.go
+++ b/choice/engine.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 )
 
@@ -130,3 +131,8 @@
 	e.probePending = true
 	c.emit(Action{Kind: SendProbe, Engine: e.Engine})
 }
+
+// warmCores is the cores of an engine, or 0 during its slow start, when it is kept almost empty.
+func (c *Controller) warmCores(e *engine) float64 {
+	return e.cores * math.Floor(c.slowStartFraction(e))
+}
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -96,20 +96,6 @@
 	}
 }
 
-// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready engines
-// that the plan does not know.
-func (c *Controller) planPresence() (threads, unknownCores float64) {
-	for _, e := range c.engines {
-		planned := c.plan.engine(e.Engine)
-		if e.State == Ready && !planned.known {
-			unknownCores += e.cores
-		} else if e.State == Ready && !e.ejected {
-			threads += planned.threads
-		}
-	}
-	return threads, unknownCores
-}
-
 // observeUsage learns the errors of a type's estimates from a job's usage, and returns the true work.
 func (t *jobType) observeUsage(j *job, u usage) float64 {
 	work := math.Max(u.work(), float64(ms))
@@ -152,8 +138,3 @@
 func (c *Controller) memoryNeed(j *job, e *engine) float64 {
 	return min(j.memoryMB*math.Exp(j.jobType.memoryBias), e.memoryMB*c.settings.maxGrantShare)
 }
-
-// warmCores is the cores of an engine, or 0 during its slow start, when it is kept almost empty.
-func (c *Controller) warmCores(e *engine) float64 {
-	return e.cores * math.Floor(c.slowStartFraction(e))
-}
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -132,23 +132,23 @@
 
 // The switch works live, both ways: nothing is told, and nothing heard, while messages are not allowed.
 func TestGossipIsSwitchedWhileJobsRun(t *testing.T) {
-	f, sentMessages := newFleet(t, 3, 2), 0
+	f, messages := newFleet(t, 3, 2), 0
 	s := f.stages[0]
 	deliver := s.onDecide
 	s.onDecide = func(ev Event, acts []Action) {
 		for _, a := range acts {
 			if a.Kind == SendGossip {
-				sentMessages++
+				messages++
 			}
 		}
 		deliver(ev, acts)
 	}
 	for i, on := range []bool{true, false, true} {
 		s.handle(Event{Kind: Reconfigured, Settings: s.settings.set("limits.peer_messages", on)})
-		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, sentMessages = 0, 0, 0
+		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, messages = 0, 0, 0
 		f.load([]int{0, 1, 2})
 		f.pass(300 * ms)
-		require(t, (sentMessages > 0) == on, "step %d: %d messages told", i, sentMessages)
+		require(t, (messages > 0) == on, "step %d: %d messages told", i, messages)
 		require(t, (s.c.engines[0].loadKnownAt > 0) == on, "step %d: a map was heard: %v", i, !on)
 		require(t, s.jobs[s.nextID].out(), "step %d: the job was not left where it runs", i)
 	}
--- a/choice/outlier_test.go
+++ b/choice/outlier_test.go
@@ -18,7 +18,7 @@
 	require(t, e.ejected, "six in a row are no chance")
 }
 
-func TestAtMostAThirdOfTheFleetIsEjected(t *testing.T) {
+func TestNoMoreThanAThirdOfTheFleetIsEjected(t *testing.T) {
 	s := newStage(t, plainSettings(), 6)
 	for range 60 {
 		id := s.arrive(0, 0, 1)
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -85,3 +85,17 @@
 	planned.known = true
 	p.plannedEngines[w.Engine] = planned
 }
+
+// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready engines
+// that the plan does not know.
+func (c *Controller) planPresence() (threads, unknownCores float64) {
+	for _, e := range c.engines {
+		planned := c.plan.engine(e.Engine)
+		if e.State == Ready && !planned.known {
+			unknownCores += e.cores
+		} else if e.State == Ready && !e.ejected {
+			threads += planned.threads
+		}
+	}
+	return threads, unknownCores
+}
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -64,7 +64,7 @@
 }
 
 // The failure: an engine that had been cold was empty for our own restraint, and taken for just started for ever.
-func TestEngineAfterSlowStartIsNotTakenForRestarted(t *testing.T) {
+func TestEngineAfterSlowStartIsNoSuspectedRestart(t *testing.T) {
 	s := newStage(t, plainSettings(), 1)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
 	s.now += s.c.settings.slowStartWindow + second
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestFactsNamedByField(t *testing.T) {
+func TestSettingErrorsNameTheirPath(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"classes": [{"kinds_only": ["type-a"]}]}`:             "classes.0.kinds_only.0",
 		`{"classes": [{}, {"allowed_in": [1.5]}]}`:              "classes.1.allowed_in.0",
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,9 +71,9 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	whole := unhex(t, twoInstances)
-	for n := 1; n < len(whole); n++ {
-		if _, err := read(whole[:n]); !errors.Is(err, ErrFrame) {
+	valid := unhex(t, twoInstances)
+	for n := 1; n < len(valid); n++ {
+		if _, err := read(valid[:n]); !errors.Is(err, ErrFrame) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
@@ -81,7 +81,7 @@
 		t.Errorf("end of input: %v", err)
 	}
 	for at, value := range map[int]byte{0: 0xff, 15: 9, 16: 251} { // length, count, code
-		broken := bytes.Clone(whole)
+		broken := bytes.Clone(valid)
 		broken[at] = value
 		if _, err := read(broken); !errors.Is(err, ErrFrame) {
 			t.Errorf("byte %d = %d: %v", at, value, err)
