--- a/internal/proof/owner/listener.go
+++ b/internal/proof/owner/listener.go
@@ -66,7 +66,9 @@
 		latencies := make([]uint64, latencyBuckets)
 		latencies[i*bucketsBetweenTypes] = jobs
 		group := canary.Group{Type: fmt.Sprint("type", i%typesPerListener), Tenant: fmt.Sprint("tenant", i)}
-		status.JobCounts[group] = canary.JobCounts{Jobs: jobs, WithinSLA: jobs, Done: jobs, Dispatches: jobs, LatencyBuckets: latencies}
+		status.JobCounts[group] = canary.JobCounts{
+			Jobs: jobs, WithinSLA: jobs, Done: jobs, Dispatches: jobs, LatencyBuckets: latencies,
+		}
 	}
 	return status
 }
