--- a/choice/controller.go
+++ b/choice/controller.go
@@ -5,7 +5,7 @@
 // Controller decides for one controller of the fleet. Its zero value is ready for a Started event. It is not safe for
 // concurrent use.
 type Controller struct {
-	settings settings
+	settings Settings
 	random   pcg
 	now      Nanos // of the present event
 	actions  []Action
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -8,6 +8,7 @@
 // A Controller is not safe for concurrent use: its caller serializes all calls. The package reads no clock, does no
 // I/O and starts no goroutine; time and the random seed come with events, so the same events always lead to the same
 // actions. Sockets, protocols, discovery and storage belong to the caller.
+// Its settings are parsed once by [ParseSettings] and handed over with an event; absent or odd ones have defaults.
 //
 // The decisions and all tuned values are in the files listed under "policy" in deploy/balancer.toml, one file per
 // concern; the other files hold records, settings, containers, moving means, encodings and log texts. docs/design.md
--- a/choice/event.go
+++ b/choice/event.go
@@ -108,7 +108,7 @@
 	Kind EventKind
 
 	Seed     uint64
-	Settings RawSettings
+	Settings *Settings // nil: defaults
 
 	Job               JobID
 	Type              TypeID
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -107,7 +107,8 @@
 func TestTableWaitersAvoidSiblingLoads(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for _, s := range f.stages { // type 0 stands still behind loads of type 2
-		s.handle(Event{Kind: Reconfigured, Settings: s.settings.set("domain.waits_for_loads", []any{true, false, false})})
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("domain.waits_for_loads",
+			[]any{true, false, false}))})
 	}
 	f.stages[1].list(ListDelta, EngineEntry{Engine: 101, State: Draining})
 	load := f.stages[1].arrive(2, 0, 7)
@@ -144,7 +145,7 @@
 		deliver(ev, acts)
 	}
 	for i, on := range []bool{true, false, true} {
-		s.handle(Event{Kind: Reconfigured, Settings: s.settings.set("limits.peer_messages", on)})
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("limits.peer_messages", on))})
 		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, messages = 0, 0, 0
 		f.load([]int{0, 1, 2})
 		f.pass(300 * ms)
--- a/choice/plan_test.go
+++ b/choice/plan_test.go
@@ -116,7 +116,7 @@
 func RunDecides(n int, plan bool) {
 	var c Controller
 	now := Nanos(1e12)
-	c.Decide(now, Event{Kind: Started, Seed: 3, Settings: plainSettings()})
+	c.Decide(now, Event{Kind: Started, Seed: 3, Settings: ParseSettings(plainSettings())})
 	p := &Plan{Tenants: []PlanTenant{{0, 1}}, DemandThreads: 40, MaxDemandRatio: 1e9}
 	var lines []EngineEntry
 	for i := range EngineID(40) {
--- a/choice/predecessor_test.go
+++ b/choice/predecessor_test.go
@@ -30,7 +30,7 @@
 // newSuccessor is a controller that just started, beside a predecessor or not, with one engine.
 func newSuccessor(predecessor bool, engineStartedAt Nanos) *Controller {
 	c := &Controller{}
-	c.Decide(successorStart, Event{Kind: Started, Seed: 1, Settings: successorSettings()})
+	c.Decide(successorStart, Event{Kind: Started, Seed: 1, Settings: ParseSettings(successorSettings())})
 	if predecessor {
 		c.Decide(successorStart, Event{Kind: PredecessorChanged, PredecessorRunning: true})
 	}
@@ -106,7 +106,7 @@
 		map[string]any{"name": "report", "aim_ns": 4e9}}}
 	begin := func() *Controller {
 		c := &Controller{}
-		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: facts})
+		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: ParseSettings(facts)})
 		return c
 	}
 	old := begin()
--- a/choice/quota_test.go
+++ b/choice/quota_test.go
@@ -12,11 +12,12 @@
 	const start = Nanos(1e15)
 	begin := func() *Controller {
 		c := &Controller{}
-		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: RawSettings{"balancers": 4.0,
+		settings := ParseSettings(RawSettings{"balancers": 4.0,
 			"tenants":    []any{map[string]any{"quota_per_s": 100.0}},
 			"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 1e9, "gain": 1.0}},
 			"telemetry":  map[string]any{"fields": []any{"concurrent"}},
-			"invariants": map[string]any{}, "domain": map[string]any{"cpu_of_kind": []any{16.0}}}})
+			"invariants": map[string]any{}, "domain": map[string]any{"cpu_of_kind": []any{16.0}}})
+		c.Decide(start, Event{Kind: Started, Seed: 1, Settings: settings})
 		c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready}}})
 		return c
 	}
--- a/choice/raw_settings.go
+++ b/choice/raw_settings.go
@@ -7,7 +7,7 @@
 )
 
 // RawSettings are the settings as decoded from JSON, read by dotted path ("limits.probes", "classes.2.gain"). What is
-// absent, or of another type, gives the caller's value. They must not change once they are handed over.
+// absent, or of another type, gives the caller's value.
 type RawSettings map[string]any
 
 // at is the value at a path, or nil.
--- a/choice/recording_convert_test.go
+++ b/choice/recording_convert_test.go
@@ -98,11 +98,11 @@
 	return out
 }
 
-func recorded(ev Event) recordedEvent {
+// recorded is an event as it is recorded, with the settings that it was parsed from, if it has any.
+func recorded(ev Event, settings RawSettings) recordedEvent {
 	r := recordedEvent{
 		Kind:               eventNames.name(ev.Kind),
 		Seed:               ev.Seed,
-		Settings:           ev.Settings,
 		Job:                uint32(ev.Job),
 		Type:               uint8(ev.Type),
 		Tenant:             uint32(ev.Tenant),
@@ -131,6 +131,9 @@
 		PredecessorRunning: ev.PredecessorRunning,
 		Quota:              recordedQuota{recordedFloat(ev.Quota.FleetShare), nil, int64(ev.Quota.ExpiresAt)},
 	}
+	if ev.Settings != nil {
+		r.Settings = settings
+	}
 	r.Engines = each(ev.Engines, func(l EngineEntry) recordedEngine {
 		return recordedEngine{uint32(l.Engine), uint8(l.Zone), uint16(l.Kind), uint16(l.Cell), stateNames.name(l.State),
 			recordedFloat(l.Size), int64(l.StartedAt), uint8(l.Unsupported)}
@@ -170,7 +173,6 @@
 	tb.Helper()
 	ev := Event{
 		Seed:               r.Seed,
-		Settings:           r.Settings,
 		Job:                JobID(r.Job),
 		Type:               TypeID(r.Type),
 		Tenant:             TenantID(r.Tenant),
@@ -197,6 +199,9 @@
 		PredecessorRunning: r.PredecessorRunning,
 		Quota:              Quota{FleetShare: float64(r.Quota.FleetShare), ExpiresAt: Nanos(r.Quota.ExpiresAt)},
 	}
+	if r.Settings != nil {
+		ev.Settings = ParseSettings(r.Settings)
+	}
 	ev.Kind = eventNames.value(tb, r.Kind)
 	ev.Result = resultNames.value(tb, r.Result)
 	ev.List = listNames.value(tb, r.List)
--- a/choice/recording_coverage_test.go
+++ b/choice/recording_coverage_test.go
@@ -8,6 +8,17 @@
 	"testing"
 )
 
+// anySettings hold each kind of value that settings may have.
+func anySettings() RawSettings {
+	return RawSettings{
+		"balancers": 3.0,
+		"classes":   []any{map[string]any{"gain": 1.5, "fifo_by_key": true, "allowed_in": []any{}}, nil},
+		"limits":    map[string]any{"cancel": true, "most_tries": math.Pi},
+		"tenants":   []any{map[string]any{"quota_per_s": 0.1}},
+		"some":      []any{1.5, "text", true, nil, map[string]any{"a": []any{}}},
+	}
+}
+
 // fill sets each exported field of a value, however deep, to something that is not zero.
 func fill(v reflect.Value) {
 	switch v.Kind() {
@@ -30,12 +41,14 @@
 		fill(key)
 		fill(value)
 		v.SetMapIndex(key, value)
-	case reflect.Interface:
-		v.Set(reflect.ValueOf([]any{1.5, "text", true, nil, map[string]any{"a": []any{}}}))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		fill(v.Elem())
 	case reflect.Struct:
+		if v.Type() == reflect.TypeFor[Settings]() {
+			v.Set(reflect.ValueOf(*ParseSettings(anySettings())))
+			return
+		}
 		if v.Type() == reflect.TypeFor[TypeStats]() {
 			m := v.Addr().Interface().(*TypeStats)
 			for i, part := range m.figures() {
@@ -69,9 +82,12 @@
 	}
 	for i, ev := range events {
 		var step recordedStep
-		if err := json.Unmarshal(encodeStep(t, recordedStep{Event: recorded(ev)}), &step); err != nil {
+		if err := json.Unmarshal(encodeStep(t, recordedStep{Event: recorded(ev, anySettings())}), &step); err != nil {
 			t.Fatal(err)
 		}
+		if raw := RawSettings(step.Event.Settings); ev.Settings != nil && !reflect.DeepEqual(raw, anySettings()) {
+			t.Errorf("event %d: settings are read as %v", i, raw)
+		}
 		if got := step.Event.event(t); !reflect.DeepEqual(got, ev) {
 			t.Errorf("event %d: %+v is read as %+v", i, ev, got)
 		}
@@ -79,14 +95,14 @@
 	for i := range 9 {
 		var m TypeStats
 		*m.figures()[i] = math.E
-		if got := recorded(Event{TypeStats: []TypeStats{m}}).event(t).TypeStats[0]; got != m {
+		if got := recorded(Event{TypeStats: []TypeStats{m}}, nil).event(t).TypeStats[0]; got != m {
 			t.Errorf("mean %d: %+v is read as %+v", i, m, got)
 		}
 	}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), math.Copysign(0, -1), 1.0 / 3, 5e-324,
 		math.MaxFloat64} {
 		var step recordedStep
-		if err := json.Unmarshal(encodeStep(t, recordedStep{Event: recorded(Event{MemoryMB: v})}), &step); err != nil {
+		if err := json.Unmarshal(encodeStep(t, recordedStep{Event: recorded(Event{MemoryMB: v}, nil)}), &step); err != nil {
 			t.Fatal(err)
 		}
 		if got := step.Event.event(t).MemoryMB; math.Float64bits(got) != math.Float64bits(v) {
--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -67,8 +67,9 @@
 	t.Helper()
 	play(t, func(s *stage) {
 		s.onDecide = func(ev Event, acts []Action) {
-			lines = append(lines, encodeStep(t, recordedStep{At: int64(s.now), Event: recorded(ev), Decisions: digestOf(acts),
-				State: stateOf(&s.c, s.now), Log: logTexts(acts)}))
+			lines = append(lines, encodeStep(t, recordedStep{At: int64(s.now), Event: recorded(ev, s.settings),
+				Decisions: digestOf(acts),
+				State:     stateOf(&s.c, s.now), Log: logTexts(acts)}))
 		}
 	})
 	return lines
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -56,23 +56,23 @@
 	meanWork := s.c.types[1].meanWork
 	barred := plainSettings().set("limits.cancel", false)
 	barred["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
-	s.handle(Event{Kind: Reconfigured, Settings: barred})
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(barred)})
 	require(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == meanWork && !s.c.settings.cancelAllowed,
 		"what was out or learned is lost")
 	parked := s.arrive(1, 0, 1)
 	require(t, len(s.enginesOf(parked)) == 0, "sent to an engine of a kind that the new settings bar")
-	s.handle(Event{Kind: Reconfigured, Settings: plainSettings()})
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(plainSettings())})
 	s.pass(resampleInterval)
 	require(t, len(s.enginesOf(parked)) == 1 && s.c.settings.cancelAllowed, "the way back does not hold at once")
 	require(t, len(s.enginesOf(out)) == 1, "what was out is sent twice")
 	e := s.c.engines[1]
 	memory := plainSettings().set("telemetry.fields", []any{"load_share", "x0"})
 	for range 2 { // from counts of jobs to memory granted, and back
-		s.handle(Event{Kind: Reconfigured, Settings: memory})
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(memory)})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done,
 			Load: []float64{0, (e.ownMemoryMB + 800) / e.memoryMB}})
 		require(t, e.siblingThreads > 6 && e.siblingThreads < 10, "others %v of 8 by memory", e.siblingThreads)
-		s.handle(Event{Kind: Reconfigured, Settings: plainSettings()})
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(plainSettings())})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.attempts))}})
 		require(t, e.siblingThreads == 0, "others %v of 0 by count", e.siblingThreads)
 	}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// settings are RawSettings parsed once. Parsing never fails: absent or odd values have the defaults named here.
-type settings struct {
+// Settings are the settings of a controller, parsed once from RawSettings. They do not change, and may be shared by
+// several controllers and goroutines. The comments say which value an absent or odd setting has, if it is not zero.
+type Settings struct {
 	controllers   int     // of the fleet, at least 1
 	ownIndex      int     // our number among them, from 0
 	evenShare     float64 // 1 / controllers
@@ -86,8 +87,10 @@
 // drainGraceUnlimited applies where no grace is configured.
 const drainGraceUnlimited = 1e18
 
-func parseSettings(r RawSettings) settings {
-	s := settings{
+// ParseSettings parses settings. It never fails: what is absent or odd has its default. The raw settings are not
+// retained.
+func ParseSettings(r RawSettings) *Settings {
+	s := &Settings{
 		controllers: max(1, int(r.number("balancers", 1))),
 		ownIndex:    int(r.number("me", 0)),
 		zone:        ZoneID(r.number("locality", 0)),
@@ -114,7 +117,7 @@
 }
 
 // parseLimits parses what a controller may do.
-func (s *settings) parseLimits(r RawSettings) {
+func (s *Settings) parseLimits(r RawSettings) {
 	s.maxAttempts = max(1, int(r.number("limits.most_tries", 1)))
 	s.cancelAllowed = r.flag("limits.cancel")
 	s.probesAllowed = r.flag("limits.probes")
@@ -125,7 +128,7 @@
 }
 
 // parseRules parses the figures of the rules.
-func (s *settings) parseRules(r RawSettings) {
+func (s *Settings) parseRules(r RawSettings) {
 	s.slowStartWindow = r.nanos("invariants.warm_within_ns")
 	s.startCapacity = r.number("invariants.start_capacity", 1)
 	s.overloadWindow = r.nanos("invariants.fall_ns")
@@ -138,7 +141,7 @@
 }
 
 // parseEngines parses what engines are, honor and report.
-func (s *settings) parseEngines(r RawSettings) {
+func (s *Settings) parseEngines(r RawSettings) {
 	s.grantsHonored = r.flag("domain.grants_count")
 	s.takesPriority = r.flag("domain.takes_priority")
 	s.usageReported = r.flag("domain.says_cost")
@@ -172,7 +175,7 @@
 }
 
 // cores returns the cores of an engine of a kind, at least 1.
-func (s *settings) cores(kind KindID) float64 {
+func (s *Settings) cores(kind KindID) float64 {
 	cores, known := s.coresByKind[int(kind)]
 	if !known {
 		return 1
@@ -181,13 +184,13 @@
 }
 
 // memoryMB returns the memory of an engine of a kind; 0 is unknown.
-func (s *settings) memoryMB(kind KindID) float64 { return s.memoryByKind[int(kind)] }
+func (s *Settings) memoryMB(kind KindID) float64 { return s.memoryByKind[int(kind)] }
 
 // unlimitedQuota applies to a tenant without a quota, in jobs per second.
 const unlimitedQuota = 1e9
 
 // tenantQuota returns a tenant's quota over the fleet, in jobs per second.
-func (s *settings) tenantQuota(id TenantID) float64 {
+func (s *Settings) tenantQuota(id TenantID) float64 {
 	quota, limited := s.tenantQuotas[int(id)]
 	if !limited {
 		return unlimitedQuota
@@ -196,15 +199,15 @@
 }
 
 // reportsLoad reports whether load reports show siblings' jobs.
-func (s *settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
+func (s *Settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
 
 // jobCount returns the jobs that an engine holds by its load report, if reported.
-func (s *settings) jobCount(load []float64) (jobs float64, reported bool) {
+func (s *Settings) jobCount(load []float64) (jobs float64, reported bool) {
 	return reportField(load, s.jobCountField)
 }
 
 // grantedMemory returns the granted part of an engine's memory by its load report, if reported.
-func (s *settings) grantedMemory(load []float64) (share float64, reported bool) {
+func (s *Settings) grantedMemory(load []float64) (share float64, reported bool) {
 	return reportField(load, s.grantedMemoryField)
 }
 
@@ -215,10 +218,13 @@
 	return load[at], true
 }
 
-// applySettings replaces the settings. What was learned of a type stays; a type that is no longer configured keeps
-// its settings.
-func (c *Controller) applySettings(raw RawSettings) {
-	c.settings = parseSettings(raw)
+// applySettings replaces the settings; nil stands for defaults. What was learned of a type stays; a type that is no
+// longer configured keeps its settings.
+func (c *Controller) applySettings(settings *Settings) {
+	if settings == nil {
+		settings = ParseSettings(nil)
+	}
+	c.settings = *settings
 	c.gossip.messages = nil
 	if c.settings.gossipAllowed {
 		c.gossip.messages = make([]peerMessage, c.settings.controllers)
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			raw := parseJSON(t, text)
-			s := parseSettings(raw)
+			s := ParseSettings(raw)
 			for place := range 5 {
 				cores := math.Max(1, raw.number(fmt.Sprintf("domain.cpu_of_kind.%d", place), 1))
 				if got := s.cores(KindID(place)); got != cores {
@@ -58,7 +58,7 @@
 		"domain": {"max_grant_share": "all", "grants_count": "true"}, "telemetry": {"fields": "concurrent"}}`
 	for name, text := range map[string]string{"absent": `{}`, "odd": odd} {
 		t.Run(name, func(t *testing.T) {
-			s := parseSettings(parseJSON(t, text))
+			s := ParseSettings(parseJSON(t, text))
 			if s.controllers != 1 || s.ownIndex != 0 || s.evenShare != 1 || s.maxAttempts != 1 || len(s.types) != 0 {
 				t.Errorf("controllers %d, own index %d, share %v, attempts %d, %d types", s.controllers, s.ownIndex, s.evenShare,
 					s.maxAttempts, len(s.types))
--- a/choice/slow_start_fleet_test.go
+++ b/choice/slow_start_fleet_test.go
@@ -54,7 +54,7 @@
 		var fleet []*Controller
 		for i := range n {
 			c := &Controller{}
-			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Settings: d.settings(i)})
+			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Settings: ParseSettings(d.settings(i))})
 			c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: startedEngine,
 				State: Ready}}})
 			c.engines[0].suspectedRestartAt = start + 3*second + Nanos(random.Float64()*4*float64(overloadWindow))
--- a/choice/slow_start_scenario_test.go
+++ b/choice/slow_start_scenario_test.go
@@ -197,7 +197,7 @@
 			run.pending[q].controller = -1
 		}
 	}
-	run.handle(i, Event{Kind: Started, Seed: uint64(run.seed)*1000 + uint64(i), Settings: run.settings(i)})
+	run.handle(i, Event{Kind: Started, Seed: uint64(run.seed)*1000 + uint64(i), Settings: ParseSettings(run.settings(i))})
 	run.handle(i, Event{Kind: EnginesListed, List: CachedList, Engines: run.entries(run.now >= o.listedAt)})
 }
 
--- a/choice/stage_test.go
+++ b/choice/stage_test.go
@@ -100,7 +100,7 @@
 	tb.Helper()
 	s := &stage{t: tb, now: Nanos(1e12), settings: f, jobs: map[JobID]*stagedJob{}, entries: map[EngineID]EngineEntry{},
 		unavailableSince: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{}, slowStartWork: map[EngineID][]timedWork{}}
-	s.handle(Event{Kind: Started, Seed: 7, Settings: f})
+	s.handle(Event{Kind: Started, Seed: 7, Settings: ParseSettings(f)})
 	var lines []EngineEntry
 	for i := range engines {
 		lines = append(lines, EngineEntry{Engine: EngineID(100 + i), State: Ready, Zone: ZoneID(i % 2)})
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -11,7 +11,7 @@
 func restart(s *stage) {
 	s.c, s.timers, s.entries, s.unavailableSince = Controller{}, map[TimerID]Nanos{}, map[EngineID]EngineEntry{},
 		map[EngineID]Nanos{}
-	s.handle(Event{Kind: Started, Seed: 11, Settings: s.settings})
+	s.handle(Event{Kind: Started, Seed: 11, Settings: ParseSettings(s.settings)})
 	s.list(CachedList, EngineEntry{Engine: 100, State: Ready}, EngineEntry{Engine: 101, State: Ready, Zone: 1},
 		EngineEntry{Engine: 102, State: Ready})
 }
@@ -105,10 +105,10 @@
 		ExpiresAt: s.now + 3*second}})
 	s.chaos(r, 80)
 	s.settings = plainSettings().set("limits.cancel", false).set("limits.probes", false)
-	s.handle(Event{Kind: Reconfigured, Settings: s.settings})
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings)})
 	s.chaos(r, 60)
 	s.settings = plainSettings().set("limits.most_tries", 2.0).set("balancers", 3.0)
-	s.handle(Event{Kind: Reconfigured, Settings: s.settings})
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings)})
 	s.handle(Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.9, ExpiresAt: s.now + 60*second}})
 	s.chaos(r, 60)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining, Size: 2, Cell: 3},
@@ -141,7 +141,7 @@
 		f.deliver(observed, acts)
 	}
 	f.stages[observed].c, f.stages[observed].timers = Controller{}, map[TimerID]Nanos{}
-	f.stages[observed].handle(Event{Kind: Started, Seed: 11, Settings: f.stages[observed].settings})
+	f.stages[observed].handle(Event{Kind: Started, Seed: 11, Settings: ParseSettings(f.stages[observed].settings)})
 	f.stages[observed].list(CachedList, EngineEntry{Engine: 100, State: Ready},
 		EngineEntry{Engine: 101, State: Ready, Zone: 1}, EngineEntry{Engine: 102, State: Ready})
 	for round := range 120 {
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			return fmt.Errorf("settings of instance %d: %w", record.Instance, err)
 		}
-		record.Event.Settings = settings
+		record.Event.Settings = choice.ParseSettings(settings)
 		h.instances[record.Instance] = new(choice.Controller)
 	}
 	h.decide(now, record)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 		ResultBytes:    &g.budget.MessageBytes,
 	})
 	g.running.Go(g.reconcile)
-	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Settings: options.Settings})
+	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Settings: choice.ParseSettings(options.Settings)})
 	return g
 }
 
@@ -112,7 +112,7 @@
 // stay. What the gateway itself reads of the settings (names, time limits, fields of load reports) stays as it was at
 // the start.
 func (g *Gateway) Reconfigure(newSettings choice.RawSettings) {
-	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: newSettings})
+	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: choice.ParseSettings(newSettings)})
 	slog.Info("settings_reconfigured")
 }
 
--- a/internal/proof/solve/cost.go
+++ b/internal/proof/solve/cost.go
@@ -41,7 +41,7 @@
 		}
 		return to
 	}
-	tell(choice.Event{Kind: choice.Started, Seed: 3, Settings: facts(0, 1)})
+	tell(choice.Event{Kind: choice.Started, Seed: 3, Settings: choice.ParseSettings(facts(0, 1))})
 	p := &choice.Plan{Tenants: []choice.PlanTenant{{Tenant: 0, Share: 1}}, DemandThreads: 40, MaxDemandRatio: 1e9}
 	var lines []choice.EngineEntry
 	for i := range choice.EngineID(40) {
--- a/internal/proof/solve/virtual.go
+++ b/internal/proof/solve/virtual.go
@@ -205,7 +205,7 @@
 				}
 			}
 		}
-		tell(choice.Event{Kind: choice.Started, Seed: seed<<8 | uint64(me), Settings: facts(zone, controllers)})
+		tell(choice.Event{Kind: choice.Started, Seed: seed<<8 | uint64(me), Settings: choice.ParseSettings(facts(zone, controllers))})
 		tell(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: lines})
 		if plan != nil {
 			tell(choice.Event{Kind: choice.PlanUpdated, Plan: numbers(p, plan, zone)})
