--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -50,7 +50,7 @@
 			quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1,
 		},
 		SharesUntil: 123_456_789_000,
-		Plan:        change.OfJSON(plan),
+		Plan:        change.JSONDigest(plan),
 		PlanUntil:   987_654_321_000,
 		PlanText:    plan,
 	}
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -77,18 +77,18 @@
 	t.Helper()
 	program := change.Program{Path: "/opt/swiftreel", Digest: "00"}
 	record := coordinator.Record{
-		By:     "0123456789abcdef",
-		From:   change.Spec{Program: program},
-		To:     change.Spec{Program: program, Shape: json.RawMessage(`{"budget_free":1}`)},
-		Stages: [][]string{{"v1"}, {"v1", "v2", "v3"}},
-		Asked:  "1",
+		ID:            "0123456789abcdef",
+		From:          change.Spec{Program: program},
+		To:            change.Spec{Program: program, Topology: json.RawMessage(`{"budget_free":1}`)},
+		Stages:        [][]string{{"v1"}, {"v1", "v2", "v3"}},
+		LastRequestID: "1",
 		State: rollout.State{
-			Phase: rollout.Done, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Turn: 7}, Why: "all run it",
+			Phase: rollout.PhaseDone, Stage: 1, Fence: change.Fence{Number: 1, Term: 2, Revision: 7}, Reason: "all run it",
 		},
 	}
 	record.Change.Number = 1
-	record.Change.Kind = change.Settings
-	wish := coordinator.Wish{ID: "1", Ask: rollout.AskResume}
+	record.Change.Kind = change.KindSettings
+	wish := coordinator.OperatorRequest{ID: "1", Request: rollout.RequestResume}
 	for item, value := range map[string]any{"change.json": record, "ask.json": wish} {
 		text, err := json.MarshalIndent(value, "", " ")
 		if err != nil {
--- a/internal/proof/rollout/result.go
+++ b/internal/proof/rollout/result.go
@@ -45,13 +45,13 @@
 	if r.wantedPhase != "" && r.phase != r.wantedPhase {
 		list = append(list, fmt.Sprintf("ends as %s (%s), wanted %s", r.phase, r.outcome, r.wantedPhase))
 	}
-	if r.wantedPhase == "" && !r.phase.Ends() {
+	if r.wantedPhase == "" && !r.phase.IsTerminal() {
 		list = append(list, "does not end: "+string(r.phase))
 	}
 	if r.maxStage > 0 && r.stage > r.maxStage {
 		list = append(list, fmt.Sprintf("stopped at stage %d only", r.stage))
 	}
-	if r.wantedPhase == rollout.Done && r.program == "" && r.brokenConnections > 0 {
+	if r.wantedPhase == rollout.PhaseDone && r.program == "" && r.brokenConnections > 0 {
 		list = append(list, fmt.Sprintf("%d connections broke", r.brokenConnections))
 	}
 	if r.jobs < minJobs {
