--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -30,8 +30,8 @@
 	for _, a := range acts {
 		for to, s := range f.stages {
 			if a.Kind == SendGossip && to != from && (a.Peer == PeerID(to) || a.Peer == 1<<32-1) && !f.lost(from, to) {
-				f.cost += messageOverhead + len(a.Text)
-				s.handle(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Text)})
+				f.cost += messageOverhead + len(a.Payload)
+				s.handle(Event{Kind: GossipReceived, Peer: PeerID(from), Payload: []byte(a.Payload)})
 			}
 		}
 	}
@@ -107,7 +107,8 @@
 func TestTableWaitersAvoidSiblingLoads(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for _, s := range f.stages { // type 0 stands still behind loads of type 2
-		s.handle(Event{Kind: Reconfigured, Settings: s.settings.set("domain.waits_for_loads", []any{true, false, false})})
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("domain.waits_for_loads",
+			[]any{true, false, false}))})
 	}
 	f.stages[1].list(ListDelta, EngineEntry{Engine: 101, State: Draining})
 	load := f.stages[1].arrive(2, 0, 7)
@@ -132,23 +133,23 @@
 
 // The switch works live, both ways: nothing is told, and nothing heard, while messages are not allowed.
 func TestGossipIsSwitchedWhileJobsRun(t *testing.T) {
-	f, sentMessages := newFleet(t, 3, 2), 0
+	f, messages := newFleet(t, 3, 2), 0
 	s := f.stages[0]
 	deliver := s.onDecide
 	s.onDecide = func(ev Event, acts []Action) {
 		for _, a := range acts {
 			if a.Kind == SendGossip {
-				sentMessages++
+				messages++
 			}
 		}
 		deliver(ev, acts)
 	}
 	for i, on := range []bool{true, false, true} {
-		s.handle(Event{Kind: Reconfigured, Settings: s.settings.set("limits.peer_messages", on)})
-		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, sentMessages = 0, 0, 0
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("limits.peer_messages", on))})
+		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, messages = 0, 0, 0
 		f.load([]int{0, 1, 2})
 		f.pass(300 * ms)
-		require(t, (sentMessages > 0) == on, "step %d: %d messages told", i, sentMessages)
+		require(t, (messages > 0) == on, "step %d: %d messages told", i, messages)
 		require(t, (s.c.engines[0].loadKnownAt > 0) == on, "step %d: a map was heard: %v", i, !on)
 		require(t, s.jobs[s.nextID].out(), "step %d: the job was not left where it runs", i)
 	}
