--- a/cmd/swiftreel/main_test.go
+++ b/cmd/swiftreel/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -28,13 +29,16 @@
 
 const facts = `{"balancers":1,"me":0,"step_ns":2e8,"discovery":"automatic","localities":["east"],"kinds":["std"],
 "tenants":[{"name":"acme","quota_per_s":1000,"share":1}],
-"classes":[{"name":"lookup","idempotency":"repeatable","aim_ns":5e8,"gain":1,"late_worth":0.5,"key_scope":"all","repeat_window_ns":5e9},
-{"name":"import","idempotency":"once","aim_ns":3e9,"gain":10,"late_worth":0.5,"fifo_by_key":true,"key_scope":"all","repeat_window_ns":5e9}],
+"classes":[{"name":"lookup","idempotency":"repeatable","aim_ns":5e8,"gain":1,"late_worth":0.5,
+"key_scope":"all","repeat_window_ns":5e9},
+{"name":"import","idempotency":"once","aim_ns":3e9,"gain":10,"late_worth":0.5,"fifo_by_key":true,
+"key_scope":"all","repeat_window_ns":5e9}],
 "domain":{"class_threads":[1,2],"cpu_of_kind":[16],"size_mb":[32000],"max_grant_share":0.4,"writes_tables":[false,true],
 "waits_for_loads":[false,false],"says_cost":true,"takes_priority":true,"grants_count":true,"note_period_ns":0},
 "limits":{"cancel":true,"probes":true,"most_tries":4,"retry_after":true,"max_retry_after_ns":1e9,"dial_timeout_ns":1e9,
 "conn_idle_ns":15e9,"max_streams":100,"max_open":1000},"telemetry":{"via":"on_probe","fields":["concurrent"]},
-"invariants":{"answer_slack_ns":2e7,"drain_grace_ns":2.5e8,"start_capacity":0.4,"warm_within_ns":1e9,"fall_multiple":2,"fall_ns":1e9}}`
+"invariants":{"answer_slack_ns":2e7,"drain_grace_ns":2.5e8,"start_capacity":0.4,"warm_within_ns":1e9,
+"fall_multiple":2,"fall_ns":1e9}}`
 
 const step = 200 * time.Millisecond // as in the facts: long, so that a slow machine does not blur it
 
@@ -74,17 +78,29 @@
 }
 
 // newTown starts a controller that knows the engines named, and checks in the end that nothing stays open.
-func newTown(t *testing.T, names ...string) *town { return newTownOf(t, nil, names...) }
+func newTown(t *testing.T, names ...string) *town {
+	t.Helper()
+	return newTownOf(t, nil, names...)
+}
 
 // newTownOf has the engines' commands handled; else they come through the channel.
 func newTownOf(t *testing.T, handle func(*fake.Session, engine.Command), names ...string) *town {
+	t.Helper()
 	usual := lateArrivalWindow
 	lateArrivalWindow = 50 * time.Millisecond
 	log.SetOutput(io.Discard)
 	runtime.GC()
 	goroutines, files := runtime.NumGoroutine(), descriptors()
-	w := &town{t: t, handle: handle, engines: map[string]*fake.Engine{}, commands: make(chan engineCommand, 1000), stop: make(chan os.Signal, 1),
-		reload: make(chan os.Signal, 1), config: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
+	w := &town{
+		t:        t,
+		handle:   handle,
+		engines:  map[string]*fake.Engine{},
+		commands: make(chan engineCommand, 1000),
+		stop:     make(chan os.Signal, 1),
+		reload:   make(chan os.Signal, 1),
+		config:   filepath.Join(t.TempDir(), "config.json"),
+		ended:    make(chan error, 1),
+	}
 	var err error
 	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
 		t.Fatal(err)
@@ -182,8 +198,8 @@
 // job asks for a job with a call id of its own.
 func (w *town) job(method string, ttl string, more ...string) uint32 {
 	calls++
-	id, err := w.caller.Send(method, "INSERT INTO sales_17.orders SELECT * FROM staging.x",
-		append([]string{"call", fmt.Sprintf("%016x", calls), "ttl", ttl, "org", "acme", "work", "50", "est_mb", "96"}, more...)...)
+	fields := []string{"call", fmt.Sprintf("%016x", calls), "ttl", ttl, "org", "acme", "work", "50", "est_mb", "96"}
+	id, err := w.caller.Send(method, "INSERT INTO sales_17.orders SELECT * FROM staging.x", append(fields, more...)...)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -274,7 +290,9 @@
 	w := newTown(t, "e1")
 	id := w.job("lookup", "20000")
 	c := w.got("fetch")
-	w.caller.Revoke(id)
+	if err := w.caller.Revoke(id); err != nil {
+		t.Fatal(err)
+	}
 	w.aborted(c)
 	c.from.Answer(c.ID, "data", "sheets=1", "late\tb\tc\n")
 	id = w.job("lookup", "20000")
@@ -393,7 +411,7 @@
 	w.feed.Close()
 	settle(t, "the new place is not asked", func() bool { return len(moved.Told()) == 1 })
 	for _, text := range []string{"{", strings.Replace(good(w.config), moved.Address(), "nowhere", 1)} {
-		os.WriteFile(w.config, []byte(text), 0o600)
+		write(t, w.config, text)
 		failed := counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
 		settle(t, "no failed reload", func() bool { return counters.Value("reloads_failed") == failed+1 })
@@ -424,8 +442,8 @@
 	w.feed.Close() // out of reach: the list stays as it is
 	var b []byte
 	for id := range uint32(3) {
-		b = client.AppendCall(b, 1000+id, "lookup", []string{"call", fmt.Sprintf("%016x", 1<<40+uint64(id)), "ttl", "20000", "org", "acme",
-			"work", "50"}, []byte("SELECT 1 FROM a_1.b"))
+		fields := []string{"call", fmt.Sprintf("%016x", 1<<40+uint64(id)), "ttl", "20000", "org", "acme", "work", "50"}
+		b = client.AppendCall(b, 1000+id, "lookup", fields, []byte("SELECT 1 FROM a_1.b"))
 	}
 	third := len(b) / 3
 	w.caller.Conn.Write(b[:2*third]) // two in one piece, one byte by byte
@@ -443,7 +461,11 @@
 	mute.Conn.(*net.TCPConn).SetReadBuffer(1 << 12)
 	page := strings.Repeat("a\tb\tc\n", 900)
 	for i := range 32 {
-		mute.Send("lookup", "SELECT 1 FROM a_1.b", "call", fmt.Sprintf("%016x", 1<<41+uint64(i)), "ttl", "20000", "org", "acme", "work", "50")
+		_, err := mute.Send("lookup", "SELECT 1 FROM a_1.b",
+			"call", fmt.Sprintf("%016x", 1<<41+uint64(i)), "ttl", "20000", "org", "acme", "work", "50")
+		if err != nil {
+			t.Fatal(err)
+		}
 		c := w.got("fetch")
 		c.from.Answer(c.ID, "data", "sheets=8", page)
 		for n := range 7 {
@@ -477,7 +499,8 @@
 	}
 	var many []byte
 	for id := range uint32(300) {
-		many = client.AppendCall(many, id, "lookup", []string{"call", fmt.Sprintf("%016x", 1<<20+id), "ttl", "2000", "org", "acme"}, nil)
+		fields := []string{"call", fmt.Sprintf("%016x", 1<<20+id), "ttl", "2000", "org", "acme"}
+		many = client.AppendCall(many, id, "lookup", fields, nil)
 		many = client.AppendRevoke(many, id)
 	}
 	const closed, answered, both = 1, 2, 3
@@ -509,7 +532,8 @@
 		{"a field twice", call(1, "lookup", append(slices.Clone(good), "ttl", "3000")...), answered, nil},
 		{"no group of tables", string(client.AppendCall(nil, 1, "import", good, []byte("SELECT 1"))), answered, nil},
 		{"the id of an open call", call(1, "lookup", with("call", c.ID)...), answered, nil},
-		{"one number twice", call(1, "lookup", with("call", "00000000000000ab")...) + call(1, "lookup", with("call", "00000000000000ac")...), both, nil},
+		{"one number twice", call(1, "lookup", with("call", "00000000000000ab")...) +
+			call(1, "lookup", with("call", "00000000000000ac")...), both, nil},
 		{"hundreds taken back at once", string(many) + call(400, "nothing"), answered, nil},
 	}
 	for i := range cases { // side by side
@@ -526,7 +550,7 @@
 		if bad.gets == both {
 			_, err = bad.conn.Read(20 * time.Second)
 		}
-		if bad.gets&closed != 0 && err != io.EOF && !strings.Contains(fmt.Sprint(err), "reset") {
+		if bad.gets&closed != 0 && !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
 			t.Errorf("%s: not closed: %v", bad.name, err)
 		}
 	}
@@ -548,15 +572,18 @@
 	w.stop <- syscall.SIGTERM
 	settle(t, "still ready", func() bool { ready, err := w.dialReady(); return !ready && err == nil })
 	late := w.dial()
-	late.Send("lookup", "SELECT 1 FROM a_1.b", "call", "00000000000000bb", "ttl", "20000", "org", "acme")
+	fields := []string{"call", "00000000000000bb", "ttl", "20000", "org", "acme"}
+	if _, err := late.Send("lookup", "SELECT 1 FROM a_1.b", fields...); err != nil {
+		t.Fatal(err)
+	}
 	d := w.got("fetch")
 	d.from.Answer(d.ID, "data", "sheets=1", "late\tb\tc\n")
 	if a, err := late.Read(20 * time.Second); err != nil || string(a.Body) != "late\tb\tc\n" {
 		t.Fatal(a, err)
 	}
 	select {
-	case <-w.ended:
-		t.Fatal("ended with an answer owed")
+	case err := <-w.ended:
+		t.Fatal("ended with an answer owed", err)
 	case <-time.After(lateArrivalWindow + 100*time.Millisecond):
 	}
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
@@ -584,12 +611,14 @@
 			t.Fatal(ready, err)
 		}
 	}
-	call := client.AppendCall(nil, 9, "lookup", []string{"call", "00000000000000bb", "ttl", "20000", "org", "acme"}, []byte("SELECT 1 FROM a_1.b"))
+	fields := []string{"call", "00000000000000bb", "ttl", "20000", "org", "acme"}
+	call := client.AppendCall(nil, 9, "lookup", fields, []byte("SELECT 1 FROM a_1.b"))
 	late.Conn.Write(call[:20])
 	before := counters.Value("calls_after_stop")
 	w.stop <- syscall.SIGTERM
 	for taken := 0; counters.Value("calls_after_stop") == before; taken++ { // until nothing is taken any more
-		id, err := w.caller.Send("lookup", "SELECT 1 FROM a_1.b", "call", fmt.Sprintf("%016x", 0xcc00+taken), "ttl", "20000", "org", "acme")
+		id, err := w.caller.Send("lookup", "SELECT 1 FROM a_1.b",
+			"call", fmt.Sprintf("%016x", 0xcc00+taken), "ttl", "20000", "org", "acme")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -615,7 +644,7 @@
 	if err := <-w.ended; err != nil {
 		t.Fatal(err)
 	}
-	if _, err := resting.Read(20 * time.Second); err != io.EOF {
+	if _, err := resting.Read(20 * time.Second); !errors.Is(err, io.EOF) {
 		t.Errorf("not ended in order: %v", err)
 	}
 	w.caller.Conn.Close()
@@ -668,7 +697,8 @@
 func (w *town) refused(before uint64) <-chan struct{} {
 	seen := make(chan struct{})
 	go func() {
-		for stop := time.Now().Add(20 * time.Second); counters.Value("calls_after_stop") == before && time.Now().Before(stop); {
+		stop := time.Now().Add(20 * time.Second)
+		for counters.Value("calls_after_stop") == before && time.Now().Before(stop) {
 			time.Sleep(time.Millisecond)
 		}
 		close(seen)
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -18,7 +18,8 @@
 
 const problem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
 {"name":"e2","kind":"std","zone":"east","cores":16,"memory_mb":32000,"cost":9}],
-"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1},{"name":"import","threads":2,"memory_mb":500,"work_ms":900,"value":10}],
+"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1},
+{"name":"import","threads":2,"memory_mb":500,"work_ms":900,"value":10}],
 "tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},
 "demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":300000}]}`
 
@@ -41,11 +42,15 @@
 func TestAPlanFromProblemToController(t *testing.T) {
 	dir := t.TempDir()
 	from, plan := write(t, filepath.Join(dir, "problem.json"), problem), filepath.Join(dir, "plan.json")
-	if code, out := line(t, "solve", from, "--out", plan, "--explain", "--time", "20s"); code != 0 || !strings.Contains(out, "optimal by solver") {
+	if code, out := line(t, "solve", from, "--out", plan, "--explain", "--time", "20s"); code != 0 ||
+		!strings.Contains(out, "optimal by solver") {
 		t.Fatalf("%d: %s", code, out)
 	}
-	for _, args := range [][]string{{"plan", "show", plan}, {"plan", "check", plan, from}, {"plan", "diff", plan, plan}, {"check", "--kind", "plan", plan},
-		{"check", "--kind", "problem", from}, {"solve", from, "--json", "--method", "proportional"}} {
+	for _, args := range [][]string{
+		{"plan", "show", plan}, {"plan", "check", plan, from}, {"plan", "diff", plan, plan},
+		{"check", "--kind", "plan", plan}, {"check", "--kind", "problem", from},
+		{"solve", from, "--json", "--method", "proportional"},
+	} {
 		if code, out := line(t, args...); code != 0 {
 			t.Errorf("%v: %d: %s", args, code, out)
 		}
@@ -53,7 +58,8 @@
 	own := write(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
 	w := newTown(t, "e1", "e2")
-	done := func(host string) { // jobs one after the other, so that both engines are empty: all go where the plan wants them
+	// Jobs go one after the other, so that both engines are empty: all go where the plan wants them.
+	done := func(host string) {
 		t.Helper()
 		for range 6 {
 			id := w.job("lookup", "20000")
@@ -78,7 +84,8 @@
 func TestABuildTellsWhatItIs(t *testing.T) {
 	code, out := line(t, "version", "--json")
 	var b version.Build
-	if err := json.Unmarshal([]byte(out), &b); code != 0 || err != nil || b.Version != version.Name || len(b.Digest) != 32 || len(b.Formats) == 0 {
+	if err := json.Unmarshal([]byte(out), &b); code != 0 || err != nil || b.Version != version.Name ||
+		len(b.Digest) != 32 || len(b.Formats) == 0 {
 		t.Errorf("%d %v: %s", code, err, out)
 	}
 }
@@ -91,22 +98,32 @@
 		code int
 		told []string
 	}{
-		{[]string{"check"}, `{"plan":{"demand_factor":"x"},"what":1}`, 2, []string{"/: additional properties 'what' not allowed", "/plan: missing property 'file'", "/plan/demand_factor: got string"}},
+		{[]string{"check"}, `{"plan":{"demand_factor":"x"},"what":1}`, 2,
+			[]string{"/: additional properties 'what' not allowed", "/plan: missing property 'file'",
+				"/plan/demand_factor: got string"}},
 		{[]string{"check", "--json"}, `{"plan":{"file":"none"}}`, 2, []string{"none"}},
 		{[]string{"check"}, `{`, 2, []string{"is no JSON"}},
-		{[]string{"check", "--kind", "problem"}, strings.Replace(problem, `"e2"`, `"e1"`, 1), 2, []string{`/engines/1/name: "e1" stands twice`}},
-		{[]string{"check", "--kind", "problem"}, strings.Replace(problem, `"cores":16`, `"cores":-16`, 2), 2, []string{"/engines/0/cores", "/engines/1/cores"}},
+		{[]string{"check", "--kind", "problem"}, strings.Replace(problem, `"e2"`, `"e1"`, 1), 2,
+			[]string{`/engines/1/name: "e1" stands twice`}},
+		{[]string{"check", "--kind", "problem"}, strings.Replace(problem, `"cores":16`, `"cores":-16`, 2), 2,
+			[]string{"/engines/0/cores", "/engines/1/cores"}},
 		{[]string{"solve"}, `[]`, 2, []string{"got array, want object"}},
 		{[]string{"solve", "--method", "guess"}, problem, 2, []string{"guess"}},
 		{[]string{"solve", "--time", "0s"}, problem, 2, []string{"--time"}},
-		{[]string{"solve", "--time", "20s"}, strings.Replace(problem, `"must":{}`, `"must":{"least_served":[{"type":"lookup","per_mille":1000}],"greatest_cost":0,"greatest_use_per_mille":100}`, 1), 3,
-			[]string{"no answer fits", "conflict 1", "no engine is used over 100 per mille", "it fits with: a use of 250 per mille"}},
-		{[]string{"plan", "show"}, `{"status":"optimal","steps":[{"from_ms":5,"threads":[],"use":[],"shares":[],"weights":[],"served":[]}]}`, 2, []string{"/steps/0/from_ms"}},
+		{[]string{"solve", "--time", "20s"}, strings.Replace(problem, `"must":{}`,
+			`"must":{"least_served":[{"type":"lookup","per_mille":1000}],"greatest_cost":0,"greatest_use_per_mille":100}`, 1), 3,
+			[]string{"no answer fits", "conflict 1", "no engine is used over 100 per mille",
+				"it fits with: a use of 250 per mille"}},
+		{[]string{"plan", "show"},
+			`{"status":"optimal","steps":[{"from_ms":5,"threads":[],"use":[],"shares":[],"weights":[],"served":[]}]}`, 2,
+			[]string{"/steps/0/from_ms"}},
 		{[]string{"nonsense"}, ``, 2, []string{"unknown command"}},
 		{[]string{"check", "--kind", "change"}, `{"number":0,"kind":"settings","to":{}}`, 2, []string{"/number: ", "/to: "}},
 		{[]string{"check", "--kind", "config"}, "{\n \"name\": 1}", 2, []string{"line 2, column"}},
-		{[]string{"check"}, `{"fleet":{"members":[{"name":"a","listen":"h:1"},{"name":"a","listen":"x"}],"voters":["a","b"]}}`, 2,
-			[]string{`/fleet/members/1/name: "a" stands twice`, "/fleet/members/1/listen", "/fleet/voters: 2", `/fleet/voters/1: "b" is no member`}},
+		{[]string{"check"},
+			`{"fleet":{"members":[{"name":"a","listen":"h:1"},{"name":"a","listen":"x"}],"voters":["a","b"]}}`, 2,
+			[]string{`/fleet/members/1/name: "a" stands twice`, "/fleet/members/1/listen", "/fleet/voters: 2",
+				`/fleet/voters/1: "b" is no member`}},
 	} {
 		path := write(t, filepath.Join(dir, "file.json"), c.text)
 		code, out := line(t, append(c.args, path)...)
@@ -124,11 +141,14 @@
 // The schema bounds a file before anything is made of it; what is large but in form is read and solved, or refused.
 func TestALargeProblemIsReadOrRefused(t *testing.T) {
 	dir, p := t.TempDir(), map[string]any{}
-	json.Unmarshal([]byte(problem), &p)
+	if err := json.Unmarshal([]byte(problem), &p); err != nil {
+		t.Fatal(err)
+	}
 	var engines []any
 	name := strings.Repeat("x", 180)
 	for i := range 2000 {
-		e := map[string]any{"name": name + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), "kind": name, "zone": "east", "cores": 8, "memory_mb": 1}
+		e := map[string]any{"name": name + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) +
+			string(rune('a'+i/676)), "kind": name, "zone": "east", "cores": 8, "memory_mb": 1}
 		engines = append(engines, e)
 	}
 	p["engines"] = engines
@@ -138,7 +158,8 @@
 		t.Errorf("%d: %.300s", code, out)
 	}
 	write(t, path, string(text)+strings.Repeat(" ", 33<<20))
-	if code, out := line(t, "check", "--kind", "problem", path); code != 2 || !strings.Contains(out, "over 33554432 bytes") {
+	if code, out := line(t, "check", "--kind", "problem", path); code != 2 ||
+		!strings.Contains(out, "over 33554432 bytes") {
 		t.Errorf("%d: %.300s", code, out)
 	}
 }
@@ -148,7 +169,8 @@
 	dir := t.TempDir()
 	from := write(t, filepath.Join(dir, "problem.json"), problem)
 	for name, method := range map[string]string{"a.json": "solver", "b.json": "proportional"} {
-		if code, out := line(t, "solve", from, "--method", method, "--time", "20s", "--out", filepath.Join(dir, name)); code != 0 {
+		code, out := line(t, "solve", from, "--method", method, "--time", "20s", "--out", filepath.Join(dir, name))
+		if code != 0 {
 			t.Fatalf("%d: %s", code, out)
 		}
 	}
@@ -160,7 +182,8 @@
 		usual.Go(func() { w.usual(7000+i, 80) })
 	}
 	for i := range 12 {
-		text := []string{`{"plan":{"file":"a.json"}}`, `{"plan":{"file":"b.json","demand_factor":1.1}}`, `{"plan":{}}`, `{}`}[i%4]
+		texts := []string{`{"plan":{"file":"a.json"}}`, `{"plan":{"file":"b.json","demand_factor":1.1}}`, `{"plan":{}}`, `{}`}
+		text := texts[i%len(texts)]
 		write(t, own, text)
 		before := counters.Value("reloads") + counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
--- a/cmd/swiftreel/rough_test.go
+++ b/cmd/swiftreel/rough_test.go
@@ -24,8 +24,14 @@
 }
 
 func roughDay(t *testing.T, seed uint64) {
+	t.Helper()
 	left := func() [4]uint64 {
-		return [4]uint64{counters.Value("jobs_left"), counters.Value("bytes_left"), counters.Value("dispatch_out_of_turn"), counters.Value("action_for_no_job")}
+		return [4]uint64{
+			counters.Value("jobs_left"),
+			counters.Value("bytes_left"),
+			counters.Value("dispatch_out_of_turn"),
+			counters.Value("action_for_no_job"),
+		}
 	}
 	before := left()
 	w := newTownOf(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
@@ -70,7 +76,8 @@
 	for sent := 0; sent < n || len(open) > 0; {
 		if sent < n && len(open) < 8 {
 			id := fmt.Sprintf("%016x", first<<20+uint64(sent))
-			number, err := c.Send("lookup", "SELECT 1 FROM a_1.b", "call", id, "ttl", "1500", "org", "acme", "work", "20", "est_mb", "8")
+			number, err := c.Send("lookup", "SELECT 1 FROM a_1.b",
+				"call", id, "ttl", "1500", "org", "acme", "work", "20", "est_mb", "8")
 			if err != nil {
 				w.t.Error(err)
 				return
@@ -117,7 +124,9 @@
 		case 3:
 			now.Write("noise\n")
 		case 4: // half a file
-			os.WriteFile(w.config, []byte(good(w.config)[:200]), 0o600)
+			if err := os.WriteFile(w.config, []byte(good(w.config)[:200]), 0o600); err != nil {
+				w.t.Error(err)
+			}
 			w.hup()
 			w.write(now.Address(), known)
 		case 5:
--- a/cmd/swiftreel/shape_test.go
+++ b/cmd/swiftreel/shape_test.go
@@ -60,8 +60,10 @@
 // and the part.
 func TestABadShapeAtTheStartIsRefused(t *testing.T) {
 	own := write(t, filepath.Join(t.TempDir(), "own.json"), `{"shape":{"types":{"nonesuch":{"waits_for_loads":true}}}}`)
-	file, err := config.Parse([]byte(`{"name":"n0","listen":"-","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
-		"feed":"127.0.0.1:1","settings":` + facts + `}`))
+	file, err := config.Parse(
+		[]byte(`{"name":"n0","listen":"-","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+		"feed":"127.0.0.1:1","settings":` + facts + `}`),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -19,10 +19,16 @@
 // terms is a town with a SPARQL front and two endpoints beside two engines of the line protocol, all on the machines e1
 // and e2.
 func terms(t *testing.T) (w *town, at string, ends [2]*fake.Endpoint) {
+	t.Helper()
 	var list []string
 	for i := range ends {
 		var err error
-		if ends[i], err = fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", `"1"`}, [3]string{"<b>", "<p>", `"2"`}, [3]string{"<a>", "<q>", "<b>"}); err != nil {
+		if ends[i], err = fake.StartEndpoint(
+			"127.0.0.1:0",
+			[3]string{"<a>", "<p>", `"1"`},
+			[3]string{"<b>", "<p>", `"2"`},
+			[3]string{"<a>", "<q>", "<b>"},
+		); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(ends[i].Close)
@@ -34,8 +40,10 @@
 	}
 	at = l.Addr().String()
 	l.Close()
-	t.Setenv("ROUTER_OPERATOR", write(t, filepath.Join(t.TempDir(), "own.json"), fmt.Sprintf(`{"sparql":{"listen":%q,"tenant":"acme","endpoints":{%s},
-		"services":["http://far/"],"types":[{"forms":["UPDATE"],"type":"import"},{"type":"lookup"}]}}`, at, strings.Join(list, ","))))
+	text := fmt.Sprintf(`{"sparql":{"listen":%q,"tenant":"acme","endpoints":{%s},
+		"services":["http://far/"],"types":[{"forms":["UPDATE"],"type":"import"},{"type":"lookup"}]}}`,
+		at, strings.Join(list, ","))
+	t.Setenv("ROUTER_OPERATOR", write(t, filepath.Join(t.TempDir(), "own.json"), text))
 	w = newTown(t, "e1", "e2")
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	return w, "http://" + at + "/sparql", ends
@@ -85,21 +93,31 @@
 		{"GET", asked("GET", at+"?query="+q, "", "", ""), 200, "application/sparql-results+json", json},
 		{"GET for a tenant", asked("GET", at+"/acme?query="+q, "", "", ""), 200, "application/sparql-results+json", json},
 		{"form", asked("POST", at, formMedia, "text/csv", "query="+q), 200, "text/csv", "o,s,x\r\n1,a,b\r\n"},
-		{"direct", asked("POST", at+"?default-graph-uri=http://g", "application/sparql-query", "application/sparql-results+xml", askText), 200, "application/sparql-results+xml", `<uri>a</uri>`},
-		{"TSV by weight", asked("GET", at+"?query="+q, "", "text/csv;q=0.1, text/tab-separated-values;q=0.2", ""), 200, "text/tab-separated-values", "?o\t?s\t?x\n\"1\"\t<a>\t<b>\n"},
-		{"ASK", asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""), 200, "application/sparql-results+json", `"boolean":true`},
-		{"update by form", asked("POST", at, formMedia, "", "update="+url.QueryEscape("INSERT DATA { <c> <p> 3 }")), 204, "", ""},
-		{"direct update", asked("POST", at, "application/sparql-update; charset=utf-8", "", "INSERT DATA { <c> <p> 3 }"), 204, "", ""},
+		{"direct", asked("POST", at+"?default-graph-uri=http://g", "application/sparql-query",
+			"application/sparql-results+xml", askText), 200, "application/sparql-results+xml", `<uri>a</uri>`},
+		{"TSV by weight", asked("GET", at+"?query="+q, "", "text/csv;q=0.1, text/tab-separated-values;q=0.2", ""), 200,
+			"text/tab-separated-values", "?o\t?s\t?x\n\"1\"\t<a>\t<b>\n"},
+		{"ASK", asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""), 200,
+			"application/sparql-results+json", `"boolean":true`},
+		{"update by form", asked("POST", at, formMedia, "", "update="+url.QueryEscape("INSERT DATA { <c> <p> 3 }")), 204,
+			"", ""},
+		{"direct update", asked("POST", at, "application/sparql-update; charset=utf-8", "", "INSERT DATA { <c> <p> 3 }"),
+			204, "", ""},
 		{"description", asked("GET", at, "", "", ""), 200, "text/turtle", "sd:Service"},
 		{"malformed", asked("GET", at+"?query="+url.QueryEscape("SELECT *\n{ ?s }"), "", "", ""), 400, "", "line 2 column 6"},
 		{"no query", asked("GET", at+"?q=1", "", "", ""), 400, "", "0 parameters query"},
 		{"two queries", asked("GET", at+"?query="+q+"&query="+q, "", "", ""), 400, "", "2 parameters query"},
 		{"update by GET", asked("GET", at+"?update=CLEAR+ALL", "", "", ""), 400, "", "POST"},
 		{"both", asked("POST", at, formMedia, "", "query="+q+"&update=CLEAR+ALL"), 400, "", "query and update"},
-		{"graphs of an update with a query", asked("GET", at+"?using-graph-uri=x&query="+q, "", "", ""), 400, "", "using-graph-uri"},
-		{"graphs named twice", asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", "WITH <g> DELETE { ?s <p> 1 } WHERE { ?s <p> 1 }"), 400, "", "USING or WITH"},
-		{"graphs named once, and a word that looks like it", asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", `INSERT DATA { <c> <p> "using" }`), 204, "", ""},
-		{"SERVICE", asked("GET", at+"?query="+url.QueryEscape("SELECT * { SERVICE <http://near/> { ?s ?p ?o } }"), "", "", ""), 400, "", "SERVICE <http://near/>"},
+		{"graphs of an update with a query", asked("GET", at+"?using-graph-uri=x&query="+q, "", "", ""), 400, "",
+			"using-graph-uri"},
+		{"graphs named twice", asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "",
+			"WITH <g> DELETE { ?s <p> 1 } WHERE { ?s <p> 1 }"), 400, "", "USING or WITH"},
+		{"graphs named once, and a word that looks like it",
+			asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", `INSERT DATA { <c> <p> "using" }`),
+			204, "", ""},
+		{"SERVICE", asked("GET", at+"?query="+url.QueryEscape("SELECT * { SERVICE <http://near/> { ?s ?p ?o } }"), "", "",
+			""), 400, "", "SERVICE <http://near/>"},
 		{"LOAD", asked("POST", at, formMedia, "", "update=LOAD+%3Chttp://x%3E"), 400, "", "LOAD"},
 		{"timeout", asked("GET", at+"?timeout=0&query="+q, "", "", ""), 400, "", "timeout"},
 		{"no such tenant", asked("GET", at+"/nobody?query="+q, "", "", ""), 400, "", "no such tenant"},
@@ -207,7 +225,8 @@
 	c.Close()
 	before := counters.Value("answers_overdue")
 	once.Do(func() { close(over) })
-	if status, _, _ := got(t, asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", "")); status != 200 {
+	status, _, _ := got(t, asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""))
+	if status != 200 {
 		t.Error("served no more")
 	}
 	w.finish() // ends only with nothing owed
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -91,15 +91,22 @@
 	parts := new(limits.Budget)
 	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 	engines := scriptedEngines{stays: make(chan struct{}, 10)}
-	gate = gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
-		Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return engines }}})
+	gate = gateway.New(gateway.Options{
+		Settings: choice.RawSettings(settings),
+		Seed:     1,
+		Budget:   parts,
+		Protocols: map[backend.Protocol]backend.Factory{
+			backend.Line: func(backend.Limits) backend.Engines { return engines },
+		},
+	})
 	t.Cleanup(gate.Close)
 	stats, err := newStatsServer(files{operator: own, settings: settings}, gate, func() int64 { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stats.close)
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") +
+		"," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,10 +134,12 @@
 		t.Errorf("import: %v", got)
 	}
 	lookup := list(means["lookup"]) // its slowness decays until a job tells it anew
-	if got := fmt.Sprint(lookup[:8]); got != "[5.1e+07 50 -0.25 88 0.125 0.0625 70 1.25]" || lookup[8] <= 1 || lookup[8] > 1.75 {
+	if got := fmt.Sprint(lookup[:8]); got != "[5.1e+07 50 -0.25 88 0.125 0.0625 70 1.25]" || lookup[8] <= 1 ||
+		lookup[8] > 1.75 {
 		t.Errorf("lookup: %v, latency over best %v", got, lookup[8])
 	}
-	if h := health["e1"]; h.LatencyRatio <= 1 || h.LatencyRatio > 2.5 || h.FailureRate <= 0 || h.FailureRate > 0.25 || h.Ejected {
+	if h := health["e1"]; h.LatencyRatio <= 1 || h.LatencyRatio > 2.5 || h.FailureRate <= 0 || h.FailureRate > 0.25 ||
+		h.Ejected {
 		t.Errorf("e1: %+v", h)
 	}
 	if h := health["e2"]; !h.Ejected || len(means) != 2 || len(health) != 2 || gate.EjectedEngines() != 1 {
@@ -172,10 +181,13 @@
 		usual  float64
 		health bool
 	}{
-		"no snapshot":               {operator.Stats{}, 2.5e12, false},
-		"figures of another length": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[1,2,3]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
-		"health of another form":    {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`[1]`)}, 7e6, false},
-		"both":                      {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`), EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
+		"no snapshot": {operator.Stats{}, 2.5e12, false},
+		"figures of another length": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[1,2,3]}`),
+			EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 2.5e12, false},
+		"health of another form": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`),
+			EngineHealth: json.RawMessage(`[1]`)}, 7e6, false},
+		"both": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[7000000,1,0,0,0,0,0,1,1]}`),
+			EngineHealth: json.RawMessage(`{"e2":{"slow":1,"bad":0,"aside":true}}`)}, 7e6, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var settings map[string]any
@@ -184,10 +196,17 @@
 			}
 			parts := new(limits.Budget)
 			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
-			gate := gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
-				Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }}})
+			gate := gateway.New(gateway.Options{
+				Settings: choice.RawSettings(settings),
+				Seed:     1,
+				Budget:   parts,
+				Protocols: map[backend.Protocol]backend.Factory{
+					backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} },
+				},
+			})
 			defer gate.Close()
-			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
+				entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -240,7 +259,15 @@
 	gate, address, stays := taught(t)
 	a := answers{make(chan string, 10), func(func()) {}}
 	ask := func(id byte, typ, statement string, left time.Duration, from gateway.Client) {
-		gate.Submit(gateway.Request{Type: []byte(typ), ID: []byte{id}, Tenant: []byte("acme"), Statement: []byte(statement), ArrivedAt: time.Now(), Timeout: left, Client: from})
+		gate.Submit(gateway.Request{
+			Type:      []byte(typ),
+			ID:        []byte{id},
+			Tenant:    []byte("acme"),
+			Statement: []byte(statement),
+			ArrivedAt: time.Now(),
+			Timeout:   left,
+			Client:    from,
+		})
 	}
 	heard := func(want string) {
 		t.Helper()
@@ -264,7 +291,8 @@
 		body = get(t, "http://"+address+"/tally")
 		return strings.Contains(body, `"\"lookup\" \"acme\"":{"jobs":3`)
 	})
-	if failed := fmt.Sprintf(`"reloads_failed":%d,`, counters.Value("reloads_failed")); !strings.Contains(body, failed) { // of the whole process
+	failed := fmt.Sprintf(`"reloads_failed":%d,`, counters.Value("reloads_failed")) // of the whole process
+	if !strings.Contains(body, failed) {
 		t.Errorf("no %s in %s", failed, body)
 	}
 	for _, f := range timed {
@@ -283,7 +311,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for body, want := range map[string]int{string(text): http.StatusNoContent, `{"per_million":0,"until_boot_ns":1}`: http.StatusUnprocessableEntity} {
+	for body, want := range map[string]int{
+		string(text):                          http.StatusNoContent,
+		`{"per_million":0,"until_boot_ns":1}`: http.StatusUnprocessableEntity,
+	} {
 		r, err := http.Post("http://"+address+"/part", "application/json", bytes.NewReader([]byte(body)))
 		if err != nil {
 			t.Fatal(err)
@@ -325,7 +356,8 @@
 	t.Setenv("ROUTER_OPERATOR", filepath.Join("testdata", "operator.json"))
 	w := newTown(t, "e1", "e2")
 	body := get(t, "http://"+<-addresses+"/tally")
-	for _, part := range []string{`"import":[900000000,12,0.5,9,-0.5,0.25,9,1.5,1]`, `"lookup":[51000000,50,-0.25,88,0.125,0.0625,70,1.25,`,
+	for _, part := range []string{`"import":[900000000,12,0.5,9,-0.5,0.25,9,1.5,1]`,
+		`"lookup":[51000000,50,-0.25,88,0.125,0.0625,70,1.25,`,
 		`"spec":"1f0e2d3c4b5a69788796a5b4c3d2e1f0"`, `"ready":true`, `"engines":["e1","e2"]`} {
 		if !strings.Contains(body, part) {
 			t.Errorf("%s lacks %s", body, part)
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -40,8 +40,8 @@
 	return err
 }
 
-const checkHelp = `Checks the operator's file and what it names, as the start and SIGHUP do; with --kind problem, plan, change or config
-(what ROUTER_CONFIG names), one of those.
+const checkHelp = `Checks the operator's file and what it names, as the start and SIGHUP do; with --kind problem, plan,
+change or config (what ROUTER_CONFIG names), one of those.
 A line a fault. Exit codes: 0 no fault, 2 faults, or the file cannot be read.`
 
 func checkCommand() *cobra.Command {
@@ -72,8 +72,9 @@
 	if err != nil && !errors.As(err, &invalid) {
 		return BadInput(err)
 	}
-	if printErr := printCheck(out, checkReport{File: path, Kind: kind, Problems: []string{}}, invalid, forScripts); printErr != nil {
-		return printErr
+	report := checkReport{File: path, Kind: kind, Problems: []string{}}
+	if err := printCheck(out, report, invalid, forScripts); err != nil {
+		return err
 	}
 	if err != nil {
 		return SilentFailure(ExitBadInput, err)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -18,8 +18,8 @@
 	Operator string // path of the operator's file; empty: ROUTER_OPERATOR names it, if there is one
 }
 
-const rootHelp = `Without a command swiftreel serves: one controller, configured by ROUTER_CONFIG, ROUTER_NAME and ROUTER_LISTEN.
-What it does beyond that stands in the operator's file (--operator or ROUTER_OPERATOR).
+const rootHelp = `Without a command swiftreel serves: one controller, configured by ROUTER_CONFIG, ROUTER_NAME and
+ROUTER_LISTEN. What it does beyond that stands in the operator's file (--operator or ROUTER_OPERATOR).
 
 Exit codes: 0 done, 1 serving failed, 2 bad input, 3 no answer fits; rollout has more.`
 
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -25,7 +25,8 @@
 	{regexp.MustCompile(`"dirty": (true|false)`), `"dirty": D`},
 	{regexp.MustCompile(`"go": "go[^"]*"`), `"go": "G"`},
 	{regexp.MustCompile(`"digest": "[0-9a-f]{32}"`), `"digest": "X"`},
-	{regexp.MustCompile(`^swiftreel \S+ commit=\S* dirty=\w+ digest=[0-9a-f]{32} (.*) go\S+`), `swiftreel V commit=C dirty=D digest=X $1 G`},
+	{regexp.MustCompile(`^swiftreel \S+ commit=\S* dirty=\w+ digest=[0-9a-f]{32} (.*) go\S+`),
+		`swiftreel V commit=C dirty=D digest=X $1 G`},
 }
 
 // What scripts and people read of the commands.
@@ -73,7 +74,12 @@
 func TestAPlanWrittenIsThePlanTold(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	var out bytes.Buffer
-	if code := Run([]string{"solve", "--json", "--method", "proportional", "--out", path, at("problem.json")}, &out, &out, nil); code != 0 {
+	if code := Run(
+		[]string{"solve", "--json", "--method", "proportional", "--out", path, at("problem.json")},
+		&out,
+		&out,
+		nil,
+	); code != 0 {
 		t.Fatal(code, out.String())
 	}
 	text, err := os.ReadFile(path)
@@ -91,15 +97,18 @@
 		args []string
 		want ServeOptions
 	}{
-		{nil, ServeOptions{}}, {[]string{"-trace"}, ServeOptions{Trace: true}}, {[]string{"--trace", "--operator", "f"}, ServeOptions{Trace: true, Operator: "f"}},
+		{nil, ServeOptions{}}, {[]string{"-trace"}, ServeOptions{Trace: true}},
+		{[]string{"--trace", "--operator", "f"}, ServeOptions{Trace: true, Operator: "f"}},
 	} {
 		var got ServeOptions
-		if code := Run(c.args, os.Stdout, os.Stderr, func(s ServeOptions) error { got = s; return nil }); code != 0 || got != c.want {
+		if code := Run(c.args, os.Stdout, os.Stderr, func(s ServeOptions) error { got = s; return nil }); code != 0 ||
+			got != c.want {
 			t.Errorf("%v: %d, %+v", c.args, code, got)
 		}
 	}
 	var out bytes.Buffer
-	if code := Run(nil, &out, &out, func(ServeOptions) error { return os.ErrClosed }); code != ExitFailed || out.String() != "swiftreel: file already closed\n" {
+	if code := Run(nil, &out, &out, func(ServeOptions) error { return os.ErrClosed }); code != ExitFailed ||
+		out.String() != "swiftreel: file already closed\n" {
 		t.Errorf("%d %q", code, out.String())
 	}
 }
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -53,8 +53,8 @@
 	return names
 }
 
-const planCheckHelp = `Checks that a plan can be followed; with a problem, that every step keeps all limits and demands and that the figures it
-tells are those of its threads. Exit codes: 0 all holds, 2 not.`
+const planCheckHelp = `Checks that a plan can be followed; with a problem, that every step keeps all limits and
+demands and that the figures it tells are those of its threads. Exit codes: 0 all holds, 2 not.`
 
 func planCheckCommand() *cobra.Command {
 	return &cobra.Command{
@@ -84,8 +84,8 @@
 	return plan.Verify(problem, answer)
 }
 
-const planDiffHelp = `Tells what changes in threads from one plan's last step to another's, a line a type, tenant and engine; nothing where
-nothing does. Exit codes: 0 told, 2 not usable.`
+const planDiffHelp = `Tells what changes in threads from one plan's last step to another's, a line a type, tenant and
+engine; nothing where nothing does. Exit codes: 0 told, 2 not usable.`
 
 func planDiffCommand() *cobra.Command {
 	var forScripts bool
--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -14,10 +14,10 @@
 	"swiftreel/internal/solve"
 )
 
-const solveHelp = `Works out whole threads for each reservation type, tenant, zone of origin and engine: the greatest billed value a second,
-then the least cost, then the lowest greatest use of an engine. Tells how far the answer may be from the best; where no
-answer fits, which demands conflict and the least change of each that ends it. The problem's form is
-deploy/problem.schema.json; docs/operators/solve.md says how to write one.
+const solveHelp = `Works out whole threads for each reservation type, tenant, zone of origin and engine: the greatest
+billed value a second, then the least cost, then the lowest greatest use of an engine. Tells how far the answer may be
+from the best; where no answer fits, which demands conflict and the least change of each that ends it. The problem's
+form is deploy/problem.schema.json; docs/operators/solve.md says how to write one.
 
 Exit codes: 0 with an answer, 2 for bad input, 3 where no answer fits or none was found in time.`
 
@@ -76,7 +76,12 @@
 			return BadInput(err)
 		}
 	}
-	if err := printAnswer(out, problem, answer, time.Since(startedAt), options.forScripts); err != nil {
+	if options.forScripts {
+		err = WriteJSON(out, answer)
+	} else {
+		err = renderAnswer(out, problemTypes(problem), answer, time.Since(startedAt))
+	}
+	if err != nil {
 		return err
 	}
 	if answer.Status == solve.NoFit || answer.Status == solve.Unknown {
@@ -85,15 +90,13 @@
 	return nil
 }
 
-func printAnswer(out io.Writer, problem *solve.Problem, answer solve.Answer, took time.Duration, forScripts bool) error {
-	if forScripts {
-		return WriteJSON(out, answer)
-	}
-	var types []string
+// problemTypes returns the names of the job types of a problem.
+func problemTypes(problem *solve.Problem) []string {
+	var names []string
 	for _, t := range problem.Types {
-		types = append(types, t.Name)
+		names = append(names, t.Name)
 	}
-	return renderAnswer(out, types, answer, took)
+	return names
 }
 
 // writePlan writes a plan beside its place and then moves it there, so that nobody reads half of it.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,8 @@
 )
 
 const good = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,
-"sockets":1024},"feed":"127.0.0.1:1","known":{"n":3,"events":[{"n":3}]},"settings":{"classes":[{"name":"a"}],"x":{"y":1}}}`
+"sockets":1024},"feed":"127.0.0.1:1","known":{"n":3,"events":[{"n":3}]},
+"settings":{"classes":[{"name":"a"}],"x":{"y":1}}}`
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
@@ -17,7 +18,8 @@
 		t.Fatal(err)
 	}
 	f, err := Load(func(name string) string { return env[name] })
-	if err != nil || f.Name != "n4" || f.Listen != "127.0.0.1:0" || f.Seed != 0x8c1f30d27a5be964 || f.Limits.Sockets != 1024 ||
+	if err != nil || f.Name != "n4" || f.Listen != "127.0.0.1:0" || f.Seed != 0x8c1f30d27a5be964 ||
+		f.Limits.Sockets != 1024 ||
 		f.CachedEvents.LastNumber != 3 || len(f.CachedEvents.Events) != 1 || f.Settings["x"].(map[string]any)["y"] != 1.0 {
 		t.Fatalf("%+v %v", f, err)
 	}
@@ -29,7 +31,8 @@
 func TestWhatIsLackingIsSaid(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"no JSON": {"{", ""}, "no seed": {"8c1f30d27a5be964", "zz"}, "no settings": {"settings", "other"},
-		"no classes": {`[{"name":"a"}]`, "[]"}, "no memory": {"192", "0"}, "few sockets": {"1024", "8"}, "no cores": {"1.0", "0"}, "no feed": {"127.0.0.1:1", ""},
+		"no classes": {`[{"name":"a"}]`, "[]"}, "no memory": {"192", "0"}, "few sockets": {"1024", "8"},
+		"no cores": {"1.0", "0"}, "no feed": {"127.0.0.1:1", ""},
 	} {
 		if _, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s: read", name)
@@ -38,12 +41,18 @@
 }
 
 func TestFaultsArePlacedAndStrangersNamed(t *testing.T) {
-	for text, told := range map[string]string{"{\n\"name\": }": "line 2, column 9", "{\"name\": \"x\",\n \"limits\": {\"cores\": \"a\"}}": "line 2, column 24", "{\"name\":": "line 1"} {
+	for text, told := range map[string]string{
+		"{\n\"name\": }": "line 2, column 9",
+		"{\"name\": \"x\",\n \"limits\": {\"cores\": \"a\"}}": "line 2, column 24",
+		"{\"name\":": "line 1",
+	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), told) {
 			t.Errorf("%s: %v, not %s", text, err, told)
 		}
 	}
-	f, err := Parse([]byte(strings.Replace(strings.Replace(good, `"name"`, `"mood":1,"name"`, 1), `"cores"`, `"disks":1,"cores"`, 1)))
+	f, err := Parse(
+		[]byte(strings.Replace(strings.Replace(good, `"name"`, `"mood":1,"name"`, 1), `"cores"`, `"disks":1,"cores"`, 1)),
+	)
 	if err != nil || strings.Join(f.UnknownNames, " ") != "mood limits.disks" {
 		t.Errorf("%v %v", f.UnknownNames, err)
 	}
--- a/internal/failpoint/fault.go
+++ b/internal/failpoint/fault.go
@@ -79,22 +79,28 @@
 // DelayStart waits before the process is ready.
 func DelayStart() { time.Sleep(milliseconds(startVariable)) }
 
-// BeforeWrite returns the error of a fault that is injected before a text is stored, or takes as long as the fault says.
+// BeforeWrite returns the error of a fault that is injected before a text is stored, or takes as long as the fault
+// says.
 func BeforeWrite() error {
-	text, err := os.ReadFile(variable(diskVariable))
-	if err != nil {
-		return nil // the disk is as it should be
-	}
-	content := strings.TrimSpace(string(text))
-	if content == diskFull {
+	fault := diskFault()
+	if fault == diskFull {
 		return &os.PathError{Op: "write", Path: "disk", Err: syscall.ENOSPC}
 	}
-	if delay, err := time.ParseDuration(content); err == nil {
+	if delay, err := time.ParseDuration(fault); err == nil {
 		time.Sleep(delay)
 	}
 	return nil
 }
 
+// diskFault returns what the steering file says; empty if there is none.
+func diskFault() string {
+	text, err := os.ReadFile(variable(diskVariable))
+	if err != nil {
+		return ""
+	}
+	return strings.TrimSpace(string(text))
+}
+
 // WallClock returns the time of day, as far as a fault does not move it.
 func WallClock() time.Time { return time.Now().Add(milliseconds(clockVariable)) }
 
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 	"testing"
 	"time"
 
@@ -11,8 +12,10 @@
 )
 
 func TestAFloodEndsInThrottling(t *testing.T) {
-	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
-		"limits": map[string]any{"max_open": 3.0}}
+	facts := choice.RawSettings{
+		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+		"limits":  map[string]any{"max_open": 3.0},
+	}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	a := newFakeClient(10)
@@ -37,9 +40,16 @@
 }
 
 func TestTheModuleIsToldLessTimeThanTheClientHas(t *testing.T) {
-	g := New(Options{Settings: choice.RawSettings{"classes": []any{map[string]any{"name": "lookup"}}}, Seed: 1, Budget: testBudget()})
+	g := New(Options{
+		Settings: choice.RawSettings{"classes": []any{map[string]any{"name": "lookup"}}},
+		Seed:     1,
+		Budget:   testBudget(),
+	})
 	defer g.Close()
-	for timeout, limit := range map[time.Duration]time.Duration{time.Second: time.Second - transitTime, 10 * time.Millisecond: 9 * time.Millisecond} {
+	for timeout, limit := range map[time.Duration]time.Duration{
+		time.Second:           time.Second - transitTime,
+		10 * time.Millisecond: 9 * time.Millisecond,
+	} {
 		ev, err := g.arrivalEvent(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: timeout})
 		if got := time.Duration(ev.TimeLeft); err != nil || got > limit || got < limit-5*time.Second {
 			t.Errorf("%v of %v told, %v", got, timeout, err)
@@ -49,8 +59,10 @@
 
 // A flood of one protocol takes what nobody used of late, and leaves the other its part.
 func TestAFloodOfOneProtocolLeavesTheOtherItsPlaces(t *testing.T) {
-	facts := choice.RawSettings{"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
-		"limits": map[string]any{"max_open": 40.0}}
+	facts := choice.RawSettings{
+		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+		"limits":  map[string]any{"max_open": 40.0},
+	}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
@@ -58,7 +70,14 @@
 	take := func(p backend.Protocol, times int) {
 		for range times { // no engine: they are parked until it is late
 			n++
-			g.Submit(Request{Type: []byte("lookup"), ID: []byte(fmt.Sprint(n)), ArrivedAt: time.Now(), Timeout: 20 * time.Second, Protocol: p, Client: a})
+			g.Submit(Request{
+				Type:      []byte("lookup"),
+				ID:        []byte(fmt.Sprint(n)),
+				ArrivedAt: time.Now(),
+				Timeout:   20 * time.Second,
+				Protocol:  p,
+				Client:    a,
+			})
 		}
 	}
 	before := counters.Value("calls_over_capacity")
@@ -90,12 +109,17 @@
 	}{
 		{"an unknown type", "no such method", Request{Type: []byte("none"), Tenant: []byte("acme")}},
 		{"an unknown tenant", "no such tenant", Request{Type: []byte("lookup"), Tenant: []byte("none")}},
-		{"a job timeout of weeks", "a job timeout over 4s", Request{Type: []byte("lookup"), Tenant: []byte("acme"), Timeout: 5 * time.Second}},
-		{"memory past any engine", "more memory than any engine has", Request{Type: []byte("lookup"), Tenant: []byte("acme"), EstimatedMemoryMB: 32001}},
-		{"no group of tables", "the statement names no group of tables", Request{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
-		{"no group where none matters", "", Request{Type: []byte("mark"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"a job timeout of weeks", "a job timeout over 4s",
+			Request{Type: []byte("lookup"), Tenant: []byte("acme"), Timeout: 5 * time.Second}},
+		{"memory past any engine", "more memory than any engine has",
+			Request{Type: []byte("lookup"), Tenant: []byte("acme"), EstimatedMemoryMB: 32001}},
+		{"no group of tables", "the statement names no group of tables",
+			Request{Type: []byte("import"), Tenant: []byte("acme"), Statement: []byte("SELECT 1")}},
+		{"no group where none matters", "", Request{Type: []byte("mark"), Tenant: []byte("acme"),
+			Statement: []byte("SELECT 1")}},
 		{"usable", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), Statement: []byte(text)}},
-		{"another protocol tells its group", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL}},
+		{"another protocol tells its group", "", Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5,
+			Protocol: backend.SPARQL}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.ask.ArrivedAt = time.Now()
@@ -109,8 +133,17 @@
 			}
 		})
 	}
-	ev, err := g.arrivalEvent(Request{Type: []byte("import"), Tenant: []byte("zeta"), Key: []byte("k1"), Statement: []byte(text), ArrivedAt: time.Now(),
-		Timeout: time.Second, ClientRetry: true, EstimatedWork: time.Minute, EstimatedMemoryMB: 64})
+	ev, err := g.arrivalEvent(Request{
+		Type:              []byte("import"),
+		Tenant:            []byte("zeta"),
+		Key:               []byte("k1"),
+		Statement:         []byte(text),
+		ArrivedAt:         time.Now(),
+		Timeout:           time.Second,
+		ClientRetry:       true,
+		EstimatedWork:     time.Minute,
+		EstimatedMemoryMB: 64,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,14 +152,29 @@
 		t.Error("no group of tables")
 	}
 	ev.Tables = 0
-	want := choice.Event{Kind: choice.JobArrived, Type: 1, Tenant: 1, Key: orderKey([]byte("k1")), Cost: choice.Nanos(time.Minute), CostKnown: true,
-		IsRepeat: true, IsWrite: true, MemoryMB: 64, RequiredProtocols: requiredProtocols(backend.Line)}
-	if got, wanted := ev, want; got.Kind != wanted.Kind || got.Type != wanted.Type || got.Tenant != wanted.Tenant || got.Key != wanted.Key ||
-		got.Cost != wanted.Cost || !got.CostKnown || !got.IsRepeat || !got.IsWrite || got.MemoryMB != wanted.MemoryMB || got.RequiredProtocols != wanted.RequiredProtocols {
-		t.Errorf("%+v, want %+v", got, wanted)
-	}
-	if ev, err = g.arrivalEvent(Request{Type: []byte("import"), Tenant: []byte("zeta"), TableGroup: 5, Protocol: backend.SPARQL, ArrivedAt: time.Now()}); err != nil ||
-		ev.Tables != 5 || ev.RequiredProtocols == want.RequiredProtocols || ev.CostKnown || ev.Key != 0 {
+	want := choice.Event{
+		Kind:              choice.JobArrived,
+		Type:              1,
+		Tenant:            1,
+		Key:               orderKey([]byte("k1")),
+		Cost:              choice.Nanos(time.Minute),
+		CostKnown:         true,
+		IsRepeat:          true,
+		IsWrite:           true,
+		MemoryMB:          64,
+		RequiredProtocols: requiredProtocols(backend.Line),
+	}
+	if !reflect.DeepEqual(ev, want) {
+		t.Errorf("%+v, want %+v", ev, want)
+	}
+	ev, err = g.arrivalEvent(Request{
+		Type:       []byte("import"),
+		Tenant:     []byte("zeta"),
+		TableGroup: 5,
+		Protocol:   backend.SPARQL,
+		ArrivedAt:  time.Now(),
+	})
+	if err != nil || ev.Tables != 5 || ev.RequiredProtocols == want.RequiredProtocols || ev.CostKnown || ev.Key != 0 {
 		t.Errorf("%+v %v", ev, err)
 	}
 }
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -12,8 +12,12 @@
 // A client may leave in the moment in which the module sends its job: that dispatch is owed an outcome too, or its
 // threads would count as out for ever.
 func TestADispatchOrderedAsTheClientLeavesHasAnOutcome(t *testing.T) {
-	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
-		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}}}
+	facts := choice.RawSettings{
+		"localities": []any{"west"},
+		"kinds":      []any{"std"},
+		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
+		"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+	}
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
 	var parked *job
 	a := fakeClient{make(chan string, 10), func(left func()) {
@@ -31,9 +35,13 @@
 // A job waits for an engine; its client has gone, and the reader has not come to that yet, as it lies behind much that
 // is unread. When an engine comes, nothing is sent there, and the module forgets the job.
 func TestNothingIsSentForAClientThatIsNoLongerThere(t *testing.T) {
-	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
-		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
-		"limits":  map[string]any{"cancel": true}}
+	facts := choice.RawSettings{
+		"localities": []any{"west"},
+		"kinds":      []any{"std"},
+		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
+		"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
+		"limits":     map[string]any{"cancel": true},
+	}
 	var started atomic.Int64
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
 		backend.Line: func(backend.Limits) backend.Engines { return silentEngines{started: &started} }}})
@@ -41,7 +49,9 @@
 	gone := newDisconnectingClient()
 	here := newDisconnectingClient()
 	take := func(id byte, from Client) {
-		g.Submit(Request{Type: []byte("lookup"), ID: []byte{id}, ArrivedAt: time.Now(), Timeout: 20 * time.Second, Client: from})
+		g.Submit(
+			Request{Type: []byte("lookup"), ID: []byte{id}, ArrivedAt: time.Now(), Timeout: 20 * time.Second, Client: from},
+		)
 	}
 	take(1, gone)
 	take(2, here)
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -57,18 +57,19 @@
 	return choice.EngineID(hash.Sum32())
 }
 
-// update applies a discovery event. It returns the entries that changed in the module's terms, and the names of
-// engines that were removed by this event.
-func (t *engineTable) update(members *discovery.Members, ids identifiers, now time.Time) ([]choice.EngineEntry, []string) {
+// update applies a discovery event. It returns the entries that changed in the module's terms, and the names of engines
+// that were removed by this event.
+func (t *engineTable) update(
+	members *discovery.Members, ids identifiers, now time.Time,
+) (changed []choice.EngineEntry, removed []string) {
 	t.dropExpired(now)
 	if members.Whole {
 		t.markAllRemoved(now)
 	}
-	var lines []choice.EngineEntry
 	for _, host := range members.Hosts {
-		lines = append(lines, t.updateEntry(host, ids, now))
+		changed = append(changed, t.updateEntry(host, ids, now))
 	}
-	return lines, t.removedSince(now)
+	return changed, t.removedAt(now)
 }
 
 func (t *engineTable) dropExpired(now time.Time) {
@@ -124,7 +125,7 @@
 	}
 }
 
-func (t *engineTable) removedSince(now time.Time) []string {
+func (t *engineTable) removedAt(now time.Time) []string {
 	var names []string
 	for name, entry := range t.byName {
 		if entry.removedAt.Equal(now) {
@@ -173,11 +174,15 @@
 		return
 	}
 	g.mu.Lock()
-	lines, removed := g.table.update(event.Members, g.ids, time.Now())
+	entries, removed := g.table.update(event.Members, g.ids, time.Now())
 	if g.drains != nil {
-		lines = g.drains.Listed(g.clock.now(), lines)
+		entries = g.drains.Listed(g.clock.now(), entries)
 	}
-	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: listKind(event.Members.Whole, cached), Engines: lines})
+	actions := g.decide(choice.Event{
+		Kind:    choice.EnginesListed,
+		List:    listKind(event.Members.Whole, cached),
+		Engines: entries,
+	})
 	g.mu.Unlock()
 	g.perform(actions)
 	for _, name := range removed {
--- a/internal/gateway/engine_table_test.go
+++ b/internal/gateway/engine_table_test.go
@@ -37,7 +37,11 @@
 // Taken for the first zone of the settings, such an engine would get jobs that must not run there.
 func TestAnEngineInAnUnknownPlaceIsInNoneOfThose(t *testing.T) {
 	r := newEngineTable()
-	lines, _ := r.update(engineList(t, "true", "e1").Members, newIdentifiers(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}), time.Now())
+	lines, _ := r.update(
+		engineList(t, "true", "e1").Members,
+		newIdentifiers(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}),
+		time.Now(),
+	)
 	if lines[0].Zone != unknownZone || lines[0].Kind != unknownKind {
 		t.Errorf("%+v", lines[0])
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,13 +126,17 @@
 // AssignShare tells the module which share of the fleet this controller carries, and which share of each tenant's
 // quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
 func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
-	part := choice.Quota{FleetShare: share, TenantShares: map[choice.TenantID]float64{}, ExpiresAt: g.clock.now() + choice.Nanos(valid)}
-	for name, quota := range quotas {
+	quota := choice.Quota{
+		FleetShare:   share,
+		TenantShares: map[choice.TenantID]float64{},
+		ExpiresAt:    g.clock.now() + choice.Nanos(valid),
+	}
+	for name, tenantShare := range quotas {
 		if id, known := g.ids.tenants[name]; known {
-			part.TenantShares[id] = quota
+			quota.TenantShares[id] = tenantShare
 		}
 	}
-	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: part})
+	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: quota})
 }
 
 // Share returns the share of the fleet, of 0 to 1, that the module assumes to carry now.
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -21,7 +21,8 @@
 		if i > 0 {
 			text += ","
 		}
-		text += `{"host":"` + h + `","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
+		text += `{"host":"` + h +
+			`","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
 	}
 	ev, err := discovery.Parse([]byte(text + "]}}"))
 	if err != nil {
--- a/internal/gateway/job_runner_test.go
+++ b/internal/gateway/job_runner_test.go
@@ -75,7 +75,15 @@
 	e.mu.Lock()
 	e.reply = reply
 	e.mu.Unlock()
-	e.seen.add("engine %s: start call=%s grant=%v priority=%d lane=%d wait=%v", to.Name, r.ID, r.GrantMB, r.Priority, r.Lane, r.TimeoutMS > 0)
+	e.seen.add(
+		"engine %s: start call=%s grant=%v priority=%d lane=%d wait=%v",
+		to.Name,
+		r.ID,
+		r.GrantMB,
+		r.Priority,
+		r.Lane,
+		r.TimeoutMS > 0,
+	)
 	return &scriptedDispatch{engines: e}
 }
 
@@ -136,18 +144,42 @@
 	before := slog.Default()
 	slog.SetDefault(slog.New(eventLog{seen}))
 	t.Cleanup(func() { slog.SetDefault(before) })
-	facts := choice.RawSettings{"localities": []any{"west"}, "kinds": []any{"std"}, "domain": map[string]any{"cpu_of_kind": []any{16.0}},
-		"tenants": []any{map[string]any{"name": "acme"}},
+	facts := choice.RawSettings{
+		"localities": []any{"west"},
+		"kinds":      []any{"std"},
+		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
+		"tenants":    []any{map[string]any{"name": "acme"}},
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9},
 			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 20e9}},
-		"limits": map[string]any{"cancel": true}}
+		"limits": map[string]any{"cancel": true},
+	}
 	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
 	s.client.here.Store(true)
-	s.gate = New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Trace: true, Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return s.engines }}})
+	s.gate = New(
+		Options{
+			Settings: facts,
+			Seed:     1,
+			Budget:   testBudget(),
+			Trace:    true,
+			Protocols: map[backend.Protocol]backend.Factory{
+				backend.Line: func(backend.Limits) backend.Engines { return s.engines },
+			},
+		},
+	)
 	s.gate.UpdateEngines(engineList(t, "true", "e1"), true)
 	g := s.gate
-	s.job = &job{Request: Request{Type: []byte("lookup"), ID: []byte("c1"), Tenant: []byte("acme"), ArrivedAt: time.Now(), Timeout: left, Client: s.client},
-		id: 1 << 30, mailbox: newMailbox()}
+	s.job = &job{
+		Request: Request{
+			Type:      []byte("lookup"),
+			ID:        []byte("c1"),
+			Tenant:    []byte("acme"),
+			ArrivedAt: time.Now(),
+			Timeout:   left,
+			Client:    s.client,
+		},
+		id:      1 << 30,
+		mailbox: newMailbox(),
+	}
 	g.mu.Lock()
 	s.engine = g.table.byName["e1"].id
 	g.jobs[s.job.id], g.openCalls["c1"] = s.job, struct{}{}
@@ -208,10 +240,16 @@
 }
 
 var (
-	dispatched = act{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"}}
-	throttled  = act{ordered(choice.Throttle, func(a *choice.Action) { a.Duration = 1e9 }), []string{"client: throttled 1s"}}
-	cancelled  = act{ordered(choice.CancelPermanently, nil), []string{"client: failed cancelled for good"}}
-	result     = backend.Reply{Outcome: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, MemoryMB: 76}
+	dispatched = act{
+		ordered(choice.Dispatch, nil),
+		[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"},
+	}
+	throttled = act{
+		ordered(choice.Throttle, func(a *choice.Action) { a.Duration = 1e9 }),
+		[]string{"client: throttled 1s"},
+	}
+	cancelled = act{ordered(choice.CancelPermanently, nil), []string{"client: failed cancelled for good"}}
+	result    = backend.Reply{Outcome: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, MemoryMB: 76}
 )
 
 func TestTheLifeOfAJobFollowsTheModulesOrders(t *testing.T) {
@@ -222,57 +260,75 @@
 		work    canary.Work
 	}{
 		{name: "done", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "failed, then sent once more", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1}, acts: []act{dispatched,
-			{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}}, dispatched,
-			{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2",
+				"engine: free 2"}}}},
+		{name: "failed, then sent once more", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 2, Further: 1},
+			acts: []act{dispatched,
+				{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}},
+				dispatched,
+				{replied(result), []string{"module: answered seq=1 result=1 final=true bill=143379", "client: done 2",
+					"engine: free 2"}}}},
 		{name: "never sent", work: canary.Work{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
 		{name: "full, then throttled", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
-			{replied(backend.Reply{Outcome: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}}, throttled}},
-		{name: "not connected, reset, superseded", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2}, acts: []act{dispatched,
-			{replied(backend.Reply{Outcome: backend.NotConnected}), []string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
-			{replied(backend.Reply{Outcome: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}}, dispatched,
-			{replied(backend.Reply{Outcome: backend.Superseded}), []string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
+			{replied(backend.Reply{Outcome: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}},
+			throttled}},
+		{name: "not connected, reset, superseded", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 3, Further: 2},
+			acts: []act{dispatched,
+				{replied(backend.Reply{Outcome: backend.NotConnected}),
+					[]string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
+				{replied(backend.Reply{Outcome: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}},
+				dispatched,
+				{replied(backend.Reply{Outcome: backend.Superseded}),
+					[]string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
 		{name: "progress is passed on", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
 			{replied(backend.Reply{Notice: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
 			{replied(backend.Reply{Notice: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
 			{replied(backend.Reply{Notice: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
 			{replied(backend.Reply{Notice: "other"}), nil},
-			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2",
+				"engine: free 2"}}}},
 		{name: "terms before and while it is out", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{
 			{terms(3, 64), nil},
 			{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=64 priority=3 lane=0 wait=true"}},
 			{terms(5, 64), []string{"engine: renice 5"}}, {terms(5, 96), nil},
-			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
+			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2",
+				"engine: free 2"}}}},
 		{name: "retracted, then cancelled", work: canary.Work{Jobs: 1, Cancelled: 1, Dispatches: 1}, acts: []act{dispatched,
 			{retract(9), nil}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}}, {retract(0), nil}, cancelled}},
-		{name: "retracted, but done before the engine read so", work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
-			{retract(0), []string{"engine: give up"}},
-			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2", "engine: free 2"}}}},
-		{name: "a reply after the retracted one's end", counter: "replies_late", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
-			{retract(0), []string{"engine: give up"}},
-			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
-			{replied(result), []string{"engine: free 2"}}, throttled}},
+		{name: "retracted, but done before the engine read so",
+			work: canary.Work{Jobs: 1, Within: 1, Done: 1, Dispatches: 1}, acts: []act{dispatched,
+				{retract(0), []string{"engine: give up"}},
+				{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "client: done 2",
+					"engine: free 2"}}}},
+		{name: "a reply after the retracted one's end", counter: "replies_late",
+			work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched,
+				{retract(0), []string{"engine: give up"}},
+				{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
+				{replied(result), []string{"engine: free 2"}}, throttled}},
 		{name: "a dispatch past its time limit", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{
 			{ordered(choice.Dispatch, func(a *choice.Action) { a.Duration = 1 }),
 				[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
-		{name: "throttled while a dispatch is out", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
-			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1}, acts: []act{dispatched, throttled,
-			{ordered(choice.CancelPermanently, nil), nil}, {ordered(choice.Throttle, nil), nil},
-			{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
-		{name: "left before it is sent", work: canary.Work{Jobs: 1}, acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
+		{name: "throttled while a dispatch is out", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1},
+			acts: []act{dispatched, throttled,
+				{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
+		{name: "a second final answer is not given", work: canary.Work{Jobs: 1, Throttled: 1, Dispatches: 1},
+			acts: []act{dispatched, throttled,
+				{ordered(choice.CancelPermanently, nil), nil}, {ordered(choice.Throttle, nil), nil},
+				{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
+		{name: "left before it is sent", work: canary.Work{Jobs: 1},
+			acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
 		{name: "left while a dispatch is out", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
 			{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
 		{name: "left, then done all the same", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{dispatched,
 			{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
 			{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
-		{name: "a dispatch ordered when the client has gone", counter: "dispatches_client_gone", work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
-			{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
-				[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
+		{name: "a dispatch ordered when the client has gone", counter: "dispatches_client_gone",
+			work: canary.Work{Jobs: 1, Dispatches: 1}, acts: []act{
+				{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
+					[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { play(t, time.Minute, c.acts, c.counter, c.work) })
 	}
@@ -280,6 +336,7 @@
 
 // play goes through the acts of one job, each once the one before has shown, and looks at what stays.
 func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.Work) {
+	t.Helper()
 	s := newStage(t, left)
 	book := jobstats.NewBook()
 	s.gate.SetStats(book)
--- a/internal/gateway/job_state_test.go
+++ b/internal/gateway/job_state_test.go
@@ -18,7 +18,10 @@
 	} {
 		t.Run(c.from.String(), func(t *testing.T) {
 			for transition, want := range map[jobTransition]jobState{
-				dispatchStarted: c.dispatched, cancelRequested: c.cancelRequested, dispatchEnded: c.ended, answerSettled: c.answered,
+				dispatchStarted: c.dispatched,
+				cancelRequested: c.cancelRequested,
+				dispatchEnded:   c.ended,
+				answerSettled:   c.answered,
 			} {
 				got, legal := c.from.after(transition)
 				if legal != (want != illegal) || legal && got != want {
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -11,6 +11,11 @@
 
 // Builds with the tag debug panic here: the module owes an answer by the job timeout.
 func TestAJobThatTheModuleForgetsIsAnsweredPastItsTimeout(t *testing.T) {
-	play(t, time.Millisecond, []act{{func(*stage) {}, []string{"module: client_left", "client: failed job timeout"}}}, "answers_overdue",
-		canary.Work{Jobs: 1, Cancelled: 1})
+	play(
+		t,
+		time.Millisecond,
+		[]act{{func(*stage) {}, []string{"module: client_left", "client: failed job timeout"}}},
+		"answers_overdue",
+		canary.Work{Jobs: 1, Cancelled: 1},
+	)
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -75,7 +75,8 @@
 		line, changed := g.drains.Said(g.clock.now(), entry.id, report)
 		if changed {
 			counters.Increment("drains_reported")
-			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: []choice.EngineEntry{line}})
+			entries := []choice.EngineEntry{line}
+			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: entries})
 		}
 	}
 	g.mu.Unlock()
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -8,10 +8,12 @@
 	"swiftreel/internal/backend"
 )
 
-const ruleFacts = `{"step_ns":2e8,"locality":1,"localities":["east","west"],"kinds":["std","big"],"tenants":[{"name":"acme"},{"name":"zeta"}],
+const ruleFacts = `{"step_ns":2e8,"locality":1,"localities":["east","west"],"kinds":["std","big"],
+"tenants":[{"name":"acme"},{"name":"zeta"}],
 "classes":[{"name":"lookup","idempotency":"repeatable","aim_ns":5e8,"aim_stretch":2,"give_up_ns":2e9},
 {"name":"import","idempotency":"once","aim_ns":3e9,"give_up_ns":6e9},{"name":"mark","idempotency":"by_key"}],
-"domain":{"class_threads":[1,4],"size_mb":[1000,4000],"writes_tables":[false,true,false],"waits_for_loads":[true,false]},
+"domain":{"class_threads":[1,4],"size_mb":[1000,4000],"writes_tables":[false,true,false],
+"waits_for_loads":[true,false]},
 "limits":{"dial_timeout_ns":3e8,"conn_idle_ns":7e9,"max_streams":9,"max_open":77},
 "telemetry":{"via":"on_probe","fields":["concurrent","load_share"]},"invariants":{"answer_slack_ns":2e7}}`
 
@@ -54,7 +56,9 @@
 }
 
 func TestSettingsThatAreAbsentHaveDefaults(t *testing.T) {
-	r := newSettings(factsOf(t, `{"classes":[{"name":"lookup","give_up_ns":1e9}],"telemetry":{"via":"off","fields":["concurrent"]}}`))
+	r := newSettings(
+		factsOf(t, `{"classes":[{"name":"lookup","give_up_ns":1e9}],"telemetry":{"via":"off","fields":["concurrent"]}}`),
+	)
 	for name, c := range map[string][2]any{
 		"limits.dial_timeout_ns":     {r.dialTimeout, time.Second},
 		"limits.conn_idle_ns":        {r.idleTimeout, 15 * time.Second},
@@ -74,7 +78,8 @@
 
 func TestTheSettingsNamesAreNumbered(t *testing.T) {
 	n := newIdentifiers(factsOf(t, ruleFacts))
-	if n.types["lookup"] != 0 || n.types["mark"] != 2 || n.tenants["zeta"] != 1 || n.zone("west") != 1 || n.kind("big") != 1 || n.ownZone != "west" {
+	if n.types["lookup"] != 0 || n.types["mark"] != 2 || n.tenants["zeta"] != 1 || n.zone("west") != 1 ||
+		n.kind("big") != 1 || n.ownZone != "west" {
 		t.Errorf("%+v", n)
 	}
 	if n.zone("north") != unknownZone || n.kind("small") != unknownKind {
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -37,7 +37,11 @@
 	byName := map[string]EngineHealth{}
 	for _, health := range g.module.EngineHealth() {
 		if entry := g.table.byID[health.Engine]; entry != nil {
-			byName[entry.host.Name] = EngineHealth{LatencyRatio: health.LatencyRatio, FailureRate: health.FailureRate, Ejected: health.Ejected}
+			byName[entry.host.Name] = EngineHealth{
+				LatencyRatio: health.LatencyRatio,
+				FailureRate:  health.FailureRate,
+				Ejected:      health.Ejected,
+			}
 		}
 	}
 	return byName
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -58,12 +58,14 @@
 	switch event.Kind {
 	case choice.JobArrived:
 		return []any{"job", event.Job, "type", event.Type, "tenant", event.Tenant, "key", fmt.Sprintf("%x", event.Key),
-			"left", event.TimeLeft, "cost", event.Cost, "memory_mb", event.MemoryMB, "tables", event.Tables, "repeat", event.IsRepeat}
+			"left", event.TimeLeft, "cost", event.Cost, "memory_mb", event.MemoryMB,
+			"tables", event.Tables, "repeat", event.IsRepeat}
 	case choice.AttemptEnded:
 		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "result", event.Result,
 			"latency", event.Latency, "final", event.IsFinal, "bill", event.Usage, "load", event.Load}
 	case choice.ProgressReported:
-		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine, "note", event.Progress, "amount", event.Amount}
+		return []any{"job", event.Job, "seq", event.Seq, "engine", event.Engine,
+			"note", event.Progress, "amount", event.Amount}
 	case choice.ClientDisconnected:
 		return []any{"job", event.Job}
 	case choice.EnginesListed:
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,7 +11,8 @@
 	for _, sockets := range []int{64, 100, 256, 1024, 65536} {
 		p.Apply(config.Limits{Cores: 0.5, MemoryMB: 192, Sockets: sockets})
 		clients, engines := p.ClientConns.Max(), p.EngineConns.Max()
-		if clients < sockets/3 || engines < sockets/3 || clients+engines+reserved(sockets) > sockets || reserved(sockets) < 14 {
+		if clients < sockets/3 || engines < sockets/3 || clients+engines+reserved(sockets) > sockets ||
+			reserved(sockets) < 14 {
 			t.Errorf("%d sockets: %d for clients, %d for engines", sockets, clients, engines)
 		}
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -15,7 +15,10 @@
 	var got bytes.Buffer
 	Setup(&got)
 	slog.Warn("a thing happened", "count", 3, "took", 1500*time.Millisecond, "text", "two words")
-	form := regexp.MustCompile(`^time=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z level=WARN msg="a thing happened" count=3 took=1500000000 text="two words"\n$`)
+	form := regexp.MustCompile(
+		`^time=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{6}Z level=WARN ` +
+			`msg="a thing happened" count=3 took=1500000000 text="two words"\n$`,
+	)
 	if !form.MatchString(got.String()) {
 		t.Errorf("%q", got.String())
 	}
--- a/internal/operator/files_test.go
+++ b/internal/operator/files_test.go
@@ -77,13 +77,22 @@
 // Contradictions that a schema does not see: each is told with its path.
 func TestContradictionsAreTold(t *testing.T) {
 	for _, c := range []struct{ name, text, fault string }{
-		{"listen", `{"sparql":{"listen":"x","types":[{"type":"a"}],"endpoints":{"e":"http://h/"}}}`, "/sparql/listen: address x: missing port in address"},
-		{"timeout", `{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://h/"},"timeout_ms":9,"most_timeout_ms":8}}`, "/sparql/timeout_ms: over most_timeout_ms"},
-		{"endpoint", `{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://u@h/"}}}`, `/sparql/endpoints/e: "http://u@h/" is no endpoint`},
-		{"work", `{"sparql":{"listen":"a:1","types":[{"type":"a","least_work_ms":5,"most_work_ms":5}],"endpoints":{"e":"http://h/"}}}`, "/sparql/types/0/most_work_ms: not over least_work_ms"},
-		{"no voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"parts":{}}}`, "/fleet: parts and planning are an owner's work: name voters"},
-		{"two members", `{"fleet":{"members":[{"name":"n","listen":"a:1"},{"name":"m","listen":"a:1"}]}}`, `/fleet/members/1/listen: "a:1" stands twice`},
-		{"voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"voters":["n"]}}`, "/fleet/voters: 1, three or five can have a majority that lasts"},
+		{"listen", `{"sparql":{"listen":"x","types":[{"type":"a"}],"endpoints":{"e":"http://h/"}}}`,
+			"/sparql/listen: address x: missing port in address"},
+		{"timeout",
+			`{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://h/"},` +
+				`"timeout_ms":9,"most_timeout_ms":8}}`,
+			"/sparql/timeout_ms: over most_timeout_ms"},
+		{"endpoint", `{"sparql":{"listen":"a:1","types":[{"type":"a"}],"endpoints":{"e":"http://u@h/"}}}`,
+			`/sparql/endpoints/e: "http://u@h/" is no endpoint`},
+		{"work", `{"sparql":{"listen":"a:1","types":[{"type":"a","least_work_ms":5,"most_work_ms":5}],` +
+			`"endpoints":{"e":"http://h/"}}}`, "/sparql/types/0/most_work_ms: not over least_work_ms"},
+		{"no voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"parts":{}}}`,
+			"/fleet: parts and planning are an owner's work: name voters"},
+		{"two members", `{"fleet":{"members":[{"name":"n","listen":"a:1"},{"name":"m","listen":"a:1"}]}}`,
+			`/fleet/members/1/listen: "a:1" stands twice`},
+		{"voters", `{"fleet":{"members":[{"name":"n","listen":"a:1"}],"voters":["n"]}}`,
+			"/fleet/voters: 1, three or five can have a majority that lasts"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "file.json")
--- a/internal/operator/topology.go
+++ b/internal/operator/topology.go
@@ -11,8 +11,8 @@
 )
 
 // Topology changes settings of the deployment. A field that is given replaces the setting of that name that the
-// ROUTER_CONFIG file has for the decision module; nil leaves it as it is. It is applied at SIGHUP without a restart, and
-// taking the part out of the file takes the change back.
+// ROUTER_CONFIG file has for the decision module; nil leaves it as it is. It is applied at SIGHUP without a restart,
+// and taking the part out of the file takes the change back.
 type Topology struct {
 	Cancel         *bool    `json:"cancel"`           // limits.cancel: dispatches may be cancelled
 	PeerMessages   *bool    `json:"peer_messages"`    // limits.peer_messages; sockets have no channel for them yet
--- a/internal/plan/files_test.go
+++ b/internal/plan/files_test.go
@@ -64,12 +64,15 @@
 		change func(s map[string]any)
 		fault  string
 	}{
-		"begins late": {func(s map[string]any) { s["from_ms"] = 5 }, "/steps/0/from_ms: steps begin at 0 and follow each other"},
+		"begins late": {func(s map[string]any) { s["from_ms"] = 5 },
+			"/steps/0/from_ms: steps begin at 0 and follow each other"},
 		"used twice": {func(s map[string]any) {
 			s["use"] = append(s["use"].([]any), map[string]any{"engine": "e1", "threads": 0, "may": 0, "has": 0})
 		}, `/steps/0/use/3: engine "e1" stands twice`},
-		"of no engine": {func(s map[string]any) { s["use"] = s["use"].([]any)[1:] }, `/steps/0/threads/0: engine "e1" does not stand in use`},
-		"shares":       {func(s map[string]any) { s["shares"].([]any)[0].(map[string]any)["per_million"] = 999_999 }, "/steps/0/shares: they sum to "},
+		"of no engine": {func(s map[string]any) { s["use"] = s["use"].([]any)[1:] },
+			`/steps/0/threads/0: engine "e1" does not stand in use`},
+		"shares": {func(s map[string]any) { s["shares"].([]any)[0].(map[string]any)["per_million"] = 999_999 },
+			"/steps/0/shares: they sum to "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, err := Load(filepath.Join("testdata", "plan.json"))
--- a/internal/ratelog/ratelog_test.go
+++ b/internal/ratelog/ratelog_test.go
@@ -19,7 +19,8 @@
 	for range 5 {
 		logger.CountAndWarn("faults_of_the_test", "fault", "reason", "x")
 	}
-	if strings.Count(got.String(), "\n") != 1 || !strings.Contains(got.String(), "fault reason=x count=1") || counters.Value("faults_of_the_test") != 5 {
+	if strings.Count(got.String(), "\n") != 1 || !strings.Contains(got.String(), "fault reason=x count=1") ||
+		counters.Value("faults_of_the_test") != 5 {
 		t.Errorf("%q, %d counted", got.String(), counters.Value("faults_of_the_test"))
 	}
 }
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -8,12 +8,28 @@
 	"swiftreel/internal/golden"
 )
 
-var rules = Rules{Types: map[string]Type{"lookup": {Effect: Restartable}, "import": {Effect: RunOnce, Ordered: true, Zones: []string{"east"}},
-	"update": {Effect: Keyed, DedupScope: "group", DedupWindow: 1000}, "mark": {Effect: Keyed, DedupScope: "all", DedupWindow: 1000}, "report": {Effect: Restartable, Kinds: []string{"big"}}},
-	AnswerSlack: 10, DrainGrace: 50, OrderPause: 100, WarmUp: 10_000, WarmUpWindow: 1000, WarmUpWorkPerCore: 300, RetryWindow: 1000, FreeRetries: 1, RetriesPerMille: 200}
+var rules = Rules{
+	Types: map[string]Type{
+		"lookup": {Effect: Restartable},
+		"import": {Effect: RunOnce, Ordered: true, Zones: []string{"east"}},
+		"update": {Effect: Keyed, DedupScope: "group", DedupWindow: 1000},
+		"mark":   {Effect: Keyed, DedupScope: "all", DedupWindow: 1000},
+		"report": {Effect: Restartable, Kinds: []string{"big"}},
+	},
+	AnswerSlack:       10,
+	DrainGrace:        50,
+	OrderPause:        100,
+	WarmUp:            10_000,
+	WarmUpWindow:      1000,
+	WarmUpWorkPerCore: 300,
+	RetryWindow:       1000,
+	FreeRetries:       1,
+	RetriesPerMille:   200,
+}
 
 // fleet is two engines, the first cold until 10,000.
-const fleet = `{"t":0,"what":"listed","engine":"e1","state":"ready","zone":"east","kind":"std","group":"g1","cores":2,"started":1}
+const fleet = `{"t":0,"what":"listed","engine":"e1","state":"ready","zone":"east","kind":"std","group":"g1",` +
+	`"cores":2,"started":1}
 {"t":0,"what":"listed","engine":"e2","state":"ready","zone":"west","kind":"big","group":"g2","cores":2}
 `
 
@@ -36,8 +52,8 @@
 	return line(t, Answered, job, `,"answer":"`+how+`"`)
 }
 
-func ran(t int, job, typ, key, engine string) string {
-	return taken(t, job, typ, key) + began(t+1, job, engine) + ended(t+2, job, Done) + answered(t+3, job, Done)
+func ran(t int, job, typ, engine string) string {
+	return taken(t, job, typ, "") + began(t+1, job, engine) + ended(t+2, job, Done) + answered(t+3, job, Done)
 }
 
 func TestEachBrokenRuleIsFoundAndNothingElse(t *testing.T) {
@@ -47,41 +63,71 @@
 		rule int // 0: none
 		log  string
 	}{
-		{"done", 0, ran(1, "a", "lookup", "", "e1")},
+		{"done", 0, ran(1, "a", "lookup", "e1")},
 		{"throttled unsent", 0, taken(1, "a", "import", "") + answered(5, "a", Throttled)},
-		{"refused, then run", 0, taken(1, "a", "import", "") + line(2, Reached, "a", `,"engine":"e1"`) + began(3, "a", "e1") + ended(4, "a", Done) + answered(5, "a", Done)},
+		{"refused, then run", 0, taken(1, "a", "import", "") + line(2, Reached, "a", `,"engine":"e1"`) +
+			began(3, "a", "e1") + ended(4, "a", Done) + answered(5, "a", Done)},
 		{"left", 0, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "")},
 		{"no answer", 1, taken(1, "a", "lookup", "")},
-		{"two answers", 1, ran(1, "a", "lookup", "", "e1") + answered(9, "a", Done)},
+		{"two answers", 1, ran(1, "a", "lookup", "e1") + answered(9, "a", Done)},
 		{"late", 1, taken(1, "a", "lookup", "") + answered(2012, "a", Throttled)},
 		{"late by the slack", 0, taken(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
-		{"answered after it left", 1, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Throttled)},
+		{"answered after it left", 1, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") +
+			answered(5, "a", Throttled)},
 		{"done by nobody", 1, taken(1, "a", "lookup", "") + answered(4, "a", Done)},
 		{"an answer to nothing", 1, answered(4, "a", Throttled)},
-		{"run-once twice", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"run-once throttled after it ran", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + answered(6, "a", Throttled)},
-		{"run-once cancelled after it ran", 0, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + answered(6, "a", Cancelled)},
-		{"keyed again in its group", 0, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) + began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"keyed again elsewhere", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) + began(4, "a", "e2") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"keyed again too late", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) + began(1003, "a", "e1") + ended(1005, "a", Done) + answered(1006, "a", Done)},
-		{"keyed by all, throttled in its window", 0, taken(1, "a", "mark", "") + began(2, "a", "e1") + ended(3, "a", Broken) + answered(900, "a", Throttled)},
-		{"keyed by all, throttled past it", 2, taken(1, "a", "mark", "") + began(2, "a", "e1") + ended(3, "a", Broken) + answered(1100, "a", Throttled)},
-		{"keyed by a group, throttled", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) + answered(5, "a", Throttled)},
-		{"draining within the grace", 0, `{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" + ran(54, "a", "lookup", "", "e1")},
-		{"draining past the grace", 3, `{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" + ran(55, "a", "lookup", "", "e1")},
-		{"draining, then gone, from the first", 3, `{"t":5,"what":"listed","engine":"e2","state":"draining"}` + "\n" + `{"t":50,"what":"listed","engine":"e2","state":"gone"}` + "\n" + ran(60, "a", "lookup", "", "e2")},
-		{"a cold engine pushed over by two", 4, ran(1, "a", "lookup", "", "e1") + ran(11, "b", "lookup", "", "e1") + strings.ReplaceAll(ran(21, "c", "lookup", "", "e1"), "n1", "n2")},
-		{"a cold engine in two windows", 0, ran(1, "a", "lookup", "", "e1") + ran(11, "b", "lookup", "", "e1") + ran(1013, "c", "lookup", "", "e1")},
-		{"a warm engine", 0, ran(10001, "a", "lookup", "", "e1") + ran(10011, "b", "lookup", "", "e1") + ran(10021, "c", "lookup", "", "e1")},
-		{"out of order", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "b", "e1") + ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
-		{"order of two keys", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "l") + began(3, "b", "e1") + ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
-		{"the next while the first still runs", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") + answered(4, "a", Cancelled) + began(5, "b", "e1") + ended(6, "a", Broken) + ended(7, "b", Done) + answered(8, "b", Done)},
-		{"without its rest", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") + ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(103, "b", "e1") + ended(104, "b", Done) + answered(105, "b", Done)},
-		{"with its rest", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") + ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(104, "b", "e1") + ended(105, "b", Done) + answered(106, "b", Done)},
-		{"zone", 6, ran(1, "a", "import", "", "e2")},
-		{"kind", 6, ran(1, "a", "report", "", "e1")},
-		{"budget", 7, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) + began(4, "a", "e2") + ended(5, "a", Broken) + began(6, "a", "e2") + ended(7, "a", Done) + answered(8, "a", Done)},
-		{"budget with time between", 0, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) + began(4, "a", "e2") + ended(5, "a", Broken) + began(1004, "a", "e2") + ended(1005, "a", Done) + answered(1006, "a", Done)},
+		{"run-once twice", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
+		{"run-once throttled after it ran", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			answered(6, "a", Throttled)},
+		{"run-once cancelled after it ran", 0, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			answered(6, "a", Cancelled)},
+		{"keyed again in its group", 0, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
+		{"keyed again elsewhere", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			began(4, "a", "e2") + ended(5, "a", Done) + answered(6, "a", Done)},
+		{"keyed again too late", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			began(1003, "a", "e1") + ended(1005, "a", Done) + answered(1006, "a", Done)},
+		{"keyed by all, throttled in its window", 0, taken(1, "a", "mark", "") + began(2, "a", "e1") +
+			ended(3, "a", Broken) + answered(900, "a", Throttled)},
+		{"keyed by all, throttled past it", 2, taken(1, "a", "mark", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			answered(1100, "a", Throttled)},
+		{"keyed by a group, throttled", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+			answered(5, "a", Throttled)},
+		{"draining within the grace", 0,
+			`{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" +
+				ran(54, "a", "lookup", "e1")},
+		{"draining past the grace", 3,
+			`{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" +
+				ran(55, "a", "lookup", "e1")},
+		{"draining, then gone, from the first", 3, `{"t":5,"what":"listed","engine":"e2","state":"draining"}` + "\n" +
+			`{"t":50,"what":"listed","engine":"e2","state":"gone"}` + "\n" + ran(60, "a", "lookup", "e2")},
+		{"a cold engine pushed over by two", 4, ran(1, "a", "lookup", "e1") + ran(11, "b", "lookup", "e1") +
+			strings.ReplaceAll(ran(21, "c", "lookup", "e1"), "n1", "n2")},
+		{"a cold engine in two windows", 0, ran(1, "a", "lookup", "e1") + ran(11, "b", "lookup", "e1") +
+			ran(1013, "c", "lookup", "e1")},
+		{"a warm engine", 0, ran(10001, "a", "lookup", "e1") + ran(10011, "b", "lookup", "e1") +
+			ran(10021, "c", "lookup", "e1")},
+		{"out of order", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "b", "e1") +
+			ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
+		{"order of two keys", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "l") + began(3, "b", "e1") +
+			ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
+		{"the next while the first still runs", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") +
+			began(3, "a", "e1") + answered(4, "a", Cancelled) + began(5, "b", "e1") + ended(6, "a", Broken) +
+			ended(7, "b", Done) + answered(8, "b", Done)},
+		{"without its rest", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") +
+			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(103, "b", "e1") + ended(104, "b", Done) +
+			answered(105, "b", Done)},
+		{"with its rest", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") +
+			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(104, "b", "e1") + ended(105, "b", Done) +
+			answered(106, "b", Done)},
+		{"zone", 6, ran(1, "a", "import", "e2")},
+		{"kind", 6, ran(1, "a", "report", "e1")},
+		{"budget", 7, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) + began(4, "a", "e2") +
+			ended(5, "a", Broken) + began(6, "a", "e2") + ended(7, "a", Done) + answered(8, "a", Done)},
+		{"budget with time between", 0, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) +
+			began(4, "a", "e2") + ended(5, "a", Broken) + began(1004, "a", "e2") + ended(1005, "a", Done) +
+			answered(1006, "a", Done)},
 	} {
 		log, err := Read(strings.NewReader(fleet + c.log))
 		if err != nil {
@@ -99,7 +145,8 @@
 }
 
 func TestLogsOfOneMomentAreMergedWithoutBlame(t *testing.T) {
-	a, _ := Read(strings.NewReader(fleet + taken(1, "a", "import", "k") + taken(1, "b", "import", "k") + answered(5, "a", Done) + answered(9, "b", Done)))
+	a, _ := Read(strings.NewReader(fleet + taken(1, "a", "import", "k") + taken(1, "b", "import", "k") +
+		answered(5, "a", Done) + answered(9, "b", Done)))
 	b, _ := Read(strings.NewReader(began(2, "a", "e1") + ended(5, "a", Done) + began(5, "b", "e1") + ended(6, "b", Done)))
 	if found := Check(rules, Merge(b, a)); len(found) > 0 {
 		t.Error(found)
--- a/internal/rulecheck/log.go
+++ b/internal/rulecheck/log.go
@@ -1,6 +1,6 @@
-// Package rulecheck finds every broken rule in the logs of stand-ins: clients log the jobs they asked for and the answers
-// they got, engines every dispatch that reached them. It knows nothing of how a controller decides: whatever forwards
-// jobs is held to the same seven rules.
+// Package rulecheck finds every broken rule in the logs of stand-ins: clients log the jobs they asked for and the
+// answers they got, engines every dispatch that reached them. It knows nothing of how a controller decides: whatever
+// forwards jobs is held to the same seven rules.
 //
 //  1. Each job has one final answer in time, and a result only if an engine ran it.
 //  2. A job that may run once does not run twice, and is not throttled once it may have run.
