--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stats.close)
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") +
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") +
 		"," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 				},
 			})
 			defer gate.Close()
-			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
+			ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
 				entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -63,10 +63,10 @@
 	members *discovery.Members, ids identifiers, now time.Time,
 ) (changed []choice.EngineEntry, removed []string) {
 	t.dropExpired(now)
-	if members.Whole {
+	if members.IsComplete {
 		t.markAllRemoved(now)
 	}
-	for _, host := range members.Hosts {
+	for _, host := range members.Engines {
 		changed = append(changed, t.updateEntry(host, ids, now))
 	}
 	return changed, t.removedAt(now)
@@ -95,7 +95,7 @@
 	if host.Dial != "" {
 		entry.host.Address = host.Dial
 	}
-	state := engineState(host.State)
+	state := engineState(host.Health)
 	entry.removedAt = time.Time{}
 	if state == choice.Removed {
 		entry.removedAt = now
@@ -103,10 +103,10 @@
 	entry.line = choice.EngineEntry{
 		Engine:      entry.id,
 		Zone:        ids.zone(host.Site),
-		Kind:        ids.kind(host.Kind),
-		Cell:        choice.CellID(host.Cell),
+		Kind:        ids.kind(host.Class),
+		Cell:        choice.CellID(host.Block),
 		State:       state,
-		Size:        host.Size,
+		Size:        host.Share,
 		StartedAt:   choice.Nanos(host.BornMS) * choice.Nanos(time.Millisecond),
 		Unsupported: t.unsupportedProtocols(entry.host),
 	}
@@ -176,11 +176,11 @@
 	g.mu.Lock()
 	entries, removed := g.table.update(event.Members, g.ids, time.Now())
 	if g.drains != nil {
-		entries = g.drains.Listed(g.clock.now(), entries)
+		entries = g.drains.ApplyList(g.clock.now(), entries)
 	}
 	actions := g.decide(choice.Event{
 		Kind:    choice.EnginesListed,
-		List:    listKind(event.Members.Whole, cached),
+		List:    listKind(event.Members.IsComplete, cached),
 		Engines: entries,
 	})
 	g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -22,7 +22,7 @@
 	settings    settings
 	budget      *limits.Budget
 	engines     backend.Engines
-	stats       *jobstats.Book // nil: jobs are not counted
+	stats       *jobstats.Recorder // nil: jobs are not counted
 	trace       trace
 	ready       atomic.Bool
 	moduleLog   ratelog.Limiter // for the log lines of the module
@@ -35,8 +35,8 @@
 	module     choice.Controller
 	table      engineTable
 	activePlan activePlan
-	drains     *decide.Drain         // nil: no engine reports its own drain
-	slots      *decide.Guard         // nil: there is only one protocol
+	drains     *decide.DrainTracker  // nil: no engine reports its own drain
+	slots      *decide.Slots         // nil: there is only one protocol
 	jobs       map[choice.JobID]*job // until their goroutine returns
 	openCalls  map[string]struct{}   // ids of calls that are neither answered nor abandoned
 	lastJobID  choice.JobID
@@ -81,7 +81,7 @@
 }
 
 // SetStats has jobs and probes counted from now on. It must be called before Start.
-func (g *Gateway) SetStats(stats *jobstats.Book) { g.stats = stats }
+func (g *Gateway) SetStats(stats *jobstats.Recorder) { g.stats = stats }
 
 // Ready reports whether jobs are welcome: between Start and Stop.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -16,6 +16,6 @@
 		time.Millisecond,
 		[]act{{func(*stage) {}, []string{"module: client_left", "client: failed job timeout"}}},
 		"answers_overdue",
-		canary.Work{Jobs: 1, Cancelled: 1},
+		canary.JobCounts{Jobs: 1, Cancelled: 1},
 	)
 }
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -33,13 +33,13 @@
 func checkOrders(text string, leaders map[int64]string) error {
 	var last change.Fence
 	for line := range strings.Lines(text) {
-		_, fields, isOrder := strings.Cut(line, "msg=order_taken fence=")
+		_, fields, isOrder := strings.Cut(line, "msg=order_accepted fence=")
 		if !isOrder {
 			continue
 		}
 		var fence change.Fence
 		var by string
-		if _, err := fmt.Sscanf(fields, "%d.%d.%d by=%s", &fence.Number, &fence.Term, &fence.Turn, &by); err != nil {
+		if _, err := fmt.Sscanf(fields, "%d.%d.%d ordered_by=%s", &fence.Number, &fence.Term, &fence.Turn, &by); err != nil {
 			return err
 		}
 		if fence.Compare(last) <= 0 {
--- a/internal/proof/owner/listener.go
+++ b/internal/proof/owner/listener.go
@@ -51,22 +51,24 @@
 	defer l.mu.Unlock()
 	now := monotonic.Now()
 	status := supervisor.Status{
-		Format:      change.Format,
-		Name:        l.name,
-		Life:        l.name,
-		BootNS:      now,
-		Word:        l.accepted.ValidAt(now),
-		Serves:      true,
-		EngineCount: enginesPerListener,
-		Started:     1,
-		Work:        map[canary.Group]canary.Work{},
+		Format:           change.Format,
+		Name:             l.name,
+		Incarnation:      l.name,
+		MonotonicNS:      now,
+		Assignment:       l.accepted.ValidAt(now),
+		Serving:          true,
+		ReadyEngineCount: enginesPerListener,
+		StartedUnixNS:    1,
+		JobCounts:        map[canary.Group]canary.JobCounts{},
 	}
 	jobs := uint64(time.Since(l.startedAt).Seconds()*jobsPerSecond) + 1
 	for i := range groupsPerListener {
 		latencies := make([]uint64, latencyBuckets)
 		latencies[i*bucketsBetweenTypes] = jobs
 		group := canary.Group{Type: fmt.Sprint("type", i%typesPerListener), Tenant: fmt.Sprint("tenant", i)}
-		status.Work[group] = canary.Work{Jobs: jobs, Within: jobs, Done: jobs, Dispatches: jobs, Took: latencies}
+		status.JobCounts[group] = canary.JobCounts{
+			Jobs: jobs, WithinSLA: jobs, Done: jobs, Dispatches: jobs, LatencyBuckets: latencies,
+		}
 	}
 	return status
 }
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -3,20 +3,18 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
 
+	"swiftreel/internal/golden"
 	"swiftreel/internal/store"
 )
 
 // The store under testdata/jobs/store was written by the program at 70e2e4b: a checkpoint and segments behind it,
 // with records of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
 
-var record = flag.Bool("record", false, "write the store under testdata where it is not there yet")
-
 const (
 	jobsFolder    = "testdata/jobs"
 	keptAnswers   = 3
@@ -66,7 +64,8 @@
 		accepted("c-ran", "k5", EffectRunOnce), dispatched("c-ran", 30), ended("c-ran", OutcomeRan, "d\te\tf\n"),
 	}
 	behindCheckpoint = []step{
-		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5), ended("c-keyed-stale", OutcomeUnknown, ""),
+		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5),
+		ended("c-keyed-stale", OutcomeUnknown, ""),
 		accepted("c-refused", "k7", EffectRunOnce), dispatched("c-refused", 40), ended("c-refused", OutcomeNeverRan, ""),
 		dispatched("c-refused", 50),
 		ended("c-refused", OutcomeNeverRan, ""),
@@ -77,8 +76,8 @@
 		answered("c-cancelled", AnswerCancelled),
 		dispatched("c-fresh", 90),
 	}
-	allCalls = []CallID{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran", "c-keyed-stale",
-		"c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
+	allCalls = []CallID{"c-dropped", "c-done", "c-fresh", "c-behind-fresh", "c-out", "c-keyed-out", "c-ran",
+		"c-keyed-stale", "c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
 )
 
 // decision is what is known of one call.
@@ -220,26 +219,17 @@
 }
 
 func TestOldJobsComeToTheSameDecisionsAndGoOn(t *testing.T) {
-	if *record {
-		recordJobs(t)
+	from := filepath.Join(jobsFolder, "store")
+	if golden.Missing(from) {
+		recordJobs(t, from)
 	}
 	dir := t.TempDir()
-	copyFolder(t, filepath.Join(jobsFolder, "store"), dir)
-	want, err := os.ReadFile(filepath.Join(jobsFolder, "decisions.json"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got := indented(t, goOnFrom(t, dir)); !bytes.Equal(got, want) {
-		t.Errorf("the old store comes to\n%s\nnot\n%s", got, want)
-	}
+	copyFolder(t, from, dir)
+	golden.Check(t, "jobs/decisions.json", indented(t, goOnFrom(t, dir)))
 }
 
-func recordJobs(t *testing.T) {
+func recordJobs(t *testing.T, to string) {
 	t.Helper()
-	to := filepath.Join(jobsFolder, "store")
-	if _, err := os.Stat(to); err == nil {
-		return
-	}
 	dir := t.TempDir()
 	s := openJobs(t, dir)
 	s.write(beforeCheckpoint...)
@@ -250,10 +240,6 @@
 		t.Fatal(err)
 	}
 	copyFolder(t, dir, to)
-	text := indented(t, goOnFrom(t, dir))
-	if err := os.WriteFile(filepath.Join(jobsFolder, "decisions.json"), text, 0o644); err != nil {
-		t.Fatal(err)
-	}
 }
 
 func indented(t *testing.T, list []decisions) []byte {
@@ -292,7 +278,8 @@
 		want string
 	}{
 		{accepted("c1", "k", EffectRunOnce), 1, `{"call":"c1","type":"import","key":"k","effect":"run-once"}`},
-		{accepted("c2", "", EffectKeyed), 1, `{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
+		{accepted("c2", "", EffectKeyed), 1,
+			`{"call":"c2","type":"import","tenant":"acme","effect":"keyed","window_ns":1000}`},
 		{dispatched("c1", 7), 2, `{"call":"c1","engine":"e17","at":7}`},
 		{ended("c1", OutcomeRan, "a\tb\tc\n"), 3, `{"call":"c1","how":"ran","answer":"YQliCWMK"}`},
 		{ended("c1", OutcomeNeverRan, ""), 3, `{"call":"c1","how":"never ran"}`},
