--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -56,7 +56,7 @@
 			if err != nil {
 				return err
 			}
-			if a.Status == solve.NoFit || a.Status == solve.Unknown {
+			if a.Status == solve.Infeasible || a.Status == solve.Unknown {
 				return exit{code: ExitNoFit, err: errors.New(a.Status), said: true}
 			}
 			return nil
--- a/internal/command/tell.go
+++ b/internal/command/tell.go
@@ -68,15 +68,15 @@
 		for _, t := range p.Types {
 			fmt.Fprint(w, "\t", on[[2]string{u.Engine, t.Name}])
 		}
-		full := int(mostBar * u.Threads / max(1, u.May))
-		fmt.Fprintf(w, "\t%d of %d\t%s%s\n", u.Threads, u.May, strings.Repeat("#", full), strings.Repeat(".", mostBar-full))
+		full := int(mostBar * u.Threads / max(1, u.Usable))
+		fmt.Fprintf(w, "\t%d of %d\t%s%s\n", u.Threads, u.Usable, strings.Repeat("#", full), strings.Repeat(".", mostBar-full))
 	}
 	fmt.Fprintln(w, "\ntype\tthreads given\tasked for")
 	for _, t := range s.Served {
-		fmt.Fprintf(w, "%s\t%d\t%d\n", t.Type, t.Given, t.Asked)
+		fmt.Fprintf(w, "%s\t%d\t%d\n", t.Type, t.Granted, t.Requested)
 	}
 	fmt.Fprintln(w, "\ntenant\tthreads\tshare")
 	for _, t := range s.Shares {
-		fmt.Fprintf(w, "%s\t%d\t%.2f%%\n", t.Tenant, t.Threads, float64(t.PerMio)/1e4)
+		fmt.Fprintf(w, "%s\t%d\t%.2f%%\n", t.Tenant, t.Threads, float64(t.PerMillion)/1e4)
 	}
 }
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -69,7 +69,7 @@
 	plan := &choice.Plan{MaxDemandRatio: demandFactor}
 	for _, share := range step.Shares {
 		if id, known := g.ids.tenants[share.Tenant]; known {
-			plan.Tenants = append(plan.Tenants, choice.PlanTenant{Tenant: id, Share: float64(share.PerMio) / perMillion})
+			plan.Tenants = append(plan.Tenants, choice.PlanTenant{Tenant: id, Share: float64(share.PerMillion) / perMillion})
 		}
 	}
 	for _, use := range step.Use {
@@ -82,7 +82,7 @@
 	}
 	plan.Weights = g.planWeights(step.Weights)
 	for _, served := range step.Served {
-		plan.DemandThreads += float64(served.Asked)
+		plan.DemandThreads += float64(served.Requested)
 	}
 	return plan
 }
@@ -92,19 +92,19 @@
 	maxByType := map[string]int64{}
 	for _, weight := range weights {
 		if weight.Zone == g.ids.ownZone {
-			maxByType[weight.Type] = max(maxByType[weight.Type], weight.PerMio)
+			maxByType[weight.Type] = max(maxByType[weight.Type], weight.PerMillion)
 		}
 	}
 	var list []choice.PlanWeight
 	for _, weight := range weights {
 		id, known := g.ids.types[weight.Type]
-		if !known || weight.Zone != g.ids.ownZone || weight.PerMio <= 0 {
+		if !known || weight.Zone != g.ids.ownZone || weight.PerMillion <= 0 {
 			continue
 		}
 		list = append(list, choice.PlanWeight{
 			Type:   id,
 			Engine: engineNumber(weight.Engine),
-			Weight: float64(weight.PerMio) / float64(maxByType[weight.Type]),
+			Weight: float64(weight.PerMillion) / float64(maxByType[weight.Type]),
 		})
 	}
 	return list
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -48,7 +48,7 @@
 			if _, twice := may[u.Engine]; twice {
 				list = append(list, fmt.Sprintf("%s/use/%d: engine %q stands twice", at, k, u.Engine))
 			}
-			may[u.Engine] = u.May
+			may[u.Engine] = u.Usable
 		}
 		given := map[string]int64{}
 		for k, t := range s.Threads {
@@ -58,13 +58,13 @@
 			given[t.Engine] += t.Threads
 		}
 		for k, u := range s.Use {
-			if given[u.Engine] > u.May || given[u.Engine] != u.Threads {
-				list = append(list, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d", at, k, u.Engine, given[u.Engine], u.Threads, u.May))
+			if given[u.Engine] > u.Usable || given[u.Engine] != u.Threads {
+				list = append(list, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d", at, k, u.Engine, given[u.Engine], u.Threads, u.Usable))
 			}
 		}
 		sum := int64(0)
 		for _, share := range s.Shares {
-			sum += share.PerMio
+			sum += share.PerMillion
 		}
 		if sum > 1_000_000 {
 			list = append(list, fmt.Sprintf("%s/shares: they sum to %d millionths", at, sum))
--- a/internal/proof/solve/main.go
+++ b/internal/proof/solve/main.go
@@ -74,7 +74,7 @@
 		if r.passed = want.Status == solve.Unknown; r.passed {
 			return
 		}
-		if r.none = want.Status == solve.NoFit; got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost || got.Evenness != want.Evenness {
+		if r.none = want.Status == solve.Infeasible; got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost || got.Evenness != want.Evenness {
 			r.wrong = fmt.Sprintf("%s %d %d %d, by trying all %s %d %d %d", got.Status, got.Value, got.Cost, got.Evenness, want.Status, want.Value, want.Cost, want.Evenness)
 		}
 		for _, s := range got.Steps {
@@ -148,11 +148,11 @@
 	steps, moments := 0, 0
 	for seed := range uint64(30) {
 		p := draw.Ordinary(seed, 8, 2, 3, 3, 1.1)
-		p.Must = solve.MustHolds{}
+		p.Constraints = solve.Constraints{}
 		r := rand.New(rand.NewPCG(seed, 4))
 		for i := range p.Engines {
 			if seed%3 == 0 || r.IntN(2) == 0 { // every third: all are cold
-				p.Engines[i].State, p.Engines[i].PartPerMille, p.Engines[i].WarmInMS = solve.Started, int64(r.IntN(600)), int64(1000+r.IntN(20000))
+				p.Engines[i].State, p.Engines[i].CapacityPerMille, p.Engines[i].WarmInMS = solve.Started, int64(r.IntN(600)), int64(1000+r.IntN(20000))
 			}
 		}
 		began := time.Now()
@@ -172,7 +172,7 @@
 					moments++
 					part := int64(1_000_000)
 					if e.State == solve.Started && at < e.WarmInMS {
-						part = 1000*e.PartPerMille + (1_000_000-1000*e.PartPerMille)*at/e.WarmInMS
+						part = 1000*e.CapacityPerMille + (1_000_000-1000*e.CapacityPerMille)*at/e.WarmInMS
 					}
 					if e.State == solve.Draining {
 						part = 0
@@ -229,7 +229,7 @@
 		if r.whole > 1300*time.Millisecond {
 			fail("ordinary %d took %v", i, r.whole)
 		}
-		if r.Status == solve.NoFit {
+		if r.Status == solve.Infeasible {
 			none++
 			continue
 		}
--- a/internal/proof/solve/virtual.go
+++ b/internal/proof/solve/virtual.go
@@ -259,7 +259,7 @@
 func numbers(p *solve.Problem, s *solve.Step, zone int) *choice.Plan {
 	out := &choice.Plan{MaxDemandRatio: 3}
 	for i, share := range s.Shares {
-		out.Tenants = append(out.Tenants, choice.PlanTenant{Tenant: choice.TenantID(i), Share: float64(share.PerMio) / 1e6})
+		out.Tenants = append(out.Tenants, choice.PlanTenant{Tenant: choice.TenantID(i), Share: float64(share.PerMillion) / 1e6})
 	}
 	number := func(name string) choice.EngineID { return choice.EngineID(name[1] - '0') }
 	for _, u := range s.Use {
@@ -272,18 +272,18 @@
 	most := map[string]int64{}
 	for _, w := range s.Weights {
 		if w.Zone == p.Zones[zone].Name {
-			most[w.Type] = max(most[w.Type], w.PerMio)
+			most[w.Type] = max(most[w.Type], w.PerMillion)
 		}
 	}
 	for _, w := range s.Weights {
 		for i, t := range p.Types {
 			if t.Name == w.Type && w.Zone == p.Zones[zone].Name {
-				out.Weights = append(out.Weights, choice.PlanWeight{Type: choice.TypeID(i), Engine: number(w.Engine), Weight: float64(w.PerMio) / float64(most[w.Type])})
+				out.Weights = append(out.Weights, choice.PlanWeight{Type: choice.TypeID(i), Engine: number(w.Engine), Weight: float64(w.PerMillion) / float64(most[w.Type])})
 			}
 		}
 	}
 	for _, t := range s.Served {
-		out.DemandThreads += float64(t.Asked)
+		out.DemandThreads += float64(t.Requested)
 	}
 	return out
 }
--- a/internal/solve/answer.go
+++ b/internal/solve/answer.go
@@ -4,10 +4,10 @@
 
 // The states of an answer.
 const (
-	Optimal  = "optimal"        // all three parts of the objective are proved
-	Feasible = "feasible"       // fits; how far it may be from the best is in the bounds
-	NoFit    = "no answer fits" // proved
-	Unknown  = "unknown"        // time ended before anything was found
+	Optimal    = "optimal"        // all three parts of the objective are proved
+	Feasible   = "feasible"       // fits; how far it may be from the best is in the bounds
+	Infeasible = "no answer fits" // proved
+	Unknown    = "unknown"        // time ended before anything was found
 )
 
 // Answer is what a method worked out. Value is billed value a second, in millionths; cost is of a second; evenness the
@@ -65,93 +65,93 @@
 type Use struct {
 	Engine  string `json:"engine"`
 	Threads int64  `json:"threads"`
-	May     int64  `json:"may"`
-	Has     int64  `json:"has"`
+	Usable  int64  `json:"may"`
+	Total   int64  `json:"has"`
 }
 
 // Share is a tenant's part of all threads given, in millionths.
 type Share struct {
-	Tenant  string `json:"tenant"`
-	Threads int64  `json:"threads"`
-	PerMio  int64  `json:"per_million"`
+	Tenant     string `json:"tenant"`
+	Threads    int64  `json:"threads"`
+	PerMillion int64  `json:"per_million"`
 }
 
 // Weight is how much of a type's threads from a zone an engine is given, in millionths.
 type Weight struct {
-	Type   string `json:"type"`
-	Zone   string `json:"zone"`
-	Engine string `json:"engine"`
-	PerMio int64  `json:"per_million"`
+	Type       string `json:"type"`
+	Zone       string `json:"zone"`
+	Engine     string `json:"engine"`
+	PerMillion int64  `json:"per_million"`
 }
 
 // Served is threads given of those asked for.
 type Served struct {
-	Type  string `json:"type"`
-	Asked int64  `json:"asked"`
-	Given int64  `json:"given"`
+	Type      string `json:"type"`
+	Requested int64  `json:"asked"`
+	Granted   int64  `json:"given"`
 }
 
 // step puts an outcome into names. Within a piece, tenants take engines in the order of wants and of engines' names:
 // the same at every run.
 func (m *model) step(out outcome, at int64) Step {
-	p := m.p
-	s := Step{FromMS: at, Status: Feasible, Value: out.got.value, Cost: out.got.cost, Evenness: out.got.level, Bound: out.bound.value}
+	problem := m.problem
+	s := Step{FromMS: at, Status: Feasible, Value: out.measure.value, Cost: out.measure.cost, Evenness: out.measure.utilization, Bound: out.bound.value}
 	if out.proved == [3]bool{true, true, true} {
 		s.Status = Optimal
 	}
-	order := make([]int, 0, len(p.Engines))
+	order := make([]int, 0, len(problem.Engines))
 	for _, g := range m.groups {
 		order = append(order, g.engines...)
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		if p.Engines[a].Name < p.Engines[b].Name {
+		if problem.Engines[a].Name < problem.Engines[b].Name {
 			return -1
 		}
 		return 1
 	})
-	left := make([][]int64, len(out.sol.on))
-	for i, on := range out.sol.on {
+	left := make([][]int64, len(out.solution.threads))
+	for i, on := range out.solution.threads {
 		left[i] = slices.Clone(on)
 	}
-	all, byTenant, byType := int64(0), make([]int64, len(p.Tenants)), make([]int64, len(p.Types))
-	for i, w := range m.wants {
-		n, pc := out.sol.given[i], m.pieces[w.piece]
-		all, byTenant[w.tenant], byType[pc.typ] = all+n, byTenant[w.tenant]+n, byType[pc.typ]+n
+	all, byTenant, byType := int64(0), make([]int64, len(problem.Tenants)), make([]int64, len(problem.Types))
+	for i, w := range m.workloads {
+		n, class := out.solution.granted[i], m.classes[w.class]
+		all, byTenant[w.tenant], byType[class.typ] = all+n, byTenant[w.tenant]+n, byType[class.typ]+n
 		for _, e := range order {
 			if left[e] == nil || n == 0 {
 				continue
 			}
-			if take := min(n, left[e][w.piece]); take > 0 {
+			if take := min(n, left[e][w.class]); take > 0 {
 				n -= take
-				left[e][w.piece] -= take
-				s.Threads = append(s.Threads, Threads{p.Types[pc.typ].Name, p.Tenants[w.tenant].Name, p.Zones[pc.zone].Name,
-					p.Engines[e].Name, take})
+				left[e][w.class] -= take
+				s.Threads = append(s.Threads, Threads{problem.Types[class.typ].Name, problem.Tenants[w.tenant].Name, problem.Zones[class.zone].Name,
+					problem.Engines[e].Name, take})
 			}
 		}
 	}
 	for _, e := range order {
-		use := Use{Engine: p.Engines[e].Name, May: m.groups[m.groupOf[e]].threads, Has: p.Engines[e].Cores * p.perCore()}
-		for _, n := range out.sol.on[e] {
+		use := Use{Engine: problem.Engines[e].Name, Usable: m.groups[m.groupOf[e]].threads, Total: problem.Engines[e].Cores * problem.threadsPerCore()}
+		for _, n := range out.solution.threads[e] {
 			use.Threads += n
 		}
 		s.Use = append(s.Use, use)
 	}
-	for i, t := range p.Tenants {
+	for i, t := range problem.Tenants {
 		s.Shares = append(s.Shares, Share{t.Name, byTenant[i], byTenant[i] * 1_000_000 / max(1, all)})
 	}
-	for i, t := range p.Types {
-		s.Served = append(s.Served, Served{t.Name, m.asked(i, -1), byType[i]})
+	for i, t := range problem.Types {
+		s.Served = append(s.Served, Served{t.Name, m.requestedThreads(i, -1), byType[i]})
 	}
-	for k, pc := range m.pieces {
+	for k, class := range m.classes {
 		given := int64(0)
-		for i, w := range m.wants {
-			if w.piece == k {
-				given += out.sol.given[i]
+		for i, w := range m.workloads {
+			if w.class == k {
+				given += out.solution.granted[i]
 			}
 		}
 		for _, e := range order {
-			if on := out.sol.on[e]; on != nil && on[k] > 0 {
-				s.Weights = append(s.Weights, Weight{p.Types[pc.typ].Name, p.Zones[pc.zone].Name, p.Engines[e].Name, on[k] * 1_000_000 / given})
+			if on := out.solution.threads[e]; on != nil && on[k] > 0 {
+				s.Weights = append(s.Weights, Weight{problem.Types[class.typ].Name, problem.Zones[class.zone].Name, problem.Engines[e].Name, on[k] * 1_000_000 / given})
 			}
 		}
 	}
@@ -159,9 +159,9 @@
 }
 
 // moments are when a step begins: now, and while engines warm up four times for each, until all are warm.
-func (p *Problem) moments() []int64 {
+func (problem *Problem) moments() []int64 {
 	at := []int64{0}
-	for _, e := range p.Engines {
+	for _, e := range problem.Engines {
 		if e.State == Started {
 			for k := range int64(4) {
 				at = append(at, e.WarmInMS*(k+1)/4)
@@ -169,14 +169,14 @@
 		}
 	}
 	slices.Sort(at)
-	if at = slices.Compact(at); len(at) > mostSteps {
+	if at = slices.Compact(at); len(at) > maxSteps {
 		thin := at[:1:1]
-		for k := 1; k < mostSteps; k++ {
-			thin = append(thin, at[k*(len(at)-1)/(mostSteps-1)])
+		for k := 1; k < maxSteps; k++ {
+			thin = append(thin, at[k*(len(at)-1)/(maxSteps-1)])
 		}
 		at = slices.Compact(thin)
 	}
 	return at
 }
 
-const mostSteps = 9
+const maxSteps = 9
--- a/internal/solve/conflict.go
+++ b/internal/solve/conflict.go
@@ -19,65 +19,65 @@
 }
 
 // fits tells whether demands can be met together, at levels of their own (nil: all that they ask).
-type fits uint8
+type feasibility uint8
 
 const (
-	unsure fits = iota
-	yes
-	no
+	undecided feasibility = iota
+	feasible
+	infeasible
 )
 
 // together asks it, of the fleet as it is and without each loss that is demanded.
-func (m *model) together(list []demand, levels []int64, stop func() bool) fits {
-	h := m.none()
+func (m *model) areCompatible(list []requirement, levels []int64, stop func() bool) feasibility {
+	constraints := m.unconstrained()
 	var losses []map[int]int64
 	for i, d := range list {
-		level := d.least
+		level := d.strictest
 		if levels != nil {
 			level = levels[i]
 		}
-		d.apply(&h, &losses, level)
+		d.apply(&constraints, &losses, level)
 	}
-	answer := m.floorsFit(&h, stop)
+	answer := m.minimumsFeasibility(&constraints, stop)
 	for _, lost := range losses {
-		if answer != yes {
+		if answer != feasible {
 			break
 		}
-		without := h
-		without.lost = lost
-		answer = m.floorsFit(&without, stop)
+		without := constraints
+		without.remaining = lost
+		answer = m.minimumsFeasibility(&without, stop)
 	}
 	return answer
 }
 
 // floorsFit asks whether all floors can be met within the rest: nothing else can stand in the way, as giving nothing
 // keeps every other demand.
-func (m *model) floorsFit(h *holds, stop func() bool) fits {
-	if len(h.floors) == 0 {
-		return yes
+func (m *model) minimumsFeasibility(constraints *constraintSet, stop func() bool) feasibility {
+	if len(constraints.minimums) == 0 {
+		return feasible
 	}
-	s := newMaster(m, h)
-	f := s.finish(aimShort, nil, math.MinInt64, 0, 0, -1, stop)
+	s := newMaster(m, constraints)
+	f := s.finish(minShortfall, nil, math.MinInt64, 0, 0, -1, stop)
 	switch {
-	case f.sol != nil && f.value == 0:
-		return yes
+	case f.solution != nil && f.value == 0:
+		return feasible
 	case f.bound < 0:
-		return no
+		return infeasible
 	}
-	return unsure
+	return undecided
 }
 
 // mostConflicts bounds how many are told.
-const mostConflicts = 5
+const maxConflicts = 5
 
 // conflicts finds sets of demands in conflict that share no demand, as long as one is left.
 func (m *model) conflicts(at int64, stop func() bool) (list []Conflict) {
-	left := m.demands()
-	for len(list) < mostConflicts && m.together(left, nil, stop) == no {
-		set, rest, proved := m.irreducible(left, stop)
+	left := m.requirements()
+	for len(list) < maxConflicts && m.areCompatible(left, nil, stop) == infeasible {
+		set, rest, proved := m.irreducibleConflict(left, stop)
 		c := Conflict{FromMS: at, Proved: proved}
 		for i, d := range set {
-			c.Demands = append(c.Demands, Member{d.name, m.change(set, i, stop)})
+			c.Demands = append(c.Demands, Member{d.name, m.smallestChange(set, i, stop)})
 		}
 		list, left = append(list, c), rest
 	}
@@ -85,16 +85,16 @@
 }
 
 // irreducible takes demands away one by one: what still conflicts without a demand does not need it.
-func (m *model) irreducible(list []demand, stop func() bool) (set, rest []demand, proved bool) {
+func (m *model) irreducibleConflict(list []requirement, stop func() bool) (set, rest []requirement, proved bool) {
 	set, proved = append(set, list...), true
 	for i := 0; i < len(set); {
-		without := append(append([]demand{}, set[:i]...), set[i+1:]...)
-		switch m.together(without, nil, stop) {
-		case no:
+		without := append(append([]requirement{}, set[:i]...), set[i+1:]...)
+		switch m.areCompatible(without, nil, stop) {
+		case infeasible:
 			rest = append(rest, set[i])
 			set = without
 			continue
-		case unsure:
+		case undecided:
 			proved = false
 		}
 		i++
@@ -103,24 +103,24 @@
 }
 
 // change is the least change of one demand that ends the conflict: its lowest level that fits, by halving.
-func (m *model) change(set []demand, i int, stop func() bool) string {
-	d, levels := set[i], make([]int64, len(set))
+func (m *model) smallestChange(set []requirement, index int, stop func() bool) string {
+	d, levels := set[index], make([]int64, len(set))
 	for k, o := range set {
-		levels[k] = o.least
+		levels[k] = o.strictest
 	}
-	lo, hi := d.least, d.most // lo does not fit
-	levels[i] = hi
-	if m.together(set, levels, stop) != yes {
+	lo, hi := d.strictest, d.loosest // lo does not fit
+	levels[index] = hi
+	if m.areCompatible(set, levels, stop) != feasible {
 		return "no change of it alone was found in time"
 	}
 	for lo+1 < hi {
 		mid := lo + (hi-lo)/2
-		levels[i] = mid
-		if m.together(set, levels, stop) == yes {
+		levels[index] = mid
+		if m.areCompatible(set, levels, stop) == feasible {
 			hi = mid
 		} else {
 			lo = mid
 		}
 	}
-	return fmt.Sprintf(d.unit, max(hi, -hi))
+	return fmt.Sprintf(d.changeText, max(hi, -hi))
 }
--- a/internal/solve/dive.go
+++ b/internal/solve/dive.go
@@ -10,9 +10,9 @@
 
 // steps of packing in a dive, where a good pattern does as well as the best.
 const (
-	diveSteps  = 1500
-	diveRounds = 12 // of new patterns before engines are settled
-	lastNodes  = 50 // of dividing what engines run among the wants
+	divingSteps  = 1500
+	divingRounds = 12 // of new patterns before engines are settled
+	lastNodes    = 50 // of dividing what engines run among the wants
 )
 
 // dive settles engines' patterns one after the other where the LP has them nearly whole, and has new patterns made for
@@ -20,69 +20,69 @@
 // are where it keeps what it settled; they are given back. Settled: so many
 // engines have each pattern from the outset, by column. Almost: from there on a pattern counts as whole. It returns what
 // it found, or nil.
-func (s *master) dive(settled []int64, almost float64, stop func() bool) []int64 {
-	lows, highs := make([]int64, len(s.cols)), make([]int64, len(s.cols))
-	for j := range s.cols {
-		lows[j], highs[j] = s.prog.Columns[j].Lower, s.prog.Columns[j].Upper
+func (s *master) runDivingHeuristic(settled []int64, almost float64, stop func() bool) []int64 {
+	lows, highs := make([]int64, len(s.columns)), make([]int64, len(s.columns))
+	for j := range s.columns {
+		lows[j], highs[j] = s.program.Columns[j].Lower, s.program.Columns[j].Upper
 	}
 	defer func() {
-		for j := range s.cols {
+		for j := range s.columns {
 			if j < len(lows) {
-				s.prog.Columns[j].Lower, s.prog.Columns[j].Upper = lows[j], highs[j]
+				s.program.Columns[j].Lower, s.program.Columns[j].Upper = lows[j], highs[j]
 			} else {
-				s.prog.Columns[j].Lower, s.prog.Columns[j].Upper = 0, int64(len(s.clusters[s.cols[j].cluster].engines))
+				s.program.Columns[j].Lower, s.program.Columns[j].Upper = 0, int64(len(s.clusters[s.columns[j].cluster].engines))
 			}
 		}
 	}()
 	for j, n := range settled {
-		if s.cols[j].cluster >= 0 {
-			s.prog.Columns[j].Lower = n
+		if s.columns[j].cluster >= 0 {
+			s.program.Columns[j].Lower = n
 		}
 	}
-	lp := ilp.NewLP(s.prog)
+	lp := ilp.NewLP(s.program)
 	if lp.Solve(stop) != ilp.Optimal {
 		return nil
 	}
 	for {
-		left := s.left(lp.Values())
-		s.close(left)
+		left := s.remainingThreads(lp.Values())
+		s.excludeOversized(left)
 		lp.Refresh()
-		if !s.refine(lp, left, stop) {
+		if !s.addPatternsFor(lp, left, stop) {
 			return nil
 		}
-		if !s.settle(lp.Values(), almost) {
+		if !s.settleNearlyWhole(lp.Values(), almost) {
 			break
 		}
 		lp.Refresh()
 	}
-	for j, of := range s.cols {
-		if of.cluster >= 0 {
-			s.prog.Columns[j].Upper = s.prog.Columns[j].Lower
+	for j, meaning := range s.columns {
+		if meaning.cluster >= 0 {
+			s.program.Columns[j].Upper = s.program.Columns[j].Lower
 		}
 	}
-	search := ilp.NewSearch(s.prog)
+	search := ilp.NewSearch(s.program)
 	search.Stop, search.MaxNodes = stop, lastNodes
 	return search.Run().Values
 }
 
 // refine solves and adds patterns for what is left, some rounds.
-func (s *master) refine(lp *ilp.LP, left []int64, stop func() bool) bool {
+func (s *master) addPatternsFor(lp *ilp.LP, left []int64, stop func() bool) bool {
 	for round := 0; ; round++ {
 		ended := lp.Solve(stop)
-		if ended != ilp.Optimal || round >= diveRounds {
+		if ended != ilp.Optimal || round >= divingRounds {
 			return ended == ilp.Optimal
 		}
 		y := lp.Multipliers(ended)
 		added := 0
 		for c := range s.clusters {
-			if s.settled(c) >= int64(len(s.clusters[c].engines)) {
+			if s.settledEngines(c) >= int64(len(s.clusters[c].engines)) {
 				continue
 			}
-			counts, worth := s.packLeft(c, y, left)
-			if worth > y.Values[s.convex+int32(c)] {
-				before := len(s.cols)
-				s.pattern(c, counts)
-				added += len(s.cols) - before
+			counts, worth := s.fillRemaining(c, y, left)
+			if worth > y.Values[s.convexRows+int32(c)] {
+				before := len(s.columns)
+				s.addPattern(c, counts)
+				added += len(s.columns) - before
 			}
 		}
 		if added == 0 {
@@ -93,23 +93,23 @@
 }
 
 // settled counts the engines of a cluster that have their pattern.
-func (s *master) settled(c int) (n int64) {
-	for j, of := range s.cols {
-		if of.cluster == c {
-			n += s.prog.Columns[j].Lower
+func (s *master) settledEngines(c int) (n int64) {
+	for j, meaning := range s.columns {
+		if meaning.cluster == c {
+			n += s.program.Columns[j].Lower
 		}
 	}
 	return n
 }
 
 // settle raises lower bounds: of all that the LP has whole, or nearly; else of the one nearest. false: nothing is left.
-func (s *master) settle(at []float64, almost float64) bool {
+func (s *master) settleNearlyWhole(at []float64, almost float64) bool {
 	best, most, any := -1, 1e-6, false
-	for j, of := range s.cols {
-		if of.cluster < 0 {
+	for j, meaning := range s.columns {
+		if meaning.cluster < 0 {
 			continue
 		}
-		c := &s.prog.Columns[j]
+		c := &s.program.Columns[j]
 		over := at[j] - float64(c.Lower)
 		if n := int64(math.Floor(over + 1 - almost)); n > 0 {
 			c.Lower += n
@@ -119,28 +119,28 @@
 		}
 	}
 	if !any && best >= 0 {
-		s.prog.Columns[best].Lower++
+		s.program.Columns[best].Lower++
 	}
 	return any || best >= 0
 }
 
 // left is what the LP gives of each piece beyond what settled engines hold, rounded up: no more than that is of use,
 // whatever is asked for, as quotas and the like stand in the way of the rest.
-func (s *master) left(at []float64) []int64 {
-	given := make([]float64, len(s.m.pieces))
-	for j, of := range s.cols {
-		if of.want >= 0 {
-			given[s.m.wants[of.want].piece] += at[j]
+func (s *master) remainingThreads(at []float64) []int64 {
+	given := make([]float64, len(s.model.classes))
+	for j, meaning := range s.columns {
+		if meaning.workload >= 0 {
+			given[s.model.workloads[meaning.workload].class] += at[j]
 		}
 	}
 	left := make([]int64, len(given))
 	for k, g := range given {
 		left[k] = int64(math.Ceil(g - 1e-6))
 	}
-	for j, of := range s.cols {
-		if of.cluster >= 0 {
-			for k, n := range of.counts {
-				left[k] -= n * s.prog.Columns[j].Lower
+	for j, meaning := range s.columns {
+		if meaning.cluster >= 0 {
+			for k, n := range meaning.counts {
+				left[k] -= n * s.program.Columns[j].Lower
 			}
 		}
 	}
@@ -148,19 +148,19 @@
 }
 
 // close keeps engines not settled from patterns that hold more than is left: they would be filled with nothing.
-func (s *master) close(left []int64) {
-	for j, of := range s.cols {
-		if of.cluster < 0 {
+func (s *master) excludeOversized(left []int64) {
+	for j, meaning := range s.columns {
+		if meaning.cluster < 0 {
 			continue
 		}
-		c := &s.prog.Columns[j]
-		if c.Upper = int64(len(s.clusters[of.cluster].engines)); !fitsLeft(of.counts, left) {
+		c := &s.program.Columns[j]
+		if c.Upper = int64(len(s.clusters[meaning.cluster].engines)); !fitsRemaining(meaning.counts, left) {
 			c.Upper = c.Lower
 		}
 	}
 }
 
-func fitsLeft(counts, left []int64) bool {
+func fitsRemaining(counts, left []int64) bool {
 	for k, n := range counts {
 		if n > max(0, left[k]) {
 			return false
@@ -170,54 +170,54 @@
 }
 
 // packLeft fills an engine with pieces of which so much is left, well rather than best.
-func (s *master) packLeft(c int, y ilp.Multipliers, left []int64) ([]int64, int64) {
-	m, cl := s.m, &s.clusters[c]
+func (s *master) fillRemaining(clusterIndex int, multipliers ilp.Multipliers, left []int64) ([]int64, int64) {
+	m, cluster := s.model, &s.clusters[clusterIndex]
 	var items []item
-	for k := range m.pieces {
-		if d, known := s.reduced(c, k, y); known && d > 0 && left[k] > 0 {
-			items = append(items, item{k, d, m.memory[m.pieces[k].typ]})
+	for k := range m.classes {
+		if d, known := s.reducedValue(clusterIndex, k, multipliers); known && d > 0 && left[k] > 0 {
+			items = append(items, item{k, d, m.threadMemoryMB[m.classes[k].typ]})
 		}
 	}
 	slices.SortStableFunc(items, func(a, b item) int {
-		if a.worth != b.worth {
-			return int(min(1, max(-1, b.worth-a.worth)))
+		if a.value != b.value {
+			return int(min(1, max(-1, b.value-a.value)))
 		}
-		return int(min(1, max(-1, a.memory-b.memory)))
+		return int(min(1, max(-1, a.memoryMB-b.memoryMB)))
 	})
-	k := packing{items: items, at: make([]int64, len(m.pieces)), best: make([]int64, len(m.pieces)), most: left, limit: diveSteps}
-	k.fill(0, cl.threads, cl.group.memory, 0)
-	return k.best, k.value
+	k := knapsack{items: items, counts: make([]int64, len(m.classes)), bestCounts: make([]int64, len(m.classes)), maxCounts: left, maxSteps: divingSteps}
+	k.fill(0, cluster.threads, cluster.group.memoryMB, 0)
+	return k.bestCounts, k.bestValue
 }
 
 // reduced is what a thread of a piece is worth on a cluster's engine at the multipliers.
-func (s *master) reduced(c, k int, y ilp.Multipliers) (int64, bool) {
-	m, cl := s.m, &s.clusters[c]
-	if s.most(cl, k) == 0 {
+func (s *master) reducedValue(clusterIndex, classIndex int, multipliers ilp.Multipliers) (int64, bool) {
+	m, cluster := s.model, &s.clusters[clusterIndex]
+	if s.maxThreads(cluster, classIndex) == 0 {
 		return 0, false
 	}
-	pc := m.pieces[k]
-	col := ilp.Column{Rows: []int32{s.link + int32(k), s.budget + int32(pc.zone), s.cost},
-		Coefficients: []int64{-1, cl.group.bytes[k], cl.group.cost[k]}, Objective: -s.dear * cl.group.cost[k]}
-	if !m.placed(pc.typ, cl.group) {
-		col.Rows, col.Coefficients = append(col.Rows, s.outside+int32(pc.typ)), append(col.Coefficients, 1)
+	class := m.classes[classIndex]
+	col := ilp.Column{Rows: []int32{s.linkRows + int32(classIndex), s.budgetRows + int32(class.zone), s.costRow},
+		Coefficients: []int64{-1, cluster.group.bytes[classIndex], cluster.group.cost[classIndex]}, Objective: -s.costPrice * cluster.group.cost[classIndex]}
+	if !m.isPlacementAllowed(class.typ, cluster.group) {
+		col.Rows, col.Coefficients = append(col.Rows, s.outsideRows+int32(class.typ)), append(col.Coefficients, 1)
 	}
-	d, known := y.ReducedObjective(&col)
-	return d, known && d < ilp.MaxMagnitude/max(1, 2*cl.threads)
+	d, known := multipliers.ReducedObjective(&col)
+	return d, known && d < ilp.MaxMagnitude/max(1, 2*cluster.threads)
 }
 
 // chance settles which engines are freed; the same at every run.
 type chance = rand.Rand
 
 // free gives some engines of a plan free again, drawn with their like: the settled counts that are left.
-func (s *master) free(x []int64, part int, by *chance) []int64 {
+func (s *master) releaseEngines(x []int64, part int, random *chance) []int64 {
 	left := slices.Clone(x)
 	for j, n := range x {
-		if s.cols[j].cluster < 0 {
+		if s.columns[j].cluster < 0 {
 			left[j] = 0
 			continue
 		}
 		for range n {
-			if by.IntN(part) == 0 {
+			if random.IntN(part) == 0 {
 				left[j]--
 			}
 		}
--- a/internal/solve/draw/draw.go
+++ b/internal/solve/draw/draw.go
@@ -30,7 +30,7 @@
 		} else if r.IntN(6) == 0 {
 			n.State = solve.Draining
 		} else if r.IntN(6) == 0 {
-			n.State, n.PartPerMille, n.WarmInMS = solve.Started, int64(r.IntN(1000)), 4000
+			n.State, n.CapacityPerMille, n.WarmInMS = solve.Started, int64(r.IntN(1000)), 4000
 		}
 		p.Engines = append(p.Engines, n)
 	}
@@ -63,22 +63,22 @@
 		}
 	}
 	if r.IntN(5) < 3 {
-		p.Must.LeastServed = append(p.Must.LeastServed, solve.LeastServed{Type: p.Types[r.IntN(len(p.Types))].Name, PerMille: int64(r.IntN(1001))})
+		p.Constraints.MinServed = append(p.Constraints.MinServed, solve.MinServed{Type: p.Types[r.IntN(len(p.Types))].Name, PerMille: int64(r.IntN(1001))})
 	}
 	if r.IntN(3) == 0 {
-		p.Must.LeastServed = append(p.Must.LeastServed, solve.LeastServed{Tenant: p.Tenants[r.IntN(len(p.Tenants))].Name, PerMille: int64(r.IntN(1001))})
+		p.Constraints.MinServed = append(p.Constraints.MinServed, solve.MinServed{Tenant: p.Tenants[r.IntN(len(p.Tenants))].Name, PerMille: int64(r.IntN(1001))})
 	}
-	p.Must.SharesHold = r.IntN(4) == 0
+	p.Constraints.SharesHold = r.IntN(4) == 0
 	if r.IntN(4) == 0 {
 		c := int64(r.IntN(20))
-		p.Must.GreatestCost = &c
+		p.Constraints.MaxCost = &c
 	}
 	if r.IntN(4) == 0 {
 		u := int64(300 + r.IntN(700))
-		p.Must.GreatestUsePerMille = &u
+		p.Constraints.MaxUsePerMille = &u
 	}
 	if r.IntN(5) == 0 {
-		p.Must.FitsWithout = []string{[]string{"any engine", "zone z0"}[r.IntN(2)]}
+		p.Constraints.FitsWithout = []string{[]string{"any engine", "zone z0"}[r.IntN(2)]}
 	}
 	return p
 }
@@ -134,7 +134,7 @@
 		b := int64(2_000_000 + r.IntN(20_000_000))
 		p.Zones[z].CrossingBytesPerS = &b
 	}
-	p.Must.LeastServed = []solve.LeastServed{{Type: p.Types[0].Name, PerMille: 300}}
-	p.Must.SharesHold = true
+	p.Constraints.MinServed = []solve.MinServed{{Type: p.Types[0].Name, PerMille: 300}}
+	p.Constraints.SharesHold = true
 	return p
 }
--- a/internal/solve/exhaustive.go
+++ b/internal/solve/exhaustive.go
@@ -5,7 +5,7 @@
 // exhaustive tries every way to fill every engine and every way to divide it among tenants; ways that leave the same
 // threads by piece and the same crossing bytes are one, the cheaper (then the more even) kept. For small problems, to
 // hold other methods against. It shares the model with them, not the search.
-func (m *model) exhaustive(h *holds, most int) (best *solution, got measure, fits, whole bool) {
+func (m *model) exhaustive(constraints *constraintSet, most int) (best *solution, got measure, fits, whole bool) {
 	type state struct {
 		cost, level int64
 		on          [][]int64
@@ -28,23 +28,23 @@
 				list[i] |= int64(text[8*i+k]) << (8 * k)
 			}
 		}
-		a, b := len(m.pieces), len(m.pieces)+len(m.p.Zones)
+		a, b := len(m.classes), len(m.classes)+len(m.problem.Zones)
 		return list[:a], list[a:b], list[b:]
 	}
-	asked := make([]int64, len(m.pieces))
-	for _, w := range m.wants {
-		asked[w.piece] += w.threads
+	asked := make([]int64, len(m.classes))
+	for _, w := range m.workloads {
+		asked[w.class] += w.threads
 	}
 	zero := func(n int) []int64 { return make([]int64, n) }
-	states := map[string]state{key(zero(len(m.pieces)), zero(len(m.p.Zones)), zero(len(m.p.Types))): {on: make([][]int64, len(m.p.Engines))}}
-	for i := range m.p.Engines {
+	states := map[string]state{key(zero(len(m.classes)), zero(len(m.problem.Zones)), zero(len(m.problem.Types))): {on: make([][]int64, len(m.problem.Engines))}}
+	for i := range m.problem.Engines {
 		if m.groupOf[i] < 0 {
 			continue
 		}
-		g, cap, next := &m.groups[m.groupOf[i]], m.cap(i, h), map[string]state{}
+		g, cap, next := &m.groups[m.groupOf[i]], m.maxThreadsOf(i, constraints), map[string]state{}
 		for text, st := range states {
 			sums, bytes, outside := unpack(text)
-			on := zero(len(m.pieces))
+			on := zero(len(m.classes))
 			var at func(k int, used, memory, cost int64)
 			at = func(k int, used, memory, cost int64) {
 				if k == len(on) {
@@ -60,22 +60,22 @@
 					}
 					return
 				}
-				pc := m.pieces[k]
+				class := m.classes[k]
 				out := int64(0)
-				if !m.placed(pc.typ, g) {
+				if !m.isPlacementAllowed(class.typ, g) {
 					out = 1
 				}
-				for n := int64(0); n == 0 || g.takes[k]; n++ {
-					if used+n > cap || memory+n*m.memory[pc.typ] > g.memory || sums[k]+n > asked[k] ||
-						(h.budget[pc.zone] >= 0 && bytes[pc.zone]+n*g.bytes[k] > h.budget[pc.zone]) ||
-						(h.outside[pc.typ] >= 0 && outside[pc.typ]+n*out > h.outside[pc.typ]) ||
-						(h.cost >= 0 && cost+n*g.cost[k] > h.cost) {
+				for n := int64(0); n == 0 || g.canRun[k]; n++ {
+					if used+n > cap || memory+n*m.threadMemoryMB[class.typ] > g.memoryMB || sums[k]+n > asked[k] ||
+						(constraints.crossingBudgets[class.zone] >= 0 && bytes[class.zone]+n*g.bytes[k] > constraints.crossingBudgets[class.zone]) ||
+						(constraints.outsideLimits[class.typ] >= 0 && outside[class.typ]+n*out > constraints.outsideLimits[class.typ]) ||
+						(constraints.maxCost >= 0 && cost+n*g.cost[k] > constraints.maxCost) {
 						break
 					}
 					on[k] = n
-					sums[k], bytes[pc.zone], outside[pc.typ] = sums[k]+n, bytes[pc.zone]+n*g.bytes[k], outside[pc.typ]+n*out
-					at(k+1, used+n, memory+n*m.memory[pc.typ], cost+n*g.cost[k])
-					sums[k], bytes[pc.zone], outside[pc.typ] = sums[k]-n, bytes[pc.zone]-n*g.bytes[k], outside[pc.typ]-n*out
+					sums[k], bytes[class.zone], outside[class.typ] = sums[k]+n, bytes[class.zone]+n*g.bytes[k], outside[class.typ]+n*out
+					at(k+1, used+n, memory+n*m.threadMemoryMB[class.typ], cost+n*g.cost[k])
+					sums[k], bytes[class.zone], outside[class.typ] = sums[k]-n, bytes[class.zone]-n*g.bytes[k], outside[class.typ]-n*out
 				}
 				on[k] = 0
 			}
@@ -87,35 +87,35 @@
 	}
 	cheapest := map[string]state{} // by threads of pieces alone
 	for text, st := range states {
-		id := text[:8*len(m.pieces)]
+		id := text[:8*len(m.classes)]
 		if old, is := cheapest[id]; !is || st.cost < old.cost || (st.cost == old.cost && st.level < old.level) {
 			cheapest[id] = st
 		}
 	}
-	given, sums, tenants := zero(len(m.wants)), zero(len(m.pieces)), zero(len(m.p.Tenants))
+	given, sums, tenants := zero(len(m.workloads)), zero(len(m.classes)), zero(len(m.problem.Tenants))
 	tried := 0
 	var divide func(i int, value int64)
 	divide = func(i int, value int64) {
 		if tried++; tried > 20*most {
 			return
 		}
-		if i == len(m.wants) {
+		if i == len(m.workloads) {
 			st, can := cheapest[key(sums, nil, nil)]
 			way := measure{value, st.cost, st.level}
-			if !can || !m.floorsHold(given, h) || (fits && !way.better(got)) {
+			if !can || !m.meetsMinimums(given, constraints) || (fits && !way.isBetterThan(got)) {
 				return
 			}
-			best, got, fits = &solution{on: st.on, given: slices.Clone(given)}, way, true
+			best, got, fits = &solution{threads: st.on, granted: slices.Clone(given)}, way, true
 			return
 		}
-		w := m.wants[i]
+		w := m.workloads[i]
 		for n := range w.threads + 1 {
-			if h.quota[w.tenant] >= 0 && tenants[w.tenant]+n > h.quota[w.tenant] {
+			if constraints.quotas[w.tenant] >= 0 && tenants[w.tenant]+n > constraints.quotas[w.tenant] {
 				break
 			}
-			given[i], sums[w.piece], tenants[w.tenant] = n, sums[w.piece]+n, tenants[w.tenant]+n
-			divide(i+1, value+w.valueOf(n, m.worth[m.pieces[w.piece].typ]))
-			sums[w.piece], tenants[w.tenant] = sums[w.piece]-n, tenants[w.tenant]-n
+			given[i], sums[w.class], tenants[w.tenant] = n, sums[w.class]+n, tenants[w.tenant]+n
+			divide(i+1, value+w.valueOf(n, m.threadValues[m.classes[w.class].typ]))
+			sums[w.class], tenants[w.tenant] = sums[w.class]-n, tenants[w.tenant]-n
 		}
 		given[i] = 0
 	}
@@ -123,11 +123,11 @@
 	return best, got, fits, tried <= 20*most
 }
 
-func (m *model) floorsHold(given []int64, h *holds) bool {
-	for _, f := range h.floors {
+func (m *model) meetsMinimums(given []int64, constraints *constraintSet) bool {
+	for _, f := range constraints.minimums {
 		sum := int64(0)
-		for i, w := range m.wants {
-			if m.pieces[w.piece].typ == f.typ || w.tenant == f.tenant {
+		for i, w := range m.workloads {
+			if m.classes[w.class].typ == f.typ || w.tenant == f.tenant {
 				sum += given[i]
 			}
 		}
--- a/internal/solve/golden_test.go
+++ b/internal/solve/golden_test.go
@@ -19,14 +19,14 @@
 	var text bytes.Buffer
 	r := rand.New(rand.NewPCG(29, 4))
 	for n := range 60 {
-		p := draw.Small(r)
-		problem, err := json.Marshal(p)
+		problem := draw.Small(r)
+		problemText, err := json.Marshal(problem)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "problem %d: %x\n", n, sha256.Sum256(problem))
+		fmt.Fprintf(&text, "problem %d: %x\n", n, sha256.Sum256(problemText))
 		for _, method := range []solve.Method{solve.Solver{}, solve.Proportional{}} {
-			a := solve.Solve(p, solve.Options{Method: method, Explain: true})
+			a := solve.Solve(problem, solve.Options{Method: method, Explain: true})
 			answer, err := json.MarshalIndent(a, "", " ")
 			if err != nil {
 				t.Fatal(err)
@@ -40,22 +40,22 @@
 
 // TestJSONOfProblemAndAnswer holds the keys of both documents.
 func TestJSONOfProblemAndAnswer(t *testing.T) {
-	p := plain()
+	problem := plain()
 	quota, budget := int64(3), int64(9000)
-	p.Tenants[0].QuotaThreads = &quota
-	p.Zones[1].CrossingBytesPerS = &budget
-	text, err := json.MarshalIndent(p, "", " ")
+	problem.Tenants[0].QuotaThreads = &quota
+	problem.Zones[1].CrossingBytesPerS = &budget
+	text, err := json.MarshalIndent(problem, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "problem.json", text)
-	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{Explain: true}), "", " "); err != nil {
+	if text, err = json.MarshalIndent(solve.Solve(problem, solve.Options{Explain: true}), "", " "); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "answer.json", text)
-	p.Must.LeastServed = []solve.LeastServed{{Type: "import", PerMille: 500}}
-	p.Engines[1].Kind = "std"
-	if text, err = json.MarshalIndent(solve.Solve(p, solve.Options{}), "", " "); err != nil {
+	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}}
+	problem.Engines[1].Kind = "std"
+	if text, err = json.MarshalIndent(solve.Solve(problem, solve.Options{}), "", " "); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "answer-conflict.json", text)
--- a/internal/solve/holds.go
+++ b/internal/solve/holds.go
@@ -6,53 +6,53 @@
 )
 
 // floor is the least threads of a type or a tenant: the other index is -1.
-type floor struct {
+type minimum struct {
 	typ, tenant int
 	threads     int64
 }
 
 // holds are the demands on an answer in numbers. -1 stands for none.
-type holds struct {
-	floors  []floor
-	quota   []int64 // by tenant: threads
-	budget  []int64 // by zone: crossing bytes a second
-	outside []int64 // by type: threads outside its placement bound; 0: the bound holds
-	cost    int64
-	use     int64         // per mille of each engine's threads
-	lost    map[int]int64 // by engine: only so many of its threads are left
+type constraintSet struct {
+	minimums        []minimum
+	quotas          []int64 // by tenant: threads
+	crossingBudgets []int64 // by zone: crossing bytes a second
+	outsideLimits   []int64 // by type: threads outside its placement bound; 0: the bound holds
+	maxCost         int64
+	maxUsePerMille  int64         // per mille of each engine's threads
+	remaining       map[int]int64 // by engine: only so many of its threads are left
 	// Of what was found in an earlier stage:
-	value int64 // at least
-	level int64 // greatest use of any engine, in parts of ten thousand of its allowance; -1: none
+	minValue       int64 // at least
+	maxUtilization int64 // greatest use of any engine, in parts of ten thousand of its allowance; -1: none
 }
 
 // demand is one thing asked for, with what it takes to give way: a level that fits sooner the higher it is.
-type demand struct {
-	name  string
-	apply func(h *holds, loss *[]map[int]int64, level int64)
-	unit  string // of the level, in a sentence: "%d" is the level at which it fits
-	most  int64  // the level at which it asks for nothing
-	least int64  // the level at which it asks for all
+type requirement struct {
+	name       string
+	apply      func(h *constraintSet, loss *[]map[int]int64, level int64)
+	changeText string // of the level, in a sentence: "%d" is the level at which it fits
+	loosest    int64  // the level at which it asks for nothing
+	strictest  int64  // the level at which it asks for all
 }
 
 // none are holds that ask for nothing.
-func (m *model) none() holds {
-	h := holds{cost: -1, use: -1, level: -1}
-	for range m.p.Tenants {
-		h.quota = append(h.quota, -1)
+func (m *model) unconstrained() constraintSet {
+	constraints := constraintSet{maxCost: -1, maxUsePerMille: -1, maxUtilization: -1}
+	for range m.problem.Tenants {
+		constraints.quotas = append(constraints.quotas, -1)
 	}
-	for range m.p.Zones {
-		h.budget = append(h.budget, -1)
+	for range m.problem.Zones {
+		constraints.crossingBudgets = append(constraints.crossingBudgets, -1)
 	}
-	for range m.p.Types {
-		h.outside = append(h.outside, -1)
+	for range m.problem.Types {
+		constraints.outsideLimits = append(constraints.outsideLimits, -1)
 	}
-	return h
+	return constraints
 }
 
 // asked is the threads asked for by a type or a tenant.
-func (m *model) asked(typ, tenant int) (threads int64) {
-	for _, w := range m.wants {
-		if m.pieces[w.piece].typ == typ || w.tenant == tenant {
+func (m *model) requestedThreads(typ, tenant int) (threads int64) {
+	for _, w := range m.workloads {
+		if m.classes[w.class].typ == typ || w.tenant == tenant {
 			threads += w.threads
 		}
 	}
@@ -60,89 +60,93 @@
 }
 
 // demands lists all that the problem asks for, in the problem's order: what must be served first, then what binds it.
-func (m *model) demands() (list []demand) {
-	p := m.p
-	for _, l := range p.Must.LeastServed {
+func (m *model) requirements() (list []requirement) {
+	problem := m.problem
+	for _, l := range problem.Constraints.MinServed {
 		typ, tenant, name := -1, -1, "tenant "+l.Tenant
-		for i, t := range p.Types {
+		for i, t := range problem.Types {
 			if l.Type != "" && t.Name == l.Type {
 				typ, name = i, "type "+l.Type
 			}
 		}
-		for i, t := range p.Tenants {
+		for i, t := range problem.Tenants {
 			if l.Tenant != "" && t.Name == l.Tenant {
 				tenant = i
 			}
 		}
-		all := m.asked(typ, tenant)
-		list = append(list, demand{
-			name: fmt.Sprintf("%s is served at least %d per mille of its %d threads", name, l.PerMille, all),
-			unit: "serve it at least %d per mille", least: -l.PerMille, most: 0,
-			apply: func(h *holds, _ *[]map[int]int64, level int64) {
-				h.floors = append(h.floors, floor{typ, tenant, partOf(all, -level)})
+		all := m.requestedThreads(typ, tenant)
+		list = append(list, requirement{
+			name:       fmt.Sprintf("%s is served at least %d per mille of its %d threads", name, l.PerMille, all),
+			changeText: "serve it at least %d per mille", strictest: -l.PerMille, loosest: 0,
+			apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) {
+				constraints.minimums = append(constraints.minimums, minimum{typ, tenant, perMilleRoundedUp(all, -level)})
 			}})
 	}
-	if p.Must.SharesHold {
-		for i, t := range p.Tenants {
-			all := m.asked(-1, i)
+	if problem.Constraints.SharesHold {
+		for i, t := range problem.Tenants {
+			all := m.requestedThreads(-1, i)
 			if t.SharePerMille == 0 || all == 0 {
 				continue
 			}
-			list = append(list, demand{
+			list = append(list, requirement{
 				name: fmt.Sprintf("tenant %s has its share, %d per mille of the fleet's %d threads, or the %d it asks for", t.Name,
-					t.SharePerMille, m.fleet, all),
-				unit: "a share of %d per mille", least: -t.SharePerMille, most: 0,
-				apply: func(h *holds, _ *[]map[int]int64, level int64) {
-					h.floors = append(h.floors, floor{-1, i, min(all, m.fleet*-level/1000)})
+					t.SharePerMille, m.fleetThreads, all),
+				changeText: "a share of %d per mille", strictest: -t.SharePerMille, loosest: 0,
+				apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) {
+					constraints.minimums = append(constraints.minimums, minimum{-1, i, min(all, m.fleetThreads*-level/1000)})
 				}})
 		}
 	}
-	for i, t := range p.Tenants {
+	for i, t := range problem.Tenants {
 		if t.QuotaThreads != nil {
-			list = append(list, demand{
-				name: fmt.Sprintf("tenant %s keeps to its quota of %d threads", t.Name, *t.QuotaThreads),
-				unit: "a quota of %d threads", least: *t.QuotaThreads, most: max(*t.QuotaThreads, m.asked(-1, i)),
-				apply: func(h *holds, _ *[]map[int]int64, level int64) { h.quota[i] = level }})
+			list = append(list, requirement{
+				name:       fmt.Sprintf("tenant %s keeps to its quota of %d threads", t.Name, *t.QuotaThreads),
+				changeText: "a quota of %d threads", strictest: *t.QuotaThreads, loosest: max(*t.QuotaThreads, m.requestedThreads(-1, i)),
+				apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) { constraints.quotas[i] = level }})
 		}
 	}
-	for i, t := range p.Types {
+	for i, t := range problem.Types {
 		if len(t.Kinds)+len(t.Zones) > 0 {
-			list = append(list, demand{
-				name: fmt.Sprintf("type %s runs only on its kinds %v and zones %v (empty: any)", t.Name, t.Kinds, t.Zones),
-				unit: "%d of its threads may run elsewhere", least: 0, most: m.asked(i, -1),
-				apply: func(h *holds, _ *[]map[int]int64, level int64) { h.outside[i] = level }})
+			list = append(list, requirement{
+				name:       fmt.Sprintf("type %s runs only on its kinds %v and zones %v (empty: any)", t.Name, t.Kinds, t.Zones),
+				changeText: "%d of its threads may run elsewhere", strictest: 0, loosest: m.requestedThreads(i, -1),
+				apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) {
+					constraints.outsideLimits[i] = level
+				}})
 		}
 	}
-	for i, z := range p.Zones {
+	for i, z := range problem.Zones {
 		if z.CrossingBytesPerS != nil {
-			list = append(list, demand{
-				name: fmt.Sprintf("crossing for zone %s keeps to %d bytes a second", z.Name, *z.CrossingBytesPerS),
-				unit: "%d bytes a second", least: *z.CrossingBytesPerS, most: max(*z.CrossingBytesPerS, m.mostBytes()),
-				apply: func(h *holds, _ *[]map[int]int64, level int64) { h.budget[i] = level }})
+			list = append(list, requirement{
+				name:       fmt.Sprintf("crossing for zone %s keeps to %d bytes a second", z.Name, *z.CrossingBytesPerS),
+				changeText: "%d bytes a second", strictest: *z.CrossingBytesPerS, loosest: max(*z.CrossingBytesPerS, m.maxBytes()),
+				apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) {
+					constraints.crossingBudgets[i] = level
+				}})
 		}
 	}
-	if c := p.Must.GreatestCost; c != nil {
-		list = append(list, demand{name: fmt.Sprintf("a second costs at most %d", *c), unit: "a cost of %d", least: *c,
-			most:  max(*c, m.mostCost()),
-			apply: func(h *holds, _ *[]map[int]int64, level int64) { h.cost = level }})
+	if c := problem.Constraints.MaxCost; c != nil {
+		list = append(list, requirement{name: fmt.Sprintf("a second costs at most %d", *c), changeText: "a cost of %d", strictest: *c,
+			loosest: max(*c, m.maxCost()),
+			apply:   func(constraints *constraintSet, _ *[]map[int]int64, level int64) { constraints.maxCost = level }})
 	}
-	if u := p.Must.GreatestUsePerMille; u != nil {
-		list = append(list, demand{name: fmt.Sprintf("no engine is used over %d per mille", *u), unit: "a use of %d per mille",
-			least: *u, most: 1000,
-			apply: func(h *holds, _ *[]map[int]int64, level int64) { h.use = level }})
+	if u := problem.Constraints.MaxUsePerMille; u != nil {
+		list = append(list, requirement{name: fmt.Sprintf("no engine is used over %d per mille", *u), changeText: "a use of %d per mille",
+			strictest: *u, loosest: 1000,
+			apply: func(constraints *constraintSet, _ *[]map[int]int64, level int64) { constraints.maxUsePerMille = level }})
 	}
-	return append(list, m.losses()...)
+	return append(list, m.lossRequirements()...)
 }
 
 // losses are the demands that all fit without an engine or a zone. Engines alike are one loss.
-func (m *model) losses() (list []demand) {
+func (m *model) lossRequirements() (list []requirement) {
 	lose := func(name string, engines []int) {
 		most := int64(0)
 		for _, i := range engines {
 			most = max(most, m.groups[m.groupOf[i]].threads)
 		}
-		list = append(list, demand{name: "all fits without " + name, unit: "%d threads of each such engine must be left", least: 0,
-			most: most, apply: func(_ *holds, loss *[]map[int]int64, level int64) {
+		list = append(list, requirement{name: "all fits without " + name, changeText: "%d threads of each such engine must be left", strictest: 0,
+			loosest: most, apply: func(_ *constraintSet, loss *[]map[int]int64, level int64) {
 				left := map[int]int64{}
 				for _, i := range engines {
 					left[i] = level
@@ -157,16 +161,16 @@
 			lose(name, engines)
 		}
 	}
-	for _, w := range m.p.Must.FitsWithout {
+	for _, w := range m.problem.Constraints.FitsWithout {
 		if w == anyEngine {
 			for _, g := range m.groups {
-				once("engine "+m.p.Engines[g.engines[0]].Name, g.engines[:1])
+				once("engine "+m.problem.Engines[g.engines[0]].Name, g.engines[:1])
 			}
 			continue
 		}
 		var engines []int
-		for i, e := range m.p.Engines {
-			if m.groupOf[i] >= 0 && (w == withoutOne+e.Name || strings.HasPrefix(w, withoutAll) && w[len(withoutAll):] == e.Zone) {
+		for i, e := range m.problem.Engines {
+			if m.groupOf[i] >= 0 && (w == withoutEngine+e.Name || strings.HasPrefix(w, withoutZone) && w[len(withoutZone):] == e.Zone) {
 				engines = append(engines, i)
 			}
 		}
@@ -176,19 +180,19 @@
 }
 
 // partOf is a part of threads in thousandths, rounded up.
-func partOf(threads, perMille int64) int64 {
+func perMilleRoundedUp(threads, perMille int64) int64 {
 	return threads/1000*perMille + (threads%1000*perMille+999)/1000
 }
 
 // mostBytes and mostCost are what the fleet could not pass.
-func (m *model) mostBytes() (most int64) {
-	for _, b := range m.bytes {
-		most = max(most, b*m.fleet)
+func (m *model) maxBytes() (most int64) {
+	for _, b := range m.answerBytes {
+		most = max(most, b*m.fleetThreads)
 	}
 	return most
 }
 
-func (m *model) mostCost() (most int64) {
+func (m *model) maxCost() (most int64) {
 	for i := range m.groups {
 		g, each := &m.groups[i], int64(0)
 		for _, c := range g.cost {
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -8,18 +8,18 @@
 )
 
 // aim is what a stage wants most.
-type aim uint8
+type goal uint8
 
 // The aims, in the order of the stages.
 const (
-	aimShort aim = iota // the floors met: the least threads short of them
-	aimValue
-	aimCost // the least
+	minShortfall goal = iota // the floors met: the least threads short of them
+	maxValue
+	minCost // the least
 )
 
 // cluster is engines alike in all, also in what they may run now.
 type cluster struct {
-	group   *group
+	group   *engineGroup
 	engines []int
 	threads int64
 }
@@ -27,39 +27,39 @@
 // master is the program over patterns: how many engines of a cluster run which counts of pieces, and what wants are
 // given of that. Where there are few patterns all stand in it; else they come as their worth shows.
 type master struct {
-	m        *model
-	h        *holds
-	clusters []cluster
-	prog     *ilp.Program
-	cols     []meaning // of the program's columns
-	known    []map[string]int
-	whole    bool  // all patterns are in it
-	compact  bool  // instead of patterns, threads by engine and piece
-	limit    int64 // a bound known beforehand
-	aim      aim
-	dear     int64 // what a unit of cost takes off the objective
-	missing  int64 // and a thread short of a floor; 0: none may be
+	model          *model
+	constraints    *constraintSet
+	clusters       []cluster
+	program        *ilp.Program
+	columns        []columnMeaning // of the program's columns
+	patternColumns []map[string]int
+	isComplete     bool  // all patterns are in it
+	isCompact      bool  // instead of patterns, threads by engine and piece
+	knownBound     int64 // a bound known beforehand
+	goal           goal
+	costPrice      int64 // what a unit of cost takes off the objective
+	shortfallPrice int64 // and a thread short of a floor; 0: none may be
 
-	convex, memory, link, quota, floors, budget, outside int32 // first rows of each sort
-	cost, value                                          int32
+	convexRows, memoryRows, linkRows, quotaRows, minimumRows, budgetRows, outsideRows int32 // first rows of each sort
+	costRow, valueRow                                                                 int32
 }
 
 // meaning is what a column stands for: a pattern of a cluster, or threads of a want, or threads short of a floor.
-type meaning struct {
-	cluster int // -1: no pattern
-	counts  []int64
-	want    int // -1: no want
-	part    bool
+type columnMeaning struct {
+	cluster   int // -1: no pattern
+	counts    []int64
+	workload  int // -1: no want
+	isPartial bool
 }
 
 // mostWhole is up to how many patterns all are written out.
-const mostWhole = 3000
+const maxPatterns = 3000
 
-func (m *model) clusters(h *holds, single bool) (list []cluster) {
+func (m *model) clusters(constraints *constraintSet, single bool) (list []cluster) {
 	for gi := range m.groups {
 		g := &m.groups[gi]
 		for _, i := range g.engines {
-			threads := m.cap(i, h)
+			threads := m.maxThreadsOf(i, constraints)
 			if threads <= 0 {
 				continue
 			}
@@ -73,18 +73,22 @@
 	return list
 }
 
-func newMaster(m *model, h *holds) *master { return makeMaster(m, h, false) }
+func newMaster(m *model, constraints *constraintSet) *master {
+	return buildMaster(m, constraints, false)
+}
 
 // newCompact is the program without patterns, whole at any size: threads by engine and piece. Its bounds are weaker, but
 // branch and bound over it ends.
-func newCompact(m *model, h *holds) *master { return makeMaster(m, h, true) }
+func newCompact(m *model, constraints *constraintSet) *master {
+	return buildMaster(m, constraints, true)
+}
 
-func makeMaster(m *model, h *holds, compact bool) *master {
-	s := &master{m: m, h: h, clusters: m.clusters(h, compact), prog: &ilp.Program{}, compact: compact, limit: math.MaxInt64}
+func buildMaster(model *model, constraints *constraintSet, compact bool) *master {
+	s := &master{model: model, constraints: constraints, clusters: model.clusters(constraints, compact), program: &ilp.Program{}, isCompact: compact, knownBound: math.MaxInt64}
 	rows := func(n int, row func(i int) ilp.Row) (first int32) {
-		first = int32(len(s.prog.Rows))
+		first = int32(len(s.program.Rows))
 		for i := range n {
-			s.prog.Rows = append(s.prog.Rows, row(i))
+			s.program.Rows = append(s.program.Rows, row(i))
 		}
 		return first
 	}
@@ -94,135 +98,135 @@
 		}
 		return v
 	}
-	s.convex = rows(len(s.clusters), func(i int) ilp.Row {
+	s.convexRows = rows(len(s.clusters), func(i int) ilp.Row {
 		if compact {
 			return ilp.Row{Bound: s.clusters[i].threads}
 		}
 		return ilp.Row{Bound: int64(len(s.clusters[i].engines)), Convex: true}
 	})
 	if compact {
-		s.memory = rows(len(s.clusters), func(i int) ilp.Row { return ilp.Row{Bound: s.clusters[i].group.memory} })
+		s.memoryRows = rows(len(s.clusters), func(i int) ilp.Row { return ilp.Row{Bound: s.clusters[i].group.memoryMB} })
 	}
-	s.link = rows(len(m.pieces), func(int) ilp.Row { return ilp.Row{} })
-	s.quota = rows(len(m.p.Tenants), func(i int) ilp.Row { return ilp.Row{Bound: most(h.quota[i], m.asked(-1, i))} })
-	s.floors = rows(len(h.floors), func(i int) ilp.Row {
-		return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: h.floors[i].threads}
+	s.linkRows = rows(len(model.classes), func(int) ilp.Row { return ilp.Row{} })
+	s.quotaRows = rows(len(model.problem.Tenants), func(i int) ilp.Row { return ilp.Row{Bound: most(constraints.quotas[i], model.requestedThreads(-1, i))} })
+	s.minimumRows = rows(len(constraints.minimums), func(i int) ilp.Row {
+		return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: constraints.minimums[i].threads}
 	})
-	s.budget = rows(len(m.p.Zones), func(i int) ilp.Row { return ilp.Row{Bound: most(h.budget[i], m.mostBytes())} })
-	s.outside = rows(len(m.p.Types), func(i int) ilp.Row { return ilp.Row{Bound: most(h.outside[i], m.fleet)} })
-	s.cost = rows(1, func(int) ilp.Row { return ilp.Row{Bound: most(h.cost, m.mostCost())} })
-	s.value = rows(1, func(int) ilp.Row { return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: h.value} })
-	s.addWants()
+	s.budgetRows = rows(len(model.problem.Zones), func(i int) ilp.Row { return ilp.Row{Bound: most(constraints.crossingBudgets[i], model.maxBytes())} })
+	s.outsideRows = rows(len(model.problem.Types), func(i int) ilp.Row { return ilp.Row{Bound: most(constraints.outsideLimits[i], model.fleetThreads)} })
+	s.costRow = rows(1, func(int) ilp.Row { return ilp.Row{Bound: most(constraints.maxCost, model.maxCost())} })
+	s.valueRow = rows(1, func(int) ilp.Row { return ilp.Row{Sense: ilp.GreaterOrEqual, Bound: constraints.minValue} })
+	s.addWorkloads()
 	s.addPatterns()
 	return s
 }
 
-func (s *master) addWants() {
-	m := s.m
-	for i, w := range m.wants {
-		typ := m.pieces[w.piece].typ
-		rows := []int32{s.link + int32(w.piece), s.quota + int32(w.tenant)}
+func (s *master) addWorkloads() {
+	m := s.model
+	for i, w := range m.workloads {
+		typ := m.classes[w.class].typ
+		rows := []int32{s.linkRows + int32(w.class), s.quotaRows + int32(w.tenant)}
 		by := []int64{1, 1}
-		for k, f := range s.h.floors {
+		for k, f := range s.constraints.minimums {
 			if f.typ == typ || f.tenant == w.tenant {
-				rows, by = append(rows, s.floors+int32(k)), append(by, 1)
+				rows, by = append(rows, s.minimumRows+int32(k)), append(by, 1)
 			}
 		}
-		rows = append(rows, s.value)
+		rows = append(rows, s.valueRow)
 		add := func(most, worth int64, part bool) {
 			if most > 0 {
-				s.prog.Columns = append(s.prog.Columns, ilp.Column{Upper: most, Rows: rows, Coefficients: append(slices.Clone(by), worth)})
-				s.cols = append(s.cols, meaning{cluster: -1, want: i, part: part})
+				s.program.Columns = append(s.program.Columns, ilp.Column{Upper: most, Rows: rows, Coefficients: append(slices.Clone(by), worth)})
+				s.columns = append(s.columns, columnMeaning{cluster: -1, workload: i, isPartial: part})
 			}
 		}
-		add(w.full, m.worth[typ], false)
-		add(w.threads-w.full, w.partial, true)
+		add(w.fullThreads, m.threadValues[typ], false)
+		add(w.threads-w.fullThreads, w.partialValue, true)
 	}
-	for k, f := range s.h.floors {
-		s.prog.Columns = append(s.prog.Columns, ilp.Column{Upper: f.threads, Rows: []int32{s.floors + int32(k)}, Coefficients: []int64{1}})
-		s.cols = append(s.cols, meaning{cluster: -1, want: -1})
+	for k, f := range s.constraints.minimums {
+		s.program.Columns = append(s.program.Columns, ilp.Column{Upper: f.threads, Rows: []int32{s.minimumRows + int32(k)}, Coefficients: []int64{1}})
+		s.columns = append(s.columns, columnMeaning{cluster: -1, workload: -1})
 	}
 }
 
 // most is how many threads of a piece a cluster's engine could use, the engine being empty.
-func (s *master) most(c *cluster, k int) int64 {
-	m, g := s.m, c.group
-	pc := m.pieces[k]
-	if !g.takes[k] || (s.h.outside[pc.typ] == 0 && !m.placed(pc.typ, g)) {
+func (s *master) maxThreads(cluster *cluster, classIndex int) int64 {
+	m, g := s.model, cluster.group
+	class := m.classes[classIndex]
+	if !g.canRun[classIndex] || (s.constraints.outsideLimits[class.typ] == 0 && !m.isPlacementAllowed(class.typ, g)) {
 		return 0
 	}
 	asked := int64(0)
-	for _, w := range m.wants {
-		if w.piece == k {
+	for _, w := range m.workloads {
+		if w.class == classIndex {
 			asked += w.threads
 		}
 	}
-	most := min(asked, c.threads)
-	if each := m.memory[pc.typ]; each > 0 {
-		most = min(most, g.memory/each)
+	most := min(asked, cluster.threads)
+	if each := m.threadMemoryMB[class.typ]; each > 0 {
+		most = min(most, g.memoryMB/each)
 	}
 	return most
 }
 
 // addPatterns writes all patterns out where they are few, else those of one piece each.
 func (s *master) addPatterns() {
-	s.known = make([]map[string]int, len(s.clusters))
+	s.patternColumns = make([]map[string]int, len(s.clusters))
 	for c := range s.clusters {
-		s.known[c] = map[string]int{}
+		s.patternColumns[c] = map[string]int{}
 	}
-	if s.compact {
-		s.whole = true
+	if s.isCompact {
+		s.isComplete = true
 		for c := range s.clusters {
-			for k := range s.m.pieces {
-				if s.most(&s.clusters[c], k) > 0 {
-					counts := make([]int64, len(s.m.pieces))
+			for k := range s.model.classes {
+				if s.maxThreads(&s.clusters[c], k) > 0 {
+					counts := make([]int64, len(s.model.classes))
 					counts[k] = 1
-					s.pattern(c, counts)
+					s.addPattern(c, counts)
 				}
 			}
 		}
 		return
 	}
-	left := mostWhole
+	left := maxPatterns
 	for c := range s.clusters {
-		if left = s.each(c, left, func([]int64) {}); left < 0 {
+		if left = s.forEachPattern(c, left, func([]int64) {}); left < 0 {
 			break
 		}
 	}
-	s.whole = left >= 0
+	s.isComplete = left >= 0
 	for c := range s.clusters {
-		if s.whole {
-			s.each(c, mostWhole, func(counts []int64) { s.pattern(c, counts) })
+		if s.isComplete {
+			s.forEachPattern(c, maxPatterns, func(counts []int64) { s.addPattern(c, counts) })
 			continue
 		}
-		for k := range s.m.pieces {
-			if n := s.most(&s.clusters[c], k); n > 0 {
-				counts := make([]int64, len(s.m.pieces))
+		for k := range s.model.classes {
+			if n := s.maxThreads(&s.clusters[c], k); n > 0 {
+				counts := make([]int64, len(s.model.classes))
 				counts[k] = n
-				s.pattern(c, counts)
+				s.addPattern(c, counts)
 			}
 		}
 	}
 }
 
 // each goes through the patterns of a cluster but the empty one, and tells how many of left remain; below 0: too many.
-func (s *master) each(c, left int, tell func([]int64)) int {
-	m, cl := s.m, &s.clusters[c]
-	counts := make([]int64, len(m.pieces))
+func (s *master) forEachPattern(clusterIndex, left int, visit func([]int64)) int {
+	m, cluster := s.model, &s.clusters[clusterIndex]
+	counts := make([]int64, len(m.classes))
 	var at func(k int, threads, memory int64)
 	at = func(k int, threads, memory int64) {
 		if left < 0 {
 			return
 		}
 		if k == len(counts) {
-			if threads < cl.threads {
+			if threads < cluster.threads {
 				left--
-				tell(counts)
+				visit(counts)
 			}
 			return
 		}
-		each := m.memory[m.pieces[k].typ]
-		for n := range s.most(cl, k) + 1 {
+		each := m.threadMemoryMB[m.classes[k].typ]
+		for n := range s.maxThreads(cluster, k) + 1 {
 			if n > threads || n*each > memory {
 				break
 			}
@@ -231,21 +235,21 @@
 		}
 		counts[k] = 0
 	}
-	at(0, cl.threads, cl.group.memory)
+	at(0, cluster.threads, cluster.group.memoryMB)
 	return left
 }
 
 // pattern adds a pattern, or finds it; its column is told.
-func (s *master) pattern(c int, counts []int64) int {
+func (s *master) addPattern(clusterIndex int, counts []int64) int {
 	key := make([]byte, 0, 3*len(counts))
 	for _, n := range counts {
 		key = append(key, byte(n), byte(n>>8), byte(n>>16))
 	}
-	if j, is := s.known[c][string(key)]; is {
+	if j, is := s.patternColumns[clusterIndex][string(key)]; is {
 		return j
 	}
-	m, cl := s.m, &s.clusters[c]
-	col := ilp.Column{Upper: int64(len(cl.engines)), BranchFirst: true}
+	m, cluster := s.model, &s.clusters[clusterIndex]
+	col := ilp.Column{Upper: int64(len(cluster.engines)), BranchFirst: true}
 	put := func(row int32, by int64) {
 		if by == 0 {
 			return
@@ -256,102 +260,102 @@
 		}
 		col.Rows, col.Coefficients = append(col.Rows, row), append(col.Coefficients, by)
 	}
-	put(s.convex+int32(c), 1)
+	put(s.convexRows+int32(clusterIndex), 1)
 	for k, n := range counts {
-		pc := m.pieces[k]
-		if s.compact && n > 0 {
-			put(s.memory+int32(c), m.memory[pc.typ])
-			col.Upper = s.most(cl, k)
+		class := m.classes[k]
+		if s.isCompact && n > 0 {
+			put(s.memoryRows+int32(clusterIndex), m.threadMemoryMB[class.typ])
+			col.Upper = s.maxThreads(cluster, k)
 		}
-		put(s.link+int32(k), -n)
-		put(s.budget+int32(pc.zone), n*cl.group.bytes[k])
-		put(s.cost, n*cl.group.cost[k])
-		if !m.placed(pc.typ, cl.group) {
-			put(s.outside+int32(pc.typ), n)
+		put(s.linkRows+int32(k), -n)
+		put(s.budgetRows+int32(class.zone), n*cluster.group.bytes[k])
+		put(s.costRow, n*cluster.group.cost[k])
+		if !m.isPlacementAllowed(class.typ, cluster.group) {
+			put(s.outsideRows+int32(class.typ), n)
 		}
 	}
-	j := len(s.cols)
-	s.known[c][string(key)] = j
-	s.prog.Columns = append(s.prog.Columns, col)
-	s.cols = append(s.cols, meaning{cluster: c, counts: slices.Clone(counts), want: -1})
-	s.price(j)
+	j := len(s.columns)
+	s.patternColumns[clusterIndex][string(key)] = j
+	s.program.Columns = append(s.program.Columns, col)
+	s.columns = append(s.columns, columnMeaning{cluster: clusterIndex, counts: slices.Clone(counts), workload: -1})
+	s.setPrice(j)
 	return j
 }
 
 // costOf is the cost of a pattern's column.
 func (s *master) costOf(j int) int64 {
-	col := &s.prog.Columns[j]
-	if i := slices.Index(col.Rows, s.cost); i >= 0 {
+	col := &s.program.Columns[j]
+	if i := slices.Index(col.Rows, s.costRow); i >= 0 {
 		return col.Coefficients[i]
 	}
 	return 0
 }
 
 // price gives a column its worth in the stage at hand.
-func (s *master) price(j int) {
-	col, of := &s.prog.Columns[j], s.cols[j]
+func (s *master) setPrice(column int) {
+	col, meaning := &s.program.Columns[column], s.columns[column]
 	switch {
-	case of.cluster >= 0:
-		col.Objective = -s.dear * s.costOf(j)
-	case of.want >= 0:
-		if col.Objective = 0; s.aim == aimValue {
+	case meaning.cluster >= 0:
+		col.Objective = -s.costPrice * s.costOf(column)
+	case meaning.workload >= 0:
+		if col.Objective = 0; s.goal == maxValue {
 			col.Objective = col.Coefficients[len(col.Coefficients)-1]
 		}
 	default:
-		col.Objective, col.Upper = -s.missing, 0 // floors hold
-		if s.aim == aimShort {
+		col.Objective, col.Upper = -s.shortfallPrice, 0 // floors hold
+		if s.goal == minShortfall {
 			col.Objective = -1
 		}
-		if s.aim == aimShort || s.missing > 0 {
-			col.Upper = s.h.floors[col.Rows[0]-s.floors].threads
+		if s.goal == minShortfall || s.shortfallPrice > 0 {
+			col.Upper = s.constraints.minimums[col.Rows[0]-s.minimumRows].threads
 		}
 	}
 }
 
 // turn sets the stage.
-func (s *master) turn(to aim, value, cost int64) {
-	if s.aim, s.dear = to, 0; to == aimCost {
-		s.dear = 1
+func (s *master) beginStage(to goal, value, cost int64) {
+	if s.goal, s.costPrice = to, 0; to == minCost {
+		s.costPrice = 1
 	}
-	s.prog.Rows[s.value].Bound = value
+	s.program.Rows[s.valueRow].Bound = value
 	if cost >= 0 {
-		s.prog.Rows[s.cost].Bound = cost
+		s.program.Rows[s.costRow].Bound = cost
 	}
-	for j := range s.cols {
-		s.price(j)
+	for j := range s.columns {
+		s.setPrice(j)
 	}
 }
 
 // read turns columns' values into a solution, without what no want is given; the dearest engines give first.
-func (s *master) read(x []int64) *solution {
-	m, out := s.m, s.m.empty()
-	spare := make([]int64, len(m.pieces))
+func (s *master) solutionOf(values []int64) *solution {
+	m, out := s.model, s.model.emptySolution()
+	spare := make([]int64, len(m.classes))
 	next := make([]int, len(s.clusters))
-	for j, n := range x {
-		of := s.cols[j]
-		if of.want >= 0 {
-			out.given[of.want] += n
-			spare[m.wants[of.want].piece] -= n
+	for j, n := range values {
+		meaning := s.columns[j]
+		if meaning.workload >= 0 {
+			out.granted[meaning.workload] += n
+			spare[m.workloads[meaning.workload].class] -= n
 		}
-		if of.cluster < 0 {
+		if meaning.cluster < 0 {
 			continue
 		}
-		if s.compact && n > 0 {
-			i := s.clusters[of.cluster].engines[0]
-			if out.on[i] == nil {
-				out.on[i] = make([]int64, len(m.pieces))
+		if s.isCompact && n > 0 {
+			i := s.clusters[meaning.cluster].engines[0]
+			if out.threads[i] == nil {
+				out.threads[i] = make([]int64, len(m.classes))
 			}
-			for k, c := range of.counts {
-				out.on[i][k] += c * n
+			for k, c := range meaning.counts {
+				out.threads[i][k] += c * n
 				spare[k] += c * n
 			}
 			continue
 		}
 		for range n {
-			i := s.clusters[of.cluster].engines[next[of.cluster]]
-			next[of.cluster]++
-			out.on[i] = slices.Clone(of.counts)
-			for k, c := range of.counts {
+			i := s.clusters[meaning.cluster].engines[next[meaning.cluster]]
+			next[meaning.cluster]++
+			out.threads[i] = slices.Clone(meaning.counts)
+			for k, c := range meaning.counts {
 				spare[k] += c
 			}
 		}
@@ -359,13 +363,13 @@
 	for k := range spare {
 		for spare[k] > 0 {
 			worst := -1
-			for i, on := range out.on {
+			for i, on := range out.threads {
 				if on != nil && on[k] > 0 && (worst < 0 || m.groups[m.groupOf[i]].cost[k] > m.groups[m.groupOf[worst]].cost[k]) {
 					worst = i
 				}
 			}
-			n := min(spare[k], out.on[worst][k])
-			out.on[worst][k] -= n
+			n := min(spare[k], out.threads[worst][k])
+			out.threads[worst][k] -= n
 			spare[k] -= n
 		}
 	}
@@ -373,48 +377,48 @@
 }
 
 // write turns a solution into columns' values; patterns it needs are added. nil: it does not fit the clusters.
-func (s *master) write(from *solution) []int64 {
-	x := make([]int64, len(s.cols))
-	for j, of := range s.cols {
-		if of.want >= 0 {
-			w := s.m.wants[of.want]
-			if n := from.given[of.want]; of.part {
-				x[j] = max(0, n-w.full)
+func (s *master) valuesOf(from *solution) []int64 {
+	values := make([]int64, len(s.columns))
+	for j, meaning := range s.columns {
+		if meaning.workload >= 0 {
+			w := s.model.workloads[meaning.workload]
+			if n := from.granted[meaning.workload]; meaning.isPartial {
+				values[j] = max(0, n-w.fullThreads)
 			} else {
-				x[j] = min(n, w.full)
+				values[j] = min(n, w.fullThreads)
 			}
 		}
 	}
-	for j, of := range s.cols {
-		if of.cluster < 0 && of.want < 0 { // short of a floor
-			f := s.h.floors[s.prog.Columns[j].Rows[0]-s.floors]
-			x[j] = f.threads
-			for i, w := range s.m.wants {
-				if f.typ == s.m.pieces[w.piece].typ || f.tenant == w.tenant {
-					x[j] -= from.given[i]
+	for j, meaning := range s.columns {
+		if meaning.cluster < 0 && meaning.workload < 0 { // short of a floor
+			f := s.constraints.minimums[s.program.Columns[j].Rows[0]-s.minimumRows]
+			values[j] = f.threads
+			for i, w := range s.model.workloads {
+				if f.typ == s.model.classes[w.class].typ || f.tenant == w.tenant {
+					values[j] -= from.granted[i]
 				}
 			}
-			x[j] = max(0, x[j])
+			values[j] = max(0, values[j])
 		}
 	}
-	for c, cl := range s.clusters {
-		if s.compact {
-			for j, of := range s.cols {
-				if on := from.on[cl.engines[0]]; of.cluster == c && on != nil {
-					x[j] = on[slices.Index(of.counts, 1)]
+	for c, cluster := range s.clusters {
+		if s.isCompact {
+			for j, meaning := range s.columns {
+				if on := from.threads[cluster.engines[0]]; meaning.cluster == c && on != nil {
+					values[j] = on[slices.Index(meaning.counts, 1)]
 				}
 			}
 			continue
 		}
-		for _, i := range cl.engines {
-			if on := from.on[i]; on != nil && slices.Max(append(slices.Clone(on), 0)) > 0 {
-				j := s.pattern(c, on)
-				for len(x) <= j {
-					x = append(x, 0)
+		for _, i := range cluster.engines {
+			if on := from.threads[i]; on != nil && slices.Max(append(slices.Clone(on), 0)) > 0 {
+				j := s.addPattern(c, on)
+				for len(values) <= j {
+					values = append(values, 0)
 				}
-				x[j]++
+				values[j]++
 			}
 		}
 	}
-	return append(x, make([]int64, len(s.cols)-len(x))...)
+	return append(values, make([]int64, len(s.columns)-len(values))...)
 }
--- a/internal/solve/methods.go
+++ b/internal/solve/methods.go
@@ -6,7 +6,7 @@
 type Method interface {
 	Name() string
 	// at solves one moment of the warm-up.
-	at(m *model, h *holds, stop Stop) outcome
+	at(m *model, h *constraintSet, stop Stop) outcome
 }
 
 // Named gives a method by its name.
@@ -25,7 +25,9 @@
 // Name is solver.
 func (Solver) Name() string { return "solver" }
 
-func (Solver) at(m *model, h *holds, stop Stop) outcome { return m.stages(h, stop) }
+func (Solver) at(model *model, constraints *constraintSet, stop Stop) outcome {
+	return model.solveStages(constraints, stop)
+}
 
 // Exhaustive tries all, on small problems.
 type Exhaustive struct{}
@@ -34,17 +36,17 @@
 func (Exhaustive) Name() string { return "exhaustive" }
 
 // mostStates is up to how many states of part of the fleet all are tried.
-const mostStates = 100_000
+const maxStates = 100_000
 
-func (Exhaustive) at(m *model, h *holds, _ Stop) (out outcome) {
-	sol, got, fits, whole := m.exhaustive(h, mostStates)
+func (Exhaustive) at(model *model, constraints *constraintSet, _ Stop) (out outcome) {
+	solution, got, fits, whole := model.exhaustive(constraints, maxStates)
 	if !whole {
 		return outcome{}
 	}
 	if !fits {
-		return outcome{none: true}
+		return outcome{isInfeasible: true}
 	}
-	return outcome{sol: sol, got: got, bound: got, proved: [3]bool{true, true, true}}
+	return outcome{solution: solution, measure: got, bound: got, proved: [3]bool{true, true, true}}
 }
 
 // Proportional is what the decision module does without a plan, as far as it can be said ahead: tenants alike share the
@@ -54,61 +56,61 @@
 // Name is proportional.
 func (Proportional) Name() string { return "proportional" }
 
-func (Proportional) at(m *model, h *holds, _ Stop) (out outcome) {
-	s := m.empty()
-	free, memory := make([]int64, len(m.p.Engines)), make([]int64, len(m.p.Engines))
+func (Proportional) at(model *model, constraints *constraintSet, _ Stop) (out outcome) {
+	s := model.emptySolution()
+	free, memory := make([]int64, len(model.problem.Engines)), make([]int64, len(model.problem.Engines))
 	for i := range free {
-		if m.groupOf[i] >= 0 {
-			free[i], memory[i] = m.cap(i, h), m.groups[m.groupOf[i]].memory
-			s.on[i] = make([]int64, len(m.pieces))
+		if model.groupOf[i] >= 0 {
+			free[i], memory[i] = model.maxThreadsOf(i, constraints), model.groups[model.groupOf[i]].memoryMB
+			s.threads[i] = make([]int64, len(model.classes))
 		}
 	}
-	crossing := make([]int64, len(m.p.Zones))
-	tenants := make([]int64, len(m.p.Tenants))
-	part := m.fleet / int64(len(m.p.Tenants))
-	place := func(w want) bool {
-		pc := m.pieces[w.piece]
+	crossing := make([]int64, len(model.problem.Zones))
+	tenants := make([]int64, len(model.problem.Tenants))
+	part := model.fleetThreads / int64(len(model.problem.Tenants))
+	place := func(w workload) bool {
+		class := model.classes[w.class]
 		best := -1
 		for i := range free {
-			if free[i] < 1 || memory[i] < m.memory[pc.typ] {
+			if free[i] < 1 || memory[i] < model.threadMemoryMB[class.typ] {
 				continue
 			}
-			g := &m.groups[m.groupOf[i]]
-			if !g.takes[w.piece] || !m.placed(pc.typ, g) ||
-				(h.budget[pc.zone] >= 0 && crossing[pc.zone]+g.bytes[w.piece] > h.budget[pc.zone]) {
+			g := &model.groups[model.groupOf[i]]
+			if !g.canRun[w.class] || !model.isPlacementAllowed(class.typ, g) ||
+				(constraints.crossingBudgets[class.zone] >= 0 && crossing[class.zone]+g.bytes[w.class] > constraints.crossingBudgets[class.zone]) {
 				continue
 			}
-			if best < 0 || free[i]*m.groups[m.groupOf[best]].threads > free[best]*g.threads {
+			if best < 0 || free[i]*model.groups[model.groupOf[best]].threads > free[best]*g.threads {
 				best = i
 			}
 		}
 		if best < 0 {
 			return false
 		}
-		free[best], memory[best] = free[best]-1, memory[best]-m.memory[pc.typ]
-		s.on[best][w.piece]++
-		crossing[pc.zone] += m.groups[m.groupOf[best]].bytes[w.piece]
+		free[best], memory[best] = free[best]-1, memory[best]-model.threadMemoryMB[class.typ]
+		s.threads[best][w.class]++
+		crossing[class.zone] += model.groups[model.groupOf[best]].bytes[w.class]
 		tenants[w.tenant]++
 		return true
 	}
 	for _, own := range []bool{true, false} { // within even parts first, then what is left over
 		for again := true; again; {
 			again = false
-			for i, w := range m.wants { // a thread each in turn
-				quota := h.quota[w.tenant]
-				if s.given[i] < w.threads && (!own || tenants[w.tenant] < part) && (quota < 0 || tenants[w.tenant] < quota) && place(w) {
-					s.given[i]++
+			for i, w := range model.workloads { // a thread each in turn
+				quota := constraints.quotas[w.tenant]
+				if s.granted[i] < w.threads && (!own || tenants[w.tenant] < part) && (quota < 0 || tenants[w.tenant] < quota) && place(w) {
+					s.granted[i]++
 					again = true
 				}
 			}
 		}
 	}
-	out.sol, out.got = s, m.measure(s)
-	for _, w := range m.wants {
-		out.bound.value += w.valueOf(w.threads, m.worth[m.pieces[w.piece].typ])
+	out.solution, out.measure = s, model.measure(s)
+	for _, w := range model.workloads {
+		out.bound.value += w.valueOf(w.threads, model.threadValues[model.classes[w.class].typ])
 	}
-	if m.broken(s, h) != nil {
-		out.sol = nil // a formula does not look for what must hold
+	if model.violation(s, constraints) != nil {
+		out.solution = nil // a formula does not look for what must hold
 	}
 	return out
 }
--- a/internal/solve/problem.go
+++ b/internal/solve/problem.go
@@ -6,13 +6,13 @@
 
 // Problem is a fleet, what is asked of it, and what must hold. The JSON schema is deploy/problem.schema.json.
 type Problem struct {
-	ThreadsPerCore int64     `json:"threads_per_core,omitempty"` // 0: 2, as the decision module counts
-	Engines        []Engine  `json:"engines"`
-	Types          []Type    `json:"types"`
-	Tenants        []Tenant  `json:"tenants"`
-	Zones          []Zone    `json:"zones"`
-	Demand         []Demand  `json:"demand"`
-	Must           MustHolds `json:"must"`
+	ThreadsPerCore int64       `json:"threads_per_core,omitempty"` // 0: 2, as the decision module counts
+	Engines        []Engine    `json:"engines"`
+	Types          []Type      `json:"types"`
+	Tenants        []Tenant    `json:"tenants"`
+	Zones          []Zone      `json:"zones"`
+	Demand         []Demand    `json:"demand"`
+	Constraints    Constraints `json:"must"`
 }
 
 // The states of an engine. A draining one gets nothing, a started one is still cold.
@@ -24,15 +24,15 @@
 
 // Engine is one of the list of engines.
 type Engine struct {
-	Name         string `json:"name"`
-	Kind         string `json:"kind"`
-	Zone         string `json:"zone"`
-	Cores        int64  `json:"cores"`
-	MemoryMB     int64  `json:"memory_mb"`
-	State        string `json:"state,omitempty"`          // absent: ready
-	PartPerMille int64  `json:"part_per_mille,omitempty"` // started: of its capacity that rule 4 lets it have now, all controllers together
-	WarmInMS     int64  `json:"warm_in_ms,omitempty"`     // started: until it has all; between, its part grows evenly
-	Cost         int64  `json:"cost,omitempty"`           // of a thread-second, in millionths of the unit of money
+	Name             string `json:"name"`
+	Kind             string `json:"kind"`
+	Zone             string `json:"zone"`
+	Cores            int64  `json:"cores"`
+	MemoryMB         int64  `json:"memory_mb"`
+	State            string `json:"state,omitempty"`          // absent: ready
+	CapacityPerMille int64  `json:"part_per_mille,omitempty"` // started: of its capacity that rule 4 lets it have now, all controllers together
+	WarmInMS         int64  `json:"warm_in_ms,omitempty"`     // started: until it has all; between, its part grows evenly
+	Cost             int64  `json:"cost,omitempty"`           // of a thread-second, in millionths of the unit of money
 }
 
 // Type is a reservation type.
@@ -72,16 +72,16 @@
 }
 
 // MustHolds are the demands on an answer.
-type MustHolds struct {
-	LeastServed         []LeastServed `json:"least_served,omitempty"`
-	SharesHold          bool          `json:"shares_hold,omitempty"`
-	GreatestCost        *int64        `json:"greatest_cost,omitempty"`          // of a second
-	GreatestUsePerMille *int64        `json:"greatest_use_per_mille,omitempty"` // of each engine's threads
-	FitsWithout         []string      `json:"fits_without,omitempty"`           // "any engine", "engine NAME", "zone NAME"
+type Constraints struct {
+	MinServed      []MinServed `json:"least_served,omitempty"`
+	SharesHold     bool        `json:"shares_hold,omitempty"`
+	MaxCost        *int64      `json:"greatest_cost,omitempty"`          // of a second
+	MaxUsePerMille *int64      `json:"greatest_use_per_mille,omitempty"` // of each engine's threads
+	FitsWithout    []string    `json:"fits_without,omitempty"`           // "any engine", "engine NAME", "zone NAME"
 }
 
 // LeastServed is the least part of the threads asked for that a type, or a tenant, is given: one of the two is named.
-type LeastServed struct {
+type MinServed struct {
 	Type     string `json:"type,omitempty"`
 	Tenant   string `json:"tenant,omitempty"`
 	PerMille int64  `json:"per_mille"`
--- a/internal/solve/solve_test.go
+++ b/internal/solve/solve_test.go
@@ -17,11 +17,11 @@
 func TestTheAnswerIsThatOfTryingAll(t *testing.T) {
 	none, r := 0, rand.New(rand.NewPCG(17, 1))
 	for n := range 250 {
-		p := draw.Small(r)
-		if f := p.Check(); f != nil {
+		problem := draw.Small(r)
+		if f := problem.Check(); f != nil {
 			t.Fatal(f)
 		}
-		want, got := solve.Solve(p, solve.Options{Method: solve.Exhaustive{}}), solve.Solve(p, solve.Options{})
+		want, got := solve.Solve(problem, solve.Options{Method: solve.Exhaustive{}}), solve.Solve(problem, solve.Options{})
 		if want.Status == solve.Unknown {
 			continue
 		}
@@ -30,14 +30,14 @@
 				want.Value, want.Cost, want.Evenness)
 		}
 		for _, s := range got.Steps {
-			if err := solve.Verify(p, s); err != nil {
+			if err := solve.Verify(problem, s); err != nil {
 				t.Fatalf("problem %d: %v", n, err)
 			}
 		}
 		for _, c := range got.Conflicts {
 			none++
 			if c.FromMS == 0 {
-				needed(t, p, c)
+				needed(t, problem, c)
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 // needed holds a conflict against trying all: impossible together, possible without any one.
-func needed(t *testing.T, p *solve.Problem, c solve.Conflict) {
+func needed(t *testing.T, problem *solve.Problem, c solve.Conflict) {
 	t.Helper()
 	var names []string
 	for _, m := range c.Demands {
@@ -56,12 +56,12 @@
 			t.Errorf("%s: change %q", m.Demand, m.Change)
 		}
 	}
-	if fits, known := solve.Fits(p, names); known && fits {
+	if fits, known := solve.Fits(problem, names); known && fits {
 		t.Errorf("not in conflict: %v", names)
 	}
 	for i := range names {
 		without := slices.Delete(slices.Clone(names), i, i+1)
-		if fits, known := solve.Fits(p, without); known && !fits {
+		if fits, known := solve.Fits(problem, without); known && !fits {
 			t.Errorf("%q is not needed in %v", names[i], names)
 		}
 	}
@@ -78,114 +78,114 @@
 }
 
 func TestAllColdNothingAskedAndAKindThatIsGone(t *testing.T) {
-	p := plain()
-	p.Demand = nil
-	if a := solve.Solve(p, solve.Options{}); a.Status != solve.Optimal || a.Value != 0 || a.Cost != 0 {
+	problem := plain()
+	problem.Demand = nil
+	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal || a.Value != 0 || a.Cost != 0 {
 		t.Errorf("nothing asked for: %+v", a)
 	}
-	p = plain()
-	for i := range p.Engines {
-		p.Engines[i].State, p.Engines[i].PartPerMille, p.Engines[i].WarmInMS = solve.Started, 250, 8000
+	problem = plain()
+	for i := range problem.Engines {
+		problem.Engines[i].State, problem.Engines[i].CapacityPerMille, problem.Engines[i].WarmInMS = solve.Started, 250, 8000
 	}
-	a := solve.Solve(p, solve.Options{})
+	a := solve.Solve(problem, solve.Options{})
 	if len(a.Steps) != 5 || a.Steps[0].Value >= a.Steps[4].Value {
 		t.Fatalf("all cold: %+v", a)
 	}
 	for _, s := range a.Steps {
 		for _, u := range s.Use { // at the step's beginning, when the part is least
-			if part := 250 + 750*s.FromMS/8000; u.Threads*1000 > u.Has*part || u.May*1000 > u.Has*part {
+			if part := 250 + 750*s.FromMS/8000; u.Threads*1000 > u.Total*part || u.Usable*1000 > u.Total*part {
 				t.Errorf("from %d ms engine %s runs %d, its part is %d per mille", s.FromMS, u.Engine, u.Threads, part)
 			}
 		}
-		if err := solve.Verify(p, s); err != nil {
+		if err := solve.Verify(problem, s); err != nil {
 			t.Error(err)
 		}
 	}
-	p = plain()
-	p.Engines[1].Kind = "std"
-	p.Must.LeastServed = []solve.LeastServed{{Type: "import", PerMille: 500}}
-	a = solve.Solve(p, solve.Options{})
-	if a.Status != solve.NoFit || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
+	problem = plain()
+	problem.Engines[1].Kind = "std"
+	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}}
+	a = solve.Solve(problem, solve.Options{})
+	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
 		t.Fatalf("a kind that is gone: %+v", a)
 	}
-	needed(t, p, a.Conflicts[0])
+	needed(t, problem, a.Conflicts[0])
 }
 
 func TestADrainingEngineAndALostZoneGetNothing(t *testing.T) {
-	p := plain()
-	p.Engines[1].State = solve.Draining
-	if a := solve.Solve(p, solve.Options{}); a.Status != solve.Optimal || a.Steps[0].Served[1].Given != 0 || a.Value != 4_000_000 {
+	problem := plain()
+	problem.Engines[1].State = solve.Draining
+	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal || a.Steps[0].Served[1].Granted != 0 || a.Value != 4_000_000 {
 		t.Errorf("draining: %+v", a)
 	}
-	p = plain()
-	p.Must.LeastServed = []solve.LeastServed{{Type: "lookup", PerMille: 600}}
-	p.Must.FitsWithout = []string{"zone east"}
-	if a := solve.Solve(p, solve.Options{}); a.Status != solve.Optimal {
+	problem = plain()
+	problem.Constraints.MinServed = []solve.MinServed{{Type: "lookup", PerMille: 600}}
+	problem.Constraints.FitsWithout = []string{"zone east"}
+	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal {
 		t.Errorf("4 of 6 without a zone: %+v", a)
 	}
-	p.Must.LeastServed[0].PerMille = 900
-	a := solve.Solve(p, solve.Options{})
-	if a.Status != solve.NoFit || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
+	problem.Constraints.MinServed[0].PerMille = 900
+	a := solve.Solve(problem, solve.Options{})
+	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
 		t.Fatalf("6 of 6 without a zone: %+v", a)
 	}
-	needed(t, p, a.Conflicts[0])
+	needed(t, problem, a.Conflicts[0])
 	if got := a.Conflicts[0].Demands[0].Change; got != "serve it at least 666 per mille" {
 		t.Errorf("the least change: %s", got)
 	}
 }
 
 func TestThreeConflictsAtOnceAreToldApart(t *testing.T) {
-	p := plain()
-	p.Types = append(p.Types, solve.Type{Name: "report", Threads: 1, WorkMS: 1000, Value: 3, Zones: []string{"west"}})
-	p.Demand = append(p.Demand, solve.Demand{Type: "report", Tenant: "acme", Zone: "west", JobsPer1000S: 2000})
-	p.Engines[1].Kind, p.Engines[1].Zone = "std", "east" // nowhere for imports, nor for reports
+	problem := plain()
+	problem.Types = append(problem.Types, solve.Type{Name: "report", Threads: 1, WorkMS: 1000, Value: 3, Zones: []string{"west"}})
+	problem.Demand = append(problem.Demand, solve.Demand{Type: "report", Tenant: "acme", Zone: "west", JobsPer1000S: 2000})
+	problem.Engines[1].Kind, problem.Engines[1].Zone = "std", "east" // nowhere for imports, nor for reports
 	quota := int64(1)
-	p.Tenants[0].QuotaThreads = &quota
-	p.Must.LeastServed = []solve.LeastServed{{Type: "import", PerMille: 500}, {Type: "report", PerMille: 500}, {Type: "lookup", PerMille: 500}}
-	a := solve.Solve(p, solve.Options{})
+	problem.Tenants[0].QuotaThreads = &quota
+	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}, {Type: "report", PerMille: 500}, {Type: "lookup", PerMille: 500}}
+	a := solve.Solve(problem, solve.Options{})
 	if len(a.Conflicts) != 3 {
 		t.Fatalf("%+v", a.Conflicts)
 	}
 	for _, c := range a.Conflicts {
-		needed(t, p, c)
+		needed(t, problem, c)
 	}
 }
 
 func TestEqualOptimaAreSettledTheSameAtEveryRun(t *testing.T) {
-	p := plain()
-	p.Engines[1] = p.Engines[0]
-	p.Engines[1].Name = "e2"
-	p.Types[1].Kinds = nil
-	first := solve.Solve(p, solve.Options{})
+	problem := plain()
+	problem.Engines[1] = problem.Engines[0]
+	problem.Engines[1].Name = "e2"
+	problem.Types[1].Kinds = nil
+	first := solve.Solve(problem, solve.Options{})
 	for range 20 {
-		if again := solve.Solve(p, solve.Options{}); !reflect.DeepEqual(first, again) {
+		if again := solve.Solve(problem, solve.Options{}); !reflect.DeepEqual(first, again) {
 			t.Fatalf("%+v, then %+v", first, again)
 		}
 	}
 }
 
 func TestFiguresAtTheEdgeAndNamesTwiceAreFaults(t *testing.T) {
-	for path, spoil := range map[string]func(p *solve.Problem){
-		"/types/1/value": func(p *solve.Problem) {
-			p.Types[1].Value = solve.MostFigure
-			p.Engines[0].Cores = 4096
-			p.Types[1].WorkMS = 1
+	for path, spoil := range map[string]func(problem *solve.Problem){
+		"/types/1/value": func(problem *solve.Problem) {
+			problem.Types[1].Value = solve.MaxFigure
+			problem.Engines[0].Cores = 4096
+			problem.Types[1].WorkMS = 1
 		},
-		"/types/0/answer_bytes": func(p *solve.Problem) {
-			p.Types[0].AnswerBytes = solve.MostFigure
-			p.Types[0].WorkMS, p.Engines[0].Cores = 1, 4096
+		"/types/0/answer_bytes": func(problem *solve.Problem) {
+			problem.Types[0].AnswerBytes = solve.MaxFigure
+			problem.Types[0].WorkMS, problem.Engines[0].Cores = 1, 4096
 		},
-		"/demand/0/jobs_per_1000s": func(p *solve.Problem) { p.Demand[0].JobsPer1000S = math.MaxInt64 },
-		"/engines/1/name":          func(p *solve.Problem) { p.Engines[1].Name = "e1" },
-		"/engines/0/cores":         func(p *solve.Problem) { p.Engines[0].Cores = -1 },
-		"/demand/1":                func(p *solve.Problem) { p.Demand[1] = p.Demand[0] },
-		"/demand/0/zone":           func(p *solve.Problem) { p.Demand[0].Zone = "north" },
-		"/must/fits_without/0":     func(p *solve.Problem) { p.Must.FitsWithout = []string{"zone north"} },
-		"/types/0/sla_time_ms":     func(p *solve.Problem) { p.Types[0].SLATimeMS = 10 },
+		"/demand/0/jobs_per_1000s": func(problem *solve.Problem) { problem.Demand[0].JobsPer1000S = math.MaxInt64 },
+		"/engines/1/name":          func(problem *solve.Problem) { problem.Engines[1].Name = "e1" },
+		"/engines/0/cores":         func(problem *solve.Problem) { problem.Engines[0].Cores = -1 },
+		"/demand/1":                func(problem *solve.Problem) { problem.Demand[1] = problem.Demand[0] },
+		"/demand/0/zone":           func(problem *solve.Problem) { problem.Demand[0].Zone = "north" },
+		"/must/fits_without/0":     func(problem *solve.Problem) { problem.Constraints.FitsWithout = []string{"zone north"} },
+		"/types/0/sla_time_ms":     func(problem *solve.Problem) { problem.Types[0].SLATimeMS = 10 },
 	} {
-		p := plain()
-		spoil(p)
-		if f := p.Check(); len(f) == 0 || f[0].Path != path {
+		problem := plain()
+		spoil(problem)
+		if f := problem.Check(); len(f) == 0 || f[0].Path != path {
 			t.Errorf("%s: told %v", path, f)
 		}
 	}
@@ -193,15 +193,15 @@
 
 // Whenever time ends, also in the middle of a node, what is told holds.
 func TestTimeMayEndAnywhere(t *testing.T) {
-	p := draw.Ordinary(3, 12, 2, 4, 4, 1.1)
+	problem := draw.Ordinary(3, 12, 2, 4, 4, 1.1)
 	for left := 1; left < 3000; left += 1 + left/3 {
 		asked := 0
-		a := solve.Solve(p, solve.Options{Stop: func(int) bool { asked++; return asked > left }})
+		a := solve.Solve(problem, solve.Options{Stop: func(int) bool { asked++; return asked > left }})
 		if a.Status == solve.Unknown {
 			continue
 		}
 		for _, s := range a.Steps {
-			if err := solve.Verify(p, s); err != nil || a.Bound < a.Value {
+			if err := solve.Verify(problem, s); err != nil || a.Bound < a.Value {
 				t.Fatalf("after %d: %v; %d of %d", left, err, a.Value, a.Bound)
 			}
 		}
@@ -224,14 +224,14 @@
 	text, _ := json.Marshal(plain())
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var p solve.Problem
-		if json.Unmarshal(text, &p) != nil || p.Check() != nil || len(p.Engines) > 4 || len(p.Demand) > 4 {
+		var problem solve.Problem
+		if json.Unmarshal(text, &problem) != nil || problem.Check() != nil || len(problem.Engines) > 4 || len(problem.Demand) > 4 {
 			return
 		}
 		steps := 0
-		a := solve.Solve(&p, solve.Options{Explain: true, Stop: func(int) bool { steps++; return steps > 500 }})
+		a := solve.Solve(&problem, solve.Options{Explain: true, Stop: func(int) bool { steps++; return steps > 500 }})
 		for _, s := range a.Steps {
-			if err := solve.Verify(&p, s); err != nil {
+			if err := solve.Verify(&problem, s); err != nil {
 				t.Error(err)
 			}
 		}
@@ -243,14 +243,14 @@
 func TestMiddlingFleetsAreSettled(t *testing.T) {
 	optimal := 0
 	for seed := range uint64(12) {
-		p := draw.Ordinary(seed, 4, 2, 3, 3, 1.2)
-		p.Must.LeastServed = []solve.LeastServed{{Type: "type0", PerMille: 700}, {Tenant: "tenant1", PerMille: 800}}
+		problem := draw.Ordinary(seed, 4, 2, 3, 3, 1.2)
+		problem.Constraints.MinServed = []solve.MinServed{{Type: "type0", PerMille: 700}, {Tenant: "tenant1", PerMille: 800}}
 		steps := 0
-		a := solve.Solve(p, solve.Options{Stop: func(int) bool { steps++; return steps > 20000 }})
+		a := solve.Solve(problem, solve.Options{Stop: func(int) bool { steps++; return steps > 20000 }})
 		switch a.Status {
 		case solve.Unknown:
 			t.Errorf("seed %d: unknown", seed)
-		case solve.Optimal, solve.NoFit:
+		case solve.Optimal, solve.Infeasible:
 			optimal++
 		}
 	}
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -13,52 +13,52 @@
 
 // The thousandths of the time after which each stage ends.
 const (
-	shortEnds, valueEnds, costEnds, levelEnds = 250, 600, 800, 1000
+	shortfallEnds, valueEnds, costEnds, utilizationEnds = 250, 600, 800, 1000
 	// Of several thousand patterns the last parts of ten thousand are not worth the time.
 	nearValue, nearCost = 10_000, 2000
 )
 
 // outcome is how far the stages came, at one moment of the warm-up.
 type outcome struct {
-	sol    *solution // nil: none
-	none   bool      // proved: no answer fits
-	got    measure
-	bound  measure // of each: no better one is possible while those before it stand as they are
-	proved [3]bool // value, cost, evenness
-	marks  ilp.Multipliers
-	master *master // of the value's stage, for what binds
+	solution     *solution // nil: none
+	isInfeasible bool      // proved: no answer fits
+	measure      measure
+	bound        measure // of each: no better one is possible while those before it stand as they are
+	proved       [3]bool // value, cost, evenness
+	multipliers  ilp.Multipliers
+	master       *master // of the value's stage, for what binds
 }
 
 // stages solves for the objective in its strict order.
-func (m *model) stages(h *holds, stop Stop) (out outcome) {
-	s := newMaster(m, h)
-	if len(h.floors) > 0 {
-		f := s.finish(aimShort, nil, math.MinInt64, 0, 0, -1, upTo(stop, shortEnds))
-		if f.sol == nil || f.value < 0 {
-			out.none = f.bound < 0
+func (m *model) solveStages(constraints *constraintSet, stop Stop) (out outcome) {
+	s := newMaster(m, constraints)
+	if len(constraints.minimums) > 0 {
+		f := s.finish(minShortfall, nil, math.MinInt64, 0, 0, -1, upTo(stop, shortfallEnds))
+		if f.solution == nil || f.value < 0 {
+			out.isInfeasible = f.bound < 0
 			return out
 		}
-		out.sol = f.sol
+		out.solution = f.solution
 	} else {
-		out.sol = m.empty()
+		out.solution = m.emptySolution()
 	}
-	first := m.measure(out.sol)
-	f := s.finish(aimValue, out.sol, math.MinInt64, nearValue, 0, h.cost, upTo(stop, valueEnds))
-	out.master, out.marks = s, f.marks
+	first := m.measure(out.solution)
+	f := s.finish(maxValue, out.solution, math.MinInt64, nearValue, 0, constraints.maxCost, upTo(stop, valueEnds))
+	out.master, out.multipliers = s, f.multipliers
 	out.bound.value = f.bound
-	if out.got = first; f.sol != nil {
-		out.sol, out.got = f.sol, m.measure(f.sol)
+	if out.measure = first; f.solution != nil {
+		out.solution, out.measure = f.solution, m.measure(f.solution)
 	}
-	out.proved[0] = out.got.value >= f.bound
-	f = s.finish(aimCost, out.sol, math.MinInt64, nearCost, out.got.value, h.cost, upTo(stop, costEnds))
-	if f.sol != nil {
-		if got := m.measure(f.sol); got.better(out.got) {
-			out.sol, out.got = f.sol, got
+	out.proved[0] = out.measure.value >= f.bound
+	f = s.finish(minCost, out.solution, math.MinInt64, nearCost, out.measure.value, constraints.maxCost, upTo(stop, costEnds))
+	if f.solution != nil {
+		if got := m.measure(f.solution); got.isBetterThan(out.measure) {
+			out.solution, out.measure = f.solution, got
 		}
 	}
 	out.bound.cost = max(0, -f.bound)
-	out.proved[1] = out.proved[0] && out.got.cost <= out.bound.cost
-	m.even(h, &out, upTo(stop, levelEnds))
+	out.proved[1] = out.proved[0] && out.measure.cost <= out.bound.cost
+	m.lowerUtilization(constraints, &out, upTo(stop, utilizationEnds))
 	return out
 }
 
@@ -67,86 +67,86 @@
 }
 
 // found is what a stage gives.
-type found struct {
-	sol          *solution
+type stageResult struct {
+	solution     *solution
 	value, bound int64
-	marks        ilp.Multipliers
+	multipliers  ilp.Multipliers
 }
 
 // mostCompact is up to how many threads variables what patterns left open is closed without them; where not even the
 // floors are met yet, up to ten times as many.
-const mostCompact = 300
+const maxCompactVariables = 300
 
 // finish is run, and what it leaves open closed by the program without patterns where that is small enough.
-func (s *master) finish(to aim, start *solution, above, part, value, cost int64, stop func() bool) found {
+func (s *master) finish(to goal, start *solution, above, part, value, cost int64, stop func() bool) stageResult {
 	f := s.run(to, start, above, part, value, cost, stop)
-	size := len(s.m.pieces) * len(s.m.p.Engines)
-	met := f.sol != nil && (to != aimShort || f.value == 0)
-	if s.whole || stop() || size > 10*mostCompact || (met && (f.value >= f.bound || size > mostCompact || above != math.MinInt64)) {
+	size := len(s.model.classes) * len(s.model.problem.Engines)
+	met := f.solution != nil && (to != minShortfall || f.value == 0)
+	if s.isComplete || stop() || size > 10*maxCompactVariables || (met && (f.value >= f.bound || size > maxCompactVariables || above != math.MinInt64)) {
 		return f
 	}
 	if f.bound <= above {
 		return f
 	}
-	c := newCompact(s.m, s.h)
-	c.limit = f.bound
-	if f.sol != nil {
-		start = f.sol
+	c := newCompact(s.model, s.constraints)
+	c.knownBound = f.bound
+	if f.solution != nil {
+		start = f.solution
 	}
 	g := c.run(to, start, above, part, value, cost, stop)
-	if g.sol == nil || f.sol != nil && f.value > g.value {
-		g.sol, g.value = f.sol, f.value
+	if g.solution == nil || f.solution != nil && f.value > g.value {
+		g.solution, g.value = f.solution, f.value
 	}
-	g.bound, g.marks = min(f.bound, g.bound), f.marks
+	g.bound, g.multipliers = min(f.bound, g.bound), f.multipliers
 	return g
 }
 
 // run is one stage. above: only what is worth more counts, and the first such is enough; part: where not all patterns
 // are written out, within that part of the bound is enough (0: all of it); value and cost: what earlier stages reached
 // and must be kept.
-func (s *master) run(to aim, start *solution, above, part, value, cost int64, stop func() bool) (f found) {
-	s.turn(to, value, cost)
+func (s *master) run(to goal, start *solution, above, part, value, cost int64, stop func() bool) (f stageResult) {
+	s.beginStage(to, value, cost)
 	var x []int64
 	if start != nil {
-		x = s.write(start)
+		x = s.valuesOf(start)
 	}
-	search := ilp.NewSearch(s.prog)
+	search := ilp.NewSearch(s.program)
 	search.Stop, search.Cutoff = stop, above
-	search.KnownBound, f.marks = s.generate(stop)
-	search.KnownBound = min(search.KnownBound, s.limit)
+	search.KnownBound, f.multipliers = s.generatePatterns(stop)
+	search.KnownBound = min(search.KnownBound, s.knownBound)
 	switch {
-	case to == aimShort:
+	case to == minShortfall:
 		search.Target = 0
 	case above != math.MinInt64:
 		search.Target = above + 1
-	case !s.whole && search.KnownBound != math.MaxInt64 && part > 0:
+	case !s.isComplete && search.KnownBound != math.MaxInt64 && part > 0:
 		search.Target = search.KnownBound - max(search.KnownBound, -search.KnownBound)/part
 	}
-	if !s.whole {
-		x = s.dives(to, x, min(search.Target, search.KnownBound), stop)
+	if !s.isComplete {
+		x = s.improveByDiving(to, x, min(search.Target, search.KnownBound), stop)
 	}
 	if x != nil {
-		x = append(x, make([]int64, len(s.cols)-len(x))...)
+		x = append(x, make([]int64, len(s.columns)-len(x))...)
 	}
 	search.Start = x
 	r := search.Run()
 	f.value, f.bound = r.Value, r.Bound
-	if !s.whole {
+	if !s.isComplete {
 		f.bound = search.KnownBound // the search knows the patterns at hand only
 	}
 	if f.bound == math.MaxInt64 {
-		f.bound = s.ceiling()
+		f.bound = s.maxTotalValue()
 	}
 	if r.Values != nil {
-		f.sol = s.read(r.Values)
+		f.solution = s.solutionOf(r.Values)
 	}
 	return f
 }
 
 // ceiling is a bound that needs no solving: all that is asked for is served.
-func (s *master) ceiling() (most int64) {
-	for j := range s.prog.Columns {
-		if c := &s.prog.Columns[j]; s.cols[j].cluster < 0 && c.Objective > 0 {
+func (s *master) maxTotalValue() (most int64) {
+	for j := range s.program.Columns {
+		if c := &s.program.Columns[j]; s.columns[j].cluster < 0 && c.Objective > 0 {
 			most += c.Objective * c.Upper
 		}
 	}
@@ -154,12 +154,12 @@
 }
 
 // even lowers the greatest use of an engine while value and cost stand: the levels there are, halved.
-func (m *model) even(h *holds, out *outcome, stop func() bool) {
+func (m *model) lowerUtilization(constraints *constraintSet, out *outcome, stop func() bool) {
 	var levels []int64
 	for i := range m.groups {
 		whole := m.groups[i].threads
 		for n := int64(0); n <= whole; n++ {
-			if l := n * 10_000 / whole; l < out.got.level {
+			if l := n * 10_000 / whole; l < out.measure.utilization {
 				levels = append(levels, l)
 			}
 		}
@@ -169,86 +169,86 @@
 	lo, hi, sure := 0, len(levels), true // levels before lo do not do; hi: that which is reached
 	for lo < hi && !stop() {
 		mid := (lo + hi) / 2
-		try := *h
-		try.level = levels[mid]
+		try := *constraints
+		try.maxUtilization = levels[mid]
 		s := newMaster(m, &try)
-		f := s.finish(aimValue, nil, out.got.value-1, 0, 0, out.got.cost, stop)
+		f := s.finish(maxValue, nil, out.measure.value-1, 0, 0, out.measure.cost, stop)
 		switch {
-		case f.sol != nil:
-			got := m.measure(f.sol)
-			if got.better(out.got) {
-				out.sol, out.got = f.sol, got
+		case f.solution != nil:
+			got := m.measure(f.solution)
+			if got.isBetterThan(out.measure) {
+				out.solution, out.measure = f.solution, got
 			}
-			hi = min(mid, sort(levels, out.got.level))
+			hi = min(mid, levelIndex(levels, out.measure.utilization))
 		default:
-			sure = sure && f.bound < out.got.value
+			sure = sure && f.bound < out.measure.value
 			lo = mid + 1
 		}
 	}
 	if lo < hi {
 		sure = false
 	}
-	out.bound.level = 0
+	out.bound.utilization = 0
 	if lo < len(levels) && sure {
-		out.bound.level = levels[lo]
+		out.bound.utilization = levels[lo]
 	} else if sure {
-		out.bound.level = out.got.level
+		out.bound.utilization = out.measure.utilization
 	}
 	out.proved[2] = out.proved[1] && sure
 }
 
 // sort is where a level stands.
-func sort(levels []int64, level int64) int {
+func levelIndex(levels []int64, level int64) int {
 	i, _ := slices.BinarySearch(levels, level)
 	return i
 }
 
 // wholeFrom are the parts from which a dive takes a pattern for whole, one dive after the other.
-var wholeFrom = [...]float64{0.9, 0.98, 0.8, 0.7}
+var roundingThresholds = [...]float64{0.9, 0.98, 0.8, 0.7}
 
 // mostFreed is how often in a row engines are freed and settled anew for nothing before the search says enough.
-const mostFreed = 200
+const maxIdleRounds = 200
 
 // dives goes down several ways, then frees a part of the best plan's engines again and again and settles them anew,
 // until it is worth enough. A little of the cost stands in the objective, so that of values nearly alike
 // the cheaper is found.
-func (s *master) dives(to aim, best []int64, enough int64, stop func() bool) []int64 {
-	dear, was := s.dear, s.dear
-	if to == aimValue {
-		dear = s.ceiling() / max(1, s.m.mostCost()) / 20_000
+func (s *master) improveByDiving(to goal, best []int64, enough int64, stop func() bool) []int64 {
+	dear, was := s.costPrice, s.costPrice
+	if to == maxValue {
+		dear = s.maxTotalValue() / max(1, s.model.maxCost()) / 20_000
 	}
 	kept := best // the best that meets all floors; best may be short of some at a price
 	var most int64 = math.MinInt64
 	if best != nil {
-		best = append(best, make([]int64, len(s.cols)-len(best))...)
-		most, _ = s.prog.Value(best)
+		best = append(best, make([]int64, len(s.columns)-len(best))...)
+		most, _ = s.program.Value(best)
 	}
 	done := func() bool {
 		return stop() || (kept != nil && most >= enough)
 	}
 	try := func(settled []int64, almost float64) bool {
-		s.soften(true)
-		s.charge(dear)
-		x := s.dive(settled, almost, stop)
-		s.charge(was)
-		x = append(x, make([]int64, len(s.cols)-len(x))...)
-		v, fits := s.prog.Value(x)
-		s.soften(false)
-		s.charge(was)
+		s.allowShortfall(true)
+		s.setCostPrice(dear)
+		x := s.runDivingHeuristic(settled, almost, stop)
+		s.setCostPrice(was)
+		x = append(x, make([]int64, len(s.columns)-len(x))...)
+		v, fits := s.program.Value(x)
+		s.allowShortfall(false)
+		s.setCostPrice(was)
 		if !fits || v <= most {
 			return false
 		}
-		if best, most = x, v; s.short(x) == 0 {
+		if best, most = x, v; s.shortfall(x) == 0 {
 			kept = x
 		}
 		return true
 	}
-	for i := 0; i < len(wholeFrom) && !done(); i++ {
-		try(nil, wholeFrom[i])
+	for i := 0; i < len(roundingThresholds) && !done(); i++ {
+		try(nil, roundingThresholds[i])
 	}
-	by := rand.New(rand.NewPCG(1, 1))
-	for idle := 0; best != nil && idle < mostFreed && !done(); idle++ {
-		if try(s.free(best, 2+idle%6, by), wholeFrom[idle%len(wholeFrom)]) {
+	random := rand.New(rand.NewPCG(1, 1))
+	for idle := 0; best != nil && idle < maxIdleRounds && !done(); idle++ {
+		if try(s.releaseEngines(best, 2+idle%6, random), roundingThresholds[idle%len(roundingThresholds)]) {
 			idle = -1
 		}
 	}
@@ -256,24 +256,24 @@
 }
 
 // soften lets floors be missed at a price while a dive is under way, which would else end at the first that is.
-func (s *master) soften(on bool) {
-	if s.aim != aimValue {
+func (s *master) allowShortfall(on bool) {
+	if s.goal != maxValue {
 		return
 	}
 	dearest := int64(1)
-	for _, w := range s.m.worth {
+	for _, w := range s.model.threadValues {
 		dearest = max(dearest, w)
 	}
-	s.missing = 0
+	s.shortfallPrice = 0
 	if on {
-		s.missing = min(20*dearest, mostSum/max(1, s.m.fleet))
+		s.shortfallPrice = min(20*dearest, maxSum/max(1, s.model.fleetThreads))
 	}
 }
 
 // short is the threads that a plan is short of floors.
-func (s *master) short(x []int64) (n int64) {
-	for j, of := range s.cols {
-		if of.cluster < 0 && of.want < 0 {
+func (s *master) shortfall(x []int64) (n int64) {
+	for j, meaning := range s.columns {
+		if meaning.cluster < 0 && meaning.workload < 0 {
 			n += x[j]
 		}
 	}
@@ -281,9 +281,9 @@
 }
 
 // charge sets what a unit of cost takes off the objective.
-func (s *master) charge(dear int64) {
-	s.dear = dear
-	for j := range s.cols {
-		s.price(j)
+func (s *master) setCostPrice(dear int64) {
+	s.costPrice = dear
+	for j := range s.columns {
+		s.setPrice(j)
 	}
 }
