--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stats.close)
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 			gate := gateway.New(gateway.Options{Settings: choice.RawSettings(settings), Seed: 1, Budget: parts,
 				Protocols: map[backend.Protocol]backend.Factory{backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} }}})
 			defer gate.Close()
-			ev, err := discovery.Parse([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+			ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -2,98 +2,90 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"net"
-	"sync"
 	"time"
 )
 
 const (
-	dialTimeout = time.Second
-	silence     = 2500 * time.Millisecond // the feed speaks every second
-	restFirst   = 100 * time.Millisecond  // before the feed is called again; twice as long each time it says nothing
-	restMost    = time.Second
-	maxLine     = 4 << 20 // a whole list of many engines
+	dialTimeout     = time.Second
+	silenceTimeout  = 2500 * time.Millisecond // the feed sends something every second
+	firstReconnect  = 100 * time.Millisecond  // delay; doubles each time the feed says nothing
+	maxReconnect    = time.Second
+	firstLineBuffer = 4 << 10
+	maxLine         = 4 << 20 // bytes; a complete list of many engines
 )
 
+var errClosedByFeed = errors.New("closed by the feed")
+
 // source is the feed at one address.
 type source struct {
-	f       *Follower
+	watcher *Watcher
 	address string
-	over    chan struct{} // closed when the feed speaks elsewhere
-	once    sync.Once
-	spoke   bool // since it was last called
+	stop    context.CancelFunc // called once the feed is watched elsewhere
 }
 
-func (s *source) end() { s.once.Do(func() { close(s.over) }) }
-
-// run calls the feed anew whenever it is out of reach, silent, unreadable or has a gap, from the last event on; not
-// at a place that it has left.
-func (s *source) run() {
-	defer s.f.running.Done()
-	rest, down := restFirst, false
+// run connects again whenever the connection ends, unless the feed has moved away from here. It ends with the context.
+func (s *source) run(ctx context.Context) {
+	defer s.watcher.running.Done()
+	defer s.stop()
+	delay := firstReconnect
+	isDown := false
 	for {
-		s.spoke = false
-		err := s.call()
-		select {
-		case <-s.f.done:
+		hasReceived, err := s.follow(ctx)
+		if ctx.Err() != nil {
 			return
-		case <-s.over:
-			return
-		default:
 		}
-		if s.spoke {
-			rest, down = restFirst, false
+		if hasReceived {
+			delay = firstReconnect
+			isDown = false
 		}
-		s.f.lost(s, !down, err)
-		if down = true; s.f.left(s) {
+		s.watcher.noteLost(s, !isDown, err)
+		isDown = true
+		if !s.watcher.isCurrent(s) {
 			return
 		}
 		select {
-		case <-s.f.done:
-			return
-		case <-s.over:
+		case <-ctx.Done():
 			return
-		case <-time.After(rest):
+		case <-time.After(delay):
 		}
-		rest = min(2*rest, restMost)
+		delay = min(2*delay, maxReconnect)
 	}
 }
 
-// call follows one connection to its end.
-func (s *source) call() error {
-	nc, err := net.DialTimeout("tcp4", s.address, dialTimeout)
+// follow watches over one connection until that or the context ends, and reports whether an event was received on it.
+func (s *source) follow(ctx context.Context) (hasReceived bool, err error) {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	socket, err := dialer.DialContext(ctx, "tcp4", s.address)
 	if err != nil {
-		return err
+		return false, err
 	}
-	defer nc.Close()
-	read := make(chan struct{})
-	defer close(read)
-	go func() { // a read in progress ends with the source
-		select {
-		case <-s.f.done:
-		case <-s.over:
-		case <-read:
-		}
-		nc.Close()
-	}()
-	last, _ := s.f.Last()
-	nc.SetDeadline(time.Now().Add(silence))
-	if _, err := fmt.Fprintf(nc, "SUB %d\n", last); err != nil {
-		return err
+	defer socket.Close()
+	stopClosing := context.AfterFunc(ctx, func() { _ = socket.Close() }) // ends a read in progress
+	defer stopClosing()
+	last, _ := s.watcher.Position()
+	extendDeadline(socket)
+	if _, err := fmt.Fprintf(socket, "SUB %d\n", last); err != nil {
+		return false, err
 	}
-	lines := bufio.NewScanner(nc)
-	lines.Buffer(make([]byte, 4<<10), maxLine)
+	lines := bufio.NewScanner(socket)
+	lines.Buffer(make([]byte, firstLineBuffer), maxLine)
 	for lines.Scan() {
-		nc.SetDeadline(time.Now().Add(silence))
-		if err := s.f.hear(s, lines.Bytes()); err != nil {
-			return err
+		extendDeadline(socket)
+		if err := s.watcher.receive(s, lines.Bytes()); err != nil {
+			return hasReceived, err
 		}
-		s.spoke = true
+		hasReceived = true
 	}
-	if lines.Err() != nil {
-		return lines.Err()
+	if err := lines.Err(); err != nil {
+		return hasReceived, err
 	}
-	return errors.New("closed by the feed")
+	return hasReceived, errClosedByFeed
+}
+
+func extendDeadline(socket net.Conn) {
+	_ = socket.SetDeadline(time.Now().Add(silenceTimeout)) // an error shows at the next read
 }
--- a/internal/discovery/feed_test.go
+++ b/internal/discovery/watcher_test.go
@@ -12,7 +12,8 @@
 	"swiftreel/internal/fake"
 )
 
-const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,"born_ms":5}]`
+const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,` +
+	`"born_ms":5}]`
 
 func TestEveryEventIsToldOnceAndInOrder(t *testing.T) {
 	log.SetOutput(io.Discard)
@@ -25,12 +26,12 @@
 	for range 4 {
 		source.Add(false, hosts)
 	}
-	f := discovery.Follow(source.Address(), 2, func(ev discovery.Event) { told <- ev })
+	f := discovery.Watch(source.Address(), 2, func(ev discovery.Event) { told <- ev })
 	next := func(n uint64) {
 		t.Helper()
 		select {
 		case ev := <-told:
-			if ev.N != n || ev.Members.Hosts[0].Host != "e1" || ev.Members.Hosts[0].BornMS != 5 {
+			if ev.Number != n || ev.Members.Engines[0].Host != "e1" || ev.Members.Engines[0].BornMS != 5 {
 				t.Fatalf("%+v instead of event %d", ev, n)
 			}
 		case <-time.After(20 * time.Second):
@@ -40,7 +41,8 @@
 	next(3)
 	next(4)
 	event := func(n int) string { return fmt.Sprintf(`{"n":%d,"members":{"hosts":%s}}`+"\n", n, hosts) }
-	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} { // unreadable, a gap, gaps told by the number alone
+	// Unreadable, a gap, and gaps shown by the number alone.
+	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} {
 		source.Write(event(4) + "\n4\n" + `{"n":4}` + "\n") // told before: passed over
 		source.Write(bad)
 		source.Add(false, hosts) // perhaps on a connection that is given up: then it comes on the next
@@ -57,7 +59,8 @@
 	for range 10 {
 		moved.Add(false, hosts)
 	}
-	if again, err := discovery.Parse([]byte(event(9))); err != nil || !f.Move(moved.Address(), []discovery.Event{again}) {
+	again, err := discovery.ParseEvent([]byte(event(9)))
+	if err != nil || !f.Reconfigure(moved.Address(), []discovery.Event{again}) {
 		t.Fatal("not moved", err)
 	}
 	next(10)
@@ -65,15 +68,15 @@
 	moved.Cut()              // and it is called anew where it is
 	moved.Add(false, hosts)
 	next(11)
-	if f.Move(moved.Address(), nil) {
+	if f.Reconfigure(moved.Address(), nil) {
 		t.Error("moved to where it is")
 	}
-	f.Move("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
+	f.Reconfigure("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
 	moved.Add(false, hosts)
 	next(12)
-	f.Move(source.Address(), nil) // and back
-	source.Add(false, hosts)      // 11
-	source.Add(false, hosts)      // 12
+	f.Reconfigure(source.Address(), nil) // and back
+	source.Add(false, hosts)             // 11
+	source.Add(false, hosts)             // 12
 	source.Add(false, hosts)
 	next(13)
 	f.Close()
@@ -87,17 +90,22 @@
 
 // FuzzParse: no panic, and what is read names every engine.
 func FuzzParse(f *testing.F) {
-	for _, good := range []string{`{"n":41,"members":{"seq":7,"whole":false,"hosts":` + hosts + `}}`, `{"n":41,"purge":{}}`, `{"n":-1}`,
-		`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","born_ms":-1},{"host":"e","share":-1}]}}`} {
-		f.Add([]byte(good))
+	for _, text := range []string{
+		`{"n":41,"members":{"seq":7,"whole":false,"hosts":` + hosts + `}}`,
+		`{"n":41,"purge":{}}`,
+		`{"n":-1}`,
+		`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},` +
+			`{"host":"e","born_ms":-1},{"host":"e","share":-1}]}}`,
+	} {
+		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ev, err := discovery.Parse(text)
+		ev, err := discovery.ParseEvent(text)
 		if err != nil || ev.Members == nil {
 			return
 		}
-		for _, e := range ev.Members.Hosts {
-			if e.Host == "" || e.BornMS < 0 || e.Size < 0 {
+		for _, e := range ev.Members.Engines {
+			if e.Host == "" || e.BornMS < 0 || e.Share < 0 {
 				t.Fatalf("%+v", e)
 			}
 		}
@@ -106,8 +114,9 @@
 
 // An entry that could not be used had the feed called anew for ever, from the event before it.
 func TestAnEntryThatCannotBeUsedCostsNoOther(t *testing.T) {
-	ev, err := discovery.Parse([]byte(`{"n":1,"members":{"hosts":[{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},` + hosts[1:] + `}}`))
-	if err != nil || ev.Bad != 3 || len(ev.Members.Hosts) != 1 || ev.Members.Hosts[0].Host != "e1" {
+	const unusable = `{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},`
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[` + unusable + hosts[1:] + `}}`))
+	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
 		t.Errorf("%+v, %v", ev, err)
 	}
 }
