--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	if answer.Status == solve.NoFit || answer.Status == solve.Unknown {
+	if answer.Status == solve.Infeasible || answer.Status == solve.Unknown {
 		return SilentFailure(ExitNoFit, errors.New(answer.Status))
 	}
 	return nil
