--- a/internal/assignment/accepted.go
+++ b/internal/assignment/accepted.go
@@ -53,15 +53,21 @@
 	switch {
 	case next.Plan == "":
 	case len(next.PlanText) > 0:
-		accepted.Plan, accepted.PlanUntil, accepted.PlanText = next.Plan, next.PlanUntil, next.PlanText
+		accepted.setPlan(next.Plan, next.PlanUntil, next.PlanText)
 	case next.Plan == a.Plan:
-		accepted.Plan, accepted.PlanUntil, accepted.PlanText = a.Plan, next.PlanUntil, a.PlanText
+		accepted.setPlan(a.Plan, next.PlanUntil, a.PlanText)
 	default: // the plan's text has not arrived yet: the earlier plan stays until its own expiry
-		accepted.Plan, accepted.PlanUntil, accepted.PlanText = a.Plan, a.PlanUntil, a.PlanText
+		accepted.setPlan(a.Plan, a.PlanUntil, a.PlanText)
 	}
 	return accepted.ValidAt(now), nil
 }
 
+func (a *Accepted) setPlan(plan change.Digest, until int64, text json.RawMessage) {
+	a.Plan = plan
+	a.PlanUntil = until
+	a.PlanText = text
+}
+
 func (a Accepted) check(next Assignment, member, incarnation string, now int64) error {
 	switch {
 	case next.Member != member:
--- a/internal/leader/forms_test.go
+++ b/internal/leader/forms_test.go
@@ -9,8 +9,8 @@
 	"swiftreel/internal/solve"
 )
 
-// What is written into the log, into snapshots and into the replicated state, to the byte, and that it is read as it was
-// written.
+// What is written into the log, into snapshots and into the replicated state, to the byte, and that it is read as it
+// was written.
 func TestTheFormsOfWhatIsStoredStay(t *testing.T) {
 	var got bytes.Buffer
 	put := func(written, read any) {
--- a/internal/leader/handlers_test.go
+++ b/internal/leader/handlers_test.go
@@ -78,6 +78,9 @@
 	await(m.t, "it acts as leader", func() bool { return m.node.ActiveTerm() != 0 })
 }
 
+// planChange is a change that names a file on the operator's machine.
+const planChange = `{"number":1,"kind":"plan","to":{"plan":"x"},"stages":[{"per_mille":1000}],"pace":{"look_ms":1}}`
+
 // Each body that a member replies with, to the byte.
 func TestTheBodiesOfRepliesStay(t *testing.T) {
 	m := newTestMember(t, ownAddresses)
@@ -134,7 +137,7 @@
 		{"/v1/owner/forget", `"nobody"`},
 		{"/v1/owner/step-down", `{}`},
 		{"/v1/owner/change", `no JSON`},
-		{"/v1/owner/change", `{"number":1,"kind":"plan","to":{"plan":"x"},"stages":[{"per_mille":1000}],"pace":{"look_ms":1}}`},
+		{"/v1/owner/change", planChange},
 		{"/v1/owner/change", `{"number":0}`},
 		{"/v1/owner/wish", `no JSON`},
 	} {
--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -60,9 +60,12 @@
 }
 
 func TestOrdersAreCheckedAgainstTheirFences(t *testing.T) {
-	const first, second, otherLeader = "msg=order_accepted fence=1.2.1 by=x@v1\n", "msg=order_accepted fence=1.2.2 by=x@v1\n",
-		"msg=order_accepted fence=1.2.2 by=x@v2\n"
-	const nextTerm = "msg=order_accepted fence=1.3.1 by=x@v2\n"
+	const (
+		first       = "msg=order_accepted fence=1.2.1 by=x@v1\n"
+		second      = "msg=order_accepted fence=1.2.2 by=x@v1\n"
+		otherLeader = "msg=order_accepted fence=1.2.2 by=x@v2\n"
+		nextTerm    = "msg=order_accepted fence=1.3.1 by=x@v2\n"
+	)
 	for name, test := range map[string]struct {
 		text string
 		want bool
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -88,7 +88,9 @@
 	}
 }
 
-func (d *Demand) updateServiceTimes(work map[canary.Group]canary.JobCounts, medianLatency func(counts []uint64) float64) {
+func (d *Demand) updateServiceTimes(
+	work map[canary.Group]canary.JobCounts, medianLatency func(counts []uint64) float64,
+) {
 	for _, group := range sortedGroups(work) {
 		done := work[group]
 		if done.Done == 0 {
--- a/internal/quota/demand_test.go
+++ b/internal/quota/demand_test.go
@@ -9,8 +9,11 @@
 
 func fixedLatency([]uint64) float64 { return 2 }
 
+// jobsOfA are those of member a in a second.
+const jobsOfA = 80
+
 // observe has members a and b do jobs for a second, b also for a tenant of its own; c does none.
-func observe(d *Demand, now int64, jobsOfA, jobsOfB uint64, isBReachable bool) {
+func observe(d *Demand, now int64, jobsOfB uint64, isBReachable bool) {
 	acme, bee := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	work := func(jobs uint64) canary.JobCounts { return canary.JobCounts{Jobs: jobs, Done: jobs} }
 	d.Observe(now, []Observation{
@@ -24,7 +27,7 @@
 func TestTargetsFollowTheDemand(t *testing.T) {
 	d := NewDemand()
 	for now := int64(1e9); now <= 60e9; now += 1e9 {
-		observe(d, now, 80, 10, true)
+		observe(d, now, 10, true)
 	}
 	targets := d.Targets(60e9)
 	sum := targets["a"][Fleet] + targets["b"][Fleet] + targets["c"][Fleet]
@@ -38,18 +41,18 @@
 		t.Errorf("%v", targets)
 	}
 	for now := int64(61e9); now < 64e9; now += 1e9 {
-		observe(d, now, 80, 12, true)
+		observe(d, now, 12, true)
 		if got := d.Targets(now); fmt.Sprint(got) != fmt.Sprint(targets) {
 			t.Errorf("after a small change, at %d: %v", now, got)
 		}
 	}
 	for now := int64(64e9); now < 90e9; now += 1e9 {
-		observe(d, now, 80, 0, false)
+		observe(d, now, 0, false)
 	}
 	if got := d.Targets(90e9); got["b"] == nil || got["b"][Fleet] > FullShare/3+1 {
 		t.Errorf("one that is not reachable: %v", got)
 	}
-	observe(d, 63e9+unseenTimeout, 80, 0, false)
+	observe(d, 63e9+unseenTimeout, 0, false)
 	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][Fleet] < 700_000 {
 		t.Errorf("one that has long not been reachable: %v", got)
 	}
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -102,7 +102,7 @@
 		if random.IntN(4) == 0 {
 			l.DropExpired(now)
 		}
-		trace.Write(marshal(t, l.Clone().Record()))
+		trace.Write(marshal(t, l.Clone().record))
 	}
 	return fmt.Sprintf("%016x %s", trace.Sum64(), bytes.TrimSpace(last))
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -56,9 +56,6 @@
 	return &clone
 }
 
-// Record returns the committed record. The caller must not modify it.
-func (l *Ledger) Record() Record { return l.record }
-
 // Confirm notes that a member, its controller included, uses the shares of the assignment with that sequence number:
 // its earlier grants are over.
 func (l *Ledger) Confirm(member string, sequence int64) {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -77,6 +77,6 @@
 		}
 	}
 	if got := c.round(5000+5251, fleetTargets(0, FullShare), false); got[Fleet] != FullShare {
-		t.Errorf("%v, %v", got, c.ledger.Record())
+		t.Errorf("%v, %v", got, c.ledger.record)
 	}
 }
