--- a/cmd/swiftreel/files.go
+++ b/cmd/swiftreel/files.go
@@ -39,7 +39,7 @@
 func parseEvents(texts []json.RawMessage) ([]discovery.Event, error) {
 	events := make([]discovery.Event, len(texts))
 	for i, text := range texts {
-		event, err := discovery.Parse(text)
+		event, err := discovery.ParseEvent(text)
 		if err != nil {
 			return nil, fmt.Errorf("known event %d: %w", i, err)
 		}
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -132,8 +132,8 @@
 // apply changes the running server.
 func (r *reloader) apply(next files, needsRestart []string) {
 	s := r.server
-	moved := s.discovery.Move(next.config.Feed, next.cachedEvents)
-	lastEvent, _ := s.discovery.Last()
+	moved := s.discovery.Reconfigure(next.config.Feed, next.cachedEvents)
+	lastEvent, _ := s.discovery.Position()
 	slog.Info("reloaded", "feed", next.config.Feed, "feed_moved", moved, "events", lastEvent,
 		"needs_restart", strings.Join(needsRestart, ","), "settings", change.OfJSON(next.settings))
 	if next.config.Limits != r.current.config.Limits {
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -20,11 +20,11 @@
 	files     files // as at the start
 	listener  net.Listener
 	gateway   *gateway.Gateway
-	clients   *client.Front
+	clients   *client.Server
 	sparql    *sparqlServer
 	stats     *statsServer
 	plans     *planFollower
-	discovery *discovery.Follower
+	discovery *discovery.Watcher
 	reloader  *reloader
 }
 
@@ -44,8 +44,8 @@
 		Trace:     options.Trace,
 	})
 	sparql.attach(gate)
-	clients := client.NewFront(gate, budget)
-	stats, err := newStatsServer(files, gate, func() int64 { return clients.Owed() + sparql.owed() })
+	clients := client.NewServer(gate, budget)
+	stats, err := newStatsServer(files, gate, func() int64 { return clients.OwedAnswers() + sparql.owed() })
 	if err != nil {
 		sparql.close()
 		clients.Close()
@@ -56,7 +56,7 @@
 	s.restoreState()
 	s.plans = &planFollower{gateway: gate}
 	s.plans.follow(files.operator.Plan)
-	s.discovery = discovery.Follow(files.config.Feed, files.config.CachedEvents.LastNumber, func(event discovery.Event) {
+	s.discovery = discovery.Watch(files.config.Feed, files.config.CachedEvents.LastNumber, func(event discovery.Event) {
 		gate.UpdateEngines(event, false)
 	})
 	s.reloader = newReloader(s, budget, options.Operator)
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -73,7 +73,7 @@
 
 func (s *sparqlServer) newEndpoints(limits backend.Limits) backend.Engines {
 	limits.Conns = &s.conns
-	return endpoint.New(limits, func(name string, report decide.Word) { s.gateway.UpdateDrain(name, report) })
+	return endpoint.New(limits, func(name string, signal decide.Signal) { s.gateway.UpdateDrain(name, signal) })
 }
 
 // attach connects it with the gateway. It must be called before the gateway gets its first list of engines.
