--- a/internal/assignment/accepted_test.go
+++ b/internal/assignment/accepted_test.go
@@ -59,7 +59,7 @@
 // expiry.
 func TestAPlanIsFollowedOnceItsTextHasArrived(t *testing.T) {
 	text := json.RawMessage(`{"a":1}`)
-	first, second := change.OfJSON(text), change.OfJSON(json.RawMessage(`{"a":2}`))
+	first, second := change.JSONDigest(text), change.JSONDigest(json.RawMessage(`{"a":2}`))
 	var accepted Accepted
 	accept := func(sequence int64, plan change.Digest, until int64, text json.RawMessage) {
 		t.Helper()
--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -61,10 +61,10 @@
 
 func TestOrdersAreCheckedAgainstTheirFences(t *testing.T) {
 	const (
-		first       = "msg=order_accepted fence=1.2.1 by=x@v1\n"
-		second      = "msg=order_accepted fence=1.2.2 by=x@v1\n"
-		otherLeader = "msg=order_accepted fence=1.2.2 by=x@v2\n"
-		nextTerm    = "msg=order_accepted fence=1.3.1 by=x@v2\n"
+		first       = "msg=order_accepted fence=1.2.1 ordered_by=x@v1\n"
+		second      = "msg=order_accepted fence=1.2.2 ordered_by=x@v1\n"
+		otherLeader = "msg=order_accepted fence=1.2.2 ordered_by=x@v2\n"
+		nextTerm    = "msg=order_accepted fence=1.3.1 ordered_by=x@v2\n"
 	)
 	for name, test := range map[string]struct {
 		text string
@@ -74,7 +74,7 @@
 		"out of order":              {nextTerm + second, false},
 		"the same twice":            {first + first, false},
 		"two leaders of one term":   {first + otherLeader, false},
-		"not a fence":               {"msg=order_accepted fence=none by=x@v1\n", false},
+		"not a fence":               {"msg=order_accepted fence=none ordered_by=x@v1\n", false},
 		"other lines are of no use": {"msg=plan_taken\n", true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -95,9 +95,9 @@
 	f := falseAlarms{changes: s.nulls, reasons: map[string]int{}}
 	for _, r := range s.roll(s.nulls, nullSeedFactor, 0) {
 		switch r.phase {
-		case rollout.Done:
+		case rollout.PhaseDone:
 			f.passed++
-		case rollout.Back:
+		case rollout.PhaseRolledBack:
 			f.stopped++
 			f.reasons[r.outcome]++
 		}
@@ -147,7 +147,7 @@
 	for _, harm := range harms {
 		var jobs, seconds []int
 		for _, r := range s.roll(s.harmed, harmSeedFactor, harm) {
-			if r.phase == rollout.Back {
+			if r.phase == rollout.PhaseRolledBack {
 				jobs = append(jobs, int(r.newJobs))
 				seconds = append(seconds, r.seconds)
 			}
