--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -16,25 +16,26 @@
 
 // Pairs of events that can cross, each held in its bad order by a gate: never by how long something takes.
 
-// taker hands on what is taken; held, it keeps the reader in its first Take until it is let go.
-type taker struct {
-	asks chan gateway.Request
-	held chan struct{}
+// recordingSubmitter passes on what is submitted. While blocked is set, Submit does not return until it is closed,
+// which holds up the reader.
+type recordingSubmitter struct {
+	requests chan gateway.Request
+	blocked  chan struct{}
 }
 
-func (k *taker) Ready() bool { return true }
+func (k *recordingSubmitter) Ready() bool { return true }
 
-func (k *taker) Submit(a gateway.Request) {
-	k.asks <- a
-	if k.held != nil {
-		<-k.held
+func (k *recordingSubmitter) Submit(a gateway.Request) {
+	k.requests <- a
+	if k.blocked != nil {
+		<-k.blocked
 	}
 }
 
-func (k *taker) got(t *testing.T) gateway.Request {
+func (k *recordingSubmitter) nextRequest(t *testing.T) gateway.Request {
 	t.Helper()
 	select {
-	case a := <-k.asks:
+	case a := <-k.requests:
 		return a
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing is taken")
@@ -42,13 +43,13 @@
 	return gateway.Request{}
 }
 
-// door accepts a connection once it is opened, and has it made with small buffers.
-type door struct {
+// gatedListener accepts a connection once it is opened, and has it made with small buffers.
+type gatedListener struct {
 	*net.TCPListener
 	open chan struct{}
 }
 
-func (d door) Accept() (net.Conn, error) {
+func (d gatedListener) Accept() (net.Conn, error) {
 	nc, err := d.TCPListener.Accept()
 	if err != nil {
 		return nil, err
@@ -58,28 +59,28 @@
 	return nc, nil
 }
 
-type stand struct {
+type testServer struct {
 	t      *testing.T
 	server *Server
-	taker  *taker
-	door   door
+	jobs   *recordingSubmitter
+	door   gatedListener
 }
 
-func newStand(t *testing.T, most int64) *stand {
+func newTestServer(t *testing.T, maxConns int64) *testServer {
 	t.Helper()
 	parts := new(limits.Budget)
-	parts.ClientConns.Store(most)
+	parts.ClientConns.Store(maxConns)
 	parts.MessageBytes.SetCapacity(1 << 20)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stand{
-		t:     t,
-		taker: &taker{asks: make(chan gateway.Request, 1000)},
-		door:  door{l.(*net.TCPListener), make(chan struct{})},
+	s := &testServer{
+		t:    t,
+		jobs: &recordingSubmitter{requests: make(chan gateway.Request, 1000)},
+		door: gatedListener{l.(*net.TCPListener), make(chan struct{})},
 	}
-	s.server = NewServer(s.taker, parts)
+	s.server = NewServer(s.jobs, parts)
 	t.Cleanup(func() {
 		l.Close()
 		s.server.Close()
@@ -88,7 +89,7 @@
 	return s
 }
 
-func (s *stand) dial() *net.TCPConn {
+func (s *testServer) dial() *net.TCPConn {
 	nc, err := net.Dial("tcp", s.door.Addr().String())
 	if err != nil {
 		s.t.Fatal(err)
@@ -97,7 +98,7 @@
 	return nc.(*net.TCPConn)
 }
 
-func (s *stand) until(what string, is func() bool) {
+func (s *testServer) until(what string, is func() bool) {
 	s.t.Helper()
 	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
@@ -117,14 +118,14 @@
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, 6)
+			s := newTestServer(t, 6)
 			c := s.dial()
 			for id := range uint32(200) {
 				c.Write(callOf(id, "SELECT 1 FROM a_1.b"))
 			}
 			end(c)
 			close(s.door.open)
-			if !ready(s.dial()) { // accepted after it
+			if !answersHeartbeat(s.dial()) { // accepted after it
 				t.Fatal("no answer")
 			}
 			s.until("its connection stays", func() bool {
@@ -132,7 +133,7 @@
 				defer s.server.mu.Unlock()
 				return len(s.server.conns) == 1
 			})
-			if n := len(s.taker.asks); n > 0 {
+			if n := len(s.jobs.requests); n > 0 {
 				t.Errorf("%d calls are taken", n)
 			}
 			s.until("answers stay owed", func() bool { return s.server.OwedAnswers() == 0 })
@@ -142,7 +143,7 @@
 
 // The calls' revokes lie behind more bytes than one read takes.
 func TestACallIsNotTakenWhoseRevokeLiesUnread(t *testing.T) {
-	s := newStand(t, 6)
+	s := newTestServer(t, 6)
 	c := s.dial()
 	body := string(make([]byte, 1000))
 	for id := range uint32(30) {
@@ -153,19 +154,19 @@
 	}
 	c.Write(callOf(31, "last"))
 	close(s.door.open)
-	if a := s.taker.got(t); string(a.Statement) != "last" {
+	if a := s.jobs.nextRequest(t); string(a.Statement) != "last" {
 		t.Errorf("a call is taken whose revoke had come: %.10q", a.Statement)
 	}
 }
 
 // A client that reads nothing fills the way back, and then takes a call back: the reader must not wait to be read.
 func TestARevokeIsReadWhileAnswersAreNot(t *testing.T) {
-	s := newStand(t, 6)
+	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
-	one, two := s.taker.got(t), s.taker.got(t)
+	one, two := s.jobs.nextRequest(t), s.jobs.nextRequest(t)
 	left := make(chan struct{})
 	two.Client.OnDisconnect(func() { close(left) })
 	var wrote sync.WaitGroup
@@ -202,7 +203,7 @@
 
 // One that asks on and reads nothing is bounded: it loses its connection.
 func TestAnswersThatNobodyReadsAreBounded(t *testing.T) {
-	s := newStand(t, 6)
+	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
 	for id := uint32(1); ; id++ {
@@ -233,13 +234,13 @@
 // A connection makes way while its client's next call is on its way, and the last answer lies unread with the client:
 // the answer is not lost, the call is not taken, and the client sees an end in order.
 func TestACallThatCrossesTheCloseOfAnIdleConnection(t *testing.T) {
-	s := newStand(t, 1)
+	s := newTestServer(t, 1)
 	close(s.door.open)
 	c := s.dial()
 	c.Write(AppendHeartbeat(nil, 1))
 	s.until("no answer written", func() bool { return s.server.idleNow() == 1 })
 	other := s.dial() // has no room: the idle one makes way
-	if !ready(other) {
+	if !answersHeartbeat(other) {
 		t.Fatal("no answer")
 	}
 	crossed := counters.Value("calls_crossed")
@@ -249,7 +250,7 @@
 	if a, n, bad := ParseAnswer(got); err != nil || bad != nil || !a.Ready || n != len(got) {
 		t.Errorf("%q, %v", got, err)
 	}
-	if len(s.taker.asks) > 0 {
+	if len(s.jobs.requests) > 0 {
 		t.Error("the call is taken")
 	}
 }
@@ -268,11 +269,11 @@
 
 // A result is being written on a connection with nothing else open: it is not idle, and does not make way.
 func TestAConnectionThatIsWrittenToDoesNotMakeWay(t *testing.T) {
-	s := newStand(t, 1)
+	s := newTestServer(t, 1)
 	close(s.door.open)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
-	one := s.taker.got(t)
+	one := s.jobs.nextRequest(t)
 	const size = 8 << 20
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, size)}) })
@@ -285,19 +286,19 @@
 		t.Errorf("the answer is cut: %v", err)
 	}
 	wrote.Wait()
-	if !ready(other) {
+	if !answersHeartbeat(other) {
 		t.Error("no room once it was written")
 	}
 }
 
 // The controller ends with a call unread behind an answer that was just written.
 func TestAnAnswerIsNotLostToACallUnreadAtTheEnd(t *testing.T) {
-	s := newStand(t, 6)
-	s.taker.held = make(chan struct{})
+	s := newTestServer(t, 6)
+	s.jobs.blocked = make(chan struct{})
 	close(s.door.open)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
-	one := s.taker.got(t) // the reader stands still
+	one := s.jobs.nextRequest(t) // the reader stands still
 	c.Write(callOf(2, "SELECT 1 FROM a_1.b"))
 	s.until("the second call has not come", s.server.HasPendingInput)
 	one.Client.Done([][]byte{[]byte("a\tb\tc\n")})
@@ -311,21 +312,21 @@
 		defer s.server.mu.Unlock()
 		return s.server.isClosed
 	})
-	close(s.taker.held)
+	close(s.jobs.blocked)
 	got, err := io.ReadAll(c)
 	if a, n, bad := ParseAnswer(got); err != nil || bad != nil || string(a.Body) != "a\tb\tc\n" || n != len(got) {
 		t.Errorf("%q, %v", got, err)
 	}
 	<-ended
-	if len(s.taker.asks) > 0 {
+	if len(s.jobs.requests) > 0 {
 		t.Error("the second call is taken")
 	}
-	s.server = NewServer(s.taker, s.server.limits) // for the clean-up to close
+	s.server = NewServer(s.jobs, s.server.limits) // for the clean-up to close
 }
 
 // A call that is read once the controller takes nothing more is throttled and not sent on.
 func TestWhatIsReadAfterTheEndBeganIsThrottled(t *testing.T) {
-	s := newStand(t, 6)
+	s := newTestServer(t, 6)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
 	s.server.RefuseCalls()
@@ -333,7 +334,8 @@
 	b := make([]byte, 100)
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	n, err := c.Read(b)
-	if a, _, bad := ParseAnswer(b[:n]); err != nil || bad != nil || a.Error != errorThrottled || len(s.taker.asks) > 0 {
+	a, _, bad := ParseAnswer(b[:n])
+	if err != nil || bad != nil || a.Error != errorThrottled || len(s.jobs.requests) > 0 {
 		t.Errorf("%+v, %v, %v", a, err, bad)
 	}
 	s.until("an answer stays owed", func() bool { return s.server.OwedAnswers() == 0 && !s.server.HasPendingInput() })
@@ -341,11 +343,11 @@
 
 // A client that reads nothing holds up the end no longer than half a message does: what it does not read is not owed.
 func TestWhatAClientDoesNotReadIsNotOwed(t *testing.T) {
-	s := newStand(t, 6)
+	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
-	one := s.taker.got(t)
+	one := s.jobs.nextRequest(t)
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // fills the way back
 	s.until("no answer is being written", func() bool { return s.server.writing() })
@@ -364,8 +366,8 @@
 
 // What was accepted by the system only, lies unread, or was read in part is seen before the end.
 func TestUnreadIsSeen(t *testing.T) {
-	s := newStand(t, 6)
-	s.taker.held = make(chan struct{})
+	s := newTestServer(t, 6)
+	s.jobs.blocked = make(chan struct{})
 	if s.server.HasPendingInput() {
 		t.Error("something is seen where nothing came")
 	}
@@ -374,7 +376,7 @@
 	close(s.door.open)
 	s.until("both are accepted", func() bool { return !s.server.HasPendingInput() })
 	first.Write(callOf(1, "SELECT 1 FROM a_1.b"))
-	s.taker.got(t)
+	s.jobs.nextRequest(t)
 	first.Write([]byte{0x94})
 	s.until("what lies unread is not seen", s.server.HasPendingInput)
 	second.Write(append(AppendHeartbeat(nil, 1), 0x94))
@@ -388,14 +390,14 @@
 		}
 		return false
 	})
-	close(s.taker.held)
+	close(s.jobs.blocked)
 }
 
 // Where all have asked of late and one more is at the door, the one idle longest makes way at once. Seen on sockets:
 // idle clients held all places, each newcomer waited for one of them to be silent for long enough, 841 of 2,650
 // requests were never taken up, and one of a key overtook another that waited at the door.
 func TestIdleClientsMakeWayForWhoeverIsAtTheDoor(t *testing.T) {
-	s := newStand(t, 100)
+	s := newTestServer(t, 100)
 	close(s.door.open)
 	now := time.Now()
 	conns := map[*conn]struct{}{}
@@ -448,12 +450,12 @@
 
 // Lingering connections are bounded: clients that never close cost no more descriptors.
 func TestLingeringIsBounded(t *testing.T) {
-	s := newStand(t, 1)
+	s := newTestServer(t, 1)
 	close(s.door.open)
 	var conns []*net.TCPConn
 	for range 10 {
 		c := s.dial()
-		if !ready(c) {
+		if !answersHeartbeat(c) {
 			t.Fatal("no answer")
 		}
 		conns = append(conns, c)
--- a/internal/client/eviction_test.go
+++ b/internal/client/eviction_test.go
@@ -11,18 +11,18 @@
 	"swiftreel/internal/limits"
 )
 
-// sink takes calls and answers none.
-type sink struct{}
+// discardingSubmitter takes calls and answers none.
+type discardingSubmitter struct{}
 
-func (sink) Ready() bool            { return true }
-func (sink) Submit(gateway.Request) {}
+func (discardingSubmitter) Ready() bool            { return true }
+func (discardingSubmitter) Submit(gateway.Request) {}
 
-func startServer(t *testing.T, most int64) (dial func() net.Conn) {
+func startServer(t *testing.T, maxConns int64) (dial func() net.Conn) {
 	t.Helper()
 	parts := new(limits.Budget)
-	parts.ClientConns.Store(most)
+	parts.ClientConns.Store(maxConns)
 	parts.MessageBytes.SetCapacity(1 << 20)
-	f := NewServer(sink{}, parts)
+	f := NewServer(discardingSubmitter{}, parts)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 	}
 }
 
-// ready asks for the heartbeat and tells whether an answer came.
-func ready(c net.Conn) bool {
+// answersHeartbeat asks for the heartbeat and tells whether an answer came.
+func answersHeartbeat(c net.Conn) bool {
 	c.Write(AppendHeartbeat(nil, 1))
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 100)
@@ -56,7 +56,7 @@
 	dial := startServer(t, 6)
 	usual := []net.Conn{dial(), dial()}
 	for _, c := range usual {
-		if !ready(c) {
+		if !answersHeartbeat(c) {
 			t.Fatal("no answer")
 		}
 	}
@@ -64,7 +64,7 @@
 	for range 20 {
 		silent = append(silent, dial())
 	}
-	if !ready(dial()) {
+	if !answersHeartbeat(dial()) {
 		t.Error("a new client does not get in")
 	}
 	silent[0].SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -72,7 +72,7 @@
 		t.Errorf("the first that said nothing: %v", err)
 	}
 	for _, c := range usual {
-		if !ready(c) {
+		if !answersHeartbeat(c) {
 			t.Error("a usual client was pushed out")
 		}
 	}
@@ -84,23 +84,23 @@
 	for range 3 {
 		conns = append(conns, dial())
 		conns[len(conns)-1].Write(AppendRevoke(nil, 1)) // nothing is open: it stays idle
-		if !ready(conns[len(conns)-1]) {                // the answer shows that the revoke was read, before the next dials
+		if !answersHeartbeat(conns[len(conns)-1]) {     // the answer shows that the revoke was read, before the next dials
 			t.Fatal("no answer")
 		}
 	}
 	call := AppendCall(nil, 2, "lookup", []string{"call", "00000000000000aa", "ttl", "20000"}, nil)
 	conns[0].Write(call) // the oldest has a call open
-	if !ready(conns[0]) {
+	if !answersHeartbeat(conns[0]) {
 		t.Fatal("no answer")
 	}
-	if !ready(dial()) {
+	if !answersHeartbeat(dial()) {
 		t.Error("a new client does not get in")
 	}
 	conns[1].SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := conns[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one idle longest: %v", err)
 	}
-	if !ready(conns[0]) || !ready(conns[2]) {
+	if !answersHeartbeat(conns[0]) || !answersHeartbeat(conns[2]) {
 		t.Error("another was pushed out")
 	}
 }
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -9,19 +9,19 @@
 	"swiftreel/internal/counters"
 )
 
-// place is a control feed that a test plays by hand.
-type place struct {
+// fakeFeed is a control feed that a test plays by hand.
+type fakeFeed struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func newPlace(t *testing.T) *place {
+func newFakeFeed(t *testing.T) *fakeFeed {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &place{l, make(chan net.Conn, 100)}
+	p := &fakeFeed{l, make(chan net.Conn, 100)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -36,8 +36,8 @@
 	return p
 }
 
-// called waits for the next connection and gives what it subscribes from.
-func (p *place) called(t *testing.T) (nc net.Conn, last int) {
+// nextSubscription waits for the next connection and gives what it subscribes from.
+func (p *fakeFeed) nextSubscription(t *testing.T) (nc net.Conn, last int) {
 	t.Helper()
 	select {
 	case nc = <-p.conns:
@@ -55,15 +55,15 @@
 	return fmt.Sprintf(`{"n":%d,"members":{"hosts":[{"host":"e%d","dial":"127.0.0.1:1","health":"ready"}]}}`+"\n", n, n)
 }
 
-type ear struct {
-	t    *testing.T
-	told chan Event
+type eventRecorder struct {
+	t      *testing.T
+	events chan Event
 }
 
-func (e ear) next(n uint64) {
+func (e eventRecorder) next(n uint64) {
 	e.t.Helper()
 	select {
-	case ev := <-e.told:
+	case ev := <-e.events:
 		if ev.Number != n {
 			e.t.Fatalf("event %d instead of %d", ev.Number, n)
 		}
@@ -72,13 +72,13 @@
 	}
 }
 
-// followed is a feed that has told event 2 over its first connection.
-func followed(t *testing.T) (f *Watcher, e ear, p *place, nc net.Conn) {
+// watchFakeFeed is a feed that has told event 2 over its first connection.
+func watchFakeFeed(t *testing.T) (f *Watcher, e eventRecorder, p *fakeFeed, nc net.Conn) {
 	t.Helper()
-	p, e = newPlace(t), ear{t, make(chan Event, 100)}
-	f = Watch(p.Addr().String(), 1, func(ev Event) { e.told <- ev })
+	p, e = newFakeFeed(t), eventRecorder{t, make(chan Event, 100)}
+	f = Watch(p.Addr().String(), 1, func(ev Event) { e.events <- ev })
 	t.Cleanup(f.Close)
-	nc, _ = p.called(t)
+	nc, _ = p.nextSubscription(t)
 	nc.Write([]byte(change(2)))
 	e.next(2)
 	return f, e, p, nc
@@ -86,14 +86,14 @@
 
 // The feed moves twice, to places that are down: where it was last heard is kept all the while.
 func TestTheOldPlaceIsKeptThroughPlacesThatNeverSpoke(t *testing.T) {
-	next := newPlace(t)
-	f, e, _, nc := followed(t)
+	next := newFakeFeed(t)
+	f, e, _, nc := watchFakeFeed(t)
 	f.Reconfigure("127.0.0.1:1", nil)
 	f.Reconfigure("127.0.0.1:2", nil)
 	nc.Write([]byte(change(3)))
 	e.next(3)
 	f.Reconfigure(next.Addr().String(), nil)
-	now, last := next.called(t)
+	now, last := next.nextSubscription(t)
 	if last != 3 {
 		t.Errorf("the new place is asked from %d", last)
 	}
@@ -106,17 +106,17 @@
 // A line of the old place was read before the new one spoke, and is taken after: it is passed over, also where it
 // would be the next, as what the old place says by now is of no account.
 func TestTheOldPlaceIsNotHeardOnceTheNewOneSpoke(t *testing.T) {
-	next := newPlace(t)
-	f, e, _, _ := followed(t)
+	next := newFakeFeed(t)
+	f, e, _, _ := watchFakeFeed(t)
 	f.mu.Lock()
 	was := f.current
 	f.mu.Unlock()
 	f.Reconfigure(next.Addr().String(), nil)
-	now, _ := next.called(t)
+	now, _ := next.nextSubscription(t)
 	now.Write([]byte(change(3)))
 	e.next(3)
-	if err := f.receive(was, []byte(change(4))); err == nil || len(e.told) > 0 {
-		t.Errorf("the old place is heard: %v, %d events", err, len(e.told))
+	if err := f.receive(was, []byte(change(4))); err == nil || len(e.events) > 0 {
+		t.Errorf("the old place is heard: %v, %d events", err, len(e.events))
 	}
 	now.Write([]byte(change(4)))
 	e.next(4)
@@ -125,10 +125,10 @@
 // An open watch falls silent, with no word of it: it is called anew from the last event on, well within 7 s, also
 // where the first call is not answered either. What the new one tells again is passed over.
 func TestASilentWatchIsCalledAnew(t *testing.T) {
-	_, e, p, first := followed(t)
+	_, e, p, first := watchFakeFeed(t)
 	silent := time.Now() // nothing is said any more, nor on the next connection
-	second, last := p.called(t)
-	third, again := p.called(t)
+	second, last := p.nextSubscription(t)
+	third, again := p.nextSubscription(t)
 	if late := time.Since(silent); last != 2 || again != 2 || late > 7*time.Second {
 		t.Errorf("called from %d and %d, the third time after %v", last, again, late)
 	}
@@ -140,7 +140,7 @@
 	}
 	first.Write([]byte(change(3)))
 	second.Write([]byte(change(3)))
-	if len(e.told) > 0 {
-		t.Errorf("told twice: %+v", <-e.told)
+	if len(e.events) > 0 {
+		t.Errorf("told twice: %+v", <-e.events)
 	}
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -44,20 +44,20 @@
 	}
 }
 
-// gated is a connection whose reader stands before a gate: it has not come to what the peer did.
-type gated struct {
+// gatedConn is a connection whose reader stands before a gate: it has not come to what the peer did.
+type gatedConn struct {
 	*net.TCPConn
 	reads *gate
 }
 
-func (c gated) Read(b []byte) (int, error) {
+func (c gatedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.reads.pass()
 	return n, err
 }
 
-// peer is an engine that hands out its connections and what is asked on them.
-type peer struct {
+// scriptedEngine is an engine that hands out its connections and what is asked on them.
+type scriptedEngine struct {
 	net.Listener
 	fetched chan fetched
 	paged   chan fetched // what is asked for in pages; not read where nobody looks
@@ -68,13 +68,13 @@
 	conn net.Conn
 }
 
-func newPeer(t *testing.T) *peer {
+func newScriptedEngine(t *testing.T) *scriptedEngine {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{l, make(chan fetched, 100), make(chan fetched, 1000)}
+	p := &scriptedEngine{l, make(chan fetched, 100), make(chan fetched, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -102,7 +102,7 @@
 	return p
 }
 
-func (p *peer) got(t *testing.T) fetched {
+func (p *scriptedEngine) nextFetch(t *testing.T) fetched {
 	t.Helper()
 	select {
 	case f := <-p.fetched:
@@ -113,18 +113,24 @@
 	return fetched{}
 }
 
-type world struct {
+type harness struct {
 	t       *testing.T
 	pool    *Pool
-	peer    *peer
+	peer    *scriptedEngine
 	dials   *gate // held once the connection is up
 	reads   *gate
 	replies chan backend.Reply
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	w := &world{t: t, peer: newPeer(t), dials: new(gate), reads: new(gate), replies: make(chan backend.Reply, 100)}
+	w := &harness{
+		t:       t,
+		peer:    newScriptedEngine(t),
+		dials:   new(gate),
+		reads:   new(gate),
+		replies: make(chan backend.Reply, 100),
+	}
 	bounds := backend.Limits{
 		DialTimeout:    20 * time.Second,
 		IdleTimeout:    time.Minute,
@@ -141,7 +147,7 @@
 			return nil, err
 		}
 		w.dials.pass()
-		return gated{nc.(*net.TCPConn), w.reads}, nil
+		return gatedConn{nc.(*net.TCPConn), w.reads}, nil
 	}
 	t.Cleanup(func() {
 		w.dials.open()
@@ -151,7 +157,7 @@
 	return w
 }
 
-func (w *world) start(id string, until time.Time) backend.Dispatch {
+func (w *harness) start(id string, until time.Time) backend.Dispatch {
 	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
 	request := backend.Request{
 		ID:         []byte(id),
@@ -166,7 +172,7 @@
 	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
 }
 
-func (w *world) ends(end backend.Outcome) {
+func (w *harness) expectOutcome(end backend.Outcome) {
 	w.t.Helper()
 	select {
 	case r := <-w.replies:
@@ -178,17 +184,17 @@
 	}
 }
 
-// served has one dispatch served and its connection idle.
-func (w *world) served(id string) net.Conn {
+// serveOne has one dispatch serveOne and its connection idle.
+func (w *harness) serveOne(id string) net.Conn {
 	w.t.Helper()
 	w.start(id, time.Time{})
-	f := w.peer.got(w.t)
+	f := w.peer.nextFetch(w.t)
 	f.conn.Write(AppendAnswer(nil, id, "data", "sheets=1", []byte("a\tb\tc\n")))
-	w.ends(backend.Done)
+	w.expectOutcome(backend.Done)
 	return f.conn
 }
 
-func (w *world) until(what string, is func() bool) {
+func (w *harness) until(what string, is func() bool) {
 	w.t.Helper()
 	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
@@ -200,14 +206,14 @@
 // The connection comes up after the moment that the module named: the engine may have begun to drain, or a keyed
 // job's window of repeats be over. It is within the dial time-out. Nothing is sent.
 func TestADialThatEndsAfterItsDispatchsTimeSendsNothing(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.dials.shut()
 	w.start("late", time.Now())
 	w.until("no dial", func() bool { return w.pool.ConnCount() == 1 })
 	time.Sleep(time.Millisecond) // the clock goes on past that moment, however coarse it is
 	w.dials.open()
-	w.ends(backend.Superseded)
-	w.served("next") // over the same connection
+	w.expectOutcome(backend.Superseded)
+	w.serveOne("next") // over the same connection
 	if len(w.peer.fetched) > 0 {
 		t.Errorf("sent: %+v", <-w.peer.fetched)
 	}
@@ -215,7 +221,7 @@
 
 // The client leaves while the dial is under way; what waited for it is not sent when it ends.
 func TestADialThatEndsAfterItsDispatchWasGivenUpSendsNothing(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.dials.shut()
 	d := w.start("left", time.Time{})
 	given := make(chan struct{})
@@ -224,7 +230,7 @@
 	}
 	<-given
 	w.dials.open()
-	w.served("next")
+	w.serveOne("next")
 	if len(w.peer.fetched) > 0 || len(w.replies) > 0 {
 		t.Errorf("sent, or told: %d, %d", len(w.peer.fetched), len(w.replies))
 	}
@@ -238,19 +244,19 @@
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			first := w.served("first")
+			w := newHarness(t)
+			first := w.serveOne("first")
 			w.reads.shut()
 			end(first.(*net.TCPConn))
 			w.until("the close has not come", func() bool { return w.pool.onlyOneEnded() })
 			w.start("second", time.Time{})
-			f := w.peer.got(t)
+			f := w.peer.nextFetch(t)
 			if f.id != "second" || f.conn == first {
 				t.Fatalf("%+v", f)
 			}
 			w.reads.open()
 			f.conn.Write(AppendAnswer(nil, "second", "data", "sheets=1", []byte("a\tb\tc\n")))
-			w.ends(backend.Done)
+			w.expectOutcome(backend.Done)
 		})
 	}
 }
@@ -270,8 +276,8 @@
 // Half a line lies on an idle connection: it will be cut off when the other half does not come, and what was sent on
 // it would be lost with it.
 func TestAnIdleConnectionWithHalfALineIsNotUsed(t *testing.T) {
-	w := newWorld(t)
-	first := w.served("first")
+	w := newHarness(t)
+	first := w.serveOne("first")
 	first.Write([]byte("first data shee"))
 	w.until("not read", func() bool {
 		w.pool.mu.Lock()
@@ -279,7 +285,7 @@
 		return w.pool.conns["e1"][0].reader.isPartial.Load()
 	})
 	w.start("second", time.Time{})
-	if f := w.peer.got(t); f.id != "second" || f.conn == first {
+	if f := w.peer.nextFetch(t); f.id != "second" || f.conn == first {
 		t.Fatalf("%+v", f)
 	}
 }
@@ -287,16 +293,16 @@
 // The answer comes in the moment in which the job is given up, milliseconds before the abort is read, and its id is
 // used again at once: one end is told of each dispatch, and the late answer is not the second's.
 func TestALateAnswerIsNotThatOfTheNextDispatchOfItsID(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.reads.shut()
 	d := w.start("again", time.Time{})
-	f := w.peer.got(t)
+	f := w.peer.nextFetch(t)
 	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("late\tb\tc\n")))
 	if !d.Cancel(func() {}) {
 		t.Fatal("was over")
 	}
 	w.start("again", time.Time{})
-	second := w.peer.got(t)
+	second := w.peer.nextFetch(t)
 	if second.conn == f.conn {
 		t.Fatal("sent over the connection on which the late answer comes")
 	}
@@ -311,7 +317,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("no end")
 	}
-	w.served("next")
+	w.serveOne("next")
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
@@ -320,13 +326,13 @@
 // An answer of two pages is cut at each of its bytes: where the rest comes later it is whole, where the connection
 // ends there the dispatch ends as one that may have run. One end of each.
 func TestAnAnswerIsCutAnywhere(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	n := 0
 	play := func(cut int, ends bool) (whole bool) {
 		n++
 		id := fmt.Sprintf("id%03d", n)
 		w.start(id, time.Time{})
-		f := w.peer.got(t)
+		f := w.peer.nextFetch(t)
 		for len(w.peer.paged) > 0 {
 			<-w.peer.paged
 		}
@@ -339,7 +345,7 @@
 		f.conn.Write(text[:cut])
 		if ends {
 			f.conn.Close()
-			w.ends(backend.Reset)
+			w.expectOutcome(backend.Reset)
 			return false
 		}
 		if cut > 0 { // the first part is read on its own
@@ -380,7 +386,7 @@
 }
 
 // drop gives up what is out.
-func (w *world) drop() {
+func (w *harness) drop() {
 	w.pool.mu.Lock()
 	var out []*Dispatch
 	for _, c := range w.pool.conns["e1"] {
@@ -396,16 +402,16 @@
 
 // The answer has been told when the job is given up: nothing is left to give up, and no second end comes.
 func TestWhatWasAnsweredIsNotGivenUp(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	d := w.start("done", time.Time{})
-	f := w.peer.got(t)
+	f := w.peer.nextFetch(t)
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n")))
-	w.ends(backend.Done)
+	w.expectOutcome(backend.Done)
 	if d.Cancel(func() { t.Error("given up") }) {
 		t.Error("given up after its end")
 	}
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n"))) // a second answer, late
-	w.served("next")
+	w.serveOne("next")
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
@@ -413,20 +419,20 @@
 
 // The engine dies when it is asked for a page that it still owes.
 func TestAnEngineThatDiesOverAPageMayHaveRunIt(t *testing.T) {
-	w := newWorld(t)
+	w := newHarness(t)
 	w.start("paged", time.Time{})
-	f := w.peer.got(t)
+	f := w.peer.nextFetch(t)
 	f.conn.Write(AppendAnswer(nil, "paged", "data", "sheets=2,toil=1", []byte("a\tb\tc\n")))
-	f = w.peer.more(t)
+	f = w.peer.nextPageRequest(t)
 	f.conn.(*net.TCPConn).SetLinger(0)
 	f.conn.Close()
-	w.ends(backend.Reset)
+	w.expectOutcome(backend.Reset)
 	if len(w.replies) > 0 {
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
 }
 
-func (p *peer) more(t *testing.T) fetched {
+func (p *scriptedEngine) nextPageRequest(t *testing.T) fetched {
 	t.Helper()
 	select {
 	case f := <-p.paged:
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -12,8 +12,8 @@
 	"swiftreel/internal/limits"
 )
 
-// bench is a pool and one stand-in, whose commands come through a channel.
-type bench struct {
+// harness is a pool and one stand-in, whose commands come through a channel.
+type harness struct {
 	t        *testing.T
 	pool     *engine.Pool
 	peer     *fake.Engine
@@ -30,9 +30,14 @@
 
 const memory = 100_000
 
-func newBench(t *testing.T, change func(*backend.Limits)) *bench {
+func newHarness(t *testing.T, change func(*backend.Limits)) *harness {
 	t.Helper()
-	b := &bench{t: t, bytes: new(limits.Bytes), commands: make(chan command, 100), replies: make(chan backend.Reply, 1000)}
+	b := &harness{
+		t:        t,
+		bytes:    new(limits.Bytes),
+		commands: make(chan command, 100),
+		replies:  make(chan backend.Reply, 1000),
+	}
 	b.bytes.SetCapacity(memory)
 	var err error
 	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
@@ -61,19 +66,19 @@
 	return b
 }
 
-func (b *bench) start(id string) backend.Dispatch {
+func (b *harness) start(id string) backend.Dispatch {
 	return b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
 		TimeoutMS: 1000, Priority: 1, OrderedAt: time.Now()}, func(r backend.Reply) { b.replies <- r })
 }
 
 // startImport starts a dispatch that must not be lost.
-func (b *bench) startImport(id string) {
+func (b *harness) startImport(id string) {
 	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.RunOnce, OrderedAt: time.Now()}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 }
 
-// got waits for the next command and checks its word.
-func (b *bench) got(word string) command {
+// nextCommand waits for the next command and checks its word.
+func (b *harness) nextCommand(word string) command {
 	b.t.Helper()
 	select {
 	case c := <-b.commands:
@@ -87,7 +92,7 @@
 	return command{}
 }
 
-func (b *bench) ends(end backend.Outcome) backend.Reply {
+func (b *harness) expectOutcome(end backend.Outcome) backend.Reply {
 	b.t.Helper()
 	select {
 	case r := <-b.replies:
@@ -102,7 +107,7 @@
 }
 
 // until waits for what another goroutine brings about.
-func (b *bench) until(what string, is func() bool) {
+func (b *harness) until(what string, is func() bool) {
 	b.t.Helper()
 	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
@@ -112,27 +117,27 @@
 }
 
 func TestAllPagesAreAskedForAtOnceAndPutInOrder(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.start("a")
-	c := b.got("fetch")
+	c := b.nextCommand("fetch")
 	if c.Fields != "c=report,w=1000,urgency=1" || string(c.Body) != "SELECT 1" {
 		t.Fatalf("%+v", c.Command)
 	}
 	c.from.Answer("a", "news", "note=frac,val=0.5", "")
-	if r := b.ends(backend.Running); r.Notice != "frac" || r.Amount != 0.5 {
+	if r := b.expectOutcome(backend.Running); r.Notice != "frac" || r.Amount != 0.5 {
 		t.Fatalf("%+v", r)
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
-	if b.got("more").Number != 1 || b.got("more").Number != 2 {
+	if b.nextCommand("more").Number != 1 || b.nextCommand("more").Number != 2 {
 		t.Fatal("pages asked for out of order")
 	}
 	c.from.Answer("a", "page", "sheet=2", "three\tb\tc\n")
 	c.from.Answer("a", "page", "sheet=1", "two\tb\tc\n")
-	r := b.ends(backend.Done)
+	r := b.expectOutcome(backend.Done)
 	if string(bytes.Join(r.Pages, nil)) != "one\tb\tc\ntwo\tb\tc\nthree\tb\tc\n" || r.WorkMS != 35 || r.MemoryMB != 76 {
 		t.Fatalf("%+v", r)
 	}
-	b.got("done")
+	b.nextCommand("done")
 	b.pool.Release(r.Pages)
 	if b.bytes.Available() != memory {
 		t.Errorf("%d bytes left of %d", b.bytes.Available(), memory)
@@ -140,38 +145,38 @@
 }
 
 func TestWhatNeverRanAndWhatMayHave(t *testing.T) {
-	b := newBench(t, func(l *backend.Limits) { l.Conns.Store(1) }) // shared
+	b := newHarness(t, func(l *backend.Limits) { l.Conns.Store(1) }) // shared
 	for word, end := range map[string]backend.Outcome{
 		"full":   backend.Full,
 		"moot":   backend.Superseded,
 		"failed": backend.Failed,
 	} {
 		b.start("a")
-		b.got("fetch").from.Answer("a", word, "", "")
-		b.ends(end)
+		b.nextCommand("fetch").from.Answer("a", word, "", "")
+		b.expectOutcome(end)
 	}
 	b.start("a") // the connection breaks with two out: each ends once
 	b.start("b")
-	b.got("fetch")
-	c := b.got("fetch")
+	b.nextCommand("fetch")
+	c := b.nextCommand("fetch")
 	c.from.Answer("b", "data", "sheets=2", "one\tb\tc\n")
-	b.got("more")
+	b.nextCommand("more")
 	c.from.Reset()
-	b.ends(backend.Reset)
-	b.ends(backend.Reset)
+	b.expectOutcome(backend.Reset)
+	b.expectOutcome(backend.Reset)
 	b.until("bytes of lost pages stay", func() bool { return b.bytes.Available() == memory })
 	b.until("the connection stays", func() bool { return b.pool.ConnCount() == 0 })
 	b.peer.Close()
 	b.start("c")
-	b.ends(backend.NotConnected)
+	b.expectOutcome(backend.NotConnected)
 }
 
 const row = "one\ttwo\tthree\n"
 
 func TestBadAnswersFailTheirDispatchAlone(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.start("other")
-	s := b.got("fetch").from
+	s := b.nextCommand("fetch").from
 	large := strings.Repeat(row, 400)
 	for name, answers := range map[string][][3]string{
 		"no sheets":           {{"data", "", row}},
@@ -195,7 +200,7 @@
 			{"page", "sheet=5", large}, {"page", "sheet=6", large}, {"page", "sheet=7", large}, {"page", "sheet=8", large}},
 	} {
 		b.start("a")
-		from := b.fetched()
+		from := b.nextFetch()
 		for _, a := range answers {
 			from.Answer("a", a[0], a[1], a[2])
 		}
@@ -213,16 +218,16 @@
 		}
 	}
 	s.Answer("other", "data", "sheets=1", row)
-	b.pool.Release(b.ends(backend.Done).Pages)
+	b.pool.Release(b.expectOutcome(backend.Done).Pages)
 	b.until("a connection of no further use stays", func() bool { return b.pool.ConnCount() == 1 })
 	b.start("a")
-	b.fetched().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
-	b.ends(backend.Reset)
+	b.nextFetch().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
+	b.expectOutcome(backend.Reset)
 	b.until("bytes stay", func() bool { return b.bytes.Available() == memory })
 }
 
-// fetched waits for a dispatch, past pages asked for before.
-func (b *bench) fetched() *fake.Session {
+// nextFetch waits for a dispatch, past pages asked for before.
+func (b *harness) nextFetch() *fake.Session {
 	c := <-b.commands
 	for c.Name != "fetch" {
 		c = <-b.commands
@@ -232,128 +237,128 @@
 
 // Seen on sockets: a second copy of a good answer was taken for a spoilt one, and the job lost.
 func TestGoodAnswersThatComeTwiceHarmNothing(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.start("a")
-	c := b.got("fetch")
+	c := b.nextCommand("fetch")
 	c.from.Answer("unknown", "data", "sheets=1", row)
 	for _, a := range [][2]string{{"data", "sheets=3"}, {"page", "sheet=2"}, {"page", "sheet=1"}} {
 		c.from.Answer("a", a[0], a[1], row)
 		c.from.Answer("a", a[0], a[1], row)
 	}
-	b.pool.Release(b.ends(backend.Done).Pages)
+	b.pool.Release(b.expectOutcome(backend.Done).Pages)
 	b.start("b") // turned away: sent anew, not where the same word may come once more
-	first := b.fetched()
+	first := b.nextFetch()
 	first.Answer("b", "full", "", "")
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 	b.start("b")
-	second := b.fetched()
+	second := b.nextFetch()
 	if second == first {
 		t.Error("sent anew where a second copy would end it")
 	}
 	second.Answer("b", "full", "", "")
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 }
 
 // One spoilt line, reset or silence costs what is open on that connection, and nothing else.
 func TestEachDispatchHasItsOwnConnectionWhileThereAreSome(t *testing.T) {
-	b := newBench(t, nil) // of 10 connections, one is spared for engines that have none
+	b := newHarness(t, nil) // of 10 connections, one is spared for engines that have none
 	from := map[*fake.Session]int{}
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"}
 	var last command
 	for _, id := range ids {
 		b.start(id)
-		last = b.got("fetch")
+		last = b.nextCommand("fetch")
 		from[last.from]++
 	}
 	if len(from) != 9 || from[last.from] != 2 {
 		t.Errorf("%d connections, %d dispatches on the last", len(from), from[last.from])
 	}
 	last.from.Reset()
-	b.ends(backend.Reset)
-	b.ends(backend.Reset)
+	b.expectOutcome(backend.Reset)
+	b.expectOutcome(backend.Reset)
 	for s := range from {
 		for _, id := range ids {
 			s.Answer(id, "full", "", "") // only what is open there counts
 		}
 	}
 	for range len(ids) - 2 {
-		b.ends(backend.Full)
+		b.expectOutcome(backend.Full)
 	}
 }
 
 // Seen on sockets: a network that dropped what was idle for 90 ms cost one dispatch in twenty.
 func TestWhatIdleConnectionsLoseTeachesHowLongToTrustThem(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	turn := func() *fake.Session {
 		b.start("a")
-		from := b.fetched()
+		from := b.nextFetch()
 		from.Answer("a", "full", "", "")
-		b.ends(backend.Full)
+		b.expectOutcome(backend.Full)
 		return from
 	}
 	first := turn()
 	time.Sleep(60 * time.Millisecond)
 	b.start("b")
-	if b.fetched() != first {
+	if b.nextFetch() != first {
 		t.Fatal("an idle connection was not used")
 	}
 	first.Reset()
-	b.ends(backend.Reset)
+	b.expectOutcome(backend.Reset)
 	second := turn()
 	b.start("c")
-	if b.fetched() != second {
+	if b.nextFetch() != second {
 		t.Error("one idle for a moment was not used")
 	}
 	second.Answer("c", "full", "", "")
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 	time.Sleep(60 * time.Millisecond)
 	b.start("d")
-	third := b.fetched()
+	third := b.nextFetch()
 	if third == second {
 		t.Error("sent where the last one was lost after as long an idle time")
 	}
 	third.Answer("d", "full", "", "")
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 }
 
 // A controller that stood still between order and send could send to an engine that it has been told is draining.
 func TestWhatWasOrderedLongAgoIsNotSent(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	request := backend.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now().Add(-6 * time.Second)}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
-	b.ends(backend.Superseded)
+	b.expectOutcome(backend.Superseded)
 	b.start("b")
-	b.got("fetch").from.Answer("b", "full", "", "") // and nothing of a
-	b.ends(backend.Full)
+	b.nextCommand("fetch").from.Answer("b", "full", "", "") // and nothing of a
+	b.expectOutcome(backend.Full)
 }
 
 // A probe has no effect, and the engine is not to blame for a connection: its reset took an engine out for a second.
 func TestAProbeGoesOutAgainWhenItsConnectionIsReset(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
-	b.got("stats").from.Reset()
-	c := b.got("stats")
+	b.nextCommand("stats").from.Reset()
+	c := b.nextCommand("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7", "")
-	if r := b.ends(backend.Done); r.Load != "inflight:7" {
+	if r := b.expectOutcome(backend.Done); r.Load != "inflight:7" {
 		t.Errorf("%+v", r)
 	}
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
-	b.got("stats").from.Reset()
-	b.got("stats").from.Reset()
-	b.ends(backend.Reset)
+	b.nextCommand("stats").from.Reset()
+	b.nextCommand("stats").from.Reset()
+	b.expectOutcome(backend.Reset)
 }
 
 // What nobody waits for, sent without end, would keep a reader busy for good.
 func TestAnswersWithoutEndLoseTheirConnection(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.start("a")
-	c := b.got("fetch")
+	c := b.nextCommand("fetch")
 	for range 300 {
 		c.from.Answer("x", "full", "", "")
 	}
-	b.ends(backend.Reset)
+	b.expectOutcome(backend.Reset)
 	b.start("a")
-	c = b.got("fetch")
+	c = b.nextCommand("fetch")
 	for range 300 {
 		c.from.Answer("a", "news", "note=frac,val=0.5", "")
 	}
@@ -372,25 +377,25 @@
 		"a page": "a data sheets=1 40\r\none\ttw",
 		"next":   "x full - 0\r\n\r\na da",
 	} {
-		b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 10 * time.Millisecond })
+		b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 10 * time.Millisecond })
 		b.start("a")
-		b.got("fetch").from.Write([]byte(half))
-		if b.ends(backend.Reset); b.pool.ConnCount() != 0 {
+		b.nextCommand("fetch").from.Write([]byte(half))
+		if b.expectOutcome(backend.Reset); b.pool.ConnCount() != 0 {
 			t.Error(name, "leaves its connection open")
 		}
 	}
 }
 
 func TestALateAnswerIsNotTakenForTheNextDispatch(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	d := b.start("a")
-	first := b.got("fetch")
+	first := b.nextCommand("fetch")
 	read := make(chan bool, 2)
 	if !d.Cancel(func() { read <- true }) || d.Cancel(func() { read <- false }) {
 		t.Fatal("given up once")
 	}
-	b.got("abort")
-	if c := b.got("more"); len(read) > 0 {
+	b.nextCommand("abort")
+	if c := b.nextCommand("more"); len(read) > 0 {
 		t.Fatal("given up before the engine is known to have read it")
 	} else {
 		c.from.Answer("a", "failed", "", "") // it no longer knows that
@@ -399,117 +404,117 @@
 		t.Fatal("the second call's")
 	}
 	b.start("a")
-	second := b.got("fetch")
+	second := b.nextCommand("fetch")
 	if second.from == first.from {
 		t.Fatal("the same id on the same connection while its late answer may come")
 	}
 	first.from.Answer("a", "data", "sheets=1", "late\tb\tc\n")
 	second.from.Answer("a", "data", "sheets=1", "right\tb\tc\n")
-	if r := b.ends(backend.Done); string(r.Pages[0]) != "right\tb\tc\n" {
+	if r := b.expectOutcome(backend.Done); string(r.Pages[0]) != "right\tb\tc\n" {
 		t.Fatalf("%q", r.Pages[0])
 	}
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	b := newBench(t, func(l *backend.Limits) { l.StreamsPerConn = 2; l.Conns.Store(2) })
+	b := newHarness(t, func(l *backend.Limits) { l.StreamsPerConn = 2; l.Conns.Store(2) })
 	var from []command
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.start(id)
-		from = append(from, b.got("fetch"))
+		from = append(from, b.nextCommand("fetch"))
 	}
 	if b.peer.Sessions() != 2 {
 		t.Fatalf("%d connections for four dispatches", b.peer.Sessions())
 	}
 	b.start("e") // no descriptor for a third: it never ran, and the engine refused nothing
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 	for _, c := range from {
 		if c.from == from[0].from {
 			c.from.Answer(c.ID, "full", "", "")
-			b.ends(backend.Full)
+			b.expectOutcome(backend.Full)
 		}
 	}
-	other := newBench(t, nil) // an idle connection makes way for another engine
+	other := newHarness(t, nil) // an idle connection makes way for another engine
 	b.host = backend.Host{Name: "e2", Address: other.peer.Address()}
 	b.start("f")
-	other.got("fetch").from.Answer("f", "full", "", "")
-	b.ends(backend.Full)
+	other.nextCommand("fetch").from.Answer("f", "full", "", "")
+	b.expectOutcome(backend.Full)
 	for _, c := range from {
 		if c.from != from[0].from {
 			c.from.Answer(c.ID, "full", "", "")
-			b.ends(backend.Full)
+			b.expectOutcome(backend.Full)
 		}
 	}
 }
 
 func TestAnEngineCutOffLeavesNothingBehind(t *testing.T) {
-	b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 300 * time.Millisecond })
+	b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 300 * time.Millisecond })
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
-	c := b.got("stats")
+	c := b.nextCommand("stats")
 	c.from.Answer(c.ID, "well", "load=inflight:7;util:0.61", "")
-	if r := b.ends(backend.Done); r.Load != "inflight:7;util:0.61" {
+	if r := b.expectOutcome(backend.Done); r.Load != "inflight:7;util:0.61" {
 		t.Fatalf("%+v", r)
 	}
 	b.pool.Probe(b.host, false, 300*time.Millisecond, func(r backend.Reply) { b.replies <- r })
-	first := b.got("alive").from
-	b.ends(backend.TimedOut)
+	first := b.nextCommand("alive").from
+	b.expectOutcome(backend.TimedOut)
 	b.start("a") // not on the connection that says nothing
-	if b.got("fetch").from == first {
+	if b.nextCommand("fetch").from == first {
 		t.Fatal("sent where a probe was lost")
 	}
 	b.until("the silent connection stays", func() bool { return b.peer.Sessions() == 1 })
 	b.peer.Close()
-	b.ends(backend.Reset)
+	b.expectOutcome(backend.Reset)
 }
 
 // A machine that vanished reads no abort: the job still counted as out there when it was sent again elsewhere.
 func TestASilentConnectionIsClosedToGiveUpWhatIsOutOnIt(t *testing.T) {
-	b := newBench(t, func(l *backend.Limits) { l.DialTimeout = 200 * time.Millisecond; l.Conns.Store(2) })
+	b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
 	b.startImport("c")
-	kept := b.got("fetch")
+	kept := b.nextCommand("fetch")
 	d := b.start("a")
-	b.got("fetch")
+	b.nextCommand("fetch")
 	b.start("b") // no connection is left for it alone
-	b.got("fetch")
+	b.nextCommand("fetch")
 	d.Cancel(func() { read <- "a" })
-	b.ends(backend.Reset) // b was beside it
+	b.expectOutcome(backend.Reset) // b was beside it
 	if id := <-read; id != "a" || b.peer.Sessions() > 2 {
 		t.Fatal(id)
 	}
-	b.got("abort")
-	b.got("more")
+	b.nextCommand("abort")
+	b.nextCommand("more")
 	kept.from.Answer("c", "full", "", "") // the other lane is untouched
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 }
 
 // The engine vanished unnoticed: a run-once job that goes there over a connection that is up may have run for ever.
 func TestARunOnceJobDoesNotGoWhereAProbeWasLost(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	importing := func(id string) *fake.Session {
 		b.startImport(id)
-		c := b.got("fetch")
+		c := b.nextCommand("fetch")
 		c.from.Answer(id, "full", "", "")
-		b.ends(backend.Full)
+		b.expectOutcome(backend.Full)
 		return c.from
 	}
 	first := importing("a")
 	b.pool.Probe(b.host, false, 50*time.Millisecond, func(r backend.Reply) { b.replies <- r })
-	b.got("alive")
-	b.ends(backend.TimedOut)
+	b.nextCommand("alive")
+	b.expectOutcome(backend.TimedOut)
 	if importing("b") == first {
 		t.Fatal("sent over a connection to an engine that lost a probe, with nothing heard since")
 	}
 }
 
 func TestADispatchThatLeftNoByteGoesOverAnotherConnection(t *testing.T) {
-	b := newBench(t, func(l *backend.Limits) { l.IdleTimeout = 400 * time.Millisecond })
+	b := newHarness(t, func(l *backend.Limits) { l.IdleTimeout = 400 * time.Millisecond })
 	b.start("a")
-	c := b.got("fetch")
+	c := b.nextCommand("fetch")
 	c.from.Answer("a", "full", "", "")
-	b.ends(backend.Full)
+	b.expectOutcome(backend.Full)
 	c.from.Reset()
 	b.start("b")
-	b.got("fetch").from.Answer("b", "full", "", "")
-	b.ends(backend.Full)
+	b.nextCommand("fetch").from.Answer("b", "full", "", "")
+	b.expectOutcome(backend.Full)
 	b.until("an idle connection stays", func() bool { return b.pool.ConnCount() == 0 })
 }
