--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -65,7 +65,7 @@
 		if !seen.add(index) {
 			return r, errors.New("field " + requestFields[index] + " came twice")
 		}
-		if !r.set(string(name), value) || !isText {
+		if !r.set(requestFields[index], value) || !isText {
 			return r, errors.New("field " + string(name) + " cannot be read")
 		}
 	}
