--- /dev/null
+++ b/internal/recovery/job_test.go
@@ -0,0 +1,42 @@
+package recovery
+
+import "testing"
+
+func TestStateOfAJobAfterItsRecords(t *testing.T) {
+	const call = CallID("c1")
+	var (
+		isDispatched = dispatched(call, 1)
+		hasRun       = ended(call, OutcomeRan, "")
+		neverRan     = ended(call, OutcomeNeverRan, "")
+		isUnknown    = ended(call, OutcomeUnknown, "")
+		isDone       = answered(call, AnswerDone)
+		isCancelled  = answered(call, AnswerCancelled)
+	)
+	for name, c := range map[string]struct {
+		records []step
+		want    jobState
+	}{
+		"accepted":                          {nil, statePending},
+		"dispatched":                        {[]step{isDispatched}, stateDispatched},
+		"an attempt never ran":              {[]step{isDispatched, neverRan}, statePending},
+		"an attempt may have run":           {[]step{isDispatched, isUnknown}, statePending},
+		"dispatched again":                  {[]step{isDispatched, isUnknown, isDispatched}, stateDispatched},
+		"an attempt ran":                    {[]step{isDispatched, hasRun}, stateRan},
+		"answered after it ran":             {[]step{isDispatched, hasRun, isDone}, stateAnswered},
+		"cancelled while pending":           {[]step{isCancelled}, stateAnswered},
+		"cancelled while dispatched":        {[]step{isDispatched, isCancelled}, stateAnswered},
+		"an attempt ends after the cancel":  {[]step{isDispatched, isCancelled, neverRan}, stateAnswered},
+		"an attempt ran although cancelled": {[]step{isDispatched, isCancelled, hasRun}, stateAnswered},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ledger := NewLedger(1)
+			mustApply(t, ledger, KindAccepted, accepted(call, "", EffectRunOnce).body)
+			for _, record := range c.records {
+				mustApply(t, ledger, record.kind, record.body)
+			}
+			if got := ledger.jobs[call].state(); got != c.want {
+				t.Errorf("%v, not %v", got, c.want)
+			}
+		})
+	}
+}
