--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -28,14 +28,14 @@
 }
 
 func TestEachFailureOfAScenarioIsNamed(t *testing.T) {
-	good := result{scenario: scenario{wantedPhase: rollout.Done, maxStage: 2}, phase: rollout.Done, stage: 2, jobs: minJobs}
+	good := result{scenario: scenario{wantedPhase: rollout.PhaseDone, maxStage: 2}, phase: rollout.PhaseDone, stage: 2, jobs: minJobs}
 	if list := good.failures(); len(list) != 0 {
 		t.Errorf("a good one: %q", list)
 	}
 	for want, change := range map[string]func(*result){
 		"it broke":                     func(r *result) { r.err = errors.New("it broke") },
-		"wanted done":                  func(r *result) { r.phase = rollout.Back },
-		"does not end":                 func(r *result) { r.wantedPhase, r.phase = "", rollout.Baking },
+		"wanted done":                  func(r *result) { r.phase = rollout.PhaseRolledBack },
+		"does not end":                 func(r *result) { r.wantedPhase, r.phase = "", rollout.PhaseBaking },
 		"stopped at stage 3 only":      func(r *result) { r.stage = 3 },
 		"1 connections broke":          func(r *result) { r.brokenConnections = 1 },
 		"only 99 jobs":                 func(r *result) { r.jobs = minJobs - 1 },
