--- a/cmd/swiftreel/rough_test.go
+++ b/cmd/swiftreel/rough_test.go
@@ -24,11 +24,17 @@
 }
 
 func roughDay(t *testing.T, seed uint64) {
+	t.Helper()
 	left := func() [4]uint64 {
-		return [4]uint64{counters.Value("jobs_left"), counters.Value("bytes_left"), counters.Value("dispatch_out_of_turn"), counters.Value("action_for_no_job")}
+		return [4]uint64{
+			counters.Value("jobs_left"),
+			counters.Value("bytes_left"),
+			counters.Value("dispatch_out_of_turn"),
+			counters.Value("action_for_no_job"),
+		}
 	}
 	before := left()
-	w := newTownOf(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
+	w := newTownOf(t, fake.NewFaultyEngine(seed).Handle, "e1", "e2", "e3")
 	var usual, others sync.WaitGroup
 	over := make(chan struct{})
 	for i := range uint64(4) { // usual clients
@@ -42,13 +48,13 @@
 					return
 				default:
 				}
-				if fake.Rude(w.address, chance) {
+				if fake.MisbehavingClient(w.address, chance) {
 					t.Error("a bad client was served")
 				}
 			}
 		})
 	}
-	feeds := []*fake.Feed{w.feed}
+	feeds := []*fake.Discovery{w.feed}
 	others.Go(func() { feeds = w.roughFeed(rand.New(rand.NewPCG(seed, 9)), over) })
 	usual.Wait()
 	close(over)
@@ -70,7 +76,8 @@
 	for sent := 0; sent < n || len(open) > 0; {
 		if sent < n && len(open) < 8 {
 			id := fmt.Sprintf("%016x", first<<20+uint64(sent))
-			number, err := c.Send("lookup", "SELECT 1 FROM a_1.b", "call", id, "ttl", "1500", "org", "acme", "work", "20", "est_mb", "8")
+			number, err := c.Send("lookup", "SELECT 1 FROM a_1.b",
+				"call", id, "ttl", "1500", "org", "acme", "work", "20", "est_mb", "8")
 			if err != nil {
 				w.t.Error(err)
 				return
@@ -87,7 +94,7 @@
 			return
 		case !is:
 			w.t.Errorf("a second answer, or one for nothing: %+v", a)
-		case a.Error == "" && string(a.Body) != fake.Rows(id):
+		case a.Error == "" && string(a.Body) != fake.FaultyEngineRows(id):
 			w.t.Errorf("done with what no engine made: %.60q", a.Body)
 		case a.Error != "" && a.Error != "Overloaded" && a.Error != "Internal":
 			w.t.Errorf("%+v", a)
@@ -97,8 +104,8 @@
 }
 
 // roughFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
-func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Feed {
-	feeds := []*fake.Feed{w.feed}
+func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Discovery {
+	feeds := []*fake.Discovery{w.feed}
 	known := strings.TrimSuffix(strings.SplitN(good(w.config), `"events":[`, 2)[1], "]},\"settings\":"+facts+"}")
 	for {
 		select {
@@ -109,7 +116,7 @@
 		now := feeds[len(feeds)-1]
 		switch chance.IntN(6) {
 		case 0:
-			now.Cut()
+			now.DropConnections()
 		case 1:
 			now.Replay(false)
 		case 2:
@@ -117,17 +124,19 @@
 		case 3:
 			now.Write("noise\n")
 		case 4: // half a file
-			os.WriteFile(w.config, []byte(good(w.config)[:200]), 0o600)
+			if err := os.WriteFile(w.config, []byte(good(w.config)[:200]), 0o600); err != nil {
+				w.t.Error(err)
+			}
 			w.hup()
 			w.write(now.Address(), known)
 		case 5:
-			moved, err := fake.StartFeed("127.0.0.1:0", 1)
+			moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 			if err != nil {
 				w.t.Error(err)
 				return feeds
 			}
 			feeds = append(feeds, moved)
-			moved.Load(known)
+			moved.AddRaw(known)
 			w.write(moved.Address(), known)
 			w.hup()
 			now.Close()
--- a/internal/command/render.go
+++ b/internal/command/render.go
@@ -90,9 +90,9 @@
 		for _, name := range types {
 			_, _ = fmt.Fprint(table, "\t", threads[cell{use.Engine, name}])
 		}
-		used := int(barLength * use.Threads / max(1, use.May))
+		used := int(barLength * use.Threads / max(1, use.Usable))
 		bar := strings.Repeat("#", used) + strings.Repeat(".", barLength-used)
-		_, _ = fmt.Fprintf(table, "\t%d of %d\t%s\n", use.Threads, use.May, bar)
+		_, _ = fmt.Fprintf(table, "\t%d of %d\t%s\n", use.Threads, use.Usable, bar)
 	}
 }
 
@@ -100,11 +100,11 @@
 func renderTotals(table io.Writer, step solve.Step) {
 	_, _ = fmt.Fprintln(table, "\ntype\tthreads given\tasked for")
 	for _, served := range step.Served {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", served.Type, served.Given, served.Asked)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\n", served.Type, served.Granted, served.Requested)
 	}
 	_, _ = fmt.Fprintln(table, "\ntenant\tthreads\tshare")
 	for _, share := range step.Shares {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f%%\n", share.Tenant, share.Threads, float64(share.PerMio)/perMillionPercent)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f%%\n", share.Tenant, share.Threads, float64(share.PerMillion)/perMillionPercent)
 	}
 }
 
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -13,7 +13,7 @@
 func (r *clusterRun) checkFences() error {
 	texts := r.killedLogs
 	for _, member := range r.cluster.Members {
-		texts = append(texts, member.Keeper.Log())
+		texts = append(texts, member.Supervisor.Log())
 	}
 	leaders := map[int64]string{} // by term
 	for _, text := range texts {
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -28,18 +28,18 @@
 
 // fault is an entry of a schedule. It is printed as JSON, so that a schedule that fails can be played again.
 type fault struct {
-	AtMS    int64           `json:"at_ms"` // since the scenario's start
-	Member  int             `json:"member"`
-	Mode    testcluster.Way `json:"way"` // of the link to the supervisor
-	DelayMS int64           `json:"delay_ms"`
-	Repeat  bool            `json:"repeat"`  // the last order is delivered once more
-	StopMS  int64           `json:"stop_ms"` // the supervisor is stopped (SIGSTOP) for so long
+	AtMS    int64                `json:"at_ms"` // since the scenario's start
+	Member  int                  `json:"member"`
+	Mode    testcluster.LinkMode `json:"way"` // of the link to the supervisor
+	DelayMS int64                `json:"delay_ms"`
+	Repeat  bool                 `json:"repeat"`  // the last order is delivered once more
+	StopMS  int64                `json:"stop_ms"` // the supervisor is stopped (SIGSTOP) for so long
 }
 
 const (
 	scheduleSpanMS   = 3000
 	firstFaultMS     = 200
-	linkModes        = 5 // of testcluster.Way
+	linkModes        = 5 // of testcluster.LinkMode
 	scheduleSequence = 7 // of the random source
 )
 
@@ -55,7 +55,7 @@
 		case 1:
 			f.StopMS = 50 + random.Int64N(600)
 		default:
-			f.Mode = testcluster.Way(random.IntN(linkModes))
+			f.Mode = testcluster.LinkMode(random.IntN(linkModes))
 			f.DelayMS = 20 + random.Int64N(300)
 		}
 		faults = append(faults, f)
