--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -377,12 +377,16 @@
 		"a page": "a data sheets=1 40\r\none\ttw",
 		"next":   "x full - 0\r\n\r\na da",
 	} {
-		b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 10 * time.Millisecond })
-		b.start("a")
-		b.nextCommand("fetch").from.Write([]byte(half))
-		if b.expectOutcome(backend.Reset); b.pool.ConnCount() != 0 {
-			t.Error(name, "leaves its connection open")
-		}
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = time.Second })
+			b.start("a")
+			b.nextCommand("fetch").from.Write([]byte(half))
+			b.expectOutcome(backend.Reset)
+			if b.pool.ConnCount() != 0 {
+				t.Error("leaves its connection open")
+			}
+		})
 	}
 }
 
