--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -19,15 +19,15 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
+	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() })
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
 		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
@@ -37,7 +37,7 @@
 	if err := os.Rename(folder+".gone", folder); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	stopAndCheckRules(t, w, l)
@@ -47,38 +47,38 @@
 // their time to start: the change waits for what is mended, and reaches all.
 func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steeredProgram, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
+	w, err := testcluster.Config{Program: steeredProgram, Seed: 3, Controllers: 3, Engines: 2, StartDelayMS: 300, ClockOffsetMS: map[int]int{0: -420_000, 2: 420_000}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	disk := func(name, how string) {
 		t.Helper()
-		if err := w.Disk(name, how); err != nil {
+		if err := w.SetDisk(name, how); err != nil {
 			t.Fatal(err)
 		}
 	}
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(steeredProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	p, err := w.StartCoordinator(steeredProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
-	disk(testcluster.Conductors, "full")
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() })
+	disk(testcluster.CoordinatorDisk, "full")
+	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
-	disk(testcluster.Conductors, "300ms")
-	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() })
+	disk(testcluster.CoordinatorDisk, "300ms")
+	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Exited() })
 	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") || !everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
 	}
 	for _, m := range w.Members {
 		disk(m.Name, "300ms")
 	}
-	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
@@ -91,18 +91,18 @@
 // A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
 func TestAMemberThatDiesWithItsOrder(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steeredProgram, Seed: 13, Controllers: 3, Engines: 2}.Town()
+	w, err := testcluster.Config{Program: steeredProgram, Seed: 13, Controllers: 3, Engines: 2}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(13, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(13, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(steeredProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
+	p, err := w.StartCoordinator(steeredProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
@@ -118,21 +118,21 @@
 		t.Fatal(err)
 	}
 	syscall.Kill(s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
-	if err := w.Disk(next.Name, "400ms"); err != nil {
+	if err := w.SetDisk(next.Name, "400ms"); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "it is ordered, and has not said so", func() bool {
 		text, _ := os.ReadFile(filepath.Join(w.Dir, next.Name, "held.json"))
-		return strings.Contains(string(text), `"budget_free"`) || p.Over()
+		return strings.Contains(string(text), `"budget_free"`) || p.Exited()
 	})
-	next.Keeper.End()
-	if err := w.Disk(next.Name, ""); err != nil {
+	next.Supervisor.Kill()
+	if err := w.SetDisk(next.Name, ""); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Again(next); err != nil {
+	if err := w.StartSupervisor(next); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -19,24 +19,24 @@
 // A key whose job still runs under the older process of a controller goes on under the newer one only once that is over.
 func TestAKeyWaitsForThePredecessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(currentProgram, 1, 1, 1, false)
+	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 1, Engines: 1}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	m := w.Members[0]
-	w.Fates.Takes(4 * time.Second)
+	w.Faults.SetWorkDuration(4 * time.Second)
 	began := func(job string) (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Job == job && e.Event == rulecheck.Began {
 				n++
 			}
 		}
 		return n
 	}
-	ready := func() (c *fake.Caller) {
+	ready := func() (c *fake.Client) {
 		waitUntil(t, w, "a process that is ready", func() bool {
-			c, err = fake.Dial(m.Clients)
+			c, err = fake.Dial(m.ClientAddress)
 			if err != nil {
 				return false
 			}
@@ -45,19 +45,19 @@
 		})
 		return c
 	}
-	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: "import", Key: "k", Front: m.Name, DeadlineNS: time.Now().Add(8 * time.Second).UnixNano()})
+	ask := func(c *fake.Client, job string) {
+		w.Events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: "import", Key: "k", Front: m.Name, DeadlineNS: time.Now().Add(8 * time.Second).UnixNano()})
 		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	answer := func(c *fake.Caller, job string) {
+	answer := func(c *fake.Client, job string) {
 		t.Helper()
 		a, err := c.Read(20 * time.Second)
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		w.Events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
@@ -72,10 +72,10 @@
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
-	if !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2") {
+	if !strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2") {
 		t.Error("the newer one is not taught")
 	}
-	w.Fates.Takes(4 * time.Millisecond)
+	w.Faults.SetWorkDuration(4 * time.Millisecond)
 	b := ready()
 	ask(b, second)
 	answer(a, first)
@@ -89,7 +89,7 @@
 	if began(second) != 1 {
 		t.Errorf("the second began %d times", began(second))
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -103,7 +103,7 @@
 	if want.Program.Digest, err = change.FileDigest(path); err != nil {
 		t.Fatal(err)
 	}
-	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
+	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}, 2*time.Second, 2*time.Second)
 	if errs := fleet.SendOrders(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}, By: "x", Member: m.Name, Spec: want}}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -112,34 +112,34 @@
 // An engine just started while an older and a newer process of one controller live: together they keep rule 4.
 func TestAStartingEngineIsSparedByBothProcesses(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 10, Controllers: 1, Engines: 2, Cold: true}.Town()
+	w, err := testcluster.Config{Program: currentProgram, Seed: 10, Controllers: 1, Engines: 2, EnginesWarmUp: true}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	w.Fates.Takes(120 * time.Millisecond)
-	l := w.NewLoad(10, 60, 10*time.Millisecond, false)
+	w.Faults.SetWorkDuration(120 * time.Millisecond)
+	l := w.StartLoad(10, 60, 10*time.Millisecond, false)
 	m := w.Members[0]
 	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 200 })
 	s, err := w.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Reborn("e2")
+	w.ListRestarted("e2")
 	sendOrder(t, m, s, otherProgram)
 	waitUntil(t, w, "both live", func() bool {
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
 	})
-	w.Reborn("e2") // once more, while they do
+	w.ListRestarted("e2") // once more, while they do
 	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
 	cold := func() (n int) {
 		started := int64(0)
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 && e.TimeNS < started+testcluster.ColdRules().WarmUp {
+			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 && e.TimeNS < started+testcluster.WarmUpRules().WarmUp {
 				n++
 			}
 		}
@@ -151,12 +151,12 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.ColdRules(), w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.WarmUpRules(), w.Events.Entries()) {
 		t.Error(v)
 	}
-	tight := testcluster.ColdRules()
+	tight := testcluster.WarmUpRules()
 	tight.WarmUpWorkPerCore /= 100
-	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
+	if !slices.ContainsFunc(rulecheck.Check(tight, w.Events.Entries()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
 		t.Error("so little was sent to it that nothing is shown")
 	}
 }
@@ -164,18 +164,18 @@
 // What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its start.
 func TestAnEjectedEngineIsEjectedForTheSuccessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(currentProgram, 11, 1, 3, false)
+	w, err := testcluster.Config{Program: currentProgram, Seed: 11, Controllers: 1, Engines: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(11, 10, 10*time.Millisecond, false)
+	l := w.StartLoad(11, 10, 10*time.Millisecond, false)
 	m := w.Members[0]
-	w.Fates.Break("e2", true)
+	w.Faults.SetFailing("e2", true)
 	var was supervisor.Status
 	waitUntil(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 })
 	broken := func() (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
@@ -185,11 +185,11 @@
 	l.Stop() // no job of the older one's is to count below
 	sendOrder(t, m, was, otherProgram)
 	waitUntil(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving })
-	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
+	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2 engines=3") {
+		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Supervisor.Log())
 	}
 	before := broken()
-	l = w.NewLoad(12, 10, 10*time.Millisecond, false)
+	l = w.StartLoad(12, 10, 10*time.Millisecond, false)
 	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 100 })
 	if n := broken() - before; n > 0 {
 		t.Errorf("%d jobs were sent to it", n)
--- a/internal/proof/rollout/transfer.go
+++ b/internal/proof/rollout/transfer.go
@@ -46,22 +46,22 @@
 
 // retriesAfterSwitch returns how many retries the newer process made for its first jobs.
 func retriesAfterSwitch(program, environment string) (float64, error) {
-	cluster, err := testcluster.Plan{
+	cluster, err := testcluster.Config{
 		Program:     program,
 		Seed:        transferSeed,
 		Controllers: 1,
 		Engines:     transferEngines,
-		Env:         []string{environment},
-	}.Town()
+		ExtraEnv:    []string{environment},
+	}.Start()
 	if err != nil {
 		return 0, err
 	}
 	defer cluster.Close()
-	cluster.Fates.Takes(transferJobTime)
+	cluster.Faults.SetWorkDuration(transferJobTime)
 	m := cluster.Members[0]
-	load := cluster.NewLoad(transferSeed, transferClients, transferPause, false)
+	load := cluster.StartLoad(transferSeed, transferClients, transferPause, false)
 	isWarm := func() bool { return load.Done.Load() > warmUpJobs }
-	if err := cluster.Await(awaitTimeout, isWarm); err != nil {
+	if err := cluster.WaitUntil(awaitTimeout, isWarm); err != nil {
 		return 0, err
 	}
 	before, err := cluster.Status(m)
@@ -76,7 +76,7 @@
 	if err == nil {
 		err = cluster.Stop()
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		return 0, fmt.Errorf("%v", v)
 	}
 	if err != nil {
@@ -86,9 +86,9 @@
 }
 
 // awaitFirstJobs waits until a newer process of the controller has answered its first jobs, and returns its status.
-func awaitFirstJobs(cluster *testcluster.Town, startedBefore int64) (supervisor.Status, error) {
+func awaitFirstJobs(cluster *testcluster.Cluster, startedBefore int64) (supervisor.Status, error) {
 	var after supervisor.Status
-	err := cluster.Await(awaitTimeout, func() bool {
+	err := cluster.WaitUntil(awaitTimeout, func() bool {
 		status, err := cluster.Status(cluster.Members[0])
 		if err != nil || status.StartedUnixNS == startedBefore {
 			return false
