--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -147,8 +147,8 @@
 	}
 	for i := range 2 * maxItems {
 		command := Command{Term: 4, Item: fmt.Sprint(i), Value: []byte("1")}
-		hasRoom := len(state.Items) < maxItems
-		if err := state.apply(command); (err == nil) != hasRoom {
+		isAccepted := len(state.Items) < maxItems
+		if err := state.apply(command); (err == nil) != isAccepted {
 			t.Errorf("item %d: %v", i, err)
 		}
 	}
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -55,13 +55,13 @@
 	return s.node.Propose(s.term, name, value)
 }
 
-// May reports whether the term is active now.
+// IsLeader reports whether the term is active now.
 func (s termStore) IsLeader() bool { return s.node.ActiveTerm() == s.term }
 
 // Term returns the fencing token.
 func (s termStore) Term() int64 { return int64(s.term) }
 
-// Name returns the leader's name.
+// LeaderName returns the name of this member.
 func (s termStore) LeaderName() string { return s.node.name }
 
 // NewDuties returns the duties of a process. Files named in the operator's settings are relative to folder.
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -50,16 +50,16 @@
 
 func TestAPlanIsDueWhenSomethingChanges(t *testing.T) {
 	p := New(base, Timing{MaxInterval: 180e9, MinInterval: 10e9}, 0)
-	usual := observation(100, 5, "e1", "e2", "e3")
-	expectNext(t, p, 5, usual, "")
-	problem := expectNext(t, p, 11, usual, "first plan")
+	typical := observation(100, 5, "e1", "e2", "e3")
+	expectNext(t, p, 5, typical, "")
+	problem := expectNext(t, p, 11, typical, "first plan")
 	first := solve.Demand{Type: "lookup", Tenant: "acme", Zone: "east", JobsPer1000S: 120_000}
 	if len(problem.Engines) != 3 || len(problem.Demand) != 2 || problem.Demand[0] != first {
 		t.Errorf("%+v", problem)
 	}
 	expectNext(t, p, 30, observation(110, 5, "e1", "e2", "e3"), "")
 	expectNext(t, p, 40, observation(100, 8, "e1", "e2", "e3"), `report from "east" needs 16.0 threads, planned for 10.0`)
-	expectNext(t, p, 45, usual, "") // too early
+	expectNext(t, p, 45, typical, "") // too early
 	expectNext(t, p, 46, observation(1, 8, "e1", "e2", "e3"), "")
 	expectNext(t, p, 60, observation(100, 8, "e1", "e3"), "") // not confirmed yet
 	problem = expectNext(t, p, 61, observation(100, 8, "e1", "e3"), "2 engines, planned for 3")
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -39,7 +39,8 @@
 		}
 		var fence change.Fence
 		var by string
-		if _, err := fmt.Sscanf(fields, "%d.%d.%d ordered_by=%s", &fence.Number, &fence.Term, &fence.Revision, &by); err != nil {
+		_, err := fmt.Sscanf(fields, "%d.%d.%d ordered_by=%s", &fence.Number, &fence.Term, &fence.Revision, &by)
+		if err != nil {
 			return err
 		}
 		if fence.Compare(last) <= 0 {
