--- a/internal/leader/errors.go
+++ b/internal/leader/errors.go
@@ -8,7 +8,7 @@
 // Reasons for which a request to a member is refused.
 var (
 	// ErrNotLeader: the request needs the leader, and this member is not, or is handing over.
-	ErrNotLeader = errors.New("this member is not the leader: swiftreel fleet owner shows which one is")
+	ErrNotLeader = errors.New("this member is not the leader: swiftreel fleet leader shows which one is")
 	// ErrNotMember: the process belongs to no fleet yet, or its store has failed.
 	ErrNotMember = errors.New("this process is not an active member of a fleet")
 	// ErrAlreadyMember: a member cannot be bootstrapped again, except to recover the fleet.
