--- a/scripts/layers_test.go
+++ b/scripts/layers_test.go
@@ -14,8 +14,8 @@
 	architecturePage = "../docs/architecture.md"
 )
 
-// TestImportsFollowTheLayersOfTheArchitecturePage: each package stands in the table of layers, and imports no package of a
-// layer above its own.
+// TestImportsFollowTheLayersOfTheArchitecturePage: each package stands in the table of layers, and imports no package
+// of a layer above its own.
 func TestImportsFollowTheLayersOfTheArchitecturePage(t *testing.T) {
 	layers := readLayers(t)
 	for importer, imported := range listImports(t) {
@@ -63,7 +63,8 @@
 // listImports returns the packages of the module that each package imports, without tests, proofs and scripts.
 func listImports(t *testing.T) map[string][]string {
 	t.Helper()
-	command := exec.CommandContext(t.Context(), "go", "list", "-f", "{{.ImportPath}} {{join .Imports \" \"}}", "swiftreel/...")
+	const form = "{{.ImportPath}} {{join .Imports \" \"}}"
+	command := exec.CommandContext(t.Context(), "go", "list", "-f", form, "swiftreel/...")
 	out, err := command.Output()
 	if err != nil {
 		t.Fatal(err)
