--- a/example/demo.go
+++ b/example/demo.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	readyPolls    = 50
-	readyInterval = 100 * time.Millisecond
+	readyPolls   = 50
+	readyPolling = 100 * time.Millisecond
 )
 
 var errNotReady = errors.New("the controller does not get ready")
 
-// demo shows it all in a few seconds.
+// demo shows a controller at work in a few seconds.
 func demo() error {
-	f, err := startFakes()
+	running, err := startFakes()
 	if err != nil {
 		return err
 	}
@@ -28,34 +28,64 @@
 	if err != nil {
 		return err
 	}
-	err = awaitReady()
-	if err == nil {
-		err = showJobs(f)
+	if !waitReady() {
+		_ = controller.Process.Kill() // it may have ended by itself
+		return errNotReady
 	}
+	err = playJobs(running)
 	log.Print("\n-- the controller is told to stop")
-	return errors.Join(err, controller.Process.Signal(syscall.SIGTERM), controller.Wait())
+	return errors.Join(err, stopController(controller))
+}
+
+// playJobs sends one job that is served, one that is throttled, and some while an engine is lost.
+func playJobs(running *fakes) error {
+	log.Print("\n-- a job is served")
+	if err := send([]string{"SELECT * FROM sales_17.orders"}); err != nil {
+		return err
+	}
+	log.Print("\n-- a job whose work cannot end before its job timeout is throttled at once")
+	if err := send([]string{"-work", "60000", "SELECT * FROM sales_17.orders"}); err != nil {
+		return err
+	}
+	log.Print("\n-- an engine is lost; jobs go on")
+	running.loseEngine("e1")
+	for range 4 {
+		importJob := "INSERT INTO sales_17.orders SELECT * FROM staging.x"
+		if err := send([]string{"-type", "import", "-ttl", "20000", "-key", "k1", importJob}); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
 // startController starts bin/swiftreel with the example's configuration.
-func startController(args ...string) (*exec.Cmd, error) {
-	controller := exec.Command("bin/swiftreel", args...)
-	controller.Env = append(os.Environ(), "ROUTER_CONFIG=example/config.json")
+func startController(arguments ...string) (*exec.Cmd, error) {
+	controller := exec.Command("bin/swiftreel", arguments...)
+	controller.Env = append(os.Environ(), "ROUTER_CONFIG="+configFile)
 	controller.Stderr = os.Stderr
 	return controller, controller.Start()
 }
 
-func awaitReady() error {
+// stopController has the controller end as an operator does, and waits until it has.
+func stopController(controller *exec.Cmd) error {
+	if err := controller.Process.Signal(syscall.SIGTERM); err != nil {
+		return err
+	}
+	return controller.Wait()
+}
+
+// waitReady reports whether the controller accepts jobs within some seconds.
+func waitReady() bool {
 	for range readyPolls {
-		if ready() {
-			return nil
+		if isReady() {
+			return true
 		}
-		time.Sleep(readyInterval)
+		time.Sleep(readyPolling)
 	}
-	return errNotReady
+	return false
 }
 
-// ready reports whether the controller welcomes jobs.
-func ready() bool {
+func isReady() bool {
 	client, err := fake.Dial(controllerAddress)
 	if err != nil {
 		return false
@@ -64,24 +94,3 @@
 	ready, err := client.Ready()
 	return ready && err == nil
 }
-
-// showJobs sends jobs that are served, one that is throttled, and some while an engine is lost.
-func showJobs(all *fakes) error {
-	log.Print("\n-- a job is served")
-	if err := send([]string{"SELECT * FROM sales_17.orders"}); err != nil {
-		return err
-	}
-	log.Print("\n-- a job whose work cannot end before its job timeout is throttled at once")
-	if err := send([]string{"-work", "60000", "SELECT * FROM sales_17.orders"}); err != nil {
-		return err
-	}
-	log.Print("\n-- an engine is lost; jobs go on")
-	all.lose("e1")
-	for range 4 {
-		statement := "INSERT INTO sales_17.orders SELECT * FROM staging.x"
-		if err := send([]string{"-type", "import", "-ttl", "20000", "-key", "k1", statement}); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/example/fakes.go
+++ b/example/fakes.go
@@ -4,8 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"log"
-	"maps"
-	"slices"
 	"sync"
 	"time"
 
@@ -13,32 +11,38 @@
 	"swiftreel/internal/fake"
 )
 
+// feedAddress and engineAddresses are those of example/config.json.
+const feedAddress = "127.0.0.1:9379"
+
+var engineAddresses = map[string]string{"e1": "127.0.0.1:9101", "e2": "127.0.0.1:9102"}
+
 const (
-	discoveryAddress = "127.0.0.1:9379" // as in example/config.json
-	firstEvent       = 2                // the configuration knows event 1
-	workTime         = 100 * time.Millisecond
-	delistDelay      = 2 * time.Second // from an engine's loss until discovery lists it as gone
+	firstEvent  = 2 // the configuration knows event 1
+	jobDuration = 100 * time.Millisecond
+	listDelay   = 2 * time.Second // from the loss of an engine until the feed says so
 )
 
-// engineAddresses are where example/config.json knows the engines.
-var engineAddresses = map[string]string{"e1": "127.0.0.1:9101", "e2": "127.0.0.1:9102"}
+// States of an engine in the feed.
+const (
+	stateReady   = "ready"
+	stateRemoved = "gone"
+)
 
-// fakes are the discovery server and the engines that are up.
+// fakes are the engines that are up, and the feed.
 type fakes struct {
-	discovery *fake.Discovery
+	feed *fake.Discovery
 
 	mu      sync.Mutex
-	engines map[string]*fake.Engine // by name
+	engines map[string]*fake.Engine
 }
 
-// startFakes starts all of them.
 func startFakes() (*fakes, error) {
-	discovery, err := fake.StartDiscovery(discoveryAddress, firstEvent)
+	feed, err := fake.StartDiscovery(feedAddress, firstEvent)
 	if err != nil {
 		return nil, err
 	}
-	f := &fakes{discovery: discovery, engines: map[string]*fake.Engine{}}
-	for _, name := range slices.Sorted(maps.Keys(engineAddresses)) {
+	f := &fakes{feed: feed, engines: map[string]*fake.Engine{}}
+	for name := range engineAddresses {
 		if err := f.startEngine(name); err != nil {
 			return nil, err
 		}
@@ -47,98 +51,113 @@
 }
 
 func (f *fakes) startEngine(name string) error {
-	handler := &engineHandler{name: name, running: map[string]bool{}}
-	e, err := fake.StartEngine(engineAddresses[name], handler.handle)
+	jobs := &engineJobs{engine: name, running: map[string]bool{}}
+	started, err := fake.StartEngine(engineAddresses[name], jobs.handle)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.engines[name] = e
+	f.engines[name] = started
+	f.mu.Unlock()
 	return nil
 }
 
-// listedEngine is an engine's entry in the endpoint list.
-type listedEngine struct {
-	Host      string `json:"host"`
-	Dial      string `json:"dial"`
-	Site      string `json:"site"`
-	Class     string `json:"class"`
-	Block     int    `json:"block"`
-	Health    string `json:"health"`
-	Share     int    `json:"share"`
-	StartedMS int64  `json:"born_ms"` // 0: not known
-}
-
-// list lists an engine in a state.
-func (f *fakes) list(name, state string, startedMS int64) {
-	entry := listedEngine{Host: name, Dial: engineAddresses[name], Site: "east", Class: "std", Health: state, Share: 1,
-		StartedMS: startedMS}
-	text, err := json.Marshal([]listedEngine{entry})
-	if err != nil {
-		log.Print(err)
-		return
+// command carries out a line of standard input.
+func (f *fakes) command(fields []string) {
+	if len(fields) == 2 && engineAddresses[fields[1]] != "" {
+		switch fields[0] {
+		case "lose":
+			f.loseEngine(fields[1])
+			return
+		case "back":
+			f.restoreEngine(fields[1])
+			return
+		}
 	}
-	log.Printf("discovery: %s", f.discovery.AddEvent(false, string(text)))
+	log.Print("lose or back, and e1 or e2")
 }
 
-// lose ends an engine as a crash does; discovery lists it as gone a while later.
-func (f *fakes) lose(name string) {
+// loseEngine ends an engine as a crash does. The feed says so some time later.
+func (f *fakes) loseEngine(name string) {
 	f.mu.Lock()
-	e := f.engines[name]
+	lost := f.engines[name]
 	delete(f.engines, name)
 	f.mu.Unlock()
-	if e == nil {
+	if lost == nil {
 		return
 	}
-	e.Close()
+	lost.Close()
 	log.Printf("%s is lost", name)
-	time.AfterFunc(delistDelay, func() { f.list(name, "gone", 0) })
+	time.AfterFunc(listDelay, func() { f.announce(name, stateRemoved, 0) })
 }
 
-// restart starts an engine that was lost, and lists it as just started.
-func (f *fakes) restart(name string) {
+func (f *fakes) restoreEngine(name string) {
 	if err := f.startEngine(name); err != nil {
 		log.Print(err)
 		return
 	}
-	f.list(name, "ready", time.Now().UnixMilli())
+	f.announce(name, stateReady, time.Now().UnixMilli())
+}
+
+// feedEntry is an engine as the feed describes it.
+type feedEntry struct {
+	Host   string `json:"host"`
+	Dial   string `json:"dial"`
+	Site   string `json:"site"`
+	Class  string `json:"class"`
+	Block  int    `json:"block"`
+	Health string `json:"health"`
+	Share  int    `json:"share"`
+	BornMS int64  `json:"born_ms"`
+}
+
+// announce has the feed send an engine's state. startedAt is in milliseconds of Unix time; 0: not known.
+func (f *fakes) announce(name, state string, startedAt int64) {
+	event, err := json.Marshal([]feedEntry{{
+		Host: name, Dial: engineAddresses[name], Site: "east", Class: "std", Health: state, Share: 1, BornMS: startedAt,
+	}})
+	if err != nil {
+		log.Print(err)
+		return
+	}
+	log.Printf("feed: %s", f.feed.AddEvent(false, string(event)))
 }
 
-// engineHandler is an engine that takes workTime for each job and returns two pages of a row.
-type engineHandler struct {
-	name string
+// engineJobs are the jobs of one engine: each takes the same time and has two pages.
+type engineJobs struct {
+	engine string
 
 	mu      sync.Mutex
-	running map[string]bool // by the job's id, until it is aborted or done with
+	running map[string]bool
 }
 
-func (h *engineHandler) handle(session *fake.Session, command engine.Command) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// handle answers a command of the line protocol.
+func (e *engineJobs) handle(session *fake.Session, command engine.Command) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	switch command.Name {
 	case "stats", "alive":
-		session.Answer(command.ID, "well", fmt.Sprintf("load=concurrent:%d", len(h.running)), "")
+		session.Answer(command.ID, "well", fmt.Sprintf("load=concurrent:%d", len(e.running)), "")
 	case "fetch":
-		log.Printf("%s runs %s: %s (%s)", h.name, command.ID, command.Body, command.Fields)
-		h.running[command.ID] = true
-		time.AfterFunc(workTime, func() { h.answer(session, command.ID) })
+		log.Printf("%s runs %s: %s (%s)", e.engine, command.ID, command.Body, command.Fields)
+		e.running[command.ID] = true
+		time.AfterFunc(jobDuration, func() { e.finish(session, command.ID) })
 	case "more":
-		if !h.running[command.ID] {
+		if !e.running[command.ID] {
 			session.Answer(command.ID, "failed", "", "")
-			break
+			return
 		}
 		session.Answer(command.ID, "page", fmt.Sprintf("sheet=%d", command.Number), "2\tBlas\tBilbao\n")
 	case "abort", "done":
-		delete(h.running, command.ID)
+		delete(e.running, command.ID)
 	}
 }
 
-// answer sends the first page, unless the job was aborted.
-func (h *engineHandler) answer(session *fake.Session, id string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.running[id] {
+// finish sends the first page, unless the job was cancelled.
+func (e *engineJobs) finish(session *fake.Session, id string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.running[id] {
 		session.Answer(id, "data", "sheets=2,toil=100,room=64", "1\tAda\tMadrid\n")
 	}
 }
--- a/example/send.go
+++ b/example/send.go
@@ -5,51 +5,59 @@
 	"fmt"
 	"log"
 	"math/rand/v2"
+	"strconv"
 	"strings"
 	"time"
 
 	"swiftreel/internal/fake"
 )
 
-// controllerAddress is where example/config.json has the controller listen.
-const controllerAddress = "127.0.0.1:9090"
-
-// answerGrace is how long past a job's timeout its answer is waited for.
-const answerGrace = time.Second
+// answerSlack is how long an answer is waited for beyond its job's timeout.
+const answerSlack = time.Second
 
 // send sends one job and prints its answer.
-func send(args []string) error {
+func send(arguments []string) error {
 	flags := flag.NewFlagSet("send", flag.ExitOnError)
-	method := flags.String("type", "lookup", "the reservation type")
+	jobType := flags.String("type", "lookup", "the reservation type")
 	timeoutMS := flags.Int("ttl", 2500, "job timeout in milliseconds")
 	workMS := flags.Int("work", 100, "estimate of the work in milliseconds")
 	key := flags.String("key", "", "key of an import")
-	if err := flags.Parse(args); err != nil {
+	if err := flags.Parse(arguments); err != nil {
 		return err
 	}
-	fields := []string{"call", fmt.Sprintf("%016x", rand.Uint64()), "ttl", fmt.Sprint(*timeoutMS), "org", "acme",
-		"work", fmt.Sprint(*workMS), "est_mb", "64"}
+	fields := []string{
+		"call", fmt.Sprintf("%016x", rand.Uint64()),
+		"ttl", strconv.Itoa(*timeoutMS),
+		"org", "acme",
+		"work", strconv.Itoa(*workMS),
+		"est_mb", "64",
+	}
 	if *key != "" {
 		fields = append(fields, "row", *key)
 	}
+	statement := strings.Join(flags.Args(), " ")
+	return sendAndPrint(*jobType, statement, fields, time.Duration(*timeoutMS)*time.Millisecond)
+}
+
+func sendAndPrint(jobType, statement string, fields []string, timeout time.Duration) error {
 	client, err := fake.Dial(controllerAddress)
 	if err != nil {
 		return err
 	}
 	defer client.Conn.Close()
-	start := time.Now()
-	if _, err := client.Send(*method, strings.Join(flags.Args(), " "), fields...); err != nil {
+	if _, err := client.Send(jobType, statement, fields...); err != nil {
 		return err
 	}
-	answer, err := client.Read(time.Duration(*timeoutMS)*time.Millisecond + answerGrace)
+	startedAt := time.Now()
+	answer, err := client.Read(timeout + answerSlack)
 	if err != nil {
 		return err
 	}
-	took := time.Since(start).Round(time.Millisecond)
+	duration := time.Since(startedAt).Round(time.Millisecond)
 	if answer.Error != "" {
-		log.Printf("%s after %v: %v", answer.Error, took, answer.Fields)
-		return nil
+		log.Printf("%s after %v: %v", answer.Error, duration, answer.Fields)
+	} else {
+		log.Printf("done after %v:\n%s", duration, answer.Body)
 	}
-	log.Printf("done after %v:\n%s", took, answer.Body)
 	return nil
 }
