--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -105,8 +105,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stats.close)
-	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` + entry("e1", "127.0.0.1:1", "ready") +
-		"," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
+		entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
