--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -240,7 +240,7 @@
 	until := fakeClock + lifetimeMS*nsPerMS
 	for _, name := range fixtureNames {
 		held := f.supervisors[name].held()
-		isRecordedPlan := held.Plan == planned && held.Plan == change.OfJSON(held.PlanText)
+		isRecordedPlan := held.Plan == planned && held.Plan == change.JSONDigest(held.PlanText)
 		if !isRecordedPlan || held.PlanUntil != until || held.SharesUntil != until {
 			t.Errorf("%s holds %+v, the plan is %s", name, held, planned)
 		}
@@ -285,7 +285,7 @@
 		t.Fatal(err)
 	}
 	isNumbered := planned.Term != 0 && planned.Sequence != 0
-	if len(planned.Answer.Steps) == 0 || change.OfJSON(planned.Answer) != planned.Digest || !isNumbered {
+	if len(planned.Answer.Steps) == 0 || change.JSONDigest(planned.Answer) != planned.Digest || !isNumbered {
 		t.Errorf("the recorded plan shows nothing: %+v", planned)
 	}
 	var shares quota.Record
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return Build{}, err
 	}
-	digest, err := change.OfFile(path)
+	digest, err := change.FileDigest(path)
 	if err != nil {
 		return Build{}, err
 	}
