--- a/cmd/swiftreel/rough_test.go
+++ b/cmd/swiftreel/faults_test.go
@@ -19,11 +19,11 @@
 // left: newTown's own check sees goroutines and descriptors, the counters see jobs, ids and bytes.
 func TestAllTroublesAtOnce(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { roughDay(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { playFaults(t, seed) })
 	}
 }
 
-func roughDay(t *testing.T, seed uint64) {
+func playFaults(t *testing.T, seed uint64) {
 	t.Helper()
 	left := func() [4]uint64 {
 		return [4]uint64{
@@ -34,29 +34,29 @@
 		}
 	}
 	before := left()
-	w := newTownOf(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
-	var usual, others sync.WaitGroup
+	w := startControllerWith(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
+	var typicalClients, others sync.WaitGroup
 	over := make(chan struct{})
 	for i := range uint64(4) { // usual clients
-		usual.Go(func() { w.usual(1000*seed+i, 60) })
+		typicalClients.Go(func() { w.sendTypicalJobs(1000*seed+i, 60) })
 	}
 	for i := range uint64(3) { // bad ones
 		others.Go(func() {
-			for chance := rand.New(rand.NewPCG(seed, i)); ; {
+			for random := rand.New(rand.NewPCG(seed, i)); ; {
 				select {
 				case <-over:
 					return
 				default:
 				}
-				if fake.Rude(w.address, chance) {
+				if fake.Rude(w.address, random) {
 					t.Error("a bad client was served")
 				}
 			}
 		})
 	}
 	feeds := []*fake.Feed{w.feed}
-	others.Go(func() { feeds = w.roughFeed(rand.New(rand.NewPCG(seed, 9)), over) })
-	usual.Wait()
+	others.Go(func() { feeds = w.disturbFeed(rand.New(rand.NewPCG(seed, 9)), over) })
+	typicalClients.Wait()
 	close(over)
 	others.Wait()
 	w.finish()
@@ -68,14 +68,14 @@
 	}
 }
 
-// usual sends jobs, some at a time, and checks each one's answer.
-func (w *town) usual(first uint64, n int) {
+// sendTypicalJobs sends jobs, some at a time, and checks each one's answer.
+func (w *testController) sendTypicalJobs(first uint64, n int) {
 	c := w.dial()
 	defer c.Conn.Close()
 	open := map[uint32]string{}
-	for sent := 0; sent < n || len(open) > 0; {
-		if sent < n && len(open) < 8 {
-			id := fmt.Sprintf("%016x", first<<20+uint64(sent))
+	for submitted := 0; submitted < n || len(open) > 0; {
+		if submitted < n && len(open) < 8 {
+			id := fmt.Sprintf("%016x", first<<20+uint64(submitted))
 			number, err := c.Send("lookup", "SELECT 1 FROM a_1.b",
 				"call", id, "ttl", "1500", "org", "acme", "work", "20", "est_mb", "8")
 			if err != nil {
@@ -83,7 +83,7 @@
 				return
 			}
 			open[number] = id
-			sent++
+			submitted++
 			continue
 		}
 		a, err := c.Read(20 * time.Second)
@@ -103,18 +103,21 @@
 	}
 }
 
-// roughFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
-func (w *town) roughFeed(chance *rand.Rand, over <-chan struct{}) []*fake.Feed {
+// disturbFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
+func (w *testController) disturbFeed(random *rand.Rand, over <-chan struct{}) []*fake.Feed {
 	feeds := []*fake.Feed{w.feed}
-	known := strings.TrimSuffix(strings.SplitN(good(w.config), `"events":[`, 2)[1], "]},\"settings\":"+facts+"}")
+	known := strings.TrimSuffix(
+		strings.SplitN(readText(w.config), `"events":[`, 2)[1],
+		"]},\"settings\":"+testSettings+"}",
+	)
 	for {
 		select {
 		case <-over:
 			return feeds
-		case <-time.After(time.Duration(20+chance.IntN(60)) * time.Millisecond):
+		case <-time.After(time.Duration(20+random.IntN(60)) * time.Millisecond):
 		}
 		now := feeds[len(feeds)-1]
-		switch chance.IntN(6) {
+		switch random.IntN(6) {
 		case 0:
 			now.Cut()
 		case 1:
@@ -124,10 +127,10 @@
 		case 3:
 			now.Write("noise\n")
 		case 4: // half a file
-			if err := os.WriteFile(w.config, []byte(good(w.config)[:200]), 0o600); err != nil {
+			if err := os.WriteFile(w.config, []byte(readText(w.config)[:200]), 0o600); err != nil {
 				w.t.Error(err)
 			}
-			w.hup()
+			w.sendSIGHUP()
 			w.write(now.Address(), known)
 		case 5:
 			moved, err := fake.StartFeed("127.0.0.1:0", 1)
@@ -138,13 +141,13 @@
 			feeds = append(feeds, moved)
 			moved.Load(known)
 			w.write(moved.Address(), known)
-			w.hup()
+			w.sendSIGHUP()
 			now.Close()
 		}
 	}
 }
 
-func (w *town) hup() {
+func (w *testController) sendSIGHUP() {
 	select {
 	case w.reload <- syscall.SIGHUP:
 	default: // one is waiting
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -23,15 +23,15 @@
 "tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},
 "demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":300000}]}`
 
-// line carries a command line out and gives its code and output.
-func line(t *testing.T, args ...string) (int, string) {
+// runCommand carries a command line out and gives its code and output.
+func runCommand(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
 	code := command.Run(args, &out, &out, func(command.ServeOptions) error { t.Error("it serves"); return nil })
 	return code, out.String()
 }
 
-func write(t *testing.T, path, text string) string {
+func writeFile(t *testing.T, path, text string) string {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 
 func TestAPlanFromProblemToController(t *testing.T) {
 	dir := t.TempDir()
-	from, plan := write(t, filepath.Join(dir, "problem.json"), problem), filepath.Join(dir, "plan.json")
-	if code, out := line(t, "solve", from, "--out", plan, "--explain", "--time", "20s"); code != 0 ||
+	from, plan := writeFile(t, filepath.Join(dir, "problem.json"), problem), filepath.Join(dir, "plan.json")
+	if code, out := runCommand(t, "solve", from, "--out", plan, "--explain", "--time", "20s"); code != 0 ||
 		!strings.Contains(out, "optimal by solver") {
 		t.Fatalf("%d: %s", code, out)
 	}
@@ -51,27 +51,27 @@
 		{"check", "--kind", "plan", plan}, {"check", "--kind", "problem", from},
 		{"solve", from, "--json", "--method", "proportional"},
 	} {
-		if code, out := line(t, args...); code != 0 {
+		if code, out := runCommand(t, args...); code != 0 {
 			t.Errorf("%v: %d: %s", args, code, out)
 		}
 	}
-	own := write(t, filepath.Join(dir, "own.json"), `{}`)
+	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := newTown(t, "e1", "e2")
+	w := startController(t, "e1", "e2")
 	// Jobs go one after the other, so that both engines are empty: all go where the plan wants them.
 	done := func(host string) {
 		t.Helper()
 		for range 6 {
-			id := w.job("lookup", "20000")
-			c := w.got("fetch")
+			id := w.submit("lookup", "20000")
+			c := w.nextCommand("fetch")
 			if host != "" && c.host != host {
 				t.Errorf("sent to %s", c.host)
 			}
 			c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-			w.answer(id, "")
+			w.expectAnswer(id, "")
 		}
 	}
-	reload := func(counter, text string) { t.Helper(); w.rewrite(own, counter, text) }
+	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(own, counter, text) }
 	done("")
 	reload("reloads", `{"plan":{"file":"plan.json"}}`)
 	done("e1")
@@ -82,7 +82,7 @@
 }
 
 func TestABuildTellsWhatItIs(t *testing.T) {
-	code, out := line(t, "version", "--json")
+	code, out := runCommand(t, "version", "--json")
 	var b version.Build
 	if err := json.Unmarshal([]byte(out), &b); code != 0 || err != nil || b.Version != version.Name ||
 		len(b.Digest) != 32 || len(b.Formats) == 0 {
@@ -90,13 +90,13 @@
 	}
 }
 
-func TestBadFilesAreToldWhole(t *testing.T) {
+func TestAllProblemsOfBadFilesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	for _, c := range []struct {
-		args []string
-		text string
-		code int
-		told []string
+		args     []string
+		text     string
+		code     int
+		problems []string
 	}{
 		{[]string{"check"}, `{"plan":{"demand_factor":"x"},"what":1}`, 2,
 			[]string{"/: additional properties 'what' not allowed", "/plan: missing property 'file'",
@@ -125,14 +125,14 @@
 			[]string{`/fleet/members/1/name: "a" stands twice`, "/fleet/members/1/listen", "/fleet/voters: 2",
 				`/fleet/voters/1: "b" is no member`}},
 	} {
-		path := write(t, filepath.Join(dir, "file.json"), c.text)
-		code, out := line(t, append(c.args, path)...)
+		path := writeFile(t, filepath.Join(dir, "file.json"), c.text)
+		code, out := runCommand(t, append(c.args, path)...)
 		if code != c.code {
 			t.Errorf("%v of %s: %d: %s", c.args, c.text, code, out)
 		}
-		for _, told := range c.told {
-			if !strings.Contains(out, told) {
-				t.Errorf("%v of %s tells %q, not %q", c.args, c.text, out, told)
+		for _, problem := range c.problems {
+			if !strings.Contains(out, problem) {
+				t.Errorf("%v of %s tells %q, not %q", c.args, c.text, out, problem)
 			}
 		}
 	}
@@ -153,41 +153,45 @@
 	}
 	p["engines"] = engines
 	text, _ := json.Marshal(p)
-	path := write(t, filepath.Join(dir, "large.json"), string(text)+strings.Repeat(" ", 10<<20))
-	if code, out := line(t, "check", "--kind", "problem", path); code != 0 {
+	path := writeFile(t, filepath.Join(dir, "large.json"), string(text)+strings.Repeat(" ", 10<<20))
+	if code, out := runCommand(t, "check", "--kind", "problem", path); code != 0 {
 		t.Errorf("%d: %.300s", code, out)
 	}
-	write(t, path, string(text)+strings.Repeat(" ", 33<<20))
-	if code, out := line(t, "check", "--kind", "problem", path); code != 2 ||
+	writeFile(t, path, string(text)+strings.Repeat(" ", 33<<20))
+	if code, out := runCommand(t, "check", "--kind", "problem", path); code != 2 ||
 		!strings.Contains(out, "over 33554432 bytes") {
 		t.Errorf("%d: %.300s", code, out)
 	}
 }
 
 // Plans come, go and are bad while clients send and engines misbehave: every job has its one answer all the same.
-func TestPlansAreTakenOverUnderLoad(t *testing.T) {
+func TestPlansAreAppliedUnderLoad(t *testing.T) {
 	dir := t.TempDir()
-	from := write(t, filepath.Join(dir, "problem.json"), problem)
+	from := writeFile(t, filepath.Join(dir, "problem.json"), problem)
 	for name, method := range map[string]string{"a.json": "solver", "b.json": "proportional"} {
-		code, out := line(t, "solve", from, "--method", method, "--time", "20s", "--out", filepath.Join(dir, name))
+		code, out := runCommand(t, "solve", from, "--method", method, "--time", "20s", "--out", filepath.Join(dir, name))
 		if code != 0 {
 			t.Fatalf("%d: %s", code, out)
 		}
 	}
-	own := write(t, filepath.Join(dir, "own.json"), `{}`)
+	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := newTownOf(t, fake.NewRough(4).Handle, "e1", "e2", "e3")
-	var usual sync.WaitGroup
+	w := startControllerWith(t, fake.NewRough(4).Handle, "e1", "e2", "e3")
+	var typicalClients sync.WaitGroup
 	for i := range uint64(3) {
-		usual.Go(func() { w.usual(7000+i, 80) })
+		typicalClients.Go(func() { w.sendTypicalJobs(7000+i, 80) })
 	}
 	for i := range 12 {
 		texts := []string{`{"plan":{"file":"a.json"}}`, `{"plan":{"file":"b.json","demand_factor":1.1}}`, `{"plan":{}}`, `{}`}
 		text := texts[i%len(texts)]
-		write(t, own, text)
+		writeFile(t, own, text)
 		before := counters.Value("reloads") + counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
-		settle(t, "not read anew", func() bool { return counters.Value("reloads")+counters.Value("reloads_failed") > before })
+		eventually(
+			t,
+			"not read anew",
+			func() bool { return counters.Value("reloads")+counters.Value("reloads_failed") > before },
+		)
 	}
-	usual.Wait()
+	typicalClients.Wait()
 }
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -16,9 +16,9 @@
 	"swiftreel/internal/fake"
 )
 
-// terms is a town with a SPARQL front and two endpoints beside two engines of the line protocol, all on the machines e1
+// startSPARQL is a town with a SPARQL front and two endpoints beside two engines of the line protocol, all on the machines e1
 // and e2.
-func terms(t *testing.T) (w *town, at string, ends [2]*fake.Endpoint) {
+func startSPARQL(t *testing.T) (w *testController, at string, ends [2]*fake.Endpoint) {
 	t.Helper()
 	var list []string
 	for i := range ends {
@@ -43,14 +43,14 @@
 	text := fmt.Sprintf(`{"sparql":{"listen":%q,"tenant":"acme","endpoints":{%s},
 		"services":["http://far/"],"types":[{"forms":["UPDATE"],"type":"import"},{"type":"lookup"}]}}`,
 		at, strings.Join(list, ","))
-	t.Setenv("ROUTER_OPERATOR", write(t, filepath.Join(t.TempDir(), "own.json"), text))
-	w = newTown(t, "e1", "e2")
+	t.Setenv("ROUTER_OPERATOR", writeFile(t, filepath.Join(t.TempDir(), "own.json"), text))
+	w = startController(t, "e1", "e2")
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 	return w, "http://" + at + "/sparql", ends
 }
 
-// got asks and gives status, content type and body.
-func got(t *testing.T, r *http.Request) (int, http.Header, string) {
+// sendRequest asks and gives status, content type and body.
+func sendRequest(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return a.StatusCode, a.Header, string(body)
 }
 
-func asked(method, at, media, accept, body string) *http.Request {
+func newRequest(method, at, media, accept, body string) *http.Request {
 	r, _ := http.NewRequest(method, at, strings.NewReader(body))
 	if media != "" {
 		r.Header.Set("Content-Type", media)
@@ -76,13 +76,13 @@
 }
 
 const (
-	formMedia = "application/x-www-form-urlencoded"
-	askText   = `SELECT * { ?s <p> ?o . ?s <q> ?x }`
+	formMedia    = "application/x-www-form-urlencoded"
+	askStatement = `SELECT * { ?s <p> ?o . ?s <q> ?x }`
 )
 
 func TestTheProtocolIsServed(t *testing.T) {
-	_, at, _ := terms(t)
-	q, json := url.QueryEscape(askText), `"s":{"type":"uri","value":"a"}`
+	_, at, _ := startSPARQL(t)
+	q, json := url.QueryEscape(askStatement), `"s":{"type":"uri","value":"a"}`
 	for _, c := range []struct {
 		name   string
 		r      *http.Request
@@ -90,46 +90,50 @@
 		media  string
 		body   string
 	}{
-		{"GET", asked("GET", at+"?query="+q, "", "", ""), 200, "application/sparql-results+json", json},
-		{"GET for a tenant", asked("GET", at+"/acme?query="+q, "", "", ""), 200, "application/sparql-results+json", json},
-		{"form", asked("POST", at, formMedia, "text/csv", "query="+q), 200, "text/csv", "o,s,x\r\n1,a,b\r\n"},
-		{"direct", asked("POST", at+"?default-graph-uri=http://g", "application/sparql-query",
-			"application/sparql-results+xml", askText), 200, "application/sparql-results+xml", `<uri>a</uri>`},
-		{"TSV by weight", asked("GET", at+"?query="+q, "", "text/csv;q=0.1, text/tab-separated-values;q=0.2", ""), 200,
+		{"GET", newRequest("GET", at+"?query="+q, "", "", ""), 200, "application/sparql-results+json", json},
+		{"GET for a tenant", newRequest("GET", at+"/acme?query="+q, "", "", ""), 200, "application/sparql-results+json",
+			json},
+		{"form", newRequest("POST", at, formMedia, "text/csv", "query="+q), 200, "text/csv", "o,s,x\r\n1,a,b\r\n"},
+		{"direct", newRequest("POST", at+"?default-graph-uri=http://g", "application/sparql-query",
+			"application/sparql-results+xml", askStatement), 200, "application/sparql-results+xml", `<uri>a</uri>`},
+		{"TSV by weight", newRequest("GET", at+"?query="+q, "", "text/csv;q=0.1, text/tab-separated-values;q=0.2", ""), 200,
 			"text/tab-separated-values", "?o\t?s\t?x\n\"1\"\t<a>\t<b>\n"},
-		{"ASK", asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""), 200,
+		{"ASK", newRequest("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""), 200,
 			"application/sparql-results+json", `"boolean":true`},
-		{"update by form", asked("POST", at, formMedia, "", "update="+url.QueryEscape("INSERT DATA { <c> <p> 3 }")), 204,
+		{"update by form", newRequest("POST", at, formMedia, "", "update="+url.QueryEscape("INSERT DATA { <c> <p> 3 }")), 204,
 			"", ""},
-		{"direct update", asked("POST", at, "application/sparql-update; charset=utf-8", "", "INSERT DATA { <c> <p> 3 }"),
+		{"direct update", newRequest("POST", at, "application/sparql-update; charset=utf-8", "", "INSERT DATA { <c> <p> 3 }"),
 			204, "", ""},
-		{"description", asked("GET", at, "", "", ""), 200, "text/turtle", "sd:Service"},
-		{"malformed", asked("GET", at+"?query="+url.QueryEscape("SELECT *\n{ ?s }"), "", "", ""), 400, "", "line 2 column 6"},
-		{"no query", asked("GET", at+"?q=1", "", "", ""), 400, "", "0 parameters query"},
-		{"two queries", asked("GET", at+"?query="+q+"&query="+q, "", "", ""), 400, "", "2 parameters query"},
-		{"update by GET", asked("GET", at+"?update=CLEAR+ALL", "", "", ""), 400, "", "POST"},
-		{"both", asked("POST", at, formMedia, "", "query="+q+"&update=CLEAR+ALL"), 400, "", "query and update"},
-		{"graphs of an update with a query", asked("GET", at+"?using-graph-uri=x&query="+q, "", "", ""), 400, "",
+		{"description", newRequest("GET", at, "", "", ""), 200, "text/turtle", "sd:Service"},
+		{"malformed", newRequest("GET", at+"?query="+url.QueryEscape("SELECT *\n{ ?s }"), "", "", ""), 400, "",
+			"line 2 column 6"},
+		{"no query", newRequest("GET", at+"?q=1", "", "", ""), 400, "", "0 parameters query"},
+		{"two queries", newRequest("GET", at+"?query="+q+"&query="+q, "", "", ""), 400, "", "2 parameters query"},
+		{"update by GET", newRequest("GET", at+"?update=CLEAR+ALL", "", "", ""), 400, "", "POST"},
+		{"both", newRequest("POST", at, formMedia, "", "query="+q+"&update=CLEAR+ALL"), 400, "", "query and update"},
+		{"graphs of an update with a query", newRequest("GET", at+"?using-graph-uri=x&query="+q, "", "", ""), 400, "",
 			"using-graph-uri"},
-		{"graphs named twice", asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "",
+		{"graphs named twice", newRequest("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "",
 			"WITH <g> DELETE { ?s <p> 1 } WHERE { ?s <p> 1 }"), 400, "", "USING or WITH"},
 		{"graphs named once, and a word that looks like it",
-			asked("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", `INSERT DATA { <c> <p> "using" }`),
+			newRequest("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", `INSERT DATA { <c> <p> "using" }`),
 			204, "", ""},
-		{"SERVICE", asked("GET", at+"?query="+url.QueryEscape("SELECT * { SERVICE <http://near/> { ?s ?p ?o } }"), "", "",
+		{"SERVICE", newRequest("GET", at+"?query="+url.QueryEscape("SELECT * { SERVICE <http://near/> { ?s ?p ?o } }"), "",
+			"",
 			""), 400, "", "SERVICE <http://near/>"},
-		{"LOAD", asked("POST", at, formMedia, "", "update=LOAD+%3Chttp://x%3E"), 400, "", "LOAD"},
-		{"timeout", asked("GET", at+"?timeout=0&query="+q, "", "", ""), 400, "", "timeout"},
-		{"no such tenant", asked("GET", at+"/nobody?query="+q, "", "", ""), 400, "", "no such tenant"},
-		{"elsewhere", asked("GET", strings.TrimSuffix(at, "sparql")+"other", "", "", ""), 404, "", ""},
-		{"PUT", asked("PUT", at, "", "", "x"), 405, "", ""},
-		{"no format", asked("GET", at+"?query="+q, "", "image/png", ""), 406, "", "text/csv"},
-		{"ASK as CSV", asked("GET", at+"?query=ASK+%7B%7D", "", "text/csv", ""), 406, "", "offered"},
-		{"too large", asked("POST", at, "application/sparql-query", "", strings.Repeat(" ", 3<<20)), 413, "", ""},
-		{"another media type", asked("POST", at, "text/plain", "", askText), 415, "", "sparql-query"},
-		{"another charset", asked("POST", at, "application/sparql-query; charset=latin1", "", askText), 415, "", "utf-8"},
+		{"LOAD", newRequest("POST", at, formMedia, "", "update=LOAD+%3Chttp://x%3E"), 400, "", "LOAD"},
+		{"timeout", newRequest("GET", at+"?timeout=0&query="+q, "", "", ""), 400, "", "timeout"},
+		{"no such tenant", newRequest("GET", at+"/nobody?query="+q, "", "", ""), 400, "", "no such tenant"},
+		{"elsewhere", newRequest("GET", strings.TrimSuffix(at, "sparql")+"other", "", "", ""), 404, "", ""},
+		{"PUT", newRequest("PUT", at, "", "", "x"), 405, "", ""},
+		{"no format", newRequest("GET", at+"?query="+q, "", "image/png", ""), 406, "", "text/csv"},
+		{"ASK as CSV", newRequest("GET", at+"?query=ASK+%7B%7D", "", "text/csv", ""), 406, "", "offered"},
+		{"too large", newRequest("POST", at, "application/sparql-query", "", strings.Repeat(" ", 3<<20)), 413, "", ""},
+		{"another media type", newRequest("POST", at, "text/plain", "", askStatement), 415, "", "sparql-query"},
+		{"another charset", newRequest("POST", at, "application/sparql-query; charset=latin1", "", askStatement), 415, "",
+			"utf-8"},
 	} {
-		status, header, body := got(t, c.r)
+		status, header, body := sendRequest(t, c.r)
 		if status != c.status || !strings.Contains(body, c.body) || c.media != "" && header.Get("Content-Type") != c.media {
 			t.Errorf("%s: %d %s %q", c.name, status, header.Get("Content-Type"), body)
 		}
@@ -142,9 +146,15 @@
 // What may have run is not sent again, and is told as cancelled for good; what never ran goes elsewhere; malformed text
 // reaches no engine.
 func TestUpdatesRunOnceOverHTTPToo(t *testing.T) {
-	_, at, ends := terms(t)
+	_, at, ends := startSPARQL(t)
 	update := func(n int) *http.Request {
-		return asked("POST", at, "application/sparql-update", "", fmt.Sprintf("INSERT DATA { GRAPH <g> { <n%d> <p> 1 } }", n))
+		return newRequest(
+			"POST",
+			at,
+			"application/sparql-update",
+			"",
+			fmt.Sprintf("INSERT DATA { GRAPH <g> { <n%d> <p> 1 } }", n),
+		)
 	}
 	var mu sync.Mutex
 	broke, refused := 0, 0
@@ -159,7 +169,7 @@
 			return false
 		})
 	}
-	if status, _, body := got(t, update(1)); status != 502 || !strings.Contains(body, "cancelled for good") {
+	if status, _, body := sendRequest(t, update(1)); status != 502 || !strings.Contains(body, "cancelled for good") {
 		t.Errorf("broken off: %d %q", status, body)
 	}
 	mu.Lock()
@@ -178,11 +188,11 @@
 	})
 	ends[1-other].Script(nil)
 	for n := range 6 {
-		if status, _, body := got(t, update(10+n)); status != 204 {
+		if status, _, body := sendRequest(t, update(10+n)); status != 204 {
 			t.Errorf("%d: %d %q", n, status, body)
 		}
 	}
-	got(t, asked("POST", at, "application/sparql-update", "", "INSERT DATA { <x> }"))
+	sendRequest(t, newRequest("POST", at, "application/sparql-update", "", "INSERT DATA { <x> }"))
 	seen := map[string]int{}
 	for _, e := range ends {
 		for _, text := range e.Seen() {
@@ -203,12 +213,12 @@
 
 // A client that leaves with a query in hand takes it back; the engine's dispatch is given up, and nothing stays.
 func TestAClientThatLeavesTakesItsQueryBack(t *testing.T) {
-	w, at, ends := terms(t)
+	w, at, ends := startSPARQL(t)
 	began, over := make(chan struct{}, 2), make(chan struct{})
 	var once sync.Once
 	for _, e := range ends {
 		e.Script(func(_ http.ResponseWriter, text string) bool {
-			if text == askText {
+			if text == askStatement {
 				began <- struct{}{}
 				<-over
 			}
@@ -220,12 +230,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(c, "GET /sparql?query=%s HTTP/1.1\r\nHost: x\r\n\r\n", url.QueryEscape(askText))
+	fmt.Fprintf(c, "GET /sparql?query=%s HTTP/1.1\r\nHost: x\r\n\r\n", url.QueryEscape(askStatement))
 	<-began
 	c.Close()
 	before := counters.Value("answers_overdue")
 	once.Do(func() { close(over) })
-	status, _, _ := got(t, asked("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""))
+	status, _, _ := sendRequest(t, newRequest("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""))
 	if status != 200 {
 		t.Error("served no more")
 	}
@@ -237,20 +247,20 @@
 
 // The machine says of itself, over either protocol, that it drains: nothing new goes there, whatever the list says.
 func TestADrainToldByTheEngineItselfHoldsForItsMachine(t *testing.T) {
-	_, at, ends := terms(t)
+	_, at, ends := startSPARQL(t)
 	ends[0].Script(func(w http.ResponseWriter, text string) bool {
 		w.Header().Set("Draining", "?1")
 		return false
 	})
-	ask := func() { got(t, asked("GET", at+"?query="+url.QueryEscape(askText), "", "", "")) }
-	for stop := time.Now().Add(20 * time.Second); len(ends[0].Seen()) == 0; ask() {
+	query := func() { sendRequest(t, newRequest("GET", at+"?query="+url.QueryEscape(askStatement), "", "", "")) }
+	for stop := time.Now().Add(20 * time.Second); len(ends[0].Seen()) == 0; query() {
 		if time.Now().After(stop) {
 			t.Fatal("the first is never asked")
 		}
 	}
 	before := len(ends[0].Seen())
 	for range 20 {
-		ask()
+		query()
 	}
 	if n := len(ends[0].Seen()); n > before {
 		t.Errorf("%d jobs more after it said that it drains", n-before)
@@ -259,7 +269,7 @@
 
 // The same update sent twice, on two connections, at once and later: it runs once, whatever became of the first.
 func TestAMarkedUpdateRunsOnce(t *testing.T) {
-	_, at, ends := terms(t)
+	_, at, ends := startSPARQL(t)
 	began, over := make(chan struct{}, 4), make(chan struct{})
 	t.Cleanup(sync.OnceFunc(func() { close(over) }))
 	for _, e := range ends {
@@ -275,9 +285,9 @@
 		})
 	}
 	send := func(mark, text string) int {
-		r := asked("POST", at, "application/sparql-update", "", "INSERT DATA { "+text+" <p> 1 }")
+		r := newRequest("POST", at, "application/sparql-update", "", "INSERT DATA { "+text+" <p> 1 }")
 		r.Header.Set("Idempotency-Key", mark)
-		status, _, _ := got(t, r)
+		status, _, _ := sendRequest(t, r)
 		return status
 	}
 	first := make(chan int, 1)
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -61,31 +61,38 @@
 func (scriptedDispatch) Cancel(done func()) bool { done(); return true }
 func (scriptedDispatch) SetPriority(uint8)       {}
 
-// answers is a client that keeps what it was answered.
-type answers struct {
+// recordingClient is a client that keeps what it was answered.
+type recordingClient struct {
 	list  chan string
 	leave func(left func())
 }
 
-func (a answers) Done([][]byte)            { a.list <- "done" }
-func (a answers) Throttled(time.Duration)  { a.list <- "throttled" }
-func (a answers) Failed(reason string)     { a.list <- reason }
-func (a answers) OnDisconnect(left func()) { a.leave(left) }
-func (a answers) Connected() bool          { return true }
+func (a recordingClient) Done([][]byte)            { a.list <- "done" }
+func (a recordingClient) Throttled(time.Duration)  { a.list <- "throttled" }
+func (a recordingClient) Failed(reason string)     { a.list <- reason }
+func (a recordingClient) OnDisconnect(left func()) { a.leave(left) }
+func (a recordingClient) Connected() bool          { return true }
 
-// patient are the facts with SLA times that no machine is too slow for.
-var patient = strings.NewReplacer(`"aim_ns":5e8`, `"aim_ns":5e12`, `"aim_ns":3e9`, `"aim_ns":3e12`).Replace(facts)
+// patientSettings are the facts with SLA times that no machine is too slow for.
+var patientSettings = strings.NewReplacer(
+	`"aim_ns":5e8`,
+	`"aim_ns":5e12`,
+	`"aim_ns":3e9`,
+	`"aim_ns":3e12`,
+).Replace(
+	testSettings,
+)
 
-// taught starts a gateway that has two engines in its list and what an older process has learned, told by the
+// restoredGateway starts a gateway that has two engines in its list and what an older process has learned, told by the
 // operator's file of testdata, and its stats server.
-func taught(t *testing.T) (gate *gateway.Gateway, address string, stays <-chan struct{}) {
+func restoredGateway(t *testing.T) (gate *gateway.Gateway, address string, stays <-chan struct{}) {
 	t.Helper()
 	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(patient), &settings); err != nil {
+	if err := json.Unmarshal([]byte(patientSettings), &settings); err != nil {
 		t.Fatal(err)
 	}
 	parts := new(limits.Budget)
@@ -117,8 +124,8 @@
 
 // What an older process has learned goes into a new one by the operator's file, under the same keys and in the same
 // order of figures.
-func TestASnapshotOfAnOlderProcessIsTakenOver(t *testing.T) {
-	gate, _, _ := taught(t)
+func TestASnapshotOfAnOlderProcessIsRestored(t *testing.T) {
+	gate, _, _ := restoredGateway(t)
 	means, health := gate.TypeStats(), gate.EngineHealth()
 	list := func(m choice.TypeStats) (v []float64) {
 		text, err := json.Marshal(m)
@@ -175,11 +182,11 @@
 }
 
 // A snapshot that cannot be read teaches nothing; of its two parts each is taken by itself.
-func TestASnapshotThatCannotBeReadTeachesNothing(t *testing.T) {
+func TestASnapshotThatCannotBeReadIsIgnored(t *testing.T) {
 	for name, c := range map[string]struct {
-		stats  operator.Stats
-		usual  float64
-		health bool
+		stats     operator.Stats
+		usualWork float64
+		health    bool
 	}{
 		"no snapshot": {operator.Stats{}, 2.5e12, false},
 		"figures of another length": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[1,2,3]}`),
@@ -191,7 +198,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var settings map[string]any
-			if err := json.Unmarshal([]byte(patient), &settings); err != nil {
+			if err := json.Unmarshal([]byte(patientSettings), &settings); err != nil {
 				t.Fatal(err)
 			}
 			parts := new(limits.Budget)
@@ -220,14 +227,14 @@
 			if err := json.Unmarshal(text, &figures); err != nil {
 				t.Fatal(err)
 			}
-			if figures[0] != c.usual || gate.EngineHealth()["e2"].Ejected != c.health {
+			if figures[0] != c.usualWork || gate.EngineHealth()["e2"].Ejected != c.health {
 				t.Errorf("usual work %v, health %+v", figures[0], gate.EngineHealth())
 			}
 		})
 	}
 }
 
-func get(t *testing.T, url string) string {
+func getBody(t *testing.T, url string) string {
 	t.Helper()
 	r, err := http.Get(url)
 	if err != nil {
@@ -241,8 +248,8 @@
 	return string(text)
 }
 
-// timed are the figures of GET /tally that depend on when it is asked.
-var timed = []struct {
+// timeDependent are the figures of GET /tally that depend on when it is asked.
+var timeDependent = []struct {
 	figure *regexp.Regexp
 	put    string
 }{
@@ -256,9 +263,9 @@
 
 // The body of GET /tally, to the byte but for figures that depend on time.
 func TestTheTallyOverHTTP(t *testing.T) {
-	gate, address, stays := taught(t)
-	a := answers{make(chan string, 10), func(func()) {}}
-	ask := func(id byte, typ, statement string, left time.Duration, from gateway.Client) {
+	gate, address, stays := restoredGateway(t)
+	a := recordingClient{make(chan string, 10), func(func()) {}}
+	submit := func(id byte, typ, statement string, left time.Duration, from gateway.Client) {
 		gate.Submit(gateway.Request{
 			Type:      []byte(typ),
 			ID:        []byte{id},
@@ -269,33 +276,39 @@
 			Client:    from,
 		})
 	}
-	heard := func(want string) {
+	expectAnswer := func(want string) {
 		t.Helper()
 		if got := <-a.list; got != want {
 			t.Fatalf("answered %q, want %q", got, want)
 		}
 	}
 	gate.Start()
-	ask(1, "lookup", "SELECT 1 FROM sales_17.ends", time.Hour, a)
-	heard("done")
-	ask(2, "import", "INSERT INTO sales_17.breaks SELECT 1 FROM a_1.b", time.Minute, a)
-	heard(gateway.ReasonCancelled)
-	ask(3, "lookup", "SELECT 1 FROM sales_17.late", time.Millisecond, a)
-	heard("throttled")
+	submit(1, "lookup", "SELECT 1 FROM sales_17.ends", time.Hour, a)
+	expectAnswer("done")
+	submit(2, "import", "INSERT INTO sales_17.breaks SELECT 1 FROM a_1.b", time.Minute, a)
+	expectAnswer(gateway.ReasonCancelled)
+	submit(3, "lookup", "SELECT 1 FROM sales_17.late", time.Millisecond, a)
+	expectAnswer("throttled")
 	var leave func()
-	ask(4, "lookup", "SELECT 1 FROM sales_17.stays", time.Hour, answers{a.list, func(left func()) { leave = left }})
+	submit(
+		4,
+		"lookup",
+		"SELECT 1 FROM sales_17.stays",
+		time.Hour,
+		recordingClient{a.list, func(left func()) { leave = left }},
+	)
 	<-stays
 	leave()
 	var body string
-	settle(t, "no job was left", func() bool {
-		body = get(t, "http://"+address+"/tally")
+	eventually(t, "no job was left", func() bool {
+		body = getBody(t, "http://"+address+"/tally")
 		return strings.Contains(body, `"\"lookup\" \"acme\"":{"jobs":3`)
 	})
 	failed := fmt.Sprintf(`"reloads_failed":%d,`, counters.Value("reloads_failed")) // of the whole process
 	if !strings.Contains(body, failed) {
 		t.Errorf("no %s in %s", failed, body)
 	}
-	for _, f := range timed {
+	for _, f := range timeDependent {
 		if !f.figure.MatchString(body) {
 			t.Errorf("%s is not in %s", f.figure, body)
 		}
@@ -306,7 +319,7 @@
 
 // POST /part, as a fleet's leader sends it.
 func TestAPartOverHTTP(t *testing.T) {
-	gate, address, _ := taught(t)
+	gate, address, _ := restoredGateway(t)
 	text, err := os.ReadFile(filepath.Join("testdata", "part.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -324,7 +337,7 @@
 			t.Errorf("%s: %s", body, r.Status)
 		}
 	}
-	settle(t, "the part is not gone by", func() bool { return gate.Share() == 0.25 })
+	eventually(t, "the part is not gone by", func() bool { return gate.Share() == 0.25 })
 }
 
 // addressLog is a log handler that passes on where the stats server listens.
@@ -354,8 +367,8 @@
 	addresses := make(chan string, 1)
 	slog.SetDefault(slog.New(addressLog{addresses}))
 	t.Setenv("ROUTER_OPERATOR", filepath.Join("testdata", "operator.json"))
-	w := newTown(t, "e1", "e2")
-	body := get(t, "http://"+<-addresses+"/tally")
+	w := startController(t, "e1", "e2")
+	body := getBody(t, "http://"+<-addresses+"/tally")
 	for _, part := range []string{`"import":[900000000,12,0.5,9,-0.5,0.25,9,1.5,1]`,
 		`"lookup":[51000000,50,-0.25,88,0.125,0.0625,70,1.25,`,
 		`"spec":"1f0e2d3c4b5a69788796a5b4c3d2e1f0"`, `"ready":true`, `"engines":["e1","e2"]`} {
@@ -363,5 +376,5 @@
 			t.Errorf("%s lacks %s", body, part)
 		}
 	}
-	w.served(2)
+	w.serveJobs(2)
 }
--- a/cmd/swiftreel/shape_test.go
+++ b/cmd/swiftreel/topology_test.go
@@ -16,15 +16,15 @@
 // job in hand; a bad file changes nothing. Grants are what the engine sees of it: allot= in a fetch.
 func TestAShapeIsTakenOverAndBackBySIGHUP(t *testing.T) {
 	dir := t.TempDir()
-	own := write(t, filepath.Join(dir, "own.json"), `{}`)
+	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := newTown(t, "e1")
-	reload := func(counter, text string) { t.Helper(); w.rewrite(own, counter, text) }
+	w := startController(t, "e1")
+	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(own, counter, text) }
 	fetched := map[string]bool{} // a job sent twice would show as a fetch of an id seen before
 	fetch := func(granted bool) (uint32, engineCommand) {
 		t.Helper()
-		id := w.job("lookup", "20000")
-		c := w.got("fetch")
+		id := w.submit("lookup", "20000")
+		c := w.nextCommand("fetch")
 		if fetched[c.ID] {
 			t.Fatalf("fetch of %s sent twice", c.ID)
 		}
@@ -38,13 +38,13 @@
 		t.Helper()
 		id, c := fetch(granted)
 		c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-		w.answer(id, "")
+		w.expectAnswer(id, "")
 	}
 	served(true)
 	id, c := fetch(true) // in hand across the switch: answered once, not sent again
 	reload("reloads", `{"shape":{"grants_count":false,"takes_priority":false,"cancel":false}}`)
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-	w.answer(id, "")
+	w.expectAnswer(id, "")
 	served(false)
 	reload("reloads_failed", `{"shape":{"grants_count":"no"}}`)
 	served(false)
@@ -58,11 +58,15 @@
 
 // A shape that names what the settings do not know keeps the controller from starting, and the error names the file
 // and the part.
-func TestABadShapeAtTheStartIsRefused(t *testing.T) {
-	own := write(t, filepath.Join(t.TempDir(), "own.json"), `{"shape":{"types":{"nonesuch":{"waits_for_loads":true}}}}`)
+func TestABadTopologyAtTheStartIsRefused(t *testing.T) {
+	own := writeFile(
+		t,
+		filepath.Join(t.TempDir(), "own.json"),
+		`{"shape":{"types":{"nonesuch":{"waits_for_loads":true}}}}`,
+	)
 	file, err := config.Parse(
 		[]byte(`{"name":"n0","listen":"-","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
-		"feed":"127.0.0.1:1","settings":` + facts + `}`),
+		"feed":"127.0.0.1:1","settings":` + testSettings + `}`),
 	)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,23 +23,23 @@
 		g.Submit(Request{Type: []byte("lookup"), ID: []byte{byte(i)}, ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	}
 	g.mu.Lock()
-	taken := len(g.jobs)
+	admitted := len(g.jobs)
 	g.mu.Unlock()
-	if one, two := <-a.answers, <-a.answers; one != "throttled" || two != "throttled" || taken != 3 {
-		t.Errorf("%s, %s, %d jobs taken", one, two, taken)
+	if one, two := <-a.answers, <-a.answers; one != "throttled" || two != "throttled" || admitted != 3 {
+		t.Errorf("%s, %s, %d jobs taken", one, two, admitted)
 	}
 	for range 3 {
-		if said := <-a.answers; said != "throttled" {
-			t.Error(said)
+		if answer := <-a.answers; answer != "throttled" {
+			t.Error(answer)
 		}
 	}
 	g.Submit(Request{Type: []byte("other"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
-	if said := <-a.answers; said != "failed" {
-		t.Errorf("%s for an unknown type", said)
+	if answer := <-a.answers; answer != "failed" {
+		t.Errorf("%s for an unknown type", answer)
 	}
 }
 
-func TestTheModuleIsToldLessTimeThanTheClientHas(t *testing.T) {
+func TestTheModuleGetsLessTimeThanTheClientHas(t *testing.T) {
 	g := New(Options{
 		Settings: choice.RawSettings{"classes": []any{map[string]any{"name": "lookup"}}},
 		Seed:     1,
@@ -105,7 +105,7 @@
 	const text = "INSERT INTO sales_17.orders SELECT * FROM staging.x"
 	for _, c := range []struct {
 		name, fault string
-		ask         Request
+		request     Request
 	}{
 		{"an unknown type", "no such method", Request{Type: []byte("none"), Tenant: []byte("acme")}},
 		{"an unknown tenant", "no such tenant", Request{Type: []byte("lookup"), Tenant: []byte("none")}},
@@ -122,8 +122,8 @@
 			Protocol: backend.SPARQL}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.ask.ArrivedAt = time.Now()
-			_, err := g.arrivalEvent(c.ask)
+			c.request.ArrivedAt = time.Now()
+			_, err := g.arrivalEvent(c.request)
 			got := ""
 			if err != nil {
 				got = err.Error()
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -46,24 +46,24 @@
 	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
 		backend.Line: func(backend.Limits) backend.Engines { return silentEngines{started: &started} }}})
 	defer g.Close()
-	gone := newDisconnectingClient()
+	disconnected := newDisconnectingClient()
 	here := newDisconnectingClient()
 	take := func(id byte, from Client) {
 		g.Submit(
 			Request{Type: []byte("lookup"), ID: []byte{id}, ArrivedAt: time.Now(), Timeout: 20 * time.Second, Client: from},
 		)
 	}
-	take(1, gone)
+	take(1, disconnected)
 	take(2, here)
-	gone.disconnected.Store(true)
+	disconnected.disconnected.Store(true)
 	g.UpdateEngines(engineList(t, "true", "e1"), true)
 	eventually(t, "the other's job is not sent, or that of the one who has gone stays", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return started.Load() > 0 && g.jobs[1] == nil
 	})
-	if n := started.Load(); n != 1 || len(gone.answers) > 0 {
-		t.Errorf("%d dispatches, %d answers", n, len(gone.answers))
+	if n := started.Load(); n != 1 || len(disconnected.answers) > 0 {
+		t.Errorf("%d dispatches, %d answers", n, len(disconnected.answers))
 	}
 	here.disconnected.Store(true)
 	g.mu.Lock()
--- a/internal/gateway/engine_table_test.go
+++ b/internal/gateway/engine_table_test.go
@@ -23,9 +23,9 @@
 			t.Errorf("%s is %d and %d", name, l.id, b.byName[name].id)
 		}
 	}
-	_, gone := a.update(engineList(t, "true", "e2").Members, n, now)
-	if slices.Sort(gone); !slices.Equal(gone, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Removed {
-		t.Errorf("gone %v", gone)
+	_, removed := a.update(engineList(t, "true", "e2").Members, n, now)
+	if slices.Sort(removed); !slices.Equal(removed, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Removed {
+		t.Errorf("gone %v", removed)
 	}
 	a.update(engineList(t, "false", "e1").Members, n, now.Add(time.Minute))
 	a.update(engineList(t, "false", "e2").Members, n, now.Add(removedRetention+time.Minute))
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -14,9 +14,9 @@
 )
 
 // engineList is an event of discovery with ready engines; complete: "true" or "false".
-func engineList(t *testing.T, whole string, hosts ...string) discovery.Event {
+func engineList(t *testing.T, complete string, hosts ...string) discovery.Event {
 	t.Helper()
-	text := `{"n":1,"members":{"whole":` + whole + `,"hosts":[`
+	text := `{"n":1,"members":{"whole":` + complete + `,"hosts":[`
 	for i, h := range hosts {
 		if i > 0 {
 			text += ","
--- a/internal/gateway/job_runner_test.go
+++ b/internal/gateway/job_runner_test.go
@@ -127,8 +127,8 @@
 func (c *recorder) OnDisconnect(func())          {}
 func (c *recorder) Connected() bool              { return c.here.Load() }
 
-// stage runs one job's function by orders that no module gave: it knows no such job, so it adds none of its own.
-type stage struct {
+// jobStage runs one job's function by orders that no module gave: it knows no such job, so it adds none of its own.
+type jobStage struct {
 	*transcript
 	t       *testing.T
 	gate    *Gateway
@@ -138,7 +138,7 @@
 	engine  choice.EngineID
 }
 
-func newStage(t *testing.T, left time.Duration) *stage {
+func newStage(t *testing.T, left time.Duration) *jobStage {
 	t.Helper()
 	seen := &transcript{}
 	before := slog.Default()
@@ -153,7 +153,7 @@
 			map[string]any{"name": "import", "idempotency": "once", "aim_ns": 20e9}},
 		"limits": map[string]any{"cancel": true},
 	}
-	s := &stage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
+	s := &jobStage{transcript: seen, t: t, engines: &scripted{seen: seen}, client: &recorder{seen: seen}}
 	s.client.here.Store(true)
 	s.gate = New(
 		Options{
@@ -187,40 +187,40 @@
 	return s
 }
 
-func (s *stage) start() {
+func (s *jobStage) start() {
 	s.gate.running.Add(1)
 	go newJobRunner(s.gate, s.job).run()
 }
 
-func (s *stage) order(a choice.Action) {
+func (s *jobStage) order(a choice.Action) {
 	a.Job, a.Engine = s.job.id, s.engine
 	s.job.mailbox.put(moduleOrder{action: a, orderedAt: time.Now()})
 }
 
-func (s *stage) leave() { s.job.mailbox.put(clientDisconnected{}) }
+func (s *jobStage) leave() { s.job.mailbox.put(clientDisconnected{}) }
 
-func (s *stage) reply(r backend.Reply) {
+func (s *jobStage) reply(r backend.Reply) {
 	s.engines.mu.Lock()
 	reply := s.engines.reply
 	s.engines.mu.Unlock()
 	reply(r)
 }
 
-func (s *stage) abortRead() {
+func (s *jobStage) abortRead() {
 	s.engines.mu.Lock()
 	read := s.engines.read
 	s.engines.mu.Unlock()
 	read()
 }
 
-// act is something that happens to a job, and what its function then does.
-type act struct {
-	do   func(*stage)
+// jobAct is something that happens to a job, and what its function then does.
+type jobAct struct {
+	do   func(*jobStage)
 	want []string
 }
 
-func ordered(kind choice.ActionKind, change func(*choice.Action)) func(*stage) {
-	return func(s *stage) {
+func ordered(kind choice.ActionKind, change func(*choice.Action)) func(*jobStage) {
+	return func(s *jobStage) {
 		a := choice.Action{Kind: kind}
 		if change != nil {
 			change(&a)
@@ -229,58 +229,58 @@
 	}
 }
 
-func replied(r backend.Reply) func(*stage) { return func(s *stage) { s.reply(r) } }
+func replied(r backend.Reply) func(*jobStage) { return func(s *jobStage) { s.reply(r) } }
 
 // delivered is the result of an attempt, which the client still waits for.
-func delivered(seq choice.AttemptSeq) act {
+func delivered(seq choice.AttemptSeq) jobAct {
 	answered := fmt.Sprintf("module: answered seq=%d result=1 final=true bill=143379", seq)
-	return act{replied(result), []string{answered, "client: done 2", "engine: free 2"}}
+	return jobAct{replied(result), []string{answered, "client: done 2", "engine: free 2"}}
 }
 
-func terms(priority uint8, grant float64) func(*stage) {
+func terms(priority uint8, grant float64) func(*jobStage) {
 	return ordered(choice.SetDispatchOptions, func(a *choice.Action) { a.Priority, a.MemoryMB = priority, grant })
 }
 
-func retract(seq choice.AttemptSeq) func(*stage) {
+func retract(seq choice.AttemptSeq) func(*jobStage) {
 	return ordered(choice.CancelAttempt, func(a *choice.Action) { a.Seq = seq })
 }
 
 var (
-	dispatched = act{
+	dispatched = jobAct{
 		ordered(choice.Dispatch, nil),
 		[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true"},
 	}
-	throttled = act{
+	throttled = jobAct{
 		ordered(choice.Throttle, func(a *choice.Action) { a.Duration = 1e9 }),
 		[]string{"client: throttled 1s"},
 	}
-	cancelled = act{ordered(choice.CancelPermanently, nil), []string{"client: failed cancelled for good"}}
+	cancelled = jobAct{ordered(choice.CancelPermanently, nil), []string{"client: failed cancelled for good"}}
 	result    = backend.Reply{Outcome: backend.Done, Pages: [][]byte{{1}, {2}}, WorkMS: 35, MemoryMB: 76}
 )
 
-func TestTheLifeOfAJobFollowsTheModulesOrders(t *testing.T) {
+func TestAJobFollowsTheModulesOrders(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		acts    []act
+		acts    []jobAct
 		counter string // rises by one
 		work    canary.JobCounts
 	}{
 		{name: "done", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				delivered(0)}},
 		{name: "failed, then sent once more",
 			work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 2, Retries: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=false bill=0"}},
 				dispatched,
 				delivered(1)}},
-		{name: "never sent", work: canary.JobCounts{Jobs: 1, Throttled: 1}, acts: []act{throttled}},
+		{name: "never sent", work: canary.JobCounts{Jobs: 1, Throttled: 1}, acts: []jobAct{throttled}},
 		{name: "full, then throttled", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{replied(backend.Reply{Outcome: backend.Full}), []string{"module: answered seq=0 result=3 final=false bill=0"}},
 				throttled}},
 		{name: "not connected, reset, superseded", work: canary.JobCounts{Jobs: 1, Cancelled: 1, Dispatches: 3, Retries: 2},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{replied(backend.Reply{Outcome: backend.NotConnected}),
 					[]string{"module: answered seq=0 result=5 final=false bill=0"}}, dispatched,
 				{replied(backend.Reply{Outcome: backend.Reset}), []string{"module: answered seq=1 result=6 final=false bill=0"}},
@@ -288,60 +288,60 @@
 				{replied(backend.Reply{Outcome: backend.Superseded}),
 					[]string{"module: answered seq=2 result=8 final=false bill=0"}}, cancelled}},
 		{name: "progress is passed on", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{replied(backend.Reply{Notice: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
 				{replied(backend.Reply{Notice: "missing", Amount: 12}), []string{"module: noted seq=0 note=2 amount=12"}},
 				{replied(backend.Reply{Notice: "parked", Amount: 3}), []string{"module: noted seq=0 note=3 amount=3"}},
 				{replied(backend.Reply{Notice: "other"}), nil},
 				delivered(0)}},
 		{name: "terms before and while it is out", work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1},
-			acts: []act{
+			acts: []jobAct{
 				{terms(3, 64), nil},
 				{ordered(choice.Dispatch, nil), []string{"engine e1: start call=c1 grant=64 priority=3 lane=0 wait=true"}},
 				{terms(5, 64), []string{"engine: renice 5"}}, {terms(5, 96), nil},
 				delivered(0)}},
 		{name: "retracted, then cancelled", work: canary.JobCounts{Jobs: 1, Cancelled: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{retract(9), nil}, {retract(0), []string{"engine: give up"}},
-				{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
+				{(*jobStage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 				{retract(0), nil}, cancelled}},
 		{name: "retracted, but done before the engine read so",
 			work: canary.JobCounts{Jobs: 1, WithinSLA: 1, Done: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{retract(0), []string{"engine: give up"}},
 				delivered(0)}},
 		{name: "a reply after the retracted one's end", counter: "replies_late",
 			work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1},
-			acts: []act{dispatched,
+			acts: []jobAct{dispatched,
 				{retract(0), []string{"engine: give up"}},
-				{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
+				{(*jobStage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 				{replied(result), []string{"engine: free 2"}}, throttled}},
 		{name: "a dispatch past its time limit", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1},
-			acts: []act{
+			acts: []jobAct{
 				{ordered(choice.Dispatch, func(a *choice.Action) { a.Duration = 1 }),
 					[]string{"engine e1: start call=c1 grant=0 priority=1 lane=0 wait=true", "engine: give up"}},
-				{(*stage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
+				{(*jobStage).abortRead, []string{"module: answered seq=0 result=4 final=false bill=0"}}, throttled}},
 		{name: "throttled while a dispatch is out", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1},
-			acts: []act{dispatched, throttled,
+			acts: []jobAct{dispatched, throttled,
 				{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
 		{name: "a second final answer is not given", work: canary.JobCounts{Jobs: 1, Throttled: 1, Dispatches: 1},
-			acts: []act{dispatched, throttled,
+			acts: []jobAct{dispatched, throttled,
 				{ordered(choice.CancelPermanently, nil), nil}, {ordered(choice.Throttle, nil), nil},
 				{replied(backend.Reply{Outcome: backend.Failed}), []string{"module: answered seq=0 result=2 final=true bill=0"}}}},
 		{name: "left before it is sent", work: canary.JobCounts{Jobs: 1},
-			acts: []act{{(*stage).leave, []string{"module: client_left"}}}},
+			acts: []jobAct{{(*jobStage).leave, []string{"module: client_left"}}}},
 		{name: "left while a dispatch is out", work: canary.JobCounts{Jobs: 1, Dispatches: 1},
-			acts: []act{dispatched,
-				{(*stage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
-				{(*stage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
+			acts: []jobAct{dispatched,
+				{(*jobStage).leave, []string{"module: client_left"}}, {retract(0), []string{"engine: give up"}},
+				{(*jobStage).abortRead, []string{"module: answered seq=0 result=7 final=true bill=0"}}}},
 		{name: "left, then done all the same", work: canary.JobCounts{Jobs: 1, Dispatches: 1},
-			acts: []act{dispatched,
-				{(*stage).leave, []string{"module: client_left"}}, {(*stage).leave, nil},
+			acts: []jobAct{dispatched,
+				{(*jobStage).leave, []string{"module: client_left"}}, {(*jobStage).leave, nil},
 				{replied(result), []string{"module: answered seq=0 result=1 final=true bill=143379", "engine: free 2"}}}},
 		{name: "a dispatch ordered when the client has gone", counter: "dispatches_client_gone",
 			work: canary.JobCounts{Jobs: 1, Dispatches: 1},
-			acts: []act{
-				{func(s *stage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
+			acts: []jobAct{
+				{func(s *jobStage) { s.client.here.Store(false); s.order(choice.Action{Kind: choice.Dispatch}) },
 					[]string{"module: client_left", "module: answered seq=0 result=8 final=true bill=0"}}}},
 	} {
 		t.Run(c.name, func(t *testing.T) { play(t, time.Minute, c.acts, c.counter, c.work) })
@@ -349,11 +349,11 @@
 }
 
 // play goes through the acts of one job, each once the one before has shown, and looks at what stays.
-func play(t *testing.T, left time.Duration, acts []act, counter string, work canary.JobCounts) {
+func play(t *testing.T, left time.Duration, acts []jobAct, counter string, work canary.JobCounts) {
 	t.Helper()
 	s := newStage(t, left)
-	book := jobstats.NewRecorder()
-	s.gate.SetStats(book)
+	recorder := jobstats.NewRecorder()
+	s.gate.SetStats(recorder)
 	before := counters.Value(counter)
 	s.start()
 	var want []string
@@ -370,7 +370,7 @@
 		t.Errorf("%s counted %d times", counter, counters.Value(counter)-before)
 	}
 	var r jobstats.Report
-	book.FillReport(&r)
+	recorder.FillReport(&r)
 	got := r.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}]
 	got.LatencyBuckets = nil
 	if fmt.Sprint(got) != fmt.Sprint(work) {
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -10,11 +10,11 @@
 )
 
 // Builds with the tag debug panic here: the module owes an answer by the job timeout.
-func TestAJobThatTheModuleForgetsIsAnsweredPastItsTimeout(t *testing.T) {
+func TestAJobWithoutAnOrderIsAnsweredPastItsTimeout(t *testing.T) {
 	play(
 		t,
 		time.Millisecond,
-		[]act{{func(*stage) {}, []string{"module: client_left", "client: failed job timeout"}}},
+		[]jobAct{{func(*jobStage) {}, []string{"module: client_left", "client: failed job timeout"}}},
 		"answers_overdue",
 		canary.JobCounts{Jobs: 1, Cancelled: 1},
 	)
