--- a/cmd/swiftreel/faults_test.go
+++ b/cmd/swiftreel/faults_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	before := left()
-	w := startControllerWith(t, fake.NewRough(seed).Handle, "e1", "e2", "e3")
+	w := startControllerWith(t, fake.NewFaultyEngine(seed).Handle, "e1", "e2", "e3")
 	var typicalClients, others sync.WaitGroup
 	over := make(chan struct{})
 	for i := range uint64(4) { // usual clients
@@ -48,13 +48,13 @@
 					return
 				default:
 				}
-				if fake.Rude(w.address, random) {
+				if fake.MisbehavingClient(w.address, random) {
 					t.Error("a bad client was served")
 				}
 			}
 		})
 	}
-	feeds := []*fake.Feed{w.feed}
+	feeds := []*fake.Discovery{w.feed}
 	others.Go(func() { feeds = w.disturbFeed(rand.New(rand.NewPCG(seed, 9)), over) })
 	typicalClients.Wait()
 	close(over)
@@ -94,7 +94,7 @@
 			return
 		case !is:
 			w.t.Errorf("a second answer, or one for nothing: %+v", a)
-		case a.Error == "" && string(a.Body) != fake.Rows(id):
+		case a.Error == "" && string(a.Body) != fake.FaultyEngineRows(id):
 			w.t.Errorf("done with what no engine made: %.60q", a.Body)
 		case a.Error != "" && a.Error != "Overloaded" && a.Error != "Internal":
 			w.t.Errorf("%+v", a)
@@ -104,8 +104,8 @@
 }
 
 // disturbFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
-func (w *testController) disturbFeed(random *rand.Rand, over <-chan struct{}) []*fake.Feed {
-	feeds := []*fake.Feed{w.feed}
+func (w *testController) disturbFeed(random *rand.Rand, over <-chan struct{}) []*fake.Discovery {
+	feeds := []*fake.Discovery{w.feed}
 	known := strings.TrimSuffix(
 		strings.SplitN(readText(w.config), `"events":[`, 2)[1],
 		"]},\"settings\":"+testSettings+"}",
@@ -119,7 +119,7 @@
 		now := feeds[len(feeds)-1]
 		switch random.IntN(6) {
 		case 0:
-			now.Cut()
+			now.DropConnections()
 		case 1:
 			now.Replay(false)
 		case 2:
@@ -133,13 +133,13 @@
 			w.sendSIGHUP()
 			w.write(now.Address(), known)
 		case 5:
-			moved, err := fake.StartFeed("127.0.0.1:0", 1)
+			moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 			if err != nil {
 				w.t.Error(err)
 				return feeds
 			}
 			feeds = append(feeds, moved)
-			moved.Load(known)
+			moved.AddRaw(known)
 			w.write(moved.Address(), known)
 			w.sendSIGHUP()
 			now.Close()
--- a/cmd/swiftreel/harness_test.go
+++ b/cmd/swiftreel/harness_test.go
@@ -44,7 +44,7 @@
 type testController struct {
 	t        *testing.T
 	handle   func(*fake.Session, engine.Command) // nil: what is no probe comes through the channel
-	feed     *fake.Feed
+	feed     *fake.Discovery
 	engines  map[string]*fake.Engine
 	commands chan engineCommand
 	address  string
@@ -52,7 +52,7 @@
 	stop     chan os.Signal
 	reload   chan os.Signal
 	ended    chan error
-	caller   *fake.Caller
+	caller   *fake.Client
 }
 
 type engineCommand struct {
@@ -100,14 +100,14 @@
 		ended:    make(chan error, 1),
 	}
 	var err error
-	if w.feed, err = fake.StartFeed("127.0.0.1:0", 1); err != nil {
+	if w.feed, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		t.Fatal(err)
 	}
 	var hosts []string
 	for _, name := range names {
 		hosts = append(hosts, w.engine(name))
 	}
-	known := w.feed.Add(true, "["+strings.Join(hosts, ",")+"]")
+	known := w.feed.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
 	t.Setenv("ROUTER_CONFIG", w.config)
 	w.write(w.feed.Address(), known)
 	file, err := config.Load(os.Getenv)
@@ -159,7 +159,7 @@
 	}
 }
 
-func (w *testController) dial() *fake.Caller {
+func (w *testController) dial() *fake.Client {
 	c, err := fake.Dial(w.address)
 	if err != nil {
 		w.t.Fatal(err)
--- a/cmd/swiftreel/input_test.go
+++ b/cmd/swiftreel/input_test.go
@@ -84,7 +84,7 @@
 	type bad struct {
 		name, text string
 		gets       int
-		conn       *fake.Caller
+		conn       *fake.Client
 	}
 	cases := []bad{
 		{"nothing said", "", closed, nil},
--- a/cmd/swiftreel/jobs_test.go
+++ b/cmd/swiftreel/jobs_test.go
@@ -17,7 +17,7 @@
 	}
 	w.nextCommand("more")
 	w.nextCommand("done")
-	w.feed.Add(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
+	w.feed.AddEvent(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
 	for !w.isThrottled(w.submit("lookup", "900")) { // draining is heard of in a moment
 	}
 }
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -176,7 +176,7 @@
 	}
 	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
 	t.Setenv("ROUTER_OPERATOR", own)
-	w := startControllerWith(t, fake.NewRough(4).Handle, "e1", "e2", "e3")
+	w := startControllerWith(t, fake.NewFaultyEngine(4).Handle, "e1", "e2", "e3")
 	var typicalClients sync.WaitGroup
 	for i := range uint64(3) {
 		typicalClients.Go(func() { w.sendTypicalJobs(7000+i, 80) })
--- a/cmd/swiftreel/shutdown_test.go
+++ b/cmd/swiftreel/shutdown_test.go
@@ -55,7 +55,7 @@
 	late, resting := w.dial(), w.dial()
 	defer late.Conn.Close()
 	defer resting.Conn.Close()
-	for _, c := range []*fake.Caller{late, resting} {
+	for _, c := range []*fake.Client{late, resting} {
 		if ready, err := c.Ready(); !ready || err != nil {
 			t.Fatal(ready, err)
 		}
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -16,8 +16,8 @@
 	"swiftreel/internal/fake"
 )
 
-// startSPARQL is a town with a SPARQL front and two endpoints beside two engines of the line protocol, all on the machines e1
-// and e2.
+// startSPARQL starts a controller with a SPARQL front and two endpoints beside two engines of the line protocol, all
+// on the machines e1 and e2.
 func startSPARQL(t *testing.T) (w *testController, at string, ends [2]*fake.Endpoint) {
 	t.Helper()
 	var list []string
@@ -116,7 +116,8 @@
 		{"graphs named twice", newRequest("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "",
 			"WITH <g> DELETE { ?s <p> 1 } WHERE { ?s <p> 1 }"), 400, "", "USING or WITH"},
 		{"graphs named once, and a word that looks like it",
-			newRequest("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "", `INSERT DATA { <c> <p> "using" }`),
+			newRequest("POST", at+"?using-graph-uri=http://g", "application/sparql-update", "",
+				`INSERT DATA { <c> <p> "using" }`),
 			204, "", ""},
 		{"SERVICE", newRequest("GET", at+"?query="+url.QueryEscape("SELECT * { SERVICE <http://near/> { ?s ?p ?o } }"), "",
 			"",
@@ -159,7 +160,7 @@
 	var mu sync.Mutex
 	broke, refused := 0, 0
 	for i, e := range ends {
-		e.Script(func(w http.ResponseWriter, text string) bool { // begins, and breaks off
+		e.Intercept(func(w http.ResponseWriter, text string) bool { // begins, and breaks off
 			if strings.HasPrefix(text, "INSERT") {
 				mu.Lock()
 				broke = i
@@ -175,7 +176,7 @@
 	mu.Lock()
 	other := 1 - broke // which is chosen more now
 	mu.Unlock()
-	ends[other].Script(func(w http.ResponseWriter, text string) bool { // full, and says that nothing began
+	ends[other].Intercept(func(w http.ResponseWriter, text string) bool { // full, and says that nothing began
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(text, "INSERT") {
@@ -186,7 +187,7 @@
 		}
 		return false
 	})
-	ends[1-other].Script(nil)
+	ends[1-other].Intercept(nil)
 	for n := range 6 {
 		if status, _, body := sendRequest(t, update(10+n)); status != 204 {
 			t.Errorf("%d: %d %q", n, status, body)
@@ -195,7 +196,7 @@
 	sendRequest(t, newRequest("POST", at, "application/sparql-update", "", "INSERT DATA { <x> }"))
 	seen := map[string]int{}
 	for _, e := range ends {
-		for _, text := range e.Seen() {
+		for _, text := range e.Received() {
 			seen[text]++
 		}
 	}
@@ -217,7 +218,7 @@
 	began, over := make(chan struct{}, 2), make(chan struct{})
 	var once sync.Once
 	for _, e := range ends {
-		e.Script(func(_ http.ResponseWriter, text string) bool {
+		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			if text == askStatement {
 				began <- struct{}{}
 				<-over
@@ -248,21 +249,21 @@
 // The machine says of itself, over either protocol, that it drains: nothing new goes there, whatever the list says.
 func TestADrainToldByTheEngineItselfHoldsForItsMachine(t *testing.T) {
 	_, at, ends := startSPARQL(t)
-	ends[0].Script(func(w http.ResponseWriter, text string) bool {
+	ends[0].Intercept(func(w http.ResponseWriter, text string) bool {
 		w.Header().Set("Draining", "?1")
 		return false
 	})
 	query := func() { sendRequest(t, newRequest("GET", at+"?query="+url.QueryEscape(askStatement), "", "", "")) }
-	for stop := time.Now().Add(20 * time.Second); len(ends[0].Seen()) == 0; query() {
+	for stop := time.Now().Add(20 * time.Second); len(ends[0].Received()) == 0; query() {
 		if time.Now().After(stop) {
 			t.Fatal("the first is never asked")
 		}
 	}
-	before := len(ends[0].Seen())
+	before := len(ends[0].Received())
 	for range 20 {
 		query()
 	}
-	if n := len(ends[0].Seen()); n > before {
+	if n := len(ends[0].Received()); n > before {
 		t.Errorf("%d jobs more after it said that it drains", n-before)
 	}
 }
@@ -273,7 +274,7 @@
 	began, over := make(chan struct{}, 4), make(chan struct{})
 	t.Cleanup(sync.OnceFunc(func() { close(over) }))
 	for _, e := range ends {
-		e.Script(func(_ http.ResponseWriter, text string) bool {
+		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			switch {
 			case strings.Contains(text, "<slow>"):
 				began <- struct{}{}
@@ -314,7 +315,7 @@
 	}
 	slow := 0
 	for _, e := range ends {
-		for _, text := range e.Seen() {
+		for _, text := range e.Received() {
 			if strings.Contains(text, "<slow>") {
 				slow++
 			}
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -18,11 +18,11 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, crashingProgram, strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1))))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, crashingProgram, strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = p.Await()
+	err = p.WaitExit()
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
@@ -39,11 +39,11 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -51,13 +51,13 @@
 			far = m
 		}
 	}
-	far.Link.Set(testcluster.OneWay, 0) // it is asked, and its answers are lost
-	waitUntil(t, w, "all that can be reached have passed", func() bool { return recordedState(folder).Phase == rollout.PhaseFinishing || p.Over() })
-	if p.Over() {
+	far.Link.SetMode(testcluster.LinkOneWay, 0) // it is asked, and its answers are lost
+	waitUntil(t, w, "all that can be reached have passed", func() bool { return recordedState(folder).Phase == rollout.PhaseFinishing || p.Exited() })
+	if p.Exited() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
-	far.Link.Set(testcluster.Passes, 0)
-	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+	far.Link.SetMode(testcluster.LinkUp, 0)
+	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() }) {
@@ -72,11 +72,11 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1), `"apply_ms":20000`, `"apply_ms":5000`, 1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1), `"apply_ms":20000`, `"apply_ms":5000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -86,16 +86,16 @@
 			syscall.Kill(s.PID, syscall.SIGHUP) // as by hand: the same file is read once more
 		}
 	}
-	far.Link.Set(testcluster.Silent, 0)
+	far.Link.SetMode(testcluster.LinkSilent, 0)
 	if err := coordinator.UnlockedFolder(folder).Submit(rollout.RequestRollback); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "it is stuck, and names the one", func() bool {
 		s := recordedState(folder)
-		return s.Phase == rollout.PhaseDegraded && strings.Contains(s.Reason, far.Name) || p.Over()
+		return s.Phase == rollout.PhaseDegraded && strings.Contains(s.Reason, far.Name) || p.Exited()
 	})
-	far.Link.Set(testcluster.Passes, 0)
-	err = p.Await()
+	far.Link.SetMode(testcluster.LinkUp, 0)
+	err = p.WaitExit()
 	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || recordedState(folder).Phase != rollout.PhaseRolledBack {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
--- a/internal/coordinator/process_setup_test.go
+++ b/internal/coordinator/process_setup_test.go
@@ -60,17 +60,17 @@
 const timingAndLimits = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":3000,"look_ms":30},
 "limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
 
-func newCluster(t *testing.T, n int) (*testcluster.Town, *testcluster.Load) {
+func newCluster(t *testing.T, n int) (*testcluster.Cluster, *testcluster.Load) {
 	t.Helper()
-	w, err := testcluster.NewTown(currentProgram, 1, n, 2, false)
+	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: n, Engines: 2}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	return w, w.NewLoad(1, 1, 10*time.Millisecond, false)
+	return w, w.StartLoad(1, 1, 10*time.Millisecond, false)
 }
 
-func writeFile(t *testing.T, w *testcluster.Town, name, text string) string {
+func writeFile(t *testing.T, w *testcluster.Cluster, name, text string) string {
 	t.Helper()
 	path := filepath.Join(w.Dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -83,9 +83,9 @@
 	return fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`, number, number, timingAndLimits)
 }
 
-func waitUntil(t *testing.T, w *testcluster.Town, what string, is func() bool) {
+func waitUntil(t *testing.T, w *testcluster.Cluster, what string, is func() bool) {
 	t.Helper()
-	if err := w.Await(40*time.Second, is); err != nil {
+	if err := w.WaitUntil(40*time.Second, is); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -96,13 +96,13 @@
 }
 
 // finish holds all logs against the rules.
-func stopAndCheckRules(t *testing.T, w *testcluster.Town, l *testcluster.Load) {
+func stopAndCheckRules(t *testing.T, w *testcluster.Cluster, l *testcluster.Load) {
 	t.Helper()
 	l.Stop()
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 	if l.Done.Load() == 0 {
@@ -110,7 +110,7 @@
 	}
 }
 
-func everyStatus(t *testing.T, w *testcluster.Town, is func(supervisor.Status) bool) bool {
+func everyStatus(t *testing.T, w *testcluster.Cluster, is func(supervisor.Status) bool) bool {
 	t.Helper()
 	for _, m := range w.Members {
 		if s, err := w.Status(m); err != nil || !is(s) {
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -42,7 +42,7 @@
 
 // countTermsUnderLoad counts how often the leader of three voters changes while the tests keep all cores busy.
 func countTermsUnderLoad(program string, stop <-chan struct{}) error {
-	cluster, err := testcluster.Plan{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	cluster, err := testcluster.Config{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
 		return err
 	}
@@ -56,13 +56,13 @@
 		return err
 	}
 	var first, last leader.Status
-	if err := cluster.Get(member, "/v1/owner", &first); err != nil {
+	if err := cluster.GetJSON(member, "/v1/owner", &first); err != nil {
 		return err
 	}
 	startedAt := time.Now()
 	<-stop
 	duration := time.Since(startedAt)
-	if err := cluster.Get(member, "/v1/owner", &last); err != nil {
+	if err := cluster.GetJSON(member, "/v1/owner", &last); err != nil {
 		return err
 	}
 	fmt.Printf("real processes beside that, all cores busy: the owner of 3 voters changed %d times in %.0f s\n",
