--- a/cmd/swiftreel/reload_test.go
+++ b/cmd/swiftreel/reload_test.go
@@ -6,8 +6,10 @@
 	"syscall"
 	"testing"
 
+	"swiftreel/internal/config"
 	"swiftreel/internal/counters"
 	"swiftreel/internal/fake"
+	"swiftreel/internal/operator"
 )
 
 func TestTheFeedIsResumedAndAnAddressReused(t *testing.T) {
@@ -60,3 +62,50 @@
 		t.Errorf("the new place was asked from %v", requested)
 	}
 }
+
+// What differs and needs a restart is named, in order, and stays as it was.
+func TestWhatNeedsARestartIsNamedAndStays(t *testing.T) {
+	current := files{
+		config: config.File{
+			Name:     "n0",
+			Listen:   "a:1",
+			Seed:     1,
+			Settings: map[string]any{"kept": 1.0, "changed": 1.0, "removed": 1.0},
+		},
+		operator: operator.File{
+			SPARQL: &operator.SPARQL{Path: "/sparql"},
+			Stats:  &operator.Stats{Listen: "a:2", Spec: "s1"},
+		},
+	}
+	r := reloader{current: current}
+	same := current
+	same.config.Seed = 2 // new with each start
+	if names := r.retainUntilRestart(&same); len(names) > 0 {
+		t.Errorf("nothing differs, but %q", names)
+	}
+	next := current
+	next.config.Name, next.config.Listen = "n1", "a:9"
+	next.config.Settings = map[string]any{"kept": 1.0, "changed": 2.0, "added": 1.0}
+	next.operator = operator.File{Stats: &operator.Stats{Listen: "a:3", Spec: "s2"}}
+	names := r.retainUntilRestart(&next)
+	want := []string{
+		"listen",
+		"name",
+		"settings.added",
+		"settings.changed",
+		"settings.removed",
+		"operator.sparql",
+		"operator.tally",
+	}
+	if !slices.Equal(names, want) {
+		t.Errorf("%q, want %q", names, want)
+	}
+	if next.operator.SPARQL != current.operator.SPARQL || next.operator.Stats != current.operator.Stats {
+		t.Errorf("changed: %+v", next.operator)
+	}
+	spec := current
+	spec.operator.Stats = &operator.Stats{Listen: "a:2", Spec: "s2"} // another file at the same address
+	if names := r.retainUntilRestart(&spec); len(names) > 0 || spec.operator.Stats.Spec != "s2" {
+		t.Errorf("%q, %+v", names, spec.operator.Stats)
+	}
+}
--- a/internal/command/fleet_program.go
+++ b/internal/command/fleet_program.go
@@ -15,11 +15,11 @@
 
 // fleetCommands are the commands of that program.
 func fleetCommands() []*cobra.Command {
-	keep := fleetCommand("keep", "") // the former name of supervise
-	keep.Hidden = true
+	formerSupervise := fleetCommand("keep", "")
+	formerSupervise.Hidden = true
 	return []*cobra.Command{
 		fleetCommand("supervise", "Supervise one controller: start it, restart it, take orders for it"),
-		keep,
+		formerSupervise,
 		fleetCommand("rollout", "Take a change through a fleet in stages"),
 		fleetCommand("fleet", "What the fleet's controllers report, and who leads it"),
 		fleetCommand("store", "Look at what a store holds"),
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -77,7 +77,7 @@
 func (r *jobRunner) carryOut(order moduleOrder) {
 	switch order.action.Kind {
 	case choice.SetDispatchOptions:
-		r.setTerms(order.action)
+		r.setDispatchOptions(order.action)
 	case choice.Dispatch:
 		r.dispatch(order)
 	case choice.CancelAttempt:
@@ -92,13 +92,13 @@
 	}
 }
 
-// setTerms sets the memory grant and the priority of dispatches. The one in flight gets the new priority, too.
-func (r *jobRunner) setTerms(terms choice.Action) {
-	r.grantMB = terms.MemoryMB
-	if r.attempt != nil && terms.Priority != r.priority {
-		r.attempt.dispatch.SetPriority(terms.Priority)
+// setDispatchOptions sets the memory grant and the priority of dispatches. The one in flight gets the new priority, too.
+func (r *jobRunner) setDispatchOptions(options choice.Action) {
+	r.grantMB = options.MemoryMB
+	if r.attempt != nil && options.Priority != r.priority {
+		r.attempt.dispatch.SetPriority(options.Priority)
 	}
-	r.priority = terms.Priority
+	r.priority = options.Priority
 }
 
 // dispatch sends the job to an engine, or reports that this order came too late.
