--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -73,7 +73,7 @@
 	defer r.cluster.Close()
 	watch := r.cluster.WatchParts(shareCheckInterval)
 	load := r.newLoad()
-	if err := r.command("fleet", "found"); err != nil {
+	if err := r.command("fleet", "bootstrap"); err != nil {
 		return err
 	}
 	if _, err := r.awaitLeader(""); err != nil {
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -73,7 +73,7 @@
 	load := cluster.NewLoad(unevenSeed, unevenClients, unevenJobInterval, true)
 	if areAssigned {
 		run := &clusterRun{program: program, cluster: cluster}
-		if err := run.command("fleet", "found"); err != nil {
+		if err := run.command("fleet", "bootstrap"); err != nil {
 			return unevenResult{}, err
 		}
 	}
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -106,7 +106,7 @@
 	if restarted.ID != 0 {
 		return fmt.Errorf("%s came back as %d", member.Name, restarted.ID)
 	}
-	if err := r.command("fleet", "join", member.Name); err != nil {
+	if err := r.command("fleet", "replace-voter", member.Name); err != nil {
 		return err
 	}
 	return r.checkJoined(member, before.ID)
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -48,7 +48,7 @@
 	}
 	defer cluster.Close()
 	run := &clusterRun{program: program, cluster: cluster}
-	if err := run.command("fleet", "found"); err != nil {
+	if err := run.command("fleet", "bootstrap"); err != nil {
 		return err
 	}
 	member, err := run.awaitLeader("")
