--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -20,16 +20,16 @@
 	"swiftreel/internal/testcluster"
 )
 
-func leaderStatus(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.Status) {
-	w.Get(m, "/v1/owner", &v) // none: it does not act
+func leaderStatus(t *testing.T, w *testcluster.Cluster, m *testcluster.Member) (v leader.Status) {
+	w.GetJSON(m, "/v1/owner", &v) // none: it does not act
 	return v
 }
 
 // cli runs a command as an operator does.
-func runCommand(t *testing.T, w *testcluster.Town, args ...string) string {
+func runCommand(t *testing.T, w *testcluster.Cluster, args ...string) string {
 	t.Helper()
 	c := exec.Command(currentProgram, args...)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	text, err := c.CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v: %v: %s", args, err, text)
@@ -41,12 +41,12 @@
 // owns no more, and nothing that it does then is taken.
 func TestALeaderThatWakesUpLateDoesNoHarm(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Town()
+	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	runCommand(t, w, "fleet", "found")
 	acts := func(but *testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
@@ -65,20 +65,20 @@
 	reign := leaderStatus(t, w, first).Term
 	runCommand(t, w, "rollout", "start", "--agreed", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)))
 	state := func(m *testcluster.Member) (r coordinator.Record) {
-		w.Get(m, "/v1/owner/item?name=change.json", &r)
+		w.GetJSON(m, "/v1/owner/item?name=change.json", &r)
 		return r
 	}
 	waitUntil(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.PhaseBaking })
 	t.Cleanup(func() {
 		for _, m := range w.Members {
-			for line := range strings.Lines(m.Keeper.Log()) {
+			for line := range strings.Lines(m.Supervisor.Log()) {
 				if t.Failed() && (strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
 					t.Log(m.Name, line)
 				}
 			}
 		}
 	})
-	first.Keeper.Signal(syscall.SIGSTOP)
+	first.Supervisor.Signal(syscall.SIGSTOP)
 	second := acts(first)
 	if r := leaderStatus(t, w, second).Term; r <= reign {
 		t.Errorf("reign %d after %d", r, reign)
@@ -87,9 +87,9 @@
 		s := state(second).State
 		return s.Fence.Term > int64(reign) && (s.Phase == rollout.PhaseBaking || s.Stage > 0 || s.Phase.IsTerminal())
 	})
-	first.Keeper.Signal(syscall.SIGCONT)
+	first.Supervisor.Signal(syscall.SIGCONT)
 	waitUntil(t, w, "the one that slept says once that it owns no more", func() bool {
-		return strings.Count(first.Keeper.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
+		return strings.Count(first.Supervisor.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
 	})
 	waitUntil(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
 	to := state(acts(nil)).To.Digest()
@@ -104,11 +104,11 @@
 	lost := acts(nil)
 	number := leaderStatus(t, w, lost).ID
 	l.Stop() // a keeper's death takes its controller with it
-	lost.Keeper.End()
+	lost.Supervisor.Kill()
 	if err := os.Remove(filepath.Join(w.Dir, lost.Name, "owner.db")); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Again(lost); err != nil {
+	if err := w.StartSupervisor(lost); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serving })
@@ -127,18 +127,18 @@
 	kept := w.Members[0]
 	reign = leaderStatus(t, w, acts(nil)).Term
 	for _, m := range w.Members[1:] {
-		m.Keeper.End()
+		m.Supervisor.Kill()
 		if err := os.Remove(filepath.Join(w.Dir, m.Name, "owner.db")); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.Again(m); err != nil {
+		if err := w.StartSupervisor(m); err != nil {
 			t.Fatal(err)
 		}
 		waitUntil(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
 	}
 	waitUntil(t, w, "nobody owns", func() bool { return !leaderStatus(t, w, kept).Active })
 	c := exec.Command(currentProgram, "fleet", "recover", kept.Name)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "--the-others-lost-their-memory") {
 		t.Errorf("it recovers unasked: %s", text)
 	}
@@ -149,7 +149,7 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -158,16 +158,16 @@
 // than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
 func TestSharesAndPlansOutliveTheirLeaderToTheirEnds(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, Keepers: map[int]string{3: previousProgram}, Files: map[string]string{"problem.json": planningProblem},
-		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Town()
+	w, err := testcluster.Config{Program: currentProgram, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, SupervisorPrograms: map[int]string{3: previousProgram}, Files: map[string]string{"problem.json": planningProblem},
+		FleetFields: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 3, 10*time.Millisecond, true)
+	l := w.StartLoad(1, 3, 10*time.Millisecond, true)
 	runCommand(t, w, "fleet", "found")
 	told := w.Members[:3] // the fourth one's keeper is of the format before: it takes no words
-	watch := w.WatchParts(50 * time.Millisecond)
+	watch := w.WatchShares(50 * time.Millisecond)
 	statuses := func(of []*testcluster.Member) (list []supervisor.Status) {
 		for _, m := range of {
 			if s, err := w.Status(m); err == nil {
@@ -190,7 +190,7 @@
 		return settled(told, 0) && 2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
 	})
 	for _, m := range told {
-		waitUntil(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
+		waitUntil(t, w, "its controller follows it", func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_taken") })
 	}
 	var first *testcluster.Member
 	for _, m := range told {
@@ -202,10 +202,10 @@
 		t.Fatal("nobody owns any more")
 	}
 	reign := int64(leaderStatus(t, w, first).Term)
-	first.Keeper.Signal(syscall.SIGSTOP)
+	first.Supervisor.Signal(syscall.SIGSTOP)
 	others := slices.DeleteFunc(slices.Clone(told), func(m *testcluster.Member) bool { return m == first })
 	waitUntil(t, w, "the next owner goes on", func() bool { return settled(others, reign) })
-	first.Keeper.Signal(syscall.SIGCONT)
+	first.Supervisor.Signal(syscall.SIGCONT)
 	waitUntil(t, w, "all go by it", func() bool { return settled(told, reign) })
 	if err := watch.Stop(); err != nil {
 		t.Error(err)
@@ -217,7 +217,7 @@
 
 	// No owner: two of three keepers are stopped. Their controllers serve on, and end their plans by themselves.
 	for _, m := range told[1:] {
-		m.Keeper.Signal(syscall.SIGSTOP)
+		m.Supervisor.Signal(syscall.SIGSTOP)
 	}
 	waitUntil(t, w, "part and plan end", func() bool {
 		s, err := w.Status(told[0])
@@ -227,10 +227,10 @@
 	done := l.Done.Load()
 	waitUntil(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
-		m.Keeper.Signal(syscall.SIGCONT)
+		m.Supervisor.Signal(syscall.SIGCONT)
 	}
 	for _, m := range told[1:] {
-		waitUntil(t, w, "its plan ended while its keeper slept", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_ended") })
+		waitUntil(t, w, "its plan ended while its keeper slept", func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_ended") })
 	}
 	stopAndCheckRules(t, w, l)
 }
@@ -239,7 +239,7 @@
 // at once. A voter that is gone for good is forgotten.
 func TestALeaderThatIsUnfitHandsOver(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steeredProgram, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockMS: map[int]int{0: -420_000, 1: 420_000}}.Town()
+	w, err := testcluster.Config{Program: steeredProgram, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockOffsetMS: map[int]int{0: -420_000, 1: 420_000}}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,7 +260,7 @@
 	}
 	first := acts()
 	c := exec.Command(currentProgram, "fleet", "found") // another fleet's operator, by mistake
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "is a member already") {
 		t.Errorf("a fleet is founded twice: %s", text)
 	}
@@ -271,27 +271,27 @@
 	syscall.Kill(s.PID, syscall.SIGSTOP)
 	second := acts(first)
 	syscall.Kill(s.PID, syscall.SIGCONT)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
-	if text := first.Keeper.Log(); !strings.Contains(text, "msg=leader_handover") || !strings.Contains(text, `reason="its controller does not serve"`) {
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
+	if text := first.Supervisor.Log(); !strings.Contains(text, "msg=leader_handover") || !strings.Contains(text, `reason="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
-	if err := w.Disk(second.Name, "full"); err != nil {
+	if err := w.SetDisk(second.Name, "full"); err != nil {
 		t.Fatal(err)
 	}
 	c = exec.Command(currentProgram, "rollout", "start", "--agreed", writeFile(t, w, "change.json", settingsChange(1)))
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
+	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	c.Run() // it may be begun by the next owner, or not at all
 	third := acts(second)
-	waitUntil(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=leader_member_halted") })
+	waitUntil(t, w, "it says why", func() bool { return strings.Contains(second.Supervisor.Log(), "msg=leader_member_halted") })
 	if text := runCommand(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
-	if err := w.Disk(second.Name, ""); err != nil {
+	if err := w.SetDisk(second.Name, ""); err != nil {
 		t.Fatal(err)
 	}
 	l.Stop() // a keeper's death takes its controller with it
-	second.Keeper.End()
-	if err := w.Again(second); err != nil {
+	second.Supervisor.Kill()
+	if err := w.StartSupervisor(second); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "it is back with its memory", func() bool { return leaderStatus(t, w, second).RaftLeader != "" })
@@ -302,19 +302,19 @@
 			gone = m
 		}
 	}
-	gone.Keeper.End()
+	gone.Supervisor.Kill()
 	runCommand(t, w, "fleet", "forget", gone.Name)
 	if v := leaderStatus(t, w, acts(gone)); len(v.Voters) != 2 || slices.Contains(v.Voters, gone.Name) {
 		t.Errorf("%+v", v)
 	}
-	if err := w.Again(gone); err != nil {
+	if err := w.StartSupervisor(gone); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serving })
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
--- a/internal/coordinator/process_plan_test.go
+++ b/internal/coordinator/process_plan_test.go
@@ -26,11 +26,11 @@
 	folder := filepath.Join(w.Dir, "record")
 	runCommand(t, w, "solve", writeFile(t, w, "problem.json", planningProblem), "--out", filepath.Join(w.Dir, "plan.json"), "--time", "20s")
 	conducted := func(file, text string) (string, error) {
-		p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, file, text))
+		p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, file, text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = p.Await()
+		err = p.WaitExit()
 		return p.Log(), err
 	}
 	if text, err := conducted("change.json", fmt.Sprintf(`{"number":2,"kind":"plan","to":{"plan":"plan.json"},%s}`, timingAndLimits)); err != nil {
@@ -45,8 +45,8 @@
 		t.Error("not all run both")
 	}
 	for _, m := range w.Members {
-		if strings.Count(m.Keeper.Log(), "msg=plan_taken") != 1 { // the same plan once more is no new one
-			t.Errorf("%s: %s", m.Name, m.Keeper.Log())
+		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 { // the same plan once more is no new one
+			t.Errorf("%s: %s", m.Name, m.Supervisor.Log())
 		}
 	}
 	if text, err := conducted("late.json", settingsChange(1)); err == nil || !strings.Contains(text, "has taken order") {
@@ -67,28 +67,28 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	ends := monotonic.Now() + int64(6*time.Second)
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 9, Controllers: 2, Engines: 2, Operator: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Town()
+	w, err := testcluster.Config{Program: currentProgram, Seed: 9, Controllers: 2, Engines: 2, OperatorFields: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
+	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1)))
+	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(t, w, "the first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
 	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
-	if err := p.Await(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	for _, m := range w.Members {
-		waitUntil(t, w, "its plan has ended", func() bool { return strings.Count(m.Keeper.Log(), "msg=plan_ended") == 1 })
-		if strings.Count(m.Keeper.Log(), "msg=plan_taken") != 1 {
-			t.Errorf("%s", m.Keeper.Log())
+		waitUntil(t, w, "its plan has ended", func() bool { return strings.Count(m.Supervisor.Log(), "msg=plan_ended") == 1 })
+		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 {
+			t.Errorf("%s", m.Supervisor.Log())
 		}
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -87,20 +87,20 @@
 
 func (r *clusterRun) replaceVoter(member *testcluster.Member) error {
 	var before leader.Status
-	if err := r.cluster.Get(member, "/v1/owner", &before); err != nil {
+	if err := r.cluster.GetJSON(member, "/v1/owner", &before); err != nil {
 		return err
 	}
-	r.killedLogs = append(r.killedLogs, member.Keeper.Log())
-	member.Keeper.End()
+	r.killedLogs = append(r.killedLogs, member.Supervisor.Log())
+	member.Supervisor.Kill()
 	if err := os.Remove(filepath.Join(r.cluster.Dir, member.Name, "owner.db")); err != nil {
 		return err
 	}
-	if err := r.cluster.Again(member); err != nil {
+	if err := r.cluster.StartSupervisor(member); err != nil {
 		return err
 	}
 	var restarted leader.Status
-	isUp := func() bool { return r.cluster.Get(member, "/v1/owner", &restarted) == nil }
-	if err := r.cluster.Await(restartTimeout, isUp); err != nil {
+	isUp := func() bool { return r.cluster.GetJSON(member, "/v1/owner", &restarted) == nil }
+	if err := r.cluster.WaitUntil(restartTimeout, isUp); err != nil {
 		return err
 	}
 	if restarted.ID != 0 {
@@ -114,7 +114,7 @@
 
 func (r *clusterRun) checkJoined(member *testcluster.Member, formerID uint64) error {
 	var status leader.Status
-	err := r.cluster.Get(member, "/v1/owner", &status)
+	err := r.cluster.GetJSON(member, "/v1/owner", &status)
 	isNew := status.ID != 0 && status.ID != formerID
 	if err != nil || !isNew || len(status.Voters) != voterCount {
 		return errors.Join(fmt.Errorf("%s is %+v after %d", member.Name, status, formerID), err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,9 +71,9 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	whole := unhex(t, twoInstances)
-	for n := 1; n < len(whole); n++ {
-		if _, err := read(whole[:n]); !errors.Is(err, ErrFrame) {
+	valid := unhex(t, twoInstances)
+	for n := 1; n < len(valid); n++ {
+		if _, err := read(valid[:n]); !errors.Is(err, ErrFrame) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
@@ -81,7 +81,7 @@
 		t.Errorf("end of input: %v", err)
 	}
 	for at, value := range map[int]byte{0: 0xff, 15: 9, 16: 251} { // length, count, code
-		broken := bytes.Clone(whole)
+		broken := bytes.Clone(valid)
 		broken[at] = value
 		if _, err := read(broken); !errors.Is(err, ErrFrame) {
 			t.Errorf("byte %d = %d: %v", at, value, err)
@@ -94,7 +94,7 @@
 	p.Add(3, choice.Action{Kind: choice.Dispatch, Job: 0x5d3a91c4, Engine: 0x03124a07, Duration: 80000000})
 	p.Add(3, choice.Action{Kind: choice.SetTimer, Duration: 500000000, TimerID: 77})
 	p.Add(5, choice.Action{Kind: choice.Log, Text: "two servers known"})
-	p.Add(3, choice.Action{Kind: choice.SendGossip, Peer: 0xffffffff, Text: "hi 7"})
+	p.Add(3, choice.Action{Kind: choice.SendGossip, Peer: 0xffffffff, Payload: "hi 7"})
 	p.Add(3, choice.Action{Kind: choice.SetDispatchOptions, Job: 0x5d3a91c4, Priority: 2, MemoryMB: 640})
 	var out bytes.Buffer
 	if _, err := p.WriteTo(&out); err != nil {
