--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"runtime"
@@ -129,27 +130,35 @@
 	state := State{}
 	for i, step := range []struct {
 		command Command
-		isValid bool
+		isStale bool
 	}{
-		{Command{Term: 1, Item: "x"}, false},
-		{Command{Term: 3, Candidate: "a"}, true},
-		{Command{Term: 3, Candidate: "b"}, false},
-		{Command{Term: 2, Candidate: "b"}, false},
-		{Command{Term: 3, Item: "x", Value: []byte("1")}, true},
-		{Command{Term: 2, Item: "x"}, false},
-		{Command{Term: 4, Candidate: "b"}, true},
-		{Command{Term: 3, Item: "x"}, false},
-		{Command{Term: 4, Item: "y", Value: make([]byte, maxItemBytes+1)}, false},
+		{Command{Term: 1, Item: "x"}, true},
+		{Command{Term: 3, Candidate: "a"}, false},
+		{Command{Term: 3, Candidate: "b"}, true},
+		{Command{Term: 2, Candidate: "b"}, true},
+		{Command{Term: 3, Item: "x", Value: []byte("1")}, false},
+		{Command{Term: 2, Item: "x"}, true},
+		{Command{Term: 4, Candidate: "b"}, false},
+		{Command{Term: 3, Item: "x"}, true},
 	} {
-		if err := state.apply(step.command); (err == nil) != step.isValid {
+		err := state.apply(step.command)
+		var stale *StaleTermError
+		if errors.As(err, &stale) != step.isStale || (err == nil) == step.isStale {
 			t.Errorf("step %d: %v", i, err)
 		}
 	}
+	tooLarge := Command{Term: 4, Item: "y", Value: make([]byte, maxItemBytes+1)}
+	if err := state.apply(tooLarge); !errors.Is(err, ErrItemTooLarge) {
+		t.Errorf("an item that is too large: %v", err)
+	}
 	for i := range 2 * maxItems {
+		var want error
+		if len(state.Items) >= maxItems {
+			want = ErrTooManyItems
+		}
 		command := Command{Term: 4, Item: fmt.Sprint(i), Value: []byte("1")}
-		isAccepted := len(state.Items) < maxItems
-		if err := state.apply(command); (err == nil) != isAccepted {
-			t.Errorf("item %d: %v", i, err)
+		if err := state.apply(command); !errors.Is(err, want) {
+			t.Errorf("item %d: %v, wanted %v", i, err, want)
 		}
 	}
 	if len(state.Items) != maxItems || string(state.Items["x"]) != "1" || state.Leader != "b" {
--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -85,7 +86,10 @@
 	if !isPresent {
 		return nil
 	}
-	return json.Unmarshal(text, into)
+	if err := json.Unmarshal(text, into); err != nil {
+		return fmt.Errorf("replicated item %s: %w", name, err)
+	}
+	return nil
 }
 
 // writeJSON encodes and replicates an item.
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
@@ -22,7 +23,7 @@
 func (c *Core) restore(snapshot *raftpb.Snapshot) error {
 	var state State
 	if err := json.Unmarshal(snapshot.GetData(), &state); err != nil {
-		return err
+		return fmt.Errorf("decode snapshot: %w", err)
 	}
 	c.state = state
 	c.appliedIndex = snapshot.GetMetadata().GetIndex()
--- a/internal/leader/store.go
+++ b/internal/leader/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"time"
 
 	"go.etcd.io/bbolt"
@@ -33,7 +34,7 @@
 func OpenStore(path string) (*Store, error) {
 	db, err := bbolt.Open(path, storeFileMode, &bbolt.Options{Timeout: storeLockTimeout})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open store %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(metaBucket); err != nil {
@@ -42,7 +43,11 @@
 		_, err := tx.CreateBucketIfNotExists(entriesBucket)
 		return err
 	})
-	return &Store{db}, err
+	if err != nil {
+		_ = db.Close() // the first error is the cause
+		return nil, fmt.Errorf("prepare store %s: %w", path, err)
+	}
+	return &Store{db}, nil
 }
 
 // Close closes the file.
@@ -68,7 +73,10 @@
 			return proto.Unmarshal(text, entry)
 		})
 	})
-	return state, err
+	if err != nil {
+		return PersistentState{}, fmt.Errorf("load store: %w", err)
+	}
+	return state, nil
 }
 
 // Initialize writes the state with which a member starts, in place of everything stored before.
