--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -10,109 +9,10 @@
 	"time"
 
 	"swiftreel/internal/counters"
-	"swiftreel/internal/gateway"
-	"swiftreel/internal/limits"
 )
 
-// Pairs of events that can cross, each held in its bad order by a gate: never by how long something takes.
-
-// recordingSubmitter passes on what is submitted. While blocked is set, Submit does not return until it is closed,
-// which holds up the reader.
-type recordingSubmitter struct {
-	requests chan gateway.Request
-	blocked  chan struct{}
-}
-
-func (k *recordingSubmitter) Ready() bool { return true }
-
-func (k *recordingSubmitter) Submit(a gateway.Request) {
-	k.requests <- a
-	if k.blocked != nil {
-		<-k.blocked
-	}
-}
-
-func (k *recordingSubmitter) nextRequest(t *testing.T) gateway.Request {
-	t.Helper()
-	select {
-	case a := <-k.requests:
-		return a
-	case <-time.After(20 * time.Second):
-		t.Fatal("nothing is taken")
-	}
-	return gateway.Request{}
-}
-
-// gatedListener accepts a connection once it is opened, and has it made with small buffers.
-type gatedListener struct {
-	*net.TCPListener
-	open chan struct{}
-}
-
-func (d gatedListener) Accept() (net.Conn, error) {
-	nc, err := d.TCPListener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	nc.(*net.TCPConn).SetWriteBuffer(64 << 10)
-	<-d.open
-	return nc, nil
-}
-
-type testServer struct {
-	t      *testing.T
-	server *Server
-	jobs   *recordingSubmitter
-	door   gatedListener
-}
-
-func newTestServer(t *testing.T, maxConns int64) *testServer {
-	t.Helper()
-	parts := new(limits.Budget)
-	parts.ClientConns.Store(maxConns)
-	parts.MessageBytes.SetCapacity(1 << 20)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &testServer{
-		t:    t,
-		jobs: &recordingSubmitter{requests: make(chan gateway.Request, 1000)},
-		door: gatedListener{l.(*net.TCPListener), make(chan struct{})},
-	}
-	s.server = NewServer(s.jobs, parts)
-	t.Cleanup(func() {
-		l.Close()
-		s.server.Close()
-	})
-	go func() { _ = s.server.Serve(s.door) }() // an error shows as a client that is not served
-	return s
-}
-
-func (s *testServer) dial() *net.TCPConn {
-	nc, err := net.Dial("tcp", s.door.Addr().String())
-	if err != nil {
-		s.t.Fatal(err)
-	}
-	s.t.Cleanup(func() { nc.Close() })
-	return nc.(*net.TCPConn)
-}
-
-func (s *testServer) until(what string, is func() bool) {
-	s.t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(stop) {
-			s.t.Fatal(what)
-		}
-	}
-}
-
-func callOf(id uint32, body string) []byte {
-	return AppendCall(nil, id, "lookup", []string{"call", fmt.Sprintf("%016x", id), "ttl", "20000"}, []byte(body))
-}
-
 // The client has closed, behind more calls than one read takes: none of them is taken.
-func TestNothingIsTakenOfAClientThatHasGone(t *testing.T) {
+func TestNoCallIsSubmittedOfAClientThatHasLeft(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -142,7 +42,7 @@
 }
 
 // The calls' revokes lie behind more bytes than one read takes.
-func TestACallIsNotTakenWhoseRevokeLiesUnread(t *testing.T) {
+func TestACallIsNotSubmittedIfItsRevocationIsBuffered(t *testing.T) {
 	s := newTestServer(t, 6)
 	c := s.dial()
 	body := string(make([]byte, 1000))
@@ -160,7 +60,7 @@
 }
 
 // A client that reads nothing fills the way back, and then takes a call back: the reader must not wait to be read.
-func TestARevokeIsReadWhileAnswersAreNot(t *testing.T) {
+func TestARevocationIsReadWhileAnswersAreNot(t *testing.T) {
 	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
@@ -187,22 +87,8 @@
 	}
 }
 
-// writing tells whether some result is being written.
-func (f *Server) writing() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if c.mu.Lock(); c.resultsInFlight > 0 {
-			c.mu.Unlock()
-			return true
-		}
-		c.mu.Unlock()
-	}
-	return false
-}
-
 // One that asks on and reads nothing is bounded: it loses its connection.
-func TestAnswersThatNobodyReadsAreBounded(t *testing.T) {
+func TestUnreadAnswersAreBounded(t *testing.T) {
 	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
@@ -219,18 +105,6 @@
 	}
 }
 
-// unwritten is the most that waits to be written to one client.
-func (f *Server) unwritten() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		c.mu.Lock()
-		n = max(n, len(c.replies))
-		c.mu.Unlock()
-	}
-	return n
-}
-
 // A connection makes way while its client's next call is on its way, and the last answer lies unread with the client:
 // the answer is not lost, the call is not taken, and the client sees an end in order.
 func TestACallThatCrossesTheCloseOfAnIdleConnection(t *testing.T) {
@@ -255,20 +129,8 @@
 	}
 }
 
-// idleNow counts the connections that asked and have been answered.
-func (f *Server) idleNow() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if activity := c.activity(); activity.hasSpoken && activity.isIdle {
-			n++
-		}
-	}
-	return n
-}
-
 // A result is being written on a connection with nothing else open: it is not idle, and does not make way.
-func TestAConnectionThatIsWrittenToDoesNotMakeWay(t *testing.T) {
+func TestAConnectionThatIsWrittenToIsNotEvicted(t *testing.T) {
 	s := newTestServer(t, 1)
 	close(s.door.open)
 	c := s.dial()
@@ -292,7 +154,7 @@
 }
 
 // The controller ends with a call unread behind an answer that was just written.
-func TestAnAnswerIsNotLostToACallUnreadAtTheEnd(t *testing.T) {
+func TestAnAnswerIsNotLostToABufferedCallAtShutdown(t *testing.T) {
 	s := newTestServer(t, 6)
 	s.jobs.blocked = make(chan struct{})
 	close(s.door.open)
@@ -325,7 +187,7 @@
 }
 
 // A call that is read once the controller takes nothing more is throttled and not sent on.
-func TestWhatIsReadAfterTheEndBeganIsThrottled(t *testing.T) {
+func TestCallsReadDuringShutdownAreThrottled(t *testing.T) {
 	s := newTestServer(t, 6)
 	c := s.dial()
 	c.Write(callOf(1, "SELECT 1 FROM a_1.b"))
@@ -342,7 +204,7 @@
 }
 
 // A client that reads nothing holds up the end no longer than half a message does: what it does not read is not owed.
-func TestWhatAClientDoesNotReadIsNotOwed(t *testing.T) {
+func TestRepliesThatAClientDoesNotReadAreNotOwed(t *testing.T) {
 	s := newTestServer(t, 6)
 	close(s.door.open)
 	c := s.dial()
@@ -365,7 +227,7 @@
 }
 
 // What was accepted by the system only, lies unread, or was read in part is seen before the end.
-func TestUnreadIsSeen(t *testing.T) {
+func TestPendingInputIsDetected(t *testing.T) {
 	s := newTestServer(t, 6)
 	s.jobs.blocked = make(chan struct{})
 	if s.server.HasPendingInput() {
@@ -396,7 +258,7 @@
 // Where all have asked of late and one more is at the door, the one idle longest makes way at once. Seen on sockets:
 // idle clients held all places, each newcomer waited for one of them to be silent for long enough, 841 of 2,650
 // requests were never taken up, and one of a key overtook another that waited at the door.
-func TestIdleClientsMakeWayForWhoeverIsAtTheDoor(t *testing.T) {
+func TestTheLongestIdleClientIsEvictedForANewOne(t *testing.T) {
 	s := newTestServer(t, 100)
 	close(s.door.open)
 	now := time.Now()
--- a/internal/client/eviction_test.go
+++ b/internal/client/eviction_test.go
@@ -52,10 +52,10 @@
 	return err == nil && a.Ready
 }
 
-func TestAFloodOfSilentClientsPushesOutItsOwn(t *testing.T) {
+func TestAFloodOfSilentClientsEvictsItsOwn(t *testing.T) {
 	dial := startServer(t, 6)
-	usual := []net.Conn{dial(), dial()}
-	for _, c := range usual {
+	regularClients := []net.Conn{dial(), dial()}
+	for _, c := range regularClients {
 		if !answersHeartbeat(c) {
 			t.Fatal("no answer")
 		}
@@ -71,14 +71,14 @@
 	if _, err := silent[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first that said nothing: %v", err)
 	}
-	for _, c := range usual {
+	for _, c := range regularClients {
 		if !answersHeartbeat(c) {
 			t.Error("a usual client was pushed out")
 		}
 	}
 }
 
-func TestWhereAllHaveAskedTheOneIdleLongestMakesWay(t *testing.T) {
+func TestTheLongestIdleConnectionIsEvictedIfNoneIsSilent(t *testing.T) {
 	dial := startServer(t, 3)
 	var conns []net.Conn
 	for range 3 {
--- a/internal/client/golden_test.go
+++ b/internal/client/golden_test.go
@@ -42,10 +42,10 @@
 func TestEachMessageHasItsBytes(t *testing.T) {
 	fields := []string{"call", "9b1f03aa5c7e2d41", "ttl", "1500"}
 	for _, c := range []struct {
-		name        string
-		ready       bool
-		got         []byte
-		sent, comes string
+		name            string
+		ready           bool
+		written         []byte
+		request, answer string
 	}{
 		{"heartbeat", true, AppendHeartbeat(nil, 1),
 			"\x94\x00\x01\xa9heartbeat\x91\x80", "\x94\x01\x01\xc0\x92\xc3\x80"},
@@ -80,22 +80,22 @@
 			"\x94\x01\x0c\xc0\x92\xc3\x80"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if string(c.got) != c.sent {
-				t.Fatalf("a client writes %q, not %q", c.got, c.sent)
+			if string(c.written) != c.request {
+				t.Fatalf("a client writes %q, not %q", c.written, c.request)
 			}
 			nc := dialServer(t, byType{c.ready})
-			if _, err := nc.Write(c.got); err != nil {
+			if _, err := nc.Write(c.written); err != nil {
 				t.Fatal(err)
 			}
-			if got := readBytes(t, nc, len(c.comes)); got != c.comes {
-				t.Errorf("%q comes back, not %q", got, c.comes)
+			if got := readBytes(t, nc, len(c.answer)); got != c.answer {
+				t.Errorf("%q comes back, not %q", got, c.answer)
 			}
 		})
 	}
 }
 
 // What ends a connection is told under the number of the call, where it has one.
-func TestTheLastWordOfAConnectionHasItsBytes(t *testing.T) {
+func TestTheFinalErrorOfAConnectionHasItsBytes(t *testing.T) {
 	nc := dialServer(t, byType{true})
 	if _, err := io.WriteString(nc, "\x94\x00\x05\x07"); err != nil { // the method is a number
 		t.Fatal(err)
--- a/internal/client/msgpack_test.go
+++ b/internal/client/msgpack_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWhatIsOutOfBoundsIsNotWaitedFor(t *testing.T) {
+func TestValuesOutOfBoundsAreRejectedAtOnce(t *testing.T) {
 	for name, in := range map[string]string{
 		"a length past the bound": "\xdb\x7f\xff\xff\xff", "a count past the bound": "\xdd\xff\xff\xff\xff",
 		"too deep": strings.Repeat("\x91", maxDepth+1), "no format": "\xc1", "a long bin": "\xc6\x00\x04\x00\x00",
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestACallIsReadWithOldAndNewStrings(t *testing.T) {
+func TestARequestIsParsedWithOldAndNewStrings(t *testing.T) {
 	fields := []string{"call", "9b1f03aa5c7e2d41", "ttl", "1500", "org", "acme", "rep", "1", "work", "820.5", "est_mb",
 		"96", "row", "7f3a", "other", "x"}
 	b := AppendCall(nil, 70000, "report", fields, []byte("SELECT 1"))
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestAnswersReadBack(t *testing.T) {
+func TestAnswersRoundTrip(t *testing.T) {
 	rows := bytes.Repeat([]byte("a\tb\n"), 20000)
 	b := appendDoneTail(append(appendDoneHead(nil, 300, len(rows)), rows...))
 	a, n, err := ParseAnswer(append(b, 0x94))
--- a/internal/client/stall_test.go
+++ b/internal/client/stall_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWhatLayUnreadWhileTheProgramStoodStillCountsFromThen(t *testing.T) {
+func TestMessagesReadAfterAStallCountFromItsStart(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	p := newStallDetector(at(0))
 	for ms := 10; ms <= 100; ms += 10 {
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -85,7 +85,7 @@
 }
 
 // The feed moves twice, to places that are down: where it was last heard is kept all the while.
-func TestTheOldPlaceIsKeptThroughPlacesThatNeverSpoke(t *testing.T) {
+func TestThePreviousAddressIsWatchedUntilANewOneSendsSomething(t *testing.T) {
 	next := newFakeFeed(t)
 	f, e, _, nc := watchFakeFeed(t)
 	f.Reconfigure("127.0.0.1:1", nil)
@@ -105,7 +105,7 @@
 
 // A line of the old place was read before the new one spoke, and is taken after: it is passed over, also where it
 // would be the next, as what the old place says by now is of no account.
-func TestTheOldPlaceIsNotHeardOnceTheNewOneSpoke(t *testing.T) {
+func TestThePreviousAddressIsIgnoredOnceTheNewOneSendsSomething(t *testing.T) {
 	next := newFakeFeed(t)
 	f, e, _, _ := watchFakeFeed(t)
 	f.mu.Lock()
@@ -124,7 +124,7 @@
 
 // An open watch falls silent, with no word of it: it is called anew from the last event on, well within 7 s, also
 // where the first call is not answered either. What the new one tells again is passed over.
-func TestASilentWatchIsCalledAnew(t *testing.T) {
+func TestASilentWatchReconnects(t *testing.T) {
 	_, e, p, first := watchFakeFeed(t)
 	silent := time.Now() // nothing is said any more, nor on the next connection
 	second, last := p.nextSubscription(t)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,22 +15,22 @@
 const hosts = `[{"host":"e1","dial":"127.0.0.1:1","site":"east","class":"std","block":2,"health":"ready","share":4,` +
 	`"born_ms":5}]`
 
-func TestEveryEventIsToldOnceAndInOrder(t *testing.T) {
+func TestEveryEventIsDeliveredOnceAndInOrder(t *testing.T) {
 	log.SetOutput(io.Discard)
 	source, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer source.Close()
-	told := make(chan discovery.Event, 100)
+	delivered := make(chan discovery.Event, 100)
 	for range 4 {
 		source.AddEvent(false, hosts)
 	}
-	f := discovery.Watch(source.Address(), 2, func(ev discovery.Event) { told <- ev })
+	f := discovery.Watch(source.Address(), 2, func(ev discovery.Event) { delivered <- ev })
 	next := func(n uint64) {
 		t.Helper()
 		select {
-		case ev := <-told:
+		case ev := <-delivered:
 			if ev.Number != n || ev.Members.Engines[0].Host != "e1" || ev.Members.Engines[0].BornMS != 5 {
 				t.Fatalf("%+v instead of event %d", ev, n)
 			}
@@ -83,8 +83,8 @@
 	if subs := moved.DropConnections(); subs[0] != 9 || subs[1] != 10 {
 		t.Errorf("the new place was asked from %v", subs)
 	}
-	if subs := source.DropConnections(); subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(told) > 0 {
-		t.Errorf("resumed from %v, %d events told again", subs, len(told))
+	if subs := source.DropConnections(); subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(delivered) > 0 {
+		t.Errorf("resumed from %v, %d events told again", subs, len(delivered))
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // An entry that could not be used had the feed called anew for ever, from the event before it.
-func TestAnEntryThatCannotBeUsedCostsNoOther(t *testing.T) {
+func TestInvalidEntriesCostNoOther(t *testing.T) {
 	const unusable = `{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},`
 	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[` + unusable + hosts[1:] + `}}`))
 	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -1,211 +1,17 @@
 package engine
 
 import (
-	"bufio"
 	"fmt"
 	"net"
-	"sync"
 	"testing"
 	"time"
 
 	"swiftreel/internal/backend"
-	"swiftreel/internal/limits"
 )
 
-// Pairs of events that can cross between the pool and an engine, each held in its bad order by a gate.
-
-// gate holds whoever passes it while it is shut.
-type gate struct {
-	mu sync.Mutex
-	on chan struct{} // nil: open
-}
-
-func (g *gate) shut() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.on = make(chan struct{})
-}
-
-func (g *gate) open() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.on != nil {
-		close(g.on)
-	}
-	g.on = nil
-}
-
-func (g *gate) pass() {
-	g.mu.Lock()
-	on := g.on
-	g.mu.Unlock()
-	if on != nil {
-		<-on
-	}
-}
-
-// gatedConn is a connection whose reader stands before a gate: it has not come to what the peer did.
-type gatedConn struct {
-	*net.TCPConn
-	reads *gate
-}
-
-func (c gatedConn) Read(b []byte) (int, error) {
-	n, err := c.TCPConn.Read(b)
-	c.reads.pass()
-	return n, err
-}
-
-// scriptedEngine is an engine that hands out its connections and what is asked on them.
-type scriptedEngine struct {
-	net.Listener
-	fetched chan fetched
-	paged   chan fetched // what is asked for in pages; not read where nobody looks
-}
-
-type fetched struct {
-	id   string
-	conn net.Conn
-}
-
-func newScriptedEngine(t *testing.T) *scriptedEngine {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	p := &scriptedEngine{l, make(chan fetched, 100), make(chan fetched, 1000)}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			nc, err := l.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { nc.Close() })
-			go func() {
-				for r := bufio.NewReader(nc); ; {
-					c, err := ReadCommand(r)
-					if err != nil {
-						return
-					}
-					switch c.Name {
-					case commandFetch:
-						p.fetched <- fetched{c.ID, nc}
-					case commandMore:
-						p.paged <- fetched{c.ID, nc}
-					}
-				}
-			}()
-		}
-	}()
-	return p
-}
-
-func (p *scriptedEngine) nextFetch(t *testing.T) fetched {
-	t.Helper()
-	select {
-	case f := <-p.fetched:
-		return f
-	case <-time.After(20 * time.Second):
-		t.Fatal("no fetch")
-	}
-	return fetched{}
-}
-
-type harness struct {
-	t       *testing.T
-	pool    *Pool
-	peer    *scriptedEngine
-	dials   *gate // held once the connection is up
-	reads   *gate
-	replies chan backend.Reply
-}
-
-func newHarness(t *testing.T) *harness {
-	t.Helper()
-	w := &harness{
-		t:       t,
-		peer:    newScriptedEngine(t),
-		dials:   new(gate),
-		reads:   new(gate),
-		replies: make(chan backend.Reply, 100),
-	}
-	bounds := backend.Limits{
-		DialTimeout:    20 * time.Second,
-		IdleTimeout:    time.Minute,
-		StreamsPerConn: 1,
-		Conns:          new(limits.Count),
-		ResultBytes:    new(limits.Bytes),
-	}
-	bounds.Conns.Store(10)
-	bounds.ResultBytes.SetCapacity(1 << 20)
-	w.pool = NewPool(bounds)
-	w.pool.dialTimeout = func(network, address string, limit time.Duration) (net.Conn, error) {
-		nc, err := net.DialTimeout(network, address, limit)
-		if err != nil {
-			return nil, err
-		}
-		w.dials.pass()
-		return gatedConn{nc.(*net.TCPConn), w.reads}, nil
-	}
-	t.Cleanup(func() {
-		w.dials.open()
-		w.reads.open()
-		w.pool.Close()
-	})
-	return w
-}
-
-func (w *harness) start(id string, until time.Time) backend.Dispatch {
-	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
-	request := backend.Request{
-		ID:         []byte(id),
-		Type:       []byte("import"),
-		Statement:  []byte("x"),
-		TimeoutMS:  1000,
-		Priority:   1,
-		Lane:       backend.RunOnce,
-		OrderedAt:  time.Now(),
-		SendBefore: until,
-	}
-	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
-}
-
-func (w *harness) expectOutcome(end backend.Outcome) {
-	w.t.Helper()
-	select {
-	case r := <-w.replies:
-		if r.Outcome != end {
-			w.t.Fatalf("%+v instead of %d", r, end)
-		}
-	case <-time.After(20 * time.Second):
-		w.t.Fatalf("no end %d", end)
-	}
-}
-
-// serveOne has one dispatch serveOne and its connection idle.
-func (w *harness) serveOne(id string) net.Conn {
-	w.t.Helper()
-	w.start(id, time.Time{})
-	f := w.peer.nextFetch(w.t)
-	f.conn.Write(AppendAnswer(nil, id, "data", "sheets=1", []byte("a\tb\tc\n")))
-	w.expectOutcome(backend.Done)
-	return f.conn
-}
-
-func (w *harness) until(what string, is func() bool) {
-	w.t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
-		if time.Now().After(stop) {
-			w.t.Fatal(what)
-		}
-	}
-}
-
 // The connection comes up after the moment that the module named: the engine may have begun to drain, or a keyed
 // job's window of repeats be over. It is within the dial time-out. Nothing is sent.
-func TestADialThatEndsAfterItsDispatchsTimeSendsNothing(t *testing.T) {
+func TestADialThatEndsAfterTheSendDeadlineSendsNothing(t *testing.T) {
 	w := newHarness(t)
 	w.dials.shut()
 	w.start("late", time.Now())
@@ -220,7 +26,7 @@
 }
 
 // The client leaves while the dial is under way; what waited for it is not sent when it ends.
-func TestADialThatEndsAfterItsDispatchWasGivenUpSendsNothing(t *testing.T) {
+func TestADialThatEndsAfterItsDispatchWasCancelledSendsNothing(t *testing.T) {
 	w := newHarness(t)
 	w.dials.shut()
 	d := w.start("left", time.Time{})
@@ -238,7 +44,7 @@
 
 // The engine has closed an idle connection, and the reader has not come to that: what is sent on it would be lost,
 // and a run-once job with it. It goes over another; it never ran on the first.
-func TestWhatTheEngineHasClosedIsNotUsed(t *testing.T) {
+func TestAConnectionClosedByTheEngineIsNotUsed(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -261,21 +67,9 @@
 	}
 }
 
-// onlyOneEnded tells whether the only connection shows its end.
-func (p *Pool) onlyOneEnded() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, conns := range p.conns {
-		for _, c := range conns {
-			return isClosedByPeer(c.socket)
-		}
-	}
-	return false
-}
-
 // Half a line lies on an idle connection: it will be cut off when the other half does not come, and what was sent on
 // it would be lost with it.
-func TestAnIdleConnectionWithHalfALineIsNotUsed(t *testing.T) {
+func TestAnIdleConnectionWithAPartialLineIsNotUsed(t *testing.T) {
 	w := newHarness(t)
 	first := w.serveOne("first")
 	first.Write([]byte("first data shee"))
@@ -385,23 +179,8 @@
 	}
 }
 
-// drop gives up what is out.
-func (w *harness) drop() {
-	w.pool.mu.Lock()
-	var out []*Dispatch
-	for _, c := range w.pool.conns["e1"] {
-		for _, d := range c.open {
-			out = append(out, d)
-		}
-	}
-	w.pool.mu.Unlock()
-	for _, d := range out {
-		d.Cancel(func() {})
-	}
-}
-
 // The answer has been told when the job is given up: nothing is left to give up, and no second end comes.
-func TestWhatWasAnsweredIsNotGivenUp(t *testing.T) {
+func TestAnAnsweredDispatchCannotBeCancelled(t *testing.T) {
 	w := newHarness(t)
 	d := w.start("done", time.Time{})
 	f := w.peer.nextFetch(t)
@@ -431,14 +210,3 @@
 		t.Errorf("a second end: %+v", <-w.replies)
 	}
 }
-
-func (p *scriptedEngine) nextPageRequest(t *testing.T) fetched {
-	t.Helper()
-	select {
-	case f := <-p.paged:
-		return f
-	case <-time.After(20 * time.Second):
-		t.Fatal("no page is asked for")
-	}
-	return fetched{}
-}
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -47,7 +47,7 @@
 }
 
 // The time-outs of a program that stood still all fire at once, before it has read what came meanwhile.
-func TestATimerThatIsLateLetsWhatCameBeReadFirst(t *testing.T) {
+func TestALateTimerLetsBufferedAnswersBeReadFirst(t *testing.T) {
 	called := make(chan bool, 2)
 	callWhenRead(time.Now().Add(-time.Second), func() { called <- true })
 	if len(called) > 0 {
--- a/internal/engine/protocol_test.go
+++ b/internal/engine/protocol_test.go
@@ -40,12 +40,12 @@
 	a, _, err := parseAnswer([]byte("x data sheets=2,toil=35.5,room=- 0\r\n\r\n"))
 	load, is := a.field("load")
 	toil, isToil := a.number("toil")
-	if _, isRoom := a.number("room"); err != nil || is || load != "" || !isToil || toil != 35.5 || isRoom {
+	if _, isMemory := a.number("room"); err != nil || is || load != "" || !isToil || toil != 35.5 || isMemory {
 		t.Errorf("%+v %v", a, err)
 	}
 }
 
-func TestWhatLosesFramingIsAnError(t *testing.T) {
+func TestLostFramingIsAnError(t *testing.T) {
 	for name, in := range map[string]string{
 		"no length": "a data -\r\n", "length no number": "a data - x\r\n", "length past a page": "a data - 6001\r\n",
 		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd",
@@ -67,12 +67,12 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		whole, err := read(bytes.NewReader(in))
+		answers, err := read(bytes.NewReader(in))
 		bits, errBits := read(iotest.OneByteReader(bytes.NewReader(in)))
-		if !errors.Is(err, errBits) || strings.Join(whole, "\x00") != strings.Join(bits, "\x00") {
-			t.Fatalf("%q %v in one, %q %v in bits", whole, err, bits, errBits)
+		if !errors.Is(err, errBits) || strings.Join(answers, "\x00") != strings.Join(bits, "\x00") {
+			t.Fatalf("%q %v in one, %q %v in bits", answers, err, bits, errBits)
 		}
-		for _, text := range whole {
+		for _, text := range answers {
 			w := strings.SplitN(text, " ", 4)
 			again, err := read(bytes.NewReader(AppendAnswer(nil, w[0], w[1], w[2], []byte(w[3]))))
 			if !errors.Is(err, io.EOF) || again[0] != text {
--- a/internal/recovery/crash_model_test.go
+++ b/internal/recovery/crash_model_test.go
@@ -233,8 +233,8 @@
 // addRecovery goes on with an open job as its action says.
 func (e *explorer) addRecovery(ledger *Ledger, i int, open OpenJob) {
 	call := open.Call
-	isHeldUp := e.from.keyCools || e.from.unrecorded[i] || e.from.attempts[i] >= maxModelAttempts
-	canDispatch := ledger.CanDispatch(call) && !isHeldUp
+	isDelayed := e.from.keyCools || e.from.unrecorded[i] || e.from.attempts[i] >= maxModelAttempts
+	canDispatch := ledger.CanDispatch(call) && !isDelayed
 	switch {
 	case open.Action == ActionRepeatAnswer:
 		e.add(func(s *modelState) {
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -16,9 +16,9 @@
 // with records of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
 
 const (
-	jobsFolder    = "testdata/jobs"
-	keptAnswers   = 3
-	windowOfKeyed = 1000
+	jobsFolder      = "testdata/jobs"
+	retainedAnswers = 3
+	windowOfKeyed   = 1000
 )
 
 // step is a record of a job's way.
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &jobStore{t: t, folder: folder, ledger: NewLedger(keptAnswers)}
+	s := &jobStore{t: t, folder: folder, ledger: NewLedger(retainedAnswers)}
 	if s.log, _, err = store.Open(folder, store.Options{SegmentBytes: 600}, s.ledger.Apply); err != nil {
 		t.Fatal(err)
 	}
