--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -83,7 +83,8 @@
 	if subs := moved.DropConnections(); subs[0] != 9 || subs[1] != 10 {
 		t.Errorf("the new place was asked from %v", subs)
 	}
-	if subs := source.DropConnections(); subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(delivered) > 0 {
+	subs := source.DropConnections()
+	if subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(delivered) > 0 {
 		t.Errorf("resumed from %v, %d events told again", subs, len(delivered))
 	}
 }
