--- a/cmd/rollout-view/report_test.go
+++ b/cmd/rollout-view/report_test.go
@@ -30,19 +30,32 @@
 	}
 	var r coordinator.Record
 	r.Change.Number, r.Change.Title, r.Stages = 7, "a <b>change</b>", [][]string{{"c1"}, {"c1", "c2"}}
-	r.State = rollout.State{Phase: rollout.PhaseRolledBack, Outcome: "stage 1 does worse", Verdicts: []canary.Verdict{{Conclusion: canary.Regressed, Reason: "lookups", EValue: 900}}}
+	r.State = rollout.State{
+		Phase:    rollout.PhaseRolledBack,
+		Outcome:  "stage 1 does worse",
+		Verdicts: []canary.Verdict{{Conclusion: canary.Regressed, Reason: "lookups", EValue: 900}},
+	}
 	write("change.json", r)
 	var points []any
 	began := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 400 {
-		p := coordinator.Sample{At: began.Add(time.Duration(i) * time.Second), Number: 7, Phase: rollout.PhaseBaking, Old: coordinator.VersionSample{Jobs: 50, Missed: 1, MedianNS: 5e6, P99NS: 9e6}}
+		p := coordinator.Sample{
+			At:     began.Add(time.Duration(i) * time.Second),
+			Number: 7,
+			Phase:  rollout.PhaseBaking,
+			Old:    coordinator.VersionSample{Jobs: 50, Missed: 1, MedianNS: 5e6, P99NS: 9e6},
+		}
 		if i >= 200 {
 			p.Stage, p.New = 1, coordinator.VersionSample{Jobs: 10, Missed: 4, MedianNS: 7e6, P99NS: 20e6}
 		}
 		points = append(points, p)
 	}
 	write("looks.jsonl", points...)
-	write("history.jsonl", coordinator.Transition{At: began, Number: 7, Phase: rollout.PhaseRollingBack, Reason: "worse"}, coordinator.Transition{At: began, Number: 6, Phase: rollout.PhaseDone, Reason: "another change"})
+	write(
+		"history.jsonl",
+		coordinator.Transition{At: began, Number: 7, Phase: rollout.PhaseRollingBack, Reason: "worse"},
+		coordinator.Transition{At: began, Number: 6, Phase: rollout.PhaseDone, Reason: "another change"},
+	)
 	f := coordinator.UnlockedFolder(dir)
 	got, _, err := f.Record()
 	if err != nil {
@@ -66,7 +79,8 @@
 			t.Errorf("it has %q", not)
 		}
 	}
-	if shown := table(f, nil); !strings.Contains(shown, "change 7") || !strings.Contains(shown, "new 10 jobs, 4 missed") {
+	if shown := table(f, nil); !strings.Contains(shown, "change 7") ||
+		!strings.Contains(shown, "new 10 jobs, 4 missed") {
 		t.Errorf("%s", shown)
 	}
 }
--- a/internal/command/fleet/forms_test.go
+++ b/internal/command/fleet/forms_test.go
@@ -18,7 +18,8 @@
 	"swiftreel/internal/golden"
 )
 
-// What the commands print and send, as the program before did: testdata. Numbers drawn by chance are told apart by their order.
+// What the commands print and send, as the program before did: testdata. Numbers drawn by chance are told apart by
+// their order.
 
 func run(args ...string) []byte {
 	var out, errs bytes.Buffer
@@ -30,7 +31,11 @@
 	for _, folder := range []string{"baking-later", "stuck", "stopped", "paused"} {
 		at := filepath.Join("testdata", "folders", folder)
 		for _, args := range [][]string{{"status"}, {"status", "--json"}, {"history"}, {"history", "--json"}} {
-			golden.Check(t, folder+"-"+strings.Join(args, "")+".golden", run(append([]string{"rollout", "--record", at}, args...)...))
+			golden.Check(
+				t,
+				folder+"-"+strings.Join(args, "")+".golden",
+				run(append([]string{"rollout", "--record", at}, args...)...),
+			)
 		}
 	}
 	golden.Check(t, "status-none.golden", run("rollout", "--record", "testdata/none", "status"))
@@ -44,11 +49,18 @@
 
 // Help is what operators read first: commands, flags, exit codes.
 func TestCommandsAndFlagsAreAsTheyWere(t *testing.T) {
-	for _, args := range [][]string{{}, {"keep"}, {"rollout"}, {"rollout", "start"}, {"rollout", "resume"}, {"rollout", "pause"}, {"rollout", "stop"}, {"rollout", "back"}, {"rollout", "status"},
-		{"rollout", "history"}, {"rollout", "check"}, {"fleet"}, {"fleet", "status"}, {"fleet", "owner"}, {"fleet", "found"}, {"fleet", "step-down"}, {"fleet", "recover"}, {"fleet", "forget"},
-		{"fleet", "join"}, {"supervise"}, {"rollout", "rollback"}, {"fleet", "leader"}, {"fleet", "bootstrap"},
-		{"fleet", "remove-voter"}, {"fleet", "replace-voter"}, {"store"}, {"store", "inspect"}, {"store", "verify"}} {
-		if text := string(run(append(args, "--help")...)); !strings.HasSuffix(text, "exit code 0\n") || len(text) < 100 {
+	for _, args := range [][]string{
+		{},
+		{"supervise"}, {"keep"},
+		{"rollout"}, {"rollout", "start"}, {"rollout", "resume"}, {"rollout", "pause"}, {"rollout", "stop"},
+		{"rollout", "rollback"}, {"rollout", "back"}, {"rollout", "status"}, {"rollout", "history"}, {"rollout", "check"},
+		{"fleet"}, {"fleet", "status"}, {"fleet", "leader"}, {"fleet", "owner"}, {"fleet", "bootstrap"}, {"fleet", "found"},
+		{"fleet", "step-down"}, {"fleet", "recover"}, {"fleet", "remove-voter"}, {"fleet", "forget"},
+		{"fleet", "replace-voter"}, {"fleet", "join"},
+		{"store"}, {"store", "inspect"}, {"store", "verify"},
+	} {
+		if text := string(run(append(args, "--help")...)); !strings.HasSuffix(text, "exit code 0\n") ||
+			len(text) < 100 {
 			t.Errorf("%v: %s", args, text)
 		}
 	}
@@ -67,7 +79,9 @@
 	a := &asked{view: view}
 	var members []string
 	for _, name := range []string{"c1", "c2", "c3"} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { a.serve(t, name, w, r) }))
+		s := httptest.NewServer(
+			http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { a.serve(t, name, w, r) }),
+		)
 		t.Cleanup(s.Close)
 		members = append(members, fmt.Sprintf(`{"name":%q,"listen":%q}`, name, strings.TrimPrefix(s.URL, "http://")))
 	}
@@ -80,6 +94,7 @@
 }
 
 func (a *asked) serve(t *testing.T, name string, w http.ResponseWriter, r *http.Request) {
+	t.Helper()
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		t.Error(err)
@@ -87,7 +102,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r.Method == http.MethodPost {
-		a.sent = append(a.sent, fmt.Sprintf("%s %s %s type=%q\n%s\n", name, r.Method, r.URL, r.Header.Get("Content-Type"), text))
+		a.sent = append(
+			a.sent,
+			fmt.Sprintf("%s %s %s type=%q\n%s\n", name, r.Method, r.URL, r.Header.Get("Content-Type"), text),
+		)
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -97,7 +115,11 @@
 		io.WriteString(w, a.view(name))
 		return
 	case "/v1/owner/agreed":
-		io.WriteString(w, `{"reign":4,"owner":"c1","items":{"change.json":"e30="},"seq":{"change.json":2},"names":{"11":"c1","12":"c2","13":"c3"}}`)
+		io.WriteString(
+			w,
+			`{"reign":4,"owner":"c1","items":{"change.json":"e30="},"seq":{"change.json":2},`+
+				`"names":{"11":"c1","12":"c2","13":"c3"}}`,
+		)
 		return
 	case "/v1/owner/item?name=change.json":
 		file = "testdata/folders/baking-later/change.json"
@@ -142,7 +164,12 @@
 
 func member(name string) string {
 	id := map[string]int{"c1": 11, "c2": 12, "c3": 13}[name]
-	return fmt.Sprintf(`{"name":%q,"id":%d,"reign":4,"owner":"c1","may":%v,"leader":"c1","term":4,"voters":["c1","c2","c3"]}`, name, id, name == "c1")
+	return fmt.Sprintf(
+		`{"name":%q,"id":%d,"reign":4,"owner":"c1","may":%v,"leader":"c1","term":4,"voters":["c1","c2","c3"]}`,
+		name,
+		id,
+		name == "c1",
+	)
 }
 
 func none(name string) string {
@@ -159,8 +186,8 @@
 	golden.Check(t, "status-agreed.golden", run("rollout", "--replicated", "--operator", a.file, "status", "--json"))
 }
 
-// Commands send the same under their present and their former names; the latter are told of on the error stream, and there
-// only.
+// Commands send the same under their present and their former names; the latter are told of on the error stream, and
+// there only.
 func TestWhatVotersAreSentIsAsItWas(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/command/fleet/store_test.go
+++ b/internal/command/fleet/store_test.go
@@ -21,12 +21,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, v := range []struct {
-		k store.Kind
-		v any
-	}{{recovery.KindAccepted, recovery.Accepted{Call: "c1", Type: "import", Key: "k", Effect: recovery.EffectRunOnce}}, {recovery.KindDispatched, recovery.Dispatched{Call: "c1", Engine: "e1"}},
-		{recovery.KindAccepted, recovery.Accepted{Call: "c2", Type: "import", Effect: recovery.EffectRunOnce}}} {
-		r, err := recovery.NewRecord(v.k, v.v)
+	withKey := recovery.Accepted{Call: "c1", Type: "import", Key: "k", Effect: recovery.EffectRunOnce}
+	for _, event := range []struct {
+		kind  store.Kind
+		value any
+	}{
+		{recovery.KindAccepted, withKey},
+		{recovery.KindDispatched, recovery.Dispatched{Call: "c1", Engine: "e1"}},
+		{recovery.KindAccepted, recovery.Accepted{Call: "c2", Type: "import", Effect: recovery.EffectRunOnce}},
+	} {
+		r, err := recovery.NewRecord(event.kind, event.value)
 		if err == nil {
 			_, err = g.Append([]store.Record{r})
 		}
@@ -40,7 +44,8 @@
 		return out.String() + errs.String(), code
 	}
 	// Another process has it: it can be looked at all the same.
-	if text, code := run("verify", dir); code != 0 || !strings.Contains(text, "3 records, 2 jobs open, 0 answers kept") {
+	if text, code := run("verify", dir); code != 0 ||
+		!strings.Contains(text, "3 records, 2 jobs open, 0 answers kept") {
 		t.Errorf("%d %s", code, text)
 	}
 	text, code := run("inspect", dir)
--- a/internal/coordinator/backoff_test.go
+++ b/internal/coordinator/backoff_test.go
@@ -51,7 +51,11 @@
 			defer c.Close()
 		}
 	}()
-	well := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte(`{"format":2,"name":"good"}`)) }))
+	well := httptest.NewServer(
+		http.HandlerFunc(
+			func(w http.ResponseWriter, r *http.Request) { w.Write([]byte(`{"format":2,"name":"good"}`)) },
+		),
+	)
 	defer well.Close()
 	members := []operator.Member{}
 	for range 100 {
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -26,13 +26,17 @@
 	"swiftreel/internal/supervisor"
 )
 
-// testdata/folders holds the coordinator's folder as the program before wrote it, in each phase of a change, and what the
-// supervisors held at that moment (members.json). Each is opened and goes on; nothing of it is lost.
+// testdata/folders holds the coordinator's folder as the program before wrote it, in each phase of a change, and what
+// the supervisors held at that moment (members.json). Each is opened and goes on; nothing of it is lost.
 //
-// The files are written by TestRecordFolders with -record, never by another run. They stand for what operators have on
-// their disks: they are not written anew when the program changes.
+// The files are written by TestRecordFolders with -record, never by another run. They stand for what operators have
+// on their disks: they are not written anew when the program changes.
 
-var record = flag.Bool("record", false, "write testdata anew; only from a program whose files are to be read from now on")
+var record = flag.Bool(
+	"record",
+	false,
+	"write testdata anew; only from a program whose files are to be read from now on",
+)
 
 // memberState is what a supervisor holds and its controller runs.
 type memberState struct {
@@ -62,7 +66,11 @@
 	f := &fakeFleet{t: t, to: to, states: states, work: map[string]canary.JobCounts{}}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(f.status(name)) })
+		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
+			if err := json.NewEncoder(w).Encode(f.status(name)); err != nil {
+				t.Error(err)
+			}
+		})
 		mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
 			if err := f.take(name, r); err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
@@ -73,7 +81,10 @@
 		s := httptest.NewServer(mux)
 		t.Cleanup(s.Close)
 		zone := map[bool]string{true: "east", false: "west"}[name != "c3"]
-		f.members = append(f.members, operator.Member{Name: name, Listen: strings.TrimPrefix(s.URL, "http://"), Zone: zone})
+		f.members = append(
+			f.members,
+			operator.Member{Name: name, Listen: strings.TrimPrefix(s.URL, "http://"), Zone: zone},
+		)
 	}
 	return f
 }
@@ -87,14 +98,31 @@
 		anyNew = anyNew || o.Running == f.to
 	}
 	w.Jobs, w.Done, w.Dispatches = w.Jobs+10, w.Done+10, w.Dispatches+10
-	if !(f.missed == "new" && s.Running == f.to || f.missed == "all" && anyNew) {
+	missed := f.missed == "new" && s.Running == f.to || f.missed == "all" && anyNew
+	if !missed {
 		w.WithinSLA += 10
 	}
 	w.LatencyBuckets = make([]uint64, 21)
 	w.LatencyBuckets[20] = w.Done
 	f.work[name] = w
-	return supervisor.Status{Format: change.Format, Name: name, Spec: s.Held.Spec, RunningSpec: s.Running, Version: "dev", SettingsDigest: "s", Fence: s.Held.Fence, OrderedBy: s.Held.By,
-		Serving: !s.Held.Drain, Drained: s.Held.Drain, Failure: s.Failed, MemoryMB: 20, StartedUnixNS: 1, JobCounts: map[canary.Group]canary.JobCounts{fakeGroup: w}, Incarnation: "l", MonotonicNS: 1}
+	return supervisor.Status{
+		Format:         change.Format,
+		Name:           name,
+		Spec:           s.Held.Spec,
+		RunningSpec:    s.Running,
+		Version:        "dev",
+		SettingsDigest: "s",
+		Fence:          s.Held.Fence,
+		OrderedBy:      s.Held.By,
+		Serving:        !s.Held.Drain,
+		Drained:        s.Held.Drain,
+		Failure:        s.Failed,
+		MemoryMB:       20,
+		StartedUnixNS:  1,
+		JobCounts:      map[canary.Group]canary.JobCounts{fakeGroup: w},
+		Incarnation:    "l",
+		MonotonicNS:    1,
+	}
 }
 
 func (f *fakeFleet) take(name string, r *http.Request) error {
@@ -153,15 +181,58 @@
 	{name: "applying", change: "settings", when: inPhase(rollout.PhaseApplying, 0), ends: rollout.PhaseDone},
 	{name: "baking", change: "settings", when: inPhase(rollout.PhaseBaking, 0), ends: rollout.PhaseDone},
 	{name: "baking-later", change: "settings", when: inPhase(rollout.PhaseBaking, 1), ends: rollout.PhaseDone},
-	{name: "paused", change: "settings", request: rollout.RequestPause, when: func(s rollout.State) bool { return s.Paused }, ends: rollout.PhaseDone},
-	{name: "withdrawing", change: "settings", missed: "all", when: inPhase(rollout.PhaseRollingBackStage, 0), ends: rollout.PhaseDone},
-	{name: "waiting", change: "settings", missed: "all", when: inPhase(rollout.PhaseAwaitingRecovery, 0), ends: rollout.PhaseDone},
+	{
+		name:    "paused",
+		change:  "settings",
+		request: rollout.RequestPause,
+		when:    func(s rollout.State) bool { return s.Paused },
+		ends:    rollout.PhaseDone,
+	},
+	{
+		name:   "withdrawing",
+		change: "settings",
+		missed: "all",
+		when:   inPhase(rollout.PhaseRollingBackStage, 0),
+		ends:   rollout.PhaseDone,
+	},
+	{
+		name:   "waiting",
+		change: "settings",
+		missed: "all",
+		when:   inPhase(rollout.PhaseAwaitingRecovery, 0),
+		ends:   rollout.PhaseDone,
+	},
 	{name: "finishing", change: "program", when: inPhase(rollout.PhaseFinishing, 1), ends: rollout.PhaseDone},
 	{name: "done", change: "program", when: inPhase(rollout.PhaseDone, 1), ends: rollout.PhaseDone},
-	{name: "going-back", change: "program", missed: "new", when: inPhase(rollout.PhaseRollingBack, 0), ends: rollout.PhaseRolledBack},
-	{name: "stuck", change: "program", missed: "new", stays: "c2", when: inPhase(rollout.PhaseDegraded, 0), ends: rollout.PhaseRolledBack},
-	{name: "back", change: "program", missed: "new", when: inPhase(rollout.PhaseRolledBack, 0), ends: rollout.PhaseRolledBack},
-	{name: "stopped", change: "settings", request: rollout.RequestStop, when: inPhase(rollout.PhaseStopped, 0), ends: rollout.PhaseStopped},
+	{
+		name:   "going-back",
+		change: "program",
+		missed: "new",
+		when:   inPhase(rollout.PhaseRollingBack, 0),
+		ends:   rollout.PhaseRolledBack,
+	},
+	{
+		name:   "stuck",
+		change: "program",
+		missed: "new",
+		stays:  "c2",
+		when:   inPhase(rollout.PhaseDegraded, 0),
+		ends:   rollout.PhaseRolledBack,
+	},
+	{
+		name:   "back",
+		change: "program",
+		missed: "new",
+		when:   inPhase(rollout.PhaseRolledBack, 0),
+		ends:   rollout.PhaseRolledBack,
+	},
+	{
+		name:    "stopped",
+		change:  "settings",
+		request: rollout.RequestStop,
+		when:    inPhase(rollout.PhaseStopped, 0),
+		ends:    rollout.PhaseStopped,
+	},
 }
 
 const requestTimeout = 2 * time.Second
@@ -169,14 +240,28 @@
 func firstStates() map[string]*memberState {
 	states := map[string]*memberState{}
 	for _, name := range []string{"c1", "c2", "c3"} {
-		want := change.Spec{Program: change.Program{Path: "/opt/swiftreel/bin/swiftreel", Digest: "0123456789abcdef0123456789abcdef"}, Topology: json.RawMessage(`{"budget_free":5}`),
-			Plan: json.RawMessage(`{"status":"optimal","steps":[]}`)}
-		states[name] = &memberState{Held: change.AcceptedOrder{Fence: change.Fence{Number: 2, Term: 1, Revision: 9}, By: "before", Spec: want}, Running: want.Digest()}
+		want := change.Spec{
+			Program: change.Program{
+				Path:   "/opt/swiftreel/bin/swiftreel",
+				Digest: "0123456789abcdef0123456789abcdef",
+			},
+			Topology: json.RawMessage(`{"budget_free":5}`),
+			Plan:     json.RawMessage(`{"status":"optimal","steps":[]}`),
+		}
+		states[name] = &memberState{
+			Held: change.AcceptedOrder{
+				Fence: change.Fence{Number: 2, Term: 1, Revision: 9},
+				By:    "before",
+				Spec:  want,
+			},
+			Running: want.Digest(),
+		}
 	}
 	return states
 }
 
-// lookUntil has a coordinator look until its state is as asked; at most for a while, as a fault would have it look for ever.
+// stepUntil has a coordinator step until its state is as wanted; at most for a while, as a fault would have it go on
+// for ever.
 func stepUntil(t *testing.T, c *coordinator.Coordinator, is func(rollout.State) bool) {
 	t.Helper()
 	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
@@ -297,23 +382,30 @@
 				t.Fatal(err)
 			}
 			defer folder.Close()
-			c, err := coordinator.TakeOver(folder, coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout))
+			c, err := coordinator.TakeOver(
+				folder,
+				coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout),
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := c.State().Fence; got != (change.Fence{Number: before.State.Fence.Number, Term: before.State.Fence.Term + 1, Revision: before.State.Fence.Revision}) {
+			wantFence := before.State.Fence
+			wantFence.Term++
+			if got := c.State().Fence; got != wantFence {
 				t.Errorf("it goes on as %v after %v", got, before.State.Fence)
 			}
 			if s.name == "stuck" { // it stays so until the controller is mended
 				fakes.set("new", "c2")
-				if err := c.Step(context.Background()); err != nil || c.State().Phase != rollout.PhaseDegraded || c.State().Drained["c2"] == "" {
+				if err := c.Step(context.Background()); err != nil || c.State().Phase != rollout.PhaseDegraded ||
+					c.State().Drained["c2"] == "" {
 					t.Errorf("%+v %v", c.State(), err)
 				}
 				fakes.set("", "")
 			}
 			if before.State.Paused {
 				for range 30 {
-					if err := c.Step(context.Background()); err != nil || !c.State().Paused || c.State().Phase != before.State.Phase {
+					if err := c.Step(context.Background()); err != nil || !c.State().Paused ||
+						c.State().Phase != before.State.Phase {
 						t.Fatalf("%+v %v", c.State(), err)
 					}
 				}
@@ -335,10 +427,14 @@
 			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
 				t.Errorf("%d looks, were %d: %v", len(points), len(oldPoints), err)
 			}
-			if base, err := os.ReadFile(filepath.Join(dir, "base.json")); oldBase != nil && (err != nil || !bytes.Equal(base, oldBase)) {
+			if base, err := os.ReadFile(filepath.Join(dir, "base.json")); oldBase != nil &&
+				(err != nil || !bytes.Equal(base, oldBase)) {
 				t.Errorf("the base is another: %v", err)
 			}
-			want := map[rollout.Phase]change.Digest{rollout.PhaseDone: before.To.Digest(), rollout.PhaseRolledBack: before.From.Digest()}[s.ends]
+			want := map[rollout.Phase]change.Digest{
+				rollout.PhaseDone:       before.To.Digest(),
+				rollout.PhaseRolledBack: before.From.Digest(),
+			}[s.ends]
 			for name, st := range fakes.states {
 				if want != "" && st.Running != want {
 					t.Errorf("%s runs %s, not %s", name, st.Running, want)
@@ -360,7 +456,8 @@
 	if before.Stages == nil {
 		is.Stages = nil
 	}
-	if n := len(was.State.Verdicts); len(is.State.Verdicts) < n || !slices.Equal(is.State.Verdicts[:n], was.State.Verdicts) {
+	if n := len(was.State.Verdicts); len(is.State.Verdicts) < n ||
+		!slices.Equal(is.State.Verdicts[:n], was.State.Verdicts) {
 		t.Errorf("of the verdicts is left %v, was %v", is.State.Verdicts, was.State.Verdicts)
 	}
 	if was.State.Outcome != "" && is.State.Outcome != was.State.Outcome {
@@ -412,7 +509,10 @@
 		}
 		a.items[name] = text
 	}
-	c, err := coordinator.TakeOver(coordinator.Replicated(a), coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout))
+	c, err := coordinator.TakeOver(
+		coordinator.Replicated(a),
+		coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -436,7 +536,9 @@
 			t.Errorf("ordered by %q", o.By)
 		}
 	}
-	if _, err := coordinator.TakeOver(coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1}), coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)); err == nil ||
+	earlier := coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1})
+	fleet := coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)
+	if _, err := coordinator.TakeOver(earlier, fleet); err == nil ||
 		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
 		t.Errorf("an earlier one: %v", err)
 	}
--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -19,15 +19,30 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)))
+	p, err := w.Rollout(
+		currentProgram,
+		folder,
+		"start",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"all are watched",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() },
+	)
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"it says so",
+		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
 		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
@@ -43,11 +58,18 @@
 	stopAndCheckRules(t, w, l)
 }
 
-// Disks that are full or slow at one place after the other, times of day a quarter of an hour apart, controllers that take
-// their time to start: the change waits for what is mended, and reaches all.
+// Disks that are full or slow at one place after the other, times of day a quarter of an hour apart, controllers that
+// take their time to start: the change waits for what is mended, and reaches all.
 func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steeredProgram, Seed: 3, Controllers: 3, Engines: 2, StartMS: 300, ClockMS: map[int]int{0: -420_000, 2: 420_000}}.Town()
+	w, err := testcluster.Plan{
+		Program:     steeredProgram,
+		Seed:        3,
+		Controllers: 3,
+		Engines:     2,
+		StartMS:     300,
+		ClockMS:     map[int]int{0: -420_000, 2: 420_000},
+	}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,15 +86,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"all are watched",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Over() },
+	)
 	disk(testcluster.Conductors, "full")
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"it says so",
+		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Over() },
+	)
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
 	disk(testcluster.Conductors, "300ms")
-	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() })
-	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") || !everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
+	waitUntil(
+		t,
+		w,
+		"a keeper refuses what it cannot record",
+		func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Over() },
+	)
+	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") ||
+		!everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
 	}
 	for _, m := range w.Members {
@@ -82,13 +120,18 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 }) {
+	if !everyStatus(
+		t,
+		w,
+		func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 },
+	) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
 }
 
-// A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
+// A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes
+// through.
 func TestAMemberThatDiesWithItsOrder(t *testing.T) {
 	t.Parallel()
 	w, err := testcluster.Plan{Program: steeredProgram, Seed: 13, Controllers: 3, Engines: 2}.Town()
@@ -98,11 +141,21 @@
 	t.Cleanup(w.Close)
 	l := w.NewLoad(13, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(steeredProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
+	p, err := w.Rollout(
+		steeredProgram,
+		folder,
+		"start",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"the first stage bakes",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
@@ -117,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	syscall.Kill(s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
+	signalProcess(t, s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
 	if err := w.Disk(next.Name, "400ms"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -20,12 +20,17 @@
 	"swiftreel/internal/testcluster"
 )
 
-func leaderStatus(t *testing.T, w *testcluster.Town, m *testcluster.Member) (v leader.Status) {
-	w.Get(m, "/v1/owner", &v) // none: it does not act
-	return v
+// leaderStatus is what a voter reports of the election; nothing where it does not answer.
+func leaderStatus(t *testing.T, w *testcluster.Town, m *testcluster.Member) leader.Status {
+	t.Helper()
+	var status leader.Status
+	if err := w.Get(m, "/v1/owner", &status); err != nil {
+		return leader.Status{}
+	}
+	return status
 }
 
-// cli runs a command as an operator does.
+// runCommand runs a command as an operator does.
 func runCommand(t *testing.T, w *testcluster.Town, args ...string) string {
 	t.Helper()
 	c := exec.Command(currentProgram, args...)
@@ -37,8 +42,8 @@
 	return string(text)
 }
 
-// An owner is stopped in the midst of a change: another takes it over where it stood; the one that wakes up finds that it
-// owns no more, and nothing that it does then is taken.
+// An owner is stopped in the midst of a change: another takes it over where it stood; the one that wakes up finds
+// that it owns no more, and nothing that it does then is taken.
 func TestALeaderThatWakesUpLateDoesNoHarm(t *testing.T) {
 	t.Parallel()
 	w, err := testcluster.Plan{Program: currentProgram, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Town()
@@ -63,16 +68,26 @@
 	}
 	first := acts(nil)
 	reign := leaderStatus(t, w, first).Term
-	runCommand(t, w, "rollout", "start", "--agreed", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)))
+	runCommand(
+		t,
+		w,
+		"rollout",
+		"start",
+		"--agreed",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)),
+	)
 	state := func(m *testcluster.Member) (r coordinator.Record) {
-		w.Get(m, "/v1/owner/item?name=change.json", &r)
+		if err := w.Get(m, "/v1/owner/item?name=change.json", &r); err != nil {
+			return coordinator.Record{} // there is none yet, or the member does not answer
+		}
 		return r
 	}
 	waitUntil(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.PhaseBaking })
 	t.Cleanup(func() {
 		for _, m := range w.Members {
 			for line := range strings.Lines(m.Keeper.Log()) {
-				if t.Failed() && (strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
+				if t.Failed() &&
+					(strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
 					t.Log(m.Name, line)
 				}
 			}
@@ -83,10 +98,16 @@
 	if r := leaderStatus(t, w, second).Term; r <= reign {
 		t.Errorf("reign %d after %d", r, reign)
 	}
-	waitUntil(t, w, "it is taken over where it stood", func() bool { // the stage may hold the one that sleeps: then it waits for that
-		s := state(second).State
-		return s.Fence.Term > int64(reign) && (s.Phase == rollout.PhaseBaking || s.Stage > 0 || s.Phase.IsTerminal())
-	})
+	waitUntil(
+		t,
+		w,
+		"it is taken over where it stood",
+		func() bool { // the stage may hold the one that sleeps: then it waits for that
+			s := state(second).State
+			return s.Fence.Term > int64(reign) &&
+				(s.Phase == rollout.PhaseBaking || s.Stage > 0 || s.Phase.IsTerminal())
+		},
+	)
 	first.Keeper.Signal(syscall.SIGCONT)
 	waitUntil(t, w, "the one that slept says once that it owns no more", func() bool {
 		return strings.Count(first.Keeper.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
@@ -94,7 +115,11 @@
 	waitUntil(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
 	to := state(acts(nil)).To.Digest()
 	waitUntil(t, w, "all run it", func() bool {
-		return everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) })
+		return everyStatus(
+			t,
+			w,
+			func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) },
+		)
 	})
 	if text := runCommand(t, w, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
 		t.Error(text)
@@ -139,7 +164,8 @@
 	waitUntil(t, w, "nobody owns", func() bool { return !leaderStatus(t, w, kept).Active })
 	c := exec.Command(currentProgram, "fleet", "recover", kept.Name)
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
-	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "--the-others-lost-their-memory") {
+	if text, err := c.CombinedOutput(); err == nil ||
+		!strings.Contains(string(text), "--the-others-lost-their-memory") {
 		t.Errorf("it recovers unasked: %s", text)
 	}
 	runCommand(t, w, "fleet", "recover", "--the-others-lost-their-memory", kept.Name)
@@ -154,12 +180,21 @@
 	}
 }
 
-// The owner tells each controller what it carries and hands out a plan. It is lost, and the next one goes on, never with more
-// than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
+// The owner tells each controller what it carries and hands out a plan. It is lost, and the next one goes on, never
+// with more than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
 func TestSharesAndPlansOutliveTheirLeaderToTheirEnds(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 6, Controllers: 4, Engines: 2, Voters: 3, Keepers: map[int]string{3: previousProgram}, Files: map[string]string{"problem.json": planningProblem},
-		Parts: `"parts":{"life_ms":3000},"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`}.Town()
+	w, err := testcluster.Plan{
+		Program:     currentProgram,
+		Seed:        6,
+		Controllers: 4,
+		Engines:     2,
+		Voters:      3,
+		Keepers:     map[int]string{3: previousProgram},
+		Files:       map[string]string{"problem.json": planningProblem},
+		Parts: `"parts":{"life_ms":3000},` +
+			`"planning":{"problem":"problem.json","every_ms":60000,"least_ms":1000,"life_ms":4000},`,
+	}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +214,11 @@
 	settled := func(of []*testcluster.Member, reign int64) bool {
 		list := statuses(of)
 		for _, s := range list {
-			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= reign || s.Assignment.Plan == "" || s.Assignment.Shares[quota.Fleet] == 0 || near < -1 || near > 1 {
+			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= reign ||
+				s.Assignment.Plan == "" ||
+				s.Assignment.Shares[quota.Fleet] == 0 ||
+				near < -1 ||
+				near > 1 {
 				return false
 			}
 		}
@@ -187,10 +226,16 @@
 	}
 	waitUntil(t, w, "all go by their parts and a plan", func() bool {
 		list := statuses(told)
-		return settled(told, 0) && 2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
+		return settled(told, 0) &&
+			2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
 	})
 	for _, m := range told {
-		waitUntil(t, w, "its controller follows it", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") })
+		waitUntil(
+			t,
+			w,
+			"its controller follows it",
+			func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_taken") },
+		)
 	}
 	var first *testcluster.Member
 	for _, m := range told {
@@ -223,23 +268,40 @@
 		s, err := w.Status(told[0])
 		return err == nil && s.Assignment.Plan == "" && len(s.Assignment.Shares) == 0
 	})
-	waitUntil(t, w, "its controller guesses again", func() bool { s, err := w.Status(told[0]); return err == nil && s.SharePerMillion >= quota.FullShare/4 })
+	waitUntil(
+		t,
+		w,
+		"its controller guesses again",
+		func() bool { s, err := w.Status(told[0]); return err == nil && s.SharePerMillion >= quota.FullShare/4 },
+	)
 	done := l.Done.Load()
 	waitUntil(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
 		m.Keeper.Signal(syscall.SIGCONT)
 	}
 	for _, m := range told[1:] {
-		waitUntil(t, w, "its plan ended while its keeper slept", func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_ended") })
+		waitUntil(
+			t,
+			w,
+			"its plan ended while its keeper slept",
+			func() bool { return strings.Contains(m.Keeper.Log(), "msg=plan_ended") },
+		)
 	}
 	stopAndCheckRules(t, w, l)
 }
 
-// An owner whose controller stands still hands over in order; one whose disk is full falls silent, and the next is told to lead
-// at once. A voter that is gone for good is forgotten.
+// An owner whose controller stands still hands over in order; one whose disk is full falls silent, and the next is
+// told to lead at once. A voter that is gone for good is forgotten.
 func TestALeaderThatIsUnfitHandsOver(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: steeredProgram, Seed: 8, Controllers: 3, Engines: 2, Voters: 3, ClockMS: map[int]int{0: -420_000, 1: 420_000}}.Town()
+	w, err := testcluster.Plan{
+		Program:     steeredProgram,
+		Seed:        8,
+		Controllers: 3,
+		Engines:     2,
+		Voters:      3,
+		ClockMS:     map[int]int{0: -420_000, 1: 420_000},
+	}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,21 +330,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	syscall.Kill(s.PID, syscall.SIGSTOP)
+	signalProcess(t, s.PID, syscall.SIGSTOP)
 	second := acts(first)
-	syscall.Kill(s.PID, syscall.SIGCONT)
+	signalProcess(t, s.PID, syscall.SIGCONT)
 	l := w.NewLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
-	if text := first.Keeper.Log(); !strings.Contains(text, "msg=leader_handover") || !strings.Contains(text, `reason="its controller does not serve"`) {
+	if text := first.Keeper.Log(); !strings.Contains(text, "msg=leader_handover") ||
+		!strings.Contains(text, `reason="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
 	if err := w.Disk(second.Name, "full"); err != nil {
 		t.Fatal(err)
 	}
-	c = exec.Command(currentProgram, "rollout", "start", "--agreed", writeFile(t, w, "change.json", settingsChange(1)))
+	c = exec.Command(
+		currentProgram,
+		"rollout",
+		"start",
+		"--agreed",
+		writeFile(t, w, "change.json", settingsChange(1)),
+	)
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.Fleet)
-	c.Run() // it may be begun by the next owner, or not at all
+	_ = c.Run() // the change may be begun by the next leader, or not at all
 	third := acts(second)
-	waitUntil(t, w, "it says why", func() bool { return strings.Contains(second.Keeper.Log(), "msg=leader_member_halted") })
+	waitUntil(
+		t,
+		w,
+		"it says why",
+		func() bool { return strings.Contains(second.Keeper.Log(), "msg=leader_member_halted") },
+	)
 	if text := runCommand(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
@@ -310,7 +384,12 @@
 	if err := w.Again(gone); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "its controller is back", func() bool { s, err := w.Status(gone); return err == nil && s.Serving })
+	waitUntil(
+		t,
+		w,
+		"its controller is back",
+		func() bool { s, err := w.Status(gone); return err == nil && s.Serving },
+	)
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
--- a/internal/coordinator/process_plan_test.go
+++ b/internal/coordinator/process_plan_test.go
@@ -15,17 +15,30 @@
 	"swiftreel/internal/testcluster"
 )
 
-const planningProblem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},{"name":"e2","kind":"std","zone":"east","cores":16,"memory_mb":32000}],
-"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1},{"name":"import","threads":1,"memory_mb":500,"work_ms":900,"value":10}],
-"tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},"demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":30000}]}`
+const planningProblem = `{
+"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
+ {"name":"e2","kind":"std","zone":"east","cores":16,"memory_mb":32000}],
+"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1},
+ {"name":"import","threads":1,"memory_mb":500,"work_ms":900,"value":10}],
+"tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},
+"demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":30000}]}`
 
 // A plan goes through a fleet as settings do, and a change after it takes it along; one with a lower number is refused.
 func TestAPlanGoesThroughAFleet(t *testing.T) {
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	runCommand(t, w, "solve", writeFile(t, w, "problem.json", planningProblem), "--out", filepath.Join(w.Dir, "plan.json"), "--time", "20s")
-	conducted := func(file, text string) (string, error) {
+	runCommand(
+		t,
+		w,
+		"solve",
+		writeFile(t, w, "problem.json", planningProblem),
+		"--out",
+		filepath.Join(w.Dir, "plan.json"),
+		"--time",
+		"20s",
+	)
+	coordinated := func(file, text string) (string, error) {
 		p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, file, text))
 		if err != nil {
 			t.Fatal(err)
@@ -33,14 +46,16 @@
 		err = p.Await()
 		return p.Log(), err
 	}
-	if text, err := conducted("change.json", fmt.Sprintf(`{"number":2,"kind":"plan","to":{"plan":"plan.json"},%s}`, timingAndLimits)); err != nil {
+	planChange := fmt.Sprintf(`{"number":2,"kind":"plan","to":{"plan":"plan.json"},%s}`, timingAndLimits)
+	if text, err := coordinated("change.json", planChange); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	if text, err := conducted("next.json", settingsChange(3)); err != nil {
+	if text, err := coordinated("next.json", settingsChange(3)); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.RunningSpec == s.Spec.Digest() && s.Fence.Number == 3
+		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.RunningSpec == s.Spec.Digest() &&
+			s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
 	}
@@ -49,7 +64,8 @@
 			t.Errorf("%s: %s", m.Name, m.Keeper.Log())
 		}
 	}
-	if text, err := conducted("late.json", settingsChange(1)); err == nil || !strings.Contains(text, "has taken order") {
+	if text, err := coordinated("late.json", settingsChange(1)); err == nil ||
+		!strings.Contains(text, "has taken order") {
 		t.Errorf("an earlier number: %v: %s", err, text)
 	}
 	stopAndCheckRules(t, w, l)
@@ -63,22 +79,39 @@
 	if err := os.WriteFile(file, []byte(planningProblem), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if text, err := exec.Command(currentProgram, "solve", file, "--out", filepath.Join(dir, "plan.json"), "--time", "20s").CombinedOutput(); err != nil {
+	solve := exec.Command(currentProgram, "solve", file, "--out", filepath.Join(dir, "plan.json"), "--time", "20s")
+	if text, err := solve.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
 	ends := monotonic.Now() + int64(6*time.Second)
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 9, Controllers: 2, Engines: 2, Operator: fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends)}.Town()
+	w, err := testcluster.Plan{
+		Program:     currentProgram,
+		Seed:        9,
+		Controllers: 2,
+		Engines:     2,
+		Operator:    fmt.Sprintf(`"plan":{"file":%q,"until_boot_ns":%d},`, filepath.Join(dir, "plan.json"), ends),
+	}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	l := w.NewLoad(1, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1)))
+	p, err := w.Rollout(
+		currentProgram,
+		folder,
+		"start",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"the first stage",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
@@ -86,7 +119,12 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	for _, m := range w.Members {
-		waitUntil(t, w, "its plan has ended", func() bool { return strings.Count(m.Keeper.Log(), "msg=plan_ended") == 1 })
+		waitUntil(
+			t,
+			w,
+			"its plan has ended",
+			func() bool { return strings.Count(m.Keeper.Log(), "msg=plan_ended") == 1 },
+		)
 		if strings.Count(m.Keeper.Log(), "msg=plan_taken") != 1 {
 			t.Errorf("%s", m.Keeper.Log())
 		}
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -18,15 +17,30 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, crashingProgram, strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1))))
+	p, err := w.Rollout(
+		currentProgram,
+		folder,
+		"start",
+		writeFile(
+			t,
+			w,
+			"change.json",
+			fmt.Sprintf(
+				`{"number":1,"kind":"program","to":{"program":%q},%s}`,
+				crashingProgram,
+				strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1),
+			),
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = p.Await()
-	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 {
+	if exitCode(err) != exitRolledBack {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if s := recordedState(folder); s.Phase != rollout.PhaseRolledBack || s.Stage != 0 || !strings.Contains(s.Outcome, "ended or failed to start") {
+	if s := recordedState(folder); s.Phase != rollout.PhaseRolledBack || s.Stage != 0 ||
+		!strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.Version == "dev" && s.Serving }) {
@@ -43,7 +57,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"the first stage bakes",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -52,7 +71,12 @@
 		}
 	}
 	far.Link.Set(testcluster.OneWay, 0) // it is asked, and its answers are lost
-	waitUntil(t, w, "all that can be reached have passed", func() bool { return recordedState(folder).Phase == rollout.PhaseFinishing || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"all that can be reached have passed",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseFinishing || p.Over() },
+	)
 	if p.Over() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
@@ -72,18 +96,38 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.Rollout(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1), `"apply_ms":20000`, `"apply_ms":5000`, 1)))
+	p, err := w.Rollout(
+		currentProgram,
+		folder,
+		"start",
+		writeFile(
+			t,
+			w,
+			"change.json",
+			strings.Replace(
+				strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1),
+				`"apply_ms":20000`,
+				`"apply_ms":5000`,
+				1,
+			),
+		),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"the first stage bakes",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
 		if m.Name == r.Stages[0][0] {
 			far = m
 		} else if s, err := w.Status(m); err == nil && s.PID > 0 {
-			syscall.Kill(s.PID, syscall.SIGHUP) // as by hand: the same file is read once more
+			signalProcess(t, s.PID, syscall.SIGHUP) // as by hand: the same file is read once more
 		}
 	}
 	far.Link.Set(testcluster.Silent, 0)
@@ -96,10 +140,14 @@
 	})
 	far.Link.Set(testcluster.Passes, 0)
 	err = p.Await()
-	if code, _ := err.(*exec.ExitError); code == nil || code.ExitCode() != 4 || recordedState(folder).Phase != rollout.PhaseRolledBack {
+	if exitCode(err) != exitRolledBack || recordedState(folder).Phase != rollout.PhaseRolledBack {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 }) {
+	if !everyStatus(
+		t,
+		w,
+		func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 },
+	) {
 		t.Error("not all are back")
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/coordinator/process_setup_test.go
+++ b/internal/coordinator/process_setup_test.go
@@ -1,12 +1,14 @@
 package coordinator_test
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -17,8 +19,8 @@
 	"swiftreel/internal/testcluster"
 )
 
-// Real processes: controllers with keepers, conductors, and what goes wrong between them. Nothing is decided by how long
-// something took, but by what is seen.
+// Real processes: controllers with supervisors, coordinators, and what goes wrong between them. Nothing is decided by
+// how long something took, but by what is seen.
 
 var currentProgram, crashingProgram, otherProgram, steeredProgram, previousProgram string
 
@@ -27,8 +29,25 @@
 	if err != nil {
 		panic(err)
 	}
-	currentProgram, crashingProgram, otherProgram = filepath.Join(dir, "swiftreel"), filepath.Join(dir, "dying"), filepath.Join(dir, "other")
-	steeredProgram, previousProgram = filepath.Join(dir, "steered", "swiftreel"), filepath.Join(dir, "before", "swiftreel")
+	currentProgram, crashingProgram, otherProgram = filepath.Join(
+		dir,
+		"swiftreel",
+	), filepath.Join(
+		dir,
+		"dying",
+	), filepath.Join(
+		dir,
+		"other",
+	)
+	steeredProgram, previousProgram = filepath.Join(
+		dir,
+		"steered",
+		"swiftreel",
+	), filepath.Join(
+		dir,
+		"before",
+		"swiftreel",
+	)
 	const fleet, set = "swiftreel-fleet", "-X swiftreel/internal/version.Name="
 	var wait sync.WaitGroup
 	failed := atomic.Bool{}
@@ -44,21 +63,60 @@
 	build(currentProgram, "swiftreel")
 	build(filepath.Join(dir, fleet), fleet)
 	build(otherProgram, "swiftreel", "-ldflags", set+"other")
-	build(crashingProgram, "swiftreel", "-tags", "fault", "-ldflags", set+"dying -X swiftreel/internal/failpoint.name=dies")
+	build(
+		crashingProgram,
+		"swiftreel",
+		"-tags",
+		"fault",
+		"-ldflags",
+		set+"dying -X swiftreel/internal/failpoint.name=dies",
+	)
 	for _, of := range []string{"swiftreel", fleet} {
-		build(filepath.Join(filepath.Dir(steeredProgram), of), of, "-tags", "fault", "-ldflags", "-X swiftreel/internal/failpoint.name=steered")
+		build(
+			filepath.Join(filepath.Dir(steeredProgram), of),
+			of,
+			"-tags",
+			"fault",
+			"-ldflags",
+			"-X swiftreel/internal/failpoint.name=steered",
+		)
 		build(filepath.Join(filepath.Dir(previousProgram), of), of, "-tags", "format1")
 	}
 	if wait.Wait(); failed.Load() {
 		os.Exit(1)
 	}
 	code := m.Run()
-	os.RemoveAll(dir)
+	if err := os.RemoveAll(dir); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+	}
 	os.Exit(code)
 }
 
-const timingAndLimits = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":3000,"look_ms":30},
-"limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
+// Exit codes of swiftreel rollout, as operators' scripts know them.
+const (
+	exitRolledBack = 4
+	exitFenced     = 6
+)
+
+// exitCode is that of a process that ended with an error, or -1.
+func exitCode(err error) int {
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		return exit.ExitCode()
+	}
+	return -1
+}
+
+func signalProcess(t *testing.T, pid int, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(pid, signal); err != nil {
+		t.Fatal(err)
+	}
+}
+
+const timingAndLimits = `"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,` +
+	`"unheard_ms":3000,"look_ms":30},"limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,` +
+	`"missed_per_mille":900,"cpu_percent":5000,"memory_percent":5000}`
 
 func newCluster(t *testing.T, n int) (*testcluster.Town, *testcluster.Load) {
 	t.Helper()
@@ -80,7 +138,12 @@
 }
 
 func settingsChange(number int) string {
-	return fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`, number, number, timingAndLimits)
+	return fmt.Sprintf(
+		`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`,
+		number,
+		number,
+		timingAndLimits,
+	)
 }
 
 func waitUntil(t *testing.T, w *testcluster.Town, what string, is func() bool) {
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -16,7 +16,8 @@
 	"swiftreel/internal/testcluster"
 )
 
-// A key whose job still runs under the older process of a controller goes on under the newer one only once that is over.
+// A key whose job still runs under the older process of a controller goes on under the newer one only once that is
+// over.
 func TestAKeyWaitsForThePredecessor(t *testing.T) {
 	t.Parallel()
 	w, err := testcluster.NewTown(currentProgram, 1, 1, 1, false)
@@ -46,8 +47,18 @@
 		return c
 	}
 	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job, Type: "import", Key: "k", Front: m.Name, DeadlineNS: time.Now().Add(8 * time.Second).UnixNano()})
-		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", "call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"); err != nil {
+		w.Book.Add(
+			rulecheck.Entry{
+				Event:      rulecheck.Accepted,
+				Job:        job,
+				Type:       "import",
+				Key:        "k",
+				Front:      m.Name,
+				DeadlineNS: time.Now().Add(8 * time.Second).UnixNano(),
+			},
+		)
+		fields := []string{"call", job, "ttl", "8000", "org", "acme", "work", "4", "est_mb", "8", "row", "k"}
+		if _, err := c.Send("import", "SELECT 1 FROM a_1.b", fields...); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -80,7 +91,12 @@
 	ask(b, second)
 	answer(a, first)
 	answer(b, second)
-	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
+	waitUntil(
+		t,
+		w,
+		"the older one has ended",
+		func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 },
+	)
 	a.Conn.Close()
 	b.Conn.Close()
 	if err := w.Stop(); err != nil {
@@ -94,7 +110,7 @@
 	}
 }
 
-// order has a keeper run another program, past any conductor.
+// sendOrder has a supervisor run another program, past any coordinator.
 func sendOrder(t *testing.T, m *testcluster.Member, was supervisor.Status, path string) {
 	t.Helper()
 	want := was.Spec
@@ -103,8 +119,14 @@
 	if want.Program.Digest, err = change.FileDigest(path); err != nil {
 		t.Fatal(err)
 	}
-	fleet := coordinator.NewFleetClient([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, 2*time.Second, 2*time.Second)
-	if errs := fleet.SendOrders(context.Background(), map[int]change.Order{0: {Format: 1, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}, By: "x", Member: m.Name, Spec: want}}); len(errs) > 0 {
+	fleet := coordinator.NewFleetClient(
+		[]operator.Member{{Name: m.Name, Listen: m.Keeps}},
+		2*time.Second,
+		2*time.Second,
+	)
+	order := change.Order{Format: 1, By: "x", Member: m.Name, Spec: want}
+	order.Fence = change.Fence{Number: 1, Term: 1, Revision: 1}
+	if errs := fleet.SendOrders(context.Background(), map[int]change.Order{0: order}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
 }
@@ -132,14 +154,20 @@
 		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
 	})
 	w.Reborn("e2") // once more, while they do
-	waitUntil(t, w, "the older one has ended", func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 })
+	waitUntil(
+		t,
+		w,
+		"the older one has ended",
+		func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 },
+	)
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Book.Log() {
 			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
-			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 && e.TimeNS < started+testcluster.ColdRules().WarmUp {
+			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 &&
+				e.TimeNS < started+testcluster.ColdRules().WarmUp {
 				n++
 			}
 		}
@@ -156,12 +184,16 @@
 	}
 	tight := testcluster.ColdRules()
 	tight.WarmUpWorkPerCore /= 100
-	if !slices.ContainsFunc(rulecheck.Check(tight, w.Book.Log()), func(v rulecheck.Violation) bool { return v.Rule == 4 }) {
+	if !slices.ContainsFunc(
+		rulecheck.Check(tight, w.Book.Log()),
+		func(v rulecheck.Violation) bool { return v.Rule == 4 },
+	) {
 		t.Error("so little was sent to it that nothing is shown")
 	}
 }
 
-// What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its start.
+// What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its
+// start.
 func TestAnEjectedEngineIsEjectedForTheSuccessor(t *testing.T) {
 	t.Parallel()
 	w, err := testcluster.NewTown(currentProgram, 11, 1, 3, false)
@@ -173,7 +205,12 @@
 	m := w.Members[0]
 	w.Fates.Break("e2", true)
 	var was supervisor.Status
-	waitUntil(t, w, "it is set aside", func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 })
+	waitUntil(
+		t,
+		w,
+		"it is set aside",
+		func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 },
+	)
 	broken := func() (n int) {
 		for _, e := range w.Book.Log() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
@@ -184,8 +221,14 @@
 	}
 	l.Stop() // no job of the older one's is to count below
 	sendOrder(t, m, was, otherProgram)
-	waitUntil(t, w, "the newer one serves", func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving })
-	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 || !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
+	waitUntil(
+		t,
+		w,
+		"the newer one serves",
+		func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving },
+	)
+	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 ||
+		!strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
 		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
 	}
 	before := broken()
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -28,7 +27,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "a first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"a first stage",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
@@ -55,12 +59,12 @@
 	}
 	p.Signal(syscall.SIGCONT)
 	err = p.Await()
-	var code *exec.ExitError
-	if code, _ = err.(*exec.ExitError); code == nil || code.ExitCode() != 6 || !strings.Contains(p.Log(), "rollout_fenced") {
+	if exitCode(err) != exitFenced || !strings.Contains(p.Log(), "rollout_fenced") {
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
+		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() &&
+			s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
@@ -113,7 +117,9 @@
 		}
 	}
 	try()
-	if code, text := send(change.Order{Format: change.Format, Fence: change.Fence{Number: 9, Term: 1, Revision: 1}, By: "x", Member: "c9", Spec: r.From}); code != http.StatusConflict || !strings.Contains(text, "c9") {
+	forAnother := change.Order{Format: change.Format, By: "x", Member: "c9", Spec: r.From}
+	forAnother.Fence = change.Fence{Number: 9, Term: 1, Revision: 1}
+	if code, text := send(forAnother); code != http.StatusConflict || !strings.Contains(text, "c9") {
 		t.Errorf("an order for another: %d %s", code, text)
 	}
 	l.Stop() // the keeper's death takes its controller with it
@@ -140,10 +146,17 @@
 	}
 }
 
-// A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the format before.
+// A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the
+// format before.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 4, Controllers: 3, Engines: 2, Keepers: map[int]string{0: previousProgram}}.Town()
+	w, err := testcluster.Plan{
+		Program:     currentProgram,
+		Seed:        4,
+		Controllers: 3,
+		Engines:     2,
+		Keepers:     map[int]string{0: previousProgram},
+	}.Town()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +176,8 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Keeper.Log(); strings.Contains(newer, `drain=false reason="stage`) != true ||
+			strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
@@ -178,7 +192,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is under way", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() })
+	waitUntil(
+		t,
+		w,
+		"it is under way",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Over() },
+	)
 	q, err := w.Rollout(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -12,7 +12,8 @@
 	"swiftreel/internal/canary"
 )
 
-// Files as the program before wrote them, see fixtures_test.go: what is read of them and written again is the same to the byte.
+// Files as the program before wrote them, see fixtures_test.go: what is read of them and written again is the same to
+// the byte.
 
 // storedFolders are the fixtures, each a folder of its own.
 func storedFolders(t *testing.T) []string {
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -40,7 +40,11 @@
 		w.WriteHeader(http.StatusNoContent)
 	}))
 	defer s.Close()
-	f := coordinator.NewFleetClient([]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}}, 20*time.Second, 20*time.Second)
+	f := coordinator.NewFleetClient(
+		[]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}},
+		20*time.Second,
+		20*time.Second,
+	)
 	ctx := context.Background()
 	ask := func(engines bool) {
 		f.IncludeEngines = engines
@@ -50,8 +54,19 @@
 	}
 	ask(false)
 	ask(true)
-	spec := change.Spec{Program: change.Program{Path: "/opt/swiftreel", Digest: "0123"}, Topology: json.RawMessage(`{"budget_free":5}`), Plan: json.RawMessage(`{"steps":[]}`)}
-	o := change.Order{Format: 2, Fence: change.Fence{Number: 3, Term: 2, Revision: 1}, By: "record", Member: "c1", Spec: spec, Reason: "stage 1 passed"}
+	spec := change.Spec{
+		Program:  change.Program{Path: "/opt/swiftreel", Digest: "0123"},
+		Topology: json.RawMessage(`{"budget_free":5}`),
+		Plan:     json.RawMessage(`{"steps":[]}`),
+	}
+	o := change.Order{
+		Format: 2,
+		Fence:  change.Fence{Number: 3, Term: 2, Revision: 1},
+		By:     "record",
+		Member: "c1",
+		Spec:   spec,
+		Reason: "stage 1 passed",
+	}
 	small := o
 	small.Spec.Topology, small.Spec.Plan, small.Drain = nil, nil, true
 	for _, o := range []change.Order{o, o.ForFormat(1), small} {
@@ -59,9 +74,21 @@
 			t.Error(errs)
 		}
 	}
-	word := assignment.Assignment{Format: 2, Term: 4, Sequence: 5, Leader: "c2", Member: "c1", Incarnation: "l", Shares: quota.Shares{quota.Fleet: 333_333, "acme": 500_000}, SharesUntil: 6, Plan: "0123", PlanUntil: 7,
-		PlanText: json.RawMessage(`{"steps":[]}`)}
-	for _, w := range []assignment.Assignment{word, {Format: 2, Term: 4, Sequence: 6, Leader: "c2", Member: "c1", Incarnation: "l"}} {
+	word := assignment.Assignment{
+		Format:      2,
+		Term:        4,
+		Sequence:    5,
+		Leader:      "c2",
+		Member:      "c1",
+		Incarnation: "l",
+		Shares:      quota.Shares{quota.Fleet: 333_333, "acme": 500_000},
+		SharesUntil: 6,
+		Plan:        "0123",
+		PlanUntil:   7,
+		PlanText:    json.RawMessage(`{"steps":[]}`),
+	}
+	minimal := assignment.Assignment{Format: 2, Term: 4, Sequence: 6, Leader: "c2", Member: "c1", Incarnation: "l"}
+	for _, w := range []assignment.Assignment{word, minimal} {
 		if errs := f.SendAssignments(ctx, map[int]assignment.Assignment{0: w}); len(errs) > 0 {
 			t.Error(errs)
 		}
