--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -20,24 +20,24 @@
 // over.
 func TestAKeyWaitsForThePredecessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(currentProgram, 1, 1, 1, false)
+	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 1, Engines: 1}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	m := w.Members[0]
-	w.Fates.Takes(4 * time.Second)
+	w.Faults.SetWorkDuration(4 * time.Second)
 	began := func(job string) (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Job == job && e.Event == rulecheck.Began {
 				n++
 			}
 		}
 		return n
 	}
-	ready := func() (c *fake.Caller) {
+	ready := func() (c *fake.Client) {
 		waitUntil(t, w, "a process that is ready", func() bool {
-			c, err = fake.Dial(m.Clients)
+			c, err = fake.Dial(m.ClientAddress)
 			if err != nil {
 				return false
 			}
@@ -46,8 +46,8 @@
 		})
 		return c
 	}
-	ask := func(c *fake.Caller, job string) {
-		w.Book.Add(
+	ask := func(c *fake.Client, job string) {
+		w.Events.Add(
 			rulecheck.Entry{
 				Event:      rulecheck.Accepted,
 				Job:        job,
@@ -62,13 +62,13 @@
 			t.Fatal(err)
 		}
 	}
-	answer := func(c *fake.Caller, job string) {
+	answer := func(c *fake.Client, job string) {
 		t.Helper()
 		a, err := c.Read(20 * time.Second)
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Book.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		w.Events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
@@ -83,10 +83,10 @@
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
-	if !strings.Contains(m.Keeper.Log(), "msg=state_restored types=2") {
+	if !strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2") {
 		t.Error("the newer one is not taught")
 	}
-	w.Fates.Takes(4 * time.Millisecond)
+	w.Faults.SetWorkDuration(4 * time.Millisecond)
 	b := ready()
 	ask(b, second)
 	answer(a, first)
@@ -105,7 +105,7 @@
 	if began(second) != 1 {
 		t.Errorf("the second began %d times", began(second))
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
 		t.Error(v)
 	}
 }
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	fleet := coordinator.NewFleetClient(
-		[]operator.Member{{Name: m.Name, Listen: m.Keeps}},
+		[]operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}},
 		2*time.Second,
 		2*time.Second,
 	)
@@ -134,26 +134,28 @@
 // An engine just started while an older and a newer process of one controller live: together they keep rule 4.
 func TestAStartingEngineIsSparedByBothProcesses(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Plan{Program: currentProgram, Seed: 10, Controllers: 1, Engines: 2, Cold: true}.Town()
+	w, err := testcluster.Config{
+		Program: currentProgram, Seed: 10, Controllers: 1, Engines: 2, EnginesWarmUp: true,
+	}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	w.Fates.Takes(120 * time.Millisecond)
-	l := w.NewLoad(10, 60, 10*time.Millisecond, false)
+	w.Faults.SetWorkDuration(120 * time.Millisecond)
+	l := w.StartLoad(10, 60, 10*time.Millisecond, false)
 	m := w.Members[0]
 	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 200 })
 	s, err := w.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Reborn("e2")
+	w.ListRestarted("e2")
 	sendOrder(t, m, s, otherProgram)
 	waitUntil(t, w, "both live", func() bool {
 		s, err := w.Status(m)
 		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
 	})
-	w.Reborn("e2") // once more, while they do
+	w.ListRestarted("e2") // once more, while they do
 	waitUntil(
 		t,
 		w,
@@ -162,12 +164,12 @@
 	)
 	cold := func() (n int) {
 		started := int64(0)
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
 			if e.Event == rulecheck.Began && e.Engine == "e2" && started != 0 &&
-				e.TimeNS < started+testcluster.ColdRules().WarmUp {
+				e.TimeNS < started+testcluster.WarmUpRules().WarmUp {
 				n++
 			}
 		}
@@ -179,13 +181,13 @@
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.ColdRules(), w.Book.Log()) {
+	for _, v := range rulecheck.Check(testcluster.WarmUpRules(), w.Events.Entries()) {
 		t.Error(v)
 	}
-	tight := testcluster.ColdRules()
+	tight := testcluster.WarmUpRules()
 	tight.WarmUpWorkPerCore /= 100
 	if !slices.ContainsFunc(
-		rulecheck.Check(tight, w.Book.Log()),
+		rulecheck.Check(tight, w.Events.Entries()),
 		func(v rulecheck.Violation) bool { return v.Rule == 4 },
 	) {
 		t.Error("so little was sent to it that nothing is shown")
@@ -196,14 +198,14 @@
 // start.
 func TestAnEjectedEngineIsEjectedForTheSuccessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.NewTown(currentProgram, 11, 1, 3, false)
+	w, err := testcluster.Config{Program: currentProgram, Seed: 11, Controllers: 1, Engines: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	l := w.NewLoad(11, 10, 10*time.Millisecond, false)
+	l := w.StartLoad(11, 10, 10*time.Millisecond, false)
 	m := w.Members[0]
-	w.Fates.Break("e2", true)
+	w.Faults.SetFailing("e2", true)
 	var was supervisor.Status
 	waitUntil(
 		t,
@@ -212,7 +214,7 @@
 		func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 },
 	)
 	broken := func() (n int) {
-		for _, e := range w.Book.Log() {
+		for _, e := range w.Events.Entries() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
@@ -228,11 +230,11 @@
 		func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving },
 	)
 	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 ||
-		!strings.Contains(m.Keeper.Log(), "msg=state_restored types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Keeper.Log())
+		!strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2 engines=3") {
+		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Supervisor.Log())
 	}
 	before := broken()
-	l = w.NewLoad(12, 10, 10*time.Millisecond, false)
+	l = w.StartLoad(12, 10, 10*time.Millisecond, false)
 	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 100 })
 	if n := broken() - before; n > 0 {
 		t.Errorf("%d jobs were sent to it", n)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -81,7 +81,7 @@
 		if _, twice := limits[use.Engine]; twice {
 			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q stands twice", path, i, use.Engine))
 		}
-		limits[use.Engine] = use.May
+		limits[use.Engine] = use.Usable
 	}
 	given := map[string]int64{}
 	for i, t := range step.Threads {
@@ -91,9 +91,9 @@
 		given[t.Engine] += t.Threads
 	}
 	for i, use := range step.Use {
-		if threads := given[use.Engine]; threads > use.May || threads != use.Threads {
+		if threads := given[use.Engine]; threads > use.Usable || threads != use.Threads {
 			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d",
-				path, i, use.Engine, threads, use.Threads, use.May))
+				path, i, use.Engine, threads, use.Threads, use.Usable))
 		}
 	}
 	return problems
@@ -102,7 +102,7 @@
 func shareProblems(path string, step solve.Step) []string {
 	sum := int64(0)
 	for _, share := range step.Shares {
-		sum += share.PerMio
+		sum += share.PerMillion
 	}
 	if sum > maxShareSum {
 		return []string{fmt.Sprintf("%s/shares: they sum to %d millionths", path, sum)}
--- a/internal/proof/owner/strikes.go
+++ b/internal/proof/owner/strikes.go
@@ -46,13 +46,13 @@
 func (r *clusterRun) inflict(kind strike, member *testcluster.Member) error {
 	switch kind {
 	case killed:
-		r.killedLogs = append(r.killedLogs, member.Keeper.Log())
-		member.Keeper.End()
+		r.killedLogs = append(r.killedLogs, member.Supervisor.Log())
+		member.Supervisor.Kill()
 	case stopped:
-		member.Keeper.Signal(syscall.SIGSTOP)
+		member.Supervisor.Signal(syscall.SIGSTOP)
 		r.stopped = append(r.stopped, member)
 	case cutOff:
-		member.Link.Set(testcluster.Silent, 0)
+		member.Link.SetMode(testcluster.LinkSilent, 0)
 	case steppedDown:
 		return r.command("fleet", "step-down")
 	}
@@ -62,12 +62,12 @@
 func (r *clusterRun) repair(kind strike, member *testcluster.Member) error {
 	switch kind {
 	case killed:
-		return r.cluster.Again(member)
+		return r.cluster.StartSupervisor(member)
 	case stopped:
-		member.Keeper.Signal(syscall.SIGCONT)
+		member.Supervisor.Signal(syscall.SIGCONT)
 		r.stopped = nil
 	case cutOff:
-		member.Link.Set(testcluster.Passes, 0)
+		member.Link.SetMode(testcluster.LinkUp, 0)
 	case steppedDown:
 	}
 	return nil
