--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -52,7 +52,7 @@
 	}
 	t.Cleanup(w.Close)
 	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
-	runCommand(t, w, "fleet", "found")
+	runCommand(t, w, "fleet", "bootstrap")
 	acts := func(but *testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
 		waitUntil(t, w, "somebody owns", func() bool {
@@ -73,7 +73,7 @@
 		w,
 		"rollout",
 		"start",
-		"--agreed",
+		"--replicated",
 		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)),
 	)
 	state := func(m *testcluster.Member) (r coordinator.Record) {
@@ -141,7 +141,7 @@
 		t.Errorf("it came back as %d", v.ID)
 	}
 	acts(lost)
-	runCommand(t, w, "fleet", "join", lost.Name)
+	runCommand(t, w, "fleet", "replace-voter", lost.Name)
 	if v := leaderStatus(t, w, lost); v.ID == 0 || v.ID == number || len(v.Voters) != 3 {
 		t.Errorf("%+v after %d", v, number)
 	}
@@ -200,7 +200,7 @@
 	}
 	t.Cleanup(w.Close)
 	l := w.StartLoad(1, 3, 10*time.Millisecond, true)
-	runCommand(t, w, "fleet", "found")
+	runCommand(t, w, "fleet", "bootstrap")
 	told := w.Members[:3] // the fourth one's keeper is of the format before: it takes no words
 	watch := w.WatchShares(50 * time.Millisecond)
 	statuses := func(of []*testcluster.Member) (list []supervisor.Status) {
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	runCommand(t, w, "fleet", "found")
+	runCommand(t, w, "fleet", "bootstrap")
 	acts := func(but ...*testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
 		waitUntil(t, w, "somebody owns", func() bool {
@@ -357,7 +357,7 @@
 		"it says why",
 		func() bool { return strings.Contains(second.Supervisor.Log(), "msg=leader_member_halted") },
 	)
-	if text := runCommand(t, w, "fleet", "owner"); !strings.Contains(text, "no space left") {
+	if text := runCommand(t, w, "fleet", "leader"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
 	if err := w.SetDisk(second.Name, ""); err != nil {
@@ -377,7 +377,7 @@
 		}
 	}
 	gone.Supervisor.Kill()
-	runCommand(t, w, "fleet", "forget", gone.Name)
+	runCommand(t, w, "fleet", "remove-voter", gone.Name)
 	if v := leaderStatus(t, w, acts(gone)); len(v.Voters) != 2 || slices.Contains(v.Voters, gone.Name) {
 		t.Errorf("%+v", v)
 	}
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -37,14 +37,14 @@
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--conduct")
+	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second.WaitExit() == nil || !strings.Contains(second.Log(), "another process coordinates") {
 		t.Errorf("two conduct in one folder: %s", second.Log())
 	}
-	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--conduct")
+	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
