--- a/cmd/rollout-view/report_test.go
+++ b/cmd/rollout-view/report_test.go
@@ -31,7 +31,7 @@
 	var r coordinator.Record
 	r.Change.Number, r.Change.Title, r.Stages = 7, "a <b>change</b>", [][]string{{"c1"}, {"c1", "c2"}}
 	r.State = rollout.State{
-		Phase:    rollout.PhaseRolledBack,
+		Phase:    rollout.PhaseReverted,
 		Outcome:  "stage 1 does worse",
 		Verdicts: []canary.Verdict{{Conclusion: canary.Regressed, Reason: "lookups", EValue: 900}},
 	}
@@ -40,7 +40,7 @@
 	began := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 400 {
 		p := coordinator.Sample{
-			At:     began.Add(time.Duration(i) * time.Second),
+			Time:   began.Add(time.Duration(i) * time.Second),
 			Number: 7,
 			Phase:  rollout.PhaseBaking,
 			Old:    coordinator.VersionSample{Jobs: 50, Missed: 1, MedianNS: 5e6, P99NS: 9e6},
@@ -53,8 +53,8 @@
 	write("looks.jsonl", points...)
 	write(
 		"history.jsonl",
-		coordinator.Transition{At: began, Number: 7, Phase: rollout.PhaseRollingBack, Reason: "worse"},
-		coordinator.Transition{At: began, Number: 6, Phase: rollout.PhaseDone, Reason: "another change"},
+		coordinator.Transition{Time: began, Number: 7, Phase: rollout.PhaseRollback, Reason: "worse"},
+		coordinator.Transition{Time: began, Number: 6, Phase: rollout.PhaseDone, Reason: "another change"},
 	)
 	f := coordinator.UnlockedFolder(dir)
 	got, _, err := f.Record()
--- a/internal/change/forms_test.go
+++ b/internal/change/forms_test.go
@@ -52,13 +52,13 @@
 		Plan:     json.RawMessage(`{"steps":[]}`),
 	}
 	o := Order{
-		Format: 2,
-		Fence:  Fence{3, 2, 1},
-		By:     "record",
-		Member: "c1",
-		Spec:   spec,
-		Drain:  true,
-		Reason: "stage 1 passed",
+		Format:        2,
+		Fence:         Fence{3, 2, 1},
+		CoordinatorID: "record",
+		Member:        "c1",
+		Spec:          spec,
+		Drain:         true,
+		Reason:        "stage 1 passed",
 	}
 	held, is, err := AcceptedOrder{}.Accept(o)
 	if err != nil || !is {
@@ -113,15 +113,15 @@
 		lines = append(lines, err.Error())
 	}
 	o := Order{
-		Format: 2,
-		Fence:  Fence{1, 1, 2},
-		By:     "x",
-		Member: "c1",
-		Spec:   Spec{Program: Program{Path: "/p", Digest: "d"}},
+		Format:        2,
+		Fence:         Fence{1, 1, 2},
+		CoordinatorID: "x",
+		Member:        "c1",
+		Spec:          Spec{Program: Program{Path: "/p", Digest: "d"}},
 	}
 	held, _, _ := AcceptedOrder{}.Accept(o)
 	early, other, another := o, o, o
-	early.Fence.Revision, other.By, another.Drain = 1, "y", true
+	early.Fence.Revision, other.CoordinatorID, another.Drain = 1, "y", true
 	for _, o := range []Order{early, other, another} {
 		_, _, err := held.Accept(o)
 		if err == nil {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -77,11 +77,11 @@
 // plan is what the state machine is told of the change.
 func (r Record) plan() rollout.Plan {
 	return rollout.Plan{
-		Kind:   r.Change.Kind,
-		From:   r.From.Digest(),
-		To:     r.To.Digest(),
-		Stages: r.Stages,
-		Timing: r.Change.Timing,
+		Kind:     r.Change.Kind,
+		FromSpec: r.FromSpec.Digest(),
+		ToSpec:   r.ToSpec.Digest(),
+		Stages:   r.Stages,
+		Timing:   r.Change.Timing,
 	}
 }
 
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -113,7 +113,7 @@
 		Version:        "dev",
 		SettingsDigest: "s",
 		Fence:          s.Held.Fence,
-		OrderedBy:      s.Held.By,
+		OrderedBy:      s.Held.CoordinatorID,
 		Serving:        !s.Held.Drain,
 		Drained:        s.Held.Drain,
 		Failure:        s.Failed,
@@ -192,7 +192,7 @@
 		name:   "withdrawing",
 		change: "settings",
 		missed: "all",
-		when:   inPhase(rollout.PhaseRollingBackStage, 0),
+		when:   inPhase(rollout.PhaseStageRollback, 0),
 		ends:   rollout.PhaseDone,
 	},
 	{
@@ -208,8 +208,8 @@
 		name:   "going-back",
 		change: "program",
 		missed: "new",
-		when:   inPhase(rollout.PhaseRollingBack, 0),
-		ends:   rollout.PhaseRolledBack,
+		when:   inPhase(rollout.PhaseRollback, 0),
+		ends:   rollout.PhaseReverted,
 	},
 	{
 		name:   "stuck",
@@ -217,14 +217,14 @@
 		missed: "new",
 		stays:  "c2",
 		when:   inPhase(rollout.PhaseDegraded, 0),
-		ends:   rollout.PhaseRolledBack,
+		ends:   rollout.PhaseReverted,
 	},
 	{
 		name:   "back",
 		change: "program",
 		missed: "new",
-		when:   inPhase(rollout.PhaseRolledBack, 0),
-		ends:   rollout.PhaseRolledBack,
+		when:   inPhase(rollout.PhaseReverted, 0),
+		ends:   rollout.PhaseReverted,
 	},
 	{
 		name:    "stopped",
@@ -250,9 +250,9 @@
 		}
 		states[name] = &memberState{
 			Held: change.AcceptedOrder{
-				Fence: change.Fence{Number: 2, Term: 1, Revision: 9},
-				By:    "before",
-				Spec:  want,
+				Fence:         change.Fence{Number: 2, Term: 1, Revision: 9},
+				CoordinatorID: "before",
+				Spec:          want,
 			},
 			Running: want.Digest(),
 		}
@@ -355,7 +355,7 @@
 	if err := json.Unmarshal(text, &states); err != nil {
 		t.Fatal(err)
 	}
-	return dir, before, newFakeFleet(t, before.To.Digest(), states)
+	return dir, before, newFakeFleet(t, before.ToSpec.Digest(), states)
 }
 
 func TestFoldersOfTheProgramBeforeGoOn(t *testing.T) {
@@ -432,8 +432,8 @@
 				t.Errorf("the base is another: %v", err)
 			}
 			want := map[rollout.Phase]change.Digest{
-				rollout.PhaseDone:       before.To.Digest(),
-				rollout.PhaseRolledBack: before.From.Digest(),
+				rollout.PhaseDone:     before.ToSpec.Digest(),
+				rollout.PhaseReverted: before.FromSpec.Digest(),
 			}[s.ends]
 			for name, st := range fakes.states {
 				if want != "" && st.Running != want {
@@ -441,7 +441,7 @@
 				}
 			}
 			for _, o := range fakes.orders {
-				if o.Format != change.Format || o.By != before.ID || o.Reason == "" {
+				if o.Format != change.Format || o.CoordinatorID != before.ID || o.Reason == "" {
 					t.Errorf("an order %+v", o)
 				}
 			}
@@ -532,8 +532,8 @@
 		t.Error("nothing was ordered")
 	}
 	for _, o := range fakes.orders {
-		if o.By != before.ID+"@c3" {
-			t.Errorf("ordered by %q", o.By)
+		if o.CoordinatorID != before.ID+"@c3" {
+			t.Errorf("ordered by %q", o.CoordinatorID)
 		}
 	}
 	earlier := coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1})
--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -45,7 +45,7 @@
 	)
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+		return s.RunningSpec == r.FromSpec.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
 		t.Error("orders went out past the record")
 	}
@@ -123,7 +123,7 @@
 	if !everyStatus(
 		t,
 		w,
-		func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 },
+		func(s supervisor.Status) bool { return s.RunningSpec == r.ToSpec.Digest() && s.Crashes == 0 },
 	) {
 		t.Error("not all run it")
 	}
@@ -188,7 +188,7 @@
 	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.ToSpec.Digest() && s.Serving }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -113,7 +113,7 @@
 		return strings.Count(first.Supervisor.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
 	})
 	waitUntil(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
-	to := state(acts(nil)).To.Digest()
+	to := state(acts(nil)).ToSpec.Digest()
 	waitUntil(t, w, "all run it", func() bool {
 		return everyStatus(
 			t,
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -39,7 +39,7 @@
 	if exitCode(err) != exitRolledBack {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if s := recordedState(folder); s.Phase != rollout.PhaseRolledBack || s.Stage != 0 ||
+	if s := recordedState(folder); s.Phase != rollout.PhaseReverted || s.Stage != 0 ||
 		!strings.Contains(s.Outcome, "ended or failed to start") {
 		t.Errorf("%+v", s)
 	}
@@ -84,7 +84,7 @@
 	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.ToSpec.Digest() }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
@@ -140,13 +140,13 @@
 	})
 	far.Link.SetMode(testcluster.LinkUp, 0)
 	err = p.WaitExit()
-	if exitCode(err) != exitRolledBack || recordedState(folder).Phase != rollout.PhaseRolledBack {
+	if exitCode(err) != exitRolledBack || recordedState(folder).Phase != rollout.PhaseReverted {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
 	if !everyStatus(
 		t,
 		w,
-		func(s supervisor.Status) bool { return s.RunningSpec == r.From.Digest() && s.Crashes == 0 },
+		func(s supervisor.Status) bool { return s.RunningSpec == r.FromSpec.Digest() && s.Crashes == 0 },
 	) {
 		t.Error("not all are back")
 	}
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -124,7 +124,7 @@
 		2*time.Second,
 		2*time.Second,
 	)
-	order := change.Order{Format: 1, By: "x", Member: m.Name, Spec: want}
+	order := change.Order{Format: 1, CoordinatorID: "x", Member: m.Name, Spec: want}
 	order.Fence = change.Fence{Number: 1, Term: 1, Revision: 1}
 	if errs := fleet.SendOrders(context.Background(), map[int]change.Order{0: order}); len(errs) > 0 {
 		t.Fatal(errs)
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -103,7 +103,7 @@
 		return a.StatusCode, string(b[:n])
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
-	late := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	late := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	late.Fence.Revision--
 	try := func() {
 		t.Helper()
@@ -117,7 +117,7 @@
 		}
 	}
 	try()
-	forAnother := change.Order{Format: change.Format, By: "x", Member: "c9", Spec: r.From}
+	forAnother := change.Order{Format: change.Format, CoordinatorID: "x", Member: "c9", Spec: r.FromSpec}
 	forAnother.Fence = change.Fence{Number: 9, Term: 1, Revision: 1}
 	if code, text := send(forAnother); code != http.StatusConflict || !strings.Contains(text, "c9") {
 		t.Errorf("an order for another: %d %s", code, text)
@@ -136,7 +136,7 @@
 	if err := os.RemoveAll(filepath.Join(w.Dir, m.Name)); err != nil {
 		t.Fatal(err)
 	}
-	next := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	next := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	next.Fence.Revision++
 	if code, text := send(next); code != http.StatusInsufficientStorage {
 		t.Errorf("%d %s", code, text)
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -13,8 +13,8 @@
 type Record struct {
 	ID            string        `json:"by"` // identifies this record to supervisors
 	Change        change.Change `json:"change"`
-	From          change.Spec   `json:"from"`
-	To            change.Spec   `json:"to"`
+	FromSpec      change.Spec   `json:"from"`
+	ToSpec        change.Spec   `json:"to"`
 	Stages        [][]string    `json:"stages"` // members by stage; nil until the baseline is complete
 	State         rollout.State `json:"state"`
 	LastRequestID string        `json:"asked"` // the last operator's request that was carried out
@@ -22,7 +22,7 @@
 
 // Transition is a line of the history of all changes.
 type Transition struct {
-	At      time.Time     `json:"at"` // wall clock of the coordinator's machine, for people
+	Time    time.Time     `json:"at"` // wall clock of the coordinator's machine, for people
 	Number  int64         `json:"number"`
 	Phase   rollout.Phase `json:"phase"`
 	Stage   int           `json:"stage"`
@@ -33,7 +33,7 @@
 
 // Sample is what one poll showed of both versions, for people.
 type Sample struct {
-	At     time.Time     `json:"at"` // wall clock of the coordinator's machine
+	Time   time.Time     `json:"at"` // wall clock of the coordinator's machine
 	Number int64         `json:"number"`
 	Phase  rollout.Phase `json:"phase"`
 	Stage  int           `json:"stage"`
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -60,12 +60,12 @@
 		Plan:     json.RawMessage(`{"steps":[]}`),
 	}
 	o := change.Order{
-		Format: 2,
-		Fence:  change.Fence{Number: 3, Term: 2, Revision: 1},
-		By:     "record",
-		Member: "c1",
-		Spec:   spec,
-		Reason: "stage 1 passed",
+		Format:        2,
+		Fence:         change.Fence{Number: 3, Term: 2, Revision: 1},
+		CoordinatorID: "record",
+		Member:        "c1",
+		Spec:          spec,
+		Reason:        "stage 1 passed",
 	}
 	small := o
 	small.Spec.Topology, small.Spec.Plan, small.Drain = nil, nil, true
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -78,8 +78,8 @@
 	program := change.Program{Path: "/opt/swiftreel", Digest: "00"}
 	record := coordinator.Record{
 		ID:            "0123456789abcdef",
-		From:          change.Spec{Program: program},
-		To:            change.Spec{Program: program, Topology: json.RawMessage(`{"budget_free":1}`)},
+		FromSpec:      change.Spec{Program: program},
+		ToSpec:        change.Spec{Program: program, Topology: json.RawMessage(`{"budget_free":1}`)},
 		Stages:        [][]string{{"v1"}, {"v1", "v2", "v3"}},
 		LastRequestID: "1",
 		State: rollout.State{
--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -34,7 +34,7 @@
 	}
 	for want, change := range map[string]func(*result){
 		"it broke":                     func(r *result) { r.err = errors.New("it broke") },
-		"wanted done":                  func(r *result) { r.phase = rollout.PhaseRolledBack },
+		"wanted done":                  func(r *result) { r.phase = rollout.PhaseReverted },
 		"does not end":                 func(r *result) { r.wantedPhase, r.phase = "", rollout.PhaseBaking },
 		"stopped at stage 3 only":      func(r *result) { r.stage = 3 },
 		"1 connections broke":          func(r *result) { r.brokenConnections = 1 },
--- a/internal/supervisor/folder_test.go
+++ b/internal/supervisor/folder_test.go
@@ -85,7 +85,7 @@
 		"the recorded order",
 		func(s Status) bool { return s.Serving && s.RunningSpec == held.Spec.Digest() },
 	)
-	if s.Fence != held.Fence || s.OrderedBy != held.By || s.Spec.Program != held.Spec.Program ||
+	if s.Fence != held.Fence || s.OrderedBy != held.CoordinatorID || s.Spec.Program != held.Spec.Program ||
 		s.Spec.Digest() != held.Spec.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
 		t.Errorf("%+v", s)
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	other := held
-	other.By = "conductor-b"
+	other.CoordinatorID = "conductor-b"
 	for what, o := range map[string]change.Order{
 		"earlier":                              orderOf(8, held.Spec.Program, shapeFirst, ""),
 		"of another conductor":                 other,
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -93,7 +93,7 @@
 		Name:              s.options.Name,
 		Spec:              s.order.Spec,
 		Fence:             s.order.Fence,
-		OrderedBy:         s.order.By,
+		OrderedBy:         s.order.CoordinatorID,
 		Drained:           s.outOfService,
 		Failure:           s.failure,
 		Crashes:           s.backoff.crashes,
