--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -14,7 +14,8 @@
 
 func TestAnOrderThatComesLateTwiceOrFromAnotherChangesNothing(t *testing.T) {
 	order := func(number, term, revision int64, by, program string) Order {
-		return Order{Format: Format, Fence: Fence{number, term, revision}, CoordinatorID: by, Member: "c1", Spec: spec(program)}
+		fence := Fence{number, term, revision}
+		return Order{Format: Format, Fence: fence, CoordinatorID: by, Member: "c1", Spec: spec(program)}
 	}
 	var accepted AcceptedOrder
 	for i, c := range []struct {
--- a/internal/change/order.go
+++ b/internal/change/order.go
@@ -20,10 +20,10 @@
 type Order struct {
 	Format        int    `json:"format"`
 	Fence         Fence  `json:"fence"`
-	CoordinatorID string `json:"by"`     // the coordinator's record: tells apart two coordinators under one change and term
+	CoordinatorID string `json:"by"`     // tells apart two coordinators under one change and term
 	Member        string `json:"member"` // the receiver, so that one that is reached by mistake notices
 	Spec          Spec   `json:"want"`
-	Drain         bool   `json:"drain,omitempty"` // stop serving once every accepted job is answered: the spec cannot be run
+	Drain         bool   `json:"drain,omitempty"` // leave service once every accepted job is answered
 	Reason        string `json:"why,omitempty"`   // for the receiver's log; since format 2
 }
 
--- a/internal/command/fleet/rollout_status.go
+++ b/internal/command/fleet/rollout_status.go
@@ -85,7 +85,8 @@
 
 func printChange(out io.Writer, status changeStatus) {
 	state := status.State
-	fmt.Fprintf(out, "change %d (%s) %s -> %s: %s", status.Number, status.Kind, status.FromSpec, status.ToSpec, state.Phase)
+	fmt.Fprintf(out, "change %d (%s) %s -> %s: %s",
+		status.Number, status.Kind, status.FromSpec, status.ToSpec, state.Phase)
 	if len(status.Stages) > 0 && !state.Phase.IsTerminal() {
 		fmt.Fprintf(out, ", stage %d of %d", state.Stage+1, len(status.Stages))
 	}
