--- a/internal/command/fleet/coordinate.go
+++ b/internal/command/fleet/coordinate.go
@@ -16,9 +16,9 @@
 
 // The exit codes of a rollout, beside those of package command.
 const (
-	ExitRolledBack = 4 // the change did worse, or was to be rolled back, and all are on the old version
-	ExitStopped    = 5 // by an operator, or before anything changed
-	ExitFenced     = 6 // another process coordinates
+	ExitReverted = 4 // the change did worse, or was to be rolled back, and all are on the old version
+	ExitStopped  = 5 // by an operator, or before anything changed
+	ExitFenced   = 6 // another process coordinates
 )
 
 // beginFunc records a new change in a store.
@@ -65,8 +65,8 @@
 // outcome maps the state of a change that has ended to an exit code.
 func outcome(state rollout.State) error {
 	switch state.Phase {
-	case rollout.PhaseRolledBack:
-		return command.Failure(ExitRolledBack, fmt.Errorf("taken back: %s", state.Outcome))
+	case rollout.PhaseReverted:
+		return command.Failure(ExitReverted, fmt.Errorf("taken back: %s", state.Outcome))
 	case rollout.PhaseStopped:
 		return command.Failure(ExitStopped, fmt.Errorf("stopped: %s", state.Outcome))
 	}
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -97,7 +97,7 @@
 		switch r.phase {
 		case rollout.PhaseDone:
 			f.passed++
-		case rollout.PhaseRolledBack:
+		case rollout.PhaseReverted:
 			f.stopped++
 			f.reasons[r.outcome]++
 		}
@@ -147,7 +147,7 @@
 	for _, harm := range harms {
 		var jobs, seconds []int
 		for _, r := range s.roll(s.harmed, harmSeedFactor, harm) {
-			if r.phase == rollout.PhaseRolledBack {
+			if r.phase == rollout.PhaseReverted {
 				jobs = append(jobs, int(r.newJobs))
 				seconds = append(seconds, r.seconds)
 			}
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -147,10 +147,10 @@
 		return "", err
 	}
 	r := f.record()
-	if r.State.Phase != rollout.PhaseRolledBack {
+	if r.State.Phase != rollout.PhaseReverted {
 		return "", fmt.Errorf("the change is recorded as %s", r.State.Phase)
 	}
-	detail, err := f.running(r.From, r.Change.Number)
+	detail, err := f.running(r.FromSpec, r.Change.Number)
 	return "rolled back, " + detail, err
 }
 
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -96,11 +96,11 @@
 	f.m = New(
 		f.record,
 		Plan{
-			Kind:   change.KindProgram,
-			From:   specs[false].Digest(),
-			To:     specs[true].Digest(),
-			Stages: f.stages,
-			Timing: timing,
+			Kind:     change.KindProgram,
+			FromSpec: specs[false].Digest(),
+			ToSpec:   specs[true].Digest(),
+			Stages:   f.stages,
+			Timing:   timing,
 		},
 		f.now,
 	)
@@ -152,12 +152,12 @@
 	}
 	for _, o := range orders {
 		w := change.Order{
-			Format: 1,
-			Fence:  f.m.State.Fence,
-			By:     "x",
-			Member: o.Member,
-			Spec:   specs[o.UseTarget],
-			Drain:  o.Drain,
+			Format:        1,
+			Fence:         f.m.State.Fence,
+			CoordinatorID: "x",
+			Member:        o.Member,
+			Spec:          specs[o.UseTarget],
+			Drain:         o.Drain,
 		}
 		fl := delivery{f.tick, slices.Index(f.names, o.Member), w}
 		if faults {
@@ -190,7 +190,7 @@
 			if next, _, err := x.held.Accept(fl.o); err == nil {
 				x.held = next
 			} else if f.noFence {
-				x.held = change.AcceptedOrder{Fence: fl.o.Fence, By: fl.o.By, Spec: fl.o.Spec}
+				x.held = change.AcceptedOrder{Fence: fl.o.Fence, CoordinatorID: fl.o.CoordinatorID, Spec: fl.o.Spec}
 			}
 		}
 	}
@@ -219,8 +219,8 @@
 // settled tells what is wrong at the end.
 func (f *fleet) settled() string {
 	want := map[Phase]change.Digest{
-		PhaseDone:       specs[true].Digest(),
-		PhaseRolledBack: specs[false].Digest(),
+		PhaseDone:     specs[true].Digest(),
+		PhaseReverted: specs[false].Digest(),
 	}[f.m.State.Phase]
 	for i, x := range f.members {
 		if want != "" && x.running != want {
@@ -276,11 +276,11 @@
 			for k, name := range f.names {
 				onTarget := slices.Contains(suspended.TargetMembers(), name)
 				o := change.Order{
-					Format: 1,
-					Fence:  suspended.State.Fence,
-					By:     "x",
-					Member: name,
-					Spec:   specs[onTarget],
+					Format:        1,
+					Fence:         suspended.State.Fence,
+					CoordinatorID: "x",
+					Member:        name,
+					Spec:          specs[onTarget],
 				}
 				f.deliveries = append(f.deliveries, delivery{f.tick + f.r.IntN(400), k, o})
 			}
@@ -313,8 +313,8 @@
 		}
 	}
 	for _, p := range []Phase{
-		PhaseBaseline, PhaseApplying, PhaseBaking, PhaseRollingBackStage, PhaseAwaitingRecovery,
-		PhaseFinishing, PhaseDone, PhaseRollingBack, PhaseRolledBack,
+		PhaseBaseline, PhaseApplying, PhaseBaking, PhaseStageRollback, PhaseAwaitingRecovery,
+		PhaseFinishing, PhaseDone, PhaseRollback, PhaseReverted,
 	} {
 		if !all[p] {
 			t.Errorf("no schedule reaches %s", p)
@@ -349,7 +349,7 @@
 					}
 					f.one(v, "", kill, false)
 				}
-				if want := map[bool]Phase{false: PhaseDone, true: PhaseRolledBack}[bad]; f.m.State.Phase != want ||
+				if want := map[bool]Phase{false: PhaseDone, true: PhaseReverted}[bad]; f.m.State.Phase != want ||
 					f.settled() != "" {
 					t.Fatalf("killed at look %d (%d), bad %v: %s %s", at, how, bad, f.m.State.Phase, f.settled())
 				}
@@ -374,10 +374,10 @@
 		t.Fatalf("%+v, drains %v", f.m.State, f.members[0].held.Drain)
 	}
 	f.members[0].failed, f.members[0].running = "", "" // mended by hand; it is still out of service, so nothing runs there
-	for i := 0; i < 50 && f.m.State.Phase != PhaseRolledBack; i++ {
+	for i := 0; i < 50 && f.m.State.Phase != PhaseReverted; i++ {
 		f.one(canary.Verdict{}, "", 0, false)
 	}
-	if f.m.State.Phase != PhaseRolledBack || f.members[0].held.Drain || f.settled() != "" {
+	if f.m.State.Phase != PhaseReverted || f.members[0].held.Drain || f.settled() != "" {
 		t.Errorf("%+v, drains %v: %s", f.m.State, f.members[0].held.Drain, f.settled())
 	}
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -81,7 +81,7 @@
 		t.Fatalf("%+v %v", s, err)
 	}
 	fence := change.Fence{Number: 4, Term: 2, Revision: 9}
-	order := change.Order{Format: 1, Fence: fence, By: "x", Member: "c1", Spec: s.order.Spec}
+	order := change.Order{Format: 1, Fence: fence, CoordinatorID: "x", Member: "c1", Spec: s.order.Spec}
 	if err := s.AcceptOrder(order); err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(s.order.Spec.Digest())) {
 		t.Errorf("%s", parts)
 	}
-	if s, err = New(o); err != nil || s.order.Fence != order.Fence || s.order.By != "x" {
+	if s, err = New(o); err != nil || s.order.Fence != order.Fence || s.order.CoordinatorID != "x" {
 		t.Errorf("read back as %+v, %v", s.order, err)
 	}
 	text := readFile(t, s.statePath("held.json"))
