--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -14,7 +14,8 @@
 
 func TestAnOrderThatComesLateTwiceOrFromAnotherChangesNothing(t *testing.T) {
 	order := func(number, term, revision int64, by, program string) Order {
-		return Order{Format: Format, Fence: Fence{number, term, revision}, By: by, Member: "c1", Spec: spec(program)}
+		fence := Fence{number, term, revision}
+		return Order{Format: Format, Fence: fence, CoordinatorID: by, Member: "c1", Spec: spec(program)}
 	}
 	var accepted AcceptedOrder
 	for i, c := range []struct {
@@ -76,12 +77,12 @@
 
 func TestOrdersAreWrittenAsTheirReaderReadsThem(t *testing.T) {
 	o := Order{
-		Format: Format,
-		Fence:  Fence{1, 1, 1},
-		By:     "x",
-		Member: "c1",
-		Spec:   spec("d"),
-		Reason: strings.Repeat("é", maxReasonBytes),
+		Format:        Format,
+		Fence:         Fence{1, 1, 1},
+		CoordinatorID: "x",
+		Member:        "c1",
+		Spec:          spec("d"),
+		Reason:        strings.Repeat("é", maxReasonBytes),
 	}
 	for theirs, want := range map[int]int{0: 1, 1: 1, 2: 2, 3: 2} {
 		f := FormatFor(theirs)
--- a/internal/change/fence.go
+++ b/internal/change/fence.go
@@ -22,4 +22,5 @@
 	)
 }
 
+// String returns the parts in order of their weight, separated by dots.
 func (f Fence) String() string { return fmt.Sprintf("%d.%d.%d", f.Number, f.Term, f.Revision) }
--- a/internal/command/fleet/rollout_status.go
+++ b/internal/command/fleet/rollout_status.go
@@ -17,24 +17,24 @@
 
 // changeStatus is where a change stands, for scripts.
 type changeStatus struct {
-	Number int64         `json:"number"`
-	Kind   change.Kind   `json:"kind"`
-	Title  string        `json:"title"`
-	From   change.Digest `json:"from"`
-	To     change.Digest `json:"to"`
-	Stages [][]string    `json:"stages"`
-	State  rollout.State `json:"state"`
+	Number   int64         `json:"number"`
+	Kind     change.Kind   `json:"kind"`
+	Title    string        `json:"title"`
+	FromSpec change.Digest `json:"from"`
+	ToSpec   change.Digest `json:"to"`
+	Stages   [][]string    `json:"stages"`
+	State    rollout.State `json:"state"`
 }
 
 func newChangeStatus(record coordinator.Record) changeStatus {
 	return changeStatus{
-		Number: record.Change.Number,
-		Kind:   record.Change.Kind,
-		Title:  record.Change.Title,
-		From:   record.From.Digest(),
-		To:     record.To.Digest(),
-		Stages: record.Stages,
-		State:  record.State,
+		Number:   record.Change.Number,
+		Kind:     record.Change.Kind,
+		Title:    record.Change.Title,
+		FromSpec: record.FromSpec.Digest(),
+		ToSpec:   record.ToSpec.Digest(),
+		Stages:   record.Stages,
+		State:    record.State,
 	}
 }
 
@@ -85,7 +85,8 @@
 
 func printChange(out io.Writer, status changeStatus) {
 	state := status.State
-	fmt.Fprintf(out, "change %d (%s) %s -> %s: %s", status.Number, status.Kind, status.From, status.To, state.Phase)
+	fmt.Fprintf(out, "change %d (%s) %s -> %s: %s",
+		status.Number, status.Kind, status.FromSpec, status.ToSpec, state.Phase)
 	if len(status.Stages) > 0 && !state.Phase.IsTerminal() {
 		fmt.Fprintf(out, ", stage %d of %d", state.Stage+1, len(status.Stages))
 	}
@@ -122,7 +123,7 @@
 func printHistory(out io.Writer, transitions []coordinator.Transition) error {
 	table := newTable(out)
 	for _, transition := range transitions {
-		fmt.Fprintf(table, "%s\t%d\t%s\tstage %d\t%v\t%s\n", transition.At.Format(time.RFC3339), transition.Number,
+		fmt.Fprintf(table, "%s\t%d\t%s\tstage %d\t%v\t%s\n", transition.Time.Format(time.RFC3339), transition.Number,
 			transition.Phase, transition.Stage+1, transition.Fence, transition.Reason)
 	}
 	return table.Flush()
--- a/internal/command/fleet_program.go
+++ b/internal/command/fleet_program.go
@@ -15,7 +15,7 @@
 
 // fleetCommands are the commands of that program.
 func fleetCommands() []*cobra.Command {
-	formerSupervise := fleetCommand("keep", "") // the former name of supervise
+	formerSupervise := fleetCommand("keep", "")
 	formerSupervise.Hidden = true
 	return []*cobra.Command{
 		fleetCommand("supervise", "Supervise one controller: start it, restart it, take orders for it"),
--- a/internal/coordinator/act.go
+++ b/internal/coordinator/act.go
@@ -57,7 +57,7 @@
 	slog.Info("rollout_phase", "number", number, "phase", state.Phase, "stage", state.Stage+1,
 		"fence", state.Fence.String(), "on", strings.Join(c.machine.TargetMembers(), ","), "why", state.Reason)
 	c.store.addTransition(Transition{
-		At:      failpoint.WallClock().UTC(),
+		Time:    failpoint.WallClock().UTC(),
 		Number:  number,
 		Phase:   state.Phase,
 		Stage:   state.Stage,
@@ -89,19 +89,19 @@
 
 // message is an order as its receiver reads it.
 func (c *Coordinator) message(order rollout.Order) change.Order {
-	spec := c.record.From
+	spec := c.record.FromSpec
 	if order.UseTarget {
-		spec = c.record.To
+		spec = c.record.ToSpec
 	}
 	state := c.machine.State
 	return change.Order{
-		Format: change.Format,
-		Fence:  state.Fence,
-		By:     c.store.coordinatorID(c.record.ID),
-		Member: order.Member,
-		Spec:   spec,
-		Drain:  order.Drain,
-		Reason: state.Reason,
+		Format:        change.Format,
+		Fence:         state.Fence,
+		CoordinatorID: c.store.coordinatorID(c.record.ID),
+		Member:        order.Member,
+		Spec:          spec,
+		Drain:         order.Drain,
+		Reason:        state.Reason,
 	}
 }
 
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -12,7 +12,7 @@
 	seen := rollout.Observation{Now: c.elapsed()}
 	var counts []canary.Sample
 	timing := c.record.Change.Timing
-	target := c.record.To.Digest()
+	target := c.record.ToSpec.Digest()
 	for i, reply := range replies {
 		view := &c.members[i]
 		name := c.fleet.Members[i].Name
@@ -45,7 +45,7 @@
 		return
 	}
 	c.store.addSample(Sample{
-		At:     failpoint.WallClock().UTC(),
+		Time:   failpoint.WallClock().UTC(),
 		Number: c.record.Change.Number,
 		Phase:  state.Phase,
 		Stage:  state.Stage,
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -76,9 +76,9 @@
 
 // checkMembers checks that every controller runs what the record says, and took its orders in their order.
 func (r *result) checkMembers(cluster *testcluster.Cluster, record coordinator.Record) {
-	wanted := record.From.Digest()
+	wanted := record.FromSpec.Digest()
 	if r.phase == rollout.PhaseDone {
-		wanted = record.To.Digest()
+		wanted = record.ToSpec.Digest()
 	}
 	for _, m := range cluster.Members {
 		status, err := cluster.Status(m)
@@ -187,10 +187,10 @@
 	var from, to time.Time
 	for _, step := range steps {
 		if step.Phase == rollout.PhaseApplying && step.Stage == 0 && from.IsZero() {
-			from = step.At
+			from = step.Time
 		}
-		if to.IsZero() && (step.Phase == rollout.PhaseRollingBack || step.Phase == rollout.PhaseDone) {
-			to = step.At
+		if to.IsZero() && (step.Phase == rollout.PhaseRollback || step.Phase == rollout.PhaseDone) {
+			to = step.Time
 		}
 	}
 	if from.IsZero() || to.IsZero() {
--- a/internal/proof/sparql/clients.go
+++ b/internal/proof/sparql/clients.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,129 +15,147 @@
 )
 
 const (
-	readTimeout  = 2 * time.Second // of a job that only reads
-	writeTimeout = 4 * time.Second // of an import or update
-	maxAnswer    = 10 * time.Second
-	writeEvery   = 10 // every tenth job writes
-	importKeys   = 3
+	writeEach    = 10 // one in so many jobs is an import or update
+	keys         = 3  // of imports
+	partsOfCalls = 4  // a client makes one in so many of a run's calls
+	answerLimit  = 10 * time.Second
 )
 
-// isWrite reports whether the job of a number is an import or update.
-func isWrite(number int) bool { return number%writeEvery == writeEvery-1 }
+// job is a job as a client requests it.
+type job struct {
+	id      string
+	jobType string
+	key     string
+	front   string // jobs of one front and key have an order
+	timeout time.Duration
+}
 
-func (r *run) logAccepted(job, jobType, key, front string, timeout time.Duration) {
-	r.events.Add(rulecheck.Entry{
-		Event:      rulecheck.Accepted,
-		Job:        job,
-		Type:       jobType,
-		Key:        key,
-		Front:      front,
-		DeadlineNS: time.Now().Add(timeout).UnixNano(),
-	})
+func (r *run) logAccepted(j job) {
+	r.events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: j.id, Type: j.jobType, Key: j.key, Front: j.front,
+		DeadlineNS: time.Now().Add(j.timeout).UnixNano()})
 }
 
-func (r *run) logAnswered(job, outcome string) {
-	r.events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: outcome})
+func (r *run) logAnswered(id, answer string) {
+	r.events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: id, Answer: answer})
 }
 
-// playCalls is a MessagePack client: a call at a time, every tenth an import. It ends where a call gets no answer,
-// which the check finds.
-func (r *run) playCalls(c *controller, number int, name string) {
-	client, err := fake.Dial(c.clientAddress)
+// runCaller is a MessagePack client: one job at a time. A job without its answer is found by the check of the log.
+func (r *run) runCaller(target *controller, index int, name string) {
+	conn, err := fake.Dial(target.clientAddress)
 	if err != nil {
 		return
 	}
-	defer client.Conn.Close()
-	front := fmt.Sprint(name, number)
-	for n := range r.calls / clients {
-		if !r.call(client, front, fmt.Sprintf("%s%014x", name, n+1), n) {
+	defer conn.Conn.Close()
+	for n := range r.config.calls / partsOfCalls {
+		j := job{id: fmt.Sprintf("%s%014x", name, n+1), jobType: lookupType, front: fmt.Sprint(name, index),
+			timeout: readTimeout}
+		if n%writeEach == writeEach-1 {
+			j.jobType = importType
+			j.timeout = writeTimeout
+			j.key = fmt.Sprint("k", n%keys)
+		}
+		r.logAccepted(j)
+		answer, err := call(conn, j)
+		if err != nil {
 			return
 		}
-		time.Sleep(r.pause)
+		r.logAnswered(j.id, answer)
+		time.Sleep(r.config.pause)
 	}
 }
 
-// call sends one job and reports whether it was answered.
-func (r *run) call(client *fake.Client, front, job string, number int) bool {
-	jobType, key, timeout := "lookup", "", readTimeout
-	if isWrite(number) {
-		jobType, key, timeout = "import", fmt.Sprint("k", number%importKeys), writeTimeout
-	}
-	fields := []string{
-		"call", job, "ttl", fmt.Sprint(timeout.Milliseconds()), "org", "acme", "work", "4", "est_mb", "8",
+// call requests a job and returns its answer as the rules name it.
+func call(conn *fake.Client, request job) (string, error) {
+	fields := []string{"call", request.id, "ttl", fmt.Sprint(request.timeout.Milliseconds()), "org", "acme",
+		"work", "4", "est_mb", "8"}
+	if request.key != "" {
+		fields = append(fields, "row", request.key)
 	}
-	if key != "" {
-		fields = append(fields, "row", key)
+	id, err := conn.Send(request.jobType, "SELECT 1 FROM a_1.b", fields...)
+	if err != nil {
+		return "", err
 	}
-	r.logAccepted(job, jobType, key, front, timeout)
-	id, err := client.Send(jobType, "SELECT 1 FROM a_1.b", fields...)
+	answer, err := conn.Read(answerLimit)
 	if err != nil {
-		return false
+		return "", err
 	}
-	answer, err := client.Read(maxAnswer)
-	if err != nil || answer.ID != id {
-		return false
+	if answer.ID != id {
+		return "", fmt.Errorf("an answer to %d, requested was %d", answer.ID, id)
 	}
 	switch answer.Error {
 	case "":
-		r.logAnswered(job, rulecheck.Done)
+		return rulecheck.Done, nil
 	case "Overloaded":
-		r.logAnswered(job, rulecheck.Throttled)
+		return rulecheck.Throttled, nil
 	default:
-		r.logAnswered(job, rulecheck.Cancelled)
+		return rulecheck.Cancelled, nil
 	}
-	return true
 }
 
-// playTexts is a SPARQL client: a text at a time on each of its connections, every tenth an update.
-func (r *run) playTexts(c *controller, number int, name string) {
-	var wait sync.WaitGroup
-	for connection := range r.connections {
-		wait.Go(func() {
+// runQuerier is a SPARQL client, with one request at a time over each of its connections.
+func (r *run) runQuerier(target *controller, index int, name string) {
+	var lanes sync.WaitGroup
+	for lane := range r.config.lanes {
+		lanes.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
-			for n := connection; n < r.queries/clients; n += r.connections {
-				r.text(client, c, number, fmt.Sprintf("s%s%06d", name, n), isWrite(n))
-				time.Sleep(r.pause)
+			for n := lane; n < r.config.queries/partsOfCalls; n += r.config.lanes {
+				id := fmt.Sprintf("s%s%06d", name, n)
+				if n%writeEach == writeEach-1 {
+					r.update(client, target, id)
+				} else {
+					r.query(client, target, index, id)
+				}
+				time.Sleep(r.config.pause)
 			}
 		})
 	}
-	wait.Wait()
+	lanes.Wait()
+}
+
+func (r *run) query(client *http.Client, target *controller, index int, id string) {
+	j := job{id: id, jobType: queryType, front: fmt.Sprint("s", index), timeout: readTimeout}
+	r.post(client, target, j, url.Values{"query": {"SELECT * { ?s <p> ?o } # " + id}})
+}
+
+// update requests one. Each has a front of its own: updates of several connections have no order that a client could
+// know.
+func (r *run) update(client *http.Client, target *controller, id string) {
+	j := job{id: id, jobType: updateType, key: "graph g", front: id, timeout: writeTimeout}
+	r.post(client, target, j, url.Values{"update": {"INSERT DATA { GRAPH <g> { <s> <p> 1 } } # " + id}})
 }
 
-// text sends one query or update.
-func (r *run) text(client *http.Client, c *controller, number int, job string, update bool) {
-	timeout := readTimeout
-	form := url.Values{"query": {"SELECT * { ?s <p> ?o } # " + job}}
-	if update {
-		timeout = writeTimeout
-		form = url.Values{"update": {"INSERT DATA { GRAPH <g> { <s> <p> 1 } } # " + job}}
-		// updates of several connections have no order that a client could know: each is a front of its own
-		r.logAccepted(job, "update", "graph g", job, timeout)
-	} else {
-		r.logAccepted(job, "query", "", fmt.Sprint("s", number), timeout)
+// post requests a job over SPARQL and logs its outcome. What is none is logged as none.
+func (r *run) post(client *http.Client, target *controller, requested job, form url.Values) {
+	form.Set("timeout", fmt.Sprint(requested.timeout.Milliseconds()))
+	address := "http://" + target.sparqlAddress + "/sparql"
+	body := strings.NewReader(form.Encode())
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, address, body)
+	if err != nil {
+		return
 	}
-	form.Set("timeout", fmt.Sprint(timeout.Milliseconds()))
-	address := "http://" + c.sparqlAddress + "/sparql"
-	response, err := client.PostForm(address, form) //nolint:noctx // ends with the job's timeout
+	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
+	r.logAccepted(requested)
+	response, err := client.Do(request)
 	if err != nil {
 		return
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return
 	}
-	if outcome := outcomeOf(response, string(body)); outcome != "" {
-		r.logAnswered(job, outcome)
+	if answer := outcomeOf(response, string(text)); answer != "" {
+		r.logAnswered(requested.id, answer)
 	}
 }
 
-// outcomeOf returns the outcome that a response stands for; "" where it is none.
+// outcomeOf is a response's outcome as the rules name it, "" where it is none.
 func outcomeOf(response *http.Response, body string) string {
+	complete := strings.HasSuffix(strings.TrimSpace(body), "]}}")
 	switch response.StatusCode {
 	case http.StatusOK:
-		if strings.HasSuffix(strings.TrimSpace(body), "]}}") {
+		if complete {
 			return rulecheck.Done
 		}
 	case http.StatusNoContent:
--- a/internal/proof/sparql/endpoint.go
+++ b/internal/proof/sparql/endpoint.go
@@ -6,56 +6,59 @@
 	"strings"
 	"time"
 
+	"swiftreel/internal/fake"
 	"swiftreel/internal/rulecheck"
 	"swiftreel/internal/testcluster"
 )
 
-// slowFactor is by how much a slow answer takes longer.
-const slowFactor = 20
-
-// faultyEndpoint logs what comes to an endpoint, and has it fail as the plan says. A job's name stands in its text as a
-// comment.
+// faultyEndpoint deals with requests before an endpoint does: it logs them and meets them with faults.
 type faultyEndpoint struct {
 	name   string
 	events *testcluster.EventLog
 	faults *testcluster.FaultPlan
 }
 
-// intercept is a fake.Interceptor.
-func (e *faultyEndpoint) intercept(w http.ResponseWriter, text string) bool {
-	_, job, hasJob := strings.Cut(text, "# ")
-	if !hasJob {
-		return false // a probe
+// startEndpoint starts an endpoint that logs and fails as a plan says.
+func startEndpoint(name string, events *testcluster.EventLog, faults *testcluster.FaultPlan) (*fake.Endpoint, error) {
+	endpoint, err := fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", "1"}, [3]string{"<b>", "<p>", "2"})
+	if err != nil {
+		return nil, err
+	}
+	f := &faultyEndpoint{name, events, faults}
+	endpoint.Intercept(f.intercept)
+	return endpoint, nil
+}
+
+func (f *faultyEndpoint) log(event, jobID, answer string, work time.Duration) {
+	f.events.Add(rulecheck.Entry{Event: event, Job: jobID, Engine: f.name, Protocol: "sparql", Answer: answer,
+		Work: int64(work)})
+}
+
+// intercept answers a request that meets a fault. A job's id stands in its text as a comment; a probe has none.
+func (f *faultyEndpoint) intercept(w http.ResponseWriter, text string) (answered bool) {
+	_, jobID, isJob := strings.Cut(text, "# ")
+	if !isJob {
+		return false
 	}
-	fault := e.faults.Draw()
+	fault := f.faults.Draw()
 	if fault == testcluster.RefusesDispatch {
-		e.log(rulecheck.Entry{Event: rulecheck.Reached, Job: job, Protocol: "sparql"})
+		f.log(rulecheck.Reached, jobID, "", 0)
 		w.Header().Set("Not-Started", "?1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	}
-	work := int64(e.faults.WorkDuration())
-	e.log(rulecheck.Entry{Event: rulecheck.Began, Job: job, Protocol: "sparql", Work: work})
-	duration := e.faults.WorkDuration()
-	if fault == testcluster.AnswersSlowly {
-		duration *= slowFactor
-	}
-	time.Sleep(duration) // the job's work, as simulated
+	f.log(rulecheck.Began, jobID, "", f.faults.WorkDuration())
+	time.Sleep(f.faults.Duration(fault)) // the job's work, as simulated
 	switch fault {
 	case testcluster.ResetsConnection:
-		e.log(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Answer: rulecheck.Broken})
-		panic(http.ErrAbortHandler)
+		f.log(rulecheck.Ended, jobID, rulecheck.Broken, 0)
+		panic(http.ErrAbortHandler) // net/http closes the connection without a log line
 	case testcluster.FailsDispatch: // begins well, and breaks off inside the JSON
-		e.log(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Answer: rulecheck.Broken})
+		f.log(rulecheck.Ended, jobID, rulecheck.Broken, 0)
 		w.Header().Set("Content-Type", "application/sparql-results+json")
 		fmt.Fprint(w, `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","val`)
 		panic(http.ErrAbortHandler)
 	}
-	e.log(rulecheck.Entry{Event: rulecheck.Ended, Job: job, Answer: rulecheck.Done})
+	f.log(rulecheck.Ended, jobID, rulecheck.Done, 0)
 	return false
 }
-
-func (e *faultyEndpoint) log(entry rulecheck.Entry) {
-	entry.Engine = e.name
-	e.events.Add(entry)
-}
--- a/internal/proof/sparql/run.go
+++ b/internal/proof/sparql/run.go
@@ -6,7 +6,6 @@
 	"os"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"swiftreel/internal/fake"
@@ -14,172 +13,142 @@
 	"swiftreel/internal/testcluster"
 )
 
-// controllers is how many controllers a run has; each serves as many clients of either protocol.
 const (
 	controllers          = 2
-	clientsPerController = 2
-	clients              = controllers * clientsPerController
+	clientsPerController = 2 // of each protocol
+	engineWork           = 3 * time.Millisecond
+	engineCores          = 8
+	settleTime           = 100 * time.Millisecond // in which what was given up ends
 )
 
-const (
-	workDuration = 3 * time.Millisecond
-	settleTime   = 100 * time.Millisecond // until what was cancelled has ended
-	engineCores  = 8
-)
-
-// scenario is what a run plays.
-type scenario struct {
-	seed        uint64
-	faults      bool
-	calls       int           // of MessagePack clients
-	queries     int           // of SPARQL clients
-	pause       time.Duration // between a client's calls
-	connections int           // of a SPARQL client
+// runConfig is what a run consists of.
+type runConfig struct {
+	seed           uint64
+	faults         bool
+	calls, queries int           // of all clients of a controller, by protocol
+	pause          time.Duration // between a client's requests
+	lanes          int           // connections of a SPARQL client
 }
 
-var rules = rulecheck.Rules{
-	Types: map[string]rulecheck.Type{
-		"lookup": {Effect: rulecheck.Restartable},
-		"query":  {Effect: rulecheck.Restartable},
-		"import": {Effect: rulecheck.RunOnce, Ordered: true},
-		"update": {Effect: rulecheck.RunOnce, Ordered: true},
-	},
-	AnswerSlack: int64(500 * time.Millisecond),
-	DrainGrace:  int64(400 * time.Millisecond),
-}
-
-// run is the fakes and controllers of a scenario, with the log of what happened.
+// run is the fakes and controllers of one.
 type run struct {
-	scenario
+	config      runConfig
 	events      testcluster.EventLog
-	feed        *fake.Discovery
-	engines     map[string]*fake.Engine   // of the line protocol
-	endpoints   map[string]*fake.Endpoint // of SPARQL
+	discovery   *fake.Discovery
+	engines     map[string]*fake.Engine   // by name
+	endpoints   map[string]*fake.Endpoint // likewise
 	controllers []*controller
 }
 
-// play runs a scenario and checks its log against the rules.
-func play(program string, s scenario) (statistics, error) {
-	r := &run{scenario: s, engines: map[string]*fake.Engine{}, endpoints: map[string]*fake.Endpoint{}}
-	directory, err := os.MkdirTemp("", "proof")
+// play plays a run and counts its logs.
+func play(program string, config runConfig) (counts, error) {
+	r := &run{config: config, engines: map[string]*fake.Engine{}, endpoints: map[string]*fake.Endpoint{}}
+	dir, err := os.MkdirTemp("", "proof")
 	if err != nil {
-		return statistics{}, err
+		return counts{}, err
 	}
-	defer os.RemoveAll(directory) //nolint:errcheck // what is left of it harms nobody
+	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: what is left is the system's to remove
 	defer r.close()
-	if err := r.start(program, directory); err != nil {
-		return statistics{}, err
-	}
-	r.playClients()
-	if err := r.stop(); err != nil {
-		return statistics{}, err
+	if err := r.start(program, dir); err != nil {
+		return counts{}, err
 	}
-	log := r.events.Entries()
-	result := count(log)
-	result.violations = rulecheck.Check(rules, log)
-	return result, nil
-}
-
-func (r *run) playClients() {
-	var wait sync.WaitGroup
-	for number, c := range r.controllers {
-		for client := range clientsPerController {
-			name := fmt.Sprintf("%d%d", number, client)
-			wait.Go(func() { r.playCalls(c, number, name) })
-			wait.Go(func() { r.playTexts(c, number, name) })
+	var clients sync.WaitGroup
+	for i, c := range r.controllers {
+		for k := range clientsPerController {
+			name := fmt.Sprintf("%d%d", i, k)
+			clients.Go(func() { r.runCaller(c, i, name) })
+			clients.Go(func() { r.runQuerier(c, i, name) })
 		}
 	}
-	if r.faults {
-		time.Sleep(time.Duration(r.calls) / 8 * r.pause)
-		r.setEngineState("e2", "draining") // both protocols learn it from the list
+	if config.faults {
+		time.Sleep(time.Duration(config.calls) / 8 * config.pause)
+		r.setEngineState("e2", "draining") // the endpoint list tells both protocols
 	}
-	wait.Wait()
+	clients.Wait()
 	time.Sleep(settleTime)
+	if err := r.stop(); err != nil {
+		return counts{}, err
+	}
+	return countLog(r.events.Entries()), nil
 }
 
-// start starts engines and endpoints, then the controllers. e1 and e2 speak both protocols.
-func (r *run) start(program, directory string) error {
-	faults := testcluster.NewFaultPlan(r.seed, r.faults, workDuration)
-	feed, err := fake.StartDiscovery("127.0.0.1:0", 1)
-	if err != nil {
+// start starts engines, endpoints, discovery and controllers. e4 does not speak the line protocol, e3 not SPARQL.
+func (r *run) start(program, dir string) error {
+	faults := testcluster.NewFaultPlan(r.config.seed, r.config.faults, engineWork)
+	var err error
+	if r.discovery, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		return err
 	}
-	r.feed = feed
-	var hosts, urls []string
+	var entries, urls []string
 	for _, name := range []string{"e1", "e2", "e3", "e4"} {
-		address := ""
 		if name != "e4" {
-			started, err := testcluster.StartLineEngine("127.0.0.1:0", name, &r.events, faults)
-			if err != nil {
+			if r.engines[name], err = testcluster.StartLineEngine("127.0.0.1:0", name, &r.events, faults); err != nil {
 				return err
 			}
-			r.engines[name] = started
-			address = started.Address()
 		}
 		if name != "e3" {
-			url, err := r.startEndpoint(name, faults)
-			if err != nil {
+			if r.endpoints[name], err = startEndpoint(name, &r.events, faults); err != nil {
 				return err
 			}
-			urls = append(urls, fmt.Sprintf("%q:%q", name, url))
+			urls = append(urls, fmt.Sprintf("%q:%q", name, r.endpoints[name].URL()))
 		}
-		hosts = append(hosts, feedEntry(name, address, "ready"))
+		entries = append(entries, engineEntry(name, r.engineAddress(name), "ready"))
 		r.logListed(name, "ready")
 	}
-	knownEvent := r.feed.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
-	return r.startControllers(program, directory, urls, knownEvent)
+	known := r.discovery.AddEvent(true, "["+strings.Join(entries, ",")+"]")
+	return r.startControllers(program, dir, known, operatorFile(urls))
 }
 
-func (r *run) startEndpoint(name string, faults *testcluster.FaultPlan) (url string, err error) {
-	started, err := fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", "1"}, [3]string{"<b>", "<p>", "2"})
-	if err != nil {
-		return "", err
+func (r *run) startControllers(program, dir, known, operator string) error {
+	for i := range controllers {
+		config := controllerConfig(i, r.config.seed, r.discovery.Address(), known)
+		c, err := startController(program, dir, i, config, operator)
+		if err != nil {
+			return err
+		}
+		r.controllers = append(r.controllers, c)
 	}
-	endpoint := &faultyEndpoint{name: name, events: &r.events, faults: faults}
-	started.Intercept(endpoint.intercept)
-	r.endpoints[name] = started
-	return started.URL(), nil
-}
-
-func feedEntry(name, address, state string) string {
-	const form = `{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":%q,"share":1,"born_ms":0}`
-	return fmt.Sprintf(form, name, address, state)
+	for _, c := range r.controllers {
+		if err := c.awaitReady(); err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// setEngineState has the feed send an engine's state, and logs it after: the grace counts from what controllers could
-// know.
-func (r *run) setEngineState(name, state string) {
-	address := ""
+// engineAddress is where an engine speaks the line protocol, "" where it does not.
+func (r *run) engineAddress(name string) string {
 	if e := r.engines[name]; e != nil {
-		address = e.Address()
+		return e.Address()
 	}
-	r.feed.AddEvent(false, "["+feedEntry(name, address, state)+"]")
-	r.logListed(name, state)
+	return ""
 }
 
 func (r *run) logListed(name, state string) {
-	r.events.Add(rulecheck.Entry{
-		Event: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std", Cores: engineCores,
-	})
+	r.events.Add(rulecheck.Entry{Event: rulecheck.Listed, Engine: name, State: state, Zone: "east", Kind: "std",
+		Cores: engineCores})
+}
+
+// setEngineState lists an engine in another state. It is logged after controllers can know it: the grace of rule 3
+// counts from then on.
+func (r *run) setEngineState(name, state string) {
+	r.discovery.AddEvent(false, "["+engineEntry(name, r.engineAddress(name), state)+"]")
+	r.logListed(name, state)
 }
 
-// stop ends the controllers, which have to exit in order and without an answer overdue.
+// stop ends the controllers.
 func (r *run) stop() error {
-	var failures []error
-	for number, c := range r.controllers {
-		c.Signal(syscall.SIGTERM)
-		if err := c.WaitExit(); err != nil {
-			failures = append(failures, fmt.Errorf("controller %d: %w: %s", number, err, c.Log()))
-		}
-		if strings.Contains(c.Log(), "answers_overdue") {
-			failures = append(failures, fmt.Errorf("controller %d: %s", number, c.Log()))
+	var errs []error
+	for i, c := range r.controllers {
+		if err := c.stop(); err != nil {
+			errs = append(errs, fmt.Errorf("controller %d: %w", i, err))
 		}
 	}
 	r.controllers = nil
-	return errors.Join(failures...)
+	return errors.Join(errs...)
 }
 
-// close ends what is still running.
+// close ends what is left.
 func (r *run) close() {
 	for _, c := range r.controllers {
 		c.Kill()
@@ -190,7 +159,7 @@
 	for _, e := range r.endpoints {
 		e.Close()
 	}
-	if r.feed != nil {
-		r.feed.Close()
+	if r.discovery != nil {
+		r.discovery.Close()
 	}
 }
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		wanted := m.wanted(member.Name)
-		if m.State.Paused && wanted == m.plan.To && member.Running != m.plan.To {
+		if m.State.Paused && wanted == m.plan.ToSpec && member.Running != m.plan.ToSpec {
 			continue
 		}
 		if m.takesOutOfService(member) {
@@ -26,7 +26,7 @@
 			}
 			restartsLeft--
 		}
-		orders = append(orders, Order{Member: member.Name, UseTarget: wanted == m.plan.To, Drain: m.isDrained(member)})
+		orders = append(orders, Order{Member: member.Name, UseTarget: wanted == m.plan.ToSpec, Drain: m.isDrained(member)})
 	}
 	return orders
 }
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -44,13 +44,13 @@
 	}
 	if err := s.AcceptOrder(
 		change.Order{
-			Format: change.Format,
-			Fence:  change.Fence{Number: 5, Term: 6, Revision: 7},
-			By:     "x",
-			Member: "c1",
-			Spec:   spec,
-			Drain:  true,
-			Reason: "why",
+			Format:        change.Format,
+			Fence:         change.Fence{Number: 5, Term: 6, Revision: 7},
+			CoordinatorID: "x",
+			Member:        "c1",
+			Spec:          spec,
+			Drain:         true,
+			Reason:        "why",
 		},
 	); err != nil {
 		t.Fatal(err)
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -57,7 +57,7 @@
 	}
 	if next.Spec.Digest() != s.order.Spec.Digest() {
 		s.failure = ""
-		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.By, "spec", next.Spec.Digest(),
+		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.CoordinatorID, "spec", next.Spec.Digest(),
 			"drain", next.Drain, "reason", order.Reason)
 	}
 	s.order = next
