--- a/internal/proof/rollout/virtual_rollout.go
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -53,10 +53,11 @@
 		MinHealthyPerMille: 500,
 		PollIntervalMS:     1000,
 	}
+	settingsPlan := rollout.Plan{Kind: change.KindSettings, FromSpec: "old", ToSpec: "new", Timing: timing}
 	start := rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
 	v := &virtualRollout{
 		fleet:    f,
-		machine:  rollout.New(start, rollout.Plan{Kind: change.KindSettings, FromSpec: "old", ToSpec: "new", Timing: timing}, 0),
+		machine:  rollout.New(start, settingsPlan, 0),
 		limits:   canary.DefaultLimits(),
 		baseline: canary.NewBaseline(),
 		isNew:    make([]bool, len(f.jobRates)),
