--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept. It
-// is held in memory alone, as it is for this incarnation.
+// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept.
+// It is held in memory alone, as it is for this incarnation.
 func (s *Supervisor) AcceptAssignment(incoming assignment.Assignment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
