--- a/internal/sparql/decide/slots.go
+++ b/internal/sparql/decide/slots.go
@@ -19,16 +19,16 @@
 }
 
 const (
-	peakHalfLife = choice.Nanos(30_000_000_000)
-	headroom     = 0.25 // beyond its peak that a protocol is sure of
-	minHeadroom  = 8.0  // jobs
+	peakHalvingTime = choice.Nanos(30_000_000_000)
+	headroom        = 0.25 // beyond its peak that a protocol is sure of
+	minHeadroom     = 8.0  // jobs
 )
 
-// A peak decays in steps of an eighth of its half-life, and is dropped after many of them.
+// A peak decays in steps of an eighth of its halving time, and is dropped after many of them.
 const (
-	decayStep       = peakHalfLife / 8
+	decayStep       = peakHalvingTime / 8
 	decayFactor     = 0.917004 // the eighth root of a half
-	maxDecayElapsed = 100 * peakHalfLife
+	maxDecayElapsed = 100 * peakHalvingTime
 )
 
 // NewSlots returns slots shared by so many protocols, numbered from 0, all of them free.
--- a/internal/sparql/results/csv.go
+++ b/internal/sparql/results/csv.go
@@ -9,8 +9,8 @@
 	"unicode/utf8"
 )
 
-// ErrAsk is returned by formats that have no form for a boolean.
-var ErrAsk = errors.New("CSV and TSV have no form for ASK")
+// ErrNoBooleanForm is returned by formats that have no form for a boolean.
+var ErrNoBooleanForm = errors.New("CSV and TSV have no form for ASK")
 
 // csvReader reads CSV, which shows no kinds: every value is a plain literal, an empty one unbound. Its form has no end
 // of its own: only the length of its body, or its last chunk, shows that it is complete, which the HTTP side checks.
@@ -75,7 +75,7 @@
 // Head implements Writer.
 func (w *lineWriter) Head(head Head) error {
 	if head.Ask {
-		return ErrAsk
+		return ErrNoBooleanForm
 	}
 	w.buffer = w.buffer[:0]
 	for column, name := range head.Vars {
