--- a/internal/solve/check.go
+++ b/internal/solve/check.go
@@ -2,238 +2,267 @@
 
 import (
 	"fmt"
-	"math/big"
 	"strings"
 )
 
-// Fault is what is wrong with a problem, and where.
+// Fault says what is wrong with a problem, and where.
 type Fault struct {
-	Path string
+	Path string // JSON pointer
 	Text string
 }
 
+// String returns the path and the text.
 func (f Fault) String() string { return f.Path + ": " + f.Text }
 
-// The largest figures. Within them no sum that the solver makes leaves 62 bits, which Check makes sure of.
+// The greatest sizes and figures. Within them no sum that the solver makes leaves 62 bits, which Check makes sure of.
 const (
-	MaxEngines, MaxTypes, MaxTenants, MaxZones = 2000, 32, 200, 16
-	MaxFigure                                  = 1_000_000_000_000
-	MaxCores                                   = 4096
-	maxSum                                     = 1 << 60
-	maxFaults                                  = 50
+	MaxEngines = 2000
+	MaxTypes   = 32
+	MaxTenants = 200
+	MaxZones   = 16
+	MaxFigure  = 1_000_000_000_000
+	MaxCores   = 4096
+
+	maxSum              = 1 << 60
+	maxThreadsPerCore   = 64
+	maxThreadsOfJob     = 1024
+	maxMemoryMB         = 1 << 30
+	maxWorkMS           = 1_000_000_000
+	maxWarmMS           = 86_400_000 // a day
+	maxCrossingPerGB    = 1_000_000_000
+	perMille            = 1000
+	maxNameBytes        = 200
+	bytesPerGB          = 1_000_000_000
+	maxFaults           = 50 // that are named
+	defaultPerCore      = 2
+	millionthsOfJobByMS = 1_000_000_000 // what a thread does of a job of one millisecond, in a second
 )
 
-// Check names all faults, some at most. A problem without is safe to solve.
-func (problem *Problem) Check() (faults []Fault) {
-	bad := func(path, text string, v ...any) {
-		if len(faults) < maxFaults {
-			faults = append(faults, Fault{path, fmt.Sprintf(text, v...)})
-		}
+// Values of Constraints.FitsWithout: any engine, or a prefix before the name of an engine or a zone.
+const (
+	anyEngine     = "any engine"
+	withoutEngine = "engine "
+	withoutZone   = "zone "
+)
+
+// Check names all faults, up to a maximum. A problem without any is safe to solve.
+func (problem *Problem) Check() []Fault {
+	c := checker{problem: problem}
+	if problem.ThreadsPerCore != 0 {
+		c.within("/threads_per_core", problem.ThreadsPerCore, 1, maxThreadsPerCore)
 	}
-	within := func(path string, v, least, most int64) {
-		if v < least || v > most {
-			bad(path, "%d is not from %d to %d", v, least, most)
-		}
+	c.count("/engines", len(problem.Engines), MaxEngines)
+	c.count("/types", len(problem.Types), MaxTypes)
+	c.count("/tenants", len(problem.Tenants), MaxTenants)
+	c.count("/zones", len(problem.Zones), MaxZones)
+	if len(c.faults) > 0 {
+		return c.faults
 	}
-	count := func(path string, n, most int) {
-		if n < 1 || n > most {
-			bad(path, "%d entries, where 1 to %d are taken", n, most)
-		}
+	c.zones = c.names("/zones", len(problem.Zones), func(i int) string { return problem.Zones[i].Name })
+	c.engines = c.names("/engines", len(problem.Engines), func(i int) string { return problem.Engines[i].Name })
+	c.types = c.names("/types", len(problem.Types), func(i int) string { return problem.Types[i].Name })
+	c.tenants = c.names("/tenants", len(problem.Tenants), func(i int) string { return problem.Tenants[i].Name })
+	c.checkZones()
+	c.checkEngines()
+	c.checkTypes()
+	c.checkTenants()
+	c.checkDemand()
+	c.checkMinServed()
+	c.checkConstraints()
+	if len(c.faults) == 0 {
+		c.checkSums()
 	}
-	names := func(path string, n int, at func(int) string) map[string]bool {
-		seen := map[string]bool{}
-		for i := range n {
-			name := at(i)
-			switch {
-			case name == "" || len(name) > 200 || strings.ContainsAny(name, "\n\r\t"):
-				bad(fmt.Sprintf("%s/%d/name", path, i), "%q is no name", name)
-			case seen[name]:
-				bad(fmt.Sprintf("%s/%d/name", path, i), "%q stands twice", name)
-			}
-			seen[name] = true
-		}
-		return seen
+	return c.faults
+}
+
+// nameSet holds the names of one list of the problem.
+type nameSet map[string]bool
+
+// checker collects the faults of a problem.
+type checker struct {
+	problem *Problem
+	faults  []Fault
+	zones   nameSet
+	engines nameSet
+	types   nameSet
+	tenants nameSet
+}
+
+func (c *checker) fault(path, format string, values ...any) {
+	if len(c.faults) < maxFaults {
+		c.faults = append(c.faults, Fault{Path: path, Text: fmt.Sprintf(format, values...)})
 	}
-	if problem.ThreadsPerCore != 0 {
-		within("/threads_per_core", problem.ThreadsPerCore, 1, 64)
-	}
-	count("/engines", len(problem.Engines), MaxEngines)
-	count("/types", len(problem.Types), MaxTypes)
-	count("/tenants", len(problem.Tenants), MaxTenants)
-	count("/zones", len(problem.Zones), MaxZones)
-	if len(faults) > 0 {
-		return faults
-	}
-	zones := names("/zones", len(problem.Zones), func(i int) string { return problem.Zones[i].Name })
-	engines := names("/engines", len(problem.Engines), func(i int) string { return problem.Engines[i].Name })
-	types := names("/types", len(problem.Types), func(i int) string { return problem.Types[i].Name })
-	tenants := names("/tenants", len(problem.Tenants), func(i int) string { return problem.Tenants[i].Name })
-	known := func(path string, list map[string]bool, name string) {
-		if !list[name] {
-			bad(path, "%q is not named in the problem", name)
+}
+
+// within checks a figure's range.
+func (c *checker) within(path string, value, low, high int64) {
+	if value < low || value > high {
+		c.fault(path, "%d is not from %d to %d", value, low, high)
+	}
+}
+
+// count checks the length of a list.
+func (c *checker) count(path string, length, limit int) {
+	if length < 1 || length > limit {
+		c.fault(path, "%d entries, where 1 to %d are taken", length, limit)
+	}
+}
+
+// names checks the names of a list and returns them.
+func (c *checker) names(path string, length int, nameOf func(int) string) nameSet {
+	names := nameSet{}
+	for i := range length {
+		name := nameOf(i)
+		at := fmt.Sprintf("%s/%d/name", path, i)
+		isName := name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "\n\r\t")
+		switch {
+		case !isName:
+			c.fault(at, "%q is no name", name)
+		case names[name]:
+			c.fault(at, "%q stands twice", name)
 		}
+		names[name] = true
+	}
+	return names
+}
+
+// known checks that a name is in a list of the problem.
+func (c *checker) known(path string, names nameSet, name string) {
+	if !names[name] {
+		c.fault(path, "%q is not named in the problem", name)
 	}
-	for i, z := range problem.Zones {
+}
+
+func (c *checker) checkZones() {
+	for i, z := range c.problem.Zones {
 		at := fmt.Sprintf("/zones/%d", i)
-		within(at+"/crossing_cost_per_gb", z.CrossingCostPerGB, 0, 1_000_000_000)
+		c.within(at+"/crossing_cost_per_gb", z.CrossingCostPerGB, 0, maxCrossingPerGB)
 		if z.CrossingBytesPerS != nil {
-			within(at+"/crossing_bytes_per_s", *z.CrossingBytesPerS, 0, MaxFigure)
+			c.within(at+"/crossing_bytes_per_s", *z.CrossingBytesPerS, 0, MaxFigure)
 		}
 	}
-	for i, e := range problem.Engines {
+}
+
+func (c *checker) checkEngines() {
+	for i, e := range c.problem.Engines {
 		at := fmt.Sprintf("/engines/%d", i)
-		known(at+"/zone", zones, e.Zone)
-		within(at+"/cores", e.Cores, 1, MaxCores)
-		within(at+"/memory_mb", e.MemoryMB, 0, 1<<30)
-		within(at+"/cost", e.Cost, 0, MaxFigure)
+		c.known(at+"/zone", c.zones, e.Zone)
+		c.within(at+"/cores", e.Cores, 1, MaxCores)
+		c.within(at+"/memory_mb", e.MemoryMB, 0, maxMemoryMB)
+		c.within(at+"/cost", e.Cost, 0, MaxFigure)
 		switch e.State {
 		case "", Ready, Draining:
 			if e.CapacityPerMille != 0 || e.WarmInMS != 0 {
-				bad(at, "part_per_mille and warm_in_ms are for state %q", Started)
+				c.fault(at, "part_per_mille and warm_in_ms are for state %q", Started)
 			}
 		case Started:
-			within(at+"/part_per_mille", e.CapacityPerMille, 0, 1000)
-			within(at+"/warm_in_ms", e.WarmInMS, 0, 86_400_000)
+			c.within(at+"/part_per_mille", e.CapacityPerMille, 0, perMille)
+			c.within(at+"/warm_in_ms", e.WarmInMS, 0, maxWarmMS)
 		default:
-			bad(at+"/state", "%q is none of ready, draining, started", e.State)
+			c.fault(at+"/state", "%q is none of ready, draining, started", e.State)
 		}
 	}
-	for i, t := range problem.Types {
+}
+
+func (c *checker) checkTypes() {
+	for i, t := range c.problem.Types {
 		at := fmt.Sprintf("/types/%d", i)
-		within(at+"/threads", t.Threads, 1, 1024)
-		within(at+"/memory_mb", t.MemoryMB, 0, 1<<30)
-		within(at+"/work_ms", t.WorkMS, 1, 1_000_000_000)
-		within(at+"/value", t.Value, 0, MaxFigure)
-		within(at+"/answer_bytes", t.AnswerBytes, 0, MaxFigure)
-		within(at+"/sla_time_ms", t.SLATimeMS, 0, MaxFigure)
+		c.within(at+"/threads", t.Threads, 1, maxThreadsOfJob)
+		c.within(at+"/memory_mb", t.MemoryMB, 0, maxMemoryMB)
+		c.within(at+"/work_ms", t.WorkMS, 1, maxWorkMS)
+		c.within(at+"/value", t.Value, 0, MaxFigure)
+		c.within(at+"/answer_bytes", t.AnswerBytes, 0, MaxFigure)
+		c.within(at+"/sla_time_ms", t.SLATimeMS, 0, MaxFigure)
 		if t.SLATimeMS > 0 && t.Threads > 0 && t.WorkMS/t.Threads > t.SLATimeMS {
-			bad(at+"/sla_time_ms", "%d ms: a job takes %d ms at least", t.SLATimeMS, t.WorkMS/t.Threads)
+			c.fault(at+"/sla_time_ms", "%d ms: a job takes %d ms at least", t.SLATimeMS, t.WorkMS/t.Threads)
 		}
-		for k, z := range t.Zones {
-			known(fmt.Sprintf("%s/zones/%d", at, k), zones, z)
+		for k, zone := range t.Zones {
+			c.known(fmt.Sprintf("%s/zones/%d", at, k), c.zones, zone)
 		}
 	}
-	for i, t := range problem.Tenants {
+}
+
+func (c *checker) checkTenants() {
+	for i, t := range c.problem.Tenants {
 		at := fmt.Sprintf("/tenants/%d", i)
-		within(at+"/share_per_mille", t.SharePerMille, 0, 1000)
+		c.within(at+"/share_per_mille", t.SharePerMille, 0, perMille)
 		if t.QuotaThreads != nil {
-			within(at+"/quota_threads", *t.QuotaThreads, 0, MaxFigure)
+			c.within(at+"/quota_threads", *t.QuotaThreads, 0, MaxFigure)
 		}
 	}
-	asked := map[[3]string]bool{}
-	for i, d := range problem.Demand {
+}
+
+func (c *checker) checkDemand() {
+	type key struct{ typ, tenant, zone string }
+	seen := map[key]bool{}
+	for i, d := range c.problem.Demand {
 		at := fmt.Sprintf("/demand/%d", i)
-		known(at+"/type", types, d.Type)
-		known(at+"/tenant", tenants, d.Tenant)
-		known(at+"/zone", zones, d.Zone)
-		within(at+"/jobs_per_1000s", d.JobsPer1000S, 0, MaxFigure)
-		key := [3]string{d.Type, d.Tenant, d.Zone}
-		if asked[key] {
-			bad(at, "the demand of %q for %q from %q stands twice", d.Type, d.Tenant, d.Zone)
+		c.known(at+"/type", c.types, d.Type)
+		c.known(at+"/tenant", c.tenants, d.Tenant)
+		c.known(at+"/zone", c.zones, d.Zone)
+		c.within(at+"/jobs_per_1000s", d.JobsPer1000S, 0, MaxFigure)
+		k := key{typ: d.Type, tenant: d.Tenant, zone: d.Zone}
+		if seen[k] {
+			c.fault(at, "the demand of %q for %q from %q stands twice", d.Type, d.Tenant, d.Zone)
 		}
-		asked[key] = true
+		seen[k] = true
 	}
-	problem.checkMust(bad, within, func(path, list, name string) {
-		known(path, map[string]map[string]bool{"type": types, "tenant": tenants, "zone": zones, "engine": engines}[list], name)
-	})
-	if len(faults) == 0 {
-		problem.checkSums(bad)
-	}
-	return faults
 }
 
-func (problem *Problem) checkMust(bad func(path, text string, v ...any), within func(path string, v, least, most int64),
-	known func(path, list, name string)) {
-	m := problem.Constraints
-	twice := map[string]bool{}
-	for i, l := range m.MinServed {
+func (c *checker) checkMinServed() {
+	type key struct{ typ, tenant string }
+	seen := map[key]bool{}
+	for i, m := range c.problem.Constraints.MinServed {
 		at := fmt.Sprintf("/must/least_served/%d", i)
-		within(at+"/per_mille", l.PerMille, 0, 1000)
-		if (l.Type == "") == (l.Tenant == "") {
-			bad(at, "names one of type and tenant")
-		} else if l.Type != "" {
-			known(at+"/type", "type", l.Type)
-		} else {
-			known(at+"/tenant", "tenant", l.Tenant)
-		}
-		if key := l.Type + "\n" + l.Tenant; twice[key] {
-			bad(at, "stands twice")
-		} else {
-			twice[key] = true
-		}
-	}
-	if m.MaxCost != nil {
-		within("/must/greatest_cost", *m.MaxCost, 0, maxSum)
-	}
-	if m.MaxUsePerMille != nil {
-		within("/must/greatest_use_per_mille", *m.MaxUsePerMille, 0, 1000)
-	}
-	for i, w := range m.FitsWithout {
-		at := fmt.Sprintf("/must/fits_without/%d", i)
-		what, name, _ := strings.Cut(w, " ")
+		c.within(at+"/per_mille", m.PerMille, 0, perMille)
 		switch {
-		case w == anyEngine:
-		case what == "engine" || what == "zone":
-			known(at, what, name)
+		case (m.Type == "") == (m.Tenant == ""):
+			c.fault(at, "names one of type and tenant")
+		case m.Type != "":
+			c.known(at+"/type", c.types, m.Type)
 		default:
-			bad(at, "%q is none of \"any engine\", \"engine NAME\", \"zone NAME\"", w)
+			c.known(at+"/tenant", c.tenants, m.Tenant)
+		}
+		k := key{typ: m.Type, tenant: m.Tenant}
+		if seen[k] {
+			c.fault(at, "stands twice")
 		}
+		seen[k] = true
 	}
 }
 
-// checkSums makes sure that value, cost and crossing bytes of the whole fleet at its fullest stay within mostSum.
-func (problem *Problem) checkSums(bad func(path, text string, v ...any)) {
-	threads, cost := new(big.Int), new(big.Int)
-	for _, e := range problem.Engines {
-		n := new(big.Int).Mul(big.NewInt(e.Cores), big.NewInt(problem.threadsPerCore()))
-		threads.Add(threads, n)
-		cost.Add(cost, n.Mul(n, big.NewInt(e.Cost)))
+func (c *checker) checkConstraints() {
+	constraints := c.problem.Constraints
+	if constraints.MaxCost != nil {
+		c.within("/must/greatest_cost", *constraints.MaxCost, 0, maxSum)
 	}
-	rise := int64(0)
-	for _, z := range problem.Zones {
-		rise = max(rise, z.CrossingCostPerGB)
+	if constraints.MaxUsePerMille != nil {
+		c.within("/must/greatest_use_per_mille", *constraints.MaxUsePerMille, 0, perMille)
 	}
-	most := big.NewInt(maxSum)
-	for i, t := range problem.Types {
-		at := fmt.Sprintf("/types/%d", i)
-		rate := big.NewInt(jobsPerThread(t))
-		value := new(big.Int).Mul(rate, big.NewInt(t.Value))
-		if value.Mul(value, threads).Cmp(most) > 0 {
-			bad(at+"/value", "%d a job is too large: the fleet's value a second would pass 2^60 millionths", t.Value)
-		}
-		bytes := new(big.Int).Mul(rate, big.NewInt(t.AnswerBytes))
-		bytes.Add(bytes.Div(bytes, big.NewInt(1_000_000)), big.NewInt(1))
-		all := new(big.Int).Mul(bytes, threads)
-		if all.Cmp(most) > 0 {
-			bad(at+"/answer_bytes", "%d a job is too large: the fleet's bytes a second would pass 2^60", t.AnswerBytes)
-		}
-		all.Div(all.Mul(all, big.NewInt(rise)), big.NewInt(1_000_000_000))
-		if all.Add(all, cost).Cmp(most) > 0 {
-			bad(at, "costs are too large: the fleet's cost a second would pass 2^60")
-		}
-	}
-	for i, d := range problem.Demand {
-		for _, t := range problem.Types {
-			if t.Name == d.Type && new(big.Int).Mul(big.NewInt(d.JobsPer1000S*1000), big.NewInt(max(1, t.Value))).Cmp(most) > 0 {
-				bad(fmt.Sprintf("/demand/%d/jobs_per_1000s", i), "%d is too large: its value a second would pass 2^60 millionths", d.JobsPer1000S)
-			}
+	for i, without := range constraints.FitsWithout {
+		at := fmt.Sprintf("/must/fits_without/%d", i)
+		sort, name, _ := strings.Cut(without, " ")
+		switch {
+		case without == anyEngine:
+		case sort == "engine":
+			c.known(at, c.engines, name)
+		case sort == "zone":
+			c.known(at, c.zones, name)
+		default:
+			c.fault(at, "%q is none of \"any engine\", \"engine NAME\", \"zone NAME\"", without)
 		}
 	}
 }
 
+// threadsPerCore returns the threads of an engine's core.
 func (problem *Problem) threadsPerCore() int64 {
 	if problem.ThreadsPerCore == 0 {
-		return 2
+		return defaultPerCore
 	}
 	return problem.ThreadsPerCore
 }
 
-// perThread is how many jobs a thread does, in millionths a second, rounded down but never none.
-func jobsPerThread(t Type) int64 { return max(1, 1_000_000_000/max(1, t.WorkMS)) }
-
-// The words of must.fits_without.
-const (
-	anyEngine     = "any engine"
-	withoutEngine = "engine "
-	withoutZone   = "zone "
-)
+// jobsPerThread returns how many jobs a thread does, in millionths a second, rounded down, but at least 1.
+func jobsPerThread(t Type) int64 {
+	return max(1, millionthsOfJobByMS/max(1, t.WorkMS))
+}
