--- a/internal/solve/check_sums.go
+++ b/internal/solve/check_sums.go
@@ -18,13 +18,21 @@
 		rate := big.NewInt(jobsPerThread(t))
 		value := product(rate, big.NewInt(t.Value), threads)
 		if value.Cmp(limit) > 0 {
-			c.fault(at+"/value", "%d a job is too large: the fleet's value a second would pass 2^60 millionths", t.Value)
+			c.fault(
+				at+"/value",
+				"%d a job is too large: the fleet's value a second would pass 2^60 millionths",
+				t.Value,
+			)
 		}
 		bytesOfThread := product(rate, big.NewInt(t.AnswerBytes))
 		bytesOfThread.Div(bytesOfThread, big.NewInt(1_000_000)).Add(bytesOfThread, big.NewInt(1))
 		bytes := product(bytesOfThread, threads)
 		if bytes.Cmp(limit) > 0 {
-			c.fault(at+"/answer_bytes", "%d a job is too large: the fleet's bytes a second would pass 2^60", t.AnswerBytes)
+			c.fault(
+				at+"/answer_bytes",
+				"%d a job is too large: the fleet's bytes a second would pass 2^60",
+				t.AnswerBytes,
+			)
 		}
 		total := product(bytes, big.NewInt(crossingCost))
 		total.Div(total, big.NewInt(bytesPerGB)).Add(total, cost)
--- a/internal/solve/conflict.go
+++ b/internal/solve/conflict.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 )
 
 // Conflict is demands that cannot be met together, though without any one of them the others can.
@@ -18,7 +19,7 @@
 	Change string `json:"change"`
 }
 
-// fits tells whether demands can be met together, at levels of their own (nil: all that they ask).
+// feasibility tells whether constraints can be met.
 type feasibility uint8
 
 const (
@@ -27,100 +28,122 @@
 	infeasible
 )
 
-// together asks it, of the fleet as it is and without each loss that is demanded.
-func (m *model) areCompatible(list []requirement, levels []int64, stop func() bool) feasibility {
+// maxConflicts bounds the number of conflicts that are reported.
+const maxConflicts = 5
+
+// feasibilityOf tells whether requirements can be met together, each at its level: by the fleet as it is, and without
+// each loss that is among them.
+func (m *model) feasibilityOf(list []requirement, levels []int64, stop func() bool) feasibility {
 	constraints := m.unconstrained()
-	var losses []map[int]int64
-	for i, d := range list {
-		level := d.strictest
-		if levels != nil {
-			level = levels[i]
-		}
-		d.apply(&constraints, &losses, level)
+	var losses []loss
+	for i, r := range list {
+		r.apply(&constraints, &losses, levels[i])
 	}
-	answer := m.minimumsFeasibility(&constraints, stop)
-	for _, lost := range losses {
-		if answer != feasible {
+	fit := m.minimumsFeasibility(&constraints, stop)
+	for _, remaining := range losses {
+		if fit != feasible {
 			break
 		}
 		without := constraints
-		without.remaining = lost
-		answer = m.minimumsFeasibility(&without, stop)
+		without.remaining = remaining
+		fit = m.minimumsFeasibility(&without, stop)
+	}
+	return fit
+}
+
+// strictestLevels returns the level of each requirement at which it asks for everything.
+func strictestLevels(list []requirement) []int64 {
+	levels := make([]int64, len(list))
+	for i, r := range list {
+		levels[i] = r.strictest
 	}
-	return answer
+	return levels
 }
 
-// floorsFit asks whether all floors can be met within the rest: nothing else can stand in the way, as giving nothing
-// keeps every other demand.
+// minimumsFeasibility tells whether all minimums can be met within the other constraints. Nothing else can stand in
+// the way, as a solution that grants nothing keeps every other constraint.
 func (m *model) minimumsFeasibility(constraints *constraintSet, stop func() bool) feasibility {
 	if len(constraints.minimums) == 0 {
 		return feasible
 	}
-	s := newMaster(m, constraints)
-	f := s.finish(minShortfall, nil, math.MinInt64, 0, 0, -1, stop)
+	result := newMaster(
+		m,
+		constraints,
+	).finish(stage{goal: minShortfall, above: math.MinInt64, maxCost: none, stop: stop})
 	switch {
-	case f.solution != nil && f.value == 0:
+	case result.solution != nil && result.value == 0:
 		return feasible
-	case f.bound < 0:
+	case result.bound < 0:
 		return infeasible
 	}
 	return undecided
 }
 
-// mostConflicts bounds how many are told.
-const maxConflicts = 5
-
-// conflicts finds sets of demands in conflict that share no demand, as long as one is left.
-func (m *model) conflicts(at int64, stop func() bool) (list []Conflict) {
-	left := m.requirements()
-	for len(list) < maxConflicts && m.areCompatible(left, nil, stop) == infeasible {
-		set, rest, proved := m.irreducibleConflict(left, stop)
-		c := Conflict{FromMS: at, Proved: proved}
-		for i, d := range set {
-			c.Demands = append(c.Demands, Member{d.name, m.smallestChange(set, i, stop)})
+// conflicts finds sets of requirements in conflict that share no requirement, as long as one is left.
+func (m *model) conflicts(atMS int64, stop func() bool) []Conflict {
+	var list []Conflict
+	candidates := m.requirements()
+	for len(list) < maxConflicts && m.feasibilityOf(candidates, strictestLevels(candidates), stop) == infeasible {
+		found := m.irreducibleConflict(candidates, stop)
+		conflict := Conflict{FromMS: atMS, Proved: found.isProved}
+		for i, r := range found.needed {
+			member := Member{Demand: r.name, Change: m.smallestChange(found.needed, i, stop)}
+			conflict.Demands = append(conflict.Demands, member)
 		}
-		list, left = append(list, c), rest
+		list = append(list, conflict)
+		candidates = found.others
 	}
 	return list
 }
 
-// irreducible takes demands away one by one: what still conflicts without a demand does not need it.
-func (m *model) irreducibleConflict(list []requirement, stop func() bool) (set, rest []requirement, proved bool) {
-	set, proved = append(set, list...), true
-	for i := 0; i < len(set); {
-		without := append(append([]requirement{}, set[:i]...), set[i+1:]...)
-		switch m.areCompatible(without, nil, stop) {
+// irreducible is a conflict in which every requirement is needed.
+type irreducible struct {
+	needed   []requirement
+	others   []requirement
+	isProved bool // that each one is needed
+}
+
+// irreducibleConflict takes requirements away one by one: what still conflicts without a requirement does not need
+// it.
+func (m *model) irreducibleConflict(list []requirement, stop func() bool) irreducible {
+	found := irreducible{needed: slices.Clone(list), isProved: true}
+	for i := 0; i < len(found.needed); {
+		without := slices.Delete(slices.Clone(found.needed), i, i+1)
+		switch m.feasibilityOf(without, strictestLevels(without), stop) {
 		case infeasible:
-			rest = append(rest, set[i])
-			set = without
+			found.others = append(found.others, found.needed[i])
+			found.needed = without
 			continue
 		case undecided:
-			proved = false
+			found.isProved = false
+		case feasible: // it is needed
 		}
 		i++
 	}
-	return set, rest, proved
+	return found
 }
 
-// change is the least change of one demand that ends the conflict: its lowest level that fits, by halving.
-func (m *model) smallestChange(set []requirement, index int, stop func() bool) string {
-	d, levels := set[index], make([]int64, len(set))
-	for k, o := range set {
-		levels[k] = o.strictest
+// smallestChange returns the least change of one requirement that ends the conflict: its lowest level that fits, by
+// bisection.
+func (m *model) smallestChange(conflict []requirement, index int, stop func() bool) string {
+	changed := conflict[index]
+	levels := strictestLevels(conflict)
+	fitsAt := func(level int64) bool {
+		levels[index] = level
+		return m.feasibilityOf(conflict, levels, stop) == feasible
 	}
-	lo, hi := d.strictest, d.loosest // lo does not fit
-	levels[index] = hi
-	if m.areCompatible(set, levels, stop) != feasible {
+	tooStrict := changed.strictest
+	fitting := changed.loosest
+	if !fitsAt(fitting) {
 		return "no change of it alone was found in time"
 	}
-	for lo+1 < hi {
-		mid := lo + (hi-lo)/2
-		levels[index] = mid
-		if m.areCompatible(set, levels, stop) == feasible {
-			hi = mid
+	for tooStrict+1 < fitting {
+		middle := tooStrict + (fitting-tooStrict)/2
+		if fitsAt(middle) {
+			fitting = middle
 		} else {
-			lo = mid
+			tooStrict = middle
 		}
 	}
-	return fmt.Sprintf(d.changeText, max(hi, -hi))
+	return fmt.Sprintf(changed.changeText, max(fitting, -fitting))
 }
--- a/internal/solve/draw/draw.go
+++ b/internal/solve/draw/draw.go
@@ -21,8 +21,14 @@
 		p.Zones = append(p.Zones, zone)
 	}
 	for e := range 1 + r.IntN(6) {
-		n := solve.Engine{Name: fmt.Sprint("e", e), Kind: fmt.Sprint("k", r.IntN(kinds)), Zone: fmt.Sprint("z", r.IntN(zones)),
-			Cores: int64(1 + r.IntN(3)), MemoryMB: int64(100 * (1 + r.IntN(6))), Cost: int64(r.IntN(4))}
+		n := solve.Engine{
+			Name:     fmt.Sprint("e", e),
+			Kind:     fmt.Sprint("k", r.IntN(kinds)),
+			Zone:     fmt.Sprint("z", r.IntN(zones)),
+			Cores:    int64(1 + r.IntN(3)),
+			MemoryMB: int64(100 * (1 + r.IntN(6))),
+			Cost:     int64(r.IntN(4)),
+		}
 		if e > 0 && r.IntN(2) == 0 {
 			like := p.Engines[e-1]
 			like.Name = n.Name
@@ -35,8 +41,14 @@
 		p.Engines = append(p.Engines, n)
 	}
 	for t := range 1 + r.IntN(4) {
-		n := solve.Type{Name: fmt.Sprint("t", t), Threads: int64(1 + r.IntN(2)), MemoryMB: int64(50 * r.IntN(8)), WorkMS: int64(100 * (1 + r.IntN(20))),
-			Value: int64(1 + r.IntN(9)), AnswerBytes: int64(r.IntN(4) * 300)}
+		n := solve.Type{
+			Name:        fmt.Sprint("t", t),
+			Threads:     int64(1 + r.IntN(2)),
+			MemoryMB:    int64(50 * r.IntN(8)),
+			WorkMS:      int64(100 * (1 + r.IntN(20))),
+			Value:       int64(1 + r.IntN(9)),
+			AnswerBytes: int64(r.IntN(4) * 300),
+		}
 		if r.IntN(4) == 0 {
 			n.Kinds = []string{fmt.Sprint("k", r.IntN(2))}
 		}
@@ -57,16 +69,30 @@
 		for _, a := range p.Tenants {
 			for _, z := range p.Zones {
 				if r.IntN(2) == 0 && len(p.Demand) < 6 {
-					p.Demand = append(p.Demand, solve.Demand{Type: t.Name, Tenant: a.Name, Zone: z.Name, JobsPer1000S: int64(r.IntN(3000)) * 1000 / t.WorkMS})
+					p.Demand = append(
+						p.Demand,
+						solve.Demand{
+							Type:         t.Name,
+							Tenant:       a.Name,
+							Zone:         z.Name,
+							JobsPer1000S: int64(r.IntN(3000)) * 1000 / t.WorkMS,
+						},
+					)
 				}
 			}
 		}
 	}
 	if r.IntN(5) < 3 {
-		p.Constraints.MinServed = append(p.Constraints.MinServed, solve.MinServed{Type: p.Types[r.IntN(len(p.Types))].Name, PerMille: int64(r.IntN(1001))})
+		p.Constraints.MinServed = append(
+			p.Constraints.MinServed,
+			solve.MinServed{Type: p.Types[r.IntN(len(p.Types))].Name, PerMille: int64(r.IntN(1001))},
+		)
 	}
 	if r.IntN(3) == 0 {
-		p.Constraints.MinServed = append(p.Constraints.MinServed, solve.MinServed{Tenant: p.Tenants[r.IntN(len(p.Tenants))].Name, PerMille: int64(r.IntN(1001))})
+		p.Constraints.MinServed = append(
+			p.Constraints.MinServed,
+			solve.MinServed{Tenant: p.Tenants[r.IntN(len(p.Tenants))].Name, PerMille: int64(r.IntN(1001))},
+		)
 	}
 	p.Constraints.SharesHold = r.IntN(4) == 0
 	if r.IntN(4) == 0 {
@@ -88,15 +114,24 @@
 	r := rand.New(rand.NewPCG(seed, 40))
 	p := &solve.Problem{}
 	for z := range zones {
-		p.Zones = append(p.Zones, solve.Zone{Name: fmt.Sprint("zone", z), CrossingCostPerGB: int64(10_000 + r.IntN(40_000))})
+		p.Zones = append(
+			p.Zones,
+			solve.Zone{Name: fmt.Sprint("zone", z), CrossingCostPerGB: int64(10_000 + r.IntN(40_000))},
+		)
 	}
 	type kind struct{ cores, memory, cost int64 }
 	kinds := []kind{{16, 65536, 12}, {32, 98304, 21}, {8, 65536, 9}}
 	threads := 0.0
 	for e := range engines {
 		k := r.IntN(len(kinds))
-		n := solve.Engine{Name: fmt.Sprintf("e%03d", e), Kind: fmt.Sprint("kind", k), Zone: fmt.Sprint("zone", r.IntN(zones)), Cores: kinds[k].cores,
-			MemoryMB: kinds[k].memory, Cost: kinds[k].cost}
+		n := solve.Engine{
+			Name:     fmt.Sprintf("e%03d", e),
+			Kind:     fmt.Sprint("kind", k),
+			Zone:     fmt.Sprint("zone", r.IntN(zones)),
+			Cores:    kinds[k].cores,
+			MemoryMB: kinds[k].memory,
+			Cost:     kinds[k].cost,
+		}
 		if r.IntN(20) == 0 {
 			n.State = solve.Draining
 		}
@@ -105,8 +140,14 @@
 	}
 	for t := range types {
 		work := int64(200 * (1 + r.IntN(10)) << r.IntN(4))
-		n := solve.Type{Name: fmt.Sprint("type", t), Threads: int64(1 << r.IntN(3)), MemoryMB: int64(256 << r.IntN(5)), WorkMS: work,
-			Value: work/100 + int64(r.IntN(int(work/50))), AnswerBytes: int64(1000 << r.IntN(10))}
+		n := solve.Type{
+			Name:        fmt.Sprint("type", t),
+			Threads:     int64(1 << r.IntN(3)),
+			MemoryMB:    int64(256 << r.IntN(5)),
+			WorkMS:      work,
+			Value:       work/100 + int64(r.IntN(int(work/50))),
+			AnswerBytes: int64(1000 << r.IntN(10)),
+		}
 		if r.IntN(4) == 0 {
 			n.Kinds = []string{"kind0", "kind1"}
 		}
@@ -127,8 +168,11 @@
 	}
 	for i, part := range parts {
 		t := p.Types[i%types]
-		p.Demand = append(p.Demand, solve.Demand{Type: t.Name, Tenant: p.Tenants[i/types%tenants].Name, Zone: p.Zones[i/types/tenants].Name,
-			JobsPer1000S: int64(part / sum * threads * load * 1e6 / float64(t.WorkMS))})
+		p.Demand = append(
+			p.Demand,
+			solve.Demand{Type: t.Name, Tenant: p.Tenants[i/types%tenants].Name, Zone: p.Zones[i/types/tenants].Name,
+				JobsPer1000S: int64(part / sum * threads * load * 1e6 / float64(t.WorkMS))},
+		)
 	}
 	for z := range p.Zones {
 		b := int64(2_000_000 + r.IntN(20_000_000))
--- a/internal/solve/golden_test.go
+++ b/internal/solve/golden_test.go
@@ -13,8 +13,8 @@
 	"swiftreel/internal/solve/draw"
 )
 
-// TestAnswersAreThoseRecorded holds answers to drawn problems, as JSON to the byte, against those that the program gave when
-// they were recorded; one of each method stands there whole.
+// TestAnswersAreThoseRecorded holds answers to drawn problems, as JSON to the byte, against those that the program
+// gave when they were recorded; one of each method stands there whole.
 func TestAnswersAreThoseRecorded(t *testing.T) {
 	var text bytes.Buffer
 	r := rand.New(rand.NewPCG(29, 4))
@@ -31,8 +31,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&text, "  %s: %s, value %d, cost %d, evenness %d, %d steps, %d binding, %d conflicts: %x\n", a.Method, a.Status, a.Value,
-				a.Cost, a.Evenness, len(a.Steps), len(a.Binding), len(a.Conflicts), sha256.Sum256(answer))
+			fmt.Fprintf(
+				&text,
+				"  %s: %s, value %d, cost %d, evenness %d, %d steps, %d binding, %d conflicts: %x\n",
+				a.Method,
+				a.Status,
+				a.Value,
+				a.Cost,
+				a.Evenness,
+				len(a.Steps),
+				len(a.Binding),
+				len(a.Conflicts),
+				sha256.Sum256(answer),
+			)
 		}
 	}
 	golden.Check(t, "answers.txt", text.Bytes())
--- a/internal/solve/solve_test.go
+++ b/internal/solve/solve_test.go
@@ -21,13 +21,30 @@
 		if f := problem.Check(); f != nil {
 			t.Fatal(f)
 		}
-		want, got := solve.Solve(problem, solve.Options{Method: solve.Exhaustive{}}), solve.Solve(problem, solve.Options{})
+		want, got := solve.Solve(
+			problem,
+			solve.Options{Method: solve.Exhaustive{}},
+		), solve.Solve(
+			problem,
+			solve.Options{},
+		)
 		if want.Status == solve.Unknown {
 			continue
 		}
-		if got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost || got.Evenness != want.Evenness {
-			t.Fatalf("problem %d: %s %d %d %d, by trying all %s %d %d %d", n, got.Status, got.Value, got.Cost, got.Evenness, want.Status,
-				want.Value, want.Cost, want.Evenness)
+		if got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost ||
+			got.Evenness != want.Evenness {
+			t.Fatalf(
+				"problem %d: %s %d %d %d, by trying all %s %d %d %d",
+				n,
+				got.Status,
+				got.Value,
+				got.Cost,
+				got.Evenness,
+				want.Status,
+				want.Value,
+				want.Cost,
+				want.Evenness,
+			)
 		}
 		for _, s := range got.Steps {
 			if err := solve.Verify(problem, s); err != nil {
@@ -68,13 +85,19 @@
 }
 
 func plain() *solve.Problem {
-	return &solve.Problem{ThreadsPerCore: 1,
+	return &solve.Problem{
+		ThreadsPerCore: 1,
 		Engines: []solve.Engine{{Name: "e1", Kind: "std", Zone: "east", Cores: 4, MemoryMB: 4000, Cost: 2},
 			{Name: "e2", Kind: "big", Zone: "west", Cores: 4, MemoryMB: 8000, Cost: 3}},
 		Types: []solve.Type{{Name: "lookup", Threads: 1, MemoryMB: 100, WorkMS: 1000, Value: 1},
 			{Name: "import", Threads: 2, MemoryMB: 2000, WorkMS: 2000, Value: 20, Kinds: []string{"big"}}},
-		Tenants: []solve.Tenant{{Name: "acme"}, {Name: "bolt"}}, Zones: []solve.Zone{{Name: "east"}, {Name: "west"}},
-		Demand: []solve.Demand{{Type: "lookup", Tenant: "acme", Zone: "east", JobsPer1000S: 6000}, {Type: "import", Tenant: "bolt", Zone: "west", JobsPer1000S: 1000}}}
+		Tenants: []solve.Tenant{{Name: "acme"}, {Name: "bolt"}},
+		Zones:   []solve.Zone{{Name: "east"}, {Name: "west"}},
+		Demand: []solve.Demand{
+			{Type: "lookup", Tenant: "acme", Zone: "east", JobsPer1000S: 6000},
+			{Type: "import", Tenant: "bolt", Zone: "west", JobsPer1000S: 1000},
+		},
+	}
 }
 
 func TestAllColdNothingAskedAndAKindThatIsGone(t *testing.T) {
@@ -114,7 +137,11 @@
 func TestADrainingEngineAndALostZoneGetNothing(t *testing.T) {
 	problem := plain()
 	problem.Engines[1].State = solve.Draining
-	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal || a.Steps[0].Served[1].Granted != 0 || a.Value != 4_000_000 {
+	if a := solve.Solve(
+		problem,
+		solve.Options{},
+	); a.Status != solve.Optimal || a.Steps[0].Served[1].Granted != 0 ||
+		a.Value != 4_000_000 {
 		t.Errorf("draining: %+v", a)
 	}
 	problem = plain()
@@ -136,12 +163,22 @@
 
 func TestThreeConflictsAtOnceAreToldApart(t *testing.T) {
 	problem := plain()
-	problem.Types = append(problem.Types, solve.Type{Name: "report", Threads: 1, WorkMS: 1000, Value: 3, Zones: []string{"west"}})
-	problem.Demand = append(problem.Demand, solve.Demand{Type: "report", Tenant: "acme", Zone: "west", JobsPer1000S: 2000})
+	problem.Types = append(
+		problem.Types,
+		solve.Type{Name: "report", Threads: 1, WorkMS: 1000, Value: 3, Zones: []string{"west"}},
+	)
+	problem.Demand = append(
+		problem.Demand,
+		solve.Demand{Type: "report", Tenant: "acme", Zone: "west", JobsPer1000S: 2000},
+	)
 	problem.Engines[1].Kind, problem.Engines[1].Zone = "std", "east" // nowhere for imports, nor for reports
 	quota := int64(1)
 	problem.Tenants[0].QuotaThreads = &quota
-	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}, {Type: "report", PerMille: 500}, {Type: "lookup", PerMille: 500}}
+	problem.Constraints.MinServed = []solve.MinServed{
+		{Type: "import", PerMille: 500},
+		{Type: "report", PerMille: 500},
+		{Type: "lookup", PerMille: 500},
+	}
 	a := solve.Solve(problem, solve.Options{})
 	if len(a.Conflicts) != 3 {
 		t.Fatalf("%+v", a.Conflicts)
@@ -211,7 +248,10 @@
 // A problem of another size: what is found fits, and is not above its bound.
 func TestALargerFleetsPlanHolds(t *testing.T) {
 	steps := 0
-	a := solve.Solve(draw.Ordinary(5, 40, 3, 6, 12, 1.2), solve.Options{Stop: func(int) bool { steps++; return steps > 6000 }})
+	a := solve.Solve(
+		draw.Ordinary(5, 40, 3, 6, 12, 1.2),
+		solve.Options{Stop: func(int) bool { steps++; return steps > 6000 }},
+	)
 	if a.Status == solve.Unknown || a.Gap > 0.01 {
 		t.Fatalf("%s, gap %v", a.Status, a.Gap)
 	}
@@ -225,7 +265,8 @@
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var problem solve.Problem
-		if json.Unmarshal(text, &problem) != nil || problem.Check() != nil || len(problem.Engines) > 4 || len(problem.Demand) > 4 {
+		if json.Unmarshal(text, &problem) != nil || problem.Check() != nil || len(problem.Engines) > 4 ||
+			len(problem.Demand) > 4 {
 			return
 		}
 		steps := 0
@@ -238,13 +279,16 @@
 	})
 }
 
-// Between problems whose patterns are all written out and large ones: floors that dives over patterns missed were once
-// told as unknown with time left.
+// Between problems whose patterns are all written out and large ones: floors that dives over patterns missed were
+// once told as unknown with time left.
 func TestMiddlingFleetsAreSettled(t *testing.T) {
 	optimal := 0
 	for seed := range uint64(12) {
 		problem := draw.Ordinary(seed, 4, 2, 3, 3, 1.2)
-		problem.Constraints.MinServed = []solve.MinServed{{Type: "type0", PerMille: 700}, {Tenant: "tenant1", PerMille: 800}}
+		problem.Constraints.MinServed = []solve.MinServed{
+			{Type: "type0", PerMille: 700},
+			{Tenant: "tenant1", PerMille: 800},
+		}
 		steps := 0
 		a := solve.Solve(problem, solve.Options{Stop: func(int) bool { steps++; return steps > 20000 }})
 		switch a.Status {
