--- a/internal/coordinator/backoff_test.go
+++ b/internal/coordinator/backoff_test.go
@@ -20,15 +20,15 @@
 	r := rand.New(rand.NewPCG(1, 1))
 	asked := []int64{}
 	for now := int64(0); now < 60e9; now += 10e6 {
-		if b.due(now) {
+		if b.isDue(now) {
 			asked = append(asked, now)
-			b.ended(now, false, r)
+			b.failed(now, r)
 		}
 	}
 	if len(asked) < 25 || len(asked) > 45 { // each look would be 6,000
 		t.Errorf("asked %d times in a minute", len(asked))
 	}
-	if b.ended(60e9, true, r); !b.due(0) {
+	if b.succeeded(); !b.isDue(0) {
 		t.Error("it answers, and is not asked")
 	}
 }
@@ -51,19 +51,23 @@
 			defer c.Close()
 		}
 	}()
-	well := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { w.Write([]byte(`{"format":2,"name":"good"}`)) }))
+	well := httptest.NewServer(
+		http.HandlerFunc(
+			func(w http.ResponseWriter, r *http.Request) { w.Write([]byte(`{"format":2,"name":"good"}`)) },
+		),
+	)
 	defer well.Close()
 	members := []operator.Member{}
 	for range 100 {
 		members = append(members, operator.Member{Name: "silent", Listen: silent.Addr().String()})
 	}
 	members = append(members, operator.Member{Name: "good", Listen: strings.TrimPrefix(well.URL, "http://")})
-	f := NewFleet(members, 300*time.Millisecond, 30*time.Millisecond)
+	f := NewFleetClient(members, 300*time.Millisecond, 30*time.Millisecond)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	for len(f.Ask(ctx)) > 0 { // until all have failed once
+	for len(f.Poll(ctx)) > 0 { // until all have failed once
 		f.mu.Lock()
-		all := !slices.ContainsFunc(f.lines[:100], func(l line) bool { return l.back.failed == 0 })
+		all := !slices.ContainsFunc(f.peers[:100], func(p peer) bool { return p.backoff.failures == 0 })
 		f.mu.Unlock()
 		if all {
 			break
@@ -73,13 +77,13 @@
 	for range 20 { // the good one is asked at each look, and answers while the others are waited for
 		heard := false
 		for stop := time.Now().Add(10 * time.Second); !heard && time.Now().Before(stop); time.Sleep(time.Millisecond) {
-			heard = f.Ask(ctx)[100].Err == nil
+			heard = f.Poll(ctx)[100].Err == nil
 		}
 		if !heard {
 			t.Fatal("it is not heard")
 		}
-		if len(f.doubtful) > doubtful || len(f.places) > doubtful+1 {
-			t.Errorf("%d silent ones are spoken with at once, %d in all", len(f.doubtful), len(f.places))
+		if len(f.suspectExchanges) > maxSuspectExchanges || len(f.exchanges) > maxSuspectExchanges+1 {
+			t.Errorf("%d silent ones are spoken with at once, %d in all", len(f.suspectExchanges), len(f.exchanges))
 		}
 	}
 	if n := dials.Load(); n < 100 || n > 400 {
--- a/internal/gateway/engine_table_test.go
+++ b/internal/gateway/engine_table_test.go
@@ -23,9 +23,9 @@
 			t.Errorf("%s is %d and %d", name, l.id, b.byName[name].id)
 		}
 	}
-	_, gone := a.update(engineList(t, "true", "e2").Members, n, now)
-	if slices.Sort(gone); !slices.Equal(gone, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Removed {
-		t.Errorf("gone %v", gone)
+	_, removed := a.update(engineList(t, "true", "e2").Members, n, now)
+	if slices.Sort(removed); !slices.Equal(removed, []string{"e1", "e3"}) || a.byName["e1"].line.State != choice.Removed {
+		t.Errorf("gone %v", removed)
 	}
 	a.update(engineList(t, "false", "e1").Members, n, now.Add(time.Minute))
 	a.update(engineList(t, "false", "e2").Members, n, now.Add(removedRetention+time.Minute))
@@ -37,7 +37,11 @@
 // Taken for the first zone of the settings, such an engine would get jobs that must not run there.
 func TestAnEngineInAnUnknownPlaceIsInNoneOfThose(t *testing.T) {
 	r := newEngineTable()
-	lines, _ := r.update(engineList(t, "true", "e1").Members, newIdentifiers(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}), time.Now())
+	lines, _ := r.update(
+		engineList(t, "true", "e1").Members,
+		newIdentifiers(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}),
+		time.Now(),
+	)
 	if lines[0].Zone != unknownZone || lines[0].Kind != unknownKind {
 		t.Errorf("%+v", lines[0])
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 		ResultBytes:    &g.budget.MessageBytes,
 	})
 	g.running.Go(g.reconcile)
-	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Settings: options.Settings})
+	g.notify(choice.Event{Kind: choice.Started, Seed: options.Seed, Settings: choice.ParseSettings(options.Settings)})
 	return g
 }
 
@@ -112,7 +112,7 @@
 // stay. What the gateway itself reads of the settings (names, time limits, fields of load reports) stays as it was at
 // the start.
 func (g *Gateway) Reconfigure(newSettings choice.RawSettings) {
-	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: newSettings})
+	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: choice.ParseSettings(newSettings)})
 	slog.Info("settings_reconfigured")
 }
 
@@ -126,13 +126,17 @@
 // AssignShare tells the module which share of the fleet this controller carries, and which share of each tenant's
 // quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
 func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
-	part := choice.Quota{FleetShare: share, TenantShares: map[choice.TenantID]float64{}, ExpiresAt: g.clock.now() + choice.Nanos(valid)}
-	for name, quota := range quotas {
+	quota := choice.Quota{
+		FleetShare:   share,
+		TenantShares: map[choice.TenantID]float64{},
+		ExpiresAt:    g.clock.now() + choice.Nanos(valid),
+	}
+	for name, tenantShare := range quotas {
 		if id, known := g.ids.tenants[name]; known {
-			part.TenantShares[id] = quota
+			quota.TenantShares[id] = tenantShare
 		}
 	}
-	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: part})
+	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: quota})
 }
 
 // Share returns the share of the fleet, of 0 to 1, that the module assumes to carry now.
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -14,14 +14,15 @@
 )
 
 // engineList is an event of discovery with ready engines; complete: "true" or "false".
-func engineList(t *testing.T, whole string, hosts ...string) discovery.Event {
+func engineList(t *testing.T, complete string, hosts ...string) discovery.Event {
 	t.Helper()
-	text := `{"n":1,"members":{"whole":` + whole + `,"hosts":[`
+	text := `{"n":1,"members":{"whole":` + complete + `,"hosts":[`
 	for i, h := range hosts {
 		if i > 0 {
 			text += ","
 		}
-		text += `{"host":"` + h + `","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
+		text += `{"host":"` + h +
+			`","dial":"127.0.0.1:1","site":"west","class":"std","block":2,"health":"ready","share":4,"born_ms":5}`
 	}
 	ev, err := discovery.ParseEvent([]byte(text + "]}}"))
 	if err != nil {
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -75,7 +75,8 @@
 		line, changed := g.drains.ApplySignal(g.clock.now(), entry.id, signal)
 		if changed {
 			counters.Increment("drains_reported")
-			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: []choice.EngineEntry{line}})
+			entries := []choice.EngineEntry{line}
+			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: entries})
 		}
 	}
 	g.mu.Unlock()
--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -46,7 +46,7 @@
 	number   int
 	random   *rand.Rand
 	eachStep bool // lose the leader in each step of a change, then all voters' stores
-	cluster  *testcluster.Town
+	cluster  *testcluster.Cluster
 
 	stopped    []*testcluster.Member // by SIGSTOP, now
 	killedLogs []string              // logs of supervisors that were killed
@@ -64,16 +64,16 @@
 func (r *clusterRun) play() error {
 	plan := r.clusterPlan()
 	plan.Voters = voterCount
-	plan.Parts = quotaAndPlanning
+	plan.FleetFields = quotaAndPlanning
 	var err error
-	r.cluster, err = plan.Town()
+	r.cluster, err = plan.Start()
 	if err != nil {
 		return err
 	}
 	defer r.cluster.Close()
-	watch := r.cluster.WatchParts(shareCheckInterval)
+	watch := r.cluster.WatchShares(shareCheckInterval)
 	load := r.newLoad()
-	if err := r.command("fleet", "found"); err != nil {
+	if err := r.command("fleet", "bootstrap"); err != nil {
 		return err
 	}
 	if _, err := r.awaitLeader(""); err != nil {
@@ -85,7 +85,7 @@
 	if err := watch.Stop(); err != nil {
 		return err
 	}
-	r.maxInUse = watch.Most
+	r.maxInUse = watch.MaxAssigned
 	r.stopLoad(load)
 	if err := r.checkFences(); err != nil {
 		return err
@@ -93,14 +93,14 @@
 	if err := r.cluster.Stop(); err != nil {
 		return err
 	}
-	r.violations = rulecheck.Check(testcluster.Rules, r.cluster.Book.Log())
+	r.violations = rulecheck.Check(testcluster.Rules, r.cluster.Events.Entries())
 	return nil
 }
 
 // playBaseline plays the load on a cluster without a leader.
 func (r *clusterRun) playBaseline() error {
 	var err error
-	r.cluster, err = r.clusterPlan().Town()
+	r.cluster, err = r.clusterPlan().Start()
 	if err != nil {
 		return err
 	}
@@ -111,8 +111,8 @@
 	return r.cluster.Stop()
 }
 
-func (r *clusterRun) clusterPlan() testcluster.Plan {
-	return testcluster.Plan{
+func (r *clusterRun) clusterPlan() testcluster.Config {
+	return testcluster.Config{
 		Program:     r.program,
 		Seed:        uint64(r.number) + 1,
 		Controllers: voterCount + listenerCount,
@@ -122,7 +122,7 @@
 }
 
 func (r *clusterRun) newLoad() *testcluster.Load {
-	return r.cluster.NewLoad(uint64(r.number), 1, jobInterval, false)
+	return r.cluster.StartLoad(uint64(r.number), 1, jobInterval, false)
 }
 
 func (r *clusterRun) stopLoad(load *testcluster.Load) {
@@ -153,7 +153,7 @@
 // command runs the program as an operator does.
 func (r *clusterRun) command(arguments ...string) error {
 	command := exec.Command(r.program, arguments...)
-	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+r.cluster.Fleet)
+	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+r.cluster.OperatorFile)
 	text, err := command.CombinedOutput()
 	if err != nil {
 		return fmt.Errorf("%s: %w: %s", strings.Join(arguments, " "), err, bytes.TrimSpace(text))
@@ -164,13 +164,13 @@
 // awaitLeader waits until a voter other than the named one acts as leader.
 func (r *clusterRun) awaitLeader(except string) (*testcluster.Member, error) {
 	var found *testcluster.Member
-	err := r.cluster.Await(leaderTimeout, func() bool {
+	err := r.cluster.WaitUntil(leaderTimeout, func() bool {
 		for _, member := range r.cluster.Members[:min(voterCount, len(r.cluster.Members))] {
 			if member.Name == except || slices.Contains(r.stopped, member) {
 				continue
 			}
 			var status leader.Status
-			if r.cluster.Get(member, "/v1/owner", &status) == nil && status.Active {
+			if r.cluster.GetJSON(member, "/v1/owner", &status) == nil && status.Active {
 				found = member
 				return true
 			}
@@ -189,7 +189,7 @@
 // readChange reads the rollout's record from a member.
 func (r *clusterRun) readChange(from *testcluster.Member) (replicatedChange, error) {
 	var record replicatedChange
-	err := r.cluster.Get(from, "/v1/owner/item?name=change.json", &record)
+	err := r.cluster.GetJSON(from, "/v1/owner/item?name=change.json", &record)
 	return record, err
 }
 
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	if record.State.Phase != rollout.Done {
+	if record.State.Phase != rollout.PhaseDone {
 		return fmt.Errorf("ends as %s: %s", record.State.Phase, record.State.Outcome)
 	}
 	return r.awaitRunning(record.NewSpec.Digest())
@@ -228,16 +228,16 @@
 
 func (r *clusterRun) awaitChangeEnd() (replicatedChange, error) {
 	var record replicatedChange
-	err := r.cluster.Await(changeTimeout, func() bool {
+	err := r.cluster.WaitUntil(changeTimeout, func() bool {
 		member, err := r.awaitLeader("")
 		if err != nil {
 			return false
 		}
 		record, err = r.readChange(member)
-		return err == nil && record.State.Phase.Ends()
+		return err == nil && record.State.Phase.IsTerminal()
 	})
 	if err != nil {
-		err = fmt.Errorf("does not end: %s (%s): %w", record.State.Phase, record.State.Why, err)
+		err = fmt.Errorf("does not end: %s (%s): %w", record.State.Phase, record.State.Reason, err)
 	}
 	return record, err
 }
@@ -245,7 +245,7 @@
 // awaitRunning waits until all controllers run a spec.
 func (r *clusterRun) awaitRunning(spec change.Digest) error {
 	for _, member := range r.cluster.Members {
-		err := r.cluster.Await(applyTimeout, func() bool {
+		err := r.cluster.WaitUntil(applyTimeout, func() bool {
 			status, err := r.cluster.Status(member)
 			return err == nil && status.RunningSpec == spec
 		})
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -13,7 +13,7 @@
 func (r *clusterRun) checkFences() error {
 	texts := r.killedLogs
 	for _, member := range r.cluster.Members {
-		texts = append(texts, member.Keeper.Log())
+		texts = append(texts, member.Supervisor.Log())
 	}
 	leaders := map[int64]string{} // by term
 	for _, text := range texts {
@@ -39,7 +39,8 @@
 		}
 		var fence change.Fence
 		var by string
-		if _, err := fmt.Sscanf(fields, "%d.%d.%d ordered_by=%s", &fence.Number, &fence.Term, &fence.Turn, &by); err != nil {
+		_, err := fmt.Sscanf(fields, "%d.%d.%d ordered_by=%s", &fence.Number, &fence.Term, &fence.Revision, &by)
+		if err != nil {
 			return err
 		}
 		if fence.Compare(last) <= 0 {
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -60,20 +60,20 @@
 
 // runUneven runs one cluster, with assigned shares or without.
 func runUneven(program string, areAssigned bool) (unevenResult, error) {
-	plan := testcluster.Plan{Program: program, Seed: unevenSeed, Controllers: 4, Engines: 2, Voters: 3}
+	plan := testcluster.Config{Program: program, Seed: unevenSeed, Controllers: 4, Engines: 2, Voters: 3}
 	if areAssigned {
-		plan.Parts = `"parts":{"life_ms":3000},`
+		plan.FleetFields = `"parts":{"life_ms":3000},`
 	}
-	cluster, err := plan.Town()
+	cluster, err := plan.Start()
 	if err != nil {
 		return unevenResult{}, err
 	}
 	defer cluster.Close()
-	cluster.Fates.Takes(unevenServiceTime)
-	load := cluster.NewLoad(unevenSeed, unevenClients, unevenJobInterval, true)
+	cluster.Faults.SetWorkDuration(unevenServiceTime)
+	load := cluster.StartLoad(unevenSeed, unevenClients, unevenJobInterval, true)
 	if areAssigned {
 		run := &clusterRun{program: program, cluster: cluster}
-		if err := run.command("fleet", "found"); err != nil {
+		if err := run.command("fleet", "bootstrap"); err != nil {
 			return unevenResult{}, err
 		}
 	}
@@ -86,14 +86,14 @@
 	if err := cluster.Stop(); err != nil {
 		return unevenResult{}, err
 	}
-	for _, violation := range rulecheck.Check(testcluster.Rules, cluster.Book.Log()) {
+	for _, violation := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		return unevenResult{}, fmt.Errorf("%v", violation)
 	}
 	return unevenResult{meanError: meanError, doneShare: float64(load.Done.Load()) / float64(max(1, all))}, nil
 }
 
 // measureShares returns the mean difference between shares and parts of the jobs, once they have settled.
-func measureShares(cluster *testcluster.Town) (float64, error) {
+func measureShares(cluster *testcluster.Cluster) (float64, error) {
 	total, count := 0.0, 0
 	for end := time.Now().Add(unevenDuration); time.Now().Before(end); time.Sleep(unevenCheckInterval) {
 		differences, err := shareDifferences(cluster)
@@ -116,7 +116,7 @@
 
 // shareDifferences returns, for each controller, by how much its share differs from its part of the jobs so far;
 // nothing before the first job.
-func shareDifferences(cluster *testcluster.Town) ([]float64, error) {
+func shareDifferences(cluster *testcluster.Cluster) ([]float64, error) {
 	shares := make([]float64, len(cluster.Members))
 	jobs := make([]float64, len(cluster.Members))
 	all := 0.0
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -36,7 +36,7 @@
 
 // handover is a cluster of one controller whose program is changed under load.
 type handover struct {
-	cluster *testcluster.Town
+	cluster *testcluster.Cluster
 	member  *testcluster.Member
 	passed  bool // no figure has failed
 }
@@ -51,7 +51,7 @@
 // way, by SIGTERM and a new start. It prints the figures and reports whether they hold.
 func checkHandover(base, next string) bool {
 	h := &handover{passed: true}
-	cluster, err := testcluster.NewTown(base, handoverSeed, 1, handoverEngines, false)
+	cluster, err := testcluster.Config{Program: base, Seed: handoverSeed, Controllers: 1, Engines: handoverEngines}.Start()
 	if err != nil {
 		h.fail(err)
 		return false
@@ -59,7 +59,7 @@
 	defer cluster.Close()
 	h.cluster = cluster
 	h.member = cluster.Members[0]
-	load := cluster.NewLoad(handoverSeed, handoverClients, handoverPause, false)
+	load := cluster.StartLoad(handoverSeed, handoverClients, handoverPause, false)
 	time.Sleep(steadyTime)
 	marks := []time.Time{time.Now()}
 	if err := h.switchBeside(base, next); err != nil {
@@ -78,7 +78,7 @@
 	if err := cluster.Stop(); err != nil {
 		h.fail(err)
 	}
-	log := cluster.Book.Log()
+	log := cluster.Events.Entries()
 	for _, v := range rulecheck.Check(testcluster.Rules, log) {
 		h.fail(v)
 	}
@@ -136,28 +136,28 @@
 
 // awaitServing waits until the controller serves and its process is as wanted.
 func (h *handover) awaitServing(isWanted func(pid, draining int) bool) {
-	err := h.cluster.Await(awaitTimeout, func() bool {
+	err := h.cluster.WaitUntil(awaitTimeout, func() bool {
 		status, err := h.cluster.Status(h.member)
 		return err == nil && status.Serving && isWanted(status.PID, len(status.DrainingPIDs))
 	})
 	if err != nil {
-		h.fail(err, h.member.Keeper.Log())
+		h.fail(err, h.member.Supervisor.Log())
 	}
 }
 
 // orderProgram orders another program from a member's supervisor, past its link. Whether the order was accepted shows
 // in the status.
 func orderProgram(m *testcluster.Member, spec change.Spec, program string, turn int64) error {
-	digest, err := change.OfFile(program)
+	digest, err := change.FileDigest(program)
 	if err != nil {
 		return err
 	}
 	spec.Program = change.Program{Path: program, Digest: digest}
-	members := []operator.Member{{Name: m.Name, Listen: m.Keeps}}
-	fleet := coordinator.NewFleet(members, requestTimeout, requestTimeout)
-	fence := change.Fence{Number: 1, Term: 1, Turn: turn}
-	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: spec}
-	fleet.Order(context.Background(), map[int]change.Order{0: order})
+	members := []operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}
+	fleet := coordinator.NewFleetClient(members, requestTimeout, requestTimeout)
+	fence := change.Fence{Number: 1, Term: 1, Revision: turn}
+	order := change.Order{Format: change.Format, Fence: fence, CoordinatorID: "x", Member: m.Name, Spec: spec}
+	fleet.SendOrders(context.Background(), map[int]change.Order{0: order})
 	return nil
 }
 
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -25,13 +25,13 @@
 // play takes the change through a cluster of its own.
 func (s scenario) play(program string) result {
 	r := result{scenario: s}
-	cluster, err := testcluster.NewTown(program, s.seed, s.controllers, s.engines, false)
+	cluster, err := testcluster.Config{Program: program, Seed: s.seed, Controllers: s.controllers, Engines: s.engines}.Start()
 	if err != nil {
 		r.err = err
 		return r
 	}
 	defer cluster.Close()
-	load := cluster.NewLoad(s.seed, loadClients, loadPause, true)
+	load := cluster.StartLoad(s.seed, loadClients, loadPause, true)
 	folder := filepath.Join(cluster.Dir, "record")
 	file := filepath.Join(cluster.Dir, "change.json")
 	if r.err = os.WriteFile(file, []byte(s.changeFile()), 0o600); r.err != nil {
@@ -47,13 +47,13 @@
 	load.Stop()
 	r.jobs = load.Done.Load() + load.Throttled.Load() + load.Cancelled.Load()
 	r.brokenConnections = load.Broken.Load()
-	record, _, err := coordinator.Look(folder).Record()
+	record, _, err := coordinator.UnlockedFolder(folder).Record()
 	r.setError(err)
 	r.addRecord(record)
 	r.exposure = exposure(folder)
 	r.checkMembers(cluster, record)
 	r.setError(cluster.Stop())
-	r.violations = rulecheck.Check(testcluster.Rules, cluster.Book.Log())
+	r.violations = rulecheck.Check(testcluster.Rules, cluster.Events.Entries())
 	return r
 }
 
@@ -75,32 +75,32 @@
 }
 
 // checkMembers checks that every controller runs what the record says, and took its orders in their order.
-func (r *result) checkMembers(cluster *testcluster.Town, record coordinator.Record) {
-	wanted := record.From.Digest()
-	if r.phase == rollout.Done {
-		wanted = record.To.Digest()
+func (r *result) checkMembers(cluster *testcluster.Cluster, record coordinator.Record) {
+	wanted := record.FromSpec.Digest()
+	if r.phase == rollout.PhaseDone {
+		wanted = record.ToSpec.Digest()
 	}
 	for _, m := range cluster.Members {
 		status, err := cluster.Status(m)
 		if err != nil || status.RunningSpec != wanted {
 			r.setError(fmt.Errorf("%s runs %s, wanted %s: %s", m.Name, status.RunningSpec, wanted, fmt.Sprint(err)))
 		}
-		r.setError(checkFences(m.Keeper.Log()))
+		r.setError(checkFences(m.Supervisor.Log()))
 	}
 }
 
 // loseEngine has an engine die in the first stage.
-func loseEngine(cluster *testcluster.Town, folder string) {
+func loseEngine(cluster *testcluster.Cluster, folder string) {
 	isBaking := func() bool {
-		record, _, err := coordinator.Look(folder).Record()
-		return err == nil && record.State.Phase == rollout.Baking
+		record, _, err := coordinator.UnlockedFolder(folder).Record()
+		return err == nil && record.State.Phase == rollout.PhaseBaking
 	}
-	_ = cluster.Await(awaitTimeout, isBaking) // if the rollout is over before, its result says so
-	cluster.Lose("e1")
+	_ = cluster.WaitUntil(awaitTimeout, isBaking) // if the rollout is over before, its result says so
+	cluster.CrashEngine("e1")
 }
 
 // injectFaults plays the schedule until done is closed.
-func (s scenario) injectFaults(cluster *testcluster.Town, done chan struct{}) {
+func (s scenario) injectFaults(cluster *testcluster.Cluster, done chan struct{}) {
 	began := time.Now()
 	for _, f := range s.faults {
 		at := began.Add(time.Duration(f.AtMS) * time.Millisecond)
@@ -116,36 +116,36 @@
 func (f fault) inject(m *testcluster.Member) {
 	switch {
 	case f.Repeat:
-		m.Link.Repeat()
+		m.Link.ReplayLastOrder()
 	case f.StopMS > 0:
-		m.Keeper.Signal(syscall.SIGSTOP)
-		time.AfterFunc(time.Duration(f.StopMS)*time.Millisecond, func() { m.Keeper.Signal(syscall.SIGCONT) })
+		m.Supervisor.Signal(syscall.SIGSTOP)
+		time.AfterFunc(time.Duration(f.StopMS)*time.Millisecond, func() { m.Supervisor.Signal(syscall.SIGCONT) })
 	default:
-		m.Link.Set(f.Mode, time.Duration(f.DelayMS)*time.Millisecond)
+		m.Link.SetMode(f.Mode, time.Duration(f.DelayMS)*time.Millisecond)
 	}
 }
 
 // coordinate runs coordinators until the change ends, and returns how many were killed. Where they shall be, it is
 // once in each phase that the record shows.
-func (s scenario) coordinate(cluster *testcluster.Town, program, folder, file string) (int, error) {
+func (s scenario) coordinate(cluster *testcluster.Cluster, program, folder, file string) (int, error) {
 	killedAt := map[string]bool{}
 	kills := 0
 	arguments := []string{"start", file}
 	for {
-		p, err := cluster.Rollout(program, folder, arguments...)
+		p, err := cluster.StartCoordinator(program, folder, arguments...)
 		if err != nil {
 			return kills, err
 		}
-		for !p.Over() && !s.killsNow(folder, killedAt) {
+		for !p.Exited() && !s.killsNow(folder, killedAt) {
 			time.Sleep(pollInterval)
 		}
-		if !p.Over() {
-			p.End()
+		if !p.Exited() {
+			p.Kill()
 			kills++
 			arguments = []string{"resume", "--conduct"}
 			continue
 		}
-		err = p.Await()
+		err = p.WaitExit()
 		if hasEnded(folder) {
 			return kills, nil
 		}
@@ -162,8 +162,8 @@
 	if !s.killsCoordinator {
 		return false
 	}
-	record, exists, err := coordinator.Look(folder).Record()
-	if err != nil || !exists || record.State.Phase.Ends() {
+	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	if err != nil || !exists || record.State.Phase.IsTerminal() {
 		return false
 	}
 	phase := fmt.Sprint(record.State.Phase, record.State.Stage)
@@ -174,23 +174,23 @@
 
 // hasEnded reports whether the record shows that the rollout is over.
 func hasEnded(folder string) bool {
-	record, exists, err := coordinator.Look(folder).Record()
-	return err == nil && exists && record.State.Phase.Ends()
+	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	return err == nil && exists && record.State.Phase.IsTerminal()
 }
 
 // exposure returns the time from the first stage's beginning to the decision to roll back, or to the end.
 func exposure(folder string) time.Duration {
-	steps, err := coordinator.Look(folder).History()
+	steps, err := coordinator.UnlockedFolder(folder).History()
 	if err != nil {
 		return 0
 	}
 	var from, to time.Time
 	for _, step := range steps {
-		if step.Phase == rollout.Applying && step.Stage == 0 && from.IsZero() {
-			from = step.At
+		if step.Phase == rollout.PhaseApplying && step.Stage == 0 && from.IsZero() {
+			from = step.Time
 		}
-		if to.IsZero() && (step.Phase == rollout.GoingBack || step.Phase == rollout.Done) {
-			to = step.At
+		if to.IsZero() && (step.Phase == rollout.PhaseRollback || step.Phase == rollout.PhaseDone) {
+			to = step.Time
 		}
 	}
 	if from.IsZero() || to.IsZero() {
@@ -208,7 +208,7 @@
 			continue
 		}
 		var f change.Fence
-		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Turn); err != nil {
+		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Revision); err != nil {
 			return err
 		}
 		if f.Compare(last) <= 0 {
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -28,18 +28,18 @@
 
 // fault is an entry of a schedule. It is printed as JSON, so that a schedule that fails can be played again.
 type fault struct {
-	AtMS    int64           `json:"at_ms"` // since the scenario's start
-	Member  int             `json:"member"`
-	Mode    testcluster.Way `json:"way"` // of the link to the supervisor
-	DelayMS int64           `json:"delay_ms"`
-	Repeat  bool            `json:"repeat"`  // the last order is delivered once more
-	StopMS  int64           `json:"stop_ms"` // the supervisor is stopped (SIGSTOP) for so long
+	AtMS    int64                `json:"at_ms"` // since the scenario's start
+	Member  int                  `json:"member"`
+	Mode    testcluster.LinkMode `json:"way"` // of the link to the supervisor
+	DelayMS int64                `json:"delay_ms"`
+	Repeat  bool                 `json:"repeat"`  // the last order is delivered once more
+	StopMS  int64                `json:"stop_ms"` // the supervisor is stopped (SIGSTOP) for so long
 }
 
 const (
 	scheduleSpanMS   = 3000
 	firstFaultMS     = 200
-	linkModes        = 5 // of testcluster.Way
+	linkModes        = 5 // of testcluster.LinkMode
 	scheduleSequence = 7 // of the random source
 )
 
@@ -55,7 +55,7 @@
 		case 1:
 			f.StopMS = 50 + random.Int64N(600)
 		default:
-			f.Mode = testcluster.Way(random.IntN(linkModes))
+			f.Mode = testcluster.LinkMode(random.IntN(linkModes))
 			f.DelayMS = 20 + random.Int64N(300)
 		}
 		faults = append(faults, f)
@@ -69,15 +69,15 @@
 // scenarios lists all that the options may play.
 func scenarios(flags options, programs map[string]string) []scenario {
 	list := []scenario{
-		{name: "good settings", seed: 1, wantedPhase: rollout.Done},
-		{name: "good program", seed: 2, wantedPhase: rollout.Done, program: programs["next"]},
-		{name: "conductor killed", seed: 3, wantedPhase: rollout.Done, killsCoordinator: true, isBrief: true},
+		{name: "good settings", seed: 1, wantedPhase: rollout.PhaseDone},
+		{name: "good program", seed: 2, wantedPhase: rollout.PhaseDone, program: programs["next"]},
+		{name: "conductor killed", seed: 3, wantedPhase: rollout.PhaseDone, killsCoordinator: true, isBrief: true},
 	}
 	for i, b := range badBuilds {
 		list = append(list, scenario{
 			name:        "bad: " + b.description,
 			seed:        10 + uint64(i),
-			wantedPhase: rollout.Back,
+			wantedPhase: rollout.PhaseReverted,
 			maxStage:    2,
 			program:     programs[b.name],
 		})
@@ -85,7 +85,7 @@
 	list = append(list, scenario{
 		name:        "good settings, an engine lost",
 		seed:        30,
-		wantedPhase: rollout.Done,
+		wantedPhase: rollout.PhaseDone,
 		losesEngine: true,
 	})
 	for i := range list {
--- a/internal/proof/rollout/virtual_rollout.go
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -41,19 +41,29 @@
 
 // roll returns what comes of a change that stands for at most so many samples.
 func (f *virtualFleet) roll(samples int) virtualResult {
-	timing := change.Pace{BaseMS: 60_000, BakeMS: 60_000, MostMS: int64(samples) * 1000, ApplyMS: 60_000, SteadyMS: 1,
-		UnheardMS: 5000, SharedMS: 30_000, SharedTries: 2, HealthyPerMille: 500, LookMS: 1000}
-	start := rollout.State{Phase: rollout.Preparing, Fence: change.Fence{Number: 1, Term: 1, Turn: 1}}
+	timing := change.Timing{
+		BaselineMS:         60_000,
+		BakeMS:             60_000,
+		MaxBakeMS:          int64(samples) * 1000,
+		ApplyTimeoutMS:     60_000,
+		SettleMS:           1,
+		UnreachableAfterMS: 5000,
+		SharedRecoveryMS:   30_000,
+		MaxSharedRetries:   2,
+		MinHealthyPerMille: 500,
+		PollIntervalMS:     1000,
+	}
+	start := rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
 	v := &virtualRollout{
 		fleet:    f,
-		machine:  rollout.New(start, change.Settings, "old", "new", nil, timing, 0),
+		machine:  rollout.New(start, rollout.Plan{Kind: change.KindSettings, FromSpec: "old", ToSpec: "new", Timing: timing}, 0),
 		limits:   canary.DefaultLimits(),
 		baseline: canary.NewBaseline(),
 		isNew:    make([]bool, len(f.jobRates)),
-		phase:    rollout.Preparing,
+		phase:    rollout.PhasePreparing,
 		stage:    -1,
 	}
-	for t := 0; !v.machine.State.Phase.Ends() && t < maxBakeTimes*samples; t++ {
+	for t := 0; !v.machine.State.Phase.IsTerminal() && t < maxBakeTimes*samples; t++ {
 		v.step(t)
 	}
 	v.result.phase = v.machine.State.Phase
@@ -64,18 +74,18 @@
 // step plays a second.
 func (v *virtualRollout) step(t int) {
 	samples := v.fleet.sample(v.isNew)
-	in := rollout.Input{Now: int64(t) * second, Members: v.members(samples)}
+	in := rollout.Observation{Now: int64(t) * second, Members: v.members(samples)}
 	v.beginStage(t)
 	v.evaluate(&in, samples, t)
 	before := v.machine.State.Phase
 	v.machine.Step(in)
-	if before == rollout.Watching && v.machine.State.Phase == rollout.Applying {
+	if before == rollout.PhaseBaseline && v.machine.State.Phase == rollout.PhaseApplying {
 		v.planStages(samples)
 	}
 	for _, order := range v.machine.Orders(in) {
 		for i, s := range samples {
 			if s.Member == order.Member {
-				v.isNew[i] = order.New
+				v.isNew[i] = order.UseTarget
 			}
 		}
 	}
@@ -84,7 +94,7 @@
 func (v *virtualRollout) members(samples []canary.Sample) []rollout.Member {
 	members := make([]rollout.Member, 0, len(samples))
 	for i, s := range samples {
-		m := rollout.Member{Name: s.Member, Heard: true, Serves: true, Running: "old"}
+		m := rollout.Member{Name: s.Member, Reachable: true, Serving: true, Running: "old"}
 		if v.isNew[i] {
 			m.Running = "new"
 		}
@@ -101,10 +111,10 @@
 	}
 	v.phase = state.Phase
 	v.stage = state.Stage
-	if state.Phase != rollout.Applying {
+	if state.Phase != rollout.PhaseApplying {
 		return
 	}
-	v.analysis = canary.NewAnalysis(v.limits, v.baseline, v.machine.New())
+	v.analysis = canary.NewAnalysis(v.limits, v.baseline, v.machine.TargetMembers())
 	v.recovery = canary.RecoveryCheck{}
 	if v.firstStage == 0 {
 		v.firstStage = t
@@ -112,12 +122,12 @@
 }
 
 // evaluate adds the samples to what the phase looks at.
-func (v *virtualRollout) evaluate(in *rollout.Input, samples []canary.Sample, t int) {
+func (v *virtualRollout) evaluate(in *rollout.Observation, samples []canary.Sample, t int) {
 	switch v.machine.State.Phase {
-	case rollout.Watching:
+	case rollout.PhaseBaseline:
 		v.baseline.Observe(samples)
-	case rollout.Applying, rollout.Baking:
-		isBaked := v.machine.State.Phase == rollout.Baking && v.machine.Baked(in.Now)
+	case rollout.PhaseApplying, rollout.PhaseBaking:
+		isBaked := v.machine.State.Phase == rollout.PhaseBaking && v.machine.BakeElapsed(in.Now)
 		v.analysis.Observe(samples)
 		in.Verdict = v.analysis.Verdict(isBaked)
 		if v.machine.State.Stage == 0 && !v.result.fixedTestStops {
@@ -125,21 +135,21 @@
 		}
 		v.result.newJobs = in.Verdict.NewJobs
 		v.result.seconds = t - v.firstStage
-	case rollout.Waiting:
-		in.Better = v.recovery.Observe(v.limits, v.baseline, samples)
+	case rollout.PhaseAwaitingRecovery:
+		in.Recovered = v.recovery.Observe(v.limits, v.baseline, samples)
 	}
 }
 
 // planStages lays the stages out by the controllers' traffic.
 func (v *virtualRollout) planStages(samples []canary.Sample) {
 	const baselineSeconds = 60
-	places := make([]change.Place, 0, len(samples))
+	places := make([]change.Candidate, 0, len(samples))
 	for i, s := range samples {
-		places = append(places, change.Place{Name: s.Member, Jobs: uint64(baselineSeconds * v.fleet.jobRates[i])})
+		places = append(places, change.Candidate{Name: s.Member, BaselineJobs: uint64(baselineSeconds * v.fleet.jobRates[i])})
 	}
 	wanted := []change.Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}
-	stages, _ := change.Layout(wanted, places) // fails only for a stage that names an unknown member
-	v.machine.Lay(stages)
+	stages, _ := change.PlanStages(wanted, places) // fails only for a stage that names an unknown member
+	v.machine.SetStages(stages)
 }
 
 // fixedTest is the test that the sequential one replaces: two proportions of missed jobs, at one in a hundred,
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -91,9 +91,9 @@
 	status := Status{
 		Format:            change.Format,
 		Name:              s.options.Name,
-		Spec:              s.order.Want,
+		Spec:              s.order.Spec,
 		Fence:             s.order.Fence,
-		OrderedBy:         s.order.By,
+		OrderedBy:         s.order.CoordinatorID,
 		Drained:           s.outOfService,
 		Failure:           s.failure,
 		Crashes:           s.backoff.crashes,
