--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -25,7 +25,12 @@
 // play takes the change through a cluster of its own.
 func (s scenario) play(program string) result {
 	r := result{scenario: s}
-	cluster, err := testcluster.Config{Program: program, Seed: s.seed, Controllers: s.controllers, Engines: s.engines}.Start()
+	cluster, err := testcluster.Config{
+		Program:     program,
+		Seed:        s.seed,
+		Controllers: s.controllers,
+		Engines:     s.engines,
+	}.Start()
 	if err != nil {
 		r.err = err
 		return r
--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -28,7 +28,12 @@
 }
 
 func TestEachFailureOfAScenarioIsNamed(t *testing.T) {
-	good := result{scenario: scenario{wantedPhase: rollout.PhaseDone, maxStage: 2}, phase: rollout.PhaseDone, stage: 2, jobs: minJobs}
+	good := result{
+		scenario: scenario{wantedPhase: rollout.PhaseDone, maxStage: 2},
+		phase:    rollout.PhaseDone,
+		stage:    2,
+		jobs:     minJobs,
+	}
 	if list := good.failures(); len(list) != 0 {
 		t.Errorf("a good one: %q", list)
 	}
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -57,16 +57,16 @@
 	}
 	if next.Spec.Digest() != s.order.Spec.Digest() {
 		s.failure = ""
-		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.CoordinatorID, "spec", next.Spec.Digest(),
-			"drain", next.Drain, "reason", order.Reason)
+		slog.Info("order_accepted", "fence", next.Fence.String(), "ordered_by", next.CoordinatorID,
+			"spec", next.Spec.Digest(), "drain", next.Drain, "reason", order.Reason)
 	}
 	s.order = next
 	s.wakeUp()
 	return nil
 }
 
-// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept. It is
-// kept in memory alone, as it is for this incarnation.
+// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept.
+// It is kept in memory alone, as it is for this incarnation.
 func (s *Supervisor) AcceptAssignment(incoming assignment.Assignment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
