--- a/internal/canary/analysis_test.go
+++ b/internal/canary/analysis_test.go
@@ -24,7 +24,7 @@
 	return counts
 }
 
-// bothTypes are the counts of a sample in which lookups do as told.
+// bothTypes are the counts of a sample in which lookups end as the arguments say.
 func bothTypes(missed, cancelled, bucket int) map[Group]JobCounts {
 	return map[Group]JobCounts{
 		lookup: countsOf(20, missed, cancelled, bucket),
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// TestJSONOfVerdictsLimitsAndWork holds the keys of what is stored or told.
+// TestJSONOfVerdictsLimitsAndWork holds the keys of what is stored or reported.
 func TestJSONOfVerdictsLimitsAndWork(t *testing.T) {
 	values := map[string]any{
 		"verdict.json": Verdict{
--- a/internal/canary/recovery.go
+++ b/internal/canary/recovery.go
@@ -7,7 +7,7 @@
 	recoveryMinJobs = 20
 )
 
-// RecoveryCheck tells whether all controllers do again as they did before the first stage. The zero value is ready
+// RecoveryCheck checks whether all controllers do again as they did before the first stage. The zero value is ready
 // for use.
 type RecoveryCheck struct {
 	samples [recoverySamples]proportion // ring buffer of missed jobs
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -41,7 +41,7 @@
 	logEValue float64
 }
 
-// Verdict returns the conclusion now. isBaked tells that the stage has stood for its least time, before which it does
+// Verdict returns the conclusion now. isBaked says that the stage has stood for its least time, before which it does
 // not pass.
 func (a *Analysis) Verdict(isBaked bool) Verdict {
 	strongest, logEValue := a.evidence()
--- a/internal/jobstats/jobstats_test.go
+++ b/internal/jobstats/jobstats_test.go
@@ -151,15 +151,13 @@
 		t.Errorf("%+v", sum)
 	}
 	took := read.JobCounts[canary.Group{Type: "lookup", Tenant: "acme"}].LatencyBuckets
-	if p50, p99 := Quantile(
-		took,
-		50,
-	), Quantile(
-		took,
-		99,
-	); p50 < 9*time.Millisecond || p50 > 11*time.Millisecond || p99 < 19*time.Millisecond ||
-		p99 > 21*time.Millisecond {
-		t.Errorf("%v %v", p50, p99)
+	p50 := Quantile(took, 50)
+	if p50 < 9*time.Millisecond || p50 > 11*time.Millisecond {
+		t.Errorf("median: %v", p50)
+	}
+	p99 := Quantile(took, 99)
+	if p99 < 19*time.Millisecond || p99 > 21*time.Millisecond {
+		t.Errorf("99th percentile: %v", p99)
 	}
 	if q := Quantile(nil, 50); q != 0 {
 		t.Errorf("of nothing: %v", q)
--- a/internal/jobstats/server.go
+++ b/internal/jobstats/server.go
@@ -16,7 +16,7 @@
 const (
 	// maxShareBytes bounds the text of a share.
 	maxShareBytes = 1 << 20
-	// million is the whole of a share.
+	// million is the denominator of shares.
 	million = 1_000_000
 
 	readTimeout    = 5 * time.Second
--- a/internal/solve/conflict.go
+++ b/internal/solve/conflict.go
@@ -19,7 +19,7 @@
 	Change string `json:"change"`
 }
 
-// feasibility tells whether constraints can be met.
+// feasibility says whether constraints can be met.
 type feasibility uint8
 
 const (
@@ -31,7 +31,7 @@
 // maxConflicts bounds the number of conflicts that are reported.
 const maxConflicts = 5
 
-// feasibilityOf tells whether requirements can be met together, each at its level: by the fleet as it is, and without
+// feasibilityOf reports whether requirements can be met together, each at its level: by the fleet as it is, and without
 // each loss that is among them.
 func (m *model) feasibilityOf(list []requirement, levels []int64, stop func() bool) feasibility {
 	constraints := m.unconstrained()
@@ -60,7 +60,7 @@
 	return levels
 }
 
-// minimumsFeasibility tells whether all minimums can be met within the other constraints. Nothing else can stand in
+// minimumsFeasibility reports whether all minimums can be met within the other constraints. Nothing else can stand in
 // the way, as a solution that grants nothing keeps every other constraint.
 func (m *model) minimumsFeasibility(constraints *constraintSet, stop func() bool) feasibility {
 	if len(constraints.minimums) == 0 {
--- a/internal/solve/solve.go
+++ b/internal/solve/solve.go
@@ -55,7 +55,7 @@
 	return out
 }
 
-// minimumsFit tells whether what must be served can be.
+// minimumsFit reports whether what must be served can be.
 func (m *model) minimumsFit(method Method, constraints *constraintSet, stop Stop) feasibility {
 	if _, isExhaustive := method.(Exhaustive); !isExhaustive {
 		return m.minimumsFeasibility(constraints, upTo(stop, utilizationEnds))
--- a/internal/solve/solve_test.go
+++ b/internal/solve/solve_test.go
@@ -137,12 +137,9 @@
 func TestADrainingEngineAndALostZoneGetNothing(t *testing.T) {
 	problem := plain()
 	problem.Engines[1].State = solve.Draining
-	if a := solve.Solve(
-		problem,
-		solve.Options{},
-	); a.Status != solve.Optimal || a.Steps[0].Served[1].Granted != 0 ||
-		a.Value != 4_000_000 {
-		t.Errorf("draining: %+v", a)
+	answer := solve.Solve(problem, solve.Options{})
+	if answer.Status != solve.Optimal || answer.Steps[0].Served[1].Granted != 0 || answer.Value != 4_000_000 {
+		t.Errorf("draining: %+v", answer)
 	}
 	problem = plain()
 	problem.Constraints.MinServed = []solve.MinServed{{Type: "lookup", PerMille: 600}}
@@ -228,7 +225,7 @@
 	}
 }
 
-// Whenever time ends, also in the middle of a node, what is told holds.
+// Whenever time ends, also in the middle of a node, what is answered holds.
 func TestTimeMayEndAnywhere(t *testing.T) {
 	problem := draw.Ordinary(3, 12, 2, 4, 4, 1.1)
 	for left := 1; left < 3000; left += 1 + left/3 {
@@ -280,7 +277,7 @@
 }
 
 // Between problems whose patterns are all written out and large ones: floors that dives over patterns missed were
-// once told as unknown with time left.
+// once reported as unknown with time left.
 func TestMiddlingFleetsAreSettled(t *testing.T) {
 	optimal := 0
 	for seed := range uint64(12) {
--- a/internal/supervisor/folder_test.go
+++ b/internal/supervisor/folder_test.go
@@ -30,7 +30,7 @@
 		t.Fatal(code, body)
 	}
 	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Spec.Digest() })
-	word := assignment.Assignment{
+	assigned := assignment.Assignment{
 		Format:      change.Format,
 		Term:        3,
 		Sequence:    1,
@@ -45,7 +45,7 @@
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
 		PlanText:  json.RawMessage(planOfOwner),
 	}
-	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent {
+	if code, body := r.post(t, "/v1/word", assigned); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
 	r.await(t, "the owner's plan", func(Status) bool {
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -42,17 +42,16 @@
 		Program:  change.Program{Path: "/opt/controller", Digest: "d1"},
 		Topology: json.RawMessage(shapeFirst),
 	}
-	if err := s.AcceptOrder(
-		change.Order{
-			Format:        change.Format,
-			Fence:         change.Fence{Number: 5, Term: 6, Revision: 7},
-			CoordinatorID: "x",
-			Member:        "c1",
-			Spec:          spec,
-			Drain:         true,
-			Reason:        "why",
-		},
-	); err != nil {
+	order := change.Order{
+		Format:        change.Format,
+		Fence:         change.Fence{Number: 5, Term: 6, Revision: 7},
+		CoordinatorID: "x",
+		Member:        "c1",
+		Spec:          spec,
+		Drain:         true,
+		Reason:        "why",
+	}
+	if err := s.AcceptOrder(order); err != nil {
 		t.Fatal(err)
 	}
 	check("held.json", "files/held.json")
@@ -61,7 +60,7 @@
 		t.Fatal(s.failure)
 	}
 	check("operator-1.json", "files/operator-no-plan.json")
-	word := assignment.Accepted{
+	assigned := assignment.Accepted{
 		Term:      1,
 		Sequence:  2,
 		Leader:    "c2",
@@ -75,7 +74,7 @@
 	), json.RawMessage(
 		`{"e1":{"ok":true}}`,
 	)
-	if !s.writeOperatorFile(c, s.order, word, true) {
+	if !s.writeOperatorFile(c, s.order, assigned, true) {
 		t.Fatal(s.failure)
 	}
 	check("operator-1.json", "files/operator-plan-of-owner.json")
@@ -83,7 +82,7 @@
 	held.Spec.Plan = json.RawMessage(planOrdered)
 	held.Spec.Topology = nil
 	s.current.operatorFile = s.statePath("operator-2.json")
-	if !s.writeOperatorFile(s.current, held, word, false) {
+	if !s.writeOperatorFile(s.current, held, assigned, false) {
 		t.Fatal(s.failure)
 	}
 	check("operator-2.json", "files/operator-ordered-plan.json")
@@ -217,7 +216,7 @@
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	word := assignment.Assignment{
+	assigned := assignment.Assignment{
 		Format:      change.Format,
 		Term:        3,
 		Sequence:    1,
@@ -225,14 +224,12 @@
 		Member:      "c1",
 		Incarnation: s.Incarnation,
 		Shares:      quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
-		SharesUntil: monotonic.Now() + int64(
-			10*time.Minute,
-		),
-		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
-		PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		PlanText:  json.RawMessage(planOfOwner),
+		SharesUntil: monotonic.Now() + int64(10*time.Minute),
+		Plan:        change.JSONDigest(json.RawMessage(planOfOwner)),
+		PlanUntil:   monotonic.Now() + int64(10*time.Minute),
+		PlanText:    json.RawMessage(planOfOwner),
 	}
-	if code, body := r.post(t, "/v1/word", word); code != http.StatusNoContent || body != "" {
+	if code, body := r.post(t, "/v1/word", assigned); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
 	r.await(t, "order and word", func(s Status) bool {
@@ -243,22 +240,22 @@
 
 	elsewhere := o
 	elsewhere.Member = "c9"
-	late := word
+	late := assigned
 	late.Incarnation = "another"
 	for what, c := range map[string]struct {
-		path string
-		send any
-		code int
-		told string
+		path     string
+		send     any
+		code     int
+		contains string
 	}{
-		"an order cut off":            {"/v1/order", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
-		"an order with a field more":  {"/v1/order", `{"hurry":true}`, http.StatusUnprocessableEntity, "hurry"},
-		"an order for another member": {"/v1/order", elsewhere, http.StatusConflict, "c9"},
-		"a word cut off":              {"/v1/word", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
-		"a word once more":            {"/v1/word", word, http.StatusConflict, "3"},
-		"a word for an earlier life":  {"/v1/word", late, http.StatusConflict, ""},
+		"an order cut off":                  {"/v1/order", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
+		"an order with a field more":        {"/v1/order", `{"hurry":true}`, http.StatusUnprocessableEntity, "hurry"},
+		"an order for another member":       {"/v1/order", elsewhere, http.StatusConflict, "c9"},
+		"an assignment cut off":             {"/v1/word", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
+		"an assignment once more":           {"/v1/word", assigned, http.StatusConflict, "3"},
+		"an assignment for an earlier life": {"/v1/word", late, http.StatusConflict, ""},
 	} {
-		if code, body := r.post(t, c.path, c.send); code != c.code || body == "" || !strings.Contains(body, c.told) {
+		if code, body := r.post(t, c.path, c.send); code != c.code || body == "" || !strings.Contains(body, c.contains) {
 			t.Errorf("%s: %d %q", what, code, body)
 		}
 	}
@@ -273,11 +270,12 @@
 	var parts struct {
 		Tally operator.Stats `json:"tally"`
 	}
-	if err := json.Unmarshal(
-		text,
-		&parts,
-	); err != nil || parts.Tally.Listen != "127.0.0.1:0" || !parts.Tally.Predecessor || len(parts.Tally.TypeStats) == 0 ||
-		len(parts.Tally.EngineHealth) == 0 {
-		t.Errorf("%+v %v", parts.Tally, err)
+	if err := json.Unmarshal(text, &parts); err != nil {
+		t.Fatal(err)
+	}
+	stats := parts.Tally
+	hasState := len(stats.TypeStats) > 0 && len(stats.EngineHealth) > 0
+	if stats.Listen != "127.0.0.1:0" || !stats.Predecessor || !hasState {
+		t.Errorf("%+v", stats)
 	}
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -217,9 +218,9 @@
 	s.current = c
 	accept := func(count, share int64) {
 		t.Helper()
-		word := assignment.Assignment{Term: 1, Sequence: count, Leader: "a", Member: "c1", Incarnation: s.incarnation,
+		assigned := assignment.Assignment{Term: 1, Sequence: count, Leader: "a", Member: "c1", Incarnation: s.incarnation,
 			Shares: quota.Shares{quota.Fleet: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}
-		if err := s.AcceptAssignment(word); err != nil {
+		if err := s.AcceptAssignment(assigned); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -246,3 +247,30 @@
 		t.Error("an older process goes by an earlier part, and it counts")
 	}
 }
+
+func TestErrorsOfOrdersHaveTypes(t *testing.T) {
+	dir := t.TempDir()
+	program := filepath.Join(dir, "program")
+	writeFile(t, program, "x")
+	s, err := New(Options{Name: "c1", StateDir: filepath.Join(dir, "state"), ProgramPath: program})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var wrongMember *WrongMemberError
+	err = s.AcceptOrder(change.Order{Member: "c2"})
+	if !errors.As(err, &wrongMember) || wrongMember.Addressed != "c2" || wrongMember.Reached != "c1" {
+		t.Errorf("an order for another member: %v", err)
+	}
+	ordered := s.order.Spec.Program
+	writeFile(t, program, "y")
+	if s.verifyProgram(ordered) || !strings.Contains(s.failure, string(ordered.Digest)) {
+		t.Errorf("another program: %q", s.failure)
+	}
+	if err := os.RemoveAll(filepath.Join(dir, "state")); err != nil {
+		t.Fatal(err)
+	}
+	order := orderOf(1, ordered, shapeFirst, "")
+	if err := s.AcceptOrder(order); !errors.Is(err, ErrOrderNotRecorded) {
+		t.Errorf("without a state directory: %v", err)
+	}
+}
