--- a/internal/ilp/pivot.go
+++ b/internal/ilp/pivot.go
@@ -123,17 +123,21 @@
 // own other bound before that.
 func (l *LP) chooseLeaving(entering int, direction float64) (row int, step float64) {
 	shortest := math.Inf(1)
-	for i := range l.entering {
-		shortest = min(shortest, l.stepToBound(i, direction, feasibilityTolerance))
+	for i, element := range l.entering {
+		if math.Abs(element) >= pivotTolerance {
+			shortest = min(shortest, l.stepToBound(i, direction, feasibilityTolerance))
+		}
 	}
 	row = -1
 	step = l.upper[entering] - l.lower[entering]
 	if shortest >= step {
 		return row, step
 	}
-	for i := range l.entering {
-		isClose := l.stepToBound(i, direction, 0) <= shortest
-		if isClose && (row < 0 || math.Abs(l.entering[i]) > math.Abs(l.entering[row])) {
+	for i, element := range l.entering {
+		if math.Abs(element) < pivotTolerance || l.stepToBound(i, direction, 0) > shortest {
+			continue
+		}
+		if row < 0 || math.Abs(element) > math.Abs(l.entering[row]) {
 			row = i
 		}
 	}
@@ -143,12 +147,10 @@
 	return row, step
 }
 
-// stepToBound returns the step until the basic variable of a row meets a bound, which is relaxed by a tolerance.
+// stepToBound returns the step until the basic variable of a row meets a bound, which is relaxed by a tolerance. The row's
+// element must not be below pivotTolerance.
 func (l *LP) stepToBound(row int, direction, tolerance float64) float64 {
 	rate := -direction * l.entering[row]
-	if math.Abs(rate) < pivotTolerance {
-		return math.Inf(1)
-	}
 	value := l.basicValues[row]
 	lower, upper := l.lower[l.basis[row]], l.upper[l.basis[row]]
 	switch {
--- a/internal/leader/fitness.go
+++ b/internal/leader/fitness.go
@@ -41,8 +41,8 @@
 
 // Handover names the voter that should lead instead, and why.
 type Handover struct {
-	To     string // "": no handover
-	Reason string
+	Successor string // "": no handover
+	Reason    string
 }
 
 // FitnessMonitor decides when a leader hands over by itself. It belongs to a process and outlives its terms, so that
@@ -79,7 +79,7 @@
 			f.handoverAt = now
 			f.unfitSince = 0
 			f.handovers++
-			return Handover{To: other.Name, Reason: reason}
+			return Handover{Successor: other.Name, Reason: reason}
 		}
 	}
 	return Handover{}
--- a/internal/leader/fitness_test.go
+++ b/internal/leader/fitness_test.go
@@ -30,10 +30,10 @@
 		own := unhealthy("a", fault)
 		t.Run(reason, func(t *testing.T) {
 			var monitor FitnessMonitor
-			if got := monitor.Evaluate(1e9, own, others); got.To != "" {
-				t.Errorf("at once to %s", got.To)
+			if got := monitor.Evaluate(1e9, own, others); got.Successor != "" {
+				t.Errorf("at once to %s", got.Successor)
 			}
-			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got != (Handover{To: "d", Reason: reason}) {
+			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got != (Handover{Successor: "d", Reason: reason}) {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -41,15 +41,15 @@
 			var monitor FitnessMonitor
 			monitor.Evaluate(1e9, own, others)
 			monitor.Evaluate(2e9, healthy("a"), others)
-			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got.To != "" {
-				t.Errorf("to %s", got.To)
+			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got.Successor != "" {
+				t.Errorf("to %s", got.Successor)
 			}
 		})
 		t.Run(reason+", and the others are no better", func(t *testing.T) {
 			var monitor FitnessMonitor
 			monitor.Evaluate(1e9, own, others[:2])
-			if got := monitor.Evaluate(100e9, own, others[:2]); got.To != "" {
-				t.Errorf("to %s", got.To)
+			if got := monitor.Evaluate(100e9, own, others[:2]); got.Successor != "" {
+				t.Errorf("to %s", got.Successor)
 			}
 		})
 	}
@@ -60,13 +60,13 @@
 	own, others := healthy("a"), []Health{healthy("b")}
 	for now := int64(1e9); now < 60e9; now += 5e9 {
 		own.StalledTicks++
-		if got := monitor.Evaluate(now, own, others); got.To != "" {
-			t.Fatalf("one stall in 5 s: to %s", got.To)
+		if got := monitor.Evaluate(now, own, others); got.Successor != "" {
+			t.Fatalf("one stall in 5 s: to %s", got.Successor)
 		}
 	}
 	for now := int64(60e9); now < 70e9; now += 1e9 {
 		own.StalledTicks++
-		if monitor.Evaluate(now, own, others).To == "b" {
+		if monitor.Evaluate(now, own, others).Successor == "b" {
 			return
 		}
 	}
@@ -104,8 +104,8 @@
 		if own.unfitReason() != "" {
 			unfitTime += interval
 		}
-		if got := monitors[leader].Evaluate(now, own, others); got.To != "" {
-			leader = got.To
+		if got := monitors[leader].Evaluate(now, own, others); got.Successor != "" {
+			leader = got.Successor
 			changes++
 		}
 	}
--- a/internal/leader/health_watch.go
+++ b/internal/leader/health_watch.go
@@ -31,9 +31,9 @@
 		own.StalledTicks = d.node.StalledTicks()
 		own.ReachableMembers, own.Members = d.reachableMembers()
 		handover := d.fitness.Evaluate(d.node.now(), own, others)
-		if handover.To != "" && d.node.ActiveTerm() == term {
-			slog.Warn("leader_handover", "term", term, "to", handover.To, "reason", handover.Reason)
-			d.node.TransferLeadership(handover.To)
+		if handover.Successor != "" && d.node.ActiveTerm() == term {
+			slog.Warn("leader_handover", "term", term, "to", handover.Successor, "reason", handover.Reason)
+			d.node.TransferLeadership(handover.Successor)
 		}
 		pause(ctx, healthInterval)
 	}
