--- a/internal/ilp/pivot.go
+++ b/internal/ilp/pivot.go
@@ -147,8 +147,8 @@
 	return row, step
 }
 
-// stepToBound returns the step until the basic variable of a row meets a bound, which is relaxed by a tolerance. The row's
-// element must not be below pivotTolerance.
+// stepToBound returns the step until the basic variable of a row meets a bound, which is relaxed by a tolerance. The
+// row's element must not be below pivotTolerance.
 func (l *LP) stepToBound(row int, direction, tolerance float64) float64 {
 	rate := -direction * l.entering[row]
 	value := l.basicValues[row]
