--- a/internal/change/order.go
+++ b/internal/change/order.go
@@ -18,13 +18,13 @@
 // Order tells one controller's supervisor which spec the controller has to run with. Orders state the goal, not the
 // steps to it, and may be repeated.
 type Order struct {
-	Format int    `json:"format"`
-	Fence  Fence  `json:"fence"`
-	By     string `json:"by"`     // the coordinator's record: tells apart two coordinators under one change and term
-	Member string `json:"member"` // the receiver, so that one that is reached by mistake notices
-	Spec   Spec   `json:"want"`
-	Drain  bool   `json:"drain,omitempty"` // stop serving once every accepted job is answered: the spec cannot be run
-	Reason string `json:"why,omitempty"`   // for the receiver's log; since format 2
+	Format        int    `json:"format"`
+	Fence         Fence  `json:"fence"`
+	CoordinatorID string `json:"by"`     // tells apart two coordinators under one change and term
+	Member        string `json:"member"` // the receiver, so that one that is reached by mistake notices
+	Spec          Spec   `json:"want"`
+	Drain         bool   `json:"drain,omitempty"` // leave service once every accepted job is answered
+	Reason        string `json:"why,omitempty"`   // for the receiver's log; since format 2
 }
 
 // ForFormat returns the order in the form of a version, with its reason cut to the bound.
@@ -61,6 +61,22 @@
 }
 
 func (o Order) validate() error {
+	if err := o.validateForm(); err != nil {
+		return err
+	}
+	switch {
+	case o.Fence.Number < 1 || o.Fence.Term < 1 || o.Fence.Revision < 1:
+		return fmt.Errorf("/fence: %v has a part under 1", o.Fence)
+	case o.CoordinatorID == "" || o.Member == "":
+		return errors.New("/by, /member: missing")
+	case o.Spec.Program.Path == "" || o.Spec.Program.Digest == "":
+		return errors.New("/want/program: missing")
+	}
+	return nil
+}
+
+// validateForm checks what depends on the version of the order's form.
+func (o Order) validateForm() error {
 	switch {
 	case o.Format < oldestFormat || o.Format > Format:
 		return fmt.Errorf("/format: %d, known are %d and the one before", o.Format, Format)
@@ -68,12 +84,6 @@
 		return errors.New("/why: not of format 1")
 	case len(o.Reason) > maxReasonBytes:
 		return fmt.Errorf("/why: over %d bytes", maxReasonBytes)
-	case o.Fence.Number < 1 || o.Fence.Term < 1 || o.Fence.Revision < 1:
-		return fmt.Errorf("/fence: %v has a part under 1", o.Fence)
-	case o.By == "" || o.Member == "":
-		return errors.New("/by, /member: missing")
-	case o.Spec.Program.Path == "" || o.Spec.Program.Digest == "":
-		return errors.New("/want/program: missing")
 	}
 	return nil
 }
@@ -81,10 +91,10 @@
 // AcceptedOrder is what a supervisor stores of the last order that it accepted. The zero value is that of a
 // supervisor that has accepted none.
 type AcceptedOrder struct {
-	Fence Fence  `json:"fence"`
-	By    string `json:"by"`
-	Spec  Spec   `json:"want"`
-	Drain bool   `json:"drain"`
+	Fence         Fence  `json:"fence"`
+	CoordinatorID string `json:"by"`
+	Spec          Spec   `json:"want"`
+	Drain         bool   `json:"drain"`
 }
 
 // Accept decides on an order. It returns what is to be stored afterwards and whether that differs, or why the order is
@@ -95,14 +105,24 @@
 	switch {
 	case position < 0:
 		return a, false, &StaleOrderError{Order: order.Fence, Accepted: a.Fence}
-	case sameTerm && order.By != a.By:
-		return a, false, &ForeignOrderError{Order: order.Fence, By: order.By, Coordinator: a.By}
+	case sameTerm && order.CoordinatorID != a.CoordinatorID:
+		return a, false, &ForeignOrderError{
+			Order:         order.Fence,
+			CoordinatorID: order.CoordinatorID,
+			AcceptedID:    a.CoordinatorID,
+		}
 	case position == 0 && (order.Spec.Digest() != a.Spec.Digest() || order.Drain != a.Drain):
 		return a, false, &ConflictingOrderError{Order: order.Fence}
 	case position == 0:
 		return a, false, nil
 	}
-	return AcceptedOrder{Fence: order.Fence, By: order.By, Spec: order.Spec, Drain: order.Drain}, true, nil
+	accepted := AcceptedOrder{
+		Fence:         order.Fence,
+		CoordinatorID: order.CoordinatorID,
+		Spec:          order.Spec,
+		Drain:         order.Drain,
+	}
+	return accepted, true, nil
 }
 
 // StaleOrderError refuses an order that is below one accepted already.
@@ -111,19 +131,21 @@
 	Accepted Fence
 }
 
+// Error names both fences.
 func (e *StaleOrderError) Error() string {
 	return fmt.Sprintf("order %v comes after %v was taken", e.Order, e.Accepted)
 }
 
 // ForeignOrderError refuses an order of a second coordinator under the change and term of the first.
 type ForeignOrderError struct {
-	Order       Fence
-	By          string
-	Coordinator string
+	Order         Fence
+	CoordinatorID string
+	AcceptedID    string
 }
 
+// Error names the fence and both coordinators.
 func (e *ForeignOrderError) Error() string {
-	return fmt.Sprintf("order %v is by %s, and %s conducts under that term", e.Order, e.By, e.Coordinator)
+	return fmt.Sprintf("order %v is by %s, and %s conducts under that term", e.Order, e.CoordinatorID, e.AcceptedID)
 }
 
 // ConflictingOrderError refuses an order with the fence of an accepted one, but with another goal.
@@ -131,6 +153,7 @@
 	Order Fence
 }
 
+// Error names the fence.
 func (e *ConflictingOrderError) Error() string {
 	return fmt.Sprintf("order %v wants what an order of that name did not", e.Order)
 }
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -6,7 +6,6 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -28,19 +27,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "a first stage", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"a first stage",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
+	)
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--conduct")
+	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second.WaitExit() == nil || !strings.Contains(second.Log(), "another process coordinates") {
 		t.Errorf("two conduct in one folder: %s", second.Log())
 	}
-	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--conduct")
+	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,12 +59,12 @@
 	}
 	p.Signal(syscall.SIGCONT)
 	err = p.WaitExit()
-	var code *exec.ExitError
-	if code, _ = err.(*exec.ExitError); code == nil || code.ExitCode() != 6 || !strings.Contains(p.Log(), "rollout_fenced") {
+	if exitCode(err) != exitFenced || !strings.Contains(p.Log(), "rollout_fenced") {
 		t.Errorf("the one that slept: %v: %s", err, p.Log())
 	}
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() && s.Crashes == 0
+		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() &&
+			s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
@@ -99,7 +103,7 @@
 		return a.StatusCode, string(b[:n])
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
-	late := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	late := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	late.Fence.Revision--
 	try := func() {
 		t.Helper()
@@ -113,7 +117,9 @@
 		}
 	}
 	try()
-	if code, text := send(change.Order{Format: change.Format, Fence: change.Fence{Number: 9, Term: 1, Revision: 1}, By: "x", Member: "c9", Spec: r.From}); code != http.StatusConflict || !strings.Contains(text, "c9") {
+	forAnother := change.Order{Format: change.Format, CoordinatorID: "x", Member: "c9", Spec: r.FromSpec}
+	forAnother.Fence = change.Fence{Number: 9, Term: 1, Revision: 1}
+	if code, text := send(forAnother); code != http.StatusConflict || !strings.Contains(text, "c9") {
 		t.Errorf("an order for another: %d %s", code, text)
 	}
 	l.Stop() // the keeper's death takes its controller with it
@@ -130,7 +136,7 @@
 	if err := os.RemoveAll(filepath.Join(w.Dir, m.Name)); err != nil {
 		t.Fatal(err)
 	}
-	next := change.Order{Format: change.Format, Fence: before.Fence, By: r.ID, Member: m.Name, Spec: r.From}
+	next := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	next.Fence.Revision++
 	if code, text := send(next); code != http.StatusInsufficientStorage {
 		t.Errorf("%d %s", code, text)
@@ -140,10 +146,17 @@
 	}
 }
 
-// A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the format before.
+// A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the
+// format before.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{Program: currentProgram, Seed: 4, Controllers: 3, Engines: 2, SupervisorPrograms: map[int]string{0: previousProgram}}.Start()
+	w, err := testcluster.Config{
+		Program:            currentProgram,
+		Seed:               4,
+		Controllers:        3,
+		Engines:            2,
+		SupervisorPrograms: map[int]string{0: previousProgram},
+	}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +176,8 @@
 		}) {
 			t.Error("not all took it")
 		}
-		if newer := w.Members[1].Supervisor.Log(); strings.Contains(newer, `drain=false reason="stage`) != true || strings.Contains(p.Log(), "order_not_taken") {
+		if newer := w.Members[1].Supervisor.Log(); strings.Contains(newer, `drain=false reason="stage`) != true ||
+			strings.Contains(p.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
@@ -178,7 +192,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is under way", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"it is under way",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
+	)
 	q, err := w.StartCoordinator(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -119,7 +119,7 @@
 		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s",
 			r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
 	}
-	return f.running(r.To, r.Change.Number)
+	return f.running(r.ToSpec, r.Change.Number)
 }
 
 // running waits until every member runs a spec, by an order of the change of that number.
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -9,11 +9,11 @@
 
 // Plan is what a rollout carries through the fleet; it does not change in the rollout's course, but for Stages.
 type Plan struct {
-	Kind   change.Kind
-	From   change.Digest // the old version
-	To     change.Digest // the new version
-	Stages [][]string    // the members on the new version by stage; nil until the baseline is complete
-	Timing change.Timing
+	Kind     change.Kind
+	FromSpec change.Digest // the old version
+	ToSpec   change.Digest // the new version
+	Stages   [][]string    // the members on the new version by stage; nil until the baseline is complete
+	Timing   change.Timing
 }
 
 // Machine is a rollout in progress.
@@ -40,7 +40,7 @@
 	switch m.State.Phase {
 	case PhaseApplying, PhaseBaking, PhaseFinishing, PhaseDone:
 		return m.plan.Stages[m.State.Stage]
-	case PhaseRollingBackStage, PhaseAwaitingRecovery:
+	case PhaseStageRollback, PhaseAwaitingRecovery:
 		if m.State.Stage > 0 {
 			return m.plan.Stages[m.State.Stage-1]
 		}
@@ -138,7 +138,7 @@
 		}
 		isDrained := m.isDrained(member)
 		switch {
-		case member.Failure != "" && member.Running != m.plan.From && !isDrained:
+		case member.Failure != "" && member.Running != m.plan.FromSpec && !isDrained:
 			m.State.Drained[member.Name] = member.Failure
 			changed = true
 		case member.Failure == "" && isDrained:
@@ -154,7 +154,7 @@
 // wanted is the spec that a controller is to run.
 func (m *Machine) wanted(name string) change.Digest {
 	if slices.Contains(m.TargetMembers(), name) {
-		return m.plan.To
+		return m.plan.ToSpec
 	}
-	return m.plan.From
+	return m.plan.FromSpec
 }
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -3,29 +3,29 @@
 // Phase is the state in which a change is. Its values stand in records and on the wire.
 type Phase string
 
-// The phases. PhaseDone, PhaseRolledBack and PhaseStopped are terminal.
+// The phases. PhaseDone, PhaseReverted and PhaseStopped are terminal.
 const (
 	PhasePreparing        Phase = "preparing"   // every controller must be reachable, serving and on the old version
 	PhaseBaseline         Phase = "watching"    // the fleet is observed before anything changes
 	PhaseApplying         Phase = "applying"    // the stage's controllers take the new version
 	PhaseBaking           Phase = "baking"      // the stage is observed and compared with the old version
-	PhaseRollingBackStage Phase = "withdrawing" // all did worse: the stage is rolled back, to see whether that ends it
+	PhaseStageRollback    Phase = "withdrawing" // all did worse: the stage is rolled back, to see whether that ends it
 	PhaseAwaitingRecovery Phase = "waiting"     // the stage is rolled back; it is retried once all do as before it
 	PhaseFinishing        Phase = "finishing"   // every stage passed; unreachable controllers still have to follow
 	PhaseDone             Phase = "done"        // all are on the new version
-	PhaseRollingBack      Phase = "going back"  // all are to return to the old version
-	PhaseRolledBack       Phase = "back"        // all have returned
+	PhaseRollback         Phase = "going back"  // all are to return to the old version
+	PhaseReverted         Phase = "back"        // all have returned
 	PhaseDegraded         Phase = "stuck"       // some could not return: they are named, and drained where they answer
 	PhaseStopped          Phase = "stopped"     // by an operator, or before anything changed: all stay as they are
 )
 
 // IsTerminal reports whether nothing more follows, unless an operator asks for a rollback of a stopped change.
 func (p Phase) IsTerminal() bool {
-	return p == PhaseDone || p == PhaseRolledBack || p == PhaseStopped
+	return p == PhaseDone || p == PhaseReverted || p == PhaseStopped
 }
 
 // isRollback reports whether all are on their way back to the old version.
-func (p Phase) isRollback() bool { return p == PhaseRollingBack || p == PhaseDegraded }
+func (p Phase) isRollback() bool { return p == PhaseRollback || p == PhaseDegraded }
 
 // acceptsRollback reports whether an operator may ask for a rollback.
 func (p Phase) acceptsRollback() bool {
@@ -56,10 +56,10 @@
 	stagePassed       event = "stage passed"
 	lastStagePassed   event = "last stage passed"
 	sharedRegression  event = "shared regression"
-	stageRolledBack   event = "stage rolled back"
+	stageReverted     event = "stage rolled back"
 	stageRetried      event = "stage retried"
 	fleetUpdated      event = "fleet updated"
-	fleetRolledBack   event = "fleet rolled back"
+	fleetReverted     event = "fleet rolled back"
 	rollbackOverdue   event = "rollback overdue"
 	rollbackRequested event = "rollback requested"
 	stopRequested     event = "stop requested"
@@ -77,31 +77,31 @@
 	},
 	PhaseApplying: {
 		stageApplied: PhaseBaking,
-		stageFailed:  PhaseRollingBack,
+		stageFailed:  PhaseRollback,
 	},
 	PhaseBaking: {
 		stagePassed:      PhaseApplying,
 		lastStagePassed:  PhaseFinishing,
-		sharedRegression: PhaseRollingBackStage,
-		stageFailed:      PhaseRollingBack,
+		sharedRegression: PhaseStageRollback,
+		stageFailed:      PhaseRollback,
 	},
-	PhaseRollingBackStage: {
-		stageRolledBack: PhaseAwaitingRecovery,
-		stageFailed:     PhaseRollingBack,
+	PhaseStageRollback: {
+		stageReverted: PhaseAwaitingRecovery,
+		stageFailed:   PhaseRollback,
 	},
 	PhaseAwaitingRecovery: {
 		stageRetried: PhaseApplying,
-		stageFailed:  PhaseRollingBack,
+		stageFailed:  PhaseRollback,
 	},
 	PhaseFinishing: {
 		fleetUpdated: PhaseDone,
 	},
-	PhaseRollingBack: {
-		fleetRolledBack: PhaseRolledBack,
+	PhaseRollback: {
+		fleetReverted:   PhaseReverted,
 		rollbackOverdue: PhaseDegraded,
 	},
 	PhaseDegraded: {
-		fleetRolledBack: PhaseRolledBack,
+		fleetReverted: PhaseReverted,
 	},
 }
 
@@ -109,7 +109,7 @@
 func after(phase Phase, happened event) Phase {
 	switch happened {
 	case rollbackRequested:
-		return PhaseRollingBack
+		return PhaseRollback
 	case stopRequested:
 		return PhaseStopped
 	}
