--- /dev/null
+++ b/internal/proof/solve/virtual_clock.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"container/heap"
+
+	"swiftreel/choice"
+)
+
+// virtualStart is when a simulation begins. It is far from 0, which the decision module may take for unset.
+const virtualStart = choice.Nanos(1e12)
+
+// virtualClock holds what is to happen and when. It moves from one event to the next.
+type virtualClock struct {
+	now    choice.Nanos
+	queue  eventQueue
+	queued int // events so far
+}
+
+// after has something done once a time has passed.
+func (c *virtualClock) after(delay choice.Nanos, action func()) {
+	c.queued++
+	heap.Push(&c.queue, scheduledEvent{dueAt: c.now + delay, sequence: c.queued, action: action})
+}
+
+// runUntil does all that is due, until nothing is left or the clock has reached a moment.
+func (c *virtualClock) runUntil(end choice.Nanos) {
+	for len(c.queue) > 0 && c.now < end {
+		event := heap.Pop(&c.queue).(scheduledEvent)
+		c.now = event.dueAt
+		event.action()
+	}
+}
+
+// scheduledEvent is something that happens at a moment.
+type scheduledEvent struct {
+	dueAt    choice.Nanos
+	sequence int // those of one moment happen in the order in which they were queued
+	action   func()
+}
+
+// eventQueue implements heap.Interface; the earliest event comes first.
+type eventQueue []scheduledEvent
+
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].dueAt != q[j].dueAt {
+		return q[i].dueAt < q[j].dueAt
+	}
+	return q[i].sequence < q[j].sequence
+}
+
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(scheduledEvent)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
