--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -66,7 +66,7 @@
 }
 
 // AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept.
-// It is held in memory alone, as it is for this incarnation.
+// It is kept in memory alone, as it is for this incarnation.
 func (s *Supervisor) AcceptAssignment(incoming assignment.Assignment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
