--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -178,3 +178,38 @@
 		t.Errorf("%+v %v", ev, err)
 	}
 }
+
+// A job that is over leaves its slot to others, also where two protocols share them.
+func TestAFinishedJobLeavesItsSlot(t *testing.T) {
+	const slots = 4
+	facts := choice.RawSettings{
+		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
+		"limits":  map[string]any{"max_open": float64(slots)},
+	}
+	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	defer g.Close()
+	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
+	client := newFakeClient(1)
+	before := counters.Value("calls_over_capacity")
+	for i := range 3 * slots {
+		g.Submit(Request{
+			Type:      []byte("lookup"),
+			ID:        []byte{byte(i)},
+			ArrivedAt: time.Now(),
+			Timeout:   time.Millisecond, // too short for anything: throttled at once
+			Protocol:  backend.SPARQL,
+			Client:    client,
+		})
+		if answer := <-client.answers; answer != "throttled" {
+			t.Fatal(answer)
+		}
+		eventually(t, "the job stays", func() bool {
+			g.mu.Lock()
+			defer g.mu.Unlock()
+			return len(g.jobs) == 0
+		})
+	}
+	if rejected := counters.Value("calls_over_capacity") - before; rejected > 0 {
+		t.Errorf("%d of %d were rejected for lack of slots", rejected, 3*slots)
+	}
+}
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// setDispatchOptions sets the memory grant and the priority of dispatches. The one in flight gets the new priority, too.
+// setDispatchOptions sets the memory grant and the priority of dispatches. The one in flight gets the new priority,
+// too.
 func (r *jobRunner) setDispatchOptions(options choice.Action) {
 	r.grantMB = options.MemoryMB
 	if r.attempt != nil && options.Priority != r.priority {
--- a/internal/gateway/job_runner_test.go
+++ b/internal/gateway/job_runner_test.go
@@ -119,13 +119,19 @@
 type recorder struct {
 	seen *transcript
 	here atomic.Bool
+	slow chan struct{} // if it is not nil, Throttled waits until it is closed
 }
 
-func (c *recorder) Done(pages [][]byte)          { c.seen.add("client: done %d", len(pages)) }
-func (c *recorder) Throttled(wait time.Duration) { c.seen.add("client: throttled %v", wait) }
-func (c *recorder) Failed(reason string)         { c.seen.add("client: failed %s", reason) }
-func (c *recorder) OnDisconnect(func())          {}
-func (c *recorder) Connected() bool              { return c.here.Load() }
+func (c *recorder) Done(pages [][]byte) { c.seen.add("client: done %d", len(pages)) }
+func (c *recorder) Throttled(wait time.Duration) {
+	if c.slow != nil {
+		<-c.slow
+	}
+	c.seen.add("client: throttled %v", wait)
+}
+func (c *recorder) Failed(reason string) { c.seen.add("client: failed %s", reason) }
+func (c *recorder) OnDisconnect(func())  {}
+func (c *recorder) Connected() bool      { return c.here.Load() }
 
 // jobStage runs one job's function by orders that no module gave: it knows no such job, so it adds none of its own.
 type jobStage struct {
@@ -302,7 +308,9 @@
 				delivered(0)}},
 		{name: "retracted, then cancelled", work: canary.JobCounts{Jobs: 1, Cancelled: 1, Dispatches: 1},
 			acts: []jobAct{dispatched,
-				{retract(9), nil}, {retract(0), []string{"engine: give up"}},
+				{retract(9), nil}, // of no dispatch: what follows is seen first
+				{replied(backend.Reply{Notice: "frac", Amount: 0.5}), []string{"module: noted seq=0 note=1 amount=0.5"}},
+				{retract(0), []string{"engine: give up"}},
 				{(*jobStage).abortRead, []string{"module: answered seq=0 result=7 final=false bill=0"}},
 				{retract(0), nil}, cancelled}},
 		{name: "retracted, but done before the engine read so",
@@ -377,3 +385,21 @@
 		t.Errorf("counted %+v, want %+v", got, work)
 	}
 }
+
+// A client that takes its answer slowly does not delay the cancelling of what is still in flight.
+func TestASlowClientDelaysNoCancelling(t *testing.T) {
+	s := newStage(t, time.Minute)
+	s.client.slow = make(chan struct{})
+	s.start()
+	s.order(choice.Action{Kind: choice.Dispatch})
+	s.order(choice.Action{Kind: choice.Throttle})
+	s.order(choice.Action{Kind: choice.CancelAttempt})
+	eventually(t, "not cancelled", func() bool { return slices.Contains(s.seen(), "engine: give up") })
+	close(s.client.slow)
+	s.abortRead()
+	s.gate.Close()
+	want := []string{"client: throttled 0s", "module: answered seq=0 result=7 final=true bill=0"}
+	for _, line := range want {
+		eventually(t, "no "+line, func() bool { return slices.Contains(s.seen(), line) })
+	}
+}
