--- a/cmd/rollout-view/chart.go
+++ b/cmd/rollout-view/chart.go
@@ -123,7 +123,7 @@
 }
 
 func secondsSinceFirst(samples []coordinator.Sample, i int) float64 {
-	return samples[i].At.Sub(samples[0].At).Seconds()
+	return samples[i].Time.Sub(samples[0].Time).Seconds()
 }
 
 // addTransitions marks where a phase or a stage begins.
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -111,6 +111,7 @@
 	Spec Digest
 }
 
+// Error names the spec.
 func (e *UnchangedError) Error() string { return fmt.Sprintf("the fleet is there already: %s", e.Spec) }
 
 // TargetSpec returns the spec that the change leads to from another. It reads the plan's or the program's file.
--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -36,13 +36,13 @@
 	state := rollout.State{Phase: rollout.PhasePreparing, Fence: start.fence}
 	store.discardSamples()
 	store.addTransition(Transition{
-		At:     failpoint.WallClock().UTC(),
+		Time:   failpoint.WallClock().UTC(),
 		Number: next.Number,
 		Phase:  state.Phase,
 		Fence:  state.Fence,
 		Reason: next.Title,
 	})
-	return store.write(recordFile, Record{ID: newID(), Change: next, From: start.spec, To: target, State: state})
+	return store.write(recordFile, Record{ID: newID(), Change: next, FromSpec: start.spec, ToSpec: target, State: state})
 }
 
 // startingPoint is where the fleet stands before a change.
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -77,7 +77,7 @@
 		list = append(list, scenario{
 			name:        "bad: " + b.description,
 			seed:        10 + uint64(i),
-			wantedPhase: rollout.PhaseRolledBack,
+			wantedPhase: rollout.PhaseReverted,
 			maxStage:    2,
 			program:     programs[b.name],
 		})
--- a/internal/testcluster/requests.go
+++ b/internal/testcluster/requests.go
@@ -42,7 +42,7 @@
 	if spec.Program.Digest, err = change.FileDigest(path); err != nil {
 		return err
 	}
-	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Spec: spec}
+	order := change.Order{Format: change.Format, Fence: fence, CoordinatorID: "x", Member: m.Name, Spec: spec}
 	for _, err := range c.direct(m).SendOrders(context.Background(), map[int]change.Order{0: order}) {
 		return fmt.Errorf("%s refuses order %v: %w", m.Name, fence, err)
 	}
