--- a/internal/solve/model.go
+++ b/internal/solve/model.go
@@ -32,7 +32,6 @@
 	threads      int64 // requested; the one used in part counts as a whole one
 	fullThreads  int64 // of these, fully used
 	partialValue int64 // of the thread used in part, a second
-	jobs         int64 // requested, in millionths a second
 }
 
 // engineGroup is engines that differ by name only.
@@ -82,7 +81,6 @@
 			tenant:      m.tenantIndex(d.Tenant),
 			threads:     fullThreads,
 			fullThreads: fullThreads,
-			jobs:        jobs,
 		}
 		if partialJobs := jobs - fullThreads*m.jobRates[class.typ]; partialJobs > 0 {
 			w.threads++
