--- a/cmd/rollout-view/watch.go
+++ b/cmd/rollout-view/watch.go
@@ -89,8 +89,8 @@
 	if fleet != nil {
 		versions := map[change.Digest]string{}
 		if found {
-			versions[record.From.Digest()] = "old"
-			versions[record.To.Digest()] = "new"
+			versions[record.FromSpec.Digest()] = "old"
+			versions[record.ToSpec.Digest()] = "new"
 		}
 		printControllers(&text, fleet, versions)
 	}
--- a/internal/command/render.go
+++ b/internal/command/render.go
@@ -104,7 +104,8 @@
 	}
 	_, _ = fmt.Fprintln(table, "\ntenant\tthreads\tshare")
 	for _, share := range step.Shares {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f%%\n", share.Tenant, share.Threads, float64(share.PerMillion)/perMillionPercent)
+		percent := float64(share.PerMillion) / perMillionPercent
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%.2f%%\n", share.Tenant, share.Threads, percent)
 	}
 }
 
--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -19,18 +19,33 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)))
+	p, err := w.StartCoordinator(
+		currentProgram,
+		folder,
+		"start",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"all are watched",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() },
+	)
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"it says so",
+		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
-		return s.RunningSpec == r.From.Digest() && s.Fence.Compare(r.State.Fence) <= 0
+		return s.RunningSpec == r.FromSpec.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
 		t.Error("orders went out past the record")
 	}
@@ -43,11 +58,18 @@
 	stopAndCheckRules(t, w, l)
 }
 
-// Disks that are full or slow at one place after the other, times of day a quarter of an hour apart, controllers that take
-// their time to start: the change waits for what is mended, and reaches all.
+// Disks that are full or slow at one place after the other, times of day a quarter of an hour apart, controllers that
+// take their time to start: the change waits for what is mended, and reaches all.
 func TestDisksThatAreFullOrSlowAndClocksApart(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{Program: steeredProgram, Seed: 3, Controllers: 3, Engines: 2, StartDelayMS: 300, ClockOffsetMS: map[int]int{0: -420_000, 2: 420_000}}.Start()
+	w, err := testcluster.Config{
+		Program:       steeredProgram,
+		Seed:          3,
+		Controllers:   3,
+		Engines:       2,
+		StartDelayMS:  300,
+		ClockOffsetMS: map[int]int{0: -420_000, 2: 420_000},
+	}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,15 +86,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "all are watched", func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"all are watched",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() },
+	)
 	disk(testcluster.CoordinatorDisk, "full")
-	waitUntil(t, w, "it says so", func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"it says so",
+		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() },
+	)
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
 	disk(testcluster.CoordinatorDisk, "300ms")
-	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Exited() })
-	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") || !everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
+	waitUntil(
+		t,
+		w,
+		"a keeper refuses what it cannot record",
+		func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Exited() },
+	)
+	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") ||
+		!everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
 	}
 	for _, m := range w.Members {
@@ -82,13 +120,18 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Crashes == 0 }) {
+	if !everyStatus(
+		t,
+		w,
+		func(s supervisor.Status) bool { return s.RunningSpec == r.ToSpec.Digest() && s.Crashes == 0 },
+	) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
 }
 
-// A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes through.
+// A keeper takes its order and dies before it says so, an old controller is ended by hand meanwhile: the change goes
+// through.
 func TestAMemberThatDiesWithItsOrder(t *testing.T) {
 	t.Parallel()
 	w, err := testcluster.Config{Program: steeredProgram, Seed: 13, Controllers: 3, Engines: 2}.Start()
@@ -98,11 +141,21 @@
 	t.Cleanup(w.Close)
 	l := w.StartLoad(13, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(steeredProgram, folder, "start", writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)))
+	p, err := w.StartCoordinator(
+		steeredProgram,
+		folder,
+		"start",
+		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)),
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() })
+	waitUntil(
+		t,
+		w,
+		"the first stage bakes",
+		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
+	)
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
@@ -117,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	syscall.Kill(s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
+	signalProcess(t, s.PID, syscall.SIGTERM) // by hand: its keeper starts it again
 	if err := w.SetDisk(next.Name, "400ms"); err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +188,7 @@
 	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.To.Digest() && s.Serving }) {
+	if !everyStatus(t, w, func(s supervisor.Status) bool { return s.RunningSpec == r.ToSpec.Digest() && s.Serving }) {
 		t.Error("not all run it")
 	}
 	stopAndCheckRules(t, w, l)
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -156,7 +156,7 @@
 	members := []operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}
 	fleet := coordinator.NewFleetClient(members, requestTimeout, requestTimeout)
 	fence := change.Fence{Number: 1, Term: 1, Revision: turn}
-	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Spec: spec}
+	order := change.Order{Format: change.Format, Fence: fence, CoordinatorID: "x", Member: m.Name, Spec: spec}
 	fleet.SendOrders(context.Background(), map[int]change.Order{0: order})
 	return nil
 }
--- a/internal/supervisor/harness_test.go
+++ b/internal/supervisor/harness_test.go
@@ -126,11 +126,11 @@
 
 func orderOf(turn int64, program change.Program, shape, plan string) change.Order {
 	o := change.Order{
-		Format: change.Format,
-		Fence:  change.Fence{Number: 4, Term: 2, Revision: turn},
-		By:     "conductor-a",
-		Member: "c1",
-		Spec:   change.Spec{Program: program},
+		Format:        change.Format,
+		Fence:         change.Fence{Number: 4, Term: 2, Revision: turn},
+		CoordinatorID: "conductor-a",
+		Member:        "c1",
+		Spec:          change.Spec{Program: program},
 	}
 	if shape != "" {
 		o.Spec.Topology = json.RawMessage(shape)
