--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -539,7 +539,7 @@
 	earlier := coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1})
 	fleet := coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)
 	if _, err := coordinator.TakeOver(earlier, fleet); err == nil ||
-		err.Error() != fmt.Sprintf("reign %d comes before term %d", a.term-1, a.term) {
+		err.Error() != fmt.Sprintf("the leader's term %d comes before the recorded term %d", a.term-1, a.term) {
 		t.Errorf("an earlier one: %v", err)
 	}
 }
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -107,7 +107,7 @@
 	}
 	term := s.replicated.Term()
 	if term < last { // an equal one is this process's own: it has coordinated before and ended that
-		return 0, fmt.Errorf("reign %d comes before term %d", term, last)
+		return 0, fmt.Errorf("the leader's term %d comes before the recorded term %d", term, last)
 	}
 	return term, nil
 }
