--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -19,30 +19,17 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(
-		currentProgram,
-		folder,
-		"start",
-		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1)),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"all are watched",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() },
-	)
+	p := startRollout(t, w, currentProgram, folder,
+		strings.Replace(settingsChange(1), `"base_ms":300`, `"base_ms":3000`, 1))
+	waitUntil(t, w, "all are watched", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited()
+	})
 	if err := os.Rename(folder, folder+".gone"); err != nil { // as a full disk does: nothing can be written
 		t.Fatal(err)
 	}
-	waitUntil(
-		t,
-		w,
-		"it says so",
-		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() },
-	)
+	waitUntil(t, w, "it says so", func() bool {
+		return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited()
+	})
 	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
 	if !everyStatus(t, w, func(s supervisor.Status) bool {
 		return s.RunningSpec == r.FromSpec.Digest() && s.Fence.Compare(r.State.Fence) <= 0
@@ -82,33 +69,21 @@
 		}
 	}
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(steeredProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"all are watched",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited() },
-	)
+	p := startRollout(t, w, steeredProgram, folder, settingsChange(1))
+	waitUntil(t, w, "all are watched", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaseline || p.Exited()
+	})
 	disk(testcluster.CoordinatorDisk, "full")
-	waitUntil(
-		t,
-		w,
-		"it says so",
-		func() bool { return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited() },
-	)
+	waitUntil(t, w, "it says so", func() bool {
+		return strings.Contains(p.Log(), "rollout_not_recorded") || p.Exited()
+	})
 	for _, m := range w.Members {
 		disk(m.Name, "full")
 	}
 	disk(testcluster.CoordinatorDisk, "300ms")
-	waitUntil(
-		t,
-		w,
-		"a keeper refuses what it cannot record",
-		func() bool { return strings.Contains(p.Log(), "order_not_taken") || p.Exited() },
-	)
+	waitUntil(t, w, "a keeper refuses what it cannot record", func() bool {
+		return strings.Contains(p.Log(), "order_not_taken") || p.Exited()
+	})
 	if at := recordedState(folder).Fence; !strings.Contains(p.Log(), "507") ||
 		!everyStatus(t, w, func(s supervisor.Status) bool { return s.Fence.Compare(at) < 0 }) {
 		t.Errorf("%s", p.Log())
@@ -141,21 +116,11 @@
 	t.Cleanup(w.Close)
 	l := w.StartLoad(13, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(
-		steeredProgram,
-		folder,
-		"start",
-		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1)),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"the first stage bakes",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	p := startRollout(t, w, steeredProgram, folder,
+		strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":1000`, 1))
+	waitUntil(t, w, "the first stage bakes", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range w.Members {
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -136,7 +136,10 @@
 	if err := w.StartSupervisor(lost); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is back", func() bool { s, err := w.Status(lost); return err == nil && s.Serving })
+	waitUntil(t, w, "it is back", func() bool {
+		s, err := w.Status(lost)
+		return err == nil && s.Serving
+	})
 	if v := leaderStatus(t, w, lost); v.ID != 0 {
 		t.Errorf("it came back as %d", v.ID)
 	}
@@ -159,7 +162,10 @@
 		if err := w.StartSupervisor(m); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, w, "it is back", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
+		waitUntil(t, w, "it is back", func() bool {
+			s, err := w.Status(m)
+			return err == nil && s.Serving
+		})
 	}
 	waitUntil(t, w, "nobody owns", func() bool { return !leaderStatus(t, w, kept).Active })
 	c := exec.Command(currentProgram, "fleet", "recover", kept.Name)
@@ -230,12 +236,9 @@
 			2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
 	})
 	for _, m := range told {
-		waitUntil(
-			t,
-			w,
-			"its controller follows it",
-			func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_taken") },
-		)
+		waitUntil(t, w, "its controller follows it", func() bool {
+			return strings.Contains(m.Supervisor.Log(), "msg=plan_taken")
+		})
 	}
 	var first *testcluster.Member
 	for _, m := range told {
@@ -268,24 +271,19 @@
 		s, err := w.Status(told[0])
 		return err == nil && s.Assignment.Plan == "" && len(s.Assignment.Shares) == 0
 	})
-	waitUntil(
-		t,
-		w,
-		"its controller guesses again",
-		func() bool { s, err := w.Status(told[0]); return err == nil && s.SharePerMillion >= quota.FullShare/4 },
-	)
+	waitUntil(t, w, "its controller guesses again", func() bool {
+		s, err := w.Status(told[0])
+		return err == nil && s.SharePerMillion >= quota.FullShare/4
+	})
 	done := l.Done.Load()
 	waitUntil(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
 	for _, m := range told[1:] {
 		m.Supervisor.Signal(syscall.SIGCONT)
 	}
 	for _, m := range told[1:] {
-		waitUntil(
-			t,
-			w,
-			"its plan ended while its keeper slept",
-			func() bool { return strings.Contains(m.Supervisor.Log(), "msg=plan_ended") },
-		)
+		waitUntil(t, w, "its plan ended while its keeper slept", func() bool {
+			return strings.Contains(m.Supervisor.Log(), "msg=plan_ended")
+		})
 	}
 	stopAndCheckRules(t, w, l)
 }
@@ -351,12 +349,9 @@
 	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
 	_ = c.Run() // the change may be begun by the next leader, or not at all
 	third := acts(second)
-	waitUntil(
-		t,
-		w,
-		"it says why",
-		func() bool { return strings.Contains(second.Supervisor.Log(), "msg=leader_member_halted") },
-	)
+	waitUntil(t, w, "it says why", func() bool {
+		return strings.Contains(second.Supervisor.Log(), "msg=leader_member_halted")
+	})
 	if text := runCommand(t, w, "fleet", "leader"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
@@ -384,12 +379,10 @@
 	if err := w.StartSupervisor(gone); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(
-		t,
-		w,
-		"its controller is back",
-		func() bool { s, err := w.Status(gone); return err == nil && s.Serving },
-	)
+	waitUntil(t, w, "its controller is back", func() bool {
+		s, err := w.Status(gone)
+		return err == nil && s.Serving
+	})
 	if err := w.Stop(); err != nil {
 		t.Error(err)
 	}
--- a/internal/coordinator/process_plan_test.go
+++ b/internal/coordinator/process_plan_test.go
@@ -97,21 +97,11 @@
 	t.Cleanup(w.Close)
 	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(
-		currentProgram,
-		folder,
-		"start",
-		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1)),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"the first stage",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	p := startRollout(t, w, currentProgram, folder,
+		strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1))
+	waitUntil(t, w, "the first stage", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	if monotonic.Now() > ends {
 		t.Log("the machine is slow: it ended before the first stage")
 	}
@@ -119,12 +109,9 @@
 		t.Fatalf("%v: %s", err, p.Log())
 	}
 	for _, m := range w.Members {
-		waitUntil(
-			t,
-			w,
-			"its plan has ended",
-			func() bool { return strings.Count(m.Supervisor.Log(), "msg=plan_ended") == 1 },
-		)
+		waitUntil(t, w, "its plan has ended", func() bool {
+			return strings.Count(m.Supervisor.Log(), "msg=plan_ended") == 1
+		})
 		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 {
 			t.Errorf("%s", m.Supervisor.Log())
 		}
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -17,25 +17,10 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(
-		currentProgram,
-		folder,
-		"start",
-		writeFile(
-			t,
-			w,
-			"change.json",
-			fmt.Sprintf(
-				`{"number":1,"kind":"program","to":{"program":%q},%s}`,
-				crashingProgram,
-				strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1),
-			),
-		),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	err = p.WaitExit()
+	neverPasses := strings.Replace(timingAndLimits, `"jobs_wanted":5`, `"jobs_wanted":100000`, 1)
+	program := fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s}`, crashingProgram, neverPasses)
+	p := startRollout(t, w, currentProgram, folder, program)
+	err := p.WaitExit()
 	if exitCode(err) != exitRolledBack {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
@@ -53,16 +38,10 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"the first stage bakes",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
+	waitUntil(t, w, "the first stage bakes", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -71,12 +50,9 @@
 		}
 	}
 	far.Link.SetMode(testcluster.LinkOneWay, 0) // it is asked, and its answers are lost
-	waitUntil(
-		t,
-		w,
-		"all that can be reached have passed",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseFinishing || p.Exited() },
-	)
+	waitUntil(t, w, "all that can be reached have passed", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseFinishing || p.Exited()
+	})
 	if p.Exited() {
 		t.Fatalf("it ended without one: %s", p.Log())
 	}
@@ -96,31 +72,12 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(
-		currentProgram,
-		folder,
-		"start",
-		writeFile(
-			t,
-			w,
-			"change.json",
-			strings.Replace(
-				strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1),
-				`"apply_ms":20000`,
-				`"apply_ms":5000`,
-				1,
-			),
-		),
-	)
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"the first stage bakes",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	neverPasses := strings.Replace(settingsChange(1), `"jobs_wanted":5`, `"jobs_wanted":1000000`, 1)
+	failsSoon := strings.Replace(neverPasses, `"apply_ms":20000`, `"apply_ms":5000`, 1)
+	p := startRollout(t, w, currentProgram, folder, failsSoon)
+	waitUntil(t, w, "the first stage bakes", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	var far *testcluster.Member
 	for _, m := range w.Members {
@@ -139,7 +96,7 @@
 		return s.Phase == rollout.PhaseDegraded && strings.Contains(s.Reason, far.Name) || p.Exited()
 	})
 	far.Link.SetMode(testcluster.LinkUp, 0)
-	err = p.WaitExit()
+	err := p.WaitExit()
 	if exitCode(err) != exitRolledBack || recordedState(folder).Phase != rollout.PhaseReverted {
 		t.Fatalf("%v, %+v: %s", err, recordedState(folder), p.Log())
 	}
--- a/internal/coordinator/process_setup_test.go
+++ b/internal/coordinator/process_setup_test.go
@@ -137,6 +137,16 @@
 	return path
 }
 
+// startRollout writes a change and starts a coordinator for it.
+func startRollout(t *testing.T, w *testcluster.Cluster, program, folder, change string) *testcluster.Process {
+	t.Helper()
+	p, err := w.StartCoordinator(program, folder, "start", writeFile(t, w, "change.json", change))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
 func settingsChange(number int) string {
 	return fmt.Sprintf(
 		`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`,
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -91,12 +91,10 @@
 	ask(b, second)
 	answer(a, first)
 	answer(b, second)
-	waitUntil(
-		t,
-		w,
-		"the older one has ended",
-		func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 },
-	)
+	waitUntil(t, w, "the older one has ended", func() bool {
+		s, err := w.Status(m)
+		return err == nil && len(s.DrainingPIDs) == 0
+	})
 	a.Conn.Close()
 	b.Conn.Close()
 	if err := w.Stop(); err != nil {
@@ -156,12 +154,10 @@
 		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
 	})
 	w.ListRestarted("e2") // once more, while they do
-	waitUntil(
-		t,
-		w,
-		"the older one has ended",
-		func() bool { s, err := w.Status(m); return err == nil && len(s.DrainingPIDs) == 0 },
-	)
+	waitUntil(t, w, "the older one has ended", func() bool {
+		s, err := w.Status(m)
+		return err == nil && len(s.DrainingPIDs) == 0
+	})
 	cold := func() (n int) {
 		started := int64(0)
 		for _, e := range w.Events.Entries() {
@@ -207,12 +203,10 @@
 	m := w.Members[0]
 	w.Faults.SetFailing("e2", true)
 	var was supervisor.Status
-	waitUntil(
-		t,
-		w,
-		"it is set aside",
-		func() bool { was, err = w.Status(m); return err == nil && was.EjectedEngines == 1 },
-	)
+	waitUntil(t, w, "it is set aside", func() bool {
+		was, err = w.Status(m)
+		return err == nil && was.EjectedEngines == 1
+	})
 	broken := func() (n int) {
 		for _, e := range w.Events.Entries() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
@@ -223,12 +217,10 @@
 	}
 	l.Stop() // no job of the older one's is to count below
 	sendOrder(t, m, was, otherProgram)
-	waitUntil(
-		t,
-		w,
-		"the newer one serves",
-		func() bool { s, err := w.Status(m); return err == nil && s.Version == "other" && s.Serving },
-	)
+	waitUntil(t, w, "the newer one serves", func() bool {
+		s, err := w.Status(m)
+		return err == nil && s.Version == "other" && s.Serving
+	})
 	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 ||
 		!strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2 engines=3") {
 		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Supervisor.Log())
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -23,16 +23,10 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder, copied := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "copied")
-	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"a first stage",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
+	waitUntil(t, w, "a first stage", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
@@ -79,10 +73,7 @@
 	t.Parallel()
 	w, l := newCluster(t, 3)
 	folder := filepath.Join(w.Dir, "record")
-	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
-	if err != nil {
-		t.Fatal(err)
-	}
+	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
 	if err := p.WaitExit(); err != nil {
 		t.Fatalf("%v: %s", err, p.Log())
 	}
@@ -127,7 +118,10 @@
 	if err := w.StartSupervisor(m); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it serves again", func() bool { s, err := w.Status(m); return err == nil && s.Serving })
+	waitUntil(t, w, "it serves again", func() bool {
+		s, err := w.Status(m)
+		return err == nil && s.Serving
+	})
 	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.RunningSpec != before.RunningSpec {
 		t.Errorf("after a restart it holds %+v %v", s.Fence, err)
 	}
@@ -164,10 +158,7 @@
 	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
 	for i, of := range []string{currentProgram, previousProgram} {
 		folder := filepath.Join(w.Dir, fmt.Sprint("record", i))
-		p, err := w.StartCoordinator(of, folder, "start", writeFile(t, w, "change.json", settingsChange(i+1)))
-		if err != nil {
-			t.Fatal(err)
-		}
+		p := startRollout(t, w, of, folder, settingsChange(i+1))
 		if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 			t.Fatalf("%v: %s", err, p.Log())
 		}
@@ -188,16 +179,10 @@
 	t.Parallel()
 	w, l := newCluster(t, 2)
 	folder, other := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "other")
-	p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, "change.json", settingsChange(1)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	waitUntil(
-		t,
-		w,
-		"it is under way",
-		func() bool { return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited() },
-	)
+	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
+	waitUntil(t, w, "it is under way", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	})
 	q, err := w.StartCoordinator(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
