--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -7,6 +7,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"swiftreel/internal/proof"
 )
 
 // What leading costs by the number of listeners. Three voters are processes of their own (this program, with the real
@@ -30,27 +32,24 @@
 	assignments float64 // to each listener
 }
 
-// proveCosts measures, and reports whether the figures hold.
-func proveCosts() bool {
-	areGood := true
+// proveCosts measures leaders of few and of many listeners.
+func proveCosts(report *proof.Report) {
 	for _, count := range listenerCounts {
 		cost, err := measureLeading(count)
 		if err != nil {
-			fmt.Println("FAILED: costs:", err)
-			return false
+			report.Failf("costs: %v", err)
+			return
 		}
 		pollingCores, err := measurePolling(count)
 		if err != nil {
-			fmt.Println("FAILED: costs:", err)
-			return false
+			report.Failf("costs: %v", err)
+			return
 		}
 		fmt.Print(costLine(count, cost, pollingCores))
 		if cost.cores > maxLeaderCores || cost.assignments < minAssignments {
-			fmt.Printf("FAILED: over %.0f%% of a core, or words do not arrive\n", 100*maxLeaderCores)
-			areGood = false
+			report.Failf("over %.0f%% of a core, or words do not arrive", 100*maxLeaderCores)
 		}
 	}
-	return areGood
 }
 
 func costLine(count int, cost leadingCost, pollingCores float64) string {
--- a/internal/proof/owner/election.go
+++ b/internal/proof/owner/election.go
@@ -7,6 +7,8 @@
 	"runtime"
 	"sync"
 	"time"
+
+	"swiftreel/internal/proof"
 )
 
 const (
@@ -18,50 +20,36 @@
 )
 
 // proveElection runs all clusters at the same time, and beside them the costs and shares.
-func proveElection(program string) bool {
-	startedAt := time.Now()
+func proveElection(report *proof.Report, program string) {
 	fmt.Print(headerLine(runtime.NumCPU(), runtime.Version()))
-	var proof electionProof
+	election := electionProof{report: report}
 	var wait sync.WaitGroup
 	wait.Go(func() {
-		areCostsGood := proveCosts()
-		areSharesGood := proveShares(program)
-		if !areCostsGood || !areSharesGood {
-			proof.markFailed()
-		}
+		proveCosts(report)
+		proveShares(report, program)
 	})
-	wait.Go(func() { proof.runBaseline(program) })
+	wait.Go(func() { election.runBaseline(program) })
 	for number := range clusterCount + 1 {
-		wait.Go(func() { proof.runCluster(program, number) })
+		wait.Go(func() { election.runCluster(program, number) })
 	}
 	wait.Wait()
-	proof.summary.print(os.Stdout)
-	if !proof.summary.holds() {
-		fmt.Println("FAILED: a point less done than without any owner, or no plan was taken")
-		proof.markFailed()
+	election.summary.print(os.Stdout)
+	if !election.summary.holds() {
+		report.Failf("a point less done than without any owner, or no plan was taken")
 	}
-	fmt.Printf("\nin all %v\n", time.Since(startedAt).Round(100*time.Millisecond))
-	return !proof.hasFailed
+	report.PrintTotal()
 }
 
 // electionProof collects what the clusters find. Its methods are safe for concurrent use.
 type electionProof struct {
-	mu        sync.Mutex
-	hasFailed bool
-	summary   summary
-}
+	report *proof.Report
 
-func (p *electionProof) markFailed() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.hasFailed = true
+	mu      sync.Mutex // guards summary
+	summary summary
 }
 
 func (p *electionProof) fail(cluster int, cause any) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.hasFailed = true
-	fmt.Printf("FAILED: town %d: %v\n", cluster, cause)
+	p.report.Failf("town %d: %v", cluster, cause)
 }
 
 // runBaseline plays the same load on a fleet without a leader.
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -7,6 +7,8 @@
 	"flag"
 	"fmt"
 	"os"
+
+	"swiftreel/internal/proof"
 )
 
 // Parts of the proof that -only names.
@@ -29,25 +31,25 @@
 		}
 		return
 	}
-	if !prove(*program, *only) {
+	report := proof.NewReport(os.Stdout)
+	prove(report, *program, *only)
+	if report.HasFailed() {
 		os.Exit(1)
 	}
 }
 
-// prove runs the proof or one part of it, and reports whether all figures hold.
-func prove(program, only string) bool {
+// prove runs the proof or one part of it.
+func prove(report *proof.Report, program, only string) {
 	switch only {
 	case "":
-		return proveElection(program)
+		proveElection(report, program)
 	case onlyCosts:
-		return proveCosts()
+		proveCosts(report)
 	case onlyShares:
-		return proveShares(program)
+		proveShares(report, program)
 	case onlyVirtual:
 		if err := playVirtual(program); err != nil {
-			fmt.Println("FAILED:", err)
-			return false
+			report.Failf("%v", err)
 		}
 	}
-	return true
 }
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/rulecheck"
 	"swiftreel/internal/testcluster"
 )
@@ -30,7 +31,7 @@
 
 // proveShares has a front send unevenly to four controllers, once with assigned shares and once with estimated ones,
 // and compares how far each controller's share is from its part of the jobs.
-func proveShares(program string) bool {
+func proveShares(report *proof.Report, program string) {
 	var assigned, estimated unevenResult
 	var assignedErr, estimatedErr error
 	var wait sync.WaitGroup
@@ -39,16 +40,14 @@
 	wait.Wait()
 	for _, err := range []error{assignedErr, estimatedErr} {
 		if err != nil {
-			fmt.Println("FAILED: shares:", err)
-			return false
+			report.Failf("shares: %v", err)
+			return
 		}
 	}
 	fmt.Print(sharesLine(assigned, estimated))
 	if assigned.meanError >= estimated.meanError || assigned.doneShare < estimated.doneShare-maxLostShare {
-		fmt.Println("FAILED: parts that are told are no better than guessed ones")
-		return false
+		report.Failf("parts that are told are no better than guessed ones")
 	}
-	return true
 }
 
 func sharesLine(assigned, estimated unevenResult) string {
--- a/internal/proof/rollout/main.go
+++ b/internal/proof/rollout/main.go
@@ -11,7 +11,8 @@
 	"os"
 	"runtime"
 	"sync"
-	"time"
+
+	"swiftreel/internal/proof"
 )
 
 // Names of -only that are no scenario's.
@@ -53,13 +54,13 @@
 }
 
 func run(flags options) error {
-	began := time.Now()
-	fmt.Printf("machine: %d cores, %s; engines are simulated servers\n\n", runtime.NumCPU(), runtime.Version())
+	report := proof.NewReport(os.Stdout)
+	fmt.Printf("%s; %s\n\n", proof.Machine(), proof.SimulatedEngines)
 	if flags.only == onlyVirtual {
 		if !printVirtualFigures(flags.chart) {
 			return errFailed
 		}
-		printTotal(began)
+		report.PrintTotal()
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "builds")
@@ -71,19 +72,15 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("builds after %v\n", time.Since(began).Round(100*time.Millisecond))
+	fmt.Printf("builds after %v\n", report.Elapsed())
 	ok := playAll(flags, programs)
-	printTotal(began)
+	report.PrintTotal()
 	if !ok {
 		return errFailed
 	}
 	return nil
 }
 
-func printTotal(began time.Time) {
-	fmt.Printf("\nin all %v\n", time.Since(began).Round(100*time.Millisecond))
-}
-
 // playAll plays all that the options say, and reports whether every figure holds.
 func playAll(flags options, programs map[string]string) bool {
 	transferFailed := false
--- a/internal/proof/solve/decision_cost.go
+++ b/internal/proof/solve/decision_cost.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"swiftreel/choice"
+	"swiftreel/internal/proof"
 )
 
 const (
@@ -24,7 +25,7 @@
 
 // checkDecisionCost compares Decide with a plan and without, in turns. It takes the shortest time of each: what else
 // the machine does comes on top of both.
-func (p *proof) checkDecisionCost() {
+func checkDecisionCost(report *proof.Report) {
 	var without, with []time.Duration
 	for range costRounds {
 		without = append(without, measureDecisions(nil))
@@ -35,7 +36,7 @@
 	fmt.Printf("\nDecide, a job in and out at %d engines: %v without, %v with a plan: %+.1f%% (at most %.0f%%)\n",
 		costEngines, shortestWithout/costJobs, shortestWith/costJobs, 100*increase, 100*maxPlanCost)
 	if increase > maxPlanCost {
-		p.fail("a plan makes Decide %.1f%% dearer", 100*increase)
+		report.Failf("a plan makes Decide %.1f%% dearer", 100*increase)
 	}
 }
 
--- a/internal/proof/solve/fleets.go
+++ b/internal/proof/solve/fleets.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
@@ -32,7 +33,7 @@
 }
 
 // checkOrdinaryFleets measures how good answers are after a second.
-func (p *proof) checkOrdinaryFleets() {
+func checkOrdinaryFleets(report *proof.Report) {
 	results := make([]ordinaryResult, ordinaryFleetCount)
 	runParallel(ordinaryFleetCount, max(1, runtime.NumCPU()/2), func(index int) {
 		load := 0.6 + 0.015*float64(index)
@@ -46,7 +47,7 @@
 	for i, r := range results {
 		valueTimes = append(valueTimes, r.valueSettledAfter)
 		if r.took > maxOrdinaryTime {
-			p.fail("ordinary %d took %v", i, r.took)
+			report.Failf("ordinary %d took %v", i, r.took)
 		}
 		if r.Status == solve.Infeasible {
 			infeasible++
@@ -58,7 +59,7 @@
 		gaps = append(gaps, r.Gap)
 		costExcesses = append(costExcesses, r.costExcess())
 		if r.err != nil || r.Status == solve.Unknown || r.Gap > maxGap {
-			p.fail("ordinary %d: %s, gap %.5f %v", i, r.Status, r.Gap, r.err)
+			report.Failf("ordinary %d: %s, gap %.5f %v", i, r.Status, r.Gap, r.err)
 		}
 	}
 	slices.Sort(costExcesses)
@@ -73,14 +74,14 @@
 }
 
 // checkLargeFleet solves one problem of many engines.
-func (p *proof) checkLargeFleet() {
+func checkLargeFleet(report *proof.Report) {
 	problem := draw.Ordinary(1, 300, 3, 8, 40, 1.1)
 	answer := solveWithin(problem, largeSolveTime)
 	if answer.Status == solve.Unknown || answer.took > maxLargeTime {
-		p.fail("300 engines: %s in %v", answer.Status, answer.took)
+		report.Failf("300 engines: %s in %v", answer.Status, answer.took)
 	}
 	if err := verifySteps(problem, answer.Answer); err != nil {
-		p.fail("300 engines: %v", err)
+		report.Failf("300 engines: %v", err)
 	}
 	fmt.Printf("300 engines, 8 types, 40 tenants, 10 s: %s, gap %.4f%%, value settled after %v, in all %v\n\n",
 		answer.Status, 100*answer.Gap, answer.valueSettledAfter.Round(time.Millisecond),
--- a/internal/proof/solve/main.go
+++ b/internal/proof/solve/main.go
@@ -6,34 +6,22 @@
 import (
 	"fmt"
 	"os"
-	"runtime"
-	"time"
+
+	"swiftreel/internal/proof"
 )
 
 func main() {
-	startedAt := time.Now()
-	fmt.Printf("machine: %d cores, %s; engines are simulated servers\n\n", runtime.NumCPU(), runtime.Version())
-	var p proof
-	p.checkSmallProblems()
-	p.checkWarmUps()
-	p.checkOrdinaryFleets()
-	p.checkLargeFleet()
+	report := proof.NewReport(os.Stdout)
+	fmt.Printf("%s; %s\n\n", proof.Machine(), proof.SimulatedEngines)
+	checkSmallProblems(report)
+	checkWarmUps(report)
+	checkOrdinaryFleets(report)
+	checkLargeFleet(report)
 	printGrowth()
-	p.checkPlanEffect()
-	p.checkDecisionCost()
-	fmt.Printf("\nin all %v\n", time.Since(startedAt).Round(100*time.Millisecond))
-	if p.hasFailed {
+	checkPlanEffect(report)
+	checkDecisionCost(report)
+	report.PrintTotal()
+	if report.HasFailed() {
 		os.Exit(1)
 	}
 }
-
-// proof remembers whether a check has failed. It is not safe for concurrent use.
-type proof struct {
-	hasFailed bool
-}
-
-// fail prints why a check has failed.
-func (p *proof) fail(format string, args ...any) {
-	p.hasFailed = true
-	fmt.Printf("FAILED: "+format+"\n", args...)
-}
--- a/internal/proof/solve/plan_effect.go
+++ b/internal/proof/solve/plan_effect.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 )
 
@@ -27,7 +28,7 @@
 // checkPlanEffect compares, in virtual time and through the decision module itself, a fleet of two zones whose demand
 // is skewed: without a plan, with one worked out for it, and with one worked out for the opposite skew and a smaller
 // fleet.
-func (p *proof) checkPlanEffect() {
+func checkPlanEffect(report *proof.Report) {
 	fleet := twoZoneFleet(800)
 	staleFleet := twoZoneFleet(200)
 	staleFleet.Engines = staleFleet.Engines[:staleEngineCount]
@@ -37,15 +38,15 @@
 		"four fifths of the demand in one zone,")
 	fmt.Println("60 s, mean of 4 seeds; the stale plan is for the opposite skew and five of the eight servers:")
 	fmt.Println("  plan                billed value   on time   crossing MB   throttled   broken rules")
-	without := p.measurePlanEffect("without", fleet, nil)
-	fitting := p.measurePlanEffect("with its plan", fleet, fittingPlan)
-	stale := p.measurePlanEffect("with a stale plan", fleet, stalePlan)
+	without := measurePlanEffect(report, "without", fleet, nil)
+	fitting := measurePlanEffect(report, "with its plan", fleet, fittingPlan)
+	stale := measurePlanEffect(report, "with a stale plan", fleet, stalePlan)
 	if fitting.value < minFittingValue*without.value || fitting.crossingMB > maxFittingCrossing*without.crossingMB {
-		p.fail("a plan that fits brings no more than none: value %.0f of %.0f, crossing %.1f of %.1f MB",
+		report.Failf("a plan that fits brings no more than none: value %.0f of %.0f, crossing %.1f of %.1f MB",
 			fitting.value, without.value, fitting.crossingMB, without.crossingMB)
 	}
 	if stale.value < minStaleValue*without.value {
-		p.fail("a stale plan costs value: %.0f of %.0f", stale.value, without.value)
+		report.Failf("a stale plan costs value: %.0f of %.0f", stale.value, without.value)
 	}
 }
 
@@ -55,7 +56,7 @@
 }
 
 // measurePlanEffect simulates a fleet with each seed and prints a line of the table.
-func (p *proof) measurePlanEffect(name string, fleet *solve.Problem, plan *solve.Step) planEffect {
+func measurePlanEffect(report *proof.Report, name string, fleet *solve.Problem, plan *solve.Step) planEffect {
 	var sum outcomes
 	for seed := range uint64(effectSeeds) {
 		sum.add(simulate(fleet, plan, seed))
@@ -69,7 +70,7 @@
 	fmt.Printf("  %-18s  %12.0f   %6.2f%%   %11.1f   %9d   %12d\n",
 		name, effect.value, 100*effect.onTimeShare, effect.crossingMB, effect.throttled, sum.violations)
 	if sum.violations > 0 {
-		p.fail("%s: %d broken rules, the first: %s", name, sum.violations, sum.firstViolation)
+		report.Failf("%s: %d broken rules, the first: %s", name, sum.violations, sum.firstViolation)
 	}
 	return effect
 }
--- a/internal/proof/solve/small.go
+++ b/internal/proof/solve/small.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
@@ -30,7 +31,7 @@
 }
 
 // checkSmallProblems holds the solver against trying all answers.
-func (p *proof) checkSmallProblems() {
+func checkSmallProblems(report *proof.Report) {
 	results := make([]smallResult, smallProblemCount)
 	runParallel(smallProblemCount, maxSmallWorkers, func(index int) {
 		random := rand.New(rand.NewPCG(smallProblemSeed, uint64(index)))
@@ -40,7 +41,7 @@
 	var solverTimes, exhaustiveTimes []time.Duration
 	for i, r := range results {
 		if r.mistake != nil {
-			p.fail("problem %d: %s", i, r.mistake)
+			report.Failf("problem %d: %s", i, r.mistake)
 		}
 		if r.isInfeasible {
 			infeasible++
@@ -54,7 +55,7 @@
 		exhaustiveTimes = append(exhaustiveTimes, r.exhaustiveTime)
 	}
 	if tooLarge > 0 || infeasible < smallProblemCount/4 || infeasible > smallProblemCount/2 {
-		p.fail("%d were too large to try, %d of %d have no answer: a third should",
+		report.Failf("%d were too large to try, %d of %d have no answer: a third should",
 			tooLarge, infeasible, smallProblemCount)
 	}
 	fmt.Printf("%d problems of up to 6 engines and 4 types, %d without an answer: "+
--- a/internal/proof/solve/warm_up.go
+++ b/internal/proof/solve/warm_up.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
@@ -21,14 +22,14 @@
 
 // warmUpCheck counts what was looked at.
 type warmUpCheck struct {
-	*proof
+	report  *proof.Report
 	steps   int
 	moments int // each of one engine
 }
 
 // checkWarmUps looks at plans for engines that warm up, at every moment and not only where a step begins.
-func (p *proof) checkWarmUps() {
-	check := warmUpCheck{proof: p}
+func checkWarmUps(report *proof.Report) {
+	check := warmUpCheck{report: report}
 	for seed := range uint64(warmingFleetCount) {
 		problem := drawWarmingFleet(seed)
 		answer := solve.Solve(problem, solve.Options{Stop: stopAfter(warmingSolveTime)})
@@ -41,7 +42,7 @@
 		}
 	}
 	if check.steps < minWarmingSteps {
-		p.fail("only %d steps", check.steps)
+		report.Failf("only %d steps", check.steps)
 	}
 	fmt.Printf("cold engines: %d fleets, %d steps, looked at at %d moments: none over its part of rule 4\n\n",
 		warmingFleetCount, check.steps, check.moments)
@@ -76,7 +77,7 @@
 			capacity := capacityAt(engine, atMS)
 			threads := engine.Cores * threadsPerCore
 			if assigned[engine.Name]*fullCapacity > threads*capacity {
-				c.fail("seed %d: engine %s runs %d threads at %d ms, its part is %d of %d",
+				c.report.Failf("seed %d: engine %s runs %d threads at %d ms, its part is %d of %d",
 					seed, engine.Name, assigned[engine.Name], atMS, capacity, threads)
 			}
 		}
--- a/internal/proof/sparql/main.go
+++ b/internal/proof/sparql/main.go
@@ -10,6 +10,8 @@
 	"runtime"
 	"sync"
 	"time"
+
+	"swiftreel/internal/proof"
 )
 
 // maxFloodLoss is the part of lookups that a flood of SPARQL requests may cost.
@@ -19,23 +21,22 @@
 	program := flag.String("program", "bin/swiftreel", "the controller to run")
 	seeds := flag.Int("seeds", 20, "runs with faults")
 	flag.Parse()
-	start := time.Now()
-	fmt.Printf("machine: %d cores, %s; engines are simulated servers\n\n", runtime.NumCPU(), runtime.Version())
-	passed := playFaults(*program, *seeds)
-	passed = playFlood(*program) && passed
-	fmt.Printf("\nin all %v\n", time.Since(start).Round(100*time.Millisecond))
-	if !passed {
+	report := proof.NewReport(os.Stdout)
+	fmt.Printf("%s; %s\n\n", proof.Machine(), proof.SimulatedEngines)
+	playFaults(report, *program, *seeds)
+	playFlood(report, *program)
+	report.PrintTotal()
+	if report.HasFailed() {
 		os.Exit(1)
 	}
 }
 
-// playFaults plays runs with faults, some at once. It returns whether all jobs had their one outcome by the rules.
-func playFaults(program string, seeds int) bool {
+// playFaults plays runs with faults, some at once. All jobs must have their one outcome by the rules.
+func playFaults(report *proof.Report, program string, seeds int) {
 	fmt.Printf("%d seeds of faults, two controllers, engines of the line protocol on e1 e2 e3, of SPARQL on e1 e2 e4:\n",
 		seeds)
-	var mu sync.Mutex
+	var mu sync.Mutex // guards sum
 	var sum counts
-	passed := true
 	var running sync.WaitGroup
 	slots := make(chan struct{}, max(2, runtime.NumCPU()/2))
 	for seed := range uint64(seeds) {
@@ -44,9 +45,9 @@
 			defer func() { <-slots }()
 			config := runConfig{seed: seed, faults: true, calls: 300, queries: 150, pause: 4 * time.Millisecond, lanes: 8}
 			c, err := play(program, config)
+			reportRun(report, seed, c, err)
 			mu.Lock()
 			defer mu.Unlock()
-			passed = reportRun(seed, c, err) && passed
 			sum.add(c)
 		})
 	}
@@ -56,46 +57,41 @@
 		sum.jobs, sum.done, sum.throttled, sum.cancelled, unanswered)
 	fmt.Printf("  dispatches %d, of which begun %d; broken rules %d\n\n", sum.dispatches, sum.begun, len(sum.violations))
 	if sum.begun < sum.done || sum.cancelled == 0 || unanswered != 0 {
-		fmt.Println("FAILED: jobs and outcomes do not add up, or no fault struck")
-		return false
+		report.Failf("jobs and outcomes do not add up, or no fault struck")
 	}
-	return passed
 }
 
-// reportRun prints what a run should not have shown, and returns whether there was nothing.
-func reportRun(seed uint64, c counts, err error) bool {
+// reportRun reports what a run should not have shown.
+func reportRun(report *proof.Report, seed uint64, c counts, err error) {
 	if err != nil {
-		fmt.Printf("FAILED: seed %d: %v\n", seed, err)
+		report.Failf("seed %d: %v", seed, err)
 	}
 	for _, v := range c.violations {
-		fmt.Printf("FAILED: seed %d: %v\n", seed, v)
+		report.Failf("seed %d: %v", seed, v)
 	}
-	return err == nil && len(c.violations) == 0
 }
 
 // playFlood plays a calm run with few SPARQL requests and one with many, and compares what becomes of MessagePack
 // lookups.
-func playFlood(program string) bool {
-	calm, ok := floodRun(program, 30, 1)
+func playFlood(report *proof.Report, program string) {
+	calm, ok := floodRun(report, program, 30, 1)
 	if !ok {
-		return false
+		return
 	}
-	flooded, ok := floodRun(program, 10_000, 48)
+	flooded, ok := floodRun(report, program, 10_000, 48)
 	if !ok {
-		return false
+		return
 	}
 	if calm-flooded > maxFloodLoss {
-		fmt.Printf("FAILED: the flood costs lookups more than %.0f points\n", 100*maxFloodLoss)
-		return false
+		report.Failf("the flood costs lookups more than %.0f points", 100*maxFloodLoss)
 	}
-	return true
 }
 
 // floodRun plays a run without faults, and returns the part of lookups that were done; ok is false where it failed.
-func floodRun(program string, queries, lanes int) (done float64, ok bool) {
+func floodRun(report *proof.Report, program string, queries, lanes int) (done float64, ok bool) {
 	c, err := play(program, runConfig{seed: 99, calls: 1500, queries: queries, pause: 2 * time.Millisecond, lanes: lanes})
 	if err != nil || len(c.violations) > 0 {
-		fmt.Printf("FAILED: %v %v\n", err, c.violations)
+		report.Failf("%v %v", err, c.violations)
 		return 0, false
 	}
 	done = float64(c.lookupsDone) / float64(max(1, c.lookups))
--- a/internal/proof/store/main.go
+++ b/internal/proof/store/main.go
@@ -6,38 +6,37 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"runtime"
 	"strings"
-	"time"
+
+	"swiftreel/internal/proof"
 )
 
 // crashSeeds is how many sequences of work the tests of the store cut off at each of their calls.
 const crashSeeds = "1000"
 
 func main() {
-	start := time.Now()
-	fmt.Printf("machine: %d cores, %s\n", runtime.NumCPU(), runtime.Version())
-	passed := runTests()
+	report := proof.NewReport(os.Stdout)
+	fmt.Println(proof.Machine())
+	runTests(report)
 	dir, err := os.MkdirTemp("", "store")
 	if err != nil {
-		fmt.Println("FAILED:", err)
+		report.Failf("%v", err)
 		os.Exit(1)
 	}
 	for _, measure := range []func(dir string) error{measureStartup, measureCommits} {
 		if err := measure(dir); err != nil {
-			fmt.Println("FAILED:", err)
-			passed = false
+			report.Failf("%v", err)
 		}
 	}
 	_ = os.RemoveAll(dir) // a temporary directory; what is left harms nothing
-	fmt.Printf("\nin all %v\n", time.Since(start).Round(100*time.Millisecond))
-	if !passed {
+	report.PrintTotal()
+	if report.HasFailed() {
 		os.Exit(1)
 	}
 }
 
 // runTests runs the tests of store and recovery and prints the figures that they log.
-func runTests() bool {
+func runTests(report *proof.Report) {
 	output, err := goTest("./internal/store", "-args", "-seeds", crashSeeds)
 	if err == nil {
 		var more []byte
@@ -48,9 +47,8 @@
 		printFigures(line)
 	}
 	if err != nil {
-		fmt.Printf("FAILED: %v: %s\n", err, output)
+		report.Failf("%v: %s", err, output)
 	}
-	return err == nil
 }
 
 func goTest(arguments ...string) ([]byte, error) {
--- a/internal/proof/upgrade/main.go
+++ b/internal/proof/upgrade/main.go
@@ -8,9 +8,10 @@
 	"flag"
 	"fmt"
 	"os"
-	"runtime"
 	"sync"
 	"time"
+
+	"swiftreel/internal/proof"
 )
 
 // baseCommit is the last one before the names of the code were changed.
@@ -21,14 +22,14 @@
 	only := flag.String("only", "", "play only the scenario of this name")
 	logs := flag.String("logs", "", "a folder in which the logs of all processes are left")
 	flag.Parse()
-	start := time.Now()
-	fmt.Printf("machine: %d cores, %s; engines are simulated servers\n", runtime.NumCPU(), runtime.Version())
+	overall := proof.NewReport(os.Stdout)
+	fmt.Printf("%s; %s\n", proof.Machine(), proof.SimulatedEngines)
 	ok, err := prove(*commit, *only, *logs)
 	if err != nil {
-		fmt.Println("FAILED:", err)
+		overall.Failf("%v", err)
 	}
-	fmt.Printf("\nin all %v\n", time.Since(start).Round(100*time.Millisecond))
-	if err != nil || !ok {
+	overall.PrintTotal()
+	if overall.HasFailed() || !ok {
 		os.Exit(1)
 	}
 }
