--- a/internal/solve/draw/small.go
+++ b/internal/solve/draw/small.go
@@ -1,3 +1,4 @@
+// Package draw makes problems up, the same from the same random source, for tests and proofs of the solver.
 package draw
 
 import (
@@ -7,146 +8,150 @@
 	"swiftreel/internal/solve"
 )
 
-// The greatest size of a small problem, which trying all answers can still handle.
-const (
-	maxSmallEngines = 6
-	maxSmallTypes   = 4
-	maxSmallTenants = 2
-	maxSmallZones   = 2
-	maxSmallKinds   = 2
-	maxSmallDemands = 6
-)
+// maxSmallDemand bounds the demand of a small problem.
+const maxSmallDemand = 6
 
-// Small draws a problem of up to six engines and four types. It is small enough to be solved by trying all answers.
-func Small(random *rand.Rand) *solve.Problem {
-	problem := &solve.Problem{ThreadsPerCore: 1}
-	kindCount := 1 + random.IntN(maxSmallKinds)
-	zoneCount := 1 + random.IntN(maxSmallZones)
-	for i := range zoneCount {
-		problem.Zones = append(problem.Zones, smallZone(i, random))
-	}
-	for i := range 1 + random.IntN(maxSmallEngines) {
-		engine := smallEngine(i, kindCount, zoneCount, random)
-		problem.Engines = append(problem.Engines, varySmallEngine(engine, problem.Engines, random))
-	}
-	for i := range 1 + random.IntN(maxSmallTypes) {
-		problem.Types = append(problem.Types, smallType(i, random))
-	}
-	for i := range 1 + random.IntN(maxSmallTenants) {
-		problem.Tenants = append(problem.Tenants, smallTenant(i, random))
-	}
-	problem.Demand = smallDemand(problem, random)
-	problem.Constraints = smallConstraints(problem, random)
-	return problem
+// Small draws a problem that can be solved by trying everything: up to six engines and four types.
+func Small(r *rand.Rand) *solve.Problem {
+	d := smallDraw{random: r, problem: &solve.Problem{ThreadsPerCore: 1}}
+	d.kinds = 1 + r.IntN(2)
+	d.zones = 1 + r.IntN(2)
+	d.drawZones()
+	d.drawEngines()
+	d.drawTypes()
+	d.drawTenants()
+	d.drawDemand()
+	d.drawMinServed()
+	d.drawLimits()
+	return d.problem
 }
 
-func smallZone(index int, random *rand.Rand) solve.Zone {
-	zone := solve.Zone{Name: fmt.Sprint("z", index), CrossingCostPerGB: int64(random.IntN(3) * 400_000)}
-	if oneIn(3, random) {
-		budget := int64(random.IntN(40) * 100)
-		zone.CrossingBytesPerS = &budget
-	}
-	return zone
+// smallDraw draws the parts of a small problem, in their order.
+type smallDraw struct {
+	random  *rand.Rand
+	problem *solve.Problem
+	kinds   int
+	zones   int
 }
 
-func smallEngine(index, kindCount, zoneCount int, random *rand.Rand) solve.Engine {
-	return solve.Engine{
-		Name:     fmt.Sprint("e", index),
-		Kind:     fmt.Sprint("k", random.IntN(kindCount)),
-		Zone:     fmt.Sprint("z", random.IntN(zoneCount)),
-		Cores:    int64(1 + random.IntN(3)),
-		MemoryMB: int64(100 * (1 + random.IntN(6))),
-		Cost:     int64(random.IntN(4)),
-	}
+// isOneIn returns true with a probability of one in n.
+func (d *smallDraw) isOneIn(n int) bool {
+	return d.random.IntN(n) == 0
 }
 
-// varySmallEngine makes an engine equal to the one before it, draining or warming up, or leaves it as it is.
-func varySmallEngine(engine solve.Engine, earlier []solve.Engine, random *rand.Rand) solve.Engine {
-	switch {
-	case len(earlier) > 0 && oneIn(2, random):
-		twin := earlier[len(earlier)-1]
-		twin.Name = engine.Name
-		return twin
-	case oneIn(6, random):
-		engine.State = solve.Draining
-	case oneIn(6, random):
-		engine.State = solve.Started
-		engine.CapacityPerMille = int64(random.IntN(1000))
-		engine.WarmInMS = 4000
+func (d *smallDraw) drawZones() {
+	for z := range d.zones {
+		zone := solve.Zone{Name: fmt.Sprint("z", z), CrossingCostPerGB: int64(d.random.IntN(3) * 400_000)}
+		if d.isOneIn(3) {
+			budget := int64(d.random.IntN(40) * 100)
+			zone.CrossingBytesPerS = &budget
+		}
+		d.problem.Zones = append(d.problem.Zones, zone)
 	}
-	return engine
 }
 
-func smallType(index int, random *rand.Rand) solve.Type {
-	drawn := solve.Type{
-		Name:        fmt.Sprint("t", index),
-		Threads:     int64(1 + random.IntN(2)),
-		MemoryMB:    int64(50 * random.IntN(8)),
-		WorkMS:      int64(100 * (1 + random.IntN(20))),
-		Value:       int64(1 + random.IntN(9)),
-		AnswerBytes: int64(random.IntN(4) * 300),
-	}
-	if oneIn(4, random) {
-		drawn.Kinds = []string{fmt.Sprint("k", random.IntN(maxSmallKinds))}
-	}
-	if oneIn(6, random) {
-		drawn.Zones = []string{"z0"}
+func (d *smallDraw) drawEngines() {
+	for i := range 1 + d.random.IntN(6) {
+		engine := solve.Engine{
+			Name:     fmt.Sprint("e", i),
+			Kind:     fmt.Sprint("k", d.random.IntN(d.kinds)),
+			Zone:     fmt.Sprint("z", d.random.IntN(d.zones)),
+			Cores:    int64(1 + d.random.IntN(3)),
+			MemoryMB: int64(100 * (1 + d.random.IntN(6))),
+			Cost:     int64(d.random.IntN(4)),
+		}
+		switch {
+		case i > 0 && d.isOneIn(2): // like the one before
+			name := engine.Name
+			engine = d.problem.Engines[i-1]
+			engine.Name = name
+		case d.isOneIn(6):
+			engine.State = solve.Draining
+		case d.isOneIn(6):
+			engine.State = solve.Started
+			engine.CapacityPerMille = int64(d.random.IntN(1000))
+			engine.WarmInMS = 4000
+		}
+		d.problem.Engines = append(d.problem.Engines, engine)
 	}
-	return drawn
 }
 
-func smallTenant(index int, random *rand.Rand) solve.Tenant {
-	tenant := solve.Tenant{Name: fmt.Sprint("a", index), SharePerMille: int64(random.IntN(500))}
-	if oneIn(4, random) {
-		quota := int64(random.IntN(6))
-		tenant.QuotaThreads = &quota
+func (d *smallDraw) drawTypes() {
+	for i := range 1 + d.random.IntN(4) {
+		t := solve.Type{
+			Name:        fmt.Sprint("t", i),
+			Threads:     int64(1 + d.random.IntN(2)),
+			MemoryMB:    int64(50 * d.random.IntN(8)),
+			WorkMS:      int64(100 * (1 + d.random.IntN(20))),
+			Value:       int64(1 + d.random.IntN(9)),
+			AnswerBytes: int64(d.random.IntN(4) * 300),
+		}
+		if d.isOneIn(4) {
+			t.Kinds = []string{fmt.Sprint("k", d.random.IntN(2))}
+		}
+		if d.isOneIn(6) {
+			t.Zones = []string{"z0"}
+		}
+		d.problem.Types = append(d.problem.Types, t)
 	}
-	return tenant
 }
 
-// smallDemand draws jobs for about half of all combinations of type, tenant and zone.
-func smallDemand(problem *solve.Problem, random *rand.Rand) []solve.Demand {
-	var demands []solve.Demand
-	add := func(jobType solve.Type, tenant, zone string) {
-		if !oneIn(2, random) || len(demands) >= maxSmallDemands {
-			return
+func (d *smallDraw) drawTenants() {
+	for i := range 1 + d.random.IntN(2) {
+		tenant := solve.Tenant{Name: fmt.Sprint("a", i), SharePerMille: int64(d.random.IntN(500))}
+		if d.isOneIn(4) {
+			quota := int64(d.random.IntN(6))
+			tenant.QuotaThreads = &quota
 		}
-		jobs := int64(random.IntN(3000)) * 1000 / jobType.WorkMS
-		demands = append(demands, solve.Demand{Type: jobType.Name, Tenant: tenant, Zone: zone, JobsPer1000S: jobs})
+		d.problem.Tenants = append(d.problem.Tenants, tenant)
 	}
-	for _, jobType := range problem.Types {
-		for _, tenant := range problem.Tenants {
-			for _, zone := range problem.Zones {
-				add(jobType, tenant.Name, zone.Name)
+}
+
+func (d *smallDraw) drawDemand() {
+	for _, t := range d.problem.Types {
+		for _, tenant := range d.problem.Tenants {
+			for _, zone := range d.problem.Zones {
+				if !d.isOneIn(2) || len(d.problem.Demand) >= maxSmallDemand {
+					continue
+				}
+				d.problem.Demand = append(d.problem.Demand, solve.Demand{
+					Type:         t.Name,
+					Tenant:       tenant.Name,
+					Zone:         zone.Name,
+					JobsPer1000S: int64(d.random.IntN(3000)) * 1000 / t.WorkMS,
+				})
 			}
 		}
 	}
-	return demands
 }
 
-func smallConstraints(problem *solve.Problem, random *rand.Rand) solve.Constraints {
-	var constraints solve.Constraints
-	if random.IntN(5) < 3 {
-		jobType := problem.Types[random.IntN(len(problem.Types))]
-		minServed := solve.MinServed{Type: jobType.Name, PerMille: int64(random.IntN(1001))}
-		constraints.MinServed = append(constraints.MinServed, minServed)
+func (d *smallDraw) drawMinServed() {
+	if d.random.IntN(5) < 3 {
+		name := d.problem.Types[d.random.IntN(len(d.problem.Types))].Name
+		d.addMinServed(solve.MinServed{Type: name, PerMille: int64(d.random.IntN(1001))})
 	}
-	if oneIn(3, random) {
-		tenant := problem.Tenants[random.IntN(len(problem.Tenants))]
-		minServed := solve.MinServed{Tenant: tenant.Name, PerMille: int64(random.IntN(1001))}
-		constraints.MinServed = append(constraints.MinServed, minServed)
+	if d.isOneIn(3) {
+		name := d.problem.Tenants[d.random.IntN(len(d.problem.Tenants))].Name
+		d.addMinServed(solve.MinServed{Tenant: name, PerMille: int64(d.random.IntN(1001))})
 	}
-	constraints.SharesHold = oneIn(4, random)
-	if oneIn(4, random) {
-		cost := int64(random.IntN(20))
+}
+
+func (d *smallDraw) addMinServed(m solve.MinServed) {
+	d.problem.Constraints.MinServed = append(d.problem.Constraints.MinServed, m)
+}
+
+func (d *smallDraw) drawLimits() {
+	constraints := &d.problem.Constraints
+	constraints.SharesHold = d.isOneIn(4)
+	if d.isOneIn(4) {
+		cost := int64(d.random.IntN(20))
 		constraints.MaxCost = &cost
 	}
-	if oneIn(4, random) {
-		perMille := int64(300 + random.IntN(700))
-		constraints.MaxUsePerMille = &perMille
+	if d.isOneIn(4) {
+		use := int64(300 + d.random.IntN(700))
+		constraints.MaxUsePerMille = &use
 	}
-	if oneIn(5, random) {
-		constraints.FitsWithout = []string{[]string{"any engine", "zone z0"}[random.IntN(2)]}
+	if d.isOneIn(5) {
+		constraints.FitsWithout = []string{[]string{"any engine", "zone z0"}[d.random.IntN(2)]}
 	}
-	return constraints
 }
