--- a/internal/sparql/endpoint/exchange.go
+++ b/internal/sparql/endpoint/exchange.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptrace"
@@ -118,7 +119,7 @@
 		return nil, backend.Failed
 	}
 	pages, err := c.readPages(response.Body)
-	if err == errNoMemory { //nolint:errorlint // readPages returns it as it is
+	if errors.Is(err, errNoMemory) {
 		counters.Increment("endpoint_answers_too_large")
 		c.Release(pages)
 		return nil, backend.Failed
