--- a/Makefile
+++ b/Makefile
@@ -13,10 +13,10 @@
 race:
 	go test -race -count=1 ./...
 
-# Each fuzz target for a short while, beyond the fixed seeds that the tests play.
+# Each fuzz target for a short while, beyond the fixed seeds that the tests run.
 fuzz:
 	go test -run '^$$' -fuzz 'FuzzRules$$' -fuzztime 10s ./choice
-	go test -run '^$$' -fuzz FuzzWords -fuzztime 10s ./choice
+	go test -run '^$$' -fuzz FuzzGossipMessages -fuzztime 10s ./choice
 	go test -run '^$$' -fuzz FuzzRulesWithPlans -fuzztime 10s ./choice
 	go test -run '^$$' -fuzz FuzzCheckedProblemsAreSolved -fuzztime 10s ./internal/solve
 	go test -run '^$$' -fuzz FuzzMessages -fuzztime 10s ./internal/client
@@ -27,12 +27,12 @@
 	go test -run '^$$' -fuzz FuzzParse -fuzztime 10s ./internal/discovery
 	go test -run '^$$' -fuzz FuzzOrders -fuzztime 10s ./internal/change
 	go test -run '^$$' -fuzz FuzzGroup -fuzztime 10s ./internal/statement
-	go test -run '^$$' -fuzz FuzzWordsOfTheOwner -fuzztime 10s ./internal/assignment
+	go test -run '^$$' -fuzz FuzzAssignments -fuzztime 10s ./internal/assignment
 
 lint:
 	scripts/lint
 
-# The example: toy engines and feed, the controller, a job served, one throttled, an engine lost.
+# The example: fake engines and feed, the controller, a job served, one throttled, an engine lost.
 run: build
 	go run ./example demo
 
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -189,8 +189,8 @@
 	require(t, points > 0 && points <= 2.1*gossipPointsPerJob, "%.4f points a job", points)
 }
 
-// FuzzWords: whatever a peer says, the rules are kept, and what was encoded is read as it was.
-func FuzzWords(f *testing.F) {
+// FuzzGossipMessages: whatever a peer says, the rules are kept, and what was encoded is read as it was.
+func FuzzGossipMessages(f *testing.F) {
 	f.Add([]byte{mapMarker, 1, 2, 3, 4}, int64(1))
 	f.Add([]byte{3, 0, 0, 255, 255, 9}, int64(2))
 	f.Fuzz(func(t *testing.T, message []byte, seed int64) {
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func FuzzWordsOfTheOwner(f *testing.F) {
+func FuzzAssignments(f *testing.F) {
 	f.Add([]byte(valid))
 	f.Add([]byte(`{"format":2`))
 	f.Fuzz(func(t *testing.T, text []byte) {
