--- a/internal/proof/solve/follow.go
+++ b/internal/proof/solve/follow.go
@@ -7,61 +7,95 @@
 	"swiftreel/internal/solve"
 )
 
-// follow compares, in virtual time and through the module itself, a fleet of two zones whose demand is skewed: without
-// a plan, with one worked out for it, and with one worked out for the opposite skew and another fleet.
-func follow() {
-	fits, stale := town(800), town(200)
+const (
+	followSeeds = 4
+	solveTime   = time.Second
+
+	minValueWithPlan = 0.98 // of the value without a plan
+	maxCrossing      = 0.9  // of the bytes that cross zones without one
+	minValueStale    = 0.97 // of the value without a plan
+)
+
+// followed is a plan, and what came of it in the mean of all seeds.
+type followed struct {
+	name       string
+	plan       *solve.Step // nil: none
+	sum        counts
+	value      float64
+	crossingMB float64
+}
+
+// comparePlans compares, in virtual time and through the module itself, a fleet of two zones whose demand is skewed:
+// without a plan, with one worked out for it, and with one worked out for the opposite skew and another fleet.
+func comparePlans() {
+	fits, stale := skewedProblem(800), skewedProblem(200)
 	stale.Engines = stale.Engines[:5]
-	plan := func(p *solve.Problem) *solve.Step {
-		began := time.Now()
-		a := solve.Solve(p, solve.Options{Stop: func(k int) bool { return time.Since(began) > time.Second*time.Duration(k)/1000 }})
-		return &a.Steps[0]
+	ways := []*followed{
+		{name: "without"},
+		{name: "with its plan", plan: solveStep(fits)},
+		{name: "with a stale plan", plan: solveStep(stale)},
 	}
-	ways := []struct {
-		name string
-		plan *solve.Step
-	}{{"without", nil}, {"with its plan", plan(fits)}, {"with a stale plan", plan(stale)}}
-	fmt.Println("\nthe module in virtual time, 8 simulated servers in two zones, 4 controllers, four fifths of the demand in one zone,")
+	fmt.Println("\nthe module in virtual time, 8 simulated servers in two zones, 4 controllers, " +
+		"four fifths of the demand in one zone,")
 	fmt.Println("60 s, mean of 4 seeds; the stale plan is for the opposite skew and five of the eight servers:")
 	fmt.Println("  plan                billed value   on time   crossing MB   throttled   broken rules")
-	var value, crossing [3]float64
-	for i, w := range ways {
-		var sum tally
-		for seed := range uint64(4) {
-			sum.add(play(fits, w.plan, seed))
-		}
-		value[i], crossing[i] = sum.value/4, sum.crossing/4e6
-		fmt.Printf("  %-18s  %12.0f   %6.2f%%   %11.1f   %9d   %12d\n", w.name, value[i], 100*float64(sum.onTime)/float64(sum.taken), crossing[i], sum.throttled/4, sum.broken)
-		if sum.broken > 0 {
-			fail("%s: %d broken rules, the first: %s", w.name, sum.broken, sum.first)
-		}
+	for _, w := range ways {
+		w.play(fits)
 	}
-	if value[1] < 0.98*value[0] || crossing[1] > 0.9*crossing[0] {
-		fail("a plan that fits brings no more than none: value %.0f of %.0f, crossing %.1f of %.1f MB", value[1], value[0], crossing[1], crossing[0])
+	without, with, withStale := ways[0], ways[1], ways[2]
+	if with.value < minValueWithPlan*without.value || with.crossingMB > maxCrossing*without.crossingMB {
+		fail("a plan that fits brings no more than none: value %.0f of %.0f, crossing %.1f of %.1f MB",
+			with.value, without.value, with.crossingMB, without.crossingMB)
 	}
-	if value[2] < 0.97*value[0] {
-		fail("a stale plan costs value: %.0f of %.0f", value[2], value[0])
+	if withStale.value < minValueStale*without.value {
+		fail("a stale plan costs value: %.0f of %.0f", withStale.value, without.value)
 	}
 }
 
-// town is eight engines in two zones, and so many per mille of the demand in the first.
-func town(first int64) *solve.Problem {
-	p := &solve.Problem{Zones: []solve.Zone{{Name: "east", CrossingCostPerGB: 1_000_000}, {Name: "west", CrossingCostPerGB: 1_000_000}},
+// play plays all seeds and prints what came of them.
+func (f *followed) play(problem *solve.Problem) {
+	for seed := range uint64(followSeeds) {
+		f.sum.add(simulate(problem, f.plan, seed))
+	}
+	f.value = f.sum.value / followSeeds
+	f.crossingMB = f.sum.crossingBytes / followSeeds / 1e6
+	fmt.Printf("  %-18s  %12.0f   %6.2f%%   %11.1f   %9d   %12d\n", f.name, f.value,
+		100*float64(f.sum.onTime)/float64(f.sum.jobs), f.crossingMB, f.sum.throttled/followSeeds, f.sum.ruleFaults)
+	if f.sum.ruleFaults > 0 {
+		fail("%s: %d broken rules, the first: %s", f.name, f.sum.ruleFaults, f.sum.firstFault)
+	}
+}
+
+// solveStep is the first step of a problem's answer.
+func solveStep(problem *solve.Problem) *solve.Step {
+	answer, _, _ := timed(problem, solveTime)
+	return &answer.Steps[0]
+}
+
+// skewedProblem is eight engines in two zones, and so many per mille of the demand in the first.
+func skewedProblem(firstPerMille int64) *solve.Problem {
+	problem := &solve.Problem{
+		Zones:   []solve.Zone{{Name: "east", CrossingCostPerGB: 1_000_000}, {Name: "west", CrossingCostPerGB: 1_000_000}},
 		Tenants: []solve.Tenant{{Name: "acme"}, {Name: "bolt"}},
-		Types: []solve.Type{{Name: "lookup", Threads: 1, MemoryMB: 100, WorkMS: 100, Value: 1, AnswerBytes: 20_000, SLATimeMS: 500},
+		Types: []solve.Type{
+			{Name: "lookup", Threads: 1, MemoryMB: 100, WorkMS: 100, Value: 1, AnswerBytes: 20_000, SLATimeMS: 500},
 			{Name: "report", Threads: 2, MemoryMB: 400, WorkMS: 2000, Value: 10, AnswerBytes: 4_000_000, SLATimeMS: 3000},
-			{Name: "import", Threads: 2, MemoryMB: 400, WorkMS: 1000, Value: 12, AnswerBytes: 1000, SLATimeMS: 3000}}}
+			{Name: "import", Threads: 2, MemoryMB: 400, WorkMS: 1000, Value: 12, AnswerBytes: 1000, SLATimeMS: 3000},
+		},
+	}
 	for i := range 8 {
-		p.Engines = append(p.Engines, solve.Engine{Name: fmt.Sprint("e", i), Kind: "std", Zone: p.Zones[i%2].Name, Cores: 16, MemoryMB: 32000})
+		problem.Engines = append(problem.Engines, solve.Engine{Name: fmt.Sprint("e", i), Kind: "std",
+			Zone: problem.Zones[i%2].Name, Cores: simulatedCores, MemoryMB: 32000})
 	}
-	// threads asked for by type, of 128 cores
-	for t, threads := range []int64{25, 50, 20} {
-		for z, part := range []int64{first, 1000 - first} {
-			for a, share := range []int64{600, 400} {
-				p.Demand = append(p.Demand, solve.Demand{Type: p.Types[t].Name, Tenant: p.Tenants[a].Name, Zone: p.Zones[z].Name,
-					JobsPer1000S: threads * part * share / p.Types[t].WorkMS})
+	requested := []int64{25, 50, 20} // threads by type, of 128 cores
+	for t, threads := range requested {
+		for z, zonePerMille := range []int64{firstPerMille, 1000 - firstPerMille} {
+			for a, tenantPerMille := range []int64{600, 400} {
+				problem.Demand = append(problem.Demand, solve.Demand{Type: problem.Types[t].Name,
+					Tenant: problem.Tenants[a].Name, Zone: problem.Zones[z].Name,
+					JobsPer1000S: threads * zonePerMille * tenantPerMille / problem.Types[t].WorkMS})
 			}
 		}
 	}
-	return p
+	return problem
 }
