--- a/internal/proof/solve/exhaustive.go
+++ b/internal/proof/solve/exhaustive.go
@@ -72,7 +72,7 @@
 	if c.tooLarge = wanted.Status == solve.Unknown; c.tooLarge {
 		return c
 	}
-	c.infeasible = wanted.Status == solve.NoFit
+	c.infeasible = wanted.Status == solve.Infeasible
 	if now, best := objectivesOf(got), objectivesOf(wanted); now != best {
 		c.fault = fmt.Sprintf("%s, by trying all %s", now, best)
 	}
@@ -93,7 +93,7 @@
 }
 
 func objectivesOf(answer solve.Answer) objectives {
-	return objectives{string(answer.Status), answer.Value, answer.Cost, answer.Evenness}
+	return objectives{answer.Status, answer.Value, answer.Cost, answer.Evenness}
 }
 
 // String describes them.
--- a/internal/proof/solve/fleets.go
+++ b/internal/proof/solve/fleets.go
@@ -34,7 +34,7 @@
 	if r.total > ordinaryMax {
 		fail("ordinary %d took %v", index, r.total)
 	}
-	if r.Status == solve.NoFit {
+	if r.Status == solve.Infeasible {
 		return
 	}
 	if r.err != nil || r.Status == solve.Unknown || r.Gap > ordinaryMaxGap {
@@ -61,7 +61,7 @@
 	for i, r := range list {
 		r.check(i)
 		times = append(times, r.valueSettled)
-		if r.Status == solve.NoFit {
+		if r.Status == solve.Infeasible {
 			infeasible++
 			continue
 		}
--- a/internal/proof/solve/warm_up.go
+++ b/internal/proof/solve/warm_up.go
@@ -44,13 +44,13 @@
 // warmingProblem is a fleet in which engines warm up: all of them in every third, half of them in others.
 func warmingProblem(seed uint64) *solve.Problem {
 	problem := draw.Ordinary(seed, 8, 2, 3, 3, 1.1)
-	problem.Must = solve.MustHolds{}
+	problem.Constraints = solve.Constraints{}
 	random := rand.New(rand.NewPCG(seed, 4))
 	for i := range problem.Engines {
 		engine := &problem.Engines[i]
 		if seed%3 == 0 || random.IntN(2) == 0 {
 			engine.State = solve.Started
-			engine.PartPerMille = int64(random.IntN(600))
+			engine.CapacityPerMille = int64(random.IntN(600))
 			engine.WarmInMS = int64(1000 + random.IntN(20000))
 		}
 	}
@@ -83,7 +83,7 @@
 	case engine.State == solve.Draining:
 		return 0
 	case engine.State == solve.Started && atMS < engine.WarmInMS:
-		start := 1000 * engine.PartPerMille
+		start := 1000 * engine.CapacityPerMille
 		return start + (fullCapacity-start)*atMS/engine.WarmInMS
 	default:
 		return fullCapacity
