--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -20,21 +20,21 @@
 		return m.whileApplying(seen)
 	case PhaseBaking:
 		return m.whileBaking(seen)
-	case PhaseRollingBackStage:
-		return m.whileRollingBackStage(seen)
+	case PhaseStageRollback:
+		return m.whileStageRollback(seen)
 	case PhaseAwaitingRecovery:
 		return m.whileAwaitingRecovery(seen)
 	case PhaseFinishing:
 		return m.whileFinishing(seen)
-	case PhaseRollingBack, PhaseDegraded:
-		return m.whileRollingBack(seen)
+	case PhaseRollback, PhaseDegraded:
+		return m.whileRollback(seen)
 	}
 	return noEvent, ""
 }
 
 func (m *Machine) whilePreparing(seen Observation) (event, string) {
 	unready := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Serving && member.Running == m.plan.From
+		return member.Reachable && member.Serving && member.Running == m.plan.FromSpec
 	})
 	switch {
 	case len(unready) == 0:
@@ -59,7 +59,7 @@
 		return m.failWorse(seen)
 	}
 	for _, member := range seen.Members {
-		if member.Failure != "" && m.wanted(member.Name) == m.plan.To {
+		if member.Failure != "" && m.wanted(member.Name) == m.plan.ToSpec {
 			return stageFailed, fmt.Sprintf("%s cannot take it: %s", member.Name, member.Failure)
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 func (m *Machine) servesTarget(member Member) bool {
-	return member.Reachable && member.Running == m.plan.To && member.Serving
+	return member.Reachable && member.Running == m.plan.ToSpec && member.Serving
 }
 
 // previousStageSize is how many controllers the stage before holds. A stage of which no further controller is reachable
@@ -132,13 +132,13 @@
 	return stagePassed, fmt.Sprintf("stage %d passed: %s", m.State.Stage, seen.Verdict.Reason)
 }
 
-func (m *Machine) whileRollingBackStage(seen Observation) (event, string) {
+func (m *Machine) whileStageRollback(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
 		return !member.Reachable || member.Running == m.wanted(member.Name)
 	})
 	switch {
 	case len(remaining) == 0:
-		return stageRolledBack, "withdrawn"
+		return stageReverted, "withdrawn"
 	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return stageFailed, "could not be withdrawn: " + strings.Join(remaining, " ")
 	}
@@ -177,7 +177,7 @@
 
 func (m *Machine) whileFinishing(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.plan.To
+		return member.Reachable && member.Running == m.plan.ToSpec
 	})
 	if len(remaining) > 0 {
 		return noEvent, ""
@@ -185,14 +185,14 @@
 	return fleetUpdated, "all are on the new version"
 }
 
-func (m *Machine) whileRollingBack(seen Observation) (event, string) {
+func (m *Machine) whileRollback(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.plan.From
+		return member.Reachable && member.Running == m.plan.FromSpec
 	})
 	switch {
 	case len(remaining) == 0:
-		return fleetRolledBack, m.State.Outcome
-	case m.State.Phase == PhaseRollingBack && m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return fleetReverted, m.State.Outcome
+	case m.State.Phase == PhaseRollback && m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return rollbackOverdue, "not back: " + strings.Join(remaining, " ")
 	}
 	return noEvent, ""
