--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -33,13 +33,11 @@
 // runCommand runs a command as an operator does.
 func runCommand(t *testing.T, w *testcluster.Cluster, args ...string) string {
 	t.Helper()
-	c := exec.Command(currentProgram, args...)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
-	text, err := c.CombinedOutput()
+	text, err := w.Command(currentProgram, args...)
 	if err != nil {
-		t.Fatalf("%v: %v: %s", args, err, text)
+		t.Fatal(err)
 	}
-	return string(text)
+	return text
 }
 
 // An owner is stopped in the midst of a change: another takes it over where it stood; the one that wakes up finds
--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -1,18 +1,15 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/leader"
 	"swiftreel/internal/rollout"
 	"swiftreel/internal/rulecheck"
 	"swiftreel/internal/testcluster"
@@ -23,7 +20,6 @@
 	jobInterval        = 30 * time.Millisecond
 	baselineDuration   = 15 * time.Second
 	shareCheckInterval = 100 * time.Millisecond
-	leaderTimeout      = 20 * time.Second
 	changeTimeout      = 40 * time.Second
 	applyTimeout       = 20 * time.Second
 	strikesPerChange   = 2
@@ -117,7 +113,7 @@
 		Seed:        uint64(r.number) + 1,
 		Controllers: voterCount + listenerCount,
 		Engines:     engineCount,
-		Files:       map[string]string{"problem.json": problem},
+		Files:       map[string]string{"problem.json": testcluster.PlanningProblem},
 	}
 }
 
@@ -152,32 +148,16 @@
 
 // command runs the program as an operator does.
 func (r *clusterRun) command(arguments ...string) error {
-	command := exec.Command(r.program, arguments...)
-	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+r.cluster.OperatorFile)
-	text, err := command.CombinedOutput()
-	if err != nil {
-		return fmt.Errorf("%s: %w: %s", strings.Join(arguments, " "), err, bytes.TrimSpace(text))
-	}
-	return nil
+	_, err := r.cluster.Command(r.program, arguments...)
+	return err
 }
 
 // awaitLeader waits until a voter other than the named one acts as leader.
 func (r *clusterRun) awaitLeader(except string) (*testcluster.Member, error) {
-	var found *testcluster.Member
-	err := r.cluster.WaitUntil(leaderTimeout, func() bool {
-		for _, member := range r.cluster.Members[:min(voterCount, len(r.cluster.Members))] {
-			if member.Name == except || slices.Contains(r.stopped, member) {
-				continue
-			}
-			var status leader.Status
-			if r.cluster.GetJSON(member, "/v1/owner", &status) == nil && status.Active {
-				found = member
-				return true
-			}
-		}
-		return false
+	candidates := slices.DeleteFunc(r.cluster.Voters(), func(member *testcluster.Member) bool {
+		return member.Name == except || slices.Contains(r.stopped, member)
 	})
-	return found, err
+	return r.cluster.Leader(candidates)
 }
 
 // replicatedChange is the part of a replicated rollout record that the proof reads.
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -13,15 +13,6 @@
 	"swiftreel/internal/testcluster"
 )
 
-// problem is what the clusters are planned from.
-const problem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
-{"name":"e2","kind":"std","zone":"east","cores":16,"memory_mb":32000},
-{"name":"e3","kind":"std","zone":"east","cores":16,"memory_mb":32000}],
-"types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1},
-{"name":"import","threads":1,"memory_mb":500,"work_ms":900,"value":10}],
-"tenants":[{"name":"acme"}],"zones":[{"name":"east"},{"name":"west"}],"must":{},
-"demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":1}]}`
-
 // testRuns are the arguments of go test for the tests in virtual time at full size: 1,000 simulated networks, 200
 // leaders lost in each way, an hour without faults, and the exhaustive walk of two leaders.
 var testRuns = [][]string{
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"slices"
@@ -9,8 +8,6 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/coordinator"
-	"swiftreel/internal/operator"
 	"swiftreel/internal/rulecheck"
 	"swiftreel/internal/testcluster"
 )
@@ -24,8 +21,6 @@
 	handoverSwitches = 3
 	// steadyTime is the load beside the switches; it proves nothing.
 	steadyTime = 1500 * time.Millisecond
-	// requestTimeout bounds an order or a status over HTTP.
-	requestTimeout = 2 * time.Second
 
 	maxGapMS = 500  // without an answer
 	minDone  = 0.99 // of all answers
@@ -108,7 +103,7 @@
 			return err
 		}
 		program := []string{next, base}[i%2]
-		if err := orderProgram(h.member, status.Spec, program, int64(i)+1); err != nil {
+		if err := h.cluster.OrderProgram(h.member, orderFence(int64(i)+1), program); err != nil {
 			return err
 		}
 		h.awaitServing(func(pid, draining int) bool { return pid != status.PID && draining == 0 })
@@ -145,20 +140,9 @@
 	}
 }
 
-// orderProgram orders another program from a member's supervisor, past its link. Whether the order was accepted shows
-// in the status.
-func orderProgram(m *testcluster.Member, spec change.Spec, program string, turn int64) error {
-	digest, err := change.FileDigest(program)
-	if err != nil {
-		return err
-	}
-	spec.Program = change.Program{Path: program, Digest: digest}
-	members := []operator.Member{{Name: m.Name, Listen: m.SupervisorAddress}}
-	fleet := coordinator.NewFleetClient(members, requestTimeout, requestTimeout)
-	fence := change.Fence{Number: 1, Term: 1, Revision: turn}
-	order := change.Order{Format: change.Format, Fence: fence, CoordinatorID: "x", Member: m.Name, Spec: spec}
-	fleet.SendOrders(context.Background(), map[int]change.Order{0: order})
-	return nil
+// orderFence is that of an order past any coordinator.
+func orderFence(revision int64) change.Fence {
+	return change.Fence{Number: 1, Term: 1, Revision: revision}
 }
 
 // figures are those of jobs that were answered in a span of time. Jobs with an ordered key stand apart: under a newer
--- a/internal/proof/rollout/transfer.go
+++ b/internal/proof/rollout/transfer.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := orderProgram(m, before.Spec, filepath.Join(filepath.Dir(program), "later"), 1); err != nil {
+	if err := cluster.OrderProgram(m, orderFence(1), filepath.Join(filepath.Dir(program), "later")); err != nil {
 		return 0, err
 	}
 	after, err := awaitFirstJobs(cluster, before.StartedUnixNS)
