--- a/internal/proof/solve/fleets.go
+++ b/internal/proof/solve/fleets.go
@@ -6,61 +6,49 @@
 	"slices"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
 
 const (
-	ordinaryFleets = 50
-	ordinaryLimit  = time.Second
-	ordinaryMax    = 1300 * time.Millisecond
-	ordinaryMaxGap = 0.001
-	largeLimit     = 10 * time.Second
-	largeMax       = 11 * time.Second
-	growthLimit    = 1500 * time.Millisecond
-	minLoad        = 0.6   // of capacity, in the first ordinary fleet
-	loadStep       = 0.015 // from one to the next
+	ordinaryFleetCount = 50
+	ordinarySolveTime  = time.Second
+	maxOrdinaryTime    = 1300 * time.Millisecond
+	maxGap             = 0.001 // between the value and its bound, as a fraction of the bound
+	largeSolveTime     = 10 * time.Second
+	maxLargeTime       = 11 * time.Second
+	growthSolveTime    = 1500 * time.Millisecond
 )
 
 // ordinaryResult is what came of an ordinary fleet.
 type ordinaryResult struct {
-	solve.Answer
-	valueSettled, total time.Duration
-	err                 error
+	timedAnswer
+	err error // of an answer that is wrong
 }
 
-// check holds a result against the bounds.
-func (r ordinaryResult) check(index int) {
-	if r.total > ordinaryMax {
-		fail("ordinary %d took %v", index, r.total)
-	}
-	if r.Status == solve.Infeasible {
-		return
-	}
-	if r.err != nil || r.Status == solve.Unknown || r.Gap > ordinaryMaxGap {
-		fail("ordinary %d: %s, gap %.5f %v", index, r.Status, r.Gap, r.err)
-	}
-}
-
-// costExcess is how far the cost may be over the best, in parts of its bound.
+// costExcess returns how far the cost is over its bound, as a fraction of the bound.
 func (r ordinaryResult) costExcess() float64 {
 	return float64(r.Cost-r.CostBound) / float64(max(1, r.CostBound))
 }
 
-// solveOrdinaryFleets solves fleets of a size that is usual.
-func solveOrdinaryFleets() {
-	list := make([]ordinaryResult, ordinaryFleets)
-	inParallel(ordinaryFleets, max(1, runtime.NumCPU()/2), func(i int) {
-		problem := draw.Ordinary(uint64(i), 40, 3, 6, 12, minLoad+loadStep*float64(i))
-		answer, valueSettled, total := timed(problem, ordinaryLimit)
-		list[i] = ordinaryResult{answer, valueSettled, total, verifySteps(problem, answer)}
+// checkOrdinaryFleets measures how good answers are after a second.
+func checkOrdinaryFleets(report *proof.Report) {
+	results := make([]ordinaryResult, ordinaryFleetCount)
+	runParallel(ordinaryFleetCount, max(1, runtime.NumCPU()/2), func(index int) {
+		load := 0.6 + 0.015*float64(index)
+		problem := draw.Ordinary(uint64(index), 40, 3, 6, 12, load)
+		answer := solveWithin(problem, ordinarySolveTime)
+		results[index] = ordinaryResult{timedAnswer: answer, err: verifySteps(problem, answer.Answer)}
 	})
 	proved, infeasible := 0, 0
-	var times []time.Duration
-	var gaps, excesses []float64
-	for i, r := range list {
-		r.check(i)
-		times = append(times, r.valueSettled)
+	var valueTimes []time.Duration
+	var gaps, costExcesses []float64
+	for i, r := range results {
+		valueTimes = append(valueTimes, r.valueSettledAfter)
+		if r.took > maxOrdinaryTime {
+			report.Failf("ordinary %d took %v", i, r.took)
+		}
 		if r.Status == solve.Infeasible {
 			infeasible++
 			continue
@@ -69,40 +57,43 @@
 			proved++
 		}
 		gaps = append(gaps, r.Gap)
-		excesses = append(excesses, r.costExcess())
+		costExcesses = append(costExcesses, r.costExcess())
+		if r.err != nil || r.Status == solve.Unknown || r.Gap > maxGap {
+			report.Failf("ordinary %d: %s, gap %.5f %v", i, r.Status, r.Gap, r.err)
+		}
 	}
-	slices.Sort(excesses)
+	slices.Sort(costExcesses)
 	fmt.Printf("%d ordinary fleets (40 engines, 3 zones, 6 types, 12 tenants; 0.6 to 1.35 of capacity asked), "+
-		"1 s each on one core:\n",
-		ordinaryFleets)
+		"1 s each on one core:\n", ordinaryFleetCount)
 	fmt.Printf("  value proved best in %d, proved that no answer fits in %d, greatest gap %.4f%% (at most %.1f%%)\n",
-		proved, infeasible, 100*slices.Max(gaps), 100*ordinaryMaxGap)
+		proved, infeasible, 100*slices.Max(gaps), 100*maxGap)
 	fmt.Printf("  cost over its bound: median %.3f%%, most %.3f%% "+
 		"(the second part of the objective, where the first stands)\n",
-		100*excesses[len(excesses)/2], 100*excesses[len(excesses)-1])
-	fmt.Printf("  time until the value was settled: %s\n\n", quantiles(times))
+		100*costExcesses[len(costExcesses)/2], 100*costExcesses[len(costExcesses)-1])
+	fmt.Printf("  time until the value was settled: %s\n\n", summarize(valueTimes))
 }
 
-// solveLargeFleet solves one of 300 engines.
-func solveLargeFleet() {
+// checkLargeFleet solves one problem of many engines.
+func checkLargeFleet(report *proof.Report) {
 	problem := draw.Ordinary(1, 300, 3, 8, 40, 1.1)
-	answer, valueSettled, total := timed(problem, largeLimit)
-	if answer.Status == solve.Unknown || total > largeMax {
-		fail("300 engines: %s in %v", answer.Status, total)
+	answer := solveWithin(problem, largeSolveTime)
+	if answer.Status == solve.Unknown || answer.took > maxLargeTime {
+		report.Failf("300 engines: %s in %v", answer.Status, answer.took)
 	}
-	if err := verifySteps(problem, answer); err != nil {
-		fail("300 engines: %v", err)
+	if err := verifySteps(problem, answer.Answer); err != nil {
+		report.Failf("300 engines: %v", err)
 	}
 	fmt.Printf("300 engines, 8 types, 40 tenants, 10 s: %s, gap %.4f%%, value settled after %v, in all %v\n\n",
-		answer.Status, 100*answer.Gap, valueSettled.Round(time.Millisecond), total.Round(time.Millisecond))
+		answer.Status, 100*answer.Gap, answer.valueSettledAfter.Round(time.Millisecond),
+		answer.took.Round(time.Millisecond))
 }
 
-// measureGrowth tells how the time grows with the number of engines.
-func measureGrowth() {
+// printGrowth shows how the time that the solver needs grows with the fleet.
+func printGrowth() {
 	fmt.Println("how time grows (3 zones, 6 types, 12 tenants, 1.1 of capacity asked, seed 7, 1.5 s):")
 	fmt.Println("  engines   value settled after   gap")
 	for _, engines := range []int{10, 20, 40, 80, 160} {
-		answer, valueSettled, _ := timed(draw.Ordinary(7, engines, 3, 6, 12, 1.1), growthLimit)
-		fmt.Printf("  %7d   %19v   %.4f%%\n", engines, valueSettled.Round(time.Millisecond), 100*answer.Gap)
+		answer := solveWithin(draw.Ordinary(7, engines, 3, 6, 12, 1.1), growthSolveTime)
+		fmt.Printf("  %7d   %19v   %.4f%%\n", engines, answer.valueSettledAfter.Round(time.Millisecond), 100*answer.Gap)
 	}
 }
--- a/internal/proof/solve/warm_up.go
+++ b/internal/proof/solve/warm_up.go
@@ -5,86 +5,94 @@
 	"math/rand/v2"
 	"time"
 
+	"swiftreel/internal/proof"
 	"swiftreel/internal/solve"
 	"swiftreel/internal/solve/draw"
 )
 
 const (
-	warmUpFleets    = 30
-	warmUpSolveTime = 100 * time.Millisecond
-	warmUpEndMS     = int64(25000) // past every warm-up
-	warmUpStepMS    = int64(50)    // from one moment that is checked to the next
-	minWarmUpSteps  = 100
-	fullCapacity    = int64(1_000_000) // in parts of a million
-	threadsPerCore  = 2
+	warmingFleetCount = 30
+	warmingSolveTime  = 100 * time.Millisecond
+	minWarmingSteps   = 100
+	warmingHorizonMS  = 25_000 // all engines are warm by then
+	warmingIntervalMS = 50
+	fullCapacity      = 1_000_000 // of an engine, in millionths
+	threadsPerCore    = 2
 )
 
-// checkWarmUps checks every moment of warm-ups, not only those where steps begin.
-func checkWarmUps() {
-	steps, moments := 0, 0
-	for seed := range uint64(warmUpFleets) {
-		problem := warmingProblem(seed)
-		answer, _, _ := timed(problem, warmUpSolveTime)
+// warmUpCheck counts what was looked at.
+type warmUpCheck struct {
+	report  *proof.Report
+	steps   int
+	moments int // each of one engine
+}
+
+// checkWarmUps looks at plans for engines that warm up, at every moment and not only where a step begins.
+func checkWarmUps(report *proof.Report) {
+	check := warmUpCheck{report: report}
+	for seed := range uint64(warmingFleetCount) {
+		problem := drawWarmingFleet(seed)
+		answer := solve.Solve(problem, solve.Options{Stop: stopAfter(warmingSolveTime)})
 		for i, step := range answer.Steps {
-			end := warmUpEndMS
+			endMS := int64(warmingHorizonMS)
 			if i+1 < len(answer.Steps) {
-				end = answer.Steps[i+1].FromMS
+				endMS = answer.Steps[i+1].FromMS
 			}
-			steps++
-			moments += checkStep(seed, problem, step, end)
+			check.checkStep(seed, problem.Engines, step, endMS)
 		}
 	}
-	if steps < minWarmUpSteps {
-		fail("only %d steps", steps)
+	if check.steps < minWarmingSteps {
+		report.Failf("only %d steps", check.steps)
 	}
 	fmt.Printf("cold engines: %d fleets, %d steps, looked at at %d moments: none over its part of rule 4\n\n",
-		warmUpFleets, steps, moments)
+		warmingFleetCount, check.steps, check.moments)
 }
 
-// warmingProblem is a fleet in which engines warm up: all of them in every third, half of them in others.
-func warmingProblem(seed uint64) *solve.Problem {
+// drawWarmingFleet draws a fleet of which about half warms up; of every third fleet all engines do.
+func drawWarmingFleet(seed uint64) *solve.Problem {
 	problem := draw.Ordinary(seed, 8, 2, 3, 3, 1.1)
 	problem.Constraints = solve.Constraints{}
 	random := rand.New(rand.NewPCG(seed, 4))
 	for i := range problem.Engines {
-		engine := &problem.Engines[i]
 		if seed%3 == 0 || random.IntN(2) == 0 {
+			engine := &problem.Engines[i]
 			engine.State = solve.Started
 			engine.CapacityPerMille = int64(random.IntN(600))
-			engine.WarmInMS = int64(1000 + random.IntN(20000))
+			engine.WarmInMS = int64(1000 + random.IntN(20_000))
 		}
 	}
 	return problem
 }
 
-// checkStep holds a step's threads against what each engine stands until its end. It returns how many times that was
-// done.
-func checkStep(seed uint64, problem *solve.Problem, step solve.Step, endMS int64) (moments int) {
-	threads := map[string]int64{}
-	for _, t := range step.Threads {
-		threads[t.Engine] += t.Threads
+// checkStep checks that no engine has more threads than its capacity allows while a step holds.
+func (c *warmUpCheck) checkStep(seed uint64, engines []solve.Engine, step solve.Step, endMS int64) {
+	c.steps++
+	assigned := map[string]int64{}
+	for _, threads := range step.Threads {
+		assigned[threads.Engine] += threads.Threads
 	}
-	for at := step.FromMS; at < endMS; at += warmUpStepMS {
-		for _, engine := range problem.Engines {
-			moments++
-			capacity := capacityAt(engine, at)
-			if threads[engine.Name]*fullCapacity > engine.Cores*threadsPerCore*capacity {
-				fail("seed %d: engine %s runs %d threads at %d ms, its part is %d of %d",
-					seed, engine.Name, threads[engine.Name], at, capacity, engine.Cores*threadsPerCore)
+	for atMS := step.FromMS; atMS < endMS; atMS += warmingIntervalMS {
+		for _, engine := range engines {
+			c.moments++
+			capacity := capacityAt(engine, atMS)
+			threads := engine.Cores * threadsPerCore
+			if assigned[engine.Name]*fullCapacity > threads*capacity {
+				c.report.Failf("seed %d: engine %s runs %d threads at %d ms, its part is %d of %d",
+					seed, engine.Name, assigned[engine.Name], atMS, capacity, threads)
 			}
 		}
 	}
-	return moments
 }
 
-// capacityAt is an engine's part of its capacity at a time, in parts of a million.
+// capacityAt returns how much of its threads an engine may use at a moment, in millionths. It grows evenly while the
+// engine warms up.
 func capacityAt(engine solve.Engine, atMS int64) int64 {
 	switch {
 	case engine.State == solve.Draining:
 		return 0
 	case engine.State == solve.Started && atMS < engine.WarmInMS:
-		start := 1000 * engine.CapacityPerMille
-		return start + (fullCapacity-start)*atMS/engine.WarmInMS
+		initial := 1000 * engine.CapacityPerMille
+		return initial + (fullCapacity-initial)*atMS/engine.WarmInMS
 	default:
 		return fullCapacity
 	}
