--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -29,7 +29,7 @@
 	applied   atomic.Pointer[appliedDigests]
 }
 
-// appliedDigests tell which files a controller runs with.
+// appliedDigests identify the files that a controller runs with.
 type appliedDigests struct {
 	spec     change.Digest // as the operator's file says it
 	settings change.Digest // as the module has them
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -70,7 +70,7 @@
 
 // Request is what a dispatch sends.
 type Request struct {
-	ID             []byte // of the job's call; engines tell dispatches apart by it
+	ID             []byte // of the job's call; it identifies the dispatch at the engine
 	Type           []byte // name of the job type
 	Statement      []byte
 	IdempotencyKey []byte // the engine runs requests of one key once; empty: none
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -14,7 +14,7 @@
 	"swiftreel/internal/schema"
 )
 
-// checkReport is what check tells scripts.
+// checkReport is the output of check for scripts.
 type checkReport struct {
 	File     string   `json:"file"`
 	Kind     string   `json:"kind"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a controller is told at its start: the ROUTER_* variables and the JSON file that they name.
+// Package config reads the configuration of a controller: the ROUTER_* variables and the JSON file that they name.
 package config
 
 import (
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// listAllEngines gives the module the complete list as it stands.
+// listAllEngines gives the module the complete list of engines.
 func (g *Gateway) listAllEngines() {
 	g.mu.Lock()
 	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: g.table.listed()})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -89,7 +89,7 @@
 // Start makes the gateway ready.
 func (g *Gateway) Start() { g.ready.Store(true) }
 
-// Stop ends being ready, and tells the module how much time is left to answer what was admitted.
+// Stop makes the gateway not ready, and notifies the module how much time is left to answer what was admitted.
 func (g *Gateway) Stop() {
 	g.ready.Store(false)
 	g.notify(choice.Event{Kind: choice.Stopping, TimeLeft: choice.Nanos(g.settings.stopTimeout)})
@@ -116,14 +116,14 @@
 	slog.Info("settings_reconfigured")
 }
 
-// SetPredecessor tells the module whether an older process of this controller still answers what it owes. Both count as
-// one controller.
+// SetPredecessor notifies the module whether an older process of this controller still answers what it owes. Both
+// count as one controller.
 func (g *Gateway) SetPredecessor(running bool) {
 	g.notify(choice.Event{Kind: choice.PredecessorChanged, PredecessorRunning: running})
 	slog.Info("predecessor", "running", running)
 }
 
-// AssignShare tells the module which share of the fleet this controller carries, and which share of each tenant's
+// AssignShare notifies the module which share of the fleet this controller carries, and which share of each tenant's
 // quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
 func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
 	quota := choice.Quota{
--- a/internal/gateway/job_state.go
+++ b/internal/gateway/job_state.go
@@ -7,8 +7,8 @@
 const (
 	jobWaiting    jobState = iota // for the module to order a dispatch or an answer
 	jobRunning                    // a dispatch is in flight
-	jobCancelling                 // so it is, and the engine was told to cancel it
-	jobDraining                   // so it is, but the client is answered or has disconnected
+	jobCancelling                 // a dispatch is in flight, and its cancellation was requested
+	jobDraining                   // a dispatch is in flight, but the client is answered or has disconnected
 	jobFinished                   // the client is owed nothing and nothing is in flight
 )
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -10,7 +10,7 @@
 // gateway.
 type Request struct {
 	Type              []byte // name of the job type
-	ID                []byte // of the call: engines tell dispatches apart by it
+	ID                []byte // of the call; it identifies dispatches at engines
 	Tenant            []byte
 	Key               []byte // order key; empty: none
 	Statement         []byte
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells builds of the program apart.
+// Package version identifies the build of a program.
 package version
 
 import (
