--- a/internal/acceptance/controller_test.go
+++ b/internal/acceptance/controller_test.go
@@ -15,7 +15,7 @@
 
 const (
 	startCapacity    = 0.4 // part of its capacity that an engine starts with
-	overloadMultiple = 2.0 // of what it stands, that may be sent in a window
+	overloadMultiple = 2.0 // of its capacity, that may be dispatched in a window
 	warmUpTime       = 6 * time.Second
 	warmUpWindow     = time.Second
 	engineCores      = 16
@@ -42,7 +42,7 @@
 	return fmt.Sprintf(settingsText, controllers, index, startCapacity, warmUpTime, overloadMultiple, warmUpWindow)
 }
 
-// defaultDescriptors is how many a controller is told that it may use.
+// defaultDescriptors is the limit of descriptors in a configuration.
 const defaultDescriptors = 1024
 
 // controller is one process of the program, with its configuration.
--- a/internal/acceptance/main_test.go
+++ b/internal/acceptance/main_test.go
@@ -14,6 +14,7 @@
 // program is the program under test, built by TestMain.
 var program string
 
+// TestMain builds the program once for all tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "acceptance")
 	if err != nil {
--- a/internal/acceptance/warm_up_test.go
+++ b/internal/acceptance/warm_up_test.go
@@ -57,13 +57,13 @@
 	}
 }
 
-// dispatchesAtStart is what an engine stands in a window just after its start.
+// dispatchesAtStart is how many dispatches an engine can take in a window just after its start.
 func dispatchesAtStart() float64 {
 	return overloadMultiple * startCapacity * engineCores * warmUpWindow.Seconds() / warmUpWork.Seconds()
 }
 
-// maxUse is the greatest part of what an engine stands that dispatches made up in a window, with room for two standard
-// deviations of counts; they are told by their times since its start.
+// maxUse is the greatest part of an engine's limit that dispatches made up in a window. The limit has a margin of two
+// standard deviations of counts; dispatches are given by their times since its start.
 func maxUse(dispatches []time.Duration) float64 {
 	used := 0.0
 	for i, first := range dispatches {
--- a/internal/fake/triples.go
+++ b/internal/fake/triples.go
@@ -8,7 +8,7 @@
 // triple is subject, predicate and object, or a pattern with variables ("?name") in place of some.
 type triple [3]string
 
-// insideBraces is what stands between the first and the last brace.
+// insideBraces returns the text between the first and the last brace.
 func insideBraces(text string) (inside string, ok bool) {
 	from := strings.IndexByte(text, '{')
 	to := strings.LastIndexByte(text, '}')
--- a/internal/proof/sparql/endpoint.go
+++ b/internal/proof/sparql/endpoint.go
@@ -34,7 +34,7 @@
 		Work: int64(work)})
 }
 
-// intercept answers a request that meets a fault. A job's id stands in its text as a comment; a probe has none.
+// intercept answers a request that meets a fault. The text of a job has its id in a comment, that of a probe has none.
 func (f *faultyEndpoint) intercept(w http.ResponseWriter, text string) (answered bool) {
 	_, jobID, isJob := strings.Cut(text, "# ")
 	if !isJob {
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	quickBake = 300 * time.Millisecond  // a stage stands so long at least
-	longBake  = 1500 * time.Millisecond // where something is to happen meanwhile
+	quickBake = 300 * time.Millisecond  // minimum time of a stage
+	longBake  = 1500 * time.Millisecond // of a stage in which something is to happen
 	stepLimit = 40 * time.Second        // what a step waits for at most
 )
 
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -154,7 +154,7 @@
 	return "rolled back, " + detail, err
 }
 
-// sameStatuses has the command of each version ask all supervisors.
+// sameStatuses has the status command of each version poll all supervisors, and compares the fields that they print.
 func (f *fleet) sameStatuses() (string, error) {
 	fields := map[string][]string{}
 	for _, b := range []build{f.base, f.current} {
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// reportAddress is where a controller serves its report, as it logs it and supervisors of both versions look for it.
+// reportAddress matches the log line by which a controller says where it serves its report. Supervisors of both
+// versions read it, so it cannot change.
 var reportAddress = regexp.MustCompile(`msg=serving_tally address=(\S+)`)
 
 // reportFields returns the paths of all names in the first member's report. It waits until they are those wanted,
@@ -134,7 +135,7 @@
 	return fields, nil
 }
 
-// reportOf asks a member's newest process for its report.
+// reportOf requests the report of a member's newest process.
 func reportOf(member *testcluster.Member) ([]string, error) {
 	all := reportAddress.FindAllStringSubmatch(member.Supervisor.Log(), -1)
 	if len(all) == 0 {
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -84,7 +84,7 @@
 	return s.Assignment.Term != 0 && s.Assignment.Plan != "" && share != 0 && off >= -1 && off <= 1
 }
 
-// view is what a voter tells of the group; a zero view where it does not answer.
+// view is the status of a voter; a zero status where it does not answer.
 func (f *fleet) view(m *testcluster.Member) (v leader.Status) {
 	if err := f.cluster.GetJSON(m, "/v1/owner", &v); err != nil {
 		return leader.Status{}
@@ -135,7 +135,7 @@
 	})
 }
 
-// agreedRecord is the change as the group has agreed on it; a zero record where no leader tells.
+// agreedRecord is the change as the group has agreed on it; a zero record where no leader returns it.
 func (f *fleet) agreedRecord() (r coordinator.Record) {
 	leader, err := f.cluster.Leader(f.cluster.Voters())
 	if err != nil || f.cluster.GetJSON(leader, "/v1/owner/item?name=change.json", &r) != nil {
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -17,7 +17,8 @@
 {"name":"lookup","idempotency":"repeatable","aim_ns":3e8,"give_up_ns":2e9,"gain":1,"late_worth":0.5},
 {"name":"import","idempotency":"once","aim_ns":6e8,"give_up_ns":4e9,"gain":10,"late_worth":0.5,"fifo_by_key":true}],
 "domain":{"class_threads":[1,1],"cpu_of_kind":[16],"size_mb":[32000],"max_grant_share":0.4,
-"writes_tables":[false,false],"waits_for_loads":[false,false],"says_cost":true,"takes_priority":true,"grants_count":true,"note_period_ns":0},
+"writes_tables":[false,false],"waits_for_loads":[false,false],"says_cost":true,"takes_priority":true,
+"grants_count":true,"note_period_ns":0},
 "limits":{"cancel":true,"probes":true,"most_tries":4,"retry_after":true,"max_retry_after_ns":1e9,"dial_timeout_ns":1e9,
 "conn_idle_ns":15e9,"max_streams":100,"max_open":1000},
 "telemetry":{"via":"on_probe","fields":["concurrent"]},
@@ -40,8 +41,8 @@
 	warmUpWindow = time.Second
 )
 
-// WarmUpRules are those of a cluster with EnginesWarmUp: in a window an engine stands twice the third of its capacity
-// that it starts with.
+// WarmUpRules are those of a cluster with EnginesWarmUp: in a window an engine may be given twice the third of its
+// capacity that it starts with.
 func WarmUpRules() rulecheck.Rules {
 	r := Rules
 	r.WarmUp = int64(warmUpTime)
