--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -41,7 +41,7 @@
 	warmUpWindow = time.Second
 )
 
-// WarmUpRules are those of a cluster with EnginesWarmUp: in a window an engine stands twice the third of its capacity
+// WarmUpRules are those of a cluster with EnginesWarmUp: in a window an engine may be given twice the third of its capacity
 // that it starts with.
 func WarmUpRules() rulecheck.Rules {
 	r := Rules
