--- a/internal/sparql/syntax/pattern.go
+++ b/internal/sparql/syntax/pattern.go
@@ -231,10 +231,7 @@
 	case p.token.kind == number:
 		p.advance()
 	case p.isPunct("+") || p.isPunct("-"):
-		if p.advance(); p.token.kind != number || p.token.spaced {
-			p.unexpected("a number")
-		}
-		p.advance()
+		p.signedNumber()
 	case p.isAnyKeyword("true", "false"):
 		p.advance()
 	default:
@@ -243,6 +240,15 @@
 	return 0
 }
 
+// signedNumber parses a sign and the number right behind it.
+func (p *parser) signedNumber() {
+	p.advance()
+	if p.token.kind != number || p.token.spaced {
+		p.unexpected("a number")
+	}
+	p.advance()
+}
+
 func (p *parser) requireVariableAllowed(allowed terms) {
 	if !allowed.vars {
 		p.fail(p.token.at, "no variable may stand here")
