--- a/choice/budget.go
+++ b/choice/budget.go
@@ -43,3 +43,10 @@
 	tokens       float64
 	lastFundedAt Nanos // when there last was a token
 }
+
+// checkFunds notes whether a probe is paid for now.
+func (b *probeBudget) checkFunds(now Nanos) {
+	if b.tokens >= 1 {
+		b.lastFundedAt = now
+	}
+}
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -86,6 +86,21 @@
 	c.emit(Action{Kind: SetTimer, Duration: sweepInterval, TimerID: c.timerID})
 }
 
+// dropExpired drops what no longer counts, so that no table grows without end.
+func (c *Controller) dropExpired() {
+	c.dropEngines(c.now - c.settings.overloadWindow)
+	c.dropIdle(c.now - idleStateTTL)
+	c.retryBudget.trim(c.now - c.settings.retryWindow)
+}
+
+// requestWatch has discovery report changes of the engine list, if it does not yet.
+func (c *Controller) requestWatch() {
+	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
+		c.watchRequestedAt = c.now
+		c.emit(Action{Kind: WatchEngines, Enabled: true})
+	}
+}
+
 // handleTimer ignores a timer that is not the last one set: it would start a second chain of sweeps.
 func (c *Controller) handleTimer(ev Event) {
 	if ev.TimerID == c.timerID {
--- a/choice/job.go
+++ b/choice/job.go
@@ -87,11 +87,6 @@
 	return j.attempt
 }
 
-// repeatDeadline is when engines may stop dropping repeats of a job's key, less how late events may arrive.
-func (c *Controller) repeatDeadline(j *job) Nanos {
-	return j.firstAttemptAt + j.jobType.repeatWindow - 2*c.settings.batchStep
-}
-
 // addJob records an admitted job, also behind the earlier ones of its ordering key.
 func (c *Controller) addJob(j *job) {
 	c.jobs[j.id] = j
@@ -138,9 +133,9 @@
 	}
 }
 
-// cancelAttempt requests the cancellation of an attempt, once and where that is allowed; nil is ignored.
+// cancelAttempt requests the cancellation of an attempt, if it may be canceled; nil is ignored.
 func (c *Controller) cancelAttempt(a *attempt) {
-	if a != nil && !a.cancelRequested && c.settings.cancelAllowed {
+	if a != nil && c.mayCancel(a) {
 		a.cancelRequested = true
 		c.emit(Action{Kind: CancelAttempt, Job: a.job.id, Seq: a.seq})
 	}
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -24,6 +24,16 @@
 	return t.repeatable || (t.repeatableByKey && inScope && c.now < c.repeatDeadline(j))
 }
 
+// repeatDeadline is when engines may stop dropping repeats of a job's key, less how late events may arrive.
+func (c *Controller) repeatDeadline(j *job) Nanos {
+	return j.firstAttemptAt + j.jobType.repeatWindow - 2*c.settings.batchStep
+}
+
+// mayCancel reports whether an attempt may be canceled: once, and only where that is allowed.
+func (c *Controller) mayCancel(a *attempt) bool {
+	return !a.cancelRequested && c.settings.cancelAllowed
+}
+
 // retryBudgetAllows is rule 7: one more dispatch beyond a job's first stays within the configured budget.
 func (c *Controller) retryBudgetAllows() bool {
 	window, free, ratio := c.settings.retryWindow, c.settings.freeRetries, c.settings.retryRatio
--- a/choice/sweep.go
+++ b/choice/sweep.go
@@ -11,9 +11,7 @@
 // sweep runs every sweepInterval: it ends expiring jobs, cancels overdue attempts and updates all estimates.
 func (c *Controller) sweep() {
 	c.armTimer()
-	if c.probeBudget.tokens >= 1 {
-		c.probeBudget.lastFundedAt = c.now
-	}
+	c.probeBudget.checkFunds(c.now)
 	c.liveJobs = slices.DeleteFunc(c.liveJobs, func(j *job) bool { return j.finished && j.attempt == nil })
 	if stalled := c.now - c.lastSweepAt - sweepInterval; stalled >= stallThreshold {
 		c.excuseStall(stalled)
@@ -33,13 +31,8 @@
 	if c.plan != nil {
 		c.updatePlanWeight()
 	}
-	c.dropEngines(c.now - c.settings.overloadWindow)
-	c.dropIdle(c.now - idleStateTTL)
-	c.retryBudget.trim(c.now - c.settings.retryWindow)
-	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
-		c.watchRequestedAt = c.now
-		c.emit(Action{Kind: WatchEngines, Enabled: true})
-	}
+	c.dropExpired()
+	c.requestWatch()
 }
 
 // checkJob ends a job that is about to expire or not worth its work any more, and checks its attempt.
--- a/cmd/swiftreel-fleet/main.go
+++ b/cmd/swiftreel-fleet/main.go
@@ -1,4 +1,5 @@
-// Command swiftreel-fleet is swiftreel's commands for fleets: keep, rollout and fleet. swiftreel hands over to it.
+// Command swiftreel-fleet is the commands of swiftreel for fleets: supervise, rollout, fleet and store. swiftreel executes
+// it for these.
 package main
 
 import (
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -27,11 +27,13 @@
 }
 
 func newReloader(s *server, budget *limits.Budget, operatorPath string) *reloader {
+	current := s.files
+	current.cachedEvents = nil // passed on already
 	return &reloader{
 		server:       s,
 		budget:       budget,
 		operatorPath: operatorPath,
-		current:      s.files,
+		current:      current,
 		baseSettings: s.files.config.Settings,
 		closing:      make(chan struct{}),
 		closed:       make(chan struct{}),
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -17,7 +17,7 @@
 // server is a controller: the gateway with all that feeds it. Its parts are made by newServer, run from start on and
 // end with stop, in the reverse order of their dependencies.
 type server struct {
-	files     files // as at the start
+	files     files // as at the start, and until it
 	listener  net.Listener
 	gateway   *gateway.Gateway
 	clients   *client.Server
@@ -86,4 +86,5 @@
 	}
 	slog.Info("serving", "name", s.files.config.Name, "address", s.listener.Addr(),
 		"events_known", s.files.config.CachedEvents.LastNumber, "settings", change.JSONDigest(s.files.settings))
+	s.files = files{} // the reloader has what is in force; a plan or snapshot of the start is not retained
 }
--- a/internal/client/server.go
+++ b/internal/client/server.go
@@ -60,15 +60,16 @@
 		conns:   map[*conn]struct{}{},
 	}
 	s.capacityFreed = sync.NewCond(&s.mu)
-	go s.stalls.run(s.done)
 	return s
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed. It is called once.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener, _ = listener.(syscall.Conn)
 	s.mu.Unlock()
+	s.stalls.reset(time.Now())
+	go s.stalls.run(s.done)
 	for {
 		accepted, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/client/stall.go
+++ b/internal/client/stall.go
@@ -26,7 +26,18 @@
 }
 
 func newStallDetector(now time.Time) *stallDetector {
-	return &stallDetector{lastTick: now, stallStart: now, stallEnd: now.Add(-stallGrace)}
+	d := &stallDetector{}
+	d.reset(now)
+	return d
+}
+
+// reset begins again: what was before now is no stall.
+func (d *stallDetector) reset(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastTick = now
+	d.stallStart = now
+	d.stallEnd = now.Add(-stallGrace)
 }
 
 // tick is called at each interval and returns for how long the process was stalled, 0 if it was not.
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -82,5 +82,8 @@
 	if err := errors.Join(errs...); err != nil {
 		return fmt.Errorf("%w: %s", err, bytes.TrimSpace(text))
 	}
+	if bytes.Contains(text, []byte("no tests to run")) {
+		return fmt.Errorf("a pattern of test names matches none: %s", bytes.TrimSpace(text))
+	}
 	return nil
 }
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -85,12 +86,18 @@
 	if r.phase == rollout.PhaseDone {
 		wanted = record.ToSpec.Digest()
 	}
+	accepted := 0
 	for _, m := range cluster.Members {
 		status, err := cluster.Status(m)
 		if err != nil || status.RunningSpec != wanted {
 			r.setError(fmt.Errorf("%s runs %s, wanted %s: %s", m.Name, status.RunningSpec, wanted, fmt.Sprint(err)))
 		}
-		r.setError(checkFences(m.Supervisor.Log()))
+		orders, err := checkFences(m.Supervisor.Log())
+		accepted += orders
+		r.setError(err)
+	}
+	if accepted == 0 {
+		r.setError(errors.New("no supervisor's log has an accepted order"))
 	}
 }
 
@@ -204,8 +211,8 @@
 	return to.Sub(from)
 }
 
-// checkFences checks by a supervisor's log that it accepted its orders in their order.
-func checkFences(log string) error {
+// checkFences checks by a supervisor's log that it accepted its orders in their order, and counts them.
+func checkFences(log string) (orders int, err error) {
 	var last change.Fence
 	for line := range strings.Lines(log) {
 		_, text, isOrder := strings.Cut(line, "msg=order_accepted fence=")
@@ -214,12 +221,13 @@
 		}
 		var f change.Fence
 		if _, err := fmt.Sscanf(text, "%d.%d.%d", &f.Number, &f.Term, &f.Revision); err != nil {
-			return err
+			return orders, err
 		}
 		if f.Compare(last) <= 0 {
-			return fmt.Errorf("order %v was taken after %v", f, last)
+			return orders, fmt.Errorf("order %v was taken after %v", f, last)
 		}
 		last = f
+		orders++
 	}
-	return nil
+	return orders, nil
 }
--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -68,15 +68,18 @@
 		}
 		return text
 	}
-	for text, isFine := range map[string]bool{
-		log():                          true,
-		log("1.1.1", "1.1.2", "1.2.1"): true,
-		log("1.1.2", "1.1.1"):          false,
-		log("1.1.1", "1.1.1"):          false,
-		log("x"):                       false,
+	for text, want := range map[string]struct {
+		orders int
+		isFine bool
+	}{
+		log():                          {0, true},
+		log("1.1.1", "1.1.2", "1.2.1"): {3, true},
+		log("1.1.2", "1.1.1"):          {1, false},
+		log("1.1.1", "1.1.1"):          {1, false},
+		log("x"):                       {0, false},
 	} {
-		if err := checkFences(text); (err == nil) != isFine {
-			t.Errorf("%s: %v", text, err)
+		if orders, err := checkFences(text); (err == nil) != want.isFine || orders != want.orders {
+			t.Errorf("%s: %d orders, %v", text, orders, err)
 		}
 	}
 }
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -152,6 +152,9 @@
 				seconds = append(seconds, r.seconds)
 			}
 		}
+		if harm >= maxHarmUnfound && len(jobs) < s.harmed {
+			ok = false
+		}
 		if len(jobs) == 0 {
 			fmt.Printf("  %g%%: 0/%d", 100*harm, s.harmed)
 			continue
@@ -161,9 +164,6 @@
 		medianJobs := jobs[len(jobs)/2]
 		points = append(points, plotter.XY{X: 100 * harm, Y: float64(medianJobs)})
 		fmt.Printf("  %g%%: %d/%d %d jobs %d s", 100*harm, len(jobs), s.harmed, medianJobs, seconds[len(seconds)/2])
-		if harm >= maxHarmUnfound && len(jobs) < s.harmed {
-			ok = false
-		}
 	}
 	fmt.Println()
 	return points, ok
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -67,7 +67,10 @@
 		return noEvent, ""
 	}
 	stage := m.plan.Stages[m.State.Stage]
-	staged := membersNamed(seen.Members, stage)
+	staged := seen.Members
+	if stage != nil { // a fleet of one has an empty first stage: then the reason names all
+		staged = membersNamed(seen.Members, stage)
+	}
 	missing := namesUnless(staged, m.servesTarget)
 	missingReachable := namesUnless(staged, func(member Member) bool {
 		return !member.Reachable || m.servesTarget(member)
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -405,3 +405,13 @@
 		}
 	}
 }
+
+func TestAnEmptyFirstStageNamesAllThatDidNotTakeIt(t *testing.T) {
+	timing := change.Timing{ApplyTimeoutMS: 10}
+	plan := Plan{FromSpec: "old", ToSpec: "new", Stages: [][]string{nil, {"c1"}}, Timing: timing}
+	m := New(State{Phase: PhaseApplying}, plan, 0)
+	seen := Observation{Now: 20e6, Members: []Member{{Name: "c1", Reachable: true, Serving: true, Running: "old"}}}
+	if !m.Step(seen) || m.State.Outcome != "stage 1 was not taken by c1" {
+		t.Errorf("%s: %q", m.State.Phase, m.State.Outcome)
+	}
+}
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -66,7 +66,7 @@
 )
 
 // transitions names the phase that follows an event, by the phase in which the event happens. Requests of operators are
-// events of each phase that accepts them, see requestedEvent.
+// events of each phase that accepts them, see handleRequest.
 var transitions = map[Phase]map[event]Phase{
 	PhasePreparing: {
 		fleetReady:    PhaseBaseline,
--- a/internal/rulecheck/check.go
+++ b/internal/rulecheck/check.go
@@ -112,13 +112,12 @@
 		c.report(ruleAnswer, entry, "an answer for a job that nobody asked for")
 		return
 	}
-	if j.answer == ClientLeft {
+	switch {
+	case j.answer == ClientLeft:
 		c.report(ruleAnswer, entry, "an answer after the client left")
-		return
-	}
-	if j.answer != "" {
+	case j.answer != "":
 		c.report(ruleAnswer, entry, "a second final answer: %s after %s", entry.Answer, j.answer)
-	} else if entry.Event == Answered && entry.TimeNS > j.DeadlineNS+c.rules.AnswerSlack {
+	case entry.Event == Answered && entry.TimeNS > j.DeadlineNS+c.rules.AnswerSlack:
 		c.report(ruleAnswer, entry, "its final answer comes %d ns late", entry.TimeNS-j.DeadlineNS)
 	}
 	j.answer = entry.Answer
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -144,6 +144,44 @@
 	golden.Check(t, "violations.golden", []byte(texts.String()))
 }
 
+func TestAnAnswerAfterTheClientLeftIsCheckedInFull(t *testing.T) {
+	for name, c := range map[string]struct {
+		log  string
+		want []string
+	}{
+		"done, and nothing began it": {
+			taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Done),
+			[]string{"an answer after the client left", "done, and no engine began it"},
+		},
+		"run-once, throttled after it ran": {
+			taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + line(4, ClientLeft, "a", "") +
+				answered(5, "a", Throttled),
+			[]string{"an answer after the client left", "throttled though it may have run"},
+		},
+		"answered twice": {
+			taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Throttled) +
+				answered(6, "a", Throttled),
+			[]string{"an answer after the client left", "a second final answer: throttled after throttled"},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			log, err := Read(strings.NewReader(fleet + c.log))
+			if err != nil {
+				t.Fatal(err)
+			}
+			found := Check(rules, Merge(log))
+			if len(found) != len(c.want) {
+				t.Fatalf("found %v, want %q", found, c.want)
+			}
+			for i, violation := range found {
+				if !strings.HasSuffix(violation.String(), c.want[i]) {
+					t.Errorf("%s, want %q", violation, c.want[i])
+				}
+			}
+		})
+	}
+}
+
 func TestLogsOfOneMomentAreMergedWithoutBlame(t *testing.T) {
 	a, _ := Read(strings.NewReader(fleet + taken(1, "a", "import", "k") + taken(1, "b", "import", "k") +
 		answered(5, "a", Done) + answered(9, "b", Done)))
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -39,8 +39,8 @@
 }
 
 // AcceptOrder makes an order of the rollout coordinator the one in force, or says why it is refused:
-// WrongMemberError, ErrOrderNotRecorded or an error of change.Held.Take. An order that is in force already is
-// accepted without effect.
+// WrongMemberError, ErrOrderNotRecorded or an error of change.AcceptedOrder.Accept. An order that is in force already
+// is accepted without effect.
 func (s *Supervisor) AcceptOrder(order change.Order) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testcluster/requests.go
+++ b/internal/testcluster/requests.go
@@ -56,6 +56,9 @@
 		return err
 	}
 	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("%s: %s: %s", m.Name, path, response.Status)
+	}
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
