--- a/cmd/swiftreel-fleet/main.go
+++ b/cmd/swiftreel-fleet/main.go
@@ -1,5 +1,5 @@
-// Command swiftreel-fleet is the commands of swiftreel for fleets: supervise, rollout, fleet and store. swiftreel executes
-// it for these.
+// Command swiftreel-fleet is the commands of swiftreel for fleets: supervise, rollout, fleet and store. swiftreel
+// executes it for these.
 package main
 
 import (
