--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -11,13 +11,13 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/rig"
 	"swiftreel/internal/rollout"
+	"swiftreel/internal/testcluster"
 )
 
 // mixedPlan is a fleet whose supervisors are of both versions by turns.
-func mixedPlan(base, current build) rig.Plan {
-	return rig.Plan{Program: base.program(), Seed: 62, Controllers: 4, Engines: 2,
+func mixedPlan(base, current build) testcluster.Plan {
+	return testcluster.Plan{Program: base.program(), Seed: 62, Controllers: 4, Engines: 2,
 		Keepers: map[int]string{1: current.program(), 3: current.program()}}
 }
 
@@ -57,7 +57,7 @@
 
 // resume starts a coordinator on the record of one that was killed, and waits until it has taken the change over. The lock
 // of the killed one may not be free at once.
-func (f *fleet) resume(by build) (*rig.Process, error) {
+func (f *fleet) resume(by build) (*testcluster.Process, error) {
 	term := f.record().State.Fence.Term
 	for stop := time.Now().Add(stepLimit); ; {
 		p, err := f.town.Rollout(by.program(), f.folder(), "resume", "--conduct")
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -6,13 +6,13 @@
 	"path/filepath"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/testcluster"
 )
 
 // rollPlan is a fleet that is all of the base version at first.
-func rollPlan(base, _ build) rig.Plan {
-	return rig.Plan{Program: base.program(), Seed: 61, Controllers: 3, Engines: 3,
-		Files: map[string]string{"problem.json": rig.PlanningProblem}}
+func rollPlan(base, _ build) testcluster.Plan {
+	return testcluster.Plan{Program: base.program(), Seed: 61, Controllers: 3, Engines: 3,
+		Files: map[string]string{"problem.json": testcluster.PlanningProblem}}
 }
 
 // rollSteps are an upgrade and the way back, each part by each version.
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -10,14 +10,14 @@
 	"slices"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/keep"
-	"swiftreel/internal/rig"
 	"swiftreel/internal/rulecheck"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
 )
 
 // transferPlan is two controllers, one under a supervisor of each version.
-func transferPlan(base, current build) rig.Plan {
-	return rig.Plan{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, Keepers: map[int]string{1: current.program()}}
+func transferPlan(base, current build) testcluster.Plan {
+	return testcluster.Plan{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3, Keepers: map[int]string{1: current.program()}}
 }
 
 // brokenEngine is the one that fails all that it is asked.
@@ -36,7 +36,7 @@
 // ejected waits until every controller has ejected so many engines.
 func (f *fleet) ejected(n int) error {
 	for _, m := range f.town.Members {
-		var last keep.Status
+		var last supervisor.Status
 		err := f.town.Await(stepLimit, func() (is bool) {
 			s, err := f.town.Status(m)
 			last = s
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, m := range f.town.Members {
-		var s keep.Status
+		var s supervisor.Status
 		err := f.town.Await(stepLimit, func() (is bool) {
 			var err error
 			s, err = f.town.Status(m)
@@ -122,7 +122,7 @@
 }
 
 // reportOf asks a member's newest process for its report.
-func reportOf(m *rig.Member) ([]string, error) {
+func reportOf(m *testcluster.Member) ([]string, error) {
 	all := reportAddress.FindAllStringSubmatch(m.Keeper.Log(), -1)
 	if len(all) == 0 {
 		return nil, errors.New("it does not say where it reports")
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/keep"
-	"swiftreel/internal/rig"
+	"swiftreel/internal/supervisor"
+	"swiftreel/internal/testcluster"
 )
 
 // watchInterval is from one sample of all statuses to the next.
@@ -18,13 +18,13 @@
 // watch samples the statuses of a town's supervisors and finds what must never be: an order or an assignment that goes back,
 // two coordinators under one term, a controller that ended unasked, a status field that the present program does not know.
 type watch struct {
-	town *rig.Town
+	town *testcluster.Town
 	done chan struct{}
 	wait sync.WaitGroup
 
 	// Owned by the sampling goroutine until it has ended.
-	last    map[string]keep.Status // by member
-	orderer map[fenceTerm]string   // the one coordinator of a term
+	last    map[string]supervisor.Status // by member
+	orderer map[fenceTerm]string         // the one coordinator of a term
 	faults  []string
 	samples int
 }
@@ -32,8 +32,8 @@
 // fenceTerm is a change's number and the term of its coordinator.
 type fenceTerm struct{ number, term int64 }
 
-func startWatch(town *rig.Town) *watch {
-	w := &watch{town: town, done: make(chan struct{}), last: map[string]keep.Status{}, orderer: map[fenceTerm]string{}}
+func startWatch(town *testcluster.Town) *watch {
+	w := &watch{town: town, done: make(chan struct{}), last: map[string]supervisor.Status{}, orderer: map[fenceTerm]string{}}
 	w.wait.Go(func() {
 		tick := time.NewTicker(watchInterval)
 		defer tick.Stop()
@@ -66,7 +66,7 @@
 }
 
 // compare returns what a status shows that must not be after the one before.
-func (w *watch) compare(before, now keep.Status) (faults []string) {
+func (w *watch) compare(before, now supervisor.Status) (faults []string) {
 	if now.Fence.Compare(before.Fence) < 0 {
 		faults = append(faults, fmt.Sprintf("order %v is held after %v", now.Fence, before.Fence))
 	}
--- a/internal/rig/commands.go
+++ b/internal/testcluster/commands.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"bytes"
@@ -13,9 +13,9 @@
 	"time"
 
 	"swiftreel/internal/change"
-	"swiftreel/internal/conduct"
+	"swiftreel/internal/coordinator"
+	"swiftreel/internal/leader"
 	"swiftreel/internal/operator"
-	"swiftreel/internal/owner"
 )
 
 // requestTimeout bounds one request of this package to a supervisor.
@@ -47,7 +47,7 @@
 	if want.Program.Digest, err = change.OfFile(path); err != nil {
 		return err
 	}
-	fleet := conduct.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, requestTimeout, requestTimeout)
+	fleet := coordinator.NewFleet([]operator.Member{{Name: m.Name, Listen: m.Keeps}}, requestTimeout, requestTimeout)
 	order := change.Order{Format: change.Format, Fence: fence, By: "x", Member: m.Name, Want: want}
 	for _, err := range fleet.Order(context.Background(), map[int]change.Order{0: order}) {
 		return fmt.Errorf("%s refuses order %v: %w", m.Name, fence, err)
@@ -78,12 +78,12 @@
 }
 
 // Leader waits until one of the candidates leads with a valid lease, and returns it.
-func (t *Town) Leader(candidates []*Member) (leader *Member, err error) {
+func (t *Town) Leader(candidates []*Member) (elected *Member, err error) {
 	err = t.Await(settleTimeout, func() bool {
 		for _, m := range candidates {
-			var v owner.View
+			var v leader.View
 			if t.Get(m, "/v1/owner", &v) == nil && v.May {
-				leader = m
+				elected = m
 				return true
 			}
 		}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("nobody leads: %w", err)
 	}
-	return leader, nil
+	return elected, nil
 }
 
 // Voters are the members that elect a leader, in the order of the operator's file.
