--- a/choice/action.go
+++ b/choice/action.go
@@ -1,54 +1,54 @@
 package choice
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of action. The comments name the fields of Action that are set.
+// The kinds of action. The comments name the fields of Action that each sets.
 const (
 	Dispatch           ActionKind = iota + 1 // start the job's next attempt: Job, Engine, SendDeadline
-	Throttle                                 // final answer, the client may repeat the job: Job, Duration, Reason
-	CancelPermanently                        // final answer, the job may have run: Job, Reason
+	Throttle                                 // final answer; the client may retry the job: Job, Duration, Reason
+	CancelPermanently                        // final answer; the job may have run: Job, Reason
 	CancelAttempt                            // Job, Seq
-	SetDispatchOptions                       // of the dispatch that follows: Job, Priority, MemoryMB
+	SetDispatchOptions                       // for the Dispatch that follows: Job, Priority, MemoryMB
 	SetTimer                                 // Duration, TimerID
 	SendProbe                                // Engine
 	CloseIdle                                // close idle connections: Engine
 	SendGossip                               // Peer, Payload
-	WatchEngines                             // ask discovery for changes of the list, or no longer: Enabled
-	ListEngines                              // ask discovery for the full list
+	WatchEngines                             // subscribe to changes of the engine list, or not: Enabled
+	ListEngines                              // request the full engine list from discovery
 	Log                                      // Text
-	Fault                                    // Text: a fault of this program
+	Fault                                    // report an internal error of this program: Text
 )
 
-// Action is something to be done; Kind says which fields are set.
+// Action is one action for the caller to carry out; Kind determines which fields are set.
 type Action struct {
 	Kind         ActionKind
 	Job          JobID
 	Engine       EngineID
 	Seq          AttemptSeq
 	Duration     Nanos
-	SendDeadline Nanos // after it not one byte of the attempt may go out: it is superseded
-	Priority     uint8 // 1 to 3, the highest
+	SendDeadline Nanos // no byte of the attempt may be sent after it; then the attempt is Superseded
+	Priority     uint8 // from 1, the lowest, to 3
 	MemoryMB     float64
 	TimerID      TimerID
-	Peer         PeerID // math.MaxUint32: all
+	Peer         PeerID // math.MaxUint32: all peers
 	Enabled      bool
-	Payload      string // of a message to another controller
+	Payload      string // of a gossip message
 	Text         string
 	Reason       Reason
 }
 
-// Reason says why a job gets a final answer without a result. It names a counter.
+// Reason is why a job gets a final answer without a result. It is also the name of a counter.
 type Reason string
 
 // The reasons.
 const (
-	TooLateToServe  Reason = "too_late_to_serve" // it would end after its client gives up, or is about to
-	WouldNotFinish  Reason = "stopping"          // it would end after this process does
-	ValueTooLow     Reason = "value_too_low"     // less than the price of the work, in an overload
+	TooLateToServe  Reason = "too_late_to_serve" // it would end after it expires, or it is about to expire
+	WouldNotFinish  Reason = "stopping"          // it would end after this process stops
+	ValueTooLow     Reason = "value_too_low"     // its value is below the overload price of its work
 	QueueFull       Reason = "queue_full"
-	NoRetryLeft     Reason = "no_retry_left"    // its attempt failed, and another is not allowed
-	ProgressStopped Reason = "progress_stopped" // reports on its attempt stopped, and it cannot be repeated
+	NoRetryLeft     Reason = "no_retry_left"    // its attempt failed, and no other is allowed
+	ProgressStopped Reason = "progress_stopped" // no progress reports any more, and it cannot be repeated
 )
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
--- a/choice/bucket.go
+++ b/choice/bucket.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// bucket holds the jobs of one reservation type of one tenant.
+// bucket holds the parked jobs of one type of one tenant, and counts the threads of those in flight.
 type bucket struct {
 	jobType      *jobType
 	tenant       TenantID
 	threadsInUse float64
-	headWait     float64 // of the head for capacity, in latency objectives
-	queue        []*job  // parked
+	headWait     float64 // how long its head has waited for capacity, in latency objectives
+	queue        []*job  // parked jobs
 	lastUsedAt   Nanos
 }
 
-// keyOrder is the order of one key's jobs.
+// keyOrder is the state of one ordering key.
 type keyOrder struct {
-	jobs        []*job
+	jobs        []*job // in order of arrival, until removeFinished removes them
 	pausedUntil Nanos
 }
 
@@ -31,7 +31,7 @@
 	return c.buckets[i]
 }
 
-// bucketHeads returns the heads of all buckets that have one.
+// bucketHeads returns the head of each bucket that has one.
 func (c *Controller) bucketHeads() (heads []*job) {
 	for _, b := range c.buckets {
 		if j := c.bucketHead(b); j != nil {
@@ -41,7 +41,7 @@
 	return heads
 }
 
-// park inserts a job into its bucket's queue at a position.
+// park inserts a job into its bucket's queue at an index.
 func (c *Controller) park(j *job, at int) {
 	j.parked = true
 	j.headSince = 0
@@ -58,7 +58,8 @@
 	j.bucket.queue = slices.DeleteFunc(j.bucket.queue, func(o *job) bool { return o == j })
 }
 
-// longestHeadWait is the longest wait, in latency objectives, of heads whose types may use all places that t may use.
+// longestHeadWait is the longest wait, in latency objectives, of the heads whose types may use all zones and
+// kinds of engine that t may use.
 func (c *Controller) longestHeadWait(t *jobType) float64 {
 	longest := 0.0
 	for _, b := range c.buckets {
@@ -69,7 +70,7 @@
 	return longest
 }
 
-// tenantTokens returns a tenant's token bucket, which is full at first.
+// tenantTokens returns a tenant's token bucket, creating a full one where there is none.
 func (c *Controller) tenantTokens(id TenantID, burst float64) *tokenBucket {
 	if c.tenants[id] == nil {
 		c.tenants[id] = &tokenBucket{tokens: burst, updatedAt: c.now}
@@ -77,11 +78,14 @@
 	return c.tenants[id]
 }
 
-// dropIdle removes buckets and tenants that were not used since a time, and orderings that hold nothing back.
+// dropIdle removes buckets and tenants that have not been used since a time, and orderings that have no jobs
+// and are no longer paused.
 func (c *Controller) dropIdle(since Nanos) {
 	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
 		return len(b.queue) == 0 && b.threadsInUse == 0 && b.lastUsedAt < since
 	})
 	maps.DeleteFunc(c.tenants, func(_ TenantID, t *tokenBucket) bool { return t.updatedAt < since })
-	maps.DeleteFunc(c.orderings, func(_ Key, o *keyOrder) bool { return len(o.jobs) == 0 && c.now >= o.pausedUntil })
+	maps.DeleteFunc(c.orderings, func(_ Key, o *keyOrder) bool {
+		return len(o.jobs) == 0 && c.now >= o.pausedUntil
+	})
 }
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -2,32 +2,32 @@
 
 import "math"
 
-// Controller decides for one controller of the fleet. Its zero value is ready for a Started event. It is not safe for
-// concurrent use.
+// Controller makes the decisions of one controller of the fleet. Its zero value is ready for a Started event.
+// It is not safe for concurrent use.
 type Controller struct {
 	settings Settings
 	random   pcg
-	now      Nanos // of the present event
+	now      Nanos // time of the current event
 	actions  []Action
 	timerID  TimerID // of the last timer set
 
-	clockOffset        Nanos // of the wall clock over now
+	clockOffset        Nanos // wall clock minus now
 	startedAt          Nanos
 	lastSweepAt        Nanos
-	stopsAt            Nanos // math.MaxInt64: not stopping
-	predecessorEndedAt Nanos // far ahead while an older process runs
+	stopsAt            Nanos // when this process ends; math.MaxInt64: not stopping
+	predecessorEndedAt Nanos // far in the future while the predecessor runs
 	watchRequestedAt   Nanos
 	watchingEngines    bool
 	overloadLogged     bool
 
-	types       []*jobType
-	engines     []*engine                 // by ID; a removed one leaves once none of our attempts is there
-	jobs        map[JobID]*job            // until finished with no attempt out
-	liveJobs    []*job                    // the same, in order of arrival
-	buckets     []*bucket                 // emptied by completions, dropped once idle
-	orderings   map[Key]*keyOrder         // dropped when empty and no longer paused
-	tenants     map[TenantID]*tokenBucket // dropped once idle
-	freedBucket *bucket                   // by the attempt that the present event ended
+	types       []*jobType                // by TypeID
+	engines     []*engine                 // by ID; removed ones until dropEngines drops them
+	jobs        map[JobID]*job            // until finished with no attempt in flight
+	liveJobs    []*job                    // in order of arrival; finished ones until the next sweep
+	buckets     []*bucket                 // dropped once idle
+	orderings   map[Key]*keyOrder         // by ordering key; dropped when empty and no longer paused
+	tenants     map[TenantID]*tokenBucket // for their quotas; dropped once idle
+	freedBucket *bucket                   // of the attempt that the current event ended; nil: none
 
 	fleet          fleetState
 	ownLoad        ownLoad
@@ -37,26 +37,26 @@
 	probeBudget    probeBudget
 	outage         outage
 	gossip         gossipState
-	sampleSize     int     // engines that a job looks at
-	quota          Quota   // assigned, or expired
-	plan           *Plan   // to be followed; nil: none
+	sampleSize     int     // engines to sample per job
+	quota          Quota   // as last assigned; it may have expired
+	plan           *Plan   // nil: none
 	planWeight     float64 // how far the plan is followed, from 0 to 1
-	offeredThreads float64 // asked of us, decaying
+	offeredThreads float64 // demand of the jobs that arrived, decaying exponentially
 }
 
 // fleetState is the estimated state of the fleet.
 type fleetState struct {
-	cores            float64 // of ready engines that are not ejected or in slow start
-	contention       float64 // threads a core, ours and siblings'
-	share            float64 // of the fleet's capacity that we use, from 0 to 1
-	estimatedShare   float64 // the same by load reports, where none is assigned
-	meanLatencyRatio float64 // of active engines
-	meanFailureRate  float64 // likewise
-	underPressure    bool    // most engines are
-	lastReportAt     Nanos   // of any engine's load
+	cores            float64 // of ready engines that are neither ejected nor in slow start
+	contention       float64 // threads per core, of all controllers
+	share            float64 // part of the fleet's capacity that this controller uses, from 0 to 1
+	estimatedShare   float64 // the same as estimated from load reports; used while no share is assigned
+	meanLatencyRatio float64 // of ready engines that are not ejected
+	meanFailureRate  float64 // of the same engines
+	underPressure    bool    // most engines were under pressure when this was last logged
+	lastReportAt     Nanos   // when the load of any engine was last reported
 }
 
-// outage is a time in which engines refuse connections.
+// outage is a period in which connections to engines fail.
 type outage struct{ startedAt, lastRefusalAt Nanos }
 
 func (c *Controller) start(ev Event) {
@@ -87,14 +87,14 @@
 	c.emit(Action{Kind: SetTimer, Duration: sweepInterval, TimerID: c.timerID})
 }
 
-// dropExpired drops what no longer counts, so that no table grows without end.
+// dropExpired drops expired state, so that no table grows without limit.
 func (c *Controller) dropExpired() {
 	c.dropEngines(c.now - c.settings.overloadWindow)
 	c.dropIdle(c.now - idleStateTTL)
 	c.retryBudget.trim(c.now - c.settings.retryWindow)
 }
 
-// requestWatch has discovery report changes of the engine list, if it does not yet.
+// requestWatch subscribes to changes of the engine list where that is needed and not confirmed yet.
 func (c *Controller) requestWatch() {
 	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
 		c.watchRequestedAt = c.now
@@ -102,7 +102,7 @@
 	}
 }
 
-// handleTimer ignores a timer that is not the last one set: it would start a second chain of sweeps.
+// handleTimer ignores a timer that is not the last one set, as it would start a second series of sweeps.
 func (c *Controller) handleTimer(ev Event) {
 	if ev.TimerID == c.timerID {
 		c.sweep()
@@ -122,7 +122,8 @@
 	}
 }
 
-// markPredecessor records whether an older process still runs. Until it has ended, its dispatches are unknown here.
+// markPredecessor records whether the predecessor still runs. Until it has ended, this process does not know
+// what it dispatches.
 func (c *Controller) markPredecessor(ev Event) {
 	c.predecessorEndedAt = c.now
 	if ev.PredecessorRunning {
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -6,52 +6,52 @@
 	"slices"
 )
 
-// engine is the state of an engine.
+// engine is what this controller knows of an engine.
 type engine struct {
 	EngineEntry
-	index    int // in Controller.engines
+	index    int // index in Controller.engines
 	cores    float64
 	memoryMB float64 // 0: not known
 
-	attempts       []*attempt // ours, out
-	ownThreads     float64    // of these
-	ownMemoryMB    float64    // likewise
-	siblingThreads float64    // as reported or guessed
-	loadKnownAt    Nanos      // when siblings' threads were last reported, by the engine or by siblings
-	lastReportAt   Nanos      // of the engine itself
-	lastSeenAt     Nanos      // of its last answer or progress
+	attempts       []*attempt // own attempts in flight
+	ownThreads     float64    // of these attempts
+	ownMemoryMB    float64    // of these attempts
+	siblingThreads float64    // of peers' attempts, as reported or estimated
+	loadKnownAt    Nanos      // when the engine or a peer last reported the peers' threads
+	lastReportAt   Nanos      // when the engine itself last reported its load
+	lastSeenAt     Nanos      // when it last answered or reported progress
 
-	concurrencyLimit float64 // in threads of ours; binds under pressure
+	concurrencyLimit float64 // of own threads; enforced under pressure
 	underPressure    bool
-	fullUntil        Nanos // nothing is sent to it until then
+	fullUntil        Nanos // no dispatch until then
 	limitRaisedAt    Nanos
 	limitHalvedAt    Nanos
-	latencyRatio     float64 // recent latency over the best of its types
+	latencyRatio     float64 // recent slowdowns of its jobs over the best slowdown of their types
 	failureRate      float64 // recent, from 0 to 1
 
 	ejected             bool
 	ejectedAt           Nanos
-	ejectionTime        Nanos // the next ejection lasts twice as long
+	ejectionTime        Nanos // minimum duration of this ejection; doubled by the next
 	consecutiveFailures int
-	probesPassed        int // in a row
+	probesPassed        int // consecutive ones
 	probePending        bool
 	lastProbeAt         Nanos
 
-	refusing           bool  // it refused the last connection, or may have
-	dialFailedAt       Nanos // first dial that failed without a refusal since it was seen; 0: it refused, or none
-	suspectedRestartAt Nanos // a restart that the list does not report
-	slowStartWork      []timedWork
-
-	gossipedThreads  float64 // ours, by our last message
-	newSuccesses     int     // since then
-	newFailures      int     // likewise
-	siblingSuccesses float64 // that siblings reported, decaying
-	siblingFailures  float64 // likewise
-	lockedTables     []byte  // hashes of the groups that siblings' loads hold, by a map of lockedTablesAt
+	refusing           bool        // its last connection failed to come up, and it has not answered since
+	dialFailedAt       Nanos       // first failed dial since it was last seen; 0: none, or one was refused
+	suspectedRestartAt Nanos       // when it seems to have restarted; the engine list reports no restart
+	slowStartWork      []timedWork // dispatched during its slow start
+
+	gossipedThreads  float64 // own threads in the last message sent
+	newSuccesses     int     // outcomes since that message
+	newFailures      int     // outcomes since that message
+	siblingSuccesses float64 // reported by peers, decaying exponentially
+	siblingFailures  float64 // reported by peers, decaying exponentially
+	lockedTables     []byte  // hashes of the table groups that loads hold, from the map of lockedTablesAt
 	lockedTablesAt   Nanos
 }
 
-// timedWork is work in ns that was dispatched at a time.
+// timedWork is work dispatched at a time, in ns of one thread.
 type timedWork struct {
 	dispatchedAt Nanos
 	work         float64
@@ -63,7 +63,7 @@
 	})
 }
 
-// engineByID returns a known engine, or nil.
+// engineByID returns an engine, or nil if it is not known.
 func (c *Controller) engineByID(id EngineID) *engine {
 	i, known := c.findEngine(id)
 	if !known {
@@ -72,7 +72,7 @@
 	return c.engines[i]
 }
 
-// enterEngine applies an entry of a list. It reports whether its engine is new or restarted.
+// enterEngine applies an entry of an engine list. restarted is true for a new engine too.
 func (c *Controller) enterEngine(entry EngineEntry) (e *engine, restarted bool) {
 	i, known := c.findEngine(entry.Engine)
 	if !known {
@@ -93,7 +93,7 @@
 	}
 }
 
-// indexEngines numbers engines in their order, and returns the cores of ready ones.
+// indexEngines sets the index of each engine, and returns the cores of ready ones.
 func (c *Controller) indexEngines() (readyCores float64) {
 	for i, e := range c.engines {
 		e.index = i
@@ -104,16 +104,18 @@
 	return readyCores
 }
 
-// dropEngines deletes slow-start work older than a time, and removed engines without attempts or such work. An engine
-// that leaves and returns keeps its slow-start budget.
+// dropEngines deletes slow-start work older than a time, and removed engines that have neither attempts nor
+// such work left: an engine that leaves the list and returns keeps its slow-start budget.
 func (c *Controller) dropEngines(before Nanos) {
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
-		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool { return w.dispatchedAt < before })
+		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool {
+			return w.dispatchedAt < before
+		})
 		return e.State == Removed && len(e.attempts) == 0 && len(e.slowStartWork) == 0
 	})
 }
 
-// countEjected counts ready engines, and the ejected ones of them.
+// countEjected counts the ready engines, and those of them that are ejected.
 func (c *Controller) countEjected() (ejected, ready int) {
 	for _, e := range c.engines {
 		if e.State != Ready {
@@ -133,7 +135,7 @@
 	c.emit(Action{Kind: SendProbe, Engine: e.Engine})
 }
 
-// warmCores is the cores of an engine, or 0 during its slow start, when it is kept almost empty.
+// warmCores returns the cores of an engine, or 0 during its slow start, when it gets little work.
 func (c *Controller) warmCores(e *engine) float64 {
 	return e.cores * math.Floor(c.slowStartFraction(e))
 }
--- a/choice/engine_view.go
+++ b/choice/engine_view.go
@@ -1,17 +1,17 @@
 package choice
 
-// EngineView is what a Controller believes of an engine, for comparison with what its caller observes.
+// EngineView is what a Controller knows of an engine, for comparison with what its caller observes.
 type EngineView struct {
 	Engine            EngineID
-	Jobs              int     // ours there
-	Threads           float64 // ours there
-	SiblingThreads    float64 // estimated
-	ReportAge         Nanos   // of the last load report; below 0: none yet
-	LastSeenAge       Nanos   // of the last answer or progress; below 0: none yet
-	UnavailableReason string  // why it gets nothing; empty: it does
+	Jobs              int     // own jobs in flight there
+	Threads           float64 // of these jobs
+	SiblingThreads    float64 // of peers' jobs, estimated
+	ReportAge         Nanos   // since the last load report; below 0: none yet
+	LastSeenAge       Nanos   // since the last answer or progress report; below 0: none yet
+	UnavailableReason string  // why no jobs are sent to it; empty: it is available
 }
 
-// EngineViews returns the views of all known engines, by ID.
+// EngineViews returns the views of all known engines, ordered by ID.
 func (c *Controller) EngineViews(now Nanos) (views []EngineView) {
 	age := func(at Nanos) Nanos {
 		if at == 0 {
@@ -28,7 +28,7 @@
 	return views
 }
 
-// unavailable returns why an engine gets no jobs, or "".
+// unavailable returns why no jobs are sent to an engine, or "" if it is available.
 func (e *engine) unavailable(now Nanos) string {
 	switch {
 	case e.State == Removed:
@@ -43,5 +43,5 @@
 	return ""
 }
 
-// FleetShare returns the part of the fleet's capacity that this controller uses now, from 0 to 1.
+// FleetShare returns the part of the fleet's capacity that this controller may use now, from 0 to 1.
 func (c *Controller) FleetShare() float64 { return c.fleet.share }
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -2,28 +2,29 @@
 
 import "math"
 
-// Moving means. The constants that say how fast they move are in the policy files.
+// Moving means. The constants that set how fast they adapt are in the policy files.
 
-// ownLoad is the mean of our attempts in flight, and of their threads and memory.
+// ownLoad is the number of this controller's attempts in flight, with their threads and memory, or the moving
+// mean of these.
 type ownLoad struct{ jobs, threads, memoryMB float64 }
 
-// approach moves the means toward the present load by a step from 0 to 1.
-func (l *ownLoad) approach(now ownLoad, step float64) {
-	l.jobs += step * (now.jobs - l.jobs)
-	l.threads += step * (now.threads - l.threads)
-	l.memoryMB += step * (now.memoryMB - l.memoryMB)
+// approach moves the means toward the current load by a step from 0 to 1.
+func (l *ownLoad) approach(current ownLoad, step float64) {
+	l.jobs += step * (current.jobs - l.jobs)
+	l.threads += step * (current.threads - l.threads)
+	l.memoryMB += step * (current.memoryMB - l.memoryMB)
 }
 
-// demand holds the means over admitted jobs.
+// demand holds moving means over the jobs that arrived.
 type demand struct {
-	jobs           float64 // that it goes by
+	jobs           float64 // number of jobs in the means, capped
 	meanValue      float64
 	meanWork       float64 // ns
-	meanDuration   float64 // ns, of work over threads
-	meanMemoryTime float64 // MB times that
+	meanDuration   float64 // ns, work over threads
+	meanMemoryTime float64 // MB times ns, memory times duration
 }
 
-// observe adds a job; the means cover about the last so many samples.
+// observe adds a job to the means, which cover about the last samples jobs.
 func (d *demand) observe(j *job, samples float64) {
 	t := j.jobType
 	d.jobs = min(samples, d.jobs+1)
@@ -33,13 +34,13 @@
 	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.jobs
 }
 
-// meanThreadsPerJob is our own mean, assumed for siblings too.
+// meanThreadsPerJob returns the mean of this controller's jobs, which is assumed for peers' jobs too.
 func (c *Controller) meanThreadsPerJob() float64 {
 	prior := priorJobs * c.demand.meanWork / c.demand.meanDuration
 	return (c.ownLoad.threads + prior) / (c.ownLoad.jobs + priorJobs)
 }
 
-// meanMemoryPerThread is our own mean in MB, assumed for siblings too.
+// meanMemoryPerThread returns the mean of this controller's jobs in MB, which is assumed for peers' jobs too.
 func (c *Controller) meanMemoryPerThread() float64 {
 	prior := priorJobs * c.demand.meanMemoryTime / c.demand.meanWork
 	return (c.ownLoad.memoryMB + prior) / (c.ownLoad.threads + priorJobs)
@@ -53,32 +54,32 @@
 	return longest
 }
 
-// durationError is the mean error of expected durations, as the natural log of actual over expected.
+// durationError is the mean absolute error of expected durations, as the natural log of actual over expected.
 type durationError struct{ mean, count float64 }
 
-// observe adds a duration. The mean covers about the last so many samples; its first steps are divided by at least
-// priorCount.
+// observe adds the duration of an attempt, with its error capped at maxError. The mean covers about the last
+// samples durations. Its first steps are divided by at least priorCount, so that they weigh less.
 func (d *durationError) observe(a *attempt, latency Nanos, maxError, priorCount, samples float64) {
 	d.count = min(d.count+1, samples)
-	off := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedNanos)))
-	d.mean += (off - d.mean) / max(d.count, priorCount)
+	logError := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedNanos)))
+	d.mean += (logError - d.mean) / max(d.count, priorCount)
 }
 
-// usage is the resources that an attempt used, packed as in Event.Usage.
+// usage is what an attempt used, packed as in Event.Usage.
 type usage uint32
 
-// work is the used work in ns of one thread.
+// work returns the work in ns of one thread.
 func (u usage) work() float64 { return float64(u>>12) * float64(ms) }
 
 func (u usage) memoryMB() float64 { return float64(u&4095) * 4 }
 
-// fleetTotals is a sum over engines.
+// fleetTotals holds sums over all engines, from which the fleet's means are computed.
 type fleetTotals struct {
 	own                       ownLoad
-	active                    float64 // engines that are ready and not ejected
-	latencyRatio, failureRate float64 // of these
-	cores                     float64 // of these, but for those in slow start
-	pressed                   int     // engines under pressure
+	active                    float64 // number of engines that are ready and not ejected
+	latencyRatio, failureRate float64 // of active engines
+	cores                     float64 // of active engines that are not in slow start
+	pressed                   int     // number of engines under pressure
 }
 
 func (t *fleetTotals) add(e *engine, warmCores float64) {
@@ -96,45 +97,47 @@
 	}
 }
 
-// observeUsage learns the errors of a type's estimates from a job's usage, and returns the true work.
+// observeUsage updates the errors of a type's cost and memory estimates from the usage of a job, and returns
+// the work that the job used.
 func (t *jobType) observeUsage(j *job, u usage) float64 {
 	work := math.Max(u.work(), float64(ms))
 	t.costCount = min(t.costCount+1, estimateSamples)
 	t.costBias += min(maxCostStep, max(-maxCostStep, math.Log(work/j.work))) / max(t.costCount, priorCosts)
 	if used := u.memoryMB(); used > 0 && j.memoryMB > 0 {
 		t.memoryCount = min(t.memoryCount+1, estimateSamples)
-		off := math.Log(used/j.memoryMB) - t.memoryBias
-		t.memoryBias += off / t.memoryCount
-		t.memoryDeviation += (math.Abs(off) - t.memoryDeviation) / max(t.memoryCount, priorMemories)
+		deviation := math.Log(used/j.memoryMB) - t.memoryBias
+		t.memoryBias += deviation / t.memoryCount
+		t.memoryDeviation += (math.Abs(deviation) - t.memoryDeviation) / max(t.memoryCount, priorMemories)
 	}
 	t.observeWork(work)
 	return work
 }
 
-// observeWork adds to the mean work: a plain mean at first, which a new controller needs, then a moving one.
+// observeWork updates the mean work of a type. It is a plain mean of the first jobs, so that a new controller
+// adapts fast, and a moving mean later.
 func (t *jobType) observeWork(work float64) {
 	t.workCount = min(t.workCount+1, workSamples)
 	t.meanWork += (work - t.meanWork) / (t.workCount + 1)
 }
 
-// observeSlowdown adds a latency over (work / threads) to the recent mean, and moves the best one: fast when it
-// improves, slowly otherwise.
+// observeSlowdown updates the recent and the best slowdown of a type from the slowdown of an answer: its
+// latency over (work / threads). The best one moves fast to a lower value and slowly to a higher one.
 func (t *jobType) observeSlowdown(slowdown float64, now Nanos) {
-	rate := bestSlowdownRise
+	step := bestSlowdownRise
 	if slowdown < t.bestSlowdown {
-		rate = bestSlowdownFall
+		step = bestSlowdownFall
 	}
-	t.bestSlowdown += rate * (min(slowdown, 2*t.bestSlowdown) - t.bestSlowdown)
+	t.bestSlowdown += step * (min(slowdown, 2*t.bestSlowdown) - t.bestSlowdown)
 	t.lastLatencyAt = now
 	t.slowdown += slowdownStep * (min(slowdown, maxSlowdown) - t.slowdown)
 }
 
-// knownMemoryMB is the memory of an engine that all controllers' jobs use, as far as is known.
+// knownMemoryMB returns the memory of an engine that the jobs of all controllers use, as far as it is known.
 func (c *Controller) knownMemoryMB(e *engine) float64 {
 	return e.ownMemoryMB + e.siblingThreads*c.meanMemoryPerThread()
 }
 
-// memoryNeed is the memory in MB that a job is expected to use on an engine.
+// memoryNeed returns the memory in MB that a job is expected to use on an engine.
 func (c *Controller) memoryNeed(j *job, e *engine) float64 {
 	return min(j.memoryMB*math.Exp(j.jobType.memoryBias), e.memoryMB*c.settings.maxGrantShare)
 }
--- a/choice/event.go
+++ b/choice/event.go
@@ -1,26 +1,26 @@
 package choice
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of event. The comments name the fields of Event that are set.
+// The kinds of event. The comments name the fields of Event that each sets.
 const (
 	Started            EventKind = iota + 1 // the first event: Seed, Settings
 	JobArrived                              // a client sent a job: Job to RequiredProtocols
-	StreamStarted                           // the answer of an attempt goes out to the client: Job
-	ProgressReported                        // of an attempt: Job, Seq, Engine, Progress, Amount
-	AttemptEnded                            // Job, Seq, Engine, Result to ConnectedAt
-	ClientDisconnected                      // before its final answer: Job
+	StreamStarted                           // an attempt's answer is being sent to the client: Job
+	ProgressReported                        // an attempt reported progress: Job, Seq, Engine, Progress, Amount
+	AttemptEnded                            // an attempt ended: Job, Seq, Engine, Result to ConnectedAt
+	ClientDisconnected                      // the client left before the final answer: Job
 	TimerFired                              // TimerID
-	EnginesListed                           // discovery reported: List, Engines
-	ProbeCompleted                          // Engine, Result, Latency, Load, ConnectedAt
-	GossipReceived                          // another controller sent a message: Peer, Payload
-	Stopping                                // this process ends; answers still go out within TimeLeft
-	PlanUpdated                             // a plan is to be followed from now on, or none: Plan
-	Reconfigured                            // the settings changed: Settings; jobs and what was learned stay
-	StateTransferred                        // an older process handed over what it learned: TypeStats, EngineHealth
-	QuotaAssigned                           // what we may use of the fleet until it expires: Quota
-	PredecessorChanged                      // an older process still serves its jobs, or has ended: PredecessorRunning
+	EnginesListed                           // discovery reported engines: List, Engines
+	ProbeCompleted                          // a probe ended: Engine, Result, Latency, Load, ConnectedAt
+	GossipReceived                          // another controller sent a gossip message: Peer, Payload
+	Stopping                                // this process will end; answers are still sent within TimeLeft
+	PlanUpdated                             // from now on a plan is followed, or none: Plan
+	Reconfigured                            // the settings changed, and all other state stays: Settings
+	StateTransferred                        // a predecessor handed over its state: TypeStats, EngineHealth
+	QuotaAssigned                           // this controller's quota was assigned: Quota
+	PredecessorChanged                      // a predecessor still serves its jobs, or ended: PredecessorRunning
 	ClockStepped                            // the wall clock was set: ClockOffset
 )
 
@@ -31,38 +31,38 @@
 const (
 	Done        Result = iota + 1
 	Failed             // the engine answered with an error
-	Full               // the engine refused it for want of capacity
+	Full               // the engine refused it for lack of capacity
 	TimedOut           // no answer within the job timeout
-	Unreachable        // no connection was made: the engine refused it
+	Unreachable        // the engine refused the connection
 	Reset              // the connection broke
-	Canceled           // canceled on our request
-	Superseded         // it never went out
-	DialFailed         // no connection was made, and the engine did not refuse one: it timed out, say
+	Canceled           // canceled at this controller's request
+	Superseded         // it was never sent
+	DialFailed         // no connection was made for another reason, such as a timeout
 )
 
-// NeverRan reports whether the result proves that the attempt had no effect.
+// NeverRan reports whether the result proves that the engine did not run the attempt.
 func (r Result) NeverRan() bool {
 	return r == Full || r == Unreachable || r == Superseded || r == DialFailed
 }
 
-// ProgressKind says what a report of progress is about.
+// ProgressKind is the kind of a progress report.
 type ProgressKind uint8
 
-// The kinds of progress.
+// The kinds of progress report.
 const (
-	ProgressFraction ProgressKind = iota + 1 // Amount is the finished part, from 0 to 1
+	ProgressFraction ProgressKind = iota + 1 // Amount is the finished fraction, from 0 to 1
 	ProgressSpilling                         // Amount is the missing memory
 	ProgressWaiting                          // the attempt waits for tables
 )
 
-// ListKind says how a list of engines is to be read.
+// ListKind is the kind of an engine list.
 type ListKind uint8
 
-// The kinds of list.
+// The kinds of engine list.
 const (
-	FullList   ListKind = iota + 1 // engines that are not in it are removed
-	CachedList                     // likewise, but it may be old
-	ListDelta                      // engines that are not in it are unchanged
+	FullList   ListKind = iota + 1 // all engines; those not in it are removed
+	CachedList                     // all engines, as of an earlier time
+	ListDelta                      // only changed engines; those not in it stay unchanged
 	ListFailed                     // discovery could not be read
 )
 
@@ -73,13 +73,13 @@
 const (
 	Removed EngineState = iota
 	Ready
-	Draining // it takes nothing new
+	Draining // it accepts no new attempts
 )
 
-// Protocols is a set of protocols, one bit each, assigned by the caller.
+// Protocols is a set of protocols. The caller assigns a bit to each.
 type Protocols uint8
 
-// EngineEntry is one engine in a list.
+// EngineEntry is one engine of an engine list.
 type EngineEntry struct {
 	Engine      EngineID
 	Zone        ZoneID
@@ -88,26 +88,26 @@
 	State       EngineState
 	Size        float64
 	StartedAt   Nanos     // 0: long ago
-	Unsupported Protocols // a job that requires one of these cannot go there
+	Unsupported Protocols // a job that requires one of these cannot run there
 }
 
-// Quota is what this controller may use of the fleet, and of each tenant's quota, both from 0 to 1, until it expires.
-// The zero value has expired: the controller goes by its own estimate.
+// Quota is the share of the fleet, and of each tenant's quota, that this controller may use until it expires.
+// Shares are from 0 to 1. The zero value has expired, and the controller uses its own estimate.
 type Quota struct {
 	FleetShare   float64
 	TenantShares map[TenantID]float64
 	ExpiresAt    Nanos
 }
 
-// tenantShare is our share of a tenant's quota, or absent where none is assigned.
-func (q Quota) tenantShare(id TenantID, now Nanos, absent float64) float64 {
+// tenantShare returns the assigned share of a tenant's quota, or fallback if none is assigned or it expired.
+func (q Quota) tenantShare(id TenantID, now Nanos, fallback float64) float64 {
 	if share, assigned := q.TenantShares[id]; assigned && now < q.ExpiresAt {
 		return share
 	}
-	return absent
+	return fallback
 }
 
-// Event is something that happened; Kind says which fields are set.
+// Event is something that happened; Kind determines which fields are set.
 type Event struct {
 	Kind EventKind
 
@@ -118,13 +118,13 @@
 	Type              TypeID
 	Tenant            TenantID
 	Key               Key
-	TimeLeft          Nanos // until the job expires; also of Stopping
-	ArrivedAt         Nanos // when the job may have arrived, at the earliest: it has lain unread since; 0: now
+	TimeLeft          Nanos // until the job expires; of Stopping: until the process ends
+	ArrivedAt         Nanos // earliest time at which the job may have arrived, if it was read late; 0: now
 	Cost              Nanos // estimated work
 	CostKnown         bool
 	IsRepeat          bool // the client sends the job again
 	IsWrite           bool
-	MemoryMB          float64 // estimated; 0: not known
+	MemoryMB          float64 // estimated; 0: unknown
 	Tables            TableGroup
 	RequiredProtocols Protocols // the engine must speak all of these
 
@@ -133,9 +133,10 @@
 	Result  Result
 	Latency Nanos
 	IsFinal bool      // the client has its final answer
-	Usage   uint32    // what the attempt used: ms of work << 12 | memory in units of 4 MB; 0: not known
-	Load    []float64 // the engine's load report, in the order of the settings' fields; below 0: not known
-	// ConnectedAt is when the connection came up over which the engine answered: it has not restarted since. 0: not known
+	Usage   uint32    // by the attempt: ms of work << 12 | memory in units of 4 MB; 0: unknown
+	Load    []float64 // the engine's load report, in the settings' order of fields; below 0: unknown
+	// ConnectedAt is when the connection over which the engine answered was established: the engine has not
+	// restarted since. 0: unknown.
 	ConnectedAt Nanos
 	Progress    ProgressKind
 	Amount      float64
@@ -151,8 +152,8 @@
 	Plan *Plan // nil: none
 
 	PredecessorRunning bool
-	ClockOffset        Nanos // of the wall clock, which controllers share, over the time of events
+	ClockOffset        Nanos // wall clock, which controllers share, minus the time of events
 	Quota              Quota
 	TypeStats          []TypeStats    // by type; implausible ones are ignored
-	EngineHealth       []EngineHealth // of each engine once
+	EngineHealth       []EngineHealth // each engine once; implausible ones are ignored
 }
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -1,44 +1,46 @@
 package choice
 
-// gossipState is the state of the gossip between controllers.
+// gossipState is the state of the gossip with other controllers. Collectors are the controllers that receive
+// the messages of all; one of them sends maps, which aggregate these messages, to all controllers.
 type gossipState struct {
-	messages      []peerMessage // of siblings, by number, at those who collect them; nil: no gossip
-	messageTokens float64       // points for messages
-	mapTokens     float64       // points for maps
+	messages      []peerMessage // last received from each controller, by PeerID; nil: gossip is off
+	messageTokens float64       // points left for messages
+	mapTokens     float64       // points left for maps
 
-	lastPayload    string // of our last message
-	lastMessageAt  Nanos  // likewise
-	unreportedJobs int    // admitted since then
+	lastPayload    string // of the last message sent, without its header
+	lastMessageAt  Nanos  // when it was sent
+	unreportedJobs int    // jobs admitted since then
 
-	lastOwnMapAt      Nanos
+	lastOwnMapAt      Nanos // when this controller last sent a map
 	lastMapReceivedAt Nanos
-	mapRound          int // of maps over all engines
-	nextEngine        int // the index of the next map's first
+	mapRound          int // number of times that maps have covered all engines
+	nextEngine        int // index of the first engine in the next map
 }
 
-// peerMessage is what a sibling last sent: at most maxMessageSize/entrySize entries.
+// peerMessage is the last message from a controller: at most maxMessageSize/entrySize entries.
 type peerMessage struct {
 	entries    []gossipEntry
 	receivedAt Nanos
 }
 
-// collectors are the controllers that collect messages; one of them sends maps.
+// collectors returns the number of collectors.
 func (c *Controller) collectors() int { return min(gossipCollectors, c.settings.controllers) }
 
-// collector is the number of the controller with a place among them.
-func (c *Controller) collector(place int) int { return place * c.settings.controllers / c.collectors() }
+// collector returns the PeerID of the collector with an index among the collectors.
+func (c *Controller) collector(index int) int { return index * c.settings.controllers / c.collectors() }
 
-// collectorPlace is our place among them, or -1.
+// collectorPlace returns this controller's index among the collectors, or -1 if it is none.
 func (c *Controller) collectorPlace() int {
-	for place := range c.collectors() {
-		if c.collector(place) == c.settings.ownIndex {
-			return place
+	for index := range c.collectors() {
+		if c.collector(index) == c.settings.ownIndex {
+			return index
 		}
 	}
 	return -1
 }
 
-// ownMessage encodes where our attempts are, and the outcomes since the last message.
+// ownMessage encodes the threads of this controller's attempts and the outcomes since the last message, by
+// engine.
 func (c *Controller) ownMessage() string {
 	var entries []gossipEntry
 	for _, e := range c.engines {
@@ -46,19 +48,22 @@
 		if e.ownThreads <= 0 && outcomes == 0 {
 			continue
 		}
-		n := gossipEntry{engine: e.gossipHash(), threads: byte(min(e.ownThreads, 255)), outcomes: outcomes, hasTables: true}
+		entry := gossipEntry{
+			engine: e.gossipHash(), threads: byte(min(e.ownThreads, 255)), outcomes: outcomes, hasTables: true,
+		}
 		for _, a := range e.attempts {
 			if a.job.jobType.locksTables {
-				n.tables = append(n.tables, a.job.tables.hash())
+				entry.tables = append(entry.tables, a.job.tables.hash())
 			}
 		}
-		entries = append(entries, n)
+		entries = append(entries, entry)
 	}
-	message, _ := encodeGossip(byte(min(c.gossip.unreportedJobs, mapMarker-1)), entries) // what does not fit is left out
+	// Entries that do not fit are left out.
+	message, _ := encodeGossip(byte(min(c.gossip.unreportedJobs, mapMarker-1)), entries)
 	return message
 }
 
-// markReported records that a message with a payload was sent, and its cost in points.
+// markReported records that a message was sent, with its payload and its cost in points.
 func (c *Controller) markReported(payload string, cost float64) {
 	c.gossip.lastPayload = payload
 	c.gossip.lastMessageAt = c.now
@@ -71,10 +76,10 @@
 	}
 }
 
-// sendToCollectors sends a message to all collectors, of which we may be one.
+// sendToCollectors sends a message to all collectors; this controller may be one of them.
 func (c *Controller) sendToCollectors(message string) {
-	for place := range c.collectors() {
-		to := c.collector(place)
+	for index := range c.collectors() {
+		to := c.collector(index)
 		if to == c.settings.ownIndex {
 			c.receiveGossip(to, []byte(message))
 			continue
@@ -83,7 +88,8 @@
 	}
 }
 
-// fleetMap encodes what all messages since a time report, for as many engines as a map holds, in turn.
+// fleetMap encodes the sums of all messages since a time. A map holds only some of the engines, so successive
+// maps cover the engines in turn.
 func (c *Controller) fleetMap(since Nanos) string {
 	threads := map[engineHash]int{}
 	tables := map[engineHash][]byte{}
@@ -91,18 +97,18 @@
 		if message.receivedAt < since {
 			continue
 		}
-		for _, n := range message.entries {
-			threads[n.engine] += int(n.threads)
-			tables[n.engine] = append(tables[n.engine], n.tables...)
+		for _, entry := range message.entries {
+			threads[entry.engine] += int(entry.threads)
+			tables[entry.engine] = append(tables[entry.engine], entry.tables...)
 		}
 	}
 	c.gossip.nextEngine = min(c.gossip.nextEngine, len(c.engines)-1)
 	var entries []gossipEntry
 	for _, e := range c.engines[c.gossip.nextEngine:] {
-		id := e.gossipHash()
+		hash := e.gossipHash()
 		entries = append(entries, gossipEntry{
-			engine: id, threads: byte(min(threads[id], 255)), outcomes: e.mapFailures(),
-			tables: tables[id], hasTables: c.gossip.mapRound%tablesEveryRounds == 0,
+			engine: hash, threads: byte(min(threads[hash], 255)), outcomes: e.mapFailures(),
+			tables: tables[hash], hasTables: c.gossip.mapRound%tablesEveryRounds == 0,
 		})
 	}
 	message, encoded := encodeGossip(mapMarker, entries)
@@ -114,11 +120,11 @@
 	return message
 }
 
-// mapFailures is the failed part of an engine's reported outcomes, as encoded in a map.
+// mapFailures returns the failed part of an engine's reported outcomes, as encoded in a map.
 func (e *engine) mapFailures() byte {
-	all := e.siblingFailures + e.siblingSuccesses
-	if all < minSiblingOutcomes {
+	total := e.siblingFailures + e.siblingSuccesses
+	if total < minSiblingOutcomes {
 		return unknownFailures
 	}
-	return byte(maxFailures * e.siblingFailures / all)
+	return byte(maxFailures * e.siblingFailures / total)
 }
--- a/choice/ids.go
+++ b/choice/ids.go
@@ -8,30 +8,30 @@
 	second = Nanos(1e9)
 )
 
-// Each kind of identifier is a type of its own.
+// Identifiers. Each kind has a type of its own, so that the compiler tells them apart.
 type (
-	// JobID numbers a job of this controller.
+	// JobID identifies a job of this controller.
 	JobID uint32
-	// EngineID numbers an engine of the fleet.
+	// EngineID identifies an engine of the fleet.
 	EngineID uint32
-	// Key is the hash of a job's key, which orders jobs and lets engines drop repeats; 0 is none.
+	// Key is the hash of a job's key, by which jobs are ordered and engines drop repeats; 0: no key.
 	Key uint64
-	// TypeID is the place of a reservation type in the settings.
+	// TypeID is the index of a job type in the settings.
 	TypeID uint8
-	// TenantID is the place of a tenant in the settings.
+	// TenantID is the index of a tenant in the settings.
 	TenantID uint32
-	// ZoneID is the place of a zone in the settings.
+	// ZoneID is the index of a zone in the settings.
 	ZoneID uint8
-	// KindID is the place of a kind of engine in the settings.
+	// KindID is the index of a kind of engine in the settings.
 	KindID uint16
-	// CellID numbers a group of engines that drop each other's repeats.
+	// CellID identifies a cell: a group of engines that drop repeats of each other's jobs.
 	CellID uint16
 	// AttemptSeq numbers the attempts of one job from 0.
 	AttemptSeq uint16
-	// PeerID numbers a controller of the fleet.
+	// PeerID is the index of a controller of the fleet.
 	PeerID uint32
-	// TimerID numbers the timers of a controller.
+	// TimerID identifies a timer of a controller.
 	TimerID uint64
-	// TableGroup names a group of tables; loads on one group exclude each other.
+	// TableGroup identifies a group of tables; loads into one group exclude each other.
 	TableGroup int64
 )
--- a/choice/job.go
+++ b/choice/job.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// jobType is a reservation type: its settings and what was learned of its jobs.
+// jobType is a job type: its settings, its statistics and its current state.
 type jobType struct {
 	typeSettings
 	TypeStats
 	parkedJobs    int
-	lastLatencyAt Nanos   // of the last answer that showed its slowdown
-	price         float64 // of a second of work, in mean values for it; 0 without an overload
+	lastLatencyAt Nanos   // when slowdown was last updated by an answer
+	price         float64 // of a second of work, in the mean value of one; 0: no overload
 }
 
 // job is an admitted job that is not finished or has an attempt in flight.
@@ -19,42 +19,42 @@
 	key               Key
 	tables            TableGroup
 	requiredProtocols Protocols
-	headSince         Nanos   // it is the head of its bucket; 0: it is not yet
+	headSince         Nanos   // when it became the head of its bucket; 0: it is not the head
 	deadline          Nanos   // by its latency objective
 	expiresAt         Nanos   // by its client's timeout
 	work              float64 // estimated, ns of one thread
 	memoryMB          float64 // estimated
 	value             float64
-	candidates        []*engine // engines that it may go to, drawn at sampledAt
+	candidates        []*engine // engines sampled for it at sampledAt
 	sampledAt         Nanos
-	attempt           *attempt // the one that is out: at most one
+	attempt           *attempt // in flight; nil: none
 	attemptCount      int
-	firstAttemptAt    Nanos   // of those that may have run
-	firstEngine       *engine // likewise
-	lastEngine        *engine
-	mayHaveRun        bool // some attempt is not proved never to have run
+	firstAttemptAt    Nanos   // of the first attempt that may have run
+	firstEngine       *engine // of the same attempt
+	lastEngine        *engine // of the last attempt
+	mayHaveRun        bool    // some attempt ended without proof that it never ran
 	parked            bool
-	streaming         bool // its answer goes out to the client
+	streaming         bool // its answer is being sent to the client
 	finished          bool // it has its final answer
 }
 
-// attempt is a dispatch of a job whose outcome is not known yet.
+// attempt is an attempt in flight: a dispatch of a job whose outcome is not known yet.
 type attempt struct {
 	job              *job
 	engine           *engine
 	seq              AttemptSeq
-	dispatchedAt     Nanos // when it was ordered
-	sendDeadline     Nanos // after it not one byte of it may go out
-	engineStartedAt  Nanos // as listed when it was ordered
+	dispatchedAt     Nanos // when Dispatch was emitted
+	sendDeadline     Nanos // no byte of it may be sent later
+	engineStartedAt  Nanos // StartedAt of the engine at that time
 	lastProgressAt   Nanos
-	stalled          Nanos   // of its time, that this process stood still
-	expectedNanos    float64 // its duration
-	reservedMB       float64
+	stalled          Nanos   // time during which this process was stalled
+	expectedNanos    float64 // expected duration
+	reservedMB       float64 // memory that it is assumed to use
 	cancelRequested  bool
-	countedAsTimeout bool // against its engine
+	countedAsTimeout bool // it was recorded as a timeout of its engine
 }
 
-// attach records an attempt that goes out, in its job, bucket and engine.
+// attach adds an attempt to its job, bucket and engine.
 func attach(a *attempt) {
 	j, e := a.job, a.engine
 	if !j.mayHaveRun {
@@ -70,7 +70,7 @@
 	e.attempts = append(e.attempts, a)
 }
 
-// detach removes an attempt that ended from its job, bucket and engine.
+// detach removes an attempt that has ended from its job, bucket and engine.
 func detach(a *attempt) {
 	j, e := a.job, a.engine
 	j.attempt = nil
@@ -80,7 +80,7 @@
 	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == a })
 }
 
-// attemptOf returns the attempt that an event is about, or nil if it is no longer in flight.
+// attemptOf returns the attempt that an event refers to, or nil if it is not in flight.
 func (c *Controller) attemptOf(ev Event) *attempt {
 	j := c.jobs[ev.Job]
 	if j == nil || j.attempt == nil || j.attempt.seq != ev.Seq {
@@ -89,7 +89,7 @@
 	return j.attempt
 }
 
-// addJob records an admitted job, also behind the earlier ones of its ordering key.
+// addJob adds a new job. If its type is ordered by key, it is queued behind the earlier jobs of its key.
 func (c *Controller) addJob(j *job) {
 	c.jobs[j.id] = j
 	c.liveJobs = append(c.liveJobs, j)
@@ -103,7 +103,8 @@
 	order.jobs = append(order.jobs, j)
 }
 
-// closeJob finishes a job that was answered. Its entry stays until its attempt has ended too.
+// closeJob finishes a job that needs no further answer, and cancels its attempt. The job stays in c.jobs
+// until its attempt has ended.
 func (c *Controller) closeJob(j *job) {
 	c.unpark(j)
 	j.finished = true
@@ -111,7 +112,7 @@
 	c.removeFinished(j)
 }
 
-// removeFinished removes a finished job whose outcomes are all known, which lets the next of its key go.
+// removeFinished removes a finished job without an attempt in flight. Then the next job of its key may run.
 func (c *Controller) removeFinished(j *job) {
 	if !j.finished || j.attempt != nil {
 		return
@@ -122,8 +123,8 @@
 	}
 }
 
-// excuseStall discounts time in which this process stalled, as answers may be queued behind its timer: from attempts
-// in flight, and from the wait of queue heads.
+// excuseStall excludes the time for which this process was stalled from the duration of attempts in flight
+// and from the wait of queue heads, as answers may be queued behind the timer that reveals the stall.
 func (c *Controller) excuseStall(stalled Nanos) {
 	for _, j := range c.liveJobs {
 		if j.attempt != nil {
@@ -135,7 +136,7 @@
 	}
 }
 
-// cancelAttempt requests the cancellation of an attempt, if it may be canceled; nil is ignored.
+// cancelAttempt requests the cancellation of an attempt if that is allowed; nil is ignored.
 func (c *Controller) cancelAttempt(a *attempt) {
 	if a != nil && c.mayCancel(a) {
 		a.cancelRequested = true
--- a/choice/log.go
+++ b/choice/log.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Log lines: a short text, then key=value with keys in snake_case.
+// Log lines: a short text, then key=value pairs with keys in snake_case.
 
-func (c *Controller) logf(text string, v ...any) {
-	c.emit(Action{Kind: Log, Text: fmt.Sprintf(text, v...)})
+func (c *Controller) logf(format string, v ...any) {
+	c.emit(Action{Kind: Log, Text: fmt.Sprintf(format, v...)})
 }
 
-// logPlan logs that a plan is followed from now on, or no more.
+// logPlan logs when the controller starts or stops following its plan.
 func (c *Controller) logPlan(weight, missing, demandRatio float64) {
 	followed := weight > 0
 	if followed == (c.planWeight > 0) {
@@ -17,7 +17,8 @@
 	c.logf("plan followed=%v missing_share=%.2f demand_ratio=%.2f", followed, missing, demandRatio)
 }
 
-// logPressure logs when pressure on more than half of the engines begins, and when it is on less than a quarter.
+// logPressure logs when more than half of the engines come under pressure, and when fewer than a quarter
+// remain under it.
 func (c *Controller) logPressure(engines int) {
 	majority := 2*engines > len(c.engines)
 	minority := 4*engines < len(c.engines)
@@ -26,18 +27,18 @@
 		return
 	}
 	c.fleet.underPressure = majority
-	c.logf("fleet pressure=%v pressed_engines=%d engines=%d latency_ratio=%.2f", majority, engines, len(c.engines),
-		c.fleet.meanLatencyRatio)
+	c.logf("fleet pressure=%v pressed_engines=%d engines=%d latency_ratio=%.2f",
+		majority, engines, len(c.engines), c.fleet.meanLatencyRatio)
 }
 
-// logOverload logs when an overload begins and ends: work has a price.
+// logOverload logs when an overload begins and ends. It lasts while work has a price.
 func (c *Controller) logOverload(price, headWait float64) {
-	on := price > 0
-	if on == c.overloadLogged {
+	overloaded := price > 0
+	if overloaded == c.overloadLogged {
 		return
 	}
-	c.overloadLogged = on
-	c.logf("overload=%v price=%.2f head_wait=%.2f", on, price, headWait)
+	c.overloadLogged = overloaded
+	c.logf("overload=%v price=%.2f head_wait=%.2f", overloaded, price, headWait)
 }
 
 func (c *Controller) logOutage(e *engine) {
@@ -54,7 +55,7 @@
 		e.Engine, e.probesPassed, float64(c.now-e.ejectedAt)/float64(second))
 }
 
-// restartReason is why an engine seems to have restarted, with keys of its own.
+// restartReason is why an engine is suspected to have restarted. It may include key=value pairs.
 type restartReason string
 
 const reconnected restartReason = "reconnected"
@@ -67,7 +68,8 @@
 	c.logf("engine restart suspected engine=%d reason=%s", e.Engine, reason)
 }
 
-// logSurvivedDials logs that an engine did not restart though dials to it failed.
+// logSurvivedDials logs that an engine did not restart although dials to it failed.
 func (c *Controller) logSurvivedDials(e *engine) {
-	c.logf("engine answers over an older connection engine=%d dials_failed_for=%d", e.Engine, c.now-e.dialFailedAt)
+	c.logf("engine answers over an older connection engine=%d dials_failed_for=%d",
+		e.Engine, c.now-e.dialFailedAt)
 }
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -1,14 +1,14 @@
 package choice
 
-// Plan is a precomputed plan, as far as it concerns this controller. Rules, limits and engine health take precedence
-// over it. The Controller that follows a Plan owns it.
+// Plan is the part of a precomputed plan that concerns this controller. Rules, limits and engine health take
+// precedence over it. The Controller that follows a Plan owns it.
 type Plan struct {
 	Tenants        []PlanTenant // each once
-	Engines        []PlanEngine // those that get threads, each once
+	Engines        []PlanEngine // those with planned threads, each once
 	Weights        []PlanWeight // each pair once
-	IdleEngines    []EngineID   // known to it, without threads
-	DemandThreads  float64      // in the whole fleet
-	MaxDemandRatio float64      // where so many times more is asked for, or less, it does not hold
+	IdleEngines    []EngineID   // engines that the plan knows but gives no threads
+	DemandThreads  float64      // of the whole fleet, as planned for
+	MaxDemandRatio float64      // factor by which demand may differ, up or down, while the plan is valid
 
 	tenantShares   map[TenantID]float64
 	plannedEngines map[EngineID]plannedEngine
@@ -22,27 +22,27 @@
 	Share  float64
 }
 
-// PlanEngine is the number of threads that a plan uses at an engine.
+// PlanEngine is the number of threads that a plan uses on an engine.
 type PlanEngine struct {
 	Engine  EngineID
 	Threads float64
 }
 
-// PlanWeight is how much an engine is preferred for a type's jobs, from 0 to 1 at the most preferred one.
+// PlanWeight is how much an engine is preferred for a type's jobs, from 0 to 1, the most preferred one.
 type PlanWeight struct {
 	Type   TypeID
 	Engine EngineID
 	Weight float64
 }
 
-// plannedEngine is what a plan has for an engine.
+// plannedEngine is the part of a plan that concerns one engine.
 type plannedEngine struct {
 	weights []float64 // by type
 	threads float64
-	known   bool
+	known   bool // the engine is in the plan
 }
 
-// engine returns the plan for an engine. Without a plan each engine is known, and has no threads.
+// engine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
 func (p *Plan) engine(id EngineID) plannedEngine {
 	if p == nil {
 		return plannedEngine{known: true}
@@ -50,7 +50,7 @@
 	return p.plannedEngines[id]
 }
 
-// indexed returns the plan with its lookup tables, followed from now on, or nil for nil.
+// indexed builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for nil.
 func (p *Plan) indexed(now Nanos) *Plan {
 	if p == nil {
 		return nil
@@ -86,8 +86,8 @@
 	p.plannedEngines[w.Engine] = planned
 }
 
-// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready engines
-// that the plan does not know.
+// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready
+// engines that are not in the plan.
 func (c *Controller) planPresence() (threads, unknownCores float64) {
 	for _, e := range c.engines {
 		planned := c.plan.engine(e.Engine)
--- a/choice/random.go
+++ b/choice/random.go
@@ -11,5 +11,5 @@
 	return shifted>>rotation | shifted<<(-rotation&31)
 }
 
-// unit is a number from 0 up to 1.
+// unit returns a random number in [0, 1).
 func (p *pcg) unit() float64 { return float64(p.next()) / (1 << 32) }
--- a/choice/raw_settings.go
+++ b/choice/raw_settings.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// RawSettings are the settings as decoded from JSON, read by dotted path ("limits.probes", "classes.2.gain"). What is
-// absent, or of another type, gives the caller's value.
+// RawSettings are the settings as decoded from JSON. They are read by dotted path ("limits.probes",
+// "classes.2.gain"). A value that is absent or of another type is replaced by a default.
 type RawSettings map[string]any
 
-// at is the value at a path, or nil.
+// at returns the value at a path, or nil.
 func (r RawSettings) at(path string) any {
 	var value any = map[string]any(r)
 	for path != "" {
@@ -32,11 +32,11 @@
 	return value
 }
 
-func (r RawSettings) number(path string, absent float64) float64 {
+func (r RawSettings) number(path string, fallback float64) float64 {
 	if v, ok := r.at(path).(float64); ok {
 		return v
 	}
-	return absent
+	return fallback
 }
 
 func (r RawSettings) nanos(path string) Nanos { return Nanos(r.number(path, 0)) }
@@ -46,7 +46,7 @@
 	return isBool && v
 }
 
-// text is the string at a path, or "".
+// text returns the string at a path, or "".
 func (r RawSettings) text(path string) string {
 	v, isString := r.at(path).(string)
 	if !isString {
@@ -55,7 +55,7 @@
 	return v
 }
 
-// list is the list at a path, or nil.
+// list returns the list at a path, or nil.
 func (r RawSettings) list(path string) []any {
 	v, isList := r.at(path).([]any)
 	if !isList {
@@ -64,29 +64,29 @@
 	return v
 }
 
-// numbers are the numbers at path.N, or at path.N.name where a name is given, by N: the place in a list or the key in
-// an object.
+// numbers returns the numbers at path.N, or at path.N.name if a name is given, by N. N is the index in a list
+// or the key in an object.
 func (r RawSettings) numbers(path, name string) map[int]float64 {
-	var places []int
+	var indexes []int
 	switch node := r.at(path).(type) {
 	case []any:
 		for i := range node {
-			places = append(places, i)
+			indexes = append(indexes, i)
 		}
 	case map[string]any:
 		for key := range node {
 			if i, err := strconv.Atoi(key); err == nil && i >= 0 && strconv.Itoa(i) == key {
-				places = append(places, i)
+				indexes = append(indexes, i)
 			}
 		}
 	}
 	found := map[int]float64{}
-	for _, i := range places {
-		at := fmt.Sprintf("%s.%d", path, i)
+	for _, i := range indexes {
+		valuePath := fmt.Sprintf("%s.%d", path, i)
 		if name != "" {
-			at += "." + name
+			valuePath += "." + name
 		}
-		if v, ok := r.at(at).(float64); ok {
+		if v, ok := r.at(valuePath).(float64); ok {
 			found[i] = v
 		}
 	}
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -6,89 +6,90 @@
 	"slices"
 )
 
-// Settings are the settings of a controller, parsed once from RawSettings. They do not change, and may be shared by
-// several controllers and goroutines. The comments say which value an absent or odd setting has, if it is not zero.
+// Settings are the settings of a controller, parsed once from RawSettings. They are immutable, so several
+// controllers and goroutines may share them. The comments name the default of an absent or invalid setting
+// if it is not zero.
 type Settings struct {
-	controllers   int     // of the fleet, at least 1
-	ownIndex      int     // our number among them, from 0
+	controllers   int     // number in the fleet, at least 1
+	ownIndex      int     // of this controller among them, from 0
 	evenShare     float64 // 1 / controllers
-	zone          ZoneID  // ours
-	batchStep     Nanos   // how late an event may arrive
+	zone          ZoneID  // of this controller
+	batchStep     Nanos   // maximum delay of an event
 	gossipAllowed bool
 
-	maxAttempts   int // of a job, at least 1
+	maxAttempts   int // per job, at least 1
 	cancelAllowed bool
 	probesAllowed bool
 	retryAfter    Nanos // sent with Throttle; 0: not sent
 
-	probePrice     float64 // points
-	gossipPrice    float64 // points, 256 bytes
-	crossZonePrice float64 // points, a job
-
-	slowStartWindow      Nanos   // from an engine's start until all its capacity counts
-	startCapacity        float64 // part of its capacity that an engine has at its start; absent: 1
-	overloadWindow       Nanos   // in which an engine in slow start must not be sent too much
-	slowStartWork        float64 // that an engine withstands at its start, in its capacity; absent: 0
-	drainGrace           Nanos   // after which a draining engine must not be sent anything; absent: for ever
-	orderPause           Nanos   // of an ordering key after an outcome that is not known
-	retryWindow          Nanos
-	freeRetries          float64 // in a retryWindow
-	retryRatio           float64 // further ones a job admitted in it; absent: no limit
-	overQuotaValueFactor float64 // of a job outside its tenant's quota; absent: 1
+	probePrice     float64 // points per probe
+	gossipPrice    float64 // points per 256 bytes
+	crossZonePrice float64 // points per job
+
+	slowStartWindow      Nanos   // from an engine's start until it has its full capacity
+	startCapacity        float64 // part of its capacity that an engine has at its start; default: 1
+	overloadWindow       Nanos   // over which the work sent to an engine in slow start is limited
+	slowStartWork        float64 // limit of that work, in parts of the engine's capacity in the window
+	drainGrace           Nanos   // after which nothing is sent to a draining engine; default: unlimited
+	orderPause           Nanos   // of an ordering key after an unknown outcome
+	retryWindow          Nanos   // over which retries are limited
+	freeRetries          float64 // per retryWindow
+	retryRatio           float64 // further retries per job admitted in the window; default: unlimited
+	overQuotaValueFactor float64 // on the value of a job over its tenant's quota; default: 1
 
 	grantsHonored      bool    // engines honor our memory grants
 	takesPriority      bool    // engines honor priorities
-	usageReported      bool    // engines report what an attempt used
-	memorySwaps        bool    // engines swap where memory is short
-	maxGrantShare      float64 // of an engine's memory that a job is granted; absent: 1
-	progressPeriod     Nanos   // between reports of progress; 0: none come
-	jobCountField      int     // place in a load report, -1: not reported
-	grantedMemoryField int     // likewise
-	subscribesToList   bool    // discovery must be asked to report changes
+	usageReported      bool    // engines report the usage of attempts
+	memorySwaps        bool    // engines swap when memory is short
+	maxGrantShare      float64 // largest part of an engine's memory that a job is granted; default: 1
+	progressPeriod     Nanos   // between progress reports; 0: engines send none
+	jobCountField      int     // index in a load report; -1: not reported
+	grantedMemoryField int     // index in a load report; -1: not reported
+	subscribesToList   bool    // discovery reports changes only after WatchEngines
 
 	types        []typeSettings
 	coresByKind  map[int]float64
 	memoryByKind map[int]float64 // MB
-	tenantQuotas map[int]float64 // jobs a second
+	tenantQuotas map[int]float64 // jobs per second
 }
 
-// typeSettings are the settings of a reservation type.
+// typeSettings are the settings of a job type.
 type typeSettings struct {
 	id               TypeID
-	threads          float64 // of a job, at least 1
+	threads          float64 // per job, at least 1
 	latencyObjective Nanos
-	objectivePerWork float64 // added to it, of a job's work over its threads
-	value            float64 // of a job
-	lateValueFactor  float64 // of it after the objective
+	objectivePerWork float64 // times a job's work over its threads, added to the objective
+	value            float64 // of a job that meets its objective
+	lateValueFactor  float64 // on the value of a job that misses its objective
 	repeatable       bool    // a job may run any number of times
-	repeatableByKey  bool    // engines drop repeats of its key
-	keyScope         string  // where they do: "all", "zone" or "cell"
-	repeatWindow     Nanos   // for how long they do
-	orderedByKey     bool    // jobs of one key run one after the other
-	locksTables      bool    // a job holds its group of tables, and stands still behind another that does
-	waitsForTables   bool    // a job stands still behind one that holds its group of tables
+	repeatableByKey  bool    // engines drop repeats of a job with the same key
+	keyScope         string  // which engines drop them: "all", those of the same "zone" or "cell"
+	repeatWindow     Nanos   // for how long they drop them
+	orderedByKey     bool    // jobs with the same key run one after the other
+	locksTables      bool    // a job locks its group of tables, and blocks while another job holds the lock
+	waitsForTables   bool    // a job blocks while another job locks its group of tables
 	allowedZones     placeSet
 	allowedKinds     placeSet
 }
 
-// placeSet is a list of zones or kinds by number, as the settings have it; nil holds all.
+// placeSet is a set of zones or of engine kinds by index, as decoded from the settings; nil contains all.
 type placeSet []any
 
-func (s placeSet) contains(number float64) bool { return s == nil || slices.Contains(s, any(number)) }
+func (s placeSet) contains(index float64) bool { return s == nil || slices.Contains(s, any(index)) }
 
-// within reports whether other contains all places of s.
+// within reports whether s is a subset of other.
 func (s placeSet) within(other placeSet) bool {
 	if other == nil {
 		return true
 	}
-	return s != nil && !slices.ContainsFunc(s, func(place any) bool { return !slices.Contains(other, place) })
+	return s != nil && !slices.ContainsFunc(s, func(index any) bool { return !slices.Contains(other, index) })
 }
 
-// drainGraceUnlimited applies where no grace is configured.
+// drainGraceUnlimited is the drain grace in ns if none is configured, so large that it never ends.
 const drainGraceUnlimited = 1e18
 
-// ParseSettings parses settings. It never fails: what is absent or odd has its default. The raw settings are not
-// retained.
+// ParseSettings parses settings. It never fails: absent and invalid settings have their defaults. The raw
+// settings are not retained.
 func ParseSettings(r RawSettings) *Settings {
 	s := &Settings{
 		controllers: max(1, int(r.number("balancers", 1))),
@@ -116,7 +117,7 @@
 	return s
 }
 
-// parseLimits parses what a controller may do.
+// parseLimits parses the limits on what a controller may do.
 func (s *Settings) parseLimits(r RawSettings) {
 	s.maxAttempts = max(1, int(r.number("limits.most_tries", 1)))
 	s.cancelAllowed = r.flag("limits.cancel")
@@ -127,7 +128,7 @@
 	}
 }
 
-// parseRules parses the figures of the rules.
+// parseRules parses the parameters of the rules.
 func (s *Settings) parseRules(r RawSettings) {
 	s.slowStartWindow = r.nanos("invariants.warm_within_ns")
 	s.startCapacity = r.number("invariants.start_capacity", 1)
@@ -140,7 +141,7 @@
 	s.retryRatio = r.number("invariants.further_ratio", math.Inf(1))
 }
 
-// parseEngines parses what engines are, honor and report.
+// parseEngines parses the properties of engines: their capacity, what they honor and what they report.
 func (s *Settings) parseEngines(r RawSettings) {
 	s.grantsHonored = r.flag("domain.grants_count")
 	s.takesPriority = r.flag("domain.takes_priority")
@@ -152,11 +153,11 @@
 	s.memoryByKind = r.numbers("domain.size_mb", "")
 }
 
-func parseTypeSettings(r RawSettings, place int) typeSettings {
-	class := func(name string) string { return fmt.Sprintf("classes.%d.%s", place, name) }
-	domain := func(name string) string { return fmt.Sprintf("domain.%s.%d", name, place) }
+func parseTypeSettings(r RawSettings, index int) typeSettings {
+	class := func(name string) string { return fmt.Sprintf("classes.%d.%s", index, name) }
+	domain := func(name string) string { return fmt.Sprintf("domain.%s.%d", name, index) }
 	return typeSettings{
-		id:               TypeID(place),
+		id:               TypeID(index),
 		threads:          math.Max(1, r.number(domain("class_threads"), 1)),
 		latencyObjective: r.nanos(class("aim_ns")),
 		objectivePerWork: r.number(class("aim_stretch"), 0),
@@ -183,13 +184,13 @@
 	return math.Max(1, cores)
 }
 
-// memoryMB returns the memory of an engine of a kind; 0 is unknown.
+// memoryMB returns the memory of an engine of a kind; 0: unknown.
 func (s *Settings) memoryMB(kind KindID) float64 { return s.memoryByKind[int(kind)] }
 
-// unlimitedQuota applies to a tenant without a quota, in jobs per second.
+// unlimitedQuota is the quota of a tenant for which none is configured, in jobs per second.
 const unlimitedQuota = 1e9
 
-// tenantQuota returns a tenant's quota over the fleet, in jobs per second.
+// tenantQuota returns a tenant's quota for the whole fleet, in jobs per second.
 func (s *Settings) tenantQuota(id TenantID) float64 {
 	quota, limited := s.tenantQuotas[int(id)]
 	if !limited {
@@ -198,28 +199,28 @@
 	return quota
 }
 
-// reportsLoad reports whether load reports show siblings' jobs.
+// reportsLoad reports whether load reports show the jobs of other controllers.
 func (s *Settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
 
-// jobCount returns the jobs that an engine holds by its load report, if reported.
+// jobCount returns the number of jobs on an engine from its load report, if reported.
 func (s *Settings) jobCount(load []float64) (jobs float64, reported bool) {
 	return reportField(load, s.jobCountField)
 }
 
-// grantedMemory returns the granted part of an engine's memory by its load report, if reported.
+// grantedMemory returns the granted part of an engine's memory from its load report, if reported.
 func (s *Settings) grantedMemory(load []float64) (share float64, reported bool) {
 	return reportField(load, s.grantedMemoryField)
 }
 
-func reportField(load []float64, at int) (value float64, reported bool) {
-	if at < 0 || at >= len(load) || !(load[at] >= 0) {
+func reportField(load []float64, index int) (value float64, reported bool) {
+	if index < 0 || index >= len(load) || !(load[index] >= 0) {
 		return 0, false
 	}
-	return load[at], true
+	return load[index], true
 }
 
-// applySettings replaces the settings; nil stands for defaults. What was learned of a type stays; a type that is no
-// longer configured keeps its settings.
+// applySettings replaces the settings; nil stands for the defaults. Types keep their statistics, and a type
+// that is no longer configured keeps its settings.
 func (c *Controller) applySettings(settings *Settings) {
 	if settings == nil {
 		settings = ParseSettings(nil)
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -6,23 +6,23 @@
 	"math"
 )
 
-// TypeStats is what was learned of a reservation type's jobs.
+// TypeStats holds the statistics of a type's jobs.
 type TypeStats struct {
 	meanWork, workCount                      float64 // of a job, ns
-	costBias, costCount                      float64 // log of true work over its estimate
-	memoryBias, memoryDeviation, memoryCount float64 // log of true memory over its estimate, and its mean deviation
-	bestSlowdown, slowdown                   float64 // latency over (work / threads): the best seen, and recent
+	costBias, costCount                      float64 // log of actual work over estimate
+	memoryBias, memoryDeviation, memoryCount float64 // log of actual memory over estimate, mean deviation
+	bestSlowdown, slowdown                   float64 // latency over (work / threads): best and recent
 }
 
-// EngineHealth is what was learned of an engine.
+// EngineHealth is the observed health of an engine.
 type EngineHealth struct {
 	Engine       EngineID
-	LatencyRatio float64 // recent latency over the best
-	FailureRate  float64 // from 0 to 1
+	LatencyRatio float64 // recent slowdowns over the best
+	FailureRate  float64 // recent, from 0 to 1
 	Ejected      bool
 }
 
-// TypeStats returns the statistics of all reservation types, in the order of the settings, for a successor.
+// TypeStats returns the statistics of all types by TypeID, for a successor.
 func (c *Controller) TypeStats() (stats []TypeStats) {
 	for _, t := range c.types {
 		stats = append(stats, t.TypeStats)
@@ -30,7 +30,7 @@
 	return stats
 }
 
-// EngineHealth returns the health of ready engines, by ID, for a successor.
+// EngineHealth returns the health of ready engines, ordered by ID, for a successor.
 func (c *Controller) EngineHealth() (health []EngineHealth) {
 	for _, e := range c.engines {
 		if e.State == Ready {
@@ -40,7 +40,8 @@
 	return health
 }
 
-// adoptState takes over the statistics of a predecessor, which has seen more jobs than this process.
+// adoptState replaces this process's statistics by those of its predecessor, which has seen more jobs.
+// Implausible ones are ignored.
 func (c *Controller) adoptState(ev Event) {
 	for i := range min(len(ev.TypeStats), len(c.types)) {
 		if ev.TypeStats[i].plausible() {
@@ -54,31 +55,31 @@
 		}
 		e.latencyRatio = h.LatencyRatio
 		e.failureRate = h.FailureRate
-		if h.Ejected { // its ejection time begins now
+		if h.Ejected { // the ejection time starts anew
 			c.eject(e, false)
 		}
 	}
 }
 
-// Bounds of what a process can have learned.
+// Upper bounds of plausible statistics.
 const (
-	maxPlausibleRatio = 1000          // of latencies
-	maxPlausibleBias  = 30            // log
-	maxPlausible      = 3600 * second // of any figure
+	maxPlausibleRatio = 1000          // of latency ratios and slowdowns
+	maxPlausibleBias  = 30            // of biases, natural log
+	maxPlausible      = 3600 * second // of any value
 )
 
-// plausible reports whether a process can have learned this.
+// plausible reports whether the values are within the bounds that a working process keeps.
 func (h EngineHealth) plausible() bool {
 	return h.LatencyRatio > 0 && h.LatencyRatio <= maxPlausibleRatio && h.FailureRate >= 0 && h.FailureRate <= 1
 }
 
-// figures are all of them, in the order of the JSON form.
+// figures returns pointers to all values, in the order of their JSON encoding.
 func (s *TypeStats) figures() [9]*float64 {
 	return [9]*float64{&s.meanWork, &s.workCount, &s.costBias, &s.costCount, &s.memoryBias, &s.memoryDeviation,
 		&s.memoryCount, &s.bestSlowdown, &s.slowdown}
 }
 
-// plausible reports whether a process can have learned this.
+// plausible reports whether the values are within the bounds that a working process keeps.
 func (s TypeStats) plausible() bool {
 	for _, v := range s.figures() {
 		if math.IsNaN(*v) || math.Abs(*v) > float64(maxPlausible) {
@@ -88,10 +89,11 @@
 	neverNegative := min(s.workCount, s.costCount, s.memoryCount, s.memoryDeviation)
 	alwaysPositive := min(s.meanWork, s.bestSlowdown, s.slowdown)
 	largestBias := max(math.Abs(s.costBias), math.Abs(s.memoryBias))
-	return neverNegative >= 0 && alwaysPositive > 0 && largestBias <= maxPlausibleBias && s.slowdown <= maxPlausibleRatio
+	return neverNegative >= 0 && alwaysPositive > 0 && largestBias <= maxPlausibleBias &&
+		s.slowdown <= maxPlausibleRatio
 }
 
-// MarshalJSON writes the figures as a list.
+// MarshalJSON encodes the values as an array.
 func (s TypeStats) MarshalJSON() ([]byte, error) {
 	var list [9]float64
 	for i, v := range s.figures() {
@@ -100,7 +102,7 @@
 	return json.Marshal(list)
 }
 
-// UnmarshalJSON reads such a list; one of another length was written by another version, and is an error.
+// UnmarshalJSON decodes such an array. One of another length was written by another version and is an error.
 func (s *TypeStats) UnmarshalJSON(text []byte) error {
 	var list []float64
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -108,7 +110,7 @@
 	}
 	figures := s.figures()
 	if len(list) != len(figures) {
-		return fmt.Errorf("%d figures, %d are known", len(list), len(figures))
+		return fmt.Errorf("type statistics have %d values, want %d", len(list), len(figures))
 	}
 	for i, v := range figures {
 		*v = list[i]
