--- a/internal/wire/batch.go
+++ b/internal/wire/batch.go
@@ -1,9 +1,9 @@
-// Package wire is the codec of the simulator's frames: batches of events in, replies of actions out. It owns no
-// state but what a Reply gathers, decides nothing and does no I/O of its own; its functions may be called from
-// several goroutines, a Reply from one.
+// Package wire implements the simulator's wire protocol: it decodes batches of events and encodes replies of actions.
+// It reads and writes only the streams of its callers, and has no state but the contents of a Reply. Its functions
+// are safe for concurrent use; a Reply is not.
 //
-// A frame is a length of 4 bytes and so many bytes: a fixed head, records of one size, and a tail that records refer
-// to by offset and length. All numbers are big-endian.
+// A frame is a length of 4 bytes and a body of that length: a fixed header, records of one size, and a tail of
+// variable length that records refer to by offset and length. All numbers are big-endian.
 package wire
 
 import (
@@ -16,18 +16,18 @@
 	"swiftreel/choice"
 )
 
-// Instance numbers one hosted controller.
-type Instance uint16
+// InstanceID identifies a hosted controller.
+type InstanceID uint16
 
-// SetID numbers a list of engines that a RegisterEngines record hands over.
-type SetID uint16
+// EngineListID identifies an engine list that a RegisterEngines record registers.
+type EngineListID uint16
 
-// RecordKind tells records for the adapter itself from those meant for an instance.
+// RecordKind is the kind of a record. It tells records for the adapter itself from events of an instance.
 type RecordKind uint8
 
 // The kinds of record.
 const (
-	ForInstance RecordKind = iota
+	InstanceEvent RecordKind = iota
 	StartInstance
 	StopInstance
 	RegisterEngines
@@ -36,31 +36,30 @@
 // Record is one record of a batch.
 type Record struct {
 	Kind     RecordKind
-	Instance Instance
-	Set      SetID                // of RegisterEngines, and of an event that lists engines
+	Instance InstanceID
+	List     EngineListID         // of RegisterEngines, and of an EnginesListed event
 	Engines  []choice.EngineEntry // of RegisterEngines
-	Settings []byte               // of StartInstance, as JSON text
-	Event    choice.Event         // of StartInstance and ForInstance
+	Settings []byte               // of StartInstance, JSON
+	Event    choice.Event         // of StartInstance and InstanceEvent
 }
 
-// Batch is all that happened at one time.
+// Batch holds all events of one point in time.
 type Batch struct {
 	Now     choice.Nanos
 	Records []Record
 }
 
 const (
-	lengthSize = 4
-	headSize   = 12 // the clock and the number of records
-	recordSize = 48
-	maxFrame   = 1 << 30 // a length beyond this is a broken frame
+	lengthSize   = 4
+	headerSize   = 12 // the time and the number of records
+	recordSize   = 48
+	maxFrameSize = 1 << 30 // a frame with a greater length is malformed
 )
 
-// ErrFrame is the error of a frame that does not read as one.
+// ErrFrame is the error of a malformed frame.
 var ErrFrame = errors.New("malformed frame")
 
-// ReadBatch reads one batch. The error is io.EOF where the input ended between two frames, else one that wraps
-// ErrFrame.
+// ReadBatch reads one batch. It returns io.EOF if the input ended between two frames; any other error wraps ErrFrame.
 func ReadBatch(r *bufio.Reader) (Batch, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -70,7 +69,7 @@
 		return Batch{}, fmt.Errorf("%w: length: %w", ErrFrame, err)
 	}
 	size := binary.BigEndian.Uint32(length[:])
-	if size < headSize || size > maxFrame {
+	if size < headerSize || size > maxFrameSize {
 		return Batch{}, fmt.Errorf("%w: length %d", ErrFrame, size)
 	}
 	frame, err := io.ReadAll(io.LimitReader(r, int64(size)))
@@ -86,14 +85,14 @@
 func decodeBatch(frame []byte) (Batch, error) {
 	batch := Batch{Now: choice.Nanos(binary.BigEndian.Uint64(frame))}
 	count := int64(binary.BigEndian.Uint32(frame[8:]))
-	tailAt := headSize + count*recordSize
-	if tailAt > int64(len(frame)) {
+	tailStart := headerSize + count*recordSize
+	if tailStart > int64(len(frame)) {
 		return Batch{}, fmt.Errorf("%w: %d records in %d bytes", ErrFrame, count, len(frame))
 	}
 	batch.Records = make([]Record, 0, count)
 	for i := range int(count) {
-		fields := frame[headSize+i*recordSize:][:recordSize]
-		record, err := decodeRecord(fields, frame[tailAt:])
+		raw := frame[headerSize+i*recordSize:][:recordSize]
+		record, err := decodeRecord(raw, frame[tailStart:])
 		if err != nil {
 			return Batch{}, fmt.Errorf("%w: record %d: %w", ErrFrame, i, err)
 		}
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -8,7 +8,7 @@
 	"swiftreel/choice"
 )
 
-// Codes of records.
+// The codes of records, in their first byte.
 const (
 	codeStart         = 10
 	codeArrived       = 20
@@ -25,9 +25,9 @@
 )
 
 const (
-	entrySize     = 22 // bytes of an engine in a list
-	maxLoadFields = 4  // of a load report
-	maxTableGroup = 1 << 31
+	entrySize     = 22      // bytes of an engine in an engine list
+	maxLoadFields = 4       // of a load report
+	maxTableGroup = 1 << 31 // groups of tables are below this
 )
 
 var resultCodes = map[uint16]choice.Result{
@@ -39,69 +39,71 @@
 	0: choice.FullList, 1: choice.ListFailed, 3: choice.ListDelta, 4: choice.CachedList,
 }
 
-// Bits of an arrived job.
+// The flags of an arrived job.
 const (
 	flagCostKnown = 1 << iota
 	flagRepeat
 	flagWrite
 )
 
-// fields are the bytes of one record.
-type fields []byte
+// rawRecord is the encoding of one record, or of one entry in the tail. Its methods decode the field at an offset.
+type rawRecord []byte
 
-func (f fields) uint16(at int) uint16 { return binary.BigEndian.Uint16(f[at:]) }
+func (r rawRecord) uint16(offset int) uint16 { return binary.BigEndian.Uint16(r[offset:]) }
 
-func (f fields) uint32(at int) uint32 { return binary.BigEndian.Uint32(f[at:]) }
+func (r rawRecord) uint32(offset int) uint32 { return binary.BigEndian.Uint32(r[offset:]) }
 
-func (f fields) uint64(at int) uint64 { return binary.BigEndian.Uint64(f[at:]) }
+func (r rawRecord) uint64(offset int) uint64 { return binary.BigEndian.Uint64(r[offset:]) }
 
-func (f fields) nanos(at int) choice.Nanos { return choice.Nanos(f.uint64(at)) }
+func (r rawRecord) nanos(offset int) choice.Nanos { return choice.Nanos(r.uint64(offset)) }
 
-func (f fields) float32(at int) float64 { return float64(math.Float32frombits(f.uint32(at))) }
+func (r rawRecord) float32(offset int) float64 {
+	return float64(math.Float32frombits(r.uint32(offset)))
+}
 
-// span takes entries of a size from the tail; their offset and number stand at a place.
-func (f fields) span(at int, tail []byte, size int64) ([]byte, error) {
-	from := int64(f.uint32(at))
-	length := int64(f.uint32(at+4)) * size
-	if from+length > int64(len(tail)) {
-		return nil, fmt.Errorf("tail span %d+%d of %d", from, length, len(tail))
+// span returns the entries of a given size in the tail whose offset and number are encoded at an offset.
+func (r rawRecord) span(offset int, tail []byte, size int64) ([]byte, error) {
+	start := int64(r.uint32(offset))
+	length := int64(r.uint32(offset+4)) * size
+	if start+length > int64(len(tail)) {
+		return nil, fmt.Errorf("range of tail at offset %d, length %d, exceeds its %d bytes", start, length, len(tail))
 	}
-	return tail[from : from+length], nil
+	return tail[start : start+length], nil
 }
 
-// load reads a load report: the number of its values, and these.
-func (f fields) load(at int) ([]float64, error) {
-	count := int(f[at])
+// load decodes a load report: the number of values, then the values.
+func (r rawRecord) load(offset int) ([]float64, error) {
+	count := int(r[offset])
 	if count > maxLoadFields {
-		return nil, fmt.Errorf("load report of %d values", count)
+		return nil, fmt.Errorf("load report has too many values: %d", count)
 	}
 	var load []float64
 	for i := range count {
-		load = append(load, f.float32(at+1+4*i))
+		load = append(load, r.float32(offset+1+4*i))
 	}
 	return load, nil
 }
 
-func (f fields) result(at int) (choice.Result, error) {
-	result, known := resultCodes[f.uint16(at)]
+func (r rawRecord) result(offset int) (choice.Result, error) {
+	result, known := resultCodes[r.uint16(offset)]
 	if !known {
-		return 0, fmt.Errorf("result code %d", f.uint16(at))
+		return 0, fmt.Errorf("unknown result code %d", r.uint16(offset))
 	}
 	return result, nil
 }
 
-// tables reads the group of tables, which the wire states as a float.
-func (f fields) tables(at int) choice.TableGroup {
-	group := f.float32(at)
+// tables decodes a group of tables, which is a float on the wire; 0 if it is out of range.
+func (r rawRecord) tables(offset int) choice.TableGroup {
+	group := r.float32(offset)
 	if !(math.Abs(group) < maxTableGroup) {
 		return 0
 	}
 	return choice.TableGroup(group)
 }
 
-// decodeRecord reads one record: those for the adapter itself here, events of an instance in decodeEvent.
-func decodeRecord(raw fields, tail []byte) (Record, error) {
-	record := Record{Instance: Instance(raw.uint16(1))}
+// decodeRecord decodes one record. It passes events of an instance on to decodeEvent.
+func decodeRecord(raw rawRecord, tail []byte) (Record, error) {
+	record := Record{Instance: InstanceID(raw.uint16(1))}
 	var err error
 	switch raw[0] {
 	case codeStart:
@@ -112,10 +114,10 @@
 		record.Kind = StopInstance
 	case codeEngines:
 		record.Kind = RegisterEngines
-		record.Set = SetID(raw.uint16(1))
+		record.List = EngineListID(raw.uint16(1))
 		record.Engines, err = decodeEngines(raw, tail)
 	case codeEnginesListed:
-		record.Set = SetID(raw.uint16(12))
+		record.List = EngineListID(raw.uint16(12))
 		record.Event, err = decodeEvent(raw, tail)
 	default:
 		record.Event, err = decodeEvent(raw, tail)
@@ -123,16 +125,16 @@
 	return record, err
 }
 
-func decodeEngines(raw fields, tail []byte) ([]choice.EngineEntry, error) {
+func decodeEngines(raw rawRecord, tail []byte) ([]choice.EngineEntry, error) {
 	span, err := raw.span(3, tail, entrySize)
 	if err != nil {
 		return nil, err
 	}
 	var engines []choice.EngineEntry
-	for entry := fields(span); len(entry) > 0; entry = entry[entrySize:] {
+	for entry := rawRecord(span); len(entry) > 0; entry = entry[entrySize:] {
 		state := choice.EngineState(entry[9])
 		if state > choice.Draining {
-			return nil, fmt.Errorf("engine state %d", state)
+			return nil, fmt.Errorf("unknown engine state %d", state)
 		}
 		engines = append(engines, choice.EngineEntry{
 			Engine: choice.EngineID(entry.uint32(0)), Zone: choice.ZoneID(entry[4]),
@@ -143,8 +145,8 @@
 	return engines, nil
 }
 
-// eventDecoders read the fields of each kind of event.
-var eventDecoders = map[byte]func(raw fields, tail []byte) (choice.Event, error){
+// eventDecoders decode the events of an instance, by code.
+var eventDecoders = map[byte]func(raw rawRecord, tail []byte) (choice.Event, error){
 	codeArrived:       decodeArrived,
 	codeProgress:      decodeProgress,
 	codeTimer:         decodeTimer,
@@ -156,15 +158,15 @@
 	codeProbe:         decodeProbe,
 }
 
-func decodeEvent(raw fields, tail []byte) (choice.Event, error) {
+func decodeEvent(raw rawRecord, tail []byte) (choice.Event, error) {
 	decode, known := eventDecoders[raw[0]]
 	if !known {
-		return choice.Event{}, fmt.Errorf("event code %d", raw[0])
+		return choice.Event{}, fmt.Errorf("unknown event code %d", raw[0])
 	}
 	return decode(raw, tail)
 }
 
-func decodeArrived(raw fields, _ []byte) (choice.Event, error) {
+func decodeArrived(raw rawRecord, _ []byte) (choice.Event, error) {
 	flags := raw[44]
 	return choice.Event{
 		Kind: choice.JobArrived, Job: choice.JobID(raw.uint32(3)),
@@ -175,28 +177,28 @@
 	}, nil
 }
 
-// attemptEvent has the fields that all events of an attempt begin with.
-func attemptEvent(kind choice.EventKind, raw fields) choice.Event {
+// attemptEvent decodes the fields with which all events of an attempt begin.
+func attemptEvent(kind choice.EventKind, raw rawRecord) choice.Event {
 	return choice.Event{
 		Kind: kind, Job: choice.JobID(raw.uint32(3)), Seq: choice.AttemptSeq(raw.uint16(7)),
 		Engine: choice.EngineID(raw.uint32(9)),
 	}
 }
 
-func decodeProgress(raw fields, _ []byte) (choice.Event, error) {
+func decodeProgress(raw rawRecord, _ []byte) (choice.Event, error) {
 	ev := attemptEvent(choice.ProgressReported, raw)
 	ev.Progress = choice.ProgressKind(raw[13])
 	ev.Amount = raw.float32(14)
 	return ev, nil
 }
 
-func decodeStreamStarted(raw fields, _ []byte) (choice.Event, error) {
+func decodeStreamStarted(raw rawRecord, _ []byte) (choice.Event, error) {
 	ev := attemptEvent(choice.StreamStarted, raw)
 	ev.Latency = raw.nanos(13)
 	return ev, nil
 }
 
-func decodeAttemptEnded(raw fields, _ []byte) (choice.Event, error) {
+func decodeAttemptEnded(raw rawRecord, _ []byte) (choice.Event, error) {
 	ev := attemptEvent(choice.AttemptEnded, raw)
 	var err error
 	if ev.Result, err = raw.result(13); err != nil {
@@ -209,15 +211,15 @@
 	return ev, err
 }
 
-func decodeDisconnected(raw fields, _ []byte) (choice.Event, error) {
+func decodeDisconnected(raw rawRecord, _ []byte) (choice.Event, error) {
 	return choice.Event{Kind: choice.ClientDisconnected, Job: choice.JobID(raw.uint32(3))}, nil
 }
 
-func decodeTimer(raw fields, _ []byte) (choice.Event, error) {
+func decodeTimer(raw rawRecord, _ []byte) (choice.Event, error) {
 	return choice.Event{Kind: choice.TimerFired, TimerID: choice.TimerID(raw.uint64(3))}, nil
 }
 
-func decodeProbe(raw fields, _ []byte) (choice.Event, error) {
+func decodeProbe(raw rawRecord, _ []byte) (choice.Event, error) {
 	ev := choice.Event{Kind: choice.ProbeCompleted, Engine: choice.EngineID(raw.uint32(3)), Latency: raw.nanos(9)}
 	var err error
 	if ev.Result, err = raw.result(7); err != nil {
@@ -227,17 +229,17 @@
 	return ev, err
 }
 
-func decodeGossip(raw fields, tail []byte) (choice.Event, error) {
+func decodeGossip(raw rawRecord, tail []byte) (choice.Event, error) {
 	ev := choice.Event{Kind: choice.GossipReceived, Peer: choice.PeerID(raw.uint32(3))}
 	var err error
 	ev.Payload, err = raw.span(7, tail, 1)
 	return ev, err
 }
 
-func decodeEnginesListed(raw fields, _ []byte) (choice.Event, error) {
+func decodeEnginesListed(raw rawRecord, _ []byte) (choice.Event, error) {
 	list, known := listCodes[raw[3]]
 	if !known {
-		return choice.Event{}, fmt.Errorf("list code %d", raw[3])
+		return choice.Event{}, fmt.Errorf("unknown engine list code %d", raw[3])
 	}
 	return choice.Event{Kind: choice.EnginesListed, List: list}, nil
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	replyHeadSize = 8 // the length and the number of records
-	countSize     = 4
-	actionSize    = 24 // bytes of a record
+	replyHeaderSize = 8 // the length and the number of records
+	countSize       = 4
+	actionSize      = 24 // bytes of a record
 )
 
 var actionCodes = map[choice.ActionKind]byte{
@@ -30,15 +30,15 @@
 	choice.SetDispatchOptions: 130,
 }
 
-// Reply gathers the actions that answer one batch. Its zero value is empty.
+// Reply collects the actions that answer one batch. Its zero value is empty.
 type Reply struct {
 	records []byte
 	tail    []byte
 	count   uint32
 }
 
-// Add puts one action of an instance at the end of the reply.
-func (p *Reply) Add(instance Instance, action choice.Action) {
+// Add appends an action of an instance.
+func (p *Reply) Add(instance InstanceID, action choice.Action) {
 	be := binary.BigEndian
 	var record [actionSize]byte
 	record[0] = actionCodes[action.Kind]
@@ -74,16 +74,16 @@
 	p.count++
 }
 
-// addText puts a text into the tail, and its offset and length into a record.
+// addText appends a text to the tail, and writes its offset and length into a record.
 func (p *Reply) addText(span []byte, text string) {
 	binary.BigEndian.PutUint32(span, uint32(len(p.tail)))
 	binary.BigEndian.PutUint32(span[4:], uint32(len(text)))
 	p.tail = append(p.tail, text...)
 }
 
-// WriteTo writes the reply as one frame and empties it for the next batch.
+// WriteTo writes the reply as one frame and clears it for the next batch.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
-	frame := make([]byte, replyHeadSize, replyHeadSize+len(p.records)+len(p.tail))
+	frame := make([]byte, replyHeaderSize, replyHeaderSize+len(p.records)+len(p.tail))
 	binary.BigEndian.PutUint32(frame, uint32(countSize+len(p.records)+len(p.tail)))
 	binary.BigEndian.PutUint32(frame[lengthSize:], p.count)
 	frame = append(frame, p.records...)
