--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter hosts instances of the decision module behind the simulator's wire: batches of events on standard
-// input, replies of actions on standard output. It decides nothing. One goroutine does all; it ends with its input.
+// Command adapter connects instances of package choice to the simulator: it reads batches of events from standard
+// input and writes replies of actions to standard output. It makes no decisions, uses one goroutine, and exits at the
+// end of its input.
 package main
 
 import (
@@ -23,7 +24,7 @@
 	}
 }
 
-// serve answers batches until the input ends between two of them, which is no error.
+// serve answers batches until the input ends. An end between two batches is no error.
 func serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
 	writer := bufio.NewWriter(out)
@@ -36,7 +37,7 @@
 		if err != nil {
 			return fmt.Errorf("read batch: %w", err)
 		}
-		if err := h.answer(batch, writer); err != nil {
+		if err := h.answerBatch(batch, writer); err != nil {
 			return err
 		}
 		if err := writer.Flush(); err != nil {
@@ -45,24 +46,24 @@
 	}
 }
 
-// host owns the instances and the lists of engines that were handed over for them.
+// host owns the running instances and the engine lists that were registered for them.
 type host struct {
-	instances map[wire.Instance]*choice.Controller // until stopped
-	lists     map[wire.SetID][]choice.EngineEntry  // numbers are reused, so it stays small
+	instances map[wire.InstanceID]*choice.Controller     // until stopped
+	lists     map[wire.EngineListID][]choice.EngineEntry // IDs are reused, so it stays small
 	reply     wire.Reply
 }
 
 func newHost() *host {
 	return &host{
-		instances: map[wire.Instance]*choice.Controller{},
-		lists:     map[wire.SetID][]choice.EngineEntry{},
+		instances: map[wire.InstanceID]*choice.Controller{},
+		lists:     map[wire.EngineListID][]choice.EngineEntry{},
 	}
 }
 
-// answer hands the records of a batch to whom they concern and writes the actions.
-func (h *host) answer(batch wire.Batch, out io.Writer) error {
+// answerBatch processes the records of a batch and writes the reply.
+func (h *host) answerBatch(batch wire.Batch, out io.Writer) error {
 	for _, record := range batch.Records {
-		if err := h.take(batch.Now, record); err != nil {
+		if err := h.process(batch.Now, record); err != nil {
 			return err
 		}
 	}
@@ -72,16 +73,16 @@
 	return nil
 }
 
-func (h *host) take(now choice.Nanos, record wire.Record) error {
+func (h *host) process(now choice.Nanos, record wire.Record) error {
 	switch record.Kind {
 	case wire.RegisterEngines:
-		h.lists[record.Set] = record.Engines
+		h.lists[record.List] = record.Engines
 		return nil
 	case wire.StopInstance:
 		delete(h.instances, record.Instance)
 		return nil
 	case wire.StartInstance:
-		settings, err := readSettings(record.Settings)
+		settings, err := parseSettings(record.Settings)
 		if err != nil {
 			return fmt.Errorf("settings of instance %d: %w", record.Instance, err)
 		}
@@ -92,10 +93,10 @@
 	return nil
 }
 
-// decide tells an event to its instance, if that runs, and gathers the actions.
+// decide passes an event to its instance, if that is running, and adds the actions to the reply.
 func (h *host) decide(now choice.Nanos, record wire.Record) {
 	if record.Event.Kind == choice.EnginesListed {
-		record.Event.Engines = h.lists[record.Set]
+		record.Event.Engines = h.lists[record.List]
 	}
 	controller := h.instances[record.Instance]
 	if controller == nil {
@@ -106,7 +107,7 @@
 	}
 }
 
-func readSettings(text []byte) (choice.RawSettings, error) {
+func parseSettings(text []byte) (choice.RawSettings, error) {
 	var settings choice.RawSettings
 	if err := json.Unmarshal(text, &settings); err != nil {
 		return nil, err
--- a/cmd/adapter/settings.go
+++ b/cmd/adapter/settings.go
@@ -6,17 +6,18 @@
 	"swiftreel/choice"
 )
 
-// SettingError is a setting whose form the decision module cannot read.
+// SettingError reports a setting that has the wrong type or value.
 type SettingError struct {
 	Path string // dotted, as in "classes.0.kinds_only"
-	Want string
+	Want string // the expected form
 }
 
-// Error names the setting and what is wanted.
+// Error returns the path of the setting and its expected form.
 func (e *SettingError) Error() string { return fmt.Sprintf("%s: want %s", e.Path, e.Want) }
 
-// checkSettings refuses settings of the wrong form with a SettingError: a value read wrongly would else become a
-// silent default (a list of zone names, say, would bar every engine). Absent settings are the module's affair.
+// checkSettings returns a SettingError for a setting of the wrong form. Package choice would silently misread it: a
+// list of zone names instead of indexes, for example, would exclude every engine. Only classes is required: package
+// choice has defaults for other absent settings.
 func checkSettings(settings choice.RawSettings) error {
 	classes, isList := settings["classes"].([]any)
 	if !isList {
@@ -39,26 +40,26 @@
 		return &SettingError{path, "an object"}
 	}
 	for _, name := range []string{"kinds_only", "allowed_in"} {
-		if err := checkPlaces(class[name], path+"."+name); err != nil {
+		if err := checkIndexes(class[name], path+"."+name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkPlaces checks a list of places in `kinds` or `localities`, if there is one: integers from 0.
-func checkPlaces(value any, path string) error {
+// checkIndexes checks a list of indexes into `kinds` or `localities`, if there is one.
+func checkIndexes(value any, path string) error {
 	if value == nil {
 		return nil
 	}
-	places, isList := value.([]any)
+	indexes, isList := value.([]any)
 	if !isList {
 		return &SettingError{path, "a list"}
 	}
-	for i, place := range places {
-		number, isNumber := place.(float64)
+	for i, index := range indexes {
+		number, isNumber := index.(float64)
 		if !isNumber || number < 0 || number != float64(int(number)) {
-			return &SettingError{fmt.Sprintf("%s.%d", path, i), "a place in the list, an integer from 0"}
+			return &SettingError{fmt.Sprintf("%s.%d", path, i), "an index, an integer of at least 0"}
 		}
 	}
 	return nil
@@ -71,7 +72,7 @@
 	}
 	for i, name := range names {
 		if _, isText := name.(string); !isText {
-			return &SettingError{fmt.Sprintf("telemetry.fields.%d", i), "a name"}
+			return &SettingError{fmt.Sprintf("telemetry.fields.%d", i), "a string"}
 		}
 	}
 	return nil
@@ -84,13 +85,13 @@
 			continue
 		}
 		if number, isNumber := value.(float64); !isNumber || number < 0 {
-			return &SettingError{"invariants." + name, "a number from 0"}
+			return &SettingError{"invariants." + name, "a number of at least 0"}
 		}
 	}
 	return nil
 }
 
-// object is a value as an object, or nil.
+// object returns a value as an object, or nil.
 func object(value any) map[string]any {
 	members, isObject := value.(map[string]any)
 	if !isObject {
