--- a/internal/socketstate/socketstate.go
+++ b/internal/socketstate/socketstate.go
@@ -1,5 +1,5 @@
-// Package socketstate looks at the state of a socket without reading from it and without blocking. Its functions are
-// safe for concurrent use and also see what lies behind unread bytes.
+// Package socketstate queries the state of a socket without consuming data and without blocking. Its functions are safe
+// for concurrent use, and detect a close even if input before it is unread.
 package socketstate
 
 import (
@@ -11,19 +11,20 @@
 
 const closedEvents = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 
-// PeerClosed reports whether the peer has half-closed, closed or reset the connection, or it is closed here.
+// PeerClosed reports whether the peer has half-closed, closed or reset the connection, or the connection is closed
+// locally.
 func PeerClosed(c syscall.Conn) bool {
 	events, err := poll(c, unix.POLLRDHUP)
 	return err != nil || events&closedEvents != 0
 }
 
-// Readable reports whether a listener has a connection to accept, or a connection something to read.
+// Readable reports whether a listener has a connection to accept, or a connection has input or has ended.
 func Readable(c syscall.Conn) bool {
 	events, err := poll(c, unix.POLLIN)
 	return err == nil && events&unix.POLLIN != 0
 }
 
-// poll returns which of the events hold, with errors and hang-ups.
+// poll returns the requested events that are set, as well as errors and hang-ups.
 func poll(socket syscall.Conn, events int16) (int16, error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -35,7 +36,7 @@
 		for {
 			_, err := unix.Poll(fds, 0)
 			if !errors.Is(err, unix.EINTR) {
-				return // another error leaves no event set
+				return // after any other error, no event is set
 			}
 		}
 	})
--- a/internal/socketstate/socketstate_test.go
+++ b/internal/socketstate/socketstate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestWhatIsSeenOfASocket(t *testing.T) {
+func TestReadableAndPeerClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -14,7 +14,7 @@
 	defer l.Close()
 	listener := l.(*net.TCPListener)
 	if Readable(listener) {
-		t.Error("nobody waits to be accepted")
+		t.Error("listener readable without a connection")
 	}
 	for name, end := range map[string]func(*net.TCPConn){
 		"half-close": func(c *net.TCPConn) { c.CloseWrite() },
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		eventually(t, name+": who waits is not seen", func() bool { return Readable(listener) })
+		eventually(t, name+": waiting connection not detected", func() bool { return Readable(listener) })
 		here, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -34,27 +34,27 @@
 		defer here.Close()
 		conn := here.(*net.TCPConn)
 		if PeerClosed(conn) || Readable(conn) {
-			t.Error(name + ": seen before it came")
+			t.Error(name + ": close or input reported before it was sent")
 		}
 		nc.Write([]byte("unread"))
-		eventually(t, name+": what is unread is not seen", func() bool { return Readable(conn) })
+		eventually(t, name+": unread input not detected", func() bool { return Readable(conn) })
 		if PeerClosed(conn) {
-			t.Error(name + ": closed, with something unread")
+			t.Error(name + ": reported closed although only input was sent")
 		}
 		end(nc.(*net.TCPConn))
-		eventually(t, name+": not seen behind what is unread", func() bool { return PeerClosed(conn) })
+		eventually(t, name+": close after unread input not detected", func() bool { return PeerClosed(conn) })
 		conn.Close()
 		if !PeerClosed(conn) {
-			t.Error(name + ": not closed, though we closed it")
+			t.Error(name + ": local close not detected")
 		}
 	}
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 }
