--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,8 +1,8 @@
-// Package backend defines how the gateway uses engines, whatever protocol they speak: dispatches, cancellations,
-// probes and their outcomes.
+// Package backend defines the protocol-independent interface between the gateway and engines: dispatches,
+// cancellations, probes and their outcomes.
 //
-// Each protocol is an implementation of Engines. Mux joins them; the entry of an engine in the endpoint list decides
-// which one it is reached by. All implementations are safe for concurrent use.
+// Each protocol is an implementation of Engines. Mux selects the implementation by the protocol of the host. All
+// implementations are safe for concurrent use.
 package backend
 
 import (
@@ -11,69 +11,69 @@
 	"swiftreel/internal/limits"
 )
 
-// Protocol names what an engine speaks.
+// Protocol is the name of a protocol between the gateway and engines.
 type Protocol string
 
-// The protocols.
+// Supported protocols.
 const (
-	Line   Protocol = "" // the engines' line protocol, the default
+	Line   Protocol = "" // the line protocol, the default
 	SPARQL Protocol = "sparql"
 )
 
-// Host says where an engine is reached. The name identifies it; the address may change, and may have been another
-// engine's.
+// Host is the address of an engine. The name identifies the engine; its address may change, and may have belonged to
+// another engine before.
 type Host struct {
 	Name     string
 	Address  string
 	Protocol Protocol
 }
 
-// Limits are the bounds of the connections to engines.
+// Limits are limits on the connections to engines.
 type Limits struct {
-	DialTimeout time.Duration // a connection that is not up by then has failed
-	IdleTimeout time.Duration // a connection that was not used for so long is closed
-	// CancelDelay is the time from closing a connection until the end of what was in flight on it is reported: what is
-	// sent upon that report must not overtake the close.
+	DialTimeout time.Duration // a dial that takes longer has failed
+	IdleTimeout time.Duration // a connection unused for this long is closed
+	// CancelDelay is the time from closing a connection until the dispatches in flight on it are reported as ended.
+	// Messages sent in reaction to that report must not overtake the close.
 	CancelDelay    time.Duration
 	StreamsPerConn int
-	Conns          *limits.Count // over all engines
-	ResultBytes    *limits.Bytes // of results in memory
+	Conns          *limits.Count // connections to all engines
+	ResultBytes    *limits.Bytes // memory for results
 }
 
-// Engines sends dispatches to all engines of a protocol. Only Probe may wait for a read, write or dial.
+// Engines sends dispatches to all engines of a protocol. Only Probe may block on a read, write or dial.
 type Engines interface {
-	// Start sends a dispatch. Reply is called with notices in order and, last and once, with the outcome; not at all after
-	// Dispatch.Cancel has returned true.
+	// Start sends a dispatch. It calls reply for each progress notice in order, and then exactly once with the outcome. It
+	// does not call reply after Dispatch.Cancel has returned true.
 	Start(to Host, request Request, reply func(Reply)) Dispatch
-	// Probe asks an engine for its load, or only whether it answers. Reply is called once, with TimedOut after the
-	// timeout.
+	// Probe asks an engine for its load or, if load is false, only checks that it answers. It calls reply once, with
+	// TimedOut after the timeout.
 	Probe(to Host, load bool, timeout time.Duration, reply func(Reply))
 	// CloseIdle closes the idle connections to an engine.
 	CloseIdle(name string)
-	// InFlight returns how many dispatches are open at an engine, and how many were cancelled and may still run there.
+	// InFlight returns the number of open dispatches at an engine, and of cancelled ones that may still run there.
 	InFlight(name string) (open, cancelled int)
-	// Release returns the memory of a result's pages.
+	// Release releases the memory of a result's pages.
 	Release(pages [][]byte)
-	// Close ends all connections; what is in flight ends as Reset.
+	// Close closes all connections. Dispatches in flight end with Reset.
 	Close()
 }
 
-// Dispatch is one that was started and whose outcome was not reported yet.
+// Dispatch is a started dispatch whose outcome was not reported yet.
 type Dispatch interface {
-	// Cancel tells the engine that nobody waits any more. False means that the outcome was or is being reported.
-	// Otherwise done is called once nothing of the dispatch can be in flight: the engine has read the cancellation, or
-	// the connection has ended.
+	// Cancel cancels the dispatch at the engine. It returns false if the outcome was reported or is being reported.
+	// Otherwise it calls done once nothing of the dispatch can be in flight any more: when the engine has read the
+	// cancellation or the connection has ended.
 	Cancel(done func()) bool
-	// SetPriority changes the priority, if the protocol can.
+	// SetPriority changes the priority if the protocol supports this.
 	SetPriority(priority uint8)
 }
 
-// Request is what a dispatch sends.
+// Request is the content of a dispatch.
 type Request struct {
-	ID             []byte // of the job's call; it identifies the dispatch at the engine
+	ID             []byte // of the job's call; identifies the dispatch at the engine
 	Type           []byte // name of the job type
 	Statement      []byte
-	IdempotencyKey []byte // the engine runs requests of one key once; empty: none
+	IdempotencyKey []byte // the engine runs requests with the same key once; empty if none
 	GrantMB        float64
 	Priority       uint8
 	Lane           Lane
@@ -81,60 +81,61 @@
 	Gate           Gate
 }
 
-// Gate is asked before the first byte of a dispatch goes out. It is safe for concurrent use.
+// Gate grants the permission to send a dispatch. It is safe for concurrent use.
 type Gate interface {
-	// Await waits, no longer than the order of the dispatch holds, until what Permit relies on is read as far as it has
-	// come to this process. It is called before Permit, with no lock held.
+	// Await waits until all pending input that Permit depends on is read, at most while the dispatch may still be sent. It
+	// is called before Permit, with no lock held.
 	Await()
-	// Permit is asked in the moment in which the first byte would go out, however long the order, the dial or a move to
-	// another connection took, and again for each connection that is tried. It does not wait.
+	// Permit is called immediately before the first byte of the dispatch is sent, after any delay by queueing, dialing or
+	// a move to another connection, and again for each connection that is tried. It does not block.
 	Permit() Permission
-	// Withdraw is called after a permission was granted and no byte went out.
+	// Withdraw is called if no byte was sent after a permission was granted.
 	Withdraw()
 }
 
-// Permission says whether a dispatch may be sent now. One that may not has the outcome Superseded.
+// Permission says whether a dispatch may be sent now. A dispatch without permission ends with Superseded.
 type Permission struct {
 	Granted   bool
-	TimeoutMS int64     // how long the engine may take, from now on
-	ExpiresAt time.Time // the process may stall: what was permitted must not be begun later; zero: never
+	TimeoutMS int64     // time that the engine has, from now on
+	ExpiresAt time.Time // the send must not begin later, as after a stall of the process; zero: no limit
 }
 
-// Lane separates dispatches that may be broken off, to be sent again elsewhere, from those that may not: a connection
-// that falls silent is closed to free what was cancelled on it, and nothing else may be lost by that.
+// Lane is a class of connections. Dispatches that may be aborted and sent again elsewhere do not share connections with
+// those that may not: an unresponsive connection is closed to free the dispatches cancelled on it, and this must not
+// abort any dispatch that has to finish.
 type Lane uint8
 
-// The lanes.
+// The lanes. Run-once and keyed jobs use RunOnce.
 const (
-	Restartable Lane = iota // also probes
+	Restartable Lane = iota // also used by probes
 	RunOnce
 )
 
-// Outcome is how a dispatch or a probe ended.
+// Outcome is the outcome of a dispatch or a probe.
 type Outcome uint8
 
-// The outcomes. Full, Superseded, NotConnected and DialFailed prove that the dispatch never ran.
+// The outcomes. Full, Superseded, NotConnected and DialFailed guarantee that the dispatch never ran.
 const (
-	Running      Outcome = iota // not an end: the reply is a notice
-	Done                        // all pages are in memory; of a probe: the engine answers
-	Failed                      // an error, lost pages, or an answer that cannot be read: it may have run
+	Running      Outcome = iota // no outcome yet: the reply is a progress notice
+	Done                        // all pages are in memory; for a probe, the engine answered
+	Failed                      // an error, missing pages or a malformed answer: it may have run
 	Full                        // the engine refused it
-	Superseded                  // it was not sent: too late
-	NotConnected                // the engine refused the connection: nobody listens there
+	Superseded                  // it was not sent, since it was too late
+	NotConnected                // the connection was refused: no process listens at the address
 	Reset                       // the connection broke: it may have run
-	TimedOut                    // of a probe only: a dispatch is cancelled instead
-	DialFailed                  // no connection came up in time, or it broke before a byte went out
+	TimedOut                    // only for probes: a dispatch is cancelled instead
+	DialFailed                  // no connection was established in time, or it broke before a byte was sent
 )
 
-// Reply is what is reported of a dispatch or a probe.
+// Reply is a progress notice or the outcome of a dispatch or a probe.
 type Reply struct {
 	Outcome  Outcome
-	Pages    [][]byte // Done: the result, in order, charged to Limits.ResultBytes until Release
+	Pages    [][]byte // Done only: the result, in order, charged to Limits.ResultBytes until Release
 	Load     string   // the load report as the engine sent it, such as inflight:7;util:0.61
-	WorkMS   float64  // that it took, if the engine reports it
-	MemoryMB float64  // that it used, if the engine reports it
-	Notice   string   // Running: frac, missing or parked
-	Amount   float64  // of the notice
+	WorkMS   float64  // work done, if the engine reports it
+	MemoryMB float64  // memory used, if the engine reports it
+	Notice   string   // Running only: frac, missing or parked
+	Amount   float64  // value of the notice
 
-	ConnectedAt time.Time // when the connection came up over which the engine answered; zero: not known
+	ConnectedAt time.Time // when the connection that carried the answer was established; zero if unknown
 }
--- a/internal/backend/mux.go
+++ b/internal/backend/mux.go
@@ -6,16 +6,16 @@
 	"swiftreel/internal/counters"
 )
 
-// Factory makes the engines of one protocol.
+// Factory creates the Engines of one protocol.
 type Factory func(Limits) Engines
 
-// Mux is the engines of all protocols: calls go to the implementation of the host's protocol. An engine of a protocol
-// that has none cannot be reached.
+// Mux implements Engines for all protocols: it forwards calls to the implementation of the host's protocol. Hosts of an
+// unknown protocol count as not connected.
 type Mux struct {
-	protocols map[Protocol]Engines // does not change
+	protocols map[Protocol]Engines // immutable
 }
 
-// NewMux makes the engines of all protocols, within common limits.
+// NewMux creates a Mux. All protocols share the limits.
 func NewMux(factories map[Protocol]Factory, limits Limits) *Mux {
 	m := &Mux{protocols: map[Protocol]Engines{}}
 	for protocol, newEngines := range factories {
@@ -61,7 +61,7 @@
 	return open, cancelled
 }
 
-// Release implements Engines. Any implementation may do it, as all charge the same count of bytes.
+// Release implements Engines. Any implementation can do this, as all charge the same byte budget.
 func (m *Mux) Release(pages [][]byte) {
 	for _, engines := range m.protocols {
 		engines.Release(pages)
@@ -76,7 +76,7 @@
 	}
 }
 
-// endedDispatch is one whose outcome was reported before it began.
+// endedDispatch is a dispatch whose outcome was already reported.
 type endedDispatch struct{}
 
 // Cancel implements Dispatch.
