--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -1,6 +1,6 @@
-// Package shortage tells errors of system calls by which this machine could not do for a moment what it was asked:
-// descriptors, memory or ports were short, its network was down, a call was interrupted. They pass, and say nothing of
-// whom the call was about.
+// Package shortage recognizes transient system call errors that are caused by the local machine: a shortage of file
+// descriptors, memory or ports, a network that is down, an interrupted call or a busy disk. Such errors say nothing
+// about the remote peer or the file.
 package shortage
 
 import (
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// passing are the errors.
-var passing = []error{
-	syscall.EMFILE, syscall.ENFILE, // descriptors
+// transient lists the errors.
+var transient = []error{
+	syscall.EMFILE, syscall.ENFILE, // file descriptors
 	syscall.ENOBUFS, syscall.ENOMEM, // memory
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, // addresses and ports
-	syscall.ENETUNREACH, syscall.ENETDOWN, // the machine's own network
+	syscall.ENETUNREACH, syscall.ENETDOWN, // local network
 	syscall.EINTR,
-	syscall.EIO, syscall.EBUSY, // its disk
+	syscall.EIO, syscall.EBUSY, // disk
 }
 
-// Is reports whether an error is one that passes.
+// Is reports whether err is a transient error of the local machine.
 func Is(err error) bool {
-	return slices.ContainsFunc(passing, func(one error) bool { return errors.Is(err, one) })
+	return slices.ContainsFunc(transient, func(one error) bool { return errors.Is(err, one) })
 }
 
 const retryDelay = 20 * time.Millisecond
 
-// Retry calls a function again and again while its error is one that passes, until a timeout is over. It returns the
-// last error.
+// Retry calls a function until it succeeds, fails with an error that is not transient, or the timeout has passed. It
+// returns the last error.
 func Retry(timeout time.Duration, call func() error) error {
 	stop := time.Now().Add(timeout)
 	for {
--- a/internal/shortage/shortage_test.go
+++ b/internal/shortage/shortage_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-func TestOnlyWhatPassesIsTriedAgain(t *testing.T) {
+func TestRetryRepeatsOnlyTransientErrors(t *testing.T) {
 	lasting := errors.New("no JSON")
 	for name, c := range map[string]struct {
-		errs  []error // of the calls, the last of all further ones
-		calls int     // at most; 0: more than one
+		errs  []error // of successive calls; the last one is repeated
+		calls int     // expected number of calls; 0: more than one
 		want  error
 	}{
 		"at once":          {[]error{nil}, 1, nil},
@@ -32,8 +32,8 @@
 		}
 	}
 	started := time.Now()
-	_ = Retry(0, func() error { return syscall.EINTR }) // its error is known
+	_ = Retry(0, func() error { return syscall.EINTR }) // one call, without a delay
 	if time.Since(started) > time.Second {
-		t.Error("a timeout of 0 waits")
+		t.Error("Retry with a timeout of 0 blocked")
 	}
 }
