--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,9 +1,9 @@
-// Package audit checks at run time that what was sent to engines keeps the rules. It looks at what happened - sends as
-// their first byte goes out, ends, answers, leaves - and knows nothing of how the decision module came to it, so that a
-// mistake there, or between an order and its send, shows.
+// Package audit checks at run time that dispatches to engines follow the protocol's rules. It observes sends at their
+// first byte, ends of attempts, answers and client disconnects, and is independent of the decision module. It therefore
+// detects errors in the module's decisions as well as errors between a decision and its send.
 //
-// A Ledger holds one small record a job that is open, one a key whose jobs run in order, and the times of jobs and
-// repeats in the window of the retry budget. It does no I/O and reads no clock.
+// A Ledger keeps a small record for each open job and each ordering key, and the times of jobs and retries within the
+// window of the retry budget. It does no I/O and reads no clock.
 package audit
 
 import (
@@ -15,26 +15,26 @@
 )
 
 const (
-	// leaveSlack is how long after its client has left a job's attempt may still begin.
-	leaveSlack = 100 * time.Millisecond
-	// deadlineSlack is how much more time than the client has left an engine may be given.
+	// disconnectSlack is how long after its client has disconnected a job may still be dispatched.
+	disconnectSlack = 100 * time.Millisecond
+	// deadlineSlack is how much an engine's time limit may exceed the client's remaining time.
 	deadlineSlack = 150 * time.Millisecond
-	// sweepEvery is how many jobs are admitted between two looks for keys that are no longer needed.
-	sweepEvery = 256
+	// jobsPerKeySweep is the number of admitted jobs between removals of unused key records.
+	jobsPerKeySweep = 256
 )
 
-// Violation is a broken rule. Its text is a constant: it names a counter.
+// Violation names a rule violation. The text is used as a counter name and must not change.
 type Violation string
 
-// The violations, by rule.
+// The violations. Their texts start with the number of the rule.
 const (
 	DispatchedAfterAnswer     Violation = "rule_1_dispatched_after_answer"
 	DispatchedTwiceAtOnce     Violation = "rule_1_dispatched_twice_at_once"
-	DispatchedAfterClientLeft Violation = "rule_1_dispatched_after_client_left"
-	GivenTooMuchTime          Violation = "rule_1_given_too_much_time"
+	DispatchedAfterDisconnect Violation = "rule_1_dispatched_after_client_left"
+	TimeLimitTooLong          Violation = "rule_1_given_too_much_time"
 	AnsweredTwice             Violation = "rule_1_answered_twice"
-	RefusedAfterEffect        Violation = "rule_2_refused_though_it_may_have_run"
-	RepeatedAfterEffect       Violation = "rule_2_dispatched_again_though_it_may_have_run"
+	RefusedAfterPossibleRun   Violation = "rule_2_refused_though_it_may_have_run"
+	RetriedAfterPossibleRun   Violation = "rule_2_dispatched_again_though_it_may_have_run"
 	DispatchedToUnavailable   Violation = "rule_3_dispatched_to_an_unavailable_engine"
 	DispatchedOutOfOrder      Violation = "rule_5_dispatched_beside_or_after_a_later_job_of_its_key"
 	DispatchedWhileKeyPauses  Violation = "rule_5_dispatched_while_its_key_pauses"
@@ -43,56 +43,57 @@
 	EndedWithoutDispatch      Violation = "rule_1_ended_without_dispatch"
 )
 
-// Job is what the rules ask of a job.
+// Job is the part of a job that the rules refer to.
 type Job struct {
 	ID       choice.JobID
-	Deadline time.Time  // the client waits no longer
+	Deadline time.Time  // until which the client waits
 	RunOnce  bool       // it must not run twice
-	Key      choice.Key // its jobs run one after the other; 0: no order
+	Key      choice.Key // jobs of one key run one at a time, in order; 0: no ordering
 }
 
-// Dispatch is one of which the first byte goes out.
+// Dispatch is a dispatch whose first byte is about to be sent.
 type Dispatch struct {
 	Job              choice.JobID
 	At               time.Time
-	Given            time.Duration // how long the engine may take
-	UnavailableSince time.Time     // the engine was listed as draining or removed; zero: it is ready
+	TimeLimit        time.Duration // of the engine for this dispatch
+	UnavailableSince time.Time     // since when the engine is listed as draining or removed; zero if it is ready
 }
 
-// Ledger records what was sent, for whom, and what became of it. It is safe for concurrent use.
+// Ledger records jobs, their dispatches and the outcomes, and checks them against the rules. It is safe for concurrent
+// use.
 type Ledger struct {
 	bounds Bounds
 
 	mu       sync.Mutex
-	jobs     map[choice.JobID]*record
+	jobs     map[choice.JobID]*jobRecord
 	keys     map[choice.Key]*keyRecord
 	admitted int
 	retries  retries
 }
 
-// Bounds are the figures of the rules.
+// Bounds are the limits that the rules refer to.
 type Bounds struct {
-	DrainGrace time.Duration // for dispatches to an engine that takes nothing any more; 0: not checked
-	OrderPause time.Duration // of a key after an outcome that is unsure
+	DrainGrace time.Duration // for dispatches to an engine that became unavailable; 0: not checked
+	KeyPause   time.Duration // pause of an ordering key after an uncertain outcome
 	Retries    RetryBudget
 }
 
-// record is what is known of an open job.
-type record struct {
+// jobRecord is the record of an open job.
+type jobRecord struct {
 	Job
-	arrival    int // among the jobs of its key
-	isOut      bool
-	dispatches int
-	mayHaveRun bool
-	isAnswered bool
-	leftAt     time.Time // zero: the client is there
+	arrival        int // sequence number among the jobs of its key
+	inFlight       bool
+	dispatches     int
+	mayHaveRun     bool
+	isAnswered     bool
+	disconnectedAt time.Time // zero while the client is connected
 }
 
-// keyRecord is what is known of a key.
+// keyRecord is the record of an ordering key.
 type keyRecord struct {
-	open           map[choice.JobID]*record
+	open           map[choice.JobID]*jobRecord
 	arrivals       int
-	lastDispatched int // arrival of the latest job that was sent
+	lastDispatched int // highest arrival number among dispatched jobs
 	pausedUntil    time.Time
 }
 
@@ -100,38 +101,38 @@
 func NewLedger(bounds Bounds) *Ledger {
 	return &Ledger{
 		bounds:  bounds,
-		jobs:    map[choice.JobID]*record{},
+		jobs:    map[choice.JobID]*jobRecord{},
 		keys:    map[choice.Key]*keyRecord{},
 		retries: retries{budget: bounds.Retries},
 	}
 }
 
-// SetRetryBudget changes the budget. What was dispatched before does not count towards the new one.
+// SetRetryBudget changes the budget. Earlier retries do not count towards the new budget; admitted jobs do.
 func (l *Ledger) SetRetryBudget(budget RetryBudget) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retries = retries{budget: budget, admitted: l.retries.admitted}
 }
 
-// Admitted records a job that was admitted.
+// Admitted records an admitted job.
 func (l *Ledger) Admitted(job Job, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	admitted := &record{Job: job}
+	admitted := &jobRecord{Job: job}
 	l.jobs[job.ID] = admitted
 	if job.Key != 0 {
 		l.key(job.Key).add(admitted)
 	}
 	l.admitted++
-	l.retries.admit(now)
-	if l.admitted%sweepEvery == 0 {
+	l.retries.addJob(now)
+	if l.admitted%jobsPerKeySweep == 0 {
 		maps.DeleteFunc(l.keys, func(_ choice.Key, k *keyRecord) bool {
 			return len(k.open) == 0 && now.After(k.pausedUntil)
 		})
 	}
 }
 
-// Dispatched records a dispatch, and returns the rules that it breaks.
+// Dispatched records a dispatch and returns the rules that it violates.
 func (l *Ledger) Dispatched(d Dispatch) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,27 +142,27 @@
 	}
 	broken := violations{}
 	broken.add(r.isAnswered, DispatchedAfterAnswer)
-	broken.add(r.isOut, DispatchedTwiceAtOnce)
-	broken.add(!r.leftAt.IsZero() && d.At.Sub(r.leftAt) > leaveSlack, DispatchedAfterClientLeft)
-	broken.add(d.Given > r.Deadline.Sub(d.At)+deadlineSlack, GivenTooMuchTime)
-	broken.add(r.RunOnce && r.mayHaveRun, RepeatedAfterEffect)
+	broken.add(r.inFlight, DispatchedTwiceAtOnce)
+	broken.add(!r.disconnectedAt.IsZero() && d.At.Sub(r.disconnectedAt) > disconnectSlack, DispatchedAfterDisconnect)
+	broken.add(d.TimeLimit > r.Deadline.Sub(d.At)+deadlineSlack, TimeLimitTooLong)
+	broken.add(r.RunOnce && r.mayHaveRun, RetriedAfterPossibleRun)
 	isPastGrace := !d.UnavailableSince.IsZero() && d.At.Sub(d.UnavailableSince) > l.bounds.DrainGrace
 	broken.add(l.bounds.DrainGrace > 0 && isPastGrace, DispatchedToUnavailable)
 	if r.Key != 0 {
 		key := l.key(r.Key)
-		broken.add(key.isAnotherOut(r) || r.arrival < key.lastDispatched, DispatchedOutOfOrder)
+		broken.add(key.hasOtherInFlight(r) || r.arrival < key.lastDispatched, DispatchedOutOfOrder)
 		broken.add(d.At.Before(key.pausedUntil), DispatchedWhileKeyPauses)
 		key.lastDispatched = max(key.lastDispatched, r.arrival)
 	}
 	if r.dispatches > 0 {
-		broken.add(l.retries.dispatched(d.At), RetriedBeyondBudget)
+		broken.add(l.retries.addRetry(d.At), RetriedBeyondBudget)
 	}
 	r.dispatches++
-	r.isOut = true
+	r.inFlight = true
 	return broken.list
 }
 
-// Withdrawn takes a send back of which no byte went out.
+// Withdrawn undoes Dispatched if no byte of the dispatch was sent.
 func (l *Ledger) Withdrawn(id choice.JobID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,38 +170,38 @@
 	if r == nil {
 		return
 	}
-	r.isOut = false
+	r.inFlight = false
 	r.dispatches--
 	if r.dispatches > 0 {
-		l.retries.further.removeLast()
+		l.retries.retried.removeLast()
 	}
 }
 
-// key returns the record of a key, and adds it if there is none. The lock is held.
+// key returns the record of a key and adds one if there is none. The caller must hold the lock.
 func (l *Ledger) key(key choice.Key) *keyRecord {
 	if l.keys[key] == nil {
-		l.keys[key] = &keyRecord{open: map[choice.JobID]*record{}}
+		l.keys[key] = &keyRecord{open: map[choice.JobID]*jobRecord{}}
 	}
 	return l.keys[key]
 }
 
-func (k *keyRecord) add(r *record) {
+func (k *keyRecord) add(r *jobRecord) {
 	k.arrivals++
 	r.arrival = k.arrivals
 	k.open[r.ID] = r
 }
 
-// isAnotherOut reports whether an attempt of another job of the key is out.
-func (k *keyRecord) isAnotherOut(r *record) bool {
+// hasOtherInFlight reports whether an attempt of another job of the key is in flight.
+func (k *keyRecord) hasOtherInFlight(r *jobRecord) bool {
 	for _, other := range k.open {
-		if other != r && other.isOut {
+		if other != r && other.inFlight {
 			return true
 		}
 	}
 	return false
 }
 
-// violations collects those that hold.
+// violations is a list of detected violations.
 type violations struct{ list []Violation }
 
 func (v *violations) add(holds bool, violation Violation) {
@@ -209,8 +210,8 @@
 	}
 }
 
-// Ended records the end of a job's attempt that was ordered, and returns the rules that it breaks. An attempt that
-// never ran need not have been sent.
+// Ended records the end of a job's attempt and returns the rules that it violates. An attempt that never ran may end
+// without a dispatch.
 func (l *Ledger) Ended(id choice.JobID, result choice.Result, now time.Time) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,24 +219,24 @@
 	if r == nil {
 		return nil
 	}
-	wasOut := r.isOut
-	r.isOut = false
+	wasInFlight := r.inFlight
+	r.inFlight = false
 	if result.NeverRan() {
 		return nil
 	}
-	r.mayHaveRun = r.mayHaveRun || wasOut
-	isUnsure := result == choice.TimedOut || result == choice.Reset || result == choice.Canceled
-	if r.Key != 0 && isUnsure && wasOut {
-		l.key(r.Key).pausedUntil = now.Add(l.bounds.OrderPause)
+	r.mayHaveRun = r.mayHaveRun || wasInFlight
+	isUncertain := result == choice.TimedOut || result == choice.Reset || result == choice.Canceled
+	if r.Key != 0 && isUncertain && wasInFlight {
+		l.key(r.Key).pausedUntil = now.Add(l.bounds.KeyPause)
 	}
-	if !wasOut && result == choice.Done {
+	if !wasInFlight && result == choice.Done {
 		return []Violation{EndedWithoutDispatch}
 	}
 	return nil
 }
 
-// Answered records a job's final answer, and returns the rules that it breaks. refused says that the answer allows its
-// client to repeat it.
+// Answered records a job's final answer and returns the rules that it violates. refused says that the answer allows the
+// client to repeat the job.
 func (l *Ledger) Answered(id choice.JobID, refused bool) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -245,21 +246,21 @@
 	}
 	broken := violations{}
 	broken.add(r.isAnswered, AnsweredTwice)
-	broken.add(refused && r.RunOnce && (r.mayHaveRun || r.isOut), RefusedAfterEffect)
+	broken.add(refused && r.RunOnce && (r.mayHaveRun || r.inFlight), RefusedAfterPossibleRun)
 	r.isAnswered = true
 	return broken.list
 }
 
-// ClientLeft records that nobody waits for a job any more.
-func (l *Ledger) ClientLeft(id choice.JobID, now time.Time) {
+// ClientDisconnected records that a job's client has disconnected.
+func (l *Ledger) ClientDisconnected(id choice.JobID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.jobs[id]; r != nil && r.leftAt.IsZero() {
-		r.leftAt = now
+	if r := l.jobs[id]; r != nil && r.disconnectedAt.IsZero() {
+		r.disconnectedAt = now
 	}
 }
 
-// Removed drops a job that is over: nothing of it is out.
+// Removed drops the record of a finished job, which has no dispatch in flight.
 func (l *Ledger) Removed(id choice.JobID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,7 +274,7 @@
 	}
 }
 
-// OpenJobs returns how many jobs are recorded.
+// OpenJobs returns the number of recorded jobs.
 func (l *Ledger) OpenJobs() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/audit/retries.go
+++ b/internal/audit/retries.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// RetryBudget bounds dispatches beyond a job's first: of all in a window, there may be so many more than a part of the
-// jobs admitted in it.
+// RetryBudget limits retries, that is dispatches after a job's first one: within any window there may be at most Free
+// retries plus Ratio times the number of admitted jobs.
 type RetryBudget struct {
-	Window time.Duration // 0: no bound
+	Window time.Duration // 0: no limit
 	Free   float64
-	Ratio  float64 // of the jobs admitted
+	Ratio  float64
 }
 
-// retrySlack is by how much an order may come before its first byte: the budget counts orders, the ledger sends.
+// retrySlack is the longest time from the decision to dispatch until the first byte is sent. It is needed because the
+// decision module counts decisions against the budget, and the ledger counts sends.
 const retrySlack = time.Second
 
-// retries counts admitted jobs and further dispatches over a window.
+// retries counts admitted jobs and retries within the window of the budget.
 type retries struct {
 	budget   RetryBudget
 	admitted eventTimes
-	further  eventTimes
+	retried  eventTimes
 }
 
-// dispatched counts a further dispatch, and reports whether it is beyond the budget.
-func (r *retries) dispatched(at time.Time) bool {
+// addRetry counts a retry and reports whether it exceeds the budget.
+func (r *retries) addRetry(at time.Time) bool {
 	if r.budget.Window <= 0 {
 		return false
 	}
-	r.further.add(at)
-	further := float64(r.further.since(at.Add(retrySlack - r.budget.Window)))
+	r.retried.add(at)
+	retried := float64(r.retried.since(at.Add(retrySlack - r.budget.Window)))
 	admitted := float64(r.admitted.since(at.Add(-retrySlack - r.budget.Window)))
-	return further > r.budget.Free+r.budget.Ratio*admitted
+	return retried > r.budget.Free+r.budget.Ratio*admitted
 }
 
-// admit counts a job.
-func (r *retries) admit(at time.Time) {
+// addJob counts an admitted job.
+func (r *retries) addJob(at time.Time) {
 	if r.budget.Window > 0 {
 		r.admitted.add(at)
 		r.admitted.since(at.Add(-retrySlack - r.budget.Window))
 	}
 }
 
-// eventTimes are times of events, the oldest first, as far back as was asked last.
+// eventTimes are the times of events in ascending order, from the time last passed to since.
 type eventTimes struct{ times []time.Time }
 
 func (e *eventTimes) add(at time.Time) { e.times = append(e.times, at) }
 
-// removeLast takes back the event added last.
+// removeLast removes the latest event.
 func (e *eventTimes) removeLast() {
 	if len(e.times) > 0 {
 		e.times = e.times[:len(e.times)-1]
 	}
 }
 
-// since drops what was before a time, and returns how many are left.
+// since drops events before a time and returns the number of remaining events.
 func (e *eventTimes) since(from time.Time) int {
 	first := 0
 	for first < len(e.times) && e.times[first].Before(from) {
--- a/internal/audit/retries_test.go
+++ b/internal/audit/retries_test.go
@@ -7,8 +7,8 @@
 	"swiftreel/choice"
 )
 
-// repeat sends a job again after a time, and reports whether that is beyond the budget.
-func repeat(l *Ledger, after time.Duration) bool {
+// retry dispatches a job again at an offset from the start, and reports whether this exceeds the budget.
+func retry(l *Ledger, after time.Duration) bool {
 	l.Ended(job, choice.Failed, at(after))
 	for _, violation := range l.Dispatched(dispatch(job, after)) {
 		if violation == RetriedBeyondBudget {
@@ -18,13 +18,13 @@
 	return false
 }
 
-// Dispatches beyond a job's first are counted over a window, against a number and a part of the jobs admitted.
+// The budget limits the retries in a window to a fixed number plus a ratio of the admitted jobs.
 func TestRetriesBeyondTheirBudgetAreFound(t *testing.T) {
 	const window = 10 * time.Second
 	for name, c := range map[string]struct {
 		budget  RetryBudget
 		between time.Duration
-		within  int // repeats that the budget holds
+		within  int // retries within the budget
 	}{
 		"no budget":                   {RetryBudget{}, time.Millisecond, 40},
 		"a number":                    {RetryBudget{Window: window, Free: 3}, time.Millisecond, 3},
@@ -39,35 +39,35 @@
 			l.Dispatched(dispatch(job, 0))
 			found := 0
 			for i := range 40 {
-				if repeat(l, time.Duration(i)*c.between) {
+				if retry(l, time.Duration(i)*c.between) {
 					break
 				}
 				found++
 			}
 			if found != c.within {
-				t.Errorf("%d repeats are within the budget, want %d", found, c.within)
+				t.Errorf("%d retries are within the budget, want %d", found, c.within)
 			}
 		})
 	}
 }
 
-// A dispatch of which no byte went out is none, and a new budget counts anew.
+// A withdrawn retry does not count towards the budget, and a new budget starts with no retries.
 func TestWithdrawnRetriesAndANewBudget(t *testing.T) {
 	budget := RetryBudget{Window: time.Minute, Free: 1}
 	l := NewLedger(Bounds{Retries: budget})
 	l.Admitted(Job{ID: job, Deadline: at(time.Hour)}, start)
 	l.Dispatched(dispatch(job, 0))
 	for i := range 5 {
-		if repeat(l, time.Duration(i)) {
-			t.Fatal("one that was withdrawn counts")
+		if retry(l, time.Duration(i)) {
+			t.Fatal("a withdrawn retry counts towards the budget")
 		}
 		l.Withdrawn(job)
 	}
-	if repeat(l, time.Second) || !repeat(l, 2*time.Second) {
-		t.Error("the second is not the first beyond the budget")
+	if retry(l, time.Second) || !retry(l, 2*time.Second) {
+		t.Error("the second retry is not the first one beyond the budget")
 	}
 	l.SetRetryBudget(budget)
-	if repeat(l, 3*time.Second) || !repeat(l, 4*time.Second) {
-		t.Error("the new budget does not begin anew")
+	if retry(l, 3*time.Second) || !retry(l, 4*time.Second) {
+		t.Error("earlier retries count towards the new budget")
 	}
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -44,7 +44,7 @@
 	g.perform(actions)
 	g.trace.job(j.id, "call", string(j.ID))
 	request.Client.OnDisconnect(func() {
-		g.audit.ClientLeft(j.id, time.Now())
+		g.audit.ClientDisconnected(j.id, time.Now())
 		j.mailbox.put(clientDisconnected{})
 	})
 	go newJobRunner(g, j).run()
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -20,7 +20,7 @@
 
 // auditBounds are the figures of the rules that the ledger checks.
 func (s settings) auditBounds() audit.Bounds {
-	return audit.Bounds{DrainGrace: s.drainGrace, OrderPause: s.orderPause, Retries: s.retries}
+	return audit.Bounds{DrainGrace: s.drainGrace, KeyPause: s.orderPause, Retries: s.retries}
 }
 
 // reportViolations counts broken rules under their names and logs them; builds with the tag debug panic.
--- a/internal/gateway/send_gate.go
+++ b/internal/gateway/send_gate.go
@@ -76,7 +76,7 @@
 	}
 	given := left.Truncate(time.Millisecond)
 	s.trace("sent_with", given)
-	dispatch := audit.Dispatch{Job: s.job.id, At: now, Given: given, UnavailableSince: unavailableSince}
+	dispatch := audit.Dispatch{Job: s.job.id, At: now, TimeLimit: given, UnavailableSince: unavailableSince}
 	s.gateway.reportViolations(s.job, s.attempt.engine, s.gateway.audit.Dispatched(dispatch))
 	return backend.Permission{Granted: true, TimeoutMS: given.Milliseconds(), ExpiresAt: now.Add(permissionTime)}
 }
