--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -12,7 +12,7 @@
 	"swiftreel/internal/statement"
 )
 
-// Why a request is not admitted. Clients see these texts.
+// Reasons for rejecting a request. The texts are sent to clients.
 var (
 	errUnknownType   = errors.New("no such method")
 	errUnknownTenant = errors.New("no such tenant")
@@ -22,12 +22,12 @@
 	errNoCapacity    = errors.New("no capacity")
 )
 
-// transitTime is what a call needed to come here and its answer needs to go: on sockets, answers given 2 ms before the
-// job timeout were seen to come after it.
+// transitTime allows for the network time of a call and of its answer: over real sockets, answers written 2 ms before
+// the job timeout reached the client after it.
 const transitTime = 5 * time.Millisecond
 
-// Submit admits a job or answers at once that it is not admitted. It does not wait; the module sees jobs in the order
-// of the calls.
+// Submit admits a job or rejects it immediately. It does not block. The module receives jobs in the order of the calls
+// to Submit.
 func (g *Gateway) Submit(request Request) {
 	event, err := g.arrivalEvent(request)
 	if err != nil {
@@ -50,8 +50,8 @@
 	go newJobRunner(g, j).run()
 }
 
-// admit gives a job its number and reports it to the module, unless its call is open already or there is no slot for
-// it. It returns the actions to perform.
+// admit assigns a job ID and reports the job to the module, unless a call with the same ID is open or no slot is free.
+// It returns the actions to perform.
 func (g *Gateway) admit(admitted *job, arrival choice.Event) ([]choice.Action, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,7 +73,7 @@
 	return g.decide(arrival), nil
 }
 
-// nextJobID returns a number that no job has. The caller holds the lock. Numbers repeat after 2^32 jobs.
+// nextJobID returns an ID that no open job has. IDs wrap around after 2^32 jobs. The caller must hold the lock.
 func (g *Gateway) nextJobID() choice.JobID {
 	g.lastJobID++
 	for g.jobs[g.lastJobID] != nil {
@@ -93,7 +93,7 @@
 	request.Client.Throttled(0)
 }
 
-// arrivalEvent converts a request into the module's terms. An error says why it cannot be used.
+// arrivalEvent converts a request into the module's JobArrived event. The error says why the request is invalid.
 func (g *Gateway) arrivalEvent(request Request) (choice.Event, error) {
 	jobType, known := g.ids.types[string(request.Type)]
 	if !known {
@@ -118,7 +118,7 @@
 		Kind:              choice.JobArrived,
 		Type:              jobType,
 		Tenant:            tenant,
-		Key:               orderKey(request.Key),
+		Key:               orderingKey(request.Key),
 		TimeLeft:          choice.Nanos(timeLeft(request)),
 		ArrivedAt:         g.clock.at(request.ArrivedAt),
 		Cost:              choice.Nanos(request.EstimatedWork),
@@ -131,12 +131,12 @@
 	}, nil
 }
 
-// timeLeft returns how long the module has for a job: less than the client waits, for the way there and back.
+// timeLeft returns the time that the module has for a job: the client's remaining time less the network time.
 func timeLeft(request Request) time.Duration {
 	return request.Timeout - min(transitTime, request.Timeout/10) - time.Since(request.ArrivedAt)
 }
 
-// tableGroup returns the group of tables that a request uses, if it names one.
+// tableGroup returns the group of tables that a request uses, and false if the request names none.
 func tableGroup(request Request) (uint32, bool) {
 	if request.Protocol == backend.Line {
 		return statement.Group(request.Statement)
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -12,21 +12,21 @@
 )
 
 func TestAFloodEndsInThrottling(t *testing.T) {
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits":  map[string]any{"max_open": 3.0},
 	}
-	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	g := New(Options{Settings: raw, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	a := newFakeClient(10)
-	for i := range 5 { // no engine: three are parked until it is late, two turned away
+	for i := range 5 { // without engines, three jobs wait until it is too late and two are rejected
 		g.Submit(Request{Type: []byte("lookup"), ID: []byte{byte(i)}, ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	}
 	g.mu.Lock()
 	admitted := len(g.jobs)
 	g.mu.Unlock()
 	if one, two := <-a.answers, <-a.answers; one != "throttled" || two != "throttled" || admitted != 3 {
-		t.Errorf("%s, %s, %d jobs taken", one, two, admitted)
+		t.Errorf("answers %s and %s, %d jobs admitted", one, two, admitted)
 	}
 	for range 3 {
 		if answer := <-a.answers; answer != "throttled" {
@@ -35,7 +35,7 @@
 	}
 	g.Submit(Request{Type: []byte("other"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	if answer := <-a.answers; answer != "failed" {
-		t.Errorf("%s for an unknown type", answer)
+		t.Errorf("answer %s for an unknown job type", answer)
 	}
 }
 
@@ -52,23 +52,23 @@
 	} {
 		ev, err := g.arrivalEvent(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: timeout})
 		if got := time.Duration(ev.TimeLeft); err != nil || got > limit || got < limit-5*time.Second {
-			t.Errorf("%v of %v told, %v", got, timeout, err)
+			t.Errorf("the module gets %v of %v, error %v", got, timeout, err)
 		}
 	}
 }
 
-// A flood of one protocol takes what nobody used of late, and leaves the other its part.
+// A flood of one protocol may use the slots that were not used recently, but must leave the other protocol its share.
 func TestAFloodOfOneProtocolLeavesTheOtherItsPlaces(t *testing.T) {
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits":  map[string]any{"max_open": 40.0},
 	}
-	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	g := New(Options{Settings: raw, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
 	a, n := newFakeClient(200), 0
 	take := func(p backend.Protocol, times int) {
-		for range times { // no engine: they are parked until it is late
+		for range times { // without engines, the jobs wait until it is too late
 			n++
 			g.Submit(Request{
 				Type:      []byte("lookup"),
@@ -86,9 +86,9 @@
 	before = counters.Value("calls_over_capacity")
 	take(backend.Line, 5)
 	if turned := counters.Value("calls_over_capacity") - before; flood < 20 || flood > 35 || turned > 0 {
-		t.Errorf("a flood takes %d of 40, %d of 5 calls of the other protocol are turned away", flood, turned)
+		t.Errorf("the flood gets %d of 40 slots, %d of 5 calls of the other protocol are rejected", flood, turned)
 	}
-	for id := range n { // all leave, which empties every table
+	for id := range n { // all clients disconnect, so that Close finds no open jobs
 		g.mu.Lock()
 		j := g.jobs[choice.JobID(id+1)]
 		g.mu.Unlock()
@@ -98,14 +98,14 @@
 	}
 }
 
-// A call in the module's terms, and why one is unusable.
-func TestACallInTheModulesTerms(t *testing.T) {
-	g := New(Options{Settings: factsOf(t, ruleFacts), Seed: 1, Budget: testBudget()})
+// The conversion of a request to an arrival event, and the errors for invalid requests.
+func TestRequestsAreConvertedToArrivalEvents(t *testing.T) {
+	g := New(Options{Settings: parseSettings(t, testSettings), Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	const text = "INSERT INTO sales_17.orders SELECT * FROM staging.x"
 	for _, c := range []struct {
-		name, fault string
-		request     Request
+		name, wantErr string
+		request       Request
 	}{
 		{"an unknown type", "no such method", Request{Type: []byte("none"), Tenant: []byte("acme")}},
 		{"an unknown tenant", "no such tenant", Request{Type: []byte("lookup"), Tenant: []byte("none")}},
@@ -128,12 +128,12 @@
 			if err != nil {
 				got = err.Error()
 			}
-			if got != c.fault {
-				t.Errorf("refused as %q, want %q", got, c.fault)
+			if got != c.wantErr {
+				t.Errorf("error %q, want %q", got, c.wantErr)
 			}
 		})
 	}
-	arrivedAt := time.Now().Add(-time.Minute) // it has lain unread
+	arrivedAt := time.Now().Add(-time.Minute) // the call was unread for a while
 	ev, err := g.arrivalEvent(Request{
 		Type:              []byte("import"),
 		Tenant:            []byte("zeta"),
@@ -157,7 +157,7 @@
 		Kind:              choice.JobArrived,
 		Type:              1,
 		Tenant:            1,
-		Key:               orderKey([]byte("k1")),
+		Key:               orderingKey([]byte("k1")),
 		ArrivedAt:         g.clock.at(arrivedAt),
 		Cost:              choice.Nanos(time.Minute),
 		CostKnown:         true,
@@ -181,14 +181,14 @@
 	}
 }
 
-// A job that is over leaves its slot to others, also where two protocols share them.
+// A finished job releases its slot, also if two protocols share the slots.
 func TestAFinishedJobLeavesItsSlot(t *testing.T) {
 	const slots = 4
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"classes": []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 		"limits":  map[string]any{"max_open": float64(slots)},
 	}
-	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
+	g := New(Options{Settings: raw, Seed: 1, Budget: testBudget()})
 	defer g.Close()
 	g.SetSPARQLEndpoints(map[string]string{"e1": "http://127.0.0.1:1/"})
 	client := newFakeClient(1)
@@ -205,7 +205,7 @@
 		if answer := <-client.answers; answer != "throttled" {
 			t.Fatal(answer)
 		}
-		eventually(t, "the job stays", func() bool {
+		eventually(t, "the job is not removed", func() bool {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			return len(g.jobs) == 0
--- a/internal/gateway/clock.go
+++ b/internal/gateway/clock.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// minClockStep is the least difference that counts as a step of the wall clock.
+	// minClockStep is the smallest change of the wall clock's offset that counts as a step.
 	minClockStep = 100 * time.Millisecond
-	// stepMemory is how long a time of day may still come from before a step: a list may be late.
-	stepMemory = time.Minute
-	// maxClockSteps bounds the steps that are remembered.
+	// stepRetention is how long after a step a timestamp from before it may still arrive, as endpoint lists can be
+	// delayed.
+	stepRetention = time.Minute
+	// maxClockSteps bounds the number of steps that are kept.
 	maxClockSteps = 8
 )
 
-// clock gives the module's time in nanoseconds: it starts at the Unix time of its creation and is monotonic from there.
-// Beside it, it follows the wall clock, which may be stepped either way. It is guarded by its owner's lock, except for
-// now and at.
+// clock provides the module's time in nanoseconds. Module time starts at the Unix time of the clock's creation and is
+// monotonic from then on. The clock also tracks steps of the wall clock in either direction. All methods except now, at
+// and connectedAt require the owner's lock.
 type clock struct {
 	start  time.Time
 	wall   func() time.Time
-	offset choice.Nanos // of the wall clock over the module's time, since the last step
-	steps  []clockStep  // of the last stepMemory
+	offset choice.Nanos // wall clock minus module time, as of the last step
+	steps  []clockStep  // within stepRetention, oldest first
 }
 
-// clockStep is a step of the wall clock that was seen.
+// clockStep is an observed step of the wall clock.
 type clockStep struct {
 	seenAt       choice.Nanos
 	offsetBefore choice.Nanos
@@ -35,14 +36,14 @@
 
 func newClock() clock { return clock{start: time.Now(), wall: failpoint.WallClock} }
 
-// at converts a moment into the module's time.
+// at converts a time to module time.
 func (c *clock) at(moment time.Time) choice.Nanos {
 	return choice.Nanos(c.start.UnixNano()) + choice.Nanos(moment.Sub(c.start))
 }
 
 func (c *clock) now() choice.Nanos { return c.at(time.Now()) }
 
-// connectedAt returns when the connection of a reply came up, in the module's time; 0: not known.
+// connectedAt returns the module time at which the connection of a reply was established; 0 means unknown.
 func (c *clock) connectedAt(reply backend.Reply) choice.Nanos {
 	if reply.ConnectedAt.IsZero() {
 		return 0
@@ -50,8 +51,8 @@
 	return c.at(reply.ConnectedAt)
 }
 
-// observeStep compares the wall clock with the module's time, and reports whether it was stepped since it was last
-// looked at.
+// observeStep compares the wall clock with module time, and reports whether the wall clock was stepped since the last
+// call.
 func (c *clock) observeStep(now choice.Nanos) bool {
 	offset := choice.Nanos(c.wall().UnixNano()) - now
 	if difference := time.Duration(offset - c.offset); difference.Abs() < minClockStep {
@@ -63,16 +64,16 @@
 	return true
 }
 
-// removeOldSteps drops steps that no time of day can be from before of, and the oldest beyond maxClockSteps-1.
+// removeOldSteps drops steps older than stepRetention, and the oldest ones as needed to make room for one more.
 func (c *clock) removeOldSteps(now choice.Nanos) {
-	for len(c.steps) > 0 && (now-c.steps[0].seenAt > choice.Nanos(stepMemory) || len(c.steps) >= maxClockSteps) {
+	for len(c.steps) > 0 && (now-c.steps[0].seenAt > choice.Nanos(stepRetention) || len(c.steps) >= maxClockSteps) {
 		c.steps = c.steps[1:]
 	}
 }
 
-// pastTime converts a time of day that has passed into the module's time. Where the wall clock was stepped of late,
-// the time of day may be from before the step: of the moments that it may mean, the latest that has passed counts. One
-// that lies in the future by all of them means now.
+// pastTime converts a wall clock timestamp of a past event to module time. A timestamp may have been taken before a
+// recent step of the wall clock, so each offset that was in effect lately gives a candidate. The result is the latest
+// candidate that is not in the future, or now if there is none.
 func (c *clock) pastTime(unix, now choice.Nanos) choice.Nanos {
 	c.removeOldSteps(now)
 	latest, found := unix-c.offset, unix-c.offset <= now
--- a/internal/gateway/disconnect_test.go
+++ b/internal/gateway/disconnect_test.go
@@ -9,33 +9,33 @@
 	"swiftreel/internal/backend"
 )
 
-// A client may leave in the moment in which the module sends its job: that dispatch is owed an outcome too, or its
-// threads would count as out for ever.
+// A client may disconnect while the module dispatches its job. That dispatch must get an outcome too, or the module
+// counts its threads as in use forever.
 func TestADispatchOrderedAsTheClientLeavesHasAnOutcome(t *testing.T) {
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"localities": []any{"west"},
 		"kinds":      []any{"std"},
 		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 5e8}},
 	}
-	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget()})
-	var parked *job
+	g := New(Options{Settings: raw, Seed: 1, Budget: testBudget()})
+	var submitted *job
 	a := fakeClient{make(chan string, 10), func(left func()) {
 		left()
-		parked = g.jobs[1]
-		g.UpdateEngines(engineList(t, "true", "e1"), true) // an engine comes: the job goes there
+		submitted = g.jobs[1]
+		g.UpdateEngines(engineList(t, "true", "e1"), true) // the module dispatches the job to the new engine
 	}}
 	g.Submit(Request{Type: []byte("lookup"), ArrivedAt: time.Now(), Timeout: time.Second, Client: a})
 	g.Close()
-	if m, is := parked.mailbox.next(); is || len(g.jobs) != 0 || len(a.answers) != 0 {
-		t.Errorf("not read: %+v; %d jobs, %d answers", m, len(g.jobs), len(a.answers))
+	if m, is := submitted.mailbox.next(); is || len(g.jobs) != 0 || len(a.answers) != 0 {
+		t.Errorf("unread message %+v, %d jobs, %d answers", m, len(g.jobs), len(a.answers))
 	}
 }
 
-// A job waits for an engine; its client has gone, and the reader has not come to that yet, as it lies behind much that
-// is unread. When an engine comes, nothing is sent there, and the module forgets the job.
+// The client of a waiting job has disconnected, but the disconnect is still behind unread input. When an engine becomes
+// available, the job must not be sent, and the module must drop it.
 func TestNothingIsSentForAClientThatIsNoLongerThere(t *testing.T) {
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"localities": []any{"west"},
 		"kinds":      []any{"std"},
 		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
@@ -43,7 +43,7 @@
 		"limits":     map[string]any{"cancel": true},
 	}
 	var started atomic.Int64
-	g := New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
+	g := New(Options{Settings: raw, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
 		backend.Line: func(backend.Limits) backend.Engines { return silentEngines{started: &started} }}})
 	defer g.Close()
 	disconnected := newDisconnectingClient()
@@ -57,7 +57,7 @@
 	take(2, here)
 	disconnected.disconnected.Store(true)
 	g.UpdateEngines(engineList(t, "true", "e1"), true)
-	eventually(t, "the other's job is not sent, or that of the one who has gone stays", func() bool {
+	eventually(t, "the other client's job is not sent, or the disconnected client's job is not removed", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return started.Load() > 0 && g.jobs[1] == nil
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -12,35 +12,36 @@
 	"swiftreel/internal/discovery"
 )
 
-// removedRetention is how long an engine that left the list is still known, for orders given a moment before.
+// removedRetention is how long an engine is kept after its removal from the list, for actions that the module returned
+// just before.
 const removedRetention = time.Minute
 
-// tableEntry is one engine of the endpoint list.
+// tableEntry is an engine of the endpoint list.
 type tableEntry struct {
 	host      backend.Host
 	id        choice.EngineID
-	line      choice.EngineEntry // as listed last
-	bornMS    int64              // as listed last: the time of day of its start
+	listing   choice.EngineEntry // from the latest list
+	startMS   int64              // from the latest list: Unix time of the engine's start in ms
 	removedAt time.Time          // zero while the engine is listed
-	// unavailableSince is when the engine was listed as one that takes nothing; zero: it takes jobs.
+	// unavailableSince is when the engine was first listed as draining or removed; zero while it is ready.
 	unavailableSince time.Time
 }
 
-// engineTable gives engines their numbers. They are derived from the names, so that all controllers see engines in the
-// same order. An entry is dropped once its engine has been off the list for removedRetention.
+// engineTable assigns engine IDs. IDs are derived from engine names, so that all controllers see engines in the same
+// order. An entry is dropped after its engine has been off the list for removedRetention.
 type engineTable struct {
 	byName     map[string]*tableEntry
 	byID       map[choice.EngineID]*tableEntry
-	sparqlURLs map[string]string // by engine name; nil: the SPARQL protocol is off
+	sparqlURLs map[string]string // by engine name; nil if the SPARQL protocol is off
 }
 
 func newEngineTable() engineTable {
 	return engineTable{byName: map[string]*tableEntry{}, byID: map[choice.EngineID]*tableEntry{}}
 }
 
-// addEntry adds the entry of a name that has none.
+// addEntry adds an entry for a new engine name.
 func (t *engineTable) addEntry(name string) *tableEntry {
-	id := engineNumber(name)
+	id := engineID(name)
 	for t.byID[id] != nil {
 		id++
 	}
@@ -50,26 +51,26 @@
 	return entry
 }
 
-// engineNumber is the number of an engine unless another engine has it already.
-func engineNumber(name string) choice.EngineID {
+// engineID returns the ID that an engine gets unless it collides with that of another engine.
+func engineID(name string) choice.EngineID {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name)) // never fails
 	return choice.EngineID(hash.Sum32())
 }
 
-// update applies a discovery event. It returns the entries that changed in the module's terms, and the names of engines
-// that were removed by this event.
+// update applies a discovery event. It returns the updated entries in the module's representation, and the names of the
+// engines that this event removed.
 func (t *engineTable) update(
-	members *discovery.Members, ids identifiers, now time.Time, dating *announcement,
+	members *discovery.Members, ids identifiers, now time.Time, startTimes *startTimeConverter,
 ) (changed []choice.EngineEntry, removed []string) {
 	t.dropExpired(now)
 	if members.IsComplete {
 		t.markAllRemoved(now)
 	}
-	for _, host := range members.Engines {
-		changed = append(changed, t.updateEntry(host, ids, now, dating))
+	for _, engine := range members.Engines {
+		changed = append(changed, t.updateEntry(engine, ids, now, startTimes))
 	}
-	return changed, t.removedAt(now)
+	return changed, t.namesRemovedAt(now)
 }
 
 func (t *engineTable) dropExpired(now time.Time) {
@@ -83,59 +84,59 @@
 
 func (t *engineTable) markAllRemoved(now time.Time) {
 	for _, entry := range t.byName {
-		if entry.line.State != choice.Removed {
-			entry.line.State = choice.Removed
+		if entry.listing.State != choice.Removed {
+			entry.listing.State = choice.Removed
 			entry.removedAt = now
-			entry.noteAvailability(now)
+			entry.updateAvailability(now)
 		}
 	}
 }
 
 func (t *engineTable) updateEntry(
-	host discovery.Engine, ids identifiers, now time.Time, dating *announcement,
+	engine discovery.Engine, ids identifiers, now time.Time, startTimes *startTimeConverter,
 ) choice.EngineEntry {
-	entry, known := t.byName[host.Host], true
+	entry, known := t.byName[engine.Host], true
 	if entry == nil {
-		entry, known = t.addEntry(host.Host), false
+		entry, known = t.addEntry(engine.Host), false
 	}
-	startedAt := entry.line.StartedAt
-	if !known || entry.bornMS != host.BornMS { // else it keeps its date, whatever the clocks say by now
-		startedAt = dating.startTime(host.BornMS)
+	startedAt := entry.listing.StartedAt
+	if !known || entry.startMS != engine.BornMS { // otherwise keep the known start: the clock may have been stepped
+		startedAt = startTimes.startTime(engine.BornMS)
 	}
-	entry.bornMS = host.BornMS
-	if host.Dial != "" {
-		entry.host.Address = host.Dial
+	entry.startMS = engine.BornMS
+	if engine.Dial != "" {
+		entry.host.Address = engine.Dial
 	}
-	state := engineState(host.Health)
+	state := engineState(engine.Health)
 	entry.removedAt = time.Time{}
 	if state == choice.Removed {
 		entry.removedAt = now
 	}
-	entry.line = choice.EngineEntry{
+	entry.listing = choice.EngineEntry{
 		Engine:      entry.id,
-		Zone:        ids.zone(host.Site),
-		Kind:        ids.kind(host.Class),
-		Cell:        choice.CellID(host.Block),
+		Zone:        ids.zone(engine.Site),
+		Kind:        ids.kind(engine.Class),
+		Cell:        choice.CellID(engine.Block),
 		State:       state,
-		Size:        host.Share,
+		Size:        engine.Share,
 		StartedAt:   startedAt,
 		Unsupported: t.unsupportedProtocols(entry.host),
 	}
-	entry.noteAvailability(now)
-	return entry.line
+	entry.updateAvailability(now)
+	return entry.listing
 }
 
-// noteAvailability notes since when an engine takes nothing, after its state was set.
-func (e *tableEntry) noteAvailability(now time.Time) {
+// updateAvailability updates unavailableSince after a change of the engine's state.
+func (e *tableEntry) updateAvailability(now time.Time) {
 	switch {
-	case e.line.State == choice.Ready:
+	case e.listing.State == choice.Ready:
 		e.unavailableSince = time.Time{}
 	case e.unavailableSince.IsZero():
 		e.unavailableSince = now
 	}
 }
 
-// engineState reads the state of an engine. One in an unknown state gets no new jobs.
+// engineState parses an engine's health. Unknown values count as draining, so that the engine gets no new jobs.
 func engineState(text string) choice.EngineState {
 	switch text {
 	case "ready":
@@ -147,7 +148,7 @@
 	}
 }
 
-func (t *engineTable) removedAt(now time.Time) []string {
+func (t *engineTable) namesRemovedAt(now time.Time) []string {
 	var names []string
 	for name, entry := range t.byName {
 		if entry.removedAt.Equal(now) {
@@ -157,11 +158,11 @@
 	return names
 }
 
-// readyNames returns the names of engines that are listed as ready, sorted.
+// readyNames returns the sorted names of the engines that are listed as ready.
 func (t *engineTable) readyNames() []string {
 	var names []string
 	for name, entry := range t.byName {
-		if entry.line.State == choice.Ready {
+		if entry.listing.State == choice.Ready {
 			names = append(names, name)
 		}
 	}
@@ -169,36 +170,36 @@
 	return names
 }
 
-// listed returns all entries that are not removed, in the module's order.
+// listed returns all entries that are not removed, ordered by engine ID.
 func (t *engineTable) listed() []choice.EngineEntry {
-	var lines []choice.EngineEntry
+	var entries []choice.EngineEntry
 	for _, entry := range t.byName {
-		if entry.line.State != choice.Removed {
-			lines = append(lines, entry.line)
+		if entry.listing.State != choice.Removed {
+			entries = append(entries, entry.listing)
 		}
 	}
-	slices.SortFunc(lines, func(a, b choice.EngineEntry) int { return cmp.Compare(a.Engine, b.Engine) })
-	return lines
+	slices.SortFunc(entries, func(a, b choice.EngineEntry) int { return cmp.Compare(a.Engine, b.Engine) })
+	return entries
 }
 
-// ReadyEngines returns the names of engines that the list says are ready, sorted.
+// ReadyEngines returns the sorted names of the engines that are listed as ready.
 func (g *Gateway) ReadyEngines() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.readyNames()
 }
 
-// UpdateEngines takes an event of discovery. Cached says that it comes from the configuration file and may be out of
-// date.
+// UpdateEngines applies a discovery event. If cached is true, the event comes from the configuration file and may be
+// out of date.
 func (g *Gateway) UpdateEngines(event discovery.Event, cached bool) {
 	if event.Members == nil {
 		counters.Increment("discovery_events_ignored")
 		return
 	}
 	g.mu.Lock()
-	actions := g.followClock() // what it says dates the starts
-	dating := g.announce(event, cached)
-	entries, removed := g.table.update(event.Members, g.ids, time.Now(), dating)
+	actions := g.notifyClockStep() // before the event's start times are converted
+	startTimes := g.newStartTimeConverter(event, cached)
+	entries, removed := g.table.update(event.Members, g.ids, time.Now(), startTimes)
 	if g.drains != nil {
 		entries = g.drains.ApplyList(g.clock.now(), entries)
 	}
@@ -208,7 +209,7 @@
 		Engines: entries,
 	})...)
 	g.mu.Unlock()
-	dating.report(event.Number)
+	startTimes.logImplausible(event.Number)
 	g.perform(actions)
 	for _, name := range removed {
 		g.engines.CloseIdle(name)
@@ -226,7 +227,7 @@
 	}
 }
 
-// listAllEngines gives the module the complete list of engines.
+// listAllEngines reports the complete list of engines to the module.
 func (g *Gateway) listAllEngines() {
 	g.mu.Lock()
 	actions := g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.FullList, Engines: g.table.listed()})
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -10,7 +10,7 @@
 	"swiftreel/internal/invariant"
 )
 
-// notify reports an event to the module and carries out what it decides.
+// notify reports an event to the module and performs the resulting actions.
 func (g *Gateway) notify(event choice.Event) {
 	g.mu.Lock()
 	actions := g.decide(event)
@@ -18,36 +18,37 @@
 	g.perform(actions)
 }
 
-// decide reports an event to the module, hands the actions that concern a job to its mailbox and returns the others,
-// which the caller performs once it has released the lock. The caller holds the lock.
+// decide reports an event to the module, after a step of the wall clock if there was one. It puts actions for jobs into
+// the jobs' mailboxes and returns the others, which the caller performs after releasing the lock. The caller must hold
+// the lock.
 func (g *Gateway) decide(event choice.Event) []choice.Action {
 	if event.Kind == choice.Started {
-		return g.decideOne(event)
+		return g.callModule(event)
 	}
-	return append(g.followClock(), g.decideOne(event)...)
+	return append(g.notifyClockStep(), g.callModule(event)...)
 }
 
-// followClock notifies the module of a step of the wall clock, if there was one since it was last called. It returns
-// the actions to perform. The caller holds the lock.
-func (g *Gateway) followClock() []choice.Action {
+// notifyClockStep notifies the module if the wall clock was stepped since the last call. It returns the actions to
+// perform. The caller must hold the lock.
+func (g *Gateway) notifyClockStep() []choice.Action {
 	if !g.clock.observeStep(g.clock.now()) {
 		return nil
 	}
 	counters.Increment("clock_steps")
 	slog.Warn("clock_stepped", "offset_ms", time.Duration(g.clock.offset).Milliseconds())
-	return g.decideOne(choice.Event{Kind: choice.ClockStepped, ClockOffset: g.clock.offset})
+	return g.callModule(choice.Event{Kind: choice.ClockStepped, ClockOffset: g.clock.offset})
 }
 
-// decideOne does what decide does, and does not look at the wall clock.
-func (g *Gateway) decideOne(event choice.Event) []choice.Action {
+// callModule is like decide but does not check the wall clock.
+func (g *Gateway) callModule(event choice.Event) []choice.Action {
 	now := time.Now()
 	g.lastTime = max(g.lastTime, g.clock.at(now))
 	g.trace.event(g.lastTime, event)
-	var others []choice.Action // copied: the module reuses the memory of the list that it returns
+	var others []choice.Action // a copy, since the module reuses the returned slice
 	for _, action := range g.module.Decide(g.lastTime, event) {
 		g.trace.action(g.lastTime, action)
 		if concernsJob(action.Kind) {
-			g.deliver(moduleOrder{action: action, orderedAt: now})
+			g.deliver(moduleAction{action: action, decidedAt: now})
 		} else {
 			others = append(others, action)
 		}
@@ -64,16 +65,16 @@
 	}
 }
 
-// deliver puts an order of the module into the mailbox of its job. The caller holds the lock.
-func (g *Gateway) deliver(order moduleOrder) {
-	j := g.jobs[order.action.Job]
+// deliver puts an action of the module into the mailbox of its job. The caller must hold the lock.
+func (g *Gateway) deliver(message moduleAction) {
+	j := g.jobs[message.action.Job]
 	invariant.Check(j != nil, "action_for_no_job")
 	if j != nil {
-		j.mailbox.put(order)
+		j.mailbox.put(message)
 	}
 }
 
-// perform carries out actions that concern no job. The caller does not hold the lock.
+// perform executes actions that are not for a job. The caller must not hold the lock.
 func (g *Gateway) perform(actions []choice.Action) {
 	for _, action := range actions {
 		g.performOne(action)
@@ -83,14 +84,14 @@
 func (g *Gateway) performOne(action choice.Action) {
 	switch action.Kind {
 	case choice.SetTimer:
-		time.AfterFunc(time.Duration(action.Duration), func() { g.timerDue(action.TimerID) })
+		time.AfterFunc(time.Duration(action.Duration), func() { g.fireTimer(action.TimerID) })
 	case choice.SendProbe:
 		g.probe(action.Engine)
 	case choice.CloseIdle:
 		if host, known := g.host(action.Engine, backend.Line); known {
 			g.engines.CloseIdle(host.Name)
 		}
-	case choice.WatchEngines: // the endpoint list is always watched: no change was missed
+	case choice.WatchEngines: // the endpoint list is always watched, so no change was missed
 		g.notify(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta})
 	case choice.ListEngines:
 		g.listAllEngines()
@@ -99,19 +100,19 @@
 	case choice.Fault:
 		counters.Increment("module_faults")
 		slog.Error("module_fault", "text", action.Text)
-	case choice.SendGossip: // there is no channel between controllers
+	case choice.SendGossip: // gossip between controllers is not implemented
 		counters.Increment("peer_messages_dropped")
 	}
 }
 
-// logModule logs a line of the module, unless there were too many in this second.
+// logModule logs a line of the module, subject to a rate limit.
 func (g *Gateway) logModule(text string) {
 	if g.moduleLog.Allow(time.Now()) {
 		slog.Info("module", "text", text)
 	}
 }
 
-func (g *Gateway) timerDue(id choice.TimerID) {
+func (g *Gateway) fireTimer(id choice.TimerID) {
 	g.mu.Lock()
 	closed := g.closed
 	g.mu.Unlock()
@@ -120,7 +121,7 @@
 	}
 }
 
-// host returns where an engine is reached by a protocol; false if no list names the engine.
+// host returns the address of an engine for a protocol, and false if the engine is not in the table.
 func (g *Gateway) host(id choice.EngineID, protocol backend.Protocol) (backend.Host, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,52 +16,52 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// Gateway admits jobs of clients and has engines run them as the decision module says.
+// Gateway admits jobs from clients and runs them on engines as the decision module directs.
 type Gateway struct {
 	clock       clock
 	ids         identifiers
 	settings    settings
 	budget      *limits.Budget
 	engines     backend.Engines
-	stats       *jobstats.Recorder // nil: jobs are not counted
+	stats       *jobstats.Recorder // nil if jobs are not counted
 	trace       trace
 	ready       atomic.Bool
-	moduleLog   ratelog.Limiter // for the log lines of the module
+	moduleLog   ratelog.Limiter // limits the module's log lines
 	overdueLog  ratelog.Logger
-	list        EngineListAge // nil: nobody can tell how old the endpoint list is
+	list        EngineListAge // nil if the age of the endpoint list is unknown
 	listLog     ratelog.Logger
-	audit       *audit.Ledger // what was sent, and for whom
+	audit       *audit.Ledger // records and checks what is sent
 	auditLog    ratelog.Logger
 	closing     chan struct{}
-	running     sync.WaitGroup // goroutines of jobs, and of the reconciliation
-	reconciling reconciler     // owned by its goroutine
+	running     sync.WaitGroup // goroutines of jobs and of the reconciler
+	reconciling reconciler     // used only by the goroutine of reconcile
 
-	mu         sync.Mutex // guards all fields below; no I/O is done while it is held
+	mu         sync.Mutex // guards all fields below; never held during I/O
 	module     choice.Controller
 	table      engineTable
 	activePlan activePlan
-	drains     *decide.DrainTracker  // nil: no engine reports its own drain
-	slots      *decide.Slots         // nil: there is only one protocol
-	jobs       map[choice.JobID]*job // until their goroutine returns
-	openCalls  map[string]struct{}   // ids of calls that are neither answered nor abandoned
+	drains     *decide.DrainTracker  // nil if engines do not report draining themselves
+	slots      *decide.Slots         // nil if there is only one protocol
+	jobs       map[choice.JobID]*job // until their goroutines return
+	openCalls  map[string]struct{}   // IDs of calls that are neither answered nor abandoned
 	lastJobID  choice.JobID
-	lastTime   choice.Nanos // time of the last event: the module's time never goes back
-	closed     bool         // timers that fire late have no effect
+	lastTime   choice.Nanos // time of the last event; the module's time must not decrease
+	closed     bool         // timers that fire afterwards have no effect
 }
 
-// Options are what a Gateway is made of.
+// Options configures a Gateway.
 type Options struct {
 	Settings  choice.RawSettings
-	Seed      uint64 // of the module's random source
+	Seed      uint64 // seeds the module's random source
 	Budget    *limits.Budget
 	Protocols map[backend.Protocol]backend.Factory
 	Trace     bool // log every event and action of the module
-	// KilledAfter is when the process may be killed after Stop; 0: as the protocol page says.
+	// KilledAfter is the time from Stop until the process may be killed; 0 selects the protocol's default.
 	KilledAfter time.Duration
 }
 
-// New starts the decision module. Jobs are admitted from the first call of Submit on; Start says that they are welcome.
-// The caller must call Close.
+// New starts the decision module. Submit admits jobs from then on; Start only makes Ready report true. The caller must
+// call Close.
 func New(options Options) *Gateway {
 	g := &Gateway{
 		clock:     newClock(),
@@ -81,7 +81,7 @@
 	g.engines = backend.NewMux(options.Protocols, backend.Limits{
 		DialTimeout:    g.settings.dialTimeout,
 		IdleTimeout:    g.settings.idleTimeout,
-		CancelDelay:    g.settings.step,
+		CancelDelay:    g.settings.crossConnDelay,
 		StreamsPerConn: g.settings.streamsPerConn,
 		Conns:          &g.budget.EngineConns,
 		ResultBytes:    &g.budget.MessageBytes,
@@ -91,31 +91,32 @@
 	return g
 }
 
-// SetStats has jobs and probes counted from now on. It must be called before Start.
+// SetStats sets the recorder of jobs and probes. It must be called before Start.
 func (g *Gateway) SetStats(stats *jobstats.Recorder) { g.stats = stats }
 
-// SetListAge has sends wait for the endpoint list where it is known to be behind. It must be called before Start.
+// SetListAge makes sends wait while the endpoint list is known to be out of date. It must be called before Start.
 func (g *Gateway) SetListAge(list EngineListAge) { g.list = list }
 
-// Ready reports whether jobs are welcome: between Start and Stop.
+// Ready reports whether the gateway is between Start and Stop.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
 // Start makes the gateway ready.
 func (g *Gateway) Start() { g.ready.Store(true) }
 
-// Stop makes the gateway not ready, and notifies the module how much time is left to answer what was admitted.
+// Stop makes the gateway not ready and tells the module how much time is left to answer the admitted jobs.
 func (g *Gateway) Stop() {
 	g.ready.Store(false)
 	g.notify(choice.Event{Kind: choice.Stopping, TimeLeft: choice.Nanos(g.settings.stopTimeout)})
 }
 
-// StopTimeout is how long after Stop the last answer is out.
+// StopTimeout returns the time after Stop by which the last answer is sent.
 func (g *Gateway) StopTimeout() time.Duration { return g.settings.stopTimeout }
 
-// KilledAfter is how long after Stop the process may be killed.
+// KilledAfter returns the time from Stop until the process may be killed.
 func (g *Gateway) KilledAfter() time.Duration { return g.settings.stopTimeout + stopMargin }
 
-// Close ends timers and connections to engines, and waits for the goroutines of all jobs. It must be called once.
+// Close stops timers, closes connections to engines and waits for the goroutines of all jobs. It must be called exactly
+// once.
 func (g *Gateway) Close() {
 	g.mu.Lock()
 	g.closed = true
@@ -128,24 +129,24 @@
 	invariant.Check(g.budget.ReadBytes.Unused() && g.budget.MessageBytes.Unused(), "bytes_left")
 }
 
-// Reconfigure gives the module new settings between two decisions. Jobs that were admitted, and dispatches in flight,
-// stay. What the gateway itself reads of the settings (names, time limits, fields of load reports) stays as it was at
-// the start.
+// Reconfigure passes new settings to the module. Admitted jobs and dispatches in flight are kept. Settings that the
+// gateway itself uses (names, time limits, load report fields) keep their initial values, except for the retry budget
+// of the audit.
 func (g *Gateway) Reconfigure(newSettings choice.RawSettings) {
 	g.audit.SetRetryBudget(retryBudget(settingsMap(newSettings).object("invariants")))
 	g.notify(choice.Event{Kind: choice.Reconfigured, Settings: choice.ParseSettings(newSettings)})
 	slog.Info("settings_reconfigured")
 }
 
-// SetPredecessor notifies the module whether an older process of this controller still answers what it owes. Both
-// count as one controller.
+// SetPredecessor tells the module whether a predecessor process of this controller is still answering its remaining
+// jobs. The two processes count as one controller.
 func (g *Gateway) SetPredecessor(running bool) {
 	g.notify(choice.Event{Kind: choice.PredecessorChanged, PredecessorRunning: running})
 	slog.Info("predecessor", "running", running)
 }
 
-// AssignShare notifies the module which share of the fleet this controller carries, and which share of each tenant's
-// quota by the tenant's name, each of 0 to 1, for the given time. Tenants that the settings do not name are ignored.
+// AssignShare sets this controller's share of the fleet, and of each tenant's quota by tenant name. Shares are from 0
+// to 1 and are valid for the given time. Tenants that are not in the settings are ignored.
 func (g *Gateway) AssignShare(share float64, quotas map[string]float64, valid time.Duration) {
 	quota := choice.Quota{
 		FleetShare:   share,
@@ -160,7 +161,7 @@
 	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: quota})
 }
 
-// Share returns the share of the fleet, of 0 to 1, that the module assumes to carry now.
+// Share returns the share of the fleet, from 0 to 1, that the module currently assumes for this controller.
 func (g *Gateway) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -13,7 +13,7 @@
 	"swiftreel/internal/limits"
 )
 
-// engineList is an event of discovery with ready engines; complete: "true" or "false".
+// engineList returns a discovery event with ready engines. complete is "true" or "false".
 func engineList(t *testing.T, complete string, hosts ...string) discovery.Event {
 	t.Helper()
 	text := `{"n":1,"members":{"whole":` + complete + `,"hosts":[`
@@ -37,7 +37,7 @@
 	return p
 }
 
-func factsOf(t *testing.T, text string) (f choice.RawSettings) {
+func parseSettings(t *testing.T, text string) (f choice.RawSettings) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	return f
 }
 
-// fakeClient is the client of a job; it records its answers.
+// fakeClient is a client that records the answers to its jobs.
 type fakeClient struct {
 	answers      chan string
 	onDisconnect func(disconnected func())
@@ -62,7 +62,7 @@
 func (c fakeClient) Connected() bool                  { return true }
 func (c fakeClient) AwaitInput(time.Duration)         {}
 
-// silentEngines stands in for engines: it counts what is started there, and nothing of it ever ends by itself.
+// silentEngines is a fake of backend.Engines that counts dispatches and never replies.
 type silentEngines struct {
 	backend.Engines
 	started *atomic.Int64
@@ -82,7 +82,7 @@
 func (silentDispatch) Cancel(done func()) bool { done(); return true }
 func (silentDispatch) SetPriority(uint8)       {}
 
-// disconnectingClient is a client whose close shows on its connection before its reader comes to it.
+// disconnectingClient is a client whose disconnect is visible on the connection before it is read.
 type disconnectingClient struct {
 	fakeClient
 	disconnected *atomic.Bool
--- a/internal/gateway/hooks.go
+++ b/internal/gateway/hooks.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// testHooks lets builds with the tag fault make a gateway misbehave (see hooks_fault.go). In all other builds every
+// testHooks inject faults into the gateway in builds with the fault tag (see hooks_fault.go). In all other builds every
 // hook is nil.
 var testHooks struct {
-	rejectJob   func(jobType string) bool                           // turn this job away
-	extraProbes func() int                                          // how many probes to send besides one that is due
-	delayAnswer func(sinceArrival time.Duration) time.Duration      // how long to hold a result back
-	loseAnswer  func(jobType string, engineName func() string) bool // answer that the job failed though it is done
+	rejectJob   func(jobType string) bool                           // whether to reject this job
+	extraProbes func() int                                          // number of probes to send in addition to a due one
+	delayAnswer func(sinceArrival time.Duration) time.Duration      // how long to delay the delivery of a result
+	loseAnswer  func(jobType string, engineName func() string) bool // whether to answer that a completed job failed
 }
--- a/internal/gateway/identifiers.go
+++ b/internal/gateway/identifiers.go
@@ -7,33 +7,33 @@
 	"swiftreel/choice"
 )
 
-// Zones and kinds that the settings do not name. No list of places where a job type may run contains them.
+// IDs of zones and kinds that are not in the settings. No job type's placement includes them.
 const (
 	unknownZone = choice.ZoneID(math.MaxUint8)
 	unknownKind = choice.KindID(math.MaxUint16)
 )
 
-// identifiers converts the names of the settings into the module's numbers. It does not change once made.
+// identifiers maps names in the settings to the module's IDs. It is immutable.
 type identifiers struct {
 	types   map[string]choice.TypeID
 	tenants map[string]choice.TenantID
 	zones   map[string]choice.ZoneID
 	kinds   map[string]choice.KindID
-	ownZone string // name of the zone that this controller is in
+	ownZone string // name of this controller's zone
 }
 
-func newIdentifiers(facts choice.RawSettings) identifiers {
+func newIdentifiers(raw choice.RawSettings) identifiers {
 	ids := identifiers{
 		types:   map[string]choice.TypeID{},
 		tenants: map[string]choice.TenantID{},
 		zones:   map[string]choice.ZoneID{},
 		kinds:   map[string]choice.KindID{},
 	}
-	ownZone, _ := facts["locality"].(float64)
-	forEachName(facts, "classes", func(i int, name string) { ids.types[name] = choice.TypeID(i) })
-	forEachName(facts, "tenants", func(i int, name string) { ids.tenants[name] = choice.TenantID(i) })
-	forEachName(facts, "kinds", func(i int, name string) { ids.kinds[name] = choice.KindID(i) })
-	forEachName(facts, "localities", func(i int, name string) {
+	ownZone, _ := raw["locality"].(float64)
+	forEachName(raw, "classes", func(i int, name string) { ids.types[name] = choice.TypeID(i) })
+	forEachName(raw, "tenants", func(i int, name string) { ids.tenants[name] = choice.TenantID(i) })
+	forEachName(raw, "kinds", func(i int, name string) { ids.kinds[name] = choice.KindID(i) })
+	forEachName(raw, "localities", func(i int, name string) {
 		ids.zones[name] = choice.ZoneID(i)
 		if i == int(ownZone) {
 			ids.ownZone = name
@@ -42,9 +42,9 @@
 	return ids
 }
 
-// forEachName calls visit for each entry of a list in the settings that is a name, or an object with a name.
-func forEachName(facts choice.RawSettings, key string, visit func(i int, name string)) {
-	list, _ := facts[key].([]any)
+// forEachName calls visit for each entry of a list in the settings that is a string or an object with a name.
+func forEachName(raw choice.RawSettings, key string, visit func(i int, name string)) {
+	list, _ := raw[key].([]any)
 	for i, value := range list {
 		if entry, isObject := value.(map[string]any); isObject {
 			value = entry["name"]
@@ -69,8 +69,8 @@
 	return unknownKind
 }
 
-// orderKey converts the text of an order key into a number; 0 means that there is no key.
-func orderKey(text []byte) choice.Key {
+// orderingKey hashes the text of an ordering key; 0 means that there is no key.
+func orderingKey(text []byte) choice.Key {
 	if len(text) == 0 {
 		return 0
 	}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -16,35 +16,35 @@
 	mailbox *mailbox
 }
 
-// jobMessage is what the goroutine of a job waits for: one of the types below.
+// jobMessage is a message to the goroutine of a job: one of the types below.
 type jobMessage interface{ isJobMessage() }
 
 type (
-	// moduleOrder is an action of the module that concerns the job.
-	moduleOrder struct {
+	// moduleAction is an action of the module for the job.
+	moduleAction struct {
 		action    choice.Action
-		orderedAt time.Time
+		decidedAt time.Time
 	}
-	// attemptReply is what became of a dispatch, or a notice of it while it runs.
+	// attemptReply is the outcome of a dispatch, or a progress notice while it runs.
 	attemptReply struct {
 		attempt *attempt
 		reply   backend.Reply
 	}
-	// attemptCancelled says that a dispatch was cancelled and nothing of it can be in flight any more.
+	// attemptCancelled says that a dispatch was cancelled and nothing of it is in flight any more.
 	attemptCancelled struct {
 		attempt *attempt
 		result  choice.Result // why it was cancelled
 	}
-	// clientDisconnected says that nobody waits for the answer any more.
+	// clientDisconnected says that the client no longer waits for the answer.
 	clientDisconnected struct{}
 )
 
-func (moduleOrder) isJobMessage()        {}
+func (moduleAction) isJobMessage()       {}
 func (attemptReply) isJobMessage()       {}
 func (attemptCancelled) isJobMessage()   {}
 func (clientDisconnected) isJobMessage() {}
 
-// attempt is one dispatch of a job.
+// attempt is a dispatch of a job.
 type attempt struct {
 	sequence  choice.AttemptSeq
 	engine    choice.EngineID
@@ -52,14 +52,14 @@
 	dispatch  backend.Dispatch
 }
 
-// jobOutcome is what became of a job for its client.
+// jobOutcome is the outcome of a job as its client sees it.
 type jobOutcome struct {
 	kind     jobstats.Outcome
 	attempts choice.AttemptSeq
 	workMS   float64
 }
 
-// countOutcome counts the outcome of a request, if jobs are counted.
+// countOutcome counts the outcome of a request, unless statistics are off.
 func (g *Gateway) countOutcome(request Request, outcome jobOutcome) {
 	if g.stats == nil {
 		return
@@ -71,15 +71,15 @@
 	g.stats.RecordJob(group, outcome.kind, took, withinObjective, uint64(outcome.attempts))
 }
 
-// closeCall frees the id of a call that is answered or abandoned.
+// closeCall releases the ID of a call that is answered or abandoned.
 func (g *Gateway) closeCall(j *job) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.openCalls, string(j.ID))
 }
 
-// remove drops a finished job from the table, unless a message for it has come in: each dispatch that was ordered is
-// owed an outcome, also if the client has disconnected meanwhile. It reports whether the job is dropped.
+// remove drops a finished job from the table and reports whether it did. A job with unread messages is kept: the module
+// must get an outcome for each dispatch that it requested, even if the client has disconnected meanwhile.
 func (g *Gateway) remove(j *job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -10,24 +10,24 @@
 	"swiftreel/internal/jobstats"
 )
 
-// defaultPriority is the priority of dispatches that the module gave none.
+// defaultPriority is the priority of dispatches for which the module sets none.
 const defaultPriority = 1
 
-// jobRunner carries out what the module orders for one job, and reports to the module at each point where it has to
-// decide. It sends and answers nothing by itself, but for a job that the module has left without an answer past its
-// timeout. All fields belong to the goroutine of run.
+// jobRunner executes the module's actions for one job and reports events of the job to the module. It sends and answers
+// nothing on its own, with one exception: it answers a job that the module has left unanswered past its timeout. All
+// fields belong to the goroutine of run.
 type jobRunner struct {
 	gateway *Gateway
 	job     *job
 	state   jobState
 
-	attempt  *attempt // the dispatch in flight: the module orders one at a time
+	attempt  *attempt // the dispatch in flight; the module requests one at a time
 	attempts choice.AttemptSeq
 	priority uint8
 	grantMB  float64
 
 	deadline        time.Time // the job timeout
-	attemptDeadline time.Time // of the dispatch in flight; the job's while there is none
+	attemptDeadline time.Time // of the dispatch in flight; equals deadline if there is none
 	timer           *time.Timer
 	timerDue        time.Time
 }
@@ -65,8 +65,8 @@
 
 func (r *jobRunner) handle(message jobMessage) {
 	switch m := message.(type) {
-	case moduleOrder:
-		r.carryOut(m)
+	case moduleAction:
+		r.perform(m)
 	case attemptReply:
 		r.handleReply(m)
 	case attemptCancelled:
@@ -76,37 +76,37 @@
 	}
 }
 
-func (r *jobRunner) carryOut(order moduleOrder) {
-	switch order.action.Kind {
+func (r *jobRunner) perform(message moduleAction) {
+	switch message.action.Kind {
 	case choice.SetDispatchOptions:
-		r.setDispatchOptions(order.action)
+		r.setDispatchOptions(message.action)
 	case choice.Dispatch:
-		r.dispatch(order)
+		r.dispatch(message)
 	case choice.CancelAttempt:
-		if r.attempt != nil && r.attempt.sequence == order.action.Seq {
+		if r.attempt != nil && r.attempt.sequence == message.action.Seq {
 			r.cancelAttempt(choice.Canceled)
 		}
 	case choice.Throttle:
-		retryAfter := time.Duration(order.action.Duration)
-		r.noteUnserved("throttled", order.action.Reason)
+		retryAfter := time.Duration(message.action.Duration)
+		r.countUnserved("throttled", message.action.Reason)
 		r.answer(jobstats.Throttled, func() { r.job.Client.Throttled(retryAfter) })
 	case choice.CancelPermanently:
-		r.noteUnserved("cancelled", order.action.Reason)
+		r.countUnserved("cancelled", message.action.Reason)
 		r.answer(jobstats.Cancelled, func() { r.job.Client.Failed(ReasonCancelled) })
 	}
 }
 
-// noteUnserved counts why a job that is owed an answer gets one without a result.
-func (r *jobRunner) noteUnserved(answer string, why choice.Reason) {
+// countUnserved counts and traces why an unanswered job gets an answer without a result.
+func (r *jobRunner) countUnserved(answer string, reason choice.Reason) {
 	if !r.state.owesAnswer() {
 		return
 	}
-	counters.Increment("jobs_" + answer + "_" + string(why))
-	r.gateway.trace.job(r.job.id, "call", string(r.job.ID), "answer", answer, "why", why, "attempts", r.attempts)
+	counters.Increment("jobs_" + answer + "_" + string(reason))
+	r.gateway.trace.job(r.job.id, "call", string(r.job.ID), "answer", answer, "why", reason, "attempts", r.attempts)
 }
 
-// setDispatchOptions sets the memory grant and the priority of dispatches. The one in flight gets the new priority,
-// too.
+// setDispatchOptions sets the memory grant and the priority of further dispatches. A dispatch in flight also gets the
+// new priority.
 func (r *jobRunner) setDispatchOptions(options choice.Action) {
 	r.grantMB = options.MemoryMB
 	if r.attempt != nil && options.Priority != r.priority {
@@ -115,11 +115,11 @@
 	r.priority = options.Priority
 }
 
-// dispatch sends the job to an engine, or reports that this order came too late.
-func (r *jobRunner) dispatch(order moduleOrder) {
-	a := &attempt{sequence: r.attempts, engine: order.action.Engine, startedAt: time.Now()}
+// dispatch sends the job to an engine, or reports the dispatch as superseded if it is too late to send it.
+func (r *jobRunner) dispatch(message moduleAction) {
+	a := &attempt{sequence: r.attempts, engine: message.action.Engine, startedAt: time.Now()}
 	r.attempts++
-	// That the client has disconnected may be known only to its socket, or to a message behind this order.
+	// The disconnect of the client may not have been read from its socket yet, or may be queued behind this action.
 	if r.state.owesAnswer() && !r.job.Client.Connected() {
 		counters.Increment("dispatches_client_gone")
 		r.disconnect()
@@ -131,15 +131,15 @@
 		r.reportSuperseded(a)
 		return
 	}
-	r.setAttemptDeadline(a.startedAt, time.Duration(order.action.Duration))
+	r.setAttemptDeadline(a.startedAt, time.Duration(message.action.Duration))
 	r.attempt = a
 	r.advance(dispatchStarted)
-	a.dispatch = r.gateway.engines.Start(host, r.backendRequest(order, a, host), func(reply backend.Reply) {
+	a.dispatch = r.gateway.engines.Start(host, r.backendRequest(message, a, host), func(reply backend.Reply) {
 		r.receive(attemptReply{attempt: a, reply: reply})
 	})
 }
 
-// receive puts what is reported of a dispatch into the mailbox. It is called by the engine's connection.
+// receive puts a reply of an engine into the mailbox. It is called from the goroutine of the engine's connection.
 func (r *jobRunner) receive(reply attemptReply) {
 	if reply.reply.Outcome == backend.Running {
 		r.job.mailbox.putNotice(reply)
@@ -148,7 +148,7 @@
 	}
 }
 
-// setAttemptDeadline sets the time limit of the dispatch that starts; limit 0: only the job timeout counts.
+// setAttemptDeadline sets the time limit of a new dispatch. If limit is 0, only the job timeout applies.
 func (r *jobRunner) setAttemptDeadline(startedAt time.Time, limit time.Duration) {
 	r.attemptDeadline = r.deadline
 	if limited := startedAt.Add(limit); limit != 0 && limited.Before(r.deadline) {
@@ -162,7 +162,7 @@
 	r.timer.Reset(delay)
 }
 
-func (r *jobRunner) backendRequest(order moduleOrder, a *attempt, host backend.Host) backend.Request {
+func (r *jobRunner) backendRequest(message moduleAction, a *attempt, host backend.Host) backend.Request {
 	g := r.gateway
 	return backend.Request{
 		ID:             r.job.ID,
@@ -171,13 +171,13 @@
 		IdempotencyKey: r.job.IdempotencyKey,
 		GrantMB:        r.grantMB,
 		Priority:       r.priority,
-		OrderedAt:      order.orderedAt,
+		OrderedAt:      message.decidedAt,
 		Gate:           sendGate{gateway: g, job: r.job, attempt: a, host: host, deadline: r.attemptDeadline},
 		Lane:           g.settings.lane(g.ids.types[string(r.job.Type)]),
 	}
 }
 
-// reportSuperseded reports a dispatch that was not sent.
+// reportSuperseded reports to the module that a dispatch was not sent.
 func (r *jobRunner) reportSuperseded(a *attempt) {
 	r.gateway.notify(choice.Event{
 		Kind:    choice.AttemptEnded,
@@ -189,14 +189,14 @@
 	})
 }
 
-// cancelAttempt has the engine cancel the dispatch in flight. Its end is reported once the engine has read the
-// cancellation, and a step later, as on the simulator's wire: what is sent upon it over another connection must not
-// overtake it.
+// cancelAttempt cancels the dispatch in flight at its engine. The end is reported crossConnDelay after the engine has
+// read the cancellation, as in the simulator: what the module sends next over another connection must not overtake the
+// cancellation.
 func (r *jobRunner) cancelAttempt(result choice.Result) {
 	a := r.attempt
 	r.advance(cancelRequested)
 	a.dispatch.Cancel(func() {
-		time.AfterFunc(r.gateway.settings.step, func() {
+		time.AfterFunc(r.gateway.settings.crossConnDelay, func() {
 			r.job.mailbox.put(attemptCancelled{attempt: a, result: result})
 		})
 	})
@@ -204,13 +204,13 @@
 
 func (r *jobRunner) handleReply(m attemptReply) {
 	switch {
-	case m.attempt != r.attempt: // its end was reported when it was cancelled
+	case m.attempt != r.attempt: // already reported as cancelled
 		counters.Increment("replies_late")
 		r.gateway.engines.Release(m.reply.Pages)
 	case m.reply.Outcome == backend.Running:
 		r.reportNotice(m)
 	case m.reply.Outcome == backend.Done:
-		r.succeed(m)
+		r.handleDone(m)
 	default:
 		r.endAttempt(m.attempt, results[m.reply.Outcome], m.reply)
 	}
@@ -231,8 +231,8 @@
 	})
 }
 
-// succeed reports a result, and delivers it if the client waits for it.
-func (r *jobRunner) succeed(m attemptReply) {
+// handleDone reports a completed dispatch to the module, and delivers the result if the client still waits.
+func (r *jobRunner) handleDone(m attemptReply) {
 	owed := r.state.owesAnswer()
 	if owed {
 		r.advance(answerSettled)
@@ -259,7 +259,7 @@
 	r.job.Client.Done(m.reply.Pages)
 }
 
-// losesAnswer reports whether a fault is injected: the result of this attempt is not delivered.
+// losesAnswer reports whether fault injection drops the result of this attempt.
 func (r *jobRunner) losesAnswer(a *attempt) bool {
 	if testHooks.loseAnswer == nil {
 		return false
@@ -272,7 +272,7 @@
 	return host.Name
 }
 
-// endAttempt reports the outcome of the dispatch in flight, and whether the job is over with it.
+// endAttempt reports the outcome of the dispatch in flight to the module, and whether it is final for the job.
 func (r *jobRunner) endAttempt(a *attempt, result choice.Result, reply backend.Reply) {
 	r.attempt = nil
 	r.attemptDeadline = r.deadline
@@ -287,15 +287,15 @@
 		Result:  result,
 		Latency: choice.Nanos(time.Since(a.startedAt)),
 		IsFinal: !r.state.owesAnswer(),
-		Usage:   packBill(reply),
+		Usage:   packUsage(reply),
 		Load:    r.gateway.settings.parseLoad(reply.Load),
 
 		ConnectedAt: r.gateway.clock.connectedAt(reply),
 	})
 }
 
-// answer gives the final answer, unless there was one. A slow client must not delay the cancelling of what is in
-// flight.
+// answer sends the final answer unless the job is settled. While a dispatch is in flight the answer is written on
+// another goroutine, so that a slow client does not delay the cancellation of the dispatch.
 func (r *jobRunner) answer(kind jobstats.Outcome, write func()) {
 	if !r.state.owesAnswer() {
 		return
@@ -315,7 +315,7 @@
 	r.gateway.reportViolations(r.job, 0, r.gateway.audit.Answered(r.job.id, refused))
 }
 
-// disconnect ends a job whose client is gone, unless it was answered.
+// disconnect settles an unanswered job whose client has disconnected.
 func (r *jobRunner) disconnect() {
 	if !r.state.owesAnswer() {
 		return
@@ -326,14 +326,14 @@
 	r.gateway.notify(choice.Event{Kind: choice.ClientDisconnected, Job: r.job.id})
 }
 
-// stallThreshold is how late a timer is that shows that the process was stalled; moduleGrace is what the module, whose
-// own timers were late too, gets then to answer.
+// A job timer that fires more than stallThreshold late means that the process was stalled. The module's own timers were
+// late too, so it gets another moduleGrace to answer.
 const (
 	stallThreshold = 50 * time.Millisecond
 	moduleGrace    = 60 * time.Millisecond
 )
 
-// checkDeadlines cancels a dispatch past its time limit, and answers a job that the module has left without an answer.
+// checkDeadlines cancels a dispatch past its time limit, and answers a job that the module has left unanswered.
 func (r *jobRunner) checkDeadlines() {
 	if time.Since(r.timerDue) > stallThreshold {
 		counters.Increment("job_timers_late")
@@ -358,7 +358,7 @@
 	r.answer(jobstats.Cancelled, func() { r.job.Client.Failed(ReasonTimeout) })
 }
 
-// advance moves the job to its next state.
+// advance applies a state transition; illegal transitions are ignored.
 func (r *jobRunner) advance(transition jobTransition) {
 	next, legal := r.state.after(transition)
 	invariant.Check(legal, "job_transition_illegal")
--- a/internal/gateway/job_state_test.go
+++ b/internal/gateway/job_state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every pair of a state and a transition: where it leads, or that it is not legal.
+// Checks the next state, or the illegality, of each pair of state and transition.
 func TestTheStatesOfAJob(t *testing.T) {
 	const illegal = jobState(255)
 	for _, c := range []struct {
--- a/internal/gateway/load_report.go
+++ b/internal/gateway/load_report.go
@@ -10,7 +10,7 @@
 	"swiftreel/internal/backend"
 )
 
-// results are the module's terms for the outcomes of dispatches and probes.
+// results maps outcomes of dispatches and probes to the module's results.
 var results = map[backend.Outcome]choice.Result{
 	backend.Done:         choice.Done,
 	backend.Failed:       choice.Failed,
@@ -22,7 +22,7 @@
 	backend.DialFailed:   choice.DialFailed,
 }
 
-// resultNames are the names of results in counters.
+// resultNames are the names of results in counter names.
 var resultNames = map[choice.Result]string{
 	choice.Done:        "done",
 	choice.Failed:      "failed",
@@ -35,14 +35,14 @@
 	choice.DialFailed:  "dial_failed",
 }
 
-// notices are the module's terms for the notices that engines send of a running dispatch.
+// notices maps the progress notices that engines send for a running dispatch to the module's kinds.
 var notices = map[string]choice.ProgressKind{
 	"frac":    choice.ProgressFraction,
 	"missing": choice.ProgressSpilling,
 	"parked":  choice.ProgressWaiting,
 }
 
-// loadFieldNames are the settings' names of load report fields that are named otherwise on the wire.
+// loadFieldNames maps wire names of load report fields to the names in the settings, where they differ.
 var loadFieldNames = map[string]string{
 	"inflight":   "concurrent",
 	"queue":      "depth",
@@ -52,8 +52,8 @@
 	"eps":        "err_ps",
 }
 
-// parseLoad reads a load report such as inflight:7;util:0.61 into the order of the settings' fields. A report that
-// lacks a field, or has one that is no number, counts as none: nil.
+// parseLoad parses a load report such as inflight:7;util:0.61. The values are in the order of the fields in the
+// settings. It returns nil if a field is missing or invalid.
 func (s settings) parseLoad(report string) []float64 {
 	if report == "" || len(s.loadFields) == 0 {
 		return nil
@@ -69,7 +69,7 @@
 		if i < 0 {
 			continue
 		}
-		value, ok := parseFigure(text)
+		value, ok := parseNonNegative(text)
 		if !ok {
 			return nil
 		}
@@ -82,22 +82,23 @@
 	return values
 }
 
-// parseFigure reads a finite number that is not negative.
-func parseFigure(text string) (float64, bool) {
+// parseNonNegative parses a finite, non-negative number.
+func parseNonNegative(text string) (float64, bool) {
 	value, err := strconv.ParseFloat(text, 64)
 	return value, err == nil && value >= 0 && !math.IsInf(value, 0)
 }
 
-// A bill is 32 bits: the work in ms, then the memory in units of billMemoryUnitMB.
+// Usage is packed into 32 bits: the work in ms in the upper bits, the memory in units of usageMemoryUnitMB in the lower
+// ones.
 const (
-	billWorkBits     = 20
-	billMemoryBits   = 12
-	billMemoryUnitMB = 4
+	usageWorkBits     = 20
+	usageMemoryBits   = 12
+	usageMemoryUnitMB = 4
 )
 
-// packBill packs what a reply reports of work and memory as the module reads it. Figures beyond their bits are capped.
-func packBill(reply backend.Reply) uint32 {
-	work := min(math.Round(reply.WorkMS), 1<<billWorkBits-1)
-	memory := min(math.Round(reply.MemoryMB/billMemoryUnitMB), 1<<billMemoryBits-1)
-	return uint32(work)<<billMemoryBits | uint32(memory)
+// packUsage packs the work and memory that a reply reports into the module's format. Values that do not fit are capped.
+func packUsage(reply backend.Reply) uint32 {
+	work := min(math.Round(reply.WorkMS), 1<<usageWorkBits-1)
+	memory := min(math.Round(reply.MemoryMB/usageMemoryUnitMB), 1<<usageMemoryBits-1)
+	return uint32(work)<<usageMemoryBits | uint32(memory)
 }
--- a/internal/gateway/load_report_test.go
+++ b/internal/gateway/load_report_test.go
@@ -20,14 +20,14 @@
 			t.Errorf("%q: %v", text, got)
 		}
 	}
-	r.loadFields = []string{"depth", "load_share", "x0"} // no count of jobs
+	r.loadFields = []string{"depth", "load_share", "x0"} // without a count of jobs
 	if got := r.parseLoad("util:0.5;x0:1.25;queue:3"); !slices.Equal(got, []float64{3, 0.5, 1.25}) {
-		t.Errorf("memory granted: %v", got)
+		t.Errorf("report without a count of jobs: %v", got)
 	}
-	if got := packBill(backend.Reply{WorkMS: 35, MemoryMB: 76}); got != 35*4096+19 {
-		t.Errorf("bill %d", got)
+	if got := packUsage(backend.Reply{WorkMS: 35, MemoryMB: 76}); got != 35*4096+19 {
+		t.Errorf("packed usage %d", got)
 	}
-	if got := packBill(backend.Reply{WorkMS: 1e12, MemoryMB: 1e9}); got != 1<<32-1 {
-		t.Errorf("bill past its bounds: %d", got)
+	if got := packUsage(backend.Reply{WorkMS: 1e12, MemoryMB: 1e9}); got != 1<<32-1 {
+		t.Errorf("packed usage of values above the limits: %d", got)
 	}
 }
--- a/internal/gateway/mailbox.go
+++ b/internal/gateway/mailbox.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// maxQueuedNotices is how many messages may wait in a mailbox before notices are dropped.
+// maxQueuedNotices is the number of messages in a mailbox from which on progress notices are dropped.
 const maxQueuedNotices = 32
 
-// mailbox holds the messages that the goroutine of a job has not handled yet. It is bounded by what the module may
-// order for one job, and by maxQueuedNotices.
+// mailbox is the message queue of a job's goroutine. Its size is bounded by maxQueuedNotices and by the number of
+// actions that the module returns for one job.
 type mailbox struct {
-	ready chan struct{} // has an element while messages may be waiting
+	ready chan struct{} // has an element while messages may be queued
 
 	mu       sync.Mutex
 	messages []jobMessage
@@ -16,7 +16,7 @@
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
-// put adds a message. It never waits.
+// put adds a message. It does not block.
 func (b *mailbox) put(message jobMessage) {
 	b.mu.Lock()
 	b.messages = append(b.messages, message)
@@ -24,7 +24,7 @@
 	b.wake()
 }
 
-// putNotice adds a message that is dropped if many are waiting.
+// putNotice adds a message, or drops it if maxQueuedNotices messages are queued.
 func (b *mailbox) putNotice(message jobMessage) {
 	b.mu.Lock()
 	if len(b.messages) < maxQueuedNotices {
@@ -37,11 +37,11 @@
 func (b *mailbox) wake() {
 	select {
 	case b.ready <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is pending
 	}
 }
 
-// next removes the first message; false if there is none.
+// next removes and returns the first message, or returns false if the mailbox is empty.
 func (b *mailbox) next() (jobMessage, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -9,12 +9,12 @@
 	"swiftreel/internal/canary"
 )
 
-// Builds with the tag debug panic here: the module owes an answer by the job timeout.
+// Not in debug builds, where the violated invariant panics: the module must answer a job by its timeout.
 func TestAJobWithoutAnOrderIsAnsweredPastItsTimeout(t *testing.T) {
-	play(
+	runSteps(
 		t,
 		time.Millisecond,
-		[]jobAct{{func(*jobStage) {}, []string{"module: client_left", "client: failed job timeout"}}},
+		[]jobStep{{func(*runnerHarness) {}, []string{"module: client_left", "client: failed job timeout"}}},
 		"answers_overdue",
 		canary.JobCounts{Jobs: 1, Cancelled: 1},
 	)
--- a/internal/gateway/plan.go
+++ b/internal/gateway/plan.go
@@ -11,16 +11,16 @@
 // perMillion is the denominator of shares and weights in plans.
 const perMillion = 1e6
 
-// Plan is a plan to follow.
+// Plan is a sequence of plan steps for the module to follow.
 type Plan struct {
 	Steps        []solve.Step
-	DemandFactor float64 // the plan is not followed where demand is off by more than this factor
+	DemandFactor float64 // the plan is ignored where demand differs from it by more than this factor
 }
 
-// activePlan is the plan that is followed now.
+// activePlan is the plan that the module currently follows.
 type activePlan struct {
-	generation int         // increases with each plan, so that a timer of an earlier one has no effect
-	timer      *time.Timer // of the next step; nil: there is none
+	generation int         // incremented with each plan, so that timers of earlier plans have no effect
+	timer      *time.Timer // starts the next step; nil if there is none
 }
 
 func (a *activePlan) stopTimer() {
@@ -30,8 +30,8 @@
 	}
 }
 
-// FollowPlan has the module follow a plan from now on, its steps at their times; nil ends following the one before.
-// Engines are numbered by their names, so that a plan may come before its engines are listed.
+// FollowPlan replaces the plan that the module follows; nil removes it. The steps of the plan begin at their times,
+// relative to now. Since engine IDs are derived from names, a plan may arrive before its engines are listed.
 func (g *Gateway) FollowPlan(plan *Plan) {
 	g.mu.Lock()
 	g.activePlan.generation++
@@ -46,7 +46,7 @@
 	g.beginStep(plan, 0, generation, time.Now())
 }
 
-// beginStep gives the module a step of a plan and sets the timer of the next one.
+// beginStep passes a step of a plan to the module and sets the timer for the next step.
 func (g *Gateway) beginStep(plan *Plan, step, generation int, planStart time.Time) {
 	modulePlan := g.modulePlan(plan.Steps[step], plan.DemandFactor)
 	g.mu.Lock()
@@ -63,8 +63,8 @@
 	g.perform(actions)
 }
 
-// modulePlan converts a step into the module's terms, as far as it concerns jobs from this controller's zone. Tenants
-// and job types that the settings do not name are ignored.
+// modulePlan converts a step to the module's representation. It includes only the weights for this controller's zone,
+// and ignores tenants and job types that are not in the settings.
 func (g *Gateway) modulePlan(step solve.Step, demandFactor float64) *choice.Plan {
 	plan := &choice.Plan{MaxDemandRatio: demandFactor}
 	for _, share := range step.Shares {
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, use := range step.Use {
-		id := engineNumber(use.Engine)
+		id := engineID(use.Engine)
 		if use.Threads > 0 {
 			plan.Engines = append(plan.Engines, choice.PlanEngine{Engine: id, Threads: float64(use.Threads)})
 		} else {
@@ -87,7 +87,8 @@
 	return plan
 }
 
-// planWeights converts the weights of this controller's zone: 1 for the engine that a type's jobs are meant for most.
+// planWeights converts the weights of this controller's zone. They are scaled so that the largest weight of each job
+// type is 1.
 func (g *Gateway) planWeights(weights []solve.Weight) []choice.PlanWeight {
 	maxByType := map[string]int64{}
 	for _, weight := range weights {
@@ -103,7 +104,7 @@
 		}
 		list = append(list, choice.PlanWeight{
 			Type:   id,
-			Engine: engineNumber(weight.Engine),
+			Engine: engineID(weight.Engine),
 			Weight: float64(weight.PerMillion) / float64(maxByType[weight.Type]),
 		})
 	}
--- a/internal/gateway/probe.go
+++ b/internal/gateway/probe.go
@@ -7,8 +7,8 @@
 	"swiftreel/internal/backend"
 )
 
-// probe asks an engine for its load, and reports the outcome to the module. An engine that no list names any more
-// cannot be reached.
+// probe asks an engine for its load and reports the outcome to the module. An engine that is no longer in the table is
+// reported as not connected.
 func (g *Gateway) probe(id choice.EngineID) {
 	host, known := g.probeHost(id)
 	startedAt := time.Now()
@@ -35,7 +35,7 @@
 	}
 }
 
-// probeHost returns where an engine is probed: by the line protocol, unless it serves SPARQL only.
+// probeHost returns the address for probes of an engine: its line protocol address, unless it speaks only SPARQL.
 func (g *Gateway) probeHost(id choice.EngineID) (backend.Host, bool) {
 	host, known := g.host(id, backend.Line)
 	if known && host.Address == "" {
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -11,21 +11,21 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// The module's bits for protocols. A machine that runs engines of several protocols is one engine to the module: its
-// threads, memory, load, slow start and drain count once, whatever protocol a job comes by.
+// The module's protocol bits. A machine that serves several protocols is a single engine to the module: its threads,
+// memory, load, slow start and drain state are shared by jobs of all protocols.
 const (
 	lineProtocol choice.Protocols = 1 << iota
 	sparqlProtocol
 )
 
-// drainReportLifetime is for how long an engine's own report that it drains counts without another one: by then the
-// list has followed.
+// drainReportLifetime is how long an engine's own report that it drains is valid unless repeated. By then the endpoint
+// list shows the drain.
 const drainReportLifetime = 20 * time.Second
 
-// protocolCount is how many protocols share the slots for jobs once SPARQL is on.
+// protocolCount is the number of protocols that share the job slots once SPARQL is enabled.
 const protocolCount = 2
 
-// requiredProtocols returns what an engine must speak to run a job of a protocol.
+// requiredProtocols returns the protocols that an engine must speak to run a job of a protocol.
 func requiredProtocols(protocol backend.Protocol) choice.Protocols {
 	if protocol == backend.SPARQL {
 		return sparqlProtocol
@@ -33,8 +33,8 @@
 	return lineProtocol
 }
 
-// unsupportedProtocols returns what an engine does not speak. While SPARQL is off there is nothing to report: no job
-// needs it, and an engine without an address is treated as one that cannot be reached.
+// unsupportedProtocols returns the protocols that an engine does not speak. It returns none while SPARQL is off: no job
+// needs SPARQL then, and an engine without a line protocol address counts as unreachable.
 func (t *engineTable) unsupportedProtocols(host backend.Host) choice.Protocols {
 	if t.sparqlURLs == nil {
 		return 0
@@ -49,7 +49,7 @@
 	return unsupported
 }
 
-// hostBy returns where an engine is reached by a protocol.
+// hostBy returns the address of an engine for a protocol.
 func (t *engineTable) hostBy(entry *tableEntry, protocol backend.Protocol) backend.Host {
 	if protocol == backend.SPARQL {
 		return backend.Host{Name: entry.host.Name, Address: t.sparqlURLs[entry.host.Name], Protocol: protocol}
@@ -57,8 +57,8 @@
 	return entry.host
 }
 
-// SetSPARQLEndpoints turns the SPARQL protocol on and says at which URL each engine is reached, by engine name. It
-// must be called before the first call of UpdateEngines.
+// SetSPARQLEndpoints enables the SPARQL protocol with the URL of each engine, by engine name. It must be called before
+// the first call of UpdateEngines.
 func (g *Gateway) SetSPARQLEndpoints(urls map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,15 +67,15 @@
 	g.slots = decide.NewSlots(protocolCount)
 }
 
-// UpdateDrain takes what an engine reports of itself, which may differ from what the list says.
+// UpdateDrain applies an engine's own report of its drain state, which may differ from the endpoint list.
 func (g *Gateway) UpdateDrain(name string, signal decide.Signal) {
 	g.mu.Lock()
 	var actions []choice.Action
 	if entry := g.table.byName[name]; entry != nil && g.drains != nil {
-		line, changed := g.drains.ApplySignal(g.clock.now(), entry.id, signal)
+		updated, changed := g.drains.ApplySignal(g.clock.now(), entry.id, signal)
 		if changed {
 			counters.Increment("drains_reported")
-			entries := []choice.EngineEntry{line}
+			entries := []choice.EngineEntry{updated}
 			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: entries})
 		}
 	}
@@ -83,22 +83,22 @@
 	g.perform(actions)
 }
 
-// expireDrains ends drain reports that are too old to count.
+// expireDrains discards drain reports older than drainReportLifetime.
 func (g *Gateway) expireDrains() {
 	g.mu.Lock()
 	var actions []choice.Action
 	if g.drains != nil {
 		ids := slices.Sorted(maps.Keys(g.table.byID))
-		lines := g.drains.ExpireSignals(g.clock.now(), ids)
-		if len(lines) > 0 {
-			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: lines})
+		entries := g.drains.ExpireSignals(g.clock.now(), ids)
+		if len(entries) > 0 {
+			actions = g.decide(choice.Event{Kind: choice.EnginesListed, List: choice.ListDelta, Engines: entries})
 		}
 	}
 	g.mu.Unlock()
 	g.perform(actions)
 }
 
-// slotIndex returns a protocol's place in the accounts of slots.
+// slotIndex returns the index of a protocol in the slot accounting.
 func slotIndex(protocol backend.Protocol) int {
 	if protocol == backend.SPARQL {
 		return 1
@@ -106,8 +106,8 @@
 	return 0
 }
 
-// reserveSlot takes a slot for one more job, if there is one. With two protocols a burst of one leaves the other what
-// it used lately. The caller holds the lock.
+// reserveSlot reserves a slot for a job and reports whether one was free. With two protocols, a burst of one leaves the
+// other the slots that it used recently. The caller must hold the lock.
 func (g *Gateway) reserveSlot(protocol backend.Protocol) bool {
 	limit := min(g.settings.maxJobs, g.budget.Jobs.Max())
 	if len(g.jobs) >= limit {
@@ -116,7 +116,7 @@
 	return g.slots == nil || g.slots.Acquire(g.clock.now(), slotIndex(protocol), limit)
 }
 
-// releaseSlot returns the slot of a job. The caller holds the lock.
+// releaseSlot releases the slot of a job. The caller must hold the lock.
 func (g *Gateway) releaseSlot(protocol backend.Protocol) {
 	if g.slots != nil {
 		g.slots.Release(slotIndex(protocol))
--- a/internal/gateway/reconcile.go
+++ b/internal/gateway/reconcile.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	reconcilePeriod     = time.Second
-	countersEvery       = 60 // rounds between two log lines of the counters
-	countersEveryTraced = countersEvery / 10
-	// mismatchRounds is for how many rounds in a row the module and the sockets must differ before that is logged: what is
-	// on its way between them differs for a moment.
+	reconcilePeriod         = time.Second
+	countersLogRounds       = 60 // rounds between log lines of the counters
+	countersLogRoundsTraced = countersLogRounds / 10
+	// mismatchRounds is the number of consecutive rounds in which the counts of the module and of the connections must
+	// differ before this is logged. Events in transit between them cause short mismatches.
 	mismatchRounds = 3
 )
 
-// reconciler compares what the module assumes to be out at each engine with what the connections count.
+// reconciler compares the number of dispatches that the module assumes to be in flight at each engine with the number
+// that the connections count.
 type reconciler struct {
-	mismatches   map[string]int // rounds in a row by engine name; only engines that differ
+	mismatches   map[string]int // consecutive mismatches by engine name; only engines that differ
 	mismatchLog  ratelog.Logger
 	round        int
-	lastCounters string // as logged last
+	lastCounters string // as last logged
 }
 
-// reconcile compares once a period, until the gateway is closed.
+// reconcile runs a round each reconcilePeriod until the gateway is closed.
 func (g *Gateway) reconcile() {
 	ticker := time.NewTicker(reconcilePeriod)
 	defer ticker.Stop()
@@ -43,10 +44,10 @@
 	}
 }
 
-// logCounters logs the counters now and then, if any has changed.
+// logCounters periodically logs the counters if any has changed. With tracing on it does so more often.
 func (r *reconciler) logCounters(traced bool) {
 	r.round++
-	due := r.round%countersEvery == 0 || traced && r.round%countersEveryTraced == 0
+	due := r.round%countersLogRounds == 0 || traced && r.round%countersLogRoundsTraced == 0
 	if !due {
 		return
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// compareInFlight compares once. An engine that the list no longer names is compared while dispatches are out there.
+// compareInFlight runs one comparison. Engines that are off the list are included while they have dispatches in flight.
 func (g *Gateway) compareInFlight() {
 	views, names := g.moduleView()
 	r := &g.reconciling
@@ -80,7 +81,7 @@
 	}
 }
 
-// moduleView returns what the module assumes of each engine, and the engines' names in the same order.
+// moduleView returns the module's view of each engine, and the engines' names in the same order.
 func (g *Gateway) moduleView() ([]choice.EngineView, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -6,44 +6,46 @@
 	"swiftreel/internal/backend"
 )
 
-// Request is a job as a client asks for it, over whatever protocol. From Submit on its byte slices belong to the
-// gateway.
+// Request is a client's request to run a job, independent of the protocol. The gateway owns its byte slices once it is
+// submitted.
 type Request struct {
 	Type              []byte // name of the job type
-	ID                []byte // of the call; it identifies dispatches at engines
+	ID                []byte // of the call; also identifies the job's dispatches at engines
 	Tenant            []byte
-	Key               []byte // order key; empty: none
+	Key               []byte // ordering key; empty if none
 	Statement         []byte
-	IdempotencyKey    []byte        // passed on to engines; empty: none
+	IdempotencyKey    []byte        // passed on to engines; empty if none
 	Timeout           time.Duration // the job timeout, from ArrivedAt
 	ArrivedAt         time.Time
-	ClientRetry       bool             // the client has sent it before
-	EstimatedWork     time.Duration    // 0: no estimate
-	EstimatedMemoryMB float64          // 0: no estimate
-	Protocol          backend.Protocol // of the engines that can run it
-	TableGroup        uint32           // group of tables; by the line protocol the statement names it
+	ClientRetry       bool             // the client is retrying an earlier request
+	EstimatedWork     time.Duration    // 0 if unknown
+	EstimatedMemoryMB float64          // 0 if unknown
+	Protocol          backend.Protocol // that the engine must speak
+	TableGroup        uint32           // group of tables; unused in the line protocol, where the statement names it
 	Client            Client
 }
 
-// Reasons of Client.Failed that every front may translate. Any other text says why the request cannot be used.
+// Reasons passed to Client.Failed that a front end may translate. Any other reason says why the request is invalid.
 const (
 	ReasonCancelled = "cancelled for good"
 	ReasonTimeout   = "job timeout"
 )
 
-// Client receives the one final answer of a job: one call of Done, Throttled or Failed, none if the client disconnects
-// before. Implementations must be safe for concurrent use.
+// Client receives the final answer of a job: exactly one call of Done, Throttled or Failed, or none if the client
+// disconnects first. Implementations must be safe for concurrent use.
 type Client interface {
-	// Done delivers the result. The pages are valid until it returns.
+	// Done delivers the result. The pages are only valid until Done returns.
 	Done(pages [][]byte)
-	// Throttled says that nothing was run; 0: there is no hint when to retry.
+	// Throttled says that the job was not run. A retryAfter of 0 means that there is no hint when to retry.
 	Throttled(retryAfter time.Duration)
-	// Failed says that the job is cancelled for good, or why it was not admitted.
+	// Failed says that the job is cancelled permanently, or why it was not admitted.
 	Failed(reason string)
-	// OnDisconnect has a function called once if the client disconnects before the answer, at once if it has.
+	// OnDisconnect registers a function to be called once if the client disconnects before the answer, immediately if it
+	// already has.
 	OnDisconnect(disconnected func())
-	// Connected looks at the connection again. It does not wait.
+	// Connected checks the connection's current state. It does not block.
 	Connected() bool
-	// AwaitInput waits until what the client has sent so far is read, no longer than limit: it may have cancelled.
+	// AwaitInput waits, at most for limit, until all input that the client has sent so far is read. The input may contain
+	// a cancellation.
 	AwaitInput(limit time.Duration)
 }
--- a/internal/gateway/send_gate.go
+++ b/internal/gateway/send_gate.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// inputReadWithin is how long a send waits until what its client has sent is read: longer than its reading is ever
-	// slowed down, and well within the 100 ms after which a canceled job must not be sent.
-	inputReadWithin = 60 * time.Millisecond
-	// permissionTime is for how long a permission holds: with the age of the list at most the grace of a drain, and no
-	// longer than a job may be sent after its client has left.
-	permissionTime = 50 * time.Millisecond
-	// minListWait is the least wait for the endpoint list that is counted and logged.
+	// maxInputWait is how long a send waits until the input from its client is read. It exceeds any slowdown of reading
+	// and is well below the 100 ms after which a cancelled job must not be sent.
+	maxInputWait = 60 * time.Millisecond
+	// permissionLifetime is how long a permission to send is valid. Together with the age of the list it must not exceed
+	// the drain grace, and it must not exceed the time for which a job may be sent after its client has disconnected.
+	permissionLifetime = 50 * time.Millisecond
+	// minListWait is the shortest wait for the endpoint list that is counted and logged.
 	minListWait = time.Millisecond
 )
 
-// EngineListAge tells how old the endpoint list is that the gateway was given. It is safe for concurrent use.
+// EngineListAge reports the age of the endpoint list that the gateway has. Implementations must be safe for concurrent
+// use.
 type EngineListAge interface {
-	// CurrentAt returns a moment such that all that the list's source had told by then was passed on; a moment within
-	// maxAge is not looked for anew. It does not wait.
+	// CurrentAt returns a time up to which all updates from the list's source were passed on. A known time within maxAge
+	// is returned without another check. It does not block.
 	CurrentAt(maxAge time.Duration) time.Time
-	// AwaitCurrent waits until CurrentAt is within maxAge, no longer than limit.
+	// AwaitCurrent waits, at most for limit, until CurrentAt is within maxAge, and returns it.
 	AwaitCurrent(maxAge, limit time.Duration) time.Time
 }
 
-// sendGate asks the decision module about an ordered attempt in the moment in which its first byte would go out. It
-// does not change and is safe for concurrent use: connections call it, not the goroutine of the job.
+// sendGate asks the decision module for permission to send an attempt, just before its first byte is sent. It is
+// immutable and safe for concurrent use, since connections call it rather than the goroutine of the job.
 type sendGate struct {
 	gateway  *Gateway
 	job      *job
 	attempt  *attempt
-	host     backend.Host // where the connection goes
-	deadline time.Time    // of the attempt, at most that of the job
+	host     backend.Host // the connection's destination
+	deadline time.Time    // of the attempt, not after that of the job
 }
 
-// Await implements backend.Gate: after a stall, what the client and the endpoint list have said since may lie unread.
+// Await implements backend.Gate. After a stall of the process, unread input may contain a cancellation by the client or
+// an update of the endpoint list.
 func (s sendGate) Await() {
-	s.job.Client.AwaitInput(inputReadWithin)
+	s.job.Client.AwaitInput(maxInputWait)
 	if s.gateway.list != nil && s.gateway.settings.drainGrace > 0 {
 		s.awaitList()
 	}
 }
 
-// awaitList waits until the endpoint list is read as far as it was told, no longer than the order holds.
+// awaitList waits until all updates of the endpoint list are read, at most while the dispatch may still be sent.
 func (s sendGate) awaitList() {
 	g := s.gateway
 	startedAt := time.Now()
@@ -74,14 +76,14 @@
 		s.trace("send_refused", refusal)
 		return backend.Permission{}
 	}
-	given := left.Truncate(time.Millisecond)
-	s.trace("sent_with", given)
-	dispatch := audit.Dispatch{Job: s.job.id, At: now, TimeLimit: given, UnavailableSince: unavailableSince}
+	timeLimit := left.Truncate(time.Millisecond)
+	s.trace("sent_with", timeLimit)
+	dispatch := audit.Dispatch{Job: s.job.id, At: now, TimeLimit: timeLimit, UnavailableSince: unavailableSince}
 	s.gateway.reportViolations(s.job, s.attempt.engine, s.gateway.audit.Dispatched(dispatch))
-	return backend.Permission{Granted: true, TimeoutMS: given.Milliseconds(), ExpiresAt: now.Add(permissionTime)}
+	return backend.Permission{Granted: true, TimeoutMS: timeLimit.Milliseconds(), ExpiresAt: now.Add(permissionLifetime)}
 }
 
-// listCurrentAt is when the endpoint list was last known to be complete; 0: nobody can tell.
+// listCurrentAt returns when the endpoint list was last known to be up to date; 0 means unknown.
 func (s sendGate) listCurrentAt() choice.Nanos {
 	g := s.gateway
 	if g.list == nil {
@@ -90,7 +92,7 @@
 	return g.clock.at(g.list.CurrentAt(g.settings.listMaxAge()))
 }
 
-// trace logs what became of the attempt, where that is wanted.
+// trace logs an event of the attempt if tracing is on.
 func (s sendGate) trace(what string, value any) {
 	s.gateway.trace.job(s.job.id, "call", string(s.job.ID), "attempt", s.attempt.sequence, "engine", s.attempt.engine,
 		what, value)
@@ -99,7 +101,8 @@
 // Withdraw implements backend.Gate.
 func (s sendGate) Withdraw() { s.gateway.audit.Withdrawn(s.job.id) }
 
-// refusal asks the module, and says since when the engine is listed as one that takes nothing; zero: it takes jobs.
+// refusal asks the module whether the attempt may be sent. It also returns since when the engine has been listed as
+// draining or removed; zero if it is ready.
 func (s sendGate) refusal(
 	connected bool, left time.Duration, listCurrentAt choice.Nanos,
 ) (refusal choice.Refusal, unavailableSince time.Time) {
--- a/internal/gateway/send_gate_test.go
+++ b/internal/gateway/send_gate_test.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/backend"
 )
 
-// startedRequests are engines that hand out what is started there, and never send it.
+// startedRequests is a fake of backend.Engines that passes started requests to the test and never sends them.
 type startedRequests struct {
 	silentEngines
 	requests chan backend.Request
@@ -20,18 +20,19 @@
 	return silentDispatch{}
 }
 
-// The permission to send is that of the moment in which it is asked for: the time left, the client, the engine.
+// The permission to send depends on the time left, the client and the engine at the time of the call to Permit, not at
+// the time of the dispatch.
 func TestPermissionToSendIsThatOfTheMoment(t *testing.T) {
 	const timeout = 20 * time.Second
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"localities": []any{"west"},
 		"kinds":      []any{"std"},
 		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
 		"classes":    []any{map[string]any{"name": "lookup", "idempotency": "repeatable", "aim_ns": 20e9}},
 		"limits":     map[string]any{"cancel": true, "dial_timeout_ns": 20e9},
 	}
-	for name, crossing := range map[string]struct {
-		happens func(*Gateway, disconnectingClient)
+	for name, tc := range map[string]struct {
+		change  func(*Gateway, disconnectingClient)
 		granted bool
 	}{
 		"nothing":     {func(*Gateway, disconnectingClient) {}, true},
@@ -49,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			engines := startedRequests{requests: make(chan backend.Request, 1)}
-			g := New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
+			g := New(Options{Settings: raw, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
 				backend.Line: func(backend.Limits) backend.Engines { return engines }}})
 			defer g.Close()
 			g.UpdateEngines(engineList(t, "true", "e1"), true)
@@ -57,15 +58,15 @@
 			arrivedAt := time.Now()
 			g.Submit(Request{Type: []byte("lookup"), ID: []byte("c"), ArrivedAt: arrivedAt, Timeout: timeout, Client: client})
 			request := <-engines.requests
-			crossing.happens(g, client)
-			eventually(t, "no time passes", func() bool { return time.Since(arrivedAt) > 20*time.Millisecond })
+			tc.change(g, client)
+			eventually(t, "the clock does not advance", func() bool { return time.Since(arrivedAt) > 20*time.Millisecond })
 			left := timeout - time.Since(arrivedAt)
 			permission := request.Gate.Permit()
-			if permission.Granted != crossing.granted {
+			if permission.Granted != tc.granted {
 				t.Errorf("granted: %v", permission.Granted)
 			}
 			if given := time.Duration(permission.TimeoutMS) * time.Millisecond; given > left {
-				t.Errorf("the engine is given %v of %v", given, left)
+				t.Errorf("the engine gets %v, but %v is left", given, left)
 			}
 			g.mu.Lock()
 			j := g.jobs[1]
@@ -75,7 +76,7 @@
 	}
 }
 
-// knownList is a list that is known as it was some time ago, and once it is awaited as it is now.
+// knownList is an EngineListAge with a fixed age until it is awaited, and with age 0 afterwards.
 type knownList struct {
 	age     time.Duration
 	awaited atomic.Bool
@@ -95,10 +96,10 @@
 	return l.CurrentAt(maxAge)
 }
 
-// What lies unread of the endpoint list may say that the engine drains: a send on a list older than the grace of a
-// drain is refused, and waits before for the list to be read.
+// Unread updates of the endpoint list may say that the engine is draining. A send waits for the list to be read, and is
+// refused if the list is older than the drain grace.
 func TestASendWaitsForTheEndpointListToBeRead(t *testing.T) {
-	facts := choice.RawSettings{
+	raw := choice.RawSettings{
 		"localities": []any{"west"},
 		"kinds":      []any{"std"},
 		"domain":     map[string]any{"cpu_of_kind": []any{16.0}},
@@ -118,7 +119,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			engines := startedRequests{requests: make(chan backend.Request, 1)}
-			g := New(Options{Settings: facts, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
+			g := New(Options{Settings: raw, Seed: 1, Budget: testBudget(), Protocols: map[backend.Protocol]backend.Factory{
 				backend.Line: func(backend.Limits) backend.Engines { return engines }}})
 			defer g.Close()
 			g.SetListAge(&knownList{age: c.age})
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -10,63 +10,64 @@
 	"swiftreel/internal/backend"
 )
 
-// After SIGTERM the process is killed, no sooner than the longest job timeout or killDelayMax, whichever is shorter,
-// and killGrace more. stopMargin of that is left for writing answers and for being late.
+// After SIGTERM the process may be killed once the longest job timeout, but at most killDelayMax, plus killGrace has
+// passed. The last stopMargin of this time is reserved for writing answers and for delays.
 const (
 	killDelayMax = 3 * time.Second
 	killGrace    = 700 * time.Millisecond
 	stopMargin   = 150 * time.Millisecond
 )
 
-// Defaults of settings that are absent.
+// Defaults for absent settings.
 const (
 	defaultDialTimeout = time.Second
 	defaultIdleTimeout = 15 * time.Second
 	defaultMaxJobs     = 10000
-	defaultTimeLimit   = time.Hour // latency objectives and job timeouts that the settings do not state
+	defaultTimeLimit   = time.Hour // for latency objectives and job timeouts
 )
 
-// answerSlackMargin is how much later than the settings allow an answer may come before it is given up.
+// answerSlackMargin is added to the setting's slack before the gateway answers an overdue job itself.
 const answerSlackMargin = 50 * time.Millisecond
 
-// listAgePart is the part of the grace of a drain for which the endpoint list is not asked for news again.
-const listAgePart = 5
+// listAgeDivisor sets listMaxAge as a fraction of the drain grace.
+const listAgeDivisor = 5
 
-// memoryEstimateFactor is how many times the largest engine's memory an estimate may be.
+// memoryEstimateFactor bounds memory estimates as a multiple of the largest engine's memory, since estimates may be
+// rough.
 const memoryEstimateFactor = 8
 
-// settings are the settings that concern carrying out, not deciding. They do not change once made.
+// settings are the settings that the gateway itself uses, as opposed to the decision module. They are immutable.
 type settings struct {
 	dialTimeout    time.Duration
 	idleTimeout    time.Duration
-	step           time.Duration // between two events that may depend on each other over different connections
-	answerSlack    time.Duration // how late an answer may be
-	drainGrace     time.Duration // in which an engine that drains may still be sent to; 0: no bound
-	orderPause     time.Duration // of an order key after an outcome that is unsure
+	crossConnDelay time.Duration // delay between causally related messages on different connections
+	answerSlack    time.Duration // how late after the job timeout an answer may be
+	drainGrace     time.Duration // how long a draining engine may still be sent jobs; 0 means no limit
+	keyPause       time.Duration // pause of an ordering key after an uncertain outcome
 	retries        audit.RetryBudget
-	stopTimeout    time.Duration // after SIGTERM the process is not killed before
+	stopTimeout    time.Duration // time after SIGTERM in which all jobs must be answered
 	streamsPerConn int
 	maxJobs        int
-	maxMemoryMB    float64 // beyond any engine, and any rough estimate for one
+	maxMemoryMB    float64 // largest accepted memory estimate of a job
 	loadFields     []string
 	reportsLoad    bool // probes ask for load reports
 	types          []typeSettings
 }
 
-// typeSettings are those of one job type.
+// typeSettings are the settings of one job type.
 type typeSettings struct {
-	objective        time.Duration // latency objective of a job without work
-	objectiveStretch float64       // more of it for each ms of work and thread
+	objective        time.Duration // latency objective, excluding objectivePerWork
+	objectivePerWork float64       // ms added to the objective per ms of work per thread
 	threads          float64
-	clientTimeout    time.Duration // how long its clients wait in all
-	runOnce          bool          // a dispatch must not be broken off
-	neverRepeated    bool          // nor be sent again once it may have run, not even by its key
-	ordered          bool          // jobs of one order key run one after the other
+	clientTimeout    time.Duration // total time that clients wait
+	notRestartable   bool          // run-once or keyed: a dispatch must not be aborted
+	runOnce          bool          // must not be dispatched again once it may have run, not even by its key
+	ordered          bool          // jobs of one ordering key run one at a time, in order
 	writesTables     bool
 	waitsForLoads    bool
 }
 
-// settingsMap reads values of the settings; a value of another type counts as absent.
+// settingsMap gives typed access to raw settings. A value of the wrong type counts as absent.
 type settingsMap map[string]any
 
 func (m settingsMap) object(key string) settingsMap {
@@ -79,7 +80,7 @@
 	return list
 }
 
-// number returns a positive number, or the default.
+// number returns the value if it is a positive number, and the default otherwise.
 func (m settingsMap) number(key string, defaultValue float64) float64 {
 	if value, isNumber := m[key].(float64); isNumber && value > 0 {
 		return value
@@ -91,17 +92,17 @@
 	return time.Duration(m.number(key, float64(defaultValue)))
 }
 
-func newSettings(facts choice.RawSettings) settings {
-	root := settingsMap(facts)
+func newSettings(raw choice.RawSettings) settings {
+	root := settingsMap(raw)
 	limits := root.object("limits")
 	rules := root.object("invariants")
 	s := settings{
 		dialTimeout:    limits.duration("dial_timeout_ns", defaultDialTimeout),
 		idleTimeout:    limits.duration("conn_idle_ns", defaultIdleTimeout),
-		step:           root.duration("step_ns", 0),
+		crossConnDelay: root.duration("step_ns", 0),
 		answerSlack:    rules.duration("answer_slack_ns", 0) + answerSlackMargin,
 		drainGrace:     rules.duration("drain_grace_ns", 0),
-		orderPause:     rules.duration("order_pause_ns", 0),
+		keyPause:       rules.duration("order_pause_ns", 0),
 		streamsPerConn: int(limits.number("max_streams", 1)),
 		maxJobs:        int(limits.number("max_open", defaultMaxJobs)),
 		maxMemoryMB:    maxMemoryMB(root.object("domain").list("size_mb")),
@@ -118,11 +119,11 @@
 	return s
 }
 
-// listMaxAge is how old the endpoint list may be at a send before it is asked whether there is news: a part of the time
-// in which an engine that drains may still be sent to.
-func (s settings) listMaxAge() time.Duration { return s.drainGrace / listAgePart }
+// listMaxAge returns how old the endpoint list may be at a send before it is checked for updates. It is a fraction of
+// the drain grace.
+func (s settings) listMaxAge() time.Duration { return s.drainGrace / listAgeDivisor }
 
-// retryBudget returns the budget of retries; without a ratio there is no bound.
+// retryBudget returns the retry budget. If the settings contain no ratio, retries are not limited.
 func retryBudget(rules settingsMap) audit.RetryBudget {
 	if _, isBounded := rules["further_ratio"].(float64); !isBounded {
 		return audit.RetryBudget{}
@@ -143,11 +144,11 @@
 		class := settingsMap(object)
 		list = append(list, typeSettings{
 			objective:        class.duration("aim_ns", defaultTimeLimit),
-			objectiveStretch: class.number("aim_stretch", 0),
+			objectivePerWork: class.number("aim_stretch", 0),
 			threads:          threadsAt(threads, i),
 			clientTimeout:    class.duration("give_up_ns", defaultTimeLimit),
-			runOnce:          class["idempotency"] != "repeatable",
-			neverRepeated:    class["idempotency"] == "once",
+			notRestartable:   class["idempotency"] != "repeatable",
+			runOnce:          class["idempotency"] == "once",
 			ordered:          class["fifo_by_key"] == true,
 			writesTables:     isTrueAt(domain.list("writes_tables"), i),
 			waitsForLoads:    isTrueAt(domain.list("waits_for_loads"), i),
@@ -187,7 +188,7 @@
 	return min(slices.Max(timeouts), killDelayMax) + killGrace - stopMargin
 }
 
-// typeOf returns the settings of a job type; false if there are none.
+// typeOf returns the settings of a job type, and false if there are none.
 func (s settings) typeOf(id choice.TypeID) (typeSettings, bool) {
 	if int(id) < len(s.types) {
 		return s.types[id], true
@@ -195,16 +196,16 @@
 	return typeSettings{}, false
 }
 
-// objective returns the latency objective of a job of a type that took so much work.
+// objective returns the latency objective of a job of the given type and work.
 func (s settings) objective(id choice.TypeID, workMS float64) time.Duration {
 	t, known := s.typeOf(id)
 	if !known {
 		return defaultTimeLimit
 	}
-	return t.objective + time.Duration(t.objectiveStretch*workMS/t.threads*float64(time.Millisecond))
+	return t.objective + time.Duration(t.objectivePerWork*workMS/t.threads*float64(time.Millisecond))
 }
 
-// maxTimeout returns the longest job timeout that makes sense for a type, with a margin.
+// maxTimeout returns the longest accepted job timeout of a type: twice the time that its clients wait.
 func (s settings) maxTimeout(id choice.TypeID) time.Duration {
 	t, known := s.typeOf(id)
 	if !known {
@@ -213,15 +214,15 @@
 	return 2 * t.clientTimeout
 }
 
-// lane returns which connections the jobs of a type use.
+// lane returns the connection lane for the jobs of a type.
 func (s settings) lane(id choice.TypeID) backend.Lane {
-	if t, _ := s.typeOf(id); t.runOnce {
+	if t, _ := s.typeOf(id); t.notRestartable {
 		return backend.RunOnce
 	}
 	return backend.Restartable
 }
 
-// needsTableGroup reports whether it matters for a type's jobs which group of tables they use.
+// needsTableGroup reports whether scheduling the jobs of a type depends on their group of tables.
 func (s settings) needsTableGroup(id choice.TypeID) bool {
 	t, _ := s.typeOf(id)
 	return t.writesTables || t.waitsForLoads
--- a/internal/gateway/settings_test.go
+++ b/internal/gateway/settings_test.go
@@ -10,7 +10,7 @@
 	"swiftreel/choice"
 )
 
-const ruleFacts = `{"step_ns":2e8,"locality":1,"localities":["east","west"],"kinds":["std","big"],
+const testSettings = `{"step_ns":2e8,"locality":1,"localities":["east","west"],"kinds":["std","big"],
 "tenants":[{"name":"acme"},{"name":"zeta"}],
 "classes":[{"name":"lookup","idempotency":"repeatable","aim_ns":5e8,"aim_stretch":2,"give_up_ns":2e9},
 {"name":"import","idempotency":"once","aim_ns":3e9,"give_up_ns":6e9},{"name":"mark","idempotency":"by_key"}],
@@ -19,15 +19,15 @@
 "limits":{"dial_timeout_ns":3e8,"conn_idle_ns":7e9,"max_streams":9,"max_open":77},
 "telemetry":{"via":"on_probe","fields":["concurrent","load_share"]},"invariants":{"answer_slack_ns":2e7}}`
 
-// Each setting that concerns carrying out is read from its key.
-func TestTheSettingsOfCarryingOutAreReadByTheirKeys(t *testing.T) {
-	r := newSettings(factsOf(t, ruleFacts))
+// Each setting that the gateway itself uses is read from its key.
+func TestGatewaySettingsAreReadByTheirKeys(t *testing.T) {
+	r := newSettings(parseSettings(t, testSettings))
 	for name, c := range map[string][2]any{
 		"limits.dial_timeout_ns":              {r.dialTimeout, 300 * time.Millisecond},
 		"limits.conn_idle_ns":                 {r.idleTimeout, 7 * time.Second},
 		"limits.max_streams":                  {r.streamsPerConn, 9},
 		"limits.max_open":                     {r.maxJobs, 77},
-		"step_ns":                             {r.step, 200 * time.Millisecond},
+		"step_ns":                             {r.crossConnDelay, 200 * time.Millisecond},
 		"invariants.answer_slack_ns":          {r.answerSlack, 70 * time.Millisecond},
 		"aim_ns, nothing to stretch":          {r.objective(0, 0), 500 * time.Millisecond},
 		"aim_stretch over one thread":         {r.objective(0, 100), 700 * time.Millisecond},
@@ -59,14 +59,17 @@
 
 func TestSettingsThatAreAbsentHaveDefaults(t *testing.T) {
 	r := newSettings(
-		factsOf(t, `{"classes":[{"name":"lookup","give_up_ns":1e9}],"telemetry":{"via":"off","fields":["concurrent"]}}`),
+		parseSettings(
+			t,
+			`{"classes":[{"name":"lookup","give_up_ns":1e9}],"telemetry":{"via":"off","fields":["concurrent"]}}`,
+		),
 	)
 	for name, c := range map[string][2]any{
 		"limits.dial_timeout_ns":     {r.dialTimeout, time.Second},
 		"limits.conn_idle_ns":        {r.idleTimeout, 15 * time.Second},
 		"limits.max_streams":         {r.streamsPerConn, 1},
 		"limits.max_open":            {r.maxJobs, 10000},
-		"step_ns":                    {r.step, time.Duration(0)},
+		"step_ns":                    {r.crossConnDelay, time.Duration(0)},
 		"invariants.answer_slack_ns": {r.answerSlack, 50 * time.Millisecond},
 		"domain.size_mb":             {r.maxMemoryMB, math.Inf(1)},
 		"killed after give_up_ns":    {r.stopTimeout, time.Second + 550*time.Millisecond},
@@ -79,18 +82,18 @@
 }
 
 func TestTheSettingsNamesAreNumbered(t *testing.T) {
-	n := newIdentifiers(factsOf(t, ruleFacts))
+	n := newIdentifiers(parseSettings(t, testSettings))
 	if n.types["lookup"] != 0 || n.types["mark"] != 2 || n.tenants["zeta"] != 1 || n.zone("west") != 1 ||
 		n.kind("big") != 1 || n.ownZone != "west" {
 		t.Errorf("%+v", n)
 	}
 	if n.zone("north") != unknownZone || n.kind("small") != unknownKind {
-		t.Errorf("an unknown zone is %d, an unknown kind %d", n.zone("north"), n.kind("small"))
+		t.Errorf("unknown zone has ID %d, unknown kind has ID %d", n.zone("north"), n.kind("small"))
 	}
 }
 
-// A controller whose supervisor leaves it more time than the protocol page has it to answer what is out.
-func TestTheTimeOfAShutdownIsTheSupervisors(t *testing.T) {
+// If the supervisor allows more time than the protocol's default, the controller uses it to answer its jobs.
+func TestStopTimeoutFollowsKilledAfter(t *testing.T) {
 	for killedAfter, want := range map[time.Duration]time.Duration{
 		0:                          newSettings(choice.RawSettings{}).stopTimeout,
 		2 * time.Minute:            2*time.Minute - stopMargin,
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -8,15 +8,15 @@
 	"swiftreel/choice"
 )
 
-// EngineHealth is what the module has learned of one engine from the jobs it ran. A controller hands it to the process
-// that takes over from it: the JSON keys are part of that format.
+// EngineHealth is the module's health estimate of an engine, learned from the jobs that it ran. A controller passes it
+// to its successor process: the JSON keys are part of the state transfer format.
 type EngineHealth struct {
-	LatencyRatio float64 `json:"slow"` // latency over the best one known, 1 for a healthy engine
-	FailureRate  float64 `json:"bad"`  // share of dispatches lately that failed, 0 to 1
+	LatencyRatio float64 `json:"slow"` // latency relative to the best known one; 1 for a healthy engine
+	FailureRate  float64 `json:"bad"`  // share of recent dispatches that failed, from 0 to 1
 	Ejected      bool    `json:"aside,omitempty"`
 }
 
-// TypeStats returns what the module has learned of job types, by their names.
+// TypeStats returns the statistics that the module has learned of job types, by type name.
 func (g *Gateway) TypeStats() map[string]choice.TypeStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,7 +30,7 @@
 	return byName
 }
 
-// EngineHealth returns what the module has learned of engines that are ready, by their names.
+// EngineHealth returns the module's health estimates of ready engines, by engine name.
 func (g *Gateway) EngineHealth() map[string]EngineHealth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,8 +47,8 @@
 	return byName
 }
 
-// Restore gives the module what an older process of this controller has learned. Job types that the settings do not
-// name and engines that no list has named are ignored; the module ignores figures that are out of range.
+// Restore passes the statistics and health estimates of a predecessor process to the module. Job types that are not in
+// the settings and engines that are not in the table are ignored. The module ignores values that are out of range.
 func (g *Gateway) Restore(types map[string]choice.TypeStats, engines map[string]EngineHealth) {
 	stats := make([]choice.TypeStats, len(g.ids.types))
 	for name, s := range types {
@@ -61,7 +61,7 @@
 	slog.Info("state_restored", "types", len(types), "engines", len(health))
 }
 
-// moduleHealth numbers the engines of a snapshot, in the order of their names.
+// moduleHealth converts the engines of a snapshot to the module's representation, in the order of their names.
 func (g *Gateway) moduleHealth(engines map[string]EngineHealth) []choice.EngineHealth {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,7 +82,7 @@
 	return list
 }
 
-// EjectedEngines returns how many engines the module has ejected.
+// EjectedEngines returns the number of engines that the module has ejected.
 func (g *Gateway) EjectedEngines() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/start_time.go
+++ b/internal/gateway/start_time.go
@@ -9,46 +9,46 @@
 	"swiftreel/internal/discovery"
 )
 
-// maxAnnouncementDelay is how long after its start an engine may be announced by a feed that is followed. One that is
-// announced as older was dated by a clock that was stepped.
+// maxAnnouncementDelay is the longest time from the start of an engine until an up-to-date feed announces it. A
+// timestamp that is older was taken with a wall clock that was stepped.
 const maxAnnouncementDelay = time.Minute
 
-// announcement is a discovery event as it dates the starts of the engines that it names.
-type announcement struct {
+// startTimeConverter converts the start timestamps of the engines in one discovery event.
+type startTimeConverter struct {
 	clock       *clock
 	now         choice.Nanos
-	notBefore   choice.Nanos // an engine that is new in it did not start before; 0: not known
-	implausible int          // starts that were dated anew
+	notBefore   choice.Nanos // earliest plausible start of a new engine; 0 if unknown
+	implausible int          // number of starts that were replaced by now
 }
 
-// announce dates an event. Only a change that is announced by a feed that was up to date before bounds a start: the
-// configuration and a complete list also name engines that have run for long.
-func (g *Gateway) announce(event discovery.Event, cached bool) *announcement {
-	a := &announcement{clock: &g.clock, now: max(g.lastTime, g.clock.now())}
+// newStartTimeConverter returns a converter for a discovery event. Only a delta from a feed that was up to date gives
+// a lower bound for starts: the configuration and complete lists also contain engines that started long ago.
+func (g *Gateway) newStartTimeConverter(event discovery.Event, cached bool) *startTimeConverter {
+	c := &startTimeConverter{clock: &g.clock, now: max(g.lastTime, g.clock.now())}
 	if !cached && !event.Members.IsComplete && !event.UpToDateAt.IsZero() {
-		a.notBefore = g.clock.at(event.UpToDateAt) - choice.Nanos(maxAnnouncementDelay)
+		c.notBefore = g.clock.at(event.UpToDateAt) - choice.Nanos(maxAnnouncementDelay)
 	}
-	return a
+	return c
 }
 
-// startTime converts the start of an engine that is new, or started anew, into the module's time; 0: long ago.
-func (a *announcement) startTime(bornMS int64) choice.Nanos {
-	if bornMS == 0 {
+// startTime converts the start timestamp of a new or restarted engine to module time; 0 means long ago.
+func (c *startTimeConverter) startTime(startMS int64) choice.Nanos {
+	if startMS == 0 {
 		return 0
 	}
-	unix := choice.Nanos(bornMS) * choice.Nanos(time.Millisecond)
-	started := a.clock.pastTime(unix, a.now)
-	if started < a.notBefore {
-		a.implausible++
-		return a.now
+	unix := choice.Nanos(startMS) * choice.Nanos(time.Millisecond)
+	started := c.clock.pastTime(unix, c.now)
+	if started < c.notBefore {
+		c.implausible++
+		return c.now
 	}
 	return started
 }
 
-// report logs starts that were dated anew.
-func (a *announcement) report(event uint64) {
-	if a.implausible > 0 {
+// logImplausible logs the number of implausible starts, if any.
+func (c *startTimeConverter) logImplausible(event uint64) {
+	if c.implausible > 0 {
 		counters.Increment("engine_starts_implausible")
-		slog.Warn("engine_starts_implausible", "event", event, "engines", a.implausible)
+		slog.Warn("engine_starts_implausible", "event", event, "engines", c.implausible)
 	}
 }
--- a/internal/gateway/start_time_test.go
+++ b/internal/gateway/start_time_test.go
@@ -9,11 +9,11 @@
 	"swiftreel/internal/discovery"
 )
 
-// oneEngine is an event of discovery with one ready engine, by the time of day of its start.
-func oneEngine(t *testing.T, complete bool, name string, born time.Time) discovery.Event {
+// oneEngine returns a discovery event with one ready engine that started at the given wall clock time.
+func oneEngine(t *testing.T, complete bool, name string, startedAt time.Time) discovery.Event {
 	t.Helper()
 	text := fmt.Sprintf(`{"n":1,"members":{"whole":%v,"hosts":[{"host":%q,"dial":"127.0.0.1:1","site":"west",
-"class":"std","block":2,"health":"ready","share":4,"born_ms":%d}]}}`, complete, name, born.UnixMilli())
+"class":"std","block":2,"health":"ready","share":4,"born_ms":%d}]}}`, complete, name, startedAt.UnixMilli())
 	event, err := discovery.ParseEvent([]byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -21,8 +21,8 @@
 	return event
 }
 
-// A feed that was up to date a moment ago announces a start an hour off, either way, as one of the two wall clocks was
-// stepped: the engine started just before the change was announced, and is warm a window later.
+// A feed that was up to date a moment ago announces a start that is an hour off in either direction, because one of the
+// two wall clocks was stepped. The engine must count as just started, so that it is warm one slow start window later.
 func TestAnAnnouncedStartIsNotDatedByASteppedClock(t *testing.T) {
 	for name, step := range map[string]time.Duration{"ahead": time.Hour, "behind": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -33,24 +33,24 @@
 			change := oneEngine(t, false, "new", time.Now().Add(step))
 			change.UpToDateAt = time.Now()
 			g.UpdateEngines(change, false)
-			started := g.table.byName["new"].line.StartedAt
+			started := g.table.byName["new"].listing.StartedAt
 			if started < before || started > g.clock.now() {
-				t.Errorf("started %v before it was announced", time.Duration(before-started))
+				t.Errorf("the start is dated %v before its announcement", time.Duration(before-started))
 			}
-			if old := g.table.byName["old"].line.StartedAt; before-old < choice.Nanos(59*time.Minute) {
-				t.Errorf("one that is known as an hour old started %v ago", time.Duration(before-old))
+			if old := g.table.byName["old"].listing.StartedAt; before-old < choice.Nanos(59*time.Minute) {
+				t.Errorf("a known engine that is an hour old is dated %v ago", time.Duration(before-old))
 			}
 		})
 	}
 }
 
-// steppedClock is a wall clock that a test steps.
+// steppedClock is a wall clock that tests can step.
 type steppedClock struct{ offset time.Duration }
 
 func (c *steppedClock) now() time.Time { return time.Now().Add(c.offset) }
 
-// The wall clock of the machine is stepped while engines start, in whatever order the stamp, the step and the event
-// come: what counts is when they started. Engines that are known keep their date.
+// The local wall clock is stepped while engines start. The start times must be right for each order of timestamp, step
+// and event, and known engines must keep their start times.
 func TestStartsAreDatedRightAcrossASteppedClock(t *testing.T) {
 	const age = 2 * time.Second
 	for name, step := range map[string]time.Duration{
@@ -76,10 +76,10 @@
 			g.UpdateEngines(oneEngine(t, false, "old", old), false)
 			for engine, wantAge := range map[string]time.Duration{"before": age, "after": age, "late": 0, "old": time.Hour} {
 				g.mu.Lock()
-				got := time.Duration(g.clock.now() - g.table.byName[engine].line.StartedAt)
+				got := time.Duration(g.clock.now() - g.table.byName[engine].listing.StartedAt)
 				g.mu.Unlock()
 				if got < wantAge-10*time.Millisecond || got > wantAge+time.Second {
-					t.Errorf("%s started %v ago, not %v", engine, got, wantAge)
+					t.Errorf("%s is dated %v ago, want %v", engine, got, wantAge)
 				}
 			}
 		})
--- a/internal/gateway/trace.go
+++ b/internal/gateway/trace.go
@@ -7,7 +7,7 @@
 	"swiftreel/choice"
 )
 
-// trace, if true, logs every event that the module gets and every action that it orders, but for timers.
+// trace, if true, logs all events passed to the module and all actions that it returns, except timers.
 type trace bool
 
 var eventNames = [...]string{
@@ -54,7 +54,7 @@
 	slog.Info("trace", append(attributes, eventAttributes(event)...)...)
 }
 
-// eventAttributes are the fields that count for an event of this kind.
+// eventAttributes returns the log attributes of the fields that an event of its kind uses.
 func eventAttributes(event choice.Event) []any {
 	switch event.Kind {
 	case choice.JobArrived:
@@ -86,7 +86,7 @@
 		"seq", action.Seq, "span", action.Duration, "priority", action.Priority, "memory_mb", action.MemoryMB)
 }
 
-// job logs of a job what only the gateway knows.
+// job logs an event of a job that is not visible in the module's events and actions.
 func (on trace) job(id choice.JobID, attributes ...any) {
 	if on {
 		slog.Info("trace", append([]any{"job", id}, attributes...)...)
