--- a/choice/load_report_test.go
+++ b/choice/load_report_test.go
@@ -2,108 +2,109 @@
 
 import "testing"
 
-// The failure: an uneven front or stopped siblings, and the controllers left kept to their small even share.
+// Guards against a controller that keeps to its even share when traffic is uneven or siblings have stopped.
 func TestShareFollowsLoadReports(t *testing.T) {
-	s := newStage(t, plainSettings().set("balancers", 8.0), 1)
+	s := newSimulation(t, testSettings().set("balancers", 8.0), 1)
 	e := s.c.engines[0]
 	e.attempts, e.ownThreads = []*attempt{{job: &job{jobType: s.c.types[0]}, dispatchedAt: s.now + second}}, 2
 	j := &job{jobType: s.c.types[1], bucket: &bucket{}}
-	require(t, !s.c.hasCapacity(j, e), "its even share is one thread")
+	require(t, !s.c.hasCapacity(j, e), "a job fits beyond the even share of one thread")
 	for range 300 {
 		s.c.applyLoadReport(e, []float64{1})
-		s.pass(20 * ms)
+		s.advance(20 * ms)
 	}
-	require(t, s.c.fleet.share > 0.3 && s.c.hasCapacity(j, e), "share %v though the reports show no others",
+	require(t, s.c.fleet.share > 0.3 && s.c.hasCapacity(j, e), "share %v though load reports show no siblings",
 		s.c.fleet.share)
 }
 
-// The failure: while siblings restart one after the other, some seconds each, the controllers left throttled a tenth of
-// the jobs, as their share followed what they carried over four seconds only.
+// Guards against throttling while siblings restart one after the other, some seconds each: a share that follows the own
+// load with a time constant of four seconds is too slow, and a tenth of the jobs were throttled.
 func TestShareFollowsFasterWithManyJobsOut(t *testing.T) {
-	s := newStage(t, plainSettings().set("balancers", 3.0), 6)
-	report := func(others float64) {
+	s := newSimulation(t, testSettings().set("balancers", 3.0), 6)
+	report := func(siblings float64) {
 		for _, e := range s.c.engines {
 			s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done,
-				Load: []float64{float64(len(e.attempts)) + others}})
+				Load: []float64{float64(len(e.attempts)) + siblings}})
 		}
 	}
 	for range 30 {
 		s.arrive(0, 0, 0)
 	}
-	for range 10 { // two siblings carry as much
+	for range 10 { // two siblings with the same load each
 		report(10)
-		s.pass(400 * ms)
+		s.advance(400 * ms)
 	}
-	require(t, s.c.fleet.share < 0.4, "share %v beside two siblings", s.c.fleet.share)
-	for range 3 { // they are gone
+	require(t, s.c.fleet.share < 0.4, "share %v with two siblings", s.c.fleet.share)
+	for range 3 { // the siblings have stopped
 		report(0)
-		s.pass(400 * ms)
+		s.advance(400 * ms)
 	}
-	require(t, s.c.fleet.share > 0.6, "share %v 1.2 s after the siblings left", s.c.fleet.share)
+	require(t, s.c.fleet.share > 0.6, "share %v 1.2 s after the siblings stopped", s.c.fleet.share)
 }
 
-// The failure: engines without a fresh report stayed as full as when last seen, and nothing was sent to look again.
+// Guards against engines that count as full for ever because nothing is dispatched that would bring a fresh report.
 func TestDispatchGoesOnWithoutLoadReports(t *testing.T) {
-	f := plainSettings().set("balancers", 150.0).set("limits.probes", false)
-	s := newStage(t, f, 24)
+	raw := testSettings().set("balancers", 150.0).set("limits.probes", false)
+	s := newSimulation(t, raw, 24)
 	s.c.fleet.contention = 3
 	for _, e := range s.c.engines {
 		e.siblingThreads = 24
 	}
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "sent to a fleet that was full when last seen")
-	s.pass(16 * second)
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "nothing is sent for ever: %v", s.c.fleet.contention)
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched to a fleet that was full by its last reports")
+	s.advance(16 * second)
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "still nothing is dispatched: %v", s.c.fleet.contention)
 }
 
-// The failure: where reports do not count jobs nothing of them was read, and siblings were thought to hold a multiple
-// of what we hold: a fleet that had drained stayed refused for 15 s.
+// Guards against ignoring reports without a job count. Siblings were then assumed to hold a multiple of our load, and
+// an idle fleet got no jobs for 15 s after a burst.
 func TestGrantedMemoryShowsSiblingLoadWithoutJobCounts(t *testing.T) {
-	for _, own := range []bool{true, false} { // whether grants are ours, or each engine's: a quarter over the estimate
-		f := plainSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", own)
-		s := newStage(t, f.set("balancers", 20.0), 1)
+	for _, setByUs := range []bool{true, false} { // false: engines set grants, a quarter over the estimate
+		raw := testSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", setByUs)
+		s := newSimulation(t, raw.set("balancers", 20.0), 1)
 		id, e := s.arrive(1, 0, 1), s.c.engines[0]
 		s.now += 100 * ms
 		s.c.now = s.now
 		granted := 1.0
-		if !own {
+		if !setByUs {
 			granted = 1.25
 		}
-		// jobs here are 200 MB on two threads
+		// a job uses 200 MB and two threads
 		s.c.applyLoadReport(e, []float64{0.1, granted * (e.ownMemoryMB + 800) / e.memoryMB})
-		require(t, e.siblingThreads > 7.9 && e.siblingThreads < 8.1 && e.loadKnownAt == s.now, "others %v of 8",
+		require(t, e.siblingThreads > 7.9 && e.siblingThreads < 8.1 && e.loadKnownAt == s.now, "sibling threads %v, want 8",
 			e.siblingThreads)
 		s.c.applyLoadReport(e, []float64{1, granted * e.ownMemoryMB / e.memoryMB})
-		require(t, e.siblingThreads < 0.01, "all busy, by ours alone: %v", e.siblingThreads)
+		require(t, e.siblingThreads < 0.01, "sibling threads %v, want 0: all granted memory is ours", e.siblingThreads)
 		s.finish(id, Done)
 		s.c.applyLoadReport(e, []float64{0, 2 * granted})
-		require(t, len(s.enginesOf(s.arrive(1, 0, 2))) == 0, "twice its memory is granted")
+		require(t, len(s.enginesOf(s.arrive(1, 0, 2))) == 0, "dispatched though twice its memory is granted")
 		s.c.applyLoadReport(e, []float64{1, 0})
-		require(t, len(s.enginesOf(s.arrive(1, 0, 3))) == 1, "drained, and used again at the first word of it")
+		require(t, len(s.enginesOf(s.arrive(1, 0, 3))) == 1, "not dispatched at the first report of an idle engine")
 	}
-	for _, f := range []RawSettings{plainSettings().set("telemetry.fields", []any{"load_share"}), // busy cores alone
-		// a share of what?
-		plainSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.size_mb", []any{})} {
-		s := newStage(t, f, 1)
+	for _, raw := range []RawSettings{testSettings().set("telemetry.fields", []any{"load_share"}), // only the busy cores
+		// granted memory of an engine of unknown size
+		testSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.size_mb", []any{})} {
+		s := newSimulation(t, raw, 1)
 		s.arrive(1, 0, 1)
 		s.c.applyLoadReport(s.c.engines[0], []float64{1, 1})
-		require(t, s.c.engines[0].loadKnownAt == 0, "taken for a report: others %v", s.c.engines[0].siblingThreads)
+		require(t, s.c.engines[0].loadKnownAt == 0, "used as a load report: sibling threads %v",
+			s.c.engines[0].siblingThreads)
 	}
 }
 
-// The failure: after a burst of 5 s the guess of what siblings hold outlived it; for 15 s engines that had drained were
-// refused, nothing was sent and so nothing heard.
+// Guards against an estimate of sibling load that outlasts a burst of 5 s: for 15 s nothing was dispatched to idle
+// engines, and so no fresh report came in.
 func TestSiblingEstimateFallsAfterBurst(t *testing.T) {
 	for _, probes := range []bool{true, false} {
-		f := plainSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.says_cost", false)
-		s := newStage(t, f.set("balancers", 40.0).set("limits.probes", probes).set("tariffs",
+		raw := testSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.says_cost", false)
+		s := newSimulation(t, raw.set("balancers", 40.0).set("limits.probes", probes).set("tariffs",
 			map[string]any{"probe": 0.01}), 12)
 		before := s.playSteadyLoad(6*second, 0.04)
-		require(t, before == 0, "%d refused in calm", before)
+		require(t, before == 0, "%d throttled at low load", before)
 		burst := s.playSteadyLoad(5*second, 0.25)
-		require(t, burst > 20, "%d refused in the burst, is it one?", burst)
+		require(t, burst > 20, "%d throttled in the burst, too few for an overload", burst)
 		drained := s.playSteadyLoad(3*second, 0.04)
 		after := s.playSteadyLoad(6*second, 0.04)
-		require(t, after == before, "probes %v: refused %d before, %d in the burst, %d and then %d after it", probes,
+		require(t, after == before, "probes %v: throttled %d before, %d in the burst, %d and then %d after it", probes,
 			before, burst,
 			drained, after)
 	}
--- a/choice/policy_test.go
+++ b/choice/policy_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxPolicyFileLines = 130 // not blank, of one file: each has one concern
+	maxPolicyFileLines = 130 // not blank, of one file
 	maxPolicyColumns   = 110
 )
 
-// TestPolicyFilesStayWithinTheirBounds: each file that decides is small enough to be read as a whole, and all of them
-// are listed in the deploy file.
+// TestPolicyFilesStayWithinTheirBounds checks that the deploy file lists policy files, and that each of them is small
+// enough to be read as a whole; each has one concern.
 func TestPolicyFilesStayWithinTheirBounds(t *testing.T) {
 	deploy, err := os.ReadFile(filepath.Join("..", "deploy", "balancer.toml"))
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	if policy == nil {
-		t.Fatal("the deploy file lists no policy")
+		t.Fatal("the deploy file lists no policy files")
 	}
 	files := regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(policy[1]), -1)
 	if len(files) == 0 || files[0][1] != "choice/choice.go" {
@@ -40,11 +40,11 @@
 				lines++
 			}
 			if columns := utf8.RuneCountInString(line); columns > maxPolicyColumns {
-				t.Errorf("%s:%d has %d columns of %d", file[1], number+1, columns, maxPolicyColumns)
+				t.Errorf("%s:%d has %d columns, at most %d are allowed", file[1], number+1, columns, maxPolicyColumns)
 			}
 		}
 		if lines > maxPolicyFileLines {
-			t.Errorf("%s has %d lines of %d", file[1], lines, maxPolicyFileLines)
+			t.Errorf("%s has %d lines, at most %d are allowed", file[1], lines, maxPolicyFileLines)
 		}
 	}
 }
--- a/choice/predecessor_test.go
+++ b/choice/predecessor_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Two processes of one controller: the older serves the jobs that it has, the newer takes new ones. To the rules they
-// are one.
+// During a handover two processes serve one controller: the older finishes its jobs, the newer admits new ones. The
+// rules apply to both together.
 
 const successorStart = Nanos(1e15)
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// newSuccessor is a controller that just started, beside a predecessor or not, with one engine.
+// newSuccessor returns a controller that just started, with one engine, and a running predecessor or none.
 func newSuccessor(predecessor bool, engineStartedAt Nanos) *Controller {
 	c := &Controller{}
 	c.Decide(successorStart, Event{Kind: Started, Seed: 1, Settings: ParseSettings(successorSettings())})
@@ -39,7 +39,7 @@
 	return c
 }
 
-// dispatchesAt is how many dispatches an event leads to, so long after the start.
+// dispatchesAt returns the number of dispatches that an event causes at a time after the start.
 func dispatchesAt(c *Controller, after Nanos, ev Event) (dispatches int) {
 	for _, a := range c.Decide(successorStart+after, ev) {
 		if a.Kind == Dispatch {
@@ -58,58 +58,58 @@
 	keyed := Event{Kind: JobArrived, Job: 1, Type: 1, Key: 7, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}
 	lookup := Event{Kind: JobArrived, Job: 1, TimeLeft: 60e9, Cost: 1e7, CostKnown: true}
 
-	t.Run("rule 5: a key pauses from the predecessor's end on", func(t *testing.T) {
+	t.Run("rule 5: an ordering key pauses after the predecessor's end", func(t *testing.T) {
 		if c := newSuccessor(false, 0); dispatchesAt(c, 1e7, keyed) != 1 {
-			t.Error("without a predecessor a key waits")
+			t.Error("a key pauses without a predecessor")
 		}
 		c := newSuccessor(true, 0)
 		if dispatchesAt(c, 1e7, keyed) != 0 || sweepAt(c, 5e8) != 0 {
-			t.Error("a key goes on while a predecessor may serve it")
+			t.Error("a job of a key is dispatched while the predecessor may serve the key")
 		}
 		c.Decide(successorStart+6e8, predecessorEnded)
 		if sweepAt(c, 6e8+5e7) != 0 {
-			t.Error("a key goes on before it has paused")
+			t.Error("a job of a key is dispatched during the pause")
 		}
 		if sweepAt(c, 6e8+11e7) != 1 {
-			t.Error("a key never goes on")
+			t.Error("no job of the key is dispatched after the pause")
 		}
 	})
 
-	t.Run("rule 4: what it sent an engine in slow start is unknown until a window after its end", func(t *testing.T) {
+	t.Run("rule 4: the predecessor's dispatches to an engine in slow start are unknown for a window", func(t *testing.T) {
 		c := newSuccessor(true, successorStart)
 		c.Decide(successorStart+2e9, predecessorEnded)
 		if dispatchesAt(c, 25e8, lookup) != 0 {
 			t.Error("an engine in slow start gets a job within a window after the predecessor's end")
 		}
 		if sweepAt(c, 31e8) != 1 {
-			t.Error("it never gets one")
+			t.Error("an engine in slow start gets no job after the window")
 		}
 		if c = newSuccessor(false, successorStart); dispatchesAt(c, 12e8, lookup) != 1 {
-			t.Error("without a predecessor an engine in slow start never gets a job")
+			t.Error("without a predecessor an engine in slow start gets no job")
 		}
 	})
 
-	t.Run("rule 7: it may have used the free part of the budget for a window", func(t *testing.T) {
+	t.Run("rule 7: the predecessor may have used the free retries of the window", func(t *testing.T) {
 		c := newSuccessor(true, 0)
 		if c.Decide(successorStart+1e9, predecessorEnded); c.retryBudgetAllows() {
-			t.Error("the free part is used twice")
+			t.Error("the free retries are allowed twice")
 		}
 		if c.now = successorStart + 61e8; !c.retryBudgetAllows() {
-			t.Error("the budget never comes back")
+			t.Error("the free retries are not allowed after the window")
 		}
 	})
 }
 
-// What an older process has learned goes over; what it cannot have learned does not.
+// A successor adopts what its predecessor learned, and ignores implausible values.
 func TestStateTransfer(t *testing.T) {
-	facts := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9},
+	raw := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9},
 		map[string]any{"name": "report", "aim_ns": 4e9}}}
-	begin := func() *Controller {
+	newController := func() *Controller {
 		c := &Controller{}
-		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: ParseSettings(facts)})
+		c.Decide(1e15, Event{Kind: Started, Seed: 1, Settings: ParseSettings(raw)})
 		return c
 	}
-	old := begin()
+	old := newController()
 	old.types[0].TypeStats = TypeStats{meanWork: 5e6, workCount: 50, costBias: -1.2, costCount: 900, memoryBias: 0.4,
 		memoryDeviation: 0.2, memoryCount: 700, bestSlowdown: 1.4, slowdown: 1.9}
 	text, err := json.Marshal(old.TypeStats())
@@ -120,11 +120,11 @@
 	if err := json.Unmarshal(text, &received); err != nil {
 		t.Fatal(err)
 	}
-	received[1].slowdown = math.Inf(1) // torn on the way
-	c := begin()
-	fresh := c.types[1].TypeStats
+	received[1].slowdown = math.Inf(1) // corrupted in transit
+	c := newController()
+	initial := c.types[1].TypeStats
 	c.Decide(1e15+1, Event{Kind: StateTransferred, TypeStats: append(received, received...)})
-	if c.types[0].TypeStats != old.types[0].TypeStats || c.types[1].TypeStats != fresh {
+	if c.types[0].TypeStats != old.types[0].TypeStats || c.types[1].TypeStats != initial {
 		t.Errorf("%+v %+v", c.types[0].TypeStats, c.types[1].TypeStats)
 	}
 	c.Decide(1e15+2, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: 1, State: Ready},
@@ -136,13 +136,13 @@
 	}
 	for _, bad := range []string{`[[1,2,3]]`, `[["x"]]`, `{}`} {
 		if json.Unmarshal([]byte(bad), &received) == nil {
-			t.Errorf("%s is read", bad)
+			t.Errorf("%s is accepted", bad)
 		}
 	}
-	for _, m := range []TypeStats{{}, {meanWork: -1, bestSlowdown: 1, slowdown: 1},
+	for _, stats := range []TypeStats{{}, {meanWork: -1, bestSlowdown: 1, slowdown: 1},
 		{meanWork: 1, bestSlowdown: 1, slowdown: 1, costBias: 99}, {meanWork: math.NaN(), bestSlowdown: 1, slowdown: 1}} {
-		if m.plausible() {
-			t.Errorf("%+v is sound", m)
+		if stats.plausible() {
+			t.Errorf("%+v counts as plausible", stats)
 		}
 	}
 }
--- a/choice/quota_test.go
+++ b/choice/quota_test.go
@@ -5,12 +5,11 @@
 	"testing"
 )
 
-// What a controller carries of the fleet is told by the fleet's owner, for a while; told by nobody, it guesses as
-// before.
+// An assigned quota applies until it expires. Without one a controller uses its own estimate.
 
 func TestAssignedQuotaReplacesEstimateUntilExpiry(t *testing.T) {
 	const start = Nanos(1e15)
-	begin := func() *Controller {
+	newController := func() *Controller {
 		c := &Controller{}
 		settings := ParseSettings(RawSettings{"balancers": 4.0,
 			"tenants":    []any{map[string]any{"quota_per_s": 100.0}},
@@ -25,38 +24,38 @@
 		c.Decide(at, Event{Kind: TimerFired, TimerID: c.timerID})
 		return c.fleet.share
 	}
-	inside := func(c *Controller) (n int) {
+	admittedJobs := func(c *Controller) (n int) {
 		for c.withinTenantQuota(0) {
 			n++
 		}
 		return n
 	}
-	c, plain := begin(), begin()
-	if sweep(c, start+1e9) != 0.25 || inside(c) != int(2*100*0.25+tenantBurstJobs) {
-		t.Errorf("told nothing: %v", c.fleet.share)
+	c, unassigned := newController(), newController()
+	if sweep(c, start+1e9) != 0.25 || admittedJobs(c) != int(2*100*0.25+tenantBurstJobs) {
+		t.Errorf("share %v without an assigned quota", c.fleet.share)
 	}
 	c.Decide(start+1e9, Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.1,
 		TenantShares: map[TenantID]float64{0: 0.6}, ExpiresAt: start + 5e9}})
 	if got := sweep(c, start+2e9); got != 0.1 {
 		t.Errorf("share %v", got)
 	}
-	if delete(c.tenants, 0); inside(c) != int(2*100*0.6+tenantBurstJobs) {
-		t.Error("the tenant's part is not taken")
+	if delete(c.tenants, 0); admittedJobs(c) != int(2*100*0.6+tenantBurstJobs) {
+		t.Error("the assigned share of the tenant's quota is not applied")
 	}
-	if got := sweep(c, start+5e9); got != sweep(plain, start+5e9) {
-		t.Errorf("past its end %v", got)
+	if got := sweep(c, start+5e9); got != sweep(unassigned, start+5e9) {
+		t.Errorf("share %v after the quota expired", got)
 	}
 	for at := start + 6e9; at < start+60e9; at += 20e6 {
 		sweep(c, at)
-		sweep(plain, at)
+		sweep(unassigned, at)
 	}
-	if d := c.fleet.share - plain.fleet.share; d > 1e-6 || d < -1e-6 {
-		t.Errorf("long past its end %v, without one %v", c.fleet.share, plain.fleet.share)
+	if d := c.fleet.share - unassigned.fleet.share; d > 1e-6 || d < -1e-6 {
+		t.Errorf("share %v long after the quota expired, %v without one", c.fleet.share, unassigned.fleet.share)
 	}
-	if delete(c.tenants, 0); inside(c) != int(2*100*0.25+tenantBurstJobs) {
-		t.Error("the tenant's part does not end")
+	if delete(c.tenants, 0); admittedJobs(c) != int(2*100*0.25+tenantBurstJobs) {
+		t.Error("the assigned share of the tenant's quota does not expire")
 	}
-	if fmt.Sprint(c.EngineViews(start+60e9)) != fmt.Sprint(plain.EngineViews(start+60e9)) {
-		t.Error("what it believes of engines is not as without a part")
+	if fmt.Sprint(c.EngineViews(start+60e9)) != fmt.Sprint(unassigned.EngineViews(start+60e9)) {
+		t.Error("engine views differ from those without a quota")
 	}
 }
--- a/choice/recording_convert_test.go
+++ b/choice/recording_convert_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// names gives values of a kind their names in a stream, both ways.
-type names[K ~uint8 | ~uint16] map[K]string
+// nameTable maps the values of an enumeration to their names in a recorded stream.
+type nameTable[K ~uint8 | ~uint16] map[K]string
 
-func (n names[K]) name(v K) string {
+func (n nameTable[K]) name(v K) string {
 	text, known := n[v]
 	if !known {
-		text = fmt.Sprint(v) // a value that the module does not know, as chaos tells them
+		text = fmt.Sprint(v) // a value without a name, as chaos sends them
 	}
 	return text
 }
 
-func (n names[K]) value(tb testing.TB, text string) K {
+func (n nameTable[K]) value(tb testing.TB, text string) K {
 	tb.Helper()
 	for v, name := range n {
 		if name == text {
@@ -26,13 +26,13 @@
 	}
 	v, err := strconv.ParseUint(text, 10, 16)
 	if err != nil {
-		tb.Fatalf("%q is no name of a %T", text, K(0))
+		tb.Fatalf("%q is not the name of a %T", text, K(0))
 	}
 	return K(v)
 }
 
 var (
-	eventNames = names[EventKind]{
+	eventNames = nameTable[EventKind]{
 		Started:            "started",
 		JobArrived:         "arrived",
 		StreamStarted:      "stream_began",
@@ -51,7 +51,7 @@
 		PredecessorChanged: "elder",
 		ClockStepped:       "clock_stepped",
 	}
-	resultNames = names[Result]{
+	resultNames = nameTable[Result]{
 		0:           "",
 		Done:        "done",
 		Failed:      "failed",
@@ -63,15 +63,15 @@
 		Superseded:  "moot",
 		DialFailed:  "dial_failed",
 	}
-	listNames = names[ListKind]{
+	listNames = nameTable[ListKind]{
 		0:          "",
 		FullList:   "whole",
 		CachedList: "cached",
 		ListDelta:  "changes",
 		ListFailed: "failed",
 	}
-	stateNames  = names[EngineState]{Removed: "", Ready: "ready", Draining: "draining"}
-	actionNames = names[ActionKind]{
+	stateNames  = nameTable[EngineState]{Removed: "", Ready: "ready", Draining: "draining"}
+	actionNames = nameTable[ActionKind]{
 		Dispatch:           "dispatch",
 		Throttle:           "throttle",
 		CancelPermanently:  "cancel_for_good",
@@ -88,8 +88,8 @@
 	}
 )
 
-// each converts a list, nil to nil.
-func each[A, B any](list []A, convert func(A) B) []B {
+// convertAll converts a list, nil to nil.
+func convertAll[A, B any](list []A, convert func(A) B) []B {
 	if list == nil {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	return out
 }
 
-// recorded is an event as it is recorded, with the settings that it was parsed from, if it has any.
+// recorded converts an event to its recorded form, with the raw settings in place of the parsed ones, if it has any.
 func recorded(ev Event, settings RawSettings) recordedEvent {
 	r := recordedEvent{
 		Kind:               eventNames.name(ev.Kind),
@@ -124,7 +124,7 @@
 		Latency:            int64(ev.Latency),
 		IsFinal:            ev.IsFinal,
 		Usage:              ev.Usage,
-		Load:               each(ev.Load, func(v float64) recordedFloat { return recordedFloat(v) }),
+		Load:               convertAll(ev.Load, func(v float64) recordedFloat { return recordedFloat(v) }),
 		Progress:           uint8(ev.Progress),
 		Amount:             recordedFloat(ev.Amount),
 		TimerID:            uint64(ev.TimerID),
@@ -139,36 +139,36 @@
 	if ev.Settings != nil {
 		r.Settings = settings
 	}
-	r.Engines = each(ev.Engines, func(l EngineEntry) recordedEngine {
-		return recordedEngine{uint32(l.Engine), uint8(l.Zone), uint16(l.Kind), uint16(l.Cell), stateNames.name(l.State),
-			recordedFloat(l.Size), int64(l.StartedAt), uint8(l.Unsupported)}
+	r.Engines = convertAll(ev.Engines, func(entry EngineEntry) recordedEngine {
+		return recordedEngine{uint32(entry.Engine), uint8(entry.Zone), uint16(entry.Kind), uint16(entry.Cell),
+			stateNames.name(entry.State), recordedFloat(entry.Size), int64(entry.StartedAt), uint8(entry.Unsupported)}
 	})
 	if p := ev.Plan; p != nil {
 		r.Plan = &recordedPlan{IdleEngines: p.IdleEngines, DemandThreads: recordedFloat(p.DemandThreads),
 			MaxDemandRatio: recordedFloat(p.MaxDemandRatio),
-			Tenants: each(p.Tenants, func(v PlanTenant) recordedPlanTenant {
+			Tenants: convertAll(p.Tenants, func(v PlanTenant) recordedPlanTenant {
 				return recordedPlanTenant{uint32(v.Tenant), recordedFloat(v.Share)}
 			}),
-			Engines: each(p.Engines, func(v PlanEngine) recordedPlanEngine {
+			Engines: convertAll(p.Engines, func(v PlanEngine) recordedPlanEngine {
 				return recordedPlanEngine{uint32(v.Engine), recordedFloat(v.Threads)}
 			}),
-			Weights: each(p.Weights, func(v PlanWeight) recordedPlanWeight {
+			Weights: convertAll(p.Weights, func(v PlanWeight) recordedPlanWeight {
 				return recordedPlanWeight{uint8(v.Type), uint32(v.Engine), recordedFloat(v.Weight)}
 			})}
 	}
 	if ev.Quota.TenantShares != nil {
 		r.Quota.TenantShares = map[uint32]recordedFloat{}
-		for id, part := range ev.Quota.TenantShares {
-			r.Quota.TenantShares[uint32(id)] = recordedFloat(part)
+		for id, share := range ev.Quota.TenantShares {
+			r.Quota.TenantShares[uint32(id)] = recordedFloat(share)
 		}
 	}
-	r.TypeStats = each(ev.TypeStats, func(m TypeStats) recordedTypeStats {
-		return recordedTypeStats{recordedFloat(m.meanWork), recordedFloat(m.workCount), recordedFloat(m.costBias),
-			recordedFloat(m.costCount),
-			recordedFloat(m.memoryBias), recordedFloat(m.memoryDeviation), recordedFloat(m.memoryCount),
-			recordedFloat(m.bestSlowdown), recordedFloat(m.slowdown)}
+	r.TypeStats = convertAll(ev.TypeStats, func(stats TypeStats) recordedTypeStats {
+		return recordedTypeStats{recordedFloat(stats.meanWork), recordedFloat(stats.workCount), recordedFloat(stats.costBias),
+			recordedFloat(stats.costCount),
+			recordedFloat(stats.memoryBias), recordedFloat(stats.memoryDeviation), recordedFloat(stats.memoryCount),
+			recordedFloat(stats.bestSlowdown), recordedFloat(stats.slowdown)}
 	})
-	r.EngineHealth = each(ev.EngineHealth, func(h EngineHealth) recordedHealth {
+	r.EngineHealth = convertAll(ev.EngineHealth, func(h EngineHealth) recordedHealth {
 		return recordedHealth{uint32(h.Engine), recordedFloat(h.LatencyRatio), recordedFloat(h.FailureRate), h.Ejected}
 	})
 	return r
@@ -196,7 +196,7 @@
 		Latency:            Nanos(r.Latency),
 		IsFinal:            r.IsFinal,
 		Usage:              r.Usage,
-		Load:               each(r.Load, func(v recordedFloat) float64 { return float64(v) }),
+		Load:               convertAll(r.Load, func(v recordedFloat) float64 { return float64(v) }),
 		Progress:           ProgressKind(r.Progress),
 		Amount:             float64(r.Amount),
 		TimerID:            TimerID(r.TimerID),
@@ -213,37 +213,38 @@
 	ev.Kind = eventNames.value(tb, r.Kind)
 	ev.Result = resultNames.value(tb, r.Result)
 	ev.List = listNames.value(tb, r.List)
-	ev.Engines = each(r.Engines, func(l recordedEngine) EngineEntry {
-		state := stateNames.value(tb, l.State)
-		return EngineEntry{EngineID(l.Engine), ZoneID(l.Zone), KindID(l.Kind), CellID(l.Cell), state, float64(l.Size),
-			Nanos(l.StartedAt), Protocols(l.Unsupported)}
+	ev.Engines = convertAll(r.Engines, func(entry recordedEngine) EngineEntry {
+		state := stateNames.value(tb, entry.State)
+		return EngineEntry{EngineID(entry.Engine), ZoneID(entry.Zone), KindID(entry.Kind), CellID(entry.Cell), state,
+			float64(entry.Size), Nanos(entry.StartedAt), Protocols(entry.Unsupported)}
 	})
 	if p := r.Plan; p != nil {
 		ev.Plan = &Plan{IdleEngines: p.IdleEngines, DemandThreads: float64(p.DemandThreads),
 			MaxDemandRatio: float64(p.MaxDemandRatio),
-			Tenants: each(p.Tenants, func(v recordedPlanTenant) PlanTenant {
+			Tenants: convertAll(p.Tenants, func(v recordedPlanTenant) PlanTenant {
 				return PlanTenant{TenantID(v.Tenant), float64(v.Share)}
 			}),
-			Engines: each(p.Engines, func(v recordedPlanEngine) PlanEngine {
+			Engines: convertAll(p.Engines, func(v recordedPlanEngine) PlanEngine {
 				return PlanEngine{EngineID(v.Engine), float64(v.Threads)}
 			}),
-			Weights: each(p.Weights, func(v recordedPlanWeight) PlanWeight {
+			Weights: convertAll(p.Weights, func(v recordedPlanWeight) PlanWeight {
 				return PlanWeight{TypeID(v.Type), EngineID(v.Engine), float64(v.Weight)}
 			})}
 	}
 	if r.Quota.TenantShares != nil {
 		ev.Quota.TenantShares = map[TenantID]float64{}
-		for id, part := range r.Quota.TenantShares {
-			ev.Quota.TenantShares[TenantID(id)] = float64(part)
+		for id, share := range r.Quota.TenantShares {
+			ev.Quota.TenantShares[TenantID(id)] = float64(share)
 		}
 	}
-	ev.TypeStats = each(r.TypeStats, func(m recordedTypeStats) TypeStats {
-		return TypeStats{meanWork: float64(m.MeanWork), workCount: float64(m.WorkCount), costBias: float64(m.CostBias),
-			costCount:  float64(m.CostCount),
-			memoryBias: float64(m.MemoryBias), memoryDeviation: float64(m.MemoryDeviation),
-			memoryCount: float64(m.MemoryCount), bestSlowdown: float64(m.BestSlowdown), slowdown: float64(m.Slowdown)}
+	ev.TypeStats = convertAll(r.TypeStats, func(stats recordedTypeStats) TypeStats {
+		return TypeStats{meanWork: float64(stats.MeanWork), workCount: float64(stats.WorkCount),
+			costBias: float64(stats.CostBias), costCount: float64(stats.CostCount),
+			memoryBias: float64(stats.MemoryBias), memoryDeviation: float64(stats.MemoryDeviation),
+			memoryCount: float64(stats.MemoryCount), bestSlowdown: float64(stats.BestSlowdown),
+			slowdown: float64(stats.Slowdown)}
 	})
-	ev.EngineHealth = each(r.EngineHealth, func(h recordedHealth) EngineHealth {
+	ev.EngineHealth = convertAll(r.EngineHealth, func(h recordedHealth) EngineHealth {
 		return EngineHealth{EngineID(h.Engine), float64(h.LatencyRatio), float64(h.FailureRate), h.Ejected}
 	})
 	return ev
--- a/choice/recording_coverage_test.go
+++ b/choice/recording_coverage_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// anySettings hold each kind of value that settings may have.
+// anySettings contains each kind of value that settings may have.
 func anySettings() RawSettings {
 	return RawSettings{
 		"balancers": 3.0,
@@ -19,7 +19,7 @@
 	}
 }
 
-// fill sets each exported field of a value, however deep, to something that is not zero.
+// fill sets a value, recursively each exported field of a struct, to something that is not zero.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -50,9 +50,9 @@
 			return
 		}
 		if v.Type() == reflect.TypeFor[TypeStats]() {
-			m := v.Addr().Interface().(*TypeStats)
-			for i, part := range m.figures() {
-				*part = float64(i) + 0.1
+			stats := v.Addr().Interface().(*TypeStats)
+			for i, figure := range stats.figures() {
+				*figure = float64(i) + 0.1
 			}
 			return
 		}
@@ -62,11 +62,11 @@
 			}
 		}
 	default:
-		panic("no filling for " + v.Kind().String())
+		panic("fill: unsupported kind " + v.Kind().String())
 	}
 }
 
-// TestRecordingsCoverEveryEventField: a field of an event that a stream would lose is seen here.
+// TestRecordingsCoverEveryEventField fails if an event field is lost in the recorded form.
 func TestRecordingsCoverEveryEventField(t *testing.T) {
 	var full Event
 	fill(reflect.ValueOf(&full).Elem())
@@ -86,17 +86,17 @@
 			t.Fatal(err)
 		}
 		if raw := RawSettings(step.Event.Settings); ev.Settings != nil && !reflect.DeepEqual(raw, anySettings()) {
-			t.Errorf("event %d: settings are read as %v", i, raw)
+			t.Errorf("event %d: settings are decoded as %v", i, raw)
 		}
 		if got := step.Event.event(t); !reflect.DeepEqual(got, ev) {
-			t.Errorf("event %d: %+v is read as %+v", i, ev, got)
+			t.Errorf("event %d: %+v is decoded as %+v", i, ev, got)
 		}
 	}
 	for i := range 9 {
-		var m TypeStats
-		*m.figures()[i] = math.E
-		if got := recorded(Event{TypeStats: []TypeStats{m}}, nil).event(t).TypeStats[0]; got != m {
-			t.Errorf("mean %d: %+v is read as %+v", i, m, got)
+		var stats TypeStats
+		*stats.figures()[i] = math.E
+		if got := recorded(Event{TypeStats: []TypeStats{stats}}, nil).event(t).TypeStats[0]; got != stats {
+			t.Errorf("type statistic %d: %+v is decoded as %+v", i, stats, got)
 		}
 	}
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), math.Copysign(0, -1), 1.0 / 3, 5e-324,
@@ -106,27 +106,28 @@
 			t.Fatal(err)
 		}
 		if got := step.Event.event(t).MemoryMB; math.Float64bits(got) != math.Float64bits(v) {
-			t.Errorf("%v is read as %v", v, got)
+			t.Errorf("%v is decoded as %v", v, got)
 		}
 	}
 }
 
-// TestDigestsCoverEveryActionField: a field whose change a digest would hide is seen here.
+// TestDigestsCoverEveryActionField fails if an action field does not change the digest.
 func TestDigestsCoverEveryActionField(t *testing.T) {
 	for i := range reflect.TypeFor[Action]().NumField() {
 		one, other := Action{Kind: Dispatch}, Action{Kind: Dispatch}
 		if fill(reflect.ValueOf(&other).Elem().Field(i)); one == other {
 			other.Kind = SendProbe
 		}
-		if digestOf([]Action{one}) == digestOf([]Action{other}) {
+		if digestActions([]Action{one}) == digestActions([]Action{other}) {
 			t.Errorf("field %s is not in the digest", reflect.TypeFor[Action]().Field(i).Name)
 		}
 	}
 	a, b := Action{Kind: Log, Text: "a"}, Action{Kind: Log, Text: "b"}
-	if digestOf([]Action{a}) != digestOf([]Action{b}) || slices.Equal(logTexts([]Action{a}), logTexts([]Action{b})) {
-		t.Error("the text of a log line is to be compared apart from the decisions")
+	if digestActions([]Action{a}) != digestActions([]Action{b}) ||
+		slices.Equal(logTexts([]Action{a}), logTexts([]Action{b})) {
+		t.Error("log texts must not be in the digest, and must be compared separately")
 	}
-	if digestOf([]Action{a, {Kind: SendProbe}}) == digestOf([]Action{{Kind: SendProbe}, a}) {
+	if digestActions([]Action{a, {Kind: SendProbe}}) == digestActions([]Action{{Kind: SendProbe}, a}) {
 		t.Error("the order of actions is not in the digest")
 	}
 }
--- a/choice/recording_digest_test.go
+++ b/choice/recording_digest_test.go
@@ -6,13 +6,13 @@
 	"math"
 )
 
-// digestOf folds the decisions of one event, in their order. Of a log line it has that there is one, not its text.
-func digestOf(acts []Action) string {
-	if len(acts) == 0 {
+// digestActions hashes the actions of one event in their order. Log and Fault texts are left out.
+func digestActions(actions []Action) string {
+	if len(actions) == 0 {
 		return ""
 	}
 	h := fnv.New64a()
-	for _, a := range acts {
+	for _, a := range actions {
 		text := a.Payload
 		if a.Kind != Log && a.Kind != Fault {
 			text += a.Text
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-func logTexts(acts []Action) (texts []string) {
-	for _, a := range acts {
+func logTexts(actions []Action) (texts []string) {
+	for _, a := range actions {
 		if a.Kind == Log || a.Kind == Fault {
 			texts = append(texts, a.Text)
 		}
@@ -36,9 +36,9 @@
 	return texts
 }
 
-// stateOf folds what a module believes, each mean to the bit, and where its chance stands: what differs here will be
-// decided otherwise some day, also where this stream ends before.
-func stateOf(c *Controller, now Nanos) string {
+// digestState hashes the state of a controller, with exact floats and the state of its random generator. A difference
+// here changes later decisions, even if the recorded stream ends before them.
+func digestState(c *Controller, now Nanos) string {
 	h := fnv.New32a()
 	put := func(values ...any) {
 		for _, v := range values {
--- a/choice/recording_test.go
+++ b/choice/recording_test.go
@@ -13,13 +13,13 @@
 	"testing"
 )
 
-// The form of recorded streams: gzipped JSON lines, one an event, under keys that are written here and follow from no
-// name of the module. A key that is not known is an error when a stream is read.
+// Recorded streams are gzipped JSON lines, one per event. Their keys are fixed here and do not depend on names in the
+// package. An unknown key is an error.
 
-// recordedFloat is a float64 that is read back to the bit, also where it is no number.
+// recordedFloat is a float64 that is decoded to the same bits, also where it is infinite or NaN.
 type recordedFloat float64
 
-// MarshalJSON writes what JSON has no number for as a string.
+// MarshalJSON writes infinities and NaN as strings, as JSON has no numbers for them.
 func (f recordedFloat) MarshalJSON() ([]byte, error) {
 	v := float64(f)
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -28,7 +28,7 @@
 	return strconv.AppendFloat(nil, v, 'g', -1, 64), nil
 }
 
-// IsZero tells what a stream leaves out: 0, but not -0.
+// IsZero reports whether omitzero leaves the value out: 0, but not -0.
 func (f recordedFloat) IsZero() bool { return math.Float64bits(float64(f)) == 0 }
 
 // UnmarshalJSON reads a number, or one of "NaN", "+Inf" and "-Inf".
@@ -38,13 +38,13 @@
 	return err
 }
 
-// recordedStep is one call of Decide: when, with what, and what came of it.
+// recordedStep is one call of Decide: its time, its event and digests of its effects.
 type recordedStep struct {
 	At    int64         `json:"at"`
 	Event recordedEvent `json:"event"`
-	// digest of the actions but for the texts of log lines; empty: none
+	// digest of the actions without log texts; empty: no actions
 	Decisions string   `json:"decisions,omitzero"`
-	State     string   `json:"state"` // digest of what the module believes afterwards
+	State     string   `json:"state"` // digest of the controller's state afterwards
 	Log       []string `json:"log,omitzero"`
 }
 
@@ -182,7 +182,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	z, err := gzip.NewReader(bufio.NewReader(file))
 	if err != nil {
 		tb.Fatal(err)
--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// Streams of events that the module was told, and what it decided: it has to decide so for ever, to the bit of each
-// mean. Where a decision is changed on purpose they are recorded anew, by the module as it stands before the next
-// subsystem: go test ./choice -run Recorded -record.
-var record = flag.Bool("record", false, "record the streams of testdata anew")
+// The streams in testdata record events and the resulting decisions, which must stay the same, with exact floats. After
+// an intended change of decisions they are recorded anew, before the next subsystem is changed:
+// go test ./choice -run Recorded -record.
+var record = flag.Bool("record", false, "record the streams in testdata anew")
 
 func streamPath(name string) string { return filepath.Join("testdata", name+".jsonl.gz") }
 
-// TestRecordedStreamsAreDecidedAsBefore holds decisions and beliefs against the streams, and log lines apart from them.
+// TestRecordedStreamsAreDecidedAsBefore compares decisions and state with the streams, and separately log texts.
 func TestRecordedStreamsAreDecidedAsBefore(t *testing.T) {
 	for name, play := range streams {
 		t.Run(name, func(t *testing.T) {
 			if *record {
-				writeStream(t, streamPath(name), recordPlay(t, play))
+				writeStream(t, streamPath(name), recordStream(t, play))
 			}
 			steps := readStream(t, streamPath(name))
 			t.Run("decisions", func(t *testing.T) { replay(t, steps, compareDecisions) })
@@ -30,7 +30,7 @@
 	}
 }
 
-// replay tells a new module the events of a stream and has each step compared with what was recorded.
+// replay sends the events of a stream to a new controller and compares each step with what was recorded.
 func replay(t *testing.T, steps []recordedStep, compare func(recordedStep, []Action, *Controller) error) {
 	t.Helper()
 	if len(steps) == 0 {
@@ -38,38 +38,38 @@
 	}
 	var c Controller
 	for i, step := range steps {
-		acts := c.Decide(Nanos(step.At), step.Event.event(t))
-		if err := compare(step, acts, &c); err != nil {
+		actions := c.Decide(Nanos(step.At), step.Event.event(t))
+		if err := compare(step, actions, &c); err != nil {
 			t.Fatalf("event %d (%s): %v", i, step.Event.Kind, err)
 		}
 	}
 }
 
-func compareDecisions(step recordedStep, acts []Action, c *Controller) error {
-	if got := digestOf(acts); got != step.Decisions {
-		return fmt.Errorf("decided otherwise: %+v", acts)
+func compareDecisions(step recordedStep, actions []Action, c *Controller) error {
+	if got := digestActions(actions); got != step.Decisions {
+		return fmt.Errorf("decisions differ: %+v", actions)
 	}
-	if got := stateOf(c, Nanos(step.At)); got != step.State {
-		return fmt.Errorf("decided alike, but what is believed differs")
+	if got := digestState(c, Nanos(step.At)); got != step.State {
+		return fmt.Errorf("decisions are the same, but the state differs")
 	}
 	return nil
 }
 
-func compareLog(step recordedStep, acts []Action, _ *Controller) error {
-	if got := logTexts(acts); !slices.Equal(got, step.Log) {
-		return fmt.Errorf("logged %q, not %q", got, step.Log)
+func compareLog(step recordedStep, actions []Action, _ *Controller) error {
+	if got := logTexts(actions); !slices.Equal(got, step.Log) {
+		return fmt.Errorf("logged %q, want %q", got, step.Log)
 	}
 	return nil
 }
 
-// recordPlay has a stage played and gives the stream of its controller.
-func recordPlay(t *testing.T, play func(*testing.T, func(*stage))) (lines [][]byte) {
+// recordStream runs a simulation and returns the recorded stream of its controller.
+func recordStream(t *testing.T, play func(*testing.T, func(*simulation))) (lines [][]byte) {
 	t.Helper()
-	play(t, func(s *stage) {
-		s.onDecide = func(ev Event, acts []Action) {
+	play(t, func(s *simulation) {
+		s.onDecide = func(ev Event, actions []Action) {
 			lines = append(lines, encodeStep(t, recordedStep{At: int64(s.now), Event: recorded(ev, s.settings),
-				Decisions: digestOf(acts),
-				State:     stateOf(&s.c, s.now), Log: logTexts(acts)}))
+				Decisions: digestActions(actions),
+				State:     digestState(&s.c, s.now), Log: logTexts(actions)}))
 		}
 	})
 	return lines
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -6,74 +6,75 @@
 	"testing"
 )
 
-// FuzzRules plays random runs under varied settings; the stage checks the rules after every step.
+// FuzzRules runs random simulations with varied settings; the simulation checks the rules after every action.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
 		r := rand.New(rand.NewSource(seed))
-		facts := plainSettings()
+		raw := testSettings()
 		keyed := map[string]any{"idempotency": "by_key", "key_scope": []string{"all", "zone", "cell"}[r.Intn(3)],
 			"repeat_window_ns": 1e9, "aim_ns": 1e9, "give_up_ns": 3e9, "gain": 2.0, "fifo_by_key": r.Intn(2) == 0}
 		placed := map[string]any{"idempotency": "repeatable", "aim_ns": 1e9, "give_up_ns": 3e9, "gain": 2.0,
 			"allowed_in": []any{1.0}, "kinds_only": []any{0.0, 1.0}}
-		facts.set("classes", append(facts.list("classes"), keyed, placed))
+		raw.set("classes", append(raw.list("classes"), keyed, placed))
 		if r.Intn(2) == 0 {
-			facts.set("invariants.further_ratio", 0.05).set("invariants.budget_free", 2.0).
+			raw.set("invariants.further_ratio", 0.05).set("invariants.budget_free", 2.0).
 				set("invariants.extra_window_ns", 2e9)
 		}
 		if r.Intn(3) == 0 {
-			facts.set("balancers", 1.0).set("limits.cancel", false).set("limits.probes", false)
+			raw.set("balancers", 1.0).set("limits.cancel", false).set("limits.probes", false)
 		}
 		if r.Intn(3) == 0 {
-			facts.set("telemetry", nil).set("invariants.order_pause_ns", 0.0).set("domain.cpu_of_kind", []any{})
+			raw.set("telemetry", nil).set("invariants.order_pause_ns", 0.0).set("domain.cpu_of_kind", []any{})
 		}
-		facts.set("tenants", []any{map[string]any{"quota_per_s": 5.0}})
-		newStage(t, facts, r.Intn(6)).chaos(r, 300)
+		raw.set("tenants", []any{map[string]any{"quota_per_s": 5.0}})
+		newSimulation(t, raw, r.Intn(6)).chaos(r, 300)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (log string) {
-		s := newStage(t, plainSettings(), 5)
+		s := newSimulation(t, testSettings(), 5)
 		for i := range 300 {
 			s.arrive(TypeID(i%3), Key(i%4), TableGroup(i%7))
-			s.pass(15 * ms)
-			log += fmt.Sprint(s.acts)
+			s.advance(15 * ms)
+			log += fmt.Sprint(s.actions)
 		}
 		return log
 	}
 	first := play()
-	require(t, play() == first, "two plays differ")
+	require(t, play() == first, "two runs with the same events differ")
 }
 
-// Settings changed in a running controller hold from the next decision on, in both directions; what was taken in
-// and what types have learned stay.
+// Changed settings apply from the next decision on, also when they are changed back. Admitted jobs and learned
+// statistics are kept.
 func TestReconfigurationAppliesAtOnceBothWays(t *testing.T) {
-	s := newStage(t, plainSettings(), 2)
-	out := s.arrive(1, 0, 1)
+	s := newSimulation(t, testSettings(), 2)
+	inFlight := s.arrive(1, 0, 1)
 	meanWork := s.c.types[1].meanWork
-	barred := plainSettings().set("limits.cancel", false)
-	barred["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
-	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(barred)})
-	require(t, s.c.jobs[out].attempt != nil && s.c.types[1].meanWork == meanWork && !s.c.settings.cancelAllowed,
-		"what was out or learned is lost")
+	restricted := testSettings().set("limits.cancel", false)
+	restricted["classes"].([]any)[1].(map[string]any)["kinds_only"] = []any{1.0}
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(restricted)})
+	require(t, s.c.jobs[inFlight].attempt != nil && s.c.types[1].meanWork == meanWork && !s.c.settings.cancelAllowed,
+		"an attempt or a learned statistic is lost, or the new settings do not apply")
 	parked := s.arrive(1, 0, 1)
-	require(t, len(s.enginesOf(parked)) == 0, "sent to an engine of a kind that the new settings bar")
-	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(plainSettings())})
-	s.pass(resampleInterval)
-	require(t, len(s.enginesOf(parked)) == 1 && s.c.settings.cancelAllowed, "the way back does not hold at once")
-	require(t, len(s.enginesOf(out)) == 1, "what was out is sent twice")
+	require(t, len(s.enginesOf(parked)) == 0, "dispatched to an engine of a kind that the new settings forbid")
+	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(testSettings())})
+	s.advance(resampleInterval)
+	require(t, len(s.enginesOf(parked)) == 1 && s.c.settings.cancelAllowed, "the restored settings do not apply at once")
+	require(t, len(s.enginesOf(inFlight)) == 1, "a job in flight is dispatched again")
 	e := s.c.engines[1]
-	memory := plainSettings().set("telemetry.fields", []any{"load_share", "x0"})
-	for range 2 { // from counts of jobs to memory granted, and back
+	memory := testSettings().set("telemetry.fields", []any{"load_share", "x0"})
+	for range 2 { // from job counts to granted memory and back
 		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(memory)})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done,
 			Load: []float64{0, (e.ownMemoryMB + 800) / e.memoryMB}})
-		require(t, e.siblingThreads > 6 && e.siblingThreads < 10, "others %v of 8 by memory", e.siblingThreads)
-		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(plainSettings())})
+		require(t, e.siblingThreads > 6 && e.siblingThreads < 10, "sibling threads %v by granted memory, want 8",
+			e.siblingThreads)
+		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(testSettings())})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.attempts))}})
-		require(t, e.siblingThreads == 0, "others %v of 0 by count", e.siblingThreads)
+		require(t, e.siblingThreads == 0, "sibling threads %v by job count, want 0", e.siblingThreads)
 	}
 }
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Settings are parsed once; each must be what a read by its path gives, however odd the settings are.
+// Parsed settings must equal what reading them by path gives, also for malformed settings.
 
 func parseJSON(t *testing.T, text string) RawSettings {
 	t.Helper()
@@ -36,15 +36,15 @@
 			for place := range 5 {
 				cores := math.Max(1, raw.number(fmt.Sprintf("domain.cpu_of_kind.%d", place), 1))
 				if got := s.cores(KindID(place)); got != cores {
-					t.Errorf("cores of kind %d: %v of %v", place, got, cores)
+					t.Errorf("cores of kind %d: got %v, want %v", place, got, cores)
 				}
 				memory := raw.number(fmt.Sprintf("domain.size_mb.%d", place), 0)
 				if got := s.memoryMB(KindID(place)); got != memory {
-					t.Errorf("memory of kind %d: %v of %v", place, got, memory)
+					t.Errorf("memory of kind %d: got %v, want %v", place, got, memory)
 				}
 				quota := raw.number(fmt.Sprintf("tenants.%d.quota_per_s", place), 1e9)
 				if got := s.tenantQuota(TenantID(place)); got != quota {
-					t.Errorf("quota of tenant %d: %v of %v", place, got, quota)
+					t.Errorf("quota of tenant %d: got %v, want %v", place, got, quota)
 				}
 			}
 		})
@@ -65,7 +65,7 @@
 			}
 			if s.cancelAllowed || s.probesAllowed || s.gossipAllowed || s.grantsHonored || s.subscribesToList ||
 				s.retryAfter != 0 {
-				t.Errorf("something is allowed: %+v", s)
+				t.Errorf("a setting is not false or 0: %+v", s)
 			}
 			if s.startCapacity != 1 || s.slowStartWork != 0 || s.drainGrace != 1e18 || !math.IsInf(s.retryRatio, 1) {
 				t.Errorf("capacity %v, work %v, grace %v, ratio %v", s.startCapacity, s.slowStartWork, s.drainGrace, s.retryRatio)
@@ -80,7 +80,7 @@
 func TestPlaceSets(t *testing.T) {
 	all, none, some := placeSet(nil), placeSet{}, placeSet{1.0, "x"}
 	if !all.contains(7) || none.contains(7) || !some.contains(1) || some.contains(7) {
-		t.Error("what a set contains")
+		t.Error("contains gives a wrong result")
 	}
 	for _, c := range []struct {
 		set, other placeSet
@@ -91,7 +91,7 @@
 		{some, all, true}, {some, none, false}, {some, some, true}, {placeSet{1.0}, some, true}, {some, placeSet{1.0}, false},
 	} {
 		if got := c.set.within(c.other); got != c.want {
-			t.Errorf("%v within %v: %v", c.set, c.other, got)
+			t.Errorf("%v within %v: got %v", c.set, c.other, got)
 		}
 	}
 }
--- a/choice/slow_start_scenario_test.go
+++ b/choice/slow_start_scenario_test.go
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// A scenario plays a fleet of controllers around an engine that starts, in virtual time: what all controllers together
-// send it in any window is held against the budget of the settings, in calls and in calls of mean work, of which 2
-// roots and 2 are chance.
+// A scenario simulates a fleet of controllers around an engine that starts, in virtual time. What all controllers
+// together send it in any window is compared with the budget n of the settings, in calls and in calls of mean work,
+// with a tolerance of 2*sqrt(n) + 2 for chance.
 
 const (
-	startedEngine    = EngineID(900)
-	firstWarmEngine  = EngineID(100)
-	warmEngines      = 7
-	coresPerEngine   = 16.0
-	startCapacity    = 0.36
-	overloadWindow   = 2 * second
-	slowStartWindow  = 14 * second
-	scenarioBegin    = Nanos(1e15)
-	scenarioStartAt  = scenarioBegin + 12*second // of the started engine
-	scenarioStep     = 5 * ms
-	scenarioUtilized = 0.85 // of the warm engines' cores, by the jobs that arrive
+	startedEngine       = EngineID(900)
+	firstWarmEngine     = EngineID(100)
+	warmEngines         = 7
+	coresPerEngine      = 16.0
+	startCapacity       = 0.36
+	overloadWindow      = 2 * second
+	slowStartWindow     = 14 * second
+	scenarioBegin       = Nanos(1e15)
+	scenarioStartAt     = scenarioBegin + 12*second // of the started engine
+	scenarioStep        = 5 * ms
+	scenarioUtilization = 0.85 // of the warm engines' cores, by the jobs that arrive
 )
 
 // scenarioType is a reservation type of the scenario.
@@ -34,38 +34,38 @@
 
 var scenarioTypes = []scenarioType{{0.3e9, 0.76, 1}, {6e9, 0.17, 3}, {10e9, 0.07, 2}}
 
-// slowStartScenario is one draw of a fleet.
+// slowStartScenario configures a simulated fleet.
 type slowStartScenario struct {
 	controllers int
 	uneven      bool  // one in four has nine times the traffic of the others
-	listDelay   Nanos // the start is listed within so long, for each at a time of its own
-	unlisted    bool  // no list has it: each finds out by itself
+	listDelay   Nanos // upper bound of the random time after which each controller sees the start listed
+	unlisted    bool  // no list reports the start: each controller must detect it
 	restarts    int   // controllers that restart during the slow start
 	skew        Nanos // of the controllers' clocks
-	wallApart   Nanos // of their wall clocks alone, by which they take turns
+	wallSkew    Nanos // of their wall clocks alone, which determine turns
 	multiple    float64
 }
 
-func (d slowStartScenario) settings(me int) RawSettings {
-	return plainSettings().
-		set("balancers", float64(d.controllers)).
-		set("me", float64(me)).
+func (scenario slowStartScenario) settings(index int) RawSettings {
+	return testSettings().
+		set("balancers", float64(scenario.controllers)).
+		set("me", float64(index)).
 		set("domain.cpu_of_kind", []any{coresPerEngine}).
 		set("domain.class_threads", []any{1.0, 3.0, 2.0}).
 		set("domain.size_mb", []any{64000.0}).
 		set("tariffs", map[string]any{"probe": 0.01}).
 		set("invariants.start_capacity", startCapacity).
-		set("invariants.fall_multiple", d.multiple).
+		set("invariants.fall_multiple", scenario.multiple).
 		set("invariants.fall_ns", float64(overloadWindow)).
 		set("invariants.warm_within_ns", float64(slowStartWindow))
 }
 
-// entries is the list of engines, with the started one's start time where that is listed.
-func (d slowStartScenario) entries(listed bool) (list []EngineEntry) {
+// entries returns the list of engines, with the started engine once its start is listed.
+func (scenario slowStartScenario) entries(listed bool) (list []EngineEntry) {
 	for e := range EngineID(warmEngines) {
 		list = append(list, EngineEntry{Engine: firstWarmEngine + e, State: Ready})
 	}
-	if d.unlisted {
+	if scenario.unlisted {
 		list = append(list, EngineEntry{Engine: startedEngine, State: Ready})
 	} else if listed {
 		list = append(list, EngineEntry{Engine: startedEngine, State: Ready, StartedAt: scenarioStartAt})
@@ -73,7 +73,8 @@
 	return list
 }
 
-// knownStart tells whether a controller was told of an engine's start, saw that it came back, or saw it refuse.
+// knownStart reports whether a controller knows that an engine started, or may have started: by a list, by a suspicion
+// or by a refusal.
 func (e *engine) knownStart() bool { return e.StartedAt > 0 || e.suspectedRestartAt > 0 || e.refusing }
 
 // slowStartCall is a dispatch to the started engine.
@@ -82,10 +83,10 @@
 	work float64
 }
 
-// pendingEnd is an attempt that will end.
+// pendingEnd is the future end of an attempt.
 type pendingEnd struct {
 	at           Nanos
-	controller   int // its number; below 0: nobody waits for it
+	controller   int // its index; below 0: its process has restarted
 	job          JobID
 	seq          AttemptSeq
 	engine       EngineID
@@ -93,7 +94,7 @@
 	result       Result
 }
 
-// pendingEnds is a heap by time.
+// pendingEnds is a heap ordered by time.
 type pendingEnds []pendingEnd
 
 func (q pendingEnds) Len() int           { return len(q) }
@@ -107,41 +108,41 @@
 }
 
 type scenarioJob struct {
-	work    float64
-	threads float64
-	engine  EngineID
-	seq     AttemptSeq
-	out     bool
+	work     float64
+	threads  float64
+	engine   EngineID
+	seq      AttemptSeq
+	inFlight bool
 }
 
 type scenarioController struct {
-	module     *Controller
+	c          *Controller
 	timers     map[TimerID]Nanos
 	jobs       map[JobID]*scenarioJob
 	lastJob    JobID
 	skew       Nanos
 	wallOffset Nanos
-	rate       float64 // of jobs, beside the others'
-	listedAt   Nanos   // it is told of the started engine
+	rate       float64 // of jobs, relative to the other controllers
+	listedAt   Nanos   // when a list reports the started engine
 	restartsAt Nanos
 }
 
-// scenarioRun is a scenario being played.
+// scenarioRun is the state of a running scenario.
 type scenarioRun struct {
 	slowStartScenario
-	seed    int64
-	random  *rand.Rand
-	now     Nanos
-	fleet   []*scenarioController
-	rates   float64 // sum over the fleet
-	inHand  map[EngineID]int
-	pending pendingEnds
-	calls   []slowStartCall
+	seed       int64
+	random     *rand.Rand
+	now        Nanos
+	fleet      []*scenarioController
+	rates      float64 // sum over the fleet
+	inFlightAt map[EngineID]int
+	pending    pendingEnds
+	calls      []slowStartCall
 }
 
-// scenarioResult is what a scenario comes to.
+// scenarioResult is the result of one or several runs.
 type scenarioResult struct {
-	calls  float64 // the most in any window, as a part of what the engine stands
+	calls  float64 // the maximum in any window, relative to what the engine tolerates
 	works  float64 // likewise, of work in calls of mean work
 	used   float64 // part of the budget that was used over the slow start
 	budget float64 // in calls a window, at the start
@@ -155,19 +156,19 @@
 	return mean
 }
 
-// play plays the scenario from a seed.
-func (d slowStartScenario) play(seed int64) scenarioResult {
-	run := &scenarioRun{slowStartScenario: d, seed: seed, random: rand.New(rand.NewSource(seed)), now: scenarioBegin,
-		inHand: map[EngineID]int{}}
-	for i := range d.controllers {
+// play runs the scenario with a seed.
+func (scenario slowStartScenario) play(seed int64) scenarioResult {
+	run := &scenarioRun{slowStartScenario: scenario, seed: seed, random: rand.New(rand.NewSource(seed)),
+		now: scenarioBegin, inFlightAt: map[EngineID]int{}}
+	for i := range scenario.controllers {
 		run.addController(i)
 	}
-	end := scenarioStartAt + slowStartWindow - d.skew // clocks that are apart end the slow start apart
+	end := scenarioStartAt + slowStartWindow - scenario.skew // with skewed clocks the slow start ends at different times
 	for ; run.now < end; run.now += scenarioStep {
 		run.endAttempts()
 		for i := range run.fleet {
-			run.passTime(i)
-			run.sendJobs(i)
+			run.advance(i)
+			run.submitJobs(i)
 		}
 	}
 	return run.result()
@@ -177,8 +178,8 @@
 	o := &scenarioController{rate: 1, restartsAt: math.MaxInt64}
 	o.listedAt = scenarioStartAt + Nanos(run.random.Float64()*float64(run.listDelay))
 	o.skew = Nanos((run.random.Float64() - 0.5) * float64(run.skew))
-	if run.wallApart > 0 { // other scenarios draw as before
-		o.wallOffset = Nanos((run.random.Float64() - 0.5) * float64(run.wallApart))
+	if run.wallSkew > 0 { // without a skew no random number is drawn
+		o.wallOffset = Nanos((run.random.Float64() - 0.5) * float64(run.wallSkew))
 	}
 	if run.uneven && i%4 == 0 {
 		o.rate = 9
@@ -191,10 +192,10 @@
 	run.start(i)
 }
 
-// start starts a controller's process: nobody waits any more for what an older one had out.
+// start starts a controller's process; results of an earlier process's attempts are discarded.
 func (run *scenarioRun) start(i int) {
 	o := run.fleet[i]
-	o.module = &Controller{}
+	o.c = &Controller{}
 	o.timers = map[TimerID]Nanos{}
 	o.jobs = map[JobID]*scenarioJob{}
 	for q := range run.pending {
@@ -211,18 +212,18 @@
 
 func (run *scenarioRun) handle(i int, ev Event) {
 	o := run.fleet[i]
-	for _, a := range slices.Clone(o.module.Decide(run.now+o.skew, ev)) {
-		run.carryOut(i, a)
+	for _, a := range slices.Clone(o.c.Decide(run.now+o.skew, ev)) {
+		run.apply(i, a)
 	}
 }
 
-func (run *scenarioRun) carryOut(i int, a Action) {
+func (run *scenarioRun) apply(i int, a Action) {
 	o := run.fleet[i]
 	switch a.Kind {
 	case SetTimer:
 		o.timers[a.TimerID] = run.now + a.Duration
 	case SendProbe:
-		ev := Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: []float64{float64(run.inHand[a.Engine])}}
+		ev := Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: []float64{float64(run.inFlightAt[a.Engine])}}
 		if run.refuses(a.Engine) {
 			ev.Result, ev.Load = Unreachable, nil
 		}
@@ -230,17 +231,17 @@
 	case Dispatch:
 		run.dispatch(i, a)
 	case CancelAttempt:
-		if j := o.jobs[a.Job]; j != nil && j.out {
+		if j := o.jobs[a.Job]; j != nil && j.inFlight {
 			run.cancel(i, a.Job)
 		}
 	case Throttle, CancelPermanently:
-		if j := o.jobs[a.Job]; j != nil && !j.out {
+		if j := o.jobs[a.Job]; j != nil && !j.inFlight {
 			delete(o.jobs, a.Job)
 		}
 	}
 }
 
-// refuses tells whether an engine refuses connections: it has not started yet.
+// refuses reports whether an engine refuses connections because it has not started yet.
 func (run *scenarioRun) refuses(id EngineID) bool {
 	return id == startedEngine && run.now < scenarioStartAt
 }
@@ -248,15 +249,15 @@
 func (run *scenarioRun) dispatch(i int, a Action) {
 	o := run.fleet[i]
 	j := o.jobs[a.Job]
-	j.engine, j.out = a.Engine, true
+	j.engine, j.inFlight = a.Engine, true
 	took := Nanos(j.work / j.threads * (1 + 0.2*run.random.Float64()))
 	end := pendingEnd{at: run.now + took, controller: i, job: a.Job, seq: j.seq, engine: a.Engine, dispatchedAt: run.now,
 		result: Done}
 	if run.refuses(a.Engine) {
 		end.at, end.result = run.now+ms, Unreachable
 	} else {
-		run.inHand[a.Engine]++
-		if a.Engine == startedEngine && o.module.engineByID(startedEngine).knownStart() {
+		run.inFlightAt[a.Engine]++
+		if a.Engine == startedEngine && o.c.engineByID(startedEngine).knownStart() {
 			run.calls = append(run.calls, slowStartCall{run.now, j.work})
 		}
 	}
@@ -274,12 +275,12 @@
 	}
 }
 
-// endAttempts ends the attempts that are due.
+// endAttempts reports the attempts that are due to end.
 func (run *scenarioRun) endAttempts() {
 	for len(run.pending) > 0 && run.pending[0].at <= run.now {
 		end := heap.Pop(&run.pending).(pendingEnd)
 		if end.result != Unreachable {
-			run.inHand[end.engine]--
+			run.inFlightAt[end.engine]--
 		}
 		if end.controller < 0 {
 			continue
@@ -289,7 +290,7 @@
 		if j == nil {
 			continue
 		}
-		j.out = false
+		j.inFlight = false
 		ev := Event{Kind: AttemptEnded, Job: end.job, Seq: end.seq, Engine: end.engine, Result: end.result,
 			Latency: run.now - end.dispatchedAt, IsFinal: end.result == Done}
 		if end.result == Done {
@@ -297,14 +298,14 @@
 			ev.Usage = uint32(min(j.work/1e6, 1<<20-1)) << 12
 		}
 		if end.result != Unreachable {
-			ev.Load = []float64{float64(run.inHand[end.engine])}
+			ev.Load = []float64{float64(run.inFlightAt[end.engine])}
 		}
 		run.handle(end.controller, ev)
 	}
 }
 
-// passTime restarts a controller, lists the started engine and fires timers, as they are due.
-func (run *scenarioRun) passTime(i int) {
+// advance restarts a controller, lists the started engine and fires timers where these are due.
+func (run *scenarioRun) advance(i int) {
 	o := run.fleet[i]
 	if run.now >= o.restartsAt {
 		o.restartsAt = math.MaxInt64
@@ -322,10 +323,11 @@
 	}
 }
 
-// sendJobs has the clients of a controller send what comes in a step.
-func (run *scenarioRun) sendJobs(i int) {
+// submitJobs submits the jobs that arrive at a controller in one step.
+func (run *scenarioRun) submitJobs(i int) {
 	o := run.fleet[i]
-	perSecond := scenarioUtilized * coresPerEngine * warmEngines * float64(second) / meanScenarioWork() // over all
+	// over all controllers
+	perSecond := scenarioUtilization * coresPerEngine * warmEngines * float64(second) / meanScenarioWork()
 	for expect := perSecond * o.rate / run.rates * 0.005; run.random.Float64() < expect; expect-- {
 		typ, p := 0, run.random.Float64()
 		for p -= scenarioTypes[0].share; p > 0 && typ < 2; p -= scenarioTypes[typ].share {
@@ -340,13 +342,13 @@
 	}
 }
 
-// allowed is the calls that the settings allow in a window from a time on.
+// allowed returns the number of calls that the settings allow in a window that begins at a time.
 func (run *scenarioRun) allowed(at Nanos) float64 {
 	warm := min(1, float64(at-scenarioStartAt)/float64(slowStartWindow))
 	return run.budget() * (1 + (1/startCapacity-1)*warm)
 }
 
-// budget is the calls that they allow in the first window.
+// budget returns the number of calls that the settings allow in the first window.
 func (run *scenarioRun) budget() float64 {
 	return run.multiple * startCapacity * coresPerEngine * float64(overloadWindow) / meanScenarioWork()
 }
@@ -366,10 +368,10 @@
 			count++
 			sum += call.work / meanScenarioWork()
 		}
-		stands := run.allowed(first.at)
-		stands += 2*math.Sqrt(stands) + 2
-		r.calls = max(r.calls, count/stands)
-		r.works = max(r.works, sum/stands)
+		tolerated := run.allowed(first.at)
+		tolerated += 2*math.Sqrt(tolerated) + 2
+		r.calls = max(r.calls, count/tolerated)
+		r.works = max(r.works, sum/tolerated)
 	}
 	r.used = float64(len(run.calls)) / allowedCalls
 	return r
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -6,52 +6,52 @@
 )
 
 func TestDrainingEngineGetsNothingAndFlappingListRetainsSlowStartBudget(t *testing.T) {
-	s := newStage(t, plainSettings(), 1)
+	s := newSimulation(t, testSettings(), 1)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Draining})
-	require(t, len(s.enginesOf(s.arrive(0, 0, 1))) == 0, "sent to a draining engine")
+	require(t, len(s.enginesOf(s.arrive(0, 0, 1))) == 0, "dispatched to a draining engine")
 	s.now += 2 * second
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	e := s.c.engines[len(s.c.engines)-1]
 	e.slowStartWork = append(e.slowStartWork, timedWork{s.now, 1})
-	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready}) // the failure: a list that flaps renewed the budget
-	require(t, len(e.slowStartWork) > 0, "a list that flaps renews the budget")
+	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready}) // a flapping list must not reset the slow-start budget
+	require(t, len(e.slowStartWork) > 0, "a flapping list reset the slow-start budget")
 }
 
-// The failure: engines restarted while the list was out of reach, looked emptiest, and were pushed over.
+// Guards against overloading engines that restart while the list is unreachable and then look idle.
 func TestUnreportedRestartBeginsSlowStart(t *testing.T) {
-	s := newStage(t, plainSettings(), 2)
+	s := newSimulation(t, testSettings(), 2)
 	refused, empty := s.c.engines[0], s.c.engines[1]
 	s.c.recordOutcome(refused, Unreachable, 0)
-	require(t, s.c.slowStartFraction(empty) < 1, "it may have restarted too")
+	require(t, s.c.slowStartFraction(empty) < 1, "an engine not seen since the outage began is not in slow start")
 	s.handle(Event{Kind: ProbeCompleted, Engine: empty.Engine, Result: Done})
-	require(t, s.c.slowStartFraction(empty) == 1, "it is heard of")
+	require(t, s.c.slowStartFraction(empty) == 1, "an engine that answered a probe is still in slow start")
 	s.handle(Event{Kind: ProbeCompleted, Engine: refused.Engine, Result: Done})
-	require(t, s.c.slowStartFraction(refused) < 1, "it answers again")
-	s.pass(outageDuration)
+	require(t, s.c.slowStartFraction(refused) < 1, "an engine that refused and answers again is not in slow start")
+	s.advance(outageDuration)
 	s.c.fleet.contention = 1
 	s.c.applyLoadReport(empty, []float64{2})
-	require(t, s.c.slowStartFraction(empty) == 1, "two of eight jobs")
+	require(t, s.c.slowStartFraction(empty) == 1, "two of eight expected jobs suggest a restart")
 	s.c.applyLoadReport(empty, []float64{0})
-	require(t, s.c.slowStartFraction(empty) < 1, "empty in a busy fleet")
+	require(t, s.c.slowStartFraction(empty) < 1, "an idle engine in a busy fleet does not suggest a restart")
 	require(t, strings.Count(s.logText, "engine restart suspected") == 1, "%v", s.logText)
 }
 
-// The failure: by even parts an engine in slow start gets nothing from hundreds of controllers, by looser ones it
-// falls over.
+// Guards against dividing the slow-start budget among hundreds of controllers without turns: with even parts the engine
+// gets no jobs, with larger ones it is overloaded.
 func TestSlowStartTurnsBoundAllControllersTogether(t *testing.T) {
 	const n, steps = 100, 80
-	var stages []*stage
+	var simulations []*simulation
 	for i := range n {
-		s := newStage(t, plainSettings().set("balancers", float64(n)).set("me", float64(i)), 1)
+		s := newSimulation(t, testSettings().set("balancers", float64(n)).set("me", float64(i)), 1)
 		s.now += 2 * second
 		s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
-		stages = append(stages, s)
+		simulations = append(simulations, s)
 	}
 	work, sum := [steps]float64{}, 0.0
 	for step := range steps {
-		for _, s := range stages {
-			work[step] += 0.1 * float64(len(s.enginesOf(s.arrive(0, 0, 1)))) // jobs of 0.1 s
-			s.pass(100 * ms)
+		for _, s := range simulations {
+			work[step] += 0.1 * float64(len(s.enginesOf(s.arrive(0, 0, 1)))) // each job is 0.1 s of work
+			s.advance(100 * ms)
 		}
 		window := 0.0
 		for _, w := range work[max(0, step-9) : step+1] {
@@ -60,21 +60,21 @@
 		sum += work[step]
 		require(t, window <= 2*0.4*8, "%v s of work within a second, step %d", window, step)
 	}
-	require(t, sum > 2, "all together sent only %v s of work", sum)
+	require(t, sum > 2, "all controllers together sent only %v s of work", sum)
 }
 
-// The failure: an engine that had been cold was empty for our own restraint, and taken for just started for ever.
+// Guards against an endless slow start: an engine kept idle by its slow start looks as if it restarted again.
 func TestEngineAfterSlowStartIsNoSuspectedRestart(t *testing.T) {
-	s := newStage(t, plainSettings(), 1)
+	s := newSimulation(t, testSettings(), 1)
 	s.list(ListDelta, EngineEntry{Engine: 100, State: Ready, StartedAt: s.now})
 	s.now += s.c.settings.slowStartWindow + second
 	s.c.now, s.c.fleet.contention = s.now, 1
 	s.c.applyLoadReport(s.c.engines[0], []float64{0})
-	require(t, s.c.slowStartFraction(s.c.engines[0]) == 1, "cold again")
+	require(t, s.c.slowStartFraction(s.c.engines[0]) == 1, "in slow start again")
 }
 
-// A dial that failed without a refusal says nothing of a restart if an older connection answers after it. A newer one,
-// or one of unknown age, may be that of an engine that has just started; so may any after a refusal.
+// A dial that failed without a refusal is no sign of a restart if the engine later answers over an older connection. It
+// may have restarted if the connection is newer or of unknown age, or after a refusal.
 func TestADialThatFailedIsNoRestartIfAnOlderConnectionAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		failed      []Result
@@ -90,13 +90,13 @@
 		"refused after a dial":   {[]Result{DialFailed, Unreachable}, func(at Nanos) Nanos { return at - 1 }, true},
 		"dialled after refusal":  {[]Result{Unreachable, DialFailed}, func(at Nanos) Nanos { return at - 1 }, true},
 	} {
-		s := newStage(t, plainSettings(), 3)
-		s.pass(20 * second)
+		s := newSimulation(t, testSettings(), 3)
+		s.advance(20 * second)
 		e := s.c.engines[1]
 		failedAt := s.c.now
 		for _, result := range c.failed {
 			s.c.recordOutcome(e, result, 0)
-			require(t, s.c.inSlowStart(e), "%s: it counts as warm before it is heard", name)
+			require(t, s.c.inSlowStart(e), "%s: not in slow start before it answers", name)
 			s.c.now += second / 10
 		}
 		s.c.markSeen(e, c.connectedAt(failedAt))
--- a/choice/stage_chaos_test.go
+++ b/choice/stage_chaos_test.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// chaos plays a seeded random run: outcomes, progress, probes, lists and clients as bad as they come.
-func (s *stage) chaos(r *rand.Rand, steps int) {
-	s.slowProbes = true
+// chaos runs random steps with arbitrary outcomes, progress reports, probe results, engine lists and disconnects.
+func (s *simulation) chaos(r *rand.Rand, steps int) {
+	s.manualProbes = true
 	for range steps {
 		for n := r.Intn(3); n > 0; n-- {
 			s.arriveAs(s.randomJob(r))
@@ -25,12 +25,12 @@
 		}
 		s.probes = nil
 		s.randomList(r)
-		s.pass(Nanos(1+r.Intn(8)) * 5 * ms)
+		s.advance(Nanos(1+r.Intn(8)) * 5 * ms)
 	}
-	s.calmDown()
+	s.settle()
 }
 
-func (s *stage) randomJob(r *rand.Rand) Event {
+func (s *simulation) randomJob(r *rand.Rand) Event {
 	ev := Event{
 		Type:      TypeID(r.Intn(len(s.settings.list("classes")))),
 		Tenant:    TenantID(r.Intn(3)),
@@ -52,9 +52,9 @@
 	return ev
 }
 
-// randomOutcome may end the attempt of a job that is out, or report its progress.
-func (s *stage) randomOutcome(r *rand.Rand, j *stagedJob) {
-	i := slices.IndexFunc(j.attempts, (*stagedAttempt).isOut)
+// randomOutcome may end the attempt of a job in flight, or report its progress.
+func (s *simulation) randomOutcome(r *rand.Rand, j *simulatedJob) {
+	i := slices.IndexFunc(j.attempts, (*simulatedAttempt).inFlight)
 	if i < 0 {
 		return
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// randomList may change the list of engines, or send events of what is not known.
-func (s *stage) randomList(r *rand.Rand) {
+// randomList may change the engine list, or send events about unknown jobs and timers.
+func (s *simulation) randomList(r *rand.Rand) {
 	id := EngineID(100 + r.Intn(5))
 	entry := EngineEntry{Engine: id, State: Ready, Zone: ZoneID(id % 2)}
 	switch r.Intn(25) {
@@ -94,60 +94,60 @@
 	}
 }
 
-// calmDown lets all attempts end well: every job must end, and every table become empty.
-func (s *stage) calmDown() {
+// settle lets all attempts succeed: every job must end, and all tables must become empty.
+func (s *simulation) settle() {
 	for range 1000 {
 		for _, j := range slices.Clone(s.admitted) {
-			if j.out() {
+			if j.inFlight() {
 				s.finish(j.ev.Job, Done)
 			}
 		}
-		s.pass(20 * ms)
+		s.advance(20 * ms)
 	}
 	if n := len(s.c.jobs) + len(s.c.orderings) + len(s.c.buckets) + len(s.c.tenants); n != 0 {
-		s.t.Fatalf("%d entries stay in tables after all is over", n)
+		s.t.Fatalf("%d entries remain in tables after all jobs ended", n)
 	}
 }
 
-func (s *stage) reported(id EngineID) []float64 {
-	if s.load == nil {
+func (s *simulation) reportedLoad(id EngineID) []float64 {
+	if s.loadReport == nil {
 		return nil
 	}
-	return s.load(id)
+	return s.loadReport(id)
 }
 
-// hums plays a short job each 100 ms, each fourth a long one, answered after their work, while siblings hold a part
-// of each engine's memory, of which alone reports tell. It returns how many of the jobs taken were throttled.
-func (s *stage) playSteadyLoad(span Nanos, siblings float64) (refused int) {
-	s.load = func(id EngineID) []float64 {
-		granted := siblings * s.settings.number("domain.size_mb.0", 1)
+// playSteadyLoad submits a job each 100 ms, every fourth one long, and completes it once its work is done. Siblings
+// hold a share of each engine's memory, and load reports contain only memory. It returns the number of throttled jobs.
+func (s *simulation) playSteadyLoad(duration Nanos, siblingMemory float64) (throttled int) {
+	s.loadReport = func(id EngineID) []float64 {
+		granted := siblingMemory * s.settings.number("domain.size_mb.0", 1)
 		for _, j := range s.admitted {
-			if j.out() && j.attempts[len(j.attempts)-1].engine == id {
+			if j.inFlight() && j.attempts[len(j.attempts)-1].engine == id {
 				granted += j.ev.MemoryMB
 			}
 		}
 		return []float64{1, granted / s.settings.number("domain.size_mb.0", 1)}
 	}
-	first, end := s.nextID+1, s.now+span
+	first, end := s.lastID+1, s.now+duration
 	for s.now < end {
 		typ := TypeID(0)
-		if s.nextID%4 == 0 {
+		if s.lastID%4 == 0 {
 			typ = 1
 		}
-		s.arrive(typ, 0, TableGroup(s.nextID%7))
+		s.arrive(typ, 0, TableGroup(s.lastID%7))
 		for range 5 {
-			s.pass(20 * ms)
+			s.advance(20 * ms)
 			for _, j := range slices.Clone(s.admitted) {
-				if j.out() && s.now-j.attempts[len(j.attempts)-1].dispatchedAt >= j.ev.Cost/2 {
+				if j.inFlight() && s.now-j.attempts[len(j.attempts)-1].dispatchedAt >= j.ev.Cost/2 {
 					s.finish(j.ev.Job, Done)
 				}
 			}
 		}
 	}
-	for id := first; id <= s.nextID; id++ {
+	for id := first; id <= s.lastID; id++ {
 		if s.jobs[id].endedBy == Throttle {
-			refused++
+			throttled++
 		}
 	}
-	return refused
+	return throttled
 }
--- a/choice/stage_rules_test.go
+++ b/choice/stage_rules_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// check holds an action against the rules, and takes it into the stage's state.
-func (s *stage) check(a Action) {
+// checkAction checks the rules for an action and records it.
+func (s *simulation) checkAction(a Action) {
 	j := s.jobs[a.Job]
 	switch a.Kind {
 	case SetTimer:
@@ -25,44 +25,44 @@
 		j.ended, j.endedBy = true, a.Kind
 	case Dispatch:
 		s.checkDispatch(j, a)
-		j.attempts = append(j.attempts, &stagedAttempt{engine: a.Engine, dispatchedAt: s.now})
+		j.attempts = append(j.attempts, &simulatedAttempt{engine: a.Engine, dispatchedAt: s.now})
 	}
 }
 
-// classPath is the path of a setting of a job's type.
-func classPath(j *stagedJob, name string) string {
+// classPath returns the path of a setting of a job's type.
+func classPath(j *simulatedJob, name string) string {
 	return fmt.Sprintf("classes.%d.%s", j.ev.Type, name)
 }
 
-// checkFinalAnswer holds rules 1 and 2 for answers.
-func (s *stage) checkFinalAnswer(j *stagedJob, a Action) {
-	effect := s.settings.text(classPath(j, "idempotency"))
-	throttledUnsure := a.Kind == Throttle && j.unsure()
+// checkFinalAnswer checks rules 1 and 2 for final answers.
+func (s *simulation) checkFinalAnswer(j *simulatedJob, a Action) {
+	idempotency := s.settings.text(classPath(j, "idempotency"))
+	unsafeThrottle := a.Kind == Throttle && j.anyMayHaveRun()
 	switch {
 	case j.ended:
 		s.t.Fatalf("rule 1: a second final answer for job %d", a.Job)
-	case throttledUnsure && effect == "once":
+	case unsafeThrottle && idempotency == "once":
 		s.t.Fatalf("rule 2: run-once job %d throttled though it may have run", a.Job)
-	case throttledUnsure && effect == "by_key" && s.settings.text(classPath(j, "key_scope")) != "all":
-		s.t.Fatalf("rule 2: keyed job %d throttled outside its group", a.Job)
+	case unsafeThrottle && idempotency == "by_key" && s.settings.text(classPath(j, "key_scope")) != "all":
+		s.t.Fatalf("rule 2: keyed job %d throttled though not all engines drop its repeats", a.Job)
 	}
 }
 
-// checkDispatch holds all rules for a dispatch.
-func (s *stage) checkDispatch(j *stagedJob, a Action) {
+// checkDispatch checks all rules for a dispatch.
+func (s *simulation) checkDispatch(j *simulatedJob, a Action) {
 	entry, known := s.entries[a.Engine]
 	unavailableSince, unavailable := s.unavailableSince[a.Engine]
 	switch {
-	case j.ended || s.now > j.at+max(0, j.ev.TimeLeft):
+	case j.ended || s.now > j.arrivedAt+max(0, j.ev.TimeLeft):
 		s.t.Fatalf("rule 1: job %d dispatched after its end", a.Job)
-	case j.out():
-		s.t.Fatalf("job %d has two attempts out", a.Job)
+	case j.inFlight():
+		s.t.Fatalf("rule 1: job %d has two attempts in flight", a.Job)
 	case !known:
 		s.t.Fatalf("job %d dispatched to unknown engine %d", a.Job, a.Engine)
 	case unavailable && s.now > unavailableSince+s.settings.nanos("invariants.drain_grace_ns"):
 		s.t.Fatalf("rule 3: job %d dispatched to engine %d that drains or is removed", a.Job, a.Engine)
 	case len(j.attempts) >= int(s.settings.number("limits.most_tries", 1)):
-		s.t.Fatalf("job %d dispatched too often", a.Job)
+		s.t.Fatalf("job %d dispatched more often than limits.most_tries allows", a.Job)
 	}
 	s.checkRepeat(j, entry)
 	s.checkOrder(j)
@@ -71,23 +71,23 @@
 	s.checkSlowStart(j, entry)
 }
 
-// checkRepeat holds rule 2 for a job that may have run.
-func (s *stage) checkRepeat(j *stagedJob, entry EngineEntry) {
-	effect := s.settings.text(classPath(j, "idempotency"))
-	if !j.unsure() || effect == "repeatable" {
+// checkRepeat checks rule 2 for a job that may have run.
+func (s *simulation) checkRepeat(j *simulatedJob, entry EngineEntry) {
+	idempotency := s.settings.text(classPath(j, "idempotency"))
+	if !j.anyMayHaveRun() || idempotency == "repeatable" {
 		return
 	}
-	first := j.attempts[slices.IndexFunc(j.attempts, (*stagedAttempt).mayHaveRun)]
-	was, scope := s.entries[first.engine], s.settings.text(classPath(j, "key_scope"))
+	first := j.attempts[slices.IndexFunc(j.attempts, (*simulatedAttempt).mayHaveRun)]
+	firstEntry, scope := s.entries[first.engine], s.settings.text(classPath(j, "key_scope"))
 	windowOver := s.now > first.dispatchedAt+s.settings.nanos(classPath(j, "repeat_window_ns"))
-	if effect == "once" || windowOver ||
-		(scope == "zone" && was.Zone != entry.Zone) || (scope == "cell" && was.Cell != entry.Cell) {
-		s.t.Fatalf("rule 2: job %d (%s) dispatched again though it may have run", j.ev.Job, effect)
+	if idempotency == "once" || windowOver ||
+		(scope == "zone" && firstEntry.Zone != entry.Zone) || (scope == "cell" && firstEntry.Cell != entry.Cell) {
+		s.t.Fatalf("rule 2: job %d (%s) dispatched again though it may have run", j.ev.Job, idempotency)
 	}
 }
 
-// checkOrder holds rule 5.
-func (s *stage) checkOrder(j *stagedJob) {
+// checkOrder checks rule 5.
+func (s *simulation) checkOrder(j *simulatedJob) {
 	if !s.settings.flag(classPath(j, "fifo_by_key")) || j.ev.Key == 0 {
 		return
 	}
@@ -96,14 +96,14 @@
 			return
 		}
 		if o.ev.Key == j.ev.Key && s.settings.flag(classPath(o, "fifo_by_key")) &&
-			(!o.ended || o.out() || s.now < o.pausedUntil) {
-			s.t.Fatalf("rule 5: job %d dispatched before its key's turn", j.ev.Job)
+			(!o.ended || o.inFlight() || s.now < o.pausedUntil) {
+			s.t.Fatalf("rule 5: job %d dispatched before an earlier job of its key ended, or during the pause", j.ev.Job)
 		}
 	}
 }
 
-// checkPlace holds rule 6 for zones and kinds.
-func (s *stage) checkPlace(j *stagedJob, entry EngineEntry) {
+// checkPlace checks rule 6 for zones and kinds.
+func (s *simulation) checkPlace(j *simulatedJob, entry EngineEntry) {
 	zones, kinds := s.settings.list(classPath(j, "allowed_in")), s.settings.list(classPath(j, "kinds_only"))
 	if (zones != nil && !slices.Contains(zones, any(float64(entry.Zone)))) ||
 		(kinds != nil && !slices.Contains(kinds, any(float64(entry.Kind)))) {
@@ -111,32 +111,32 @@
 	}
 }
 
-// checkRetryBudget holds rule 7.
-func (s *stage) checkRetryBudget(j *stagedJob) {
+// checkRetryBudget checks rule 7.
+func (s *simulation) checkRetryBudget(j *simulatedJob) {
 	ratio := s.settings.number("invariants.further_ratio", -1)
 	if ratio < 0 || len(j.attempts) == 0 {
 		return
 	}
-	s.further = append(s.further, s.now)
+	s.retriedAt = append(s.retriedAt, s.now)
 	since := s.now - s.settings.nanos("invariants.extra_window_ns")
 	retries, admitted := 0.0, 0.0
-	for _, at := range s.further {
+	for _, at := range s.retriedAt {
 		if at > since {
 			retries++
 		}
 	}
 	for _, o := range s.jobs {
-		if o.at > since {
+		if o.arrivedAt > since {
 			admitted++
 		}
 	}
 	if retries > s.settings.number("invariants.budget_free", 0)+ratio*admitted {
-		s.t.Fatalf("rule 7: %v further dispatches for %v jobs admitted", retries, admitted)
+		s.t.Fatalf("rule 7: %v retries for %v admitted jobs", retries, admitted)
 	}
 }
 
-// checkSlowStart holds rule 4 as far as one controller can break it alone.
-func (s *stage) checkSlowStart(j *stagedJob, entry EngineEntry) {
+// checkSlowStart checks rule 4 as far as a single controller can break it.
+func (s *simulation) checkSlowStart(j *simulatedJob, entry EngineEntry) {
 	if entry.StartedAt == 0 || s.now-entry.StartedAt >= s.settings.nanos("invariants.warm_within_ns") {
 		return
 	}
--- a/choice/stage_test.go
+++ b/choice/stage_test.go
@@ -6,41 +6,42 @@
 	"testing"
 )
 
-// clientGone marks a staged job whose client left.
+// clientDisconnected is the value of endedBy for a job whose client disconnected.
 const clientDisconnected = ActionKind(250)
 
-// stage plays the world around one controller and checks the seven rules after every action.
-type stage struct {
+// simulation simulates the clients, engines and discovery of one controller in virtual time, and checks the rules of
+// the package comment after every action.
+type simulation struct {
 	t                testing.TB
 	c                Controller
 	now              Nanos
 	settings         RawSettings
-	jobs             map[JobID]*stagedJob
-	admitted         []*stagedJob
-	entries          map[EngineID]EngineEntry
-	unavailableSince map[EngineID]Nanos // when the engine was told to be draining or gone
+	jobs             map[JobID]*simulatedJob
+	admitted         []*simulatedJob          // by arrival, until they have ended and their keys no longer pause
+	entries          map[EngineID]EngineEntry // as last listed
+	unavailableSince map[EngineID]Nanos       // when the engine was listed as draining or removed
 	timers           map[TimerID]Nanos
-	probes           []EngineID
-	slowProbes       bool // chaos answers them when it likes
+	probes           []EngineID // sent
+	manualProbes     bool       // probes are answered by the test, not at once
 	slowStartWork    map[EngineID][]timedWork
-	nextID           JobID
-	further          []Nanos
-	acts             []Action // of the last event
-	logText          string   // logged
+	lastID           JobID
+	retriedAt        []Nanos
+	actions          []Action // of the last event
+	logText          string
 	onDecide         func(Event, []Action)
-	load             func(EngineID) []float64 // what reports tell, where they come
+	loadReport       func(EngineID) []float64 // content of load reports; nil: none are sent
 }
 
-type stagedJob struct {
+type simulatedJob struct {
 	ev          Event
-	at          Nanos
+	arrivedAt   Nanos
 	ended       bool
 	endedBy     ActionKind
-	attempts    []*stagedAttempt
-	pausedUntil Nanos // its key's rest after its last unsure outcome
+	attempts    []*simulatedAttempt
+	pausedUntil Nanos // pause of its key after the last unknown outcome
 }
 
-type stagedAttempt struct {
+type simulatedAttempt struct {
 	engine          EngineID
 	dispatchedAt    Nanos
 	ended           bool
@@ -48,25 +49,27 @@
 	result          Result
 }
 
-func (s *stagedAttempt) isOut() bool { return !s.ended }
+func (a *simulatedAttempt) inFlight() bool { return !a.ended }
 
-func (s *stagedAttempt) mayHaveRun() bool { return !s.ended || !s.result.NeverRan() }
+func (a *simulatedAttempt) mayHaveRun() bool { return !a.ended || !a.result.NeverRan() }
 
-func (j *stagedJob) out() bool { return slices.ContainsFunc(j.attempts, (*stagedAttempt).isOut) }
+func (j *simulatedJob) inFlight() bool {
+	return slices.ContainsFunc(j.attempts, (*simulatedAttempt).inFlight)
+}
 
-func (j *stagedJob) unsure() bool {
-	return slices.ContainsFunc(j.attempts, (*stagedAttempt).mayHaveRun)
+func (j *simulatedJob) anyMayHaveRun() bool {
+	return slices.ContainsFunc(j.attempts, (*simulatedAttempt).mayHaveRun)
 }
 
-// plainFacts has three types: a short restartable, a long restartable, a run-once load in order of its key.
-func plainSettings() RawSettings {
-	class := func(effect string, objective, give, gain float64, more map[string]any) map[string]any {
-		m := map[string]any{"idempotency": effect, "aim_ns": objective * 1e9, "give_up_ns": give * 1e9, "gain": gain,
-			"late_worth": 0.5, "aim_stretch": 2.0, "key_scope": "all", "repeat_window_ns": 5e9}
-		for k, v := range more {
-			m[k] = v
+// testSettings has three types: a short repeatable one, a long repeatable one, and a run-once load ordered by key.
+func testSettings() RawSettings {
+	class := func(idempotency string, objective, timeout, gain float64, extra map[string]any) map[string]any {
+		settings := map[string]any{"idempotency": idempotency, "aim_ns": objective * 1e9, "give_up_ns": timeout * 1e9,
+			"gain": gain, "late_worth": 0.5, "aim_stretch": 2.0, "key_scope": "all", "repeat_window_ns": 5e9}
+		for k, v := range extra {
+			settings[k] = v
 		}
-		return m
+		return settings
 	}
 	return RawSettings{
 		"balancers": 2.0, "me": 0.0, "step_ns": 5e6, "discovery": "automatic",
@@ -83,9 +86,9 @@
 	}
 }
 
-// set changes one setting by its dotted path.
-func (f RawSettings) set(path string, v any) RawSettings {
-	at, name := f, path
+// set changes a setting by its dotted path.
+func (r RawSettings) set(path string, v any) RawSettings {
+	at, name := r, path
 	for i := 0; i < len(name); i++ {
 		if name[i] == '.' {
 			next, _ := at[name[:i]].(map[string]any)
@@ -93,23 +96,24 @@
 		}
 	}
 	at[name] = v
-	return f
+	return r
 }
 
-func newStage(tb testing.TB, f RawSettings, engines int) *stage {
+func newSimulation(tb testing.TB, raw RawSettings, engines int) *simulation {
 	tb.Helper()
-	s := &stage{t: tb, now: Nanos(1e12), settings: f, jobs: map[JobID]*stagedJob{}, entries: map[EngineID]EngineEntry{},
-		unavailableSince: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{}, slowStartWork: map[EngineID][]timedWork{}}
-	s.handle(Event{Kind: Started, Seed: 7, Settings: ParseSettings(f)})
-	var lines []EngineEntry
+	s := &simulation{t: tb, now: Nanos(1e12), settings: raw, jobs: map[JobID]*simulatedJob{},
+		entries: map[EngineID]EngineEntry{}, unavailableSince: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{},
+		slowStartWork: map[EngineID][]timedWork{}}
+	s.handle(Event{Kind: Started, Seed: 7, Settings: ParseSettings(raw)})
+	var initial []EngineEntry
 	for i := range engines {
-		lines = append(lines, EngineEntry{Engine: EngineID(100 + i), State: Ready, Zone: ZoneID(i % 2)})
+		initial = append(initial, EngineEntry{Engine: EngineID(100 + i), State: Ready, Zone: ZoneID(i % 2)})
 	}
-	s.list(CachedList, lines...)
+	s.list(CachedList, initial...)
 	return s
 }
 
-func (s *stage) list(kind ListKind, lines ...EngineEntry) {
+func (s *simulation) list(kind ListKind, entries ...EngineEntry) {
 	markUnavailable := func(id EngineID) {
 		if _, was := s.unavailableSince[id]; !was {
 			s.unavailableSince[id] = s.now
@@ -120,62 +124,62 @@
 			markUnavailable(id)
 		}
 	}
-	for _, l := range lines {
-		if s.entries[l.Engine] = l; l.State == Ready {
-			delete(s.unavailableSince, l.Engine)
+	for _, entry := range entries {
+		if s.entries[entry.Engine] = entry; entry.State == Ready {
+			delete(s.unavailableSince, entry.Engine)
 		} else {
-			markUnavailable(l.Engine)
+			markUnavailable(entry.Engine)
 		}
 	}
-	s.handle(Event{Kind: EnginesListed, List: kind, Engines: lines})
+	s.handle(Event{Kind: EnginesListed, List: kind, Engines: entries})
 }
 
-func (s *stage) handle(ev Event) {
-	s.acts = slices.Clone(s.c.Decide(s.now, ev))
-	own := s.acts
+func (s *simulation) handle(ev Event) {
+	s.actions = slices.Clone(s.c.Decide(s.now, ev))
+	actions := s.actions
 	if s.onDecide != nil {
-		s.onDecide(ev, own)
+		s.onDecide(ev, actions)
 	}
-	for _, a := range own {
-		s.check(a)
+	for _, a := range actions {
+		s.checkAction(a)
 	}
-	for _, a := range own {
-		if a.Kind == SendProbe && !s.slowProbes {
-			s.handle(Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: s.reported(a.Engine)})
-			own = append(own, s.acts...)
+	for _, a := range actions {
+		if a.Kind == SendProbe && !s.manualProbes {
+			s.handle(Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: s.reportedLoad(a.Engine)})
+			actions = append(actions, s.actions...)
 		}
 	}
-	s.acts = own
+	s.actions = actions
 }
 
-func (s *stage) arrive(typ TypeID, key Key, tables TableGroup) JobID {
+func (s *simulation) arrive(typ TypeID, key Key, tables TableGroup) JobID {
 	cost := Nanos(100e6)
 	if typ > 0 {
 		cost = Nanos(2e9)
 	}
-	give := s.settings.nanos(fmt.Sprintf("classes.%d.give_up_ns", typ))
-	return s.arriveAs(Event{Type: typ, Key: key, Tables: tables, TimeLeft: give, Cost: cost, CostKnown: true,
+	timeout := s.settings.nanos(fmt.Sprintf("classes.%d.give_up_ns", typ))
+	return s.arriveAs(Event{Type: typ, Key: key, Tables: tables, TimeLeft: timeout, Cost: cost, CostKnown: true,
 		MemoryMB: 200})
 }
 
-func (s *stage) arriveAs(ev Event) JobID {
-	s.nextID++
-	ev.Kind, ev.Job = JobArrived, s.nextID
-	j := &stagedJob{ev: ev, at: s.now}
+func (s *simulation) arriveAs(ev Event) JobID {
+	s.lastID++
+	ev.Kind, ev.Job = JobArrived, s.lastID
+	j := &simulatedJob{ev: ev, arrivedAt: s.now}
 	s.jobs[ev.Job] = j
 	s.admitted = append(s.admitted, j)
 	s.handle(ev)
 	return ev.Job
 }
 
-// finish ends the oldest dispatch of a job that is out.
-func (s *stage) finish(id JobID, r Result) {
+// finish ends the attempt in flight of a job.
+func (s *simulation) finish(id JobID, r Result) {
 	j := s.jobs[id]
-	for i, d := range j.attempts {
-		if d.ended {
+	for i, a := range j.attempts {
+		if a.ended {
 			continue
 		}
-		d.ended, d.result = true, r
+		a.ended, a.result = true, r
 		if r == TimedOut || r == Reset || r == Canceled {
 			j.pausedUntil = s.now + s.settings.nanos("invariants.order_pause_ns")
 		}
@@ -183,47 +187,48 @@
 		if r == Done && !j.ended {
 			final, j.ended, j.endedBy = true, true, Dispatch
 		}
-		bill := uint32(0)
+		used := uint32(0)
 		if j.ev.Cost > 0 && j.ev.Cost <= 10*second {
-			bill = uint32(j.ev.Cost/ms)<<12 | uint32(j.ev.MemoryMB/4)&4095
+			used = uint32(j.ev.Cost/ms)<<12 | uint32(j.ev.MemoryMB/4)&4095
 		}
-		s.handle(Event{Kind: AttemptEnded, Job: id, Seq: AttemptSeq(i), Engine: d.engine, Result: r,
-			Latency: s.now - d.dispatchedAt, IsFinal: final, Usage: bill, Load: s.reported(d.engine)})
+		s.handle(Event{Kind: AttemptEnded, Job: id, Seq: AttemptSeq(i), Engine: a.engine, Result: r,
+			Latency: s.now - a.dispatchedAt, IsFinal: final, Usage: used, Load: s.reportedLoad(a.engine)})
 		return
 	}
 }
 
-// pass lets time go by in steps, with timers due; nothing else happens.
-func (s *stage) pass(span Nanos) {
-	for end := s.now + span; s.now < end; {
+// advance advances time in steps of 5 ms. It fires timers that are due, times out the attempts of expired jobs, and
+// checks that these get their final answers.
+func (s *simulation) advance(duration Nanos) {
+	for end := s.now + duration; s.now < end; {
 		s.now += 5 * ms
-		for mark, at := range s.timers {
+		for timer, at := range s.timers {
 			if at <= s.now {
-				delete(s.timers, mark)
-				s.handle(Event{Kind: TimerFired, TimerID: mark})
+				delete(s.timers, timer)
+				s.handle(Event{Kind: TimerFired, TimerID: timer})
 			}
 		}
 		if len(s.timers) != 1 {
-			s.t.Fatalf("%d timers are set, one is enough", len(s.timers))
+			s.t.Fatalf("%d timers are set, want 1", len(s.timers))
 		}
 		for _, j := range s.admitted {
 			slack := s.settings.nanos("invariants.answer_slack_ns")
-			if lost := j.at + max(0, j.ev.TimeLeft); !j.ended && s.now > lost+slack {
+			if expiresAt := j.arrivedAt + max(0, j.ev.TimeLeft); !j.ended && s.now > expiresAt+slack {
 				s.t.Fatalf("rule 1: job %d of type %d has no final answer", j.ev.Job, j.ev.Type)
-			} else if !j.ended && s.now >= lost && j.out() {
+			} else if !j.ended && s.now >= expiresAt && j.inFlight() {
 				s.finish(j.ev.Job, TimedOut)
 			}
 		}
-		s.admitted = slices.DeleteFunc(s.admitted, func(j *stagedJob) bool {
-			return j.ended && !j.out() &&
+		s.admitted = slices.DeleteFunc(s.admitted, func(j *simulatedJob) bool {
+			return j.ended && !j.inFlight() &&
 				s.now > j.pausedUntil
 		})
 	}
 }
 
-func (s *stage) enginesOf(id JobID) (to []EngineID) {
-	for _, d := range s.jobs[id].attempts {
-		to = append(to, d.engine)
+func (s *simulation) enginesOf(id JobID) (to []EngineID) {
+	for _, a := range s.jobs[id].attempts {
+		to = append(to, a.engine)
 	}
 	return to
 }
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// restart has a stage begin anew with a module that was told nothing, so that a stream holds its first event.
-func restart(s *stage) {
+// restartController replaces the controller of a simulation by a new one, so that the stream contains its first event.
+func restartController(s *simulation) {
 	s.c, s.timers, s.entries, s.unavailableSince = Controller{}, map[TimerID]Nanos{}, map[EngineID]EngineEntry{},
 		map[EngineID]Nanos{}
 	s.handle(Event{Kind: Started, Seed: 11, Settings: ParseSettings(s.settings)})
@@ -16,29 +16,33 @@
 		EngineEntry{Engine: 102, State: Ready})
 }
 
-// plain is a stage under chaos with one change of the settings.
-func plain(change func(RawSettings)) func(*testing.T, func(*stage)) {
-	return func(t *testing.T, watch func(*stage)) {
+// chaosStream is a chaos run with changed settings.
+func chaosStream(change func(RawSettings)) func(*testing.T, func(*simulation)) {
+	return func(t *testing.T, observe func(*simulation)) {
 		t.Helper()
-		f := plainSettings()
-		change(f)
-		s := newStage(t, f, 0)
-		watch(s)
-		restart(s)
+		raw := testSettings()
+		change(raw)
+		s := newSimulation(t, raw, 0)
+		observe(s)
+		restartController(s)
 		s.chaos(rand.New(rand.NewSource(5)), 250)
 	}
 }
 
-// streams are what is recorded: each plays a stage and has it watched from its first event on.
-var streams = map[string]func(*testing.T, func(*stage)){
-	"few":    plain(func(RawSettings) {}),
-	"many":   plain(func(f RawSettings) { f.set("balancers", 60.0).set("tariffs", map[string]any{"probe": 0.001}) }),
-	"paging": plain(func(f RawSettings) { f.set("domain.memory_short", "swap").set("limits.probes", false) }),
-	"zones":  plain(func(f RawSettings) { f.set("tariffs", map[string]any{"cross_zone": 0.02}).set("locality", 1.0) }),
-	"rules":  plain(strictRules),
-	"memory": plain(func(f RawSettings) {
-		f.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false).set("discovery", "subscribe")
-		f.set("domain.waits_for_loads", []any{true, false, true}).set("domain.note_period_ns", 2e8)
+// streams are the recorded runs: each passes its simulation to an observer before the first recorded event.
+var streams = map[string]func(*testing.T, func(*simulation)){
+	"few": chaosStream(func(RawSettings) {}),
+	"many": chaosStream(func(raw RawSettings) {
+		raw.set("balancers", 60.0).set("tariffs", map[string]any{"probe": 0.001})
+	}),
+	"paging": chaosStream(func(raw RawSettings) { raw.set("domain.memory_short", "swap").set("limits.probes", false) }),
+	"zones": chaosStream(func(raw RawSettings) {
+		raw.set("tariffs", map[string]any{"cross_zone": 0.02}).set("locality", 1.0)
+	}),
+	"rules": chaosStream(strictRules),
+	"memory": chaosStream(func(raw RawSettings) {
+		raw.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false).set("discovery", "subscribe")
+		raw.set("domain.waits_for_loads", []any{true, false, true}).set("domain.note_period_ns", 2e8)
 	}),
 	"plans":     playPlans,
 	"handover":  playHandover,
@@ -49,25 +53,25 @@
 	"turns":     playTurns,
 }
 
-// strictRules sets what bounds repeats, places, further dispatches and tenants.
-func strictRules(f RawSettings) {
+// strictRules restricts repeats, places, retries and tenant quotas.
+func strictRules(raw RawSettings) {
 	keyed := func(scope string, ordered bool) map[string]any {
 		return map[string]any{"idempotency": "by_key", "key_scope": scope, "repeat_window_ns": 1e9, "aim_ns": 1e9,
 			"give_up_ns": 3e9, "gain": 2.0, "late_worth": 0.25, "fifo_by_key": ordered}
 	}
 	placed := map[string]any{"idempotency": "repeatable", "aim_ns": 1e9, "give_up_ns": 3e9, "gain": 2.0,
 		"allowed_in": []any{1.0}, "kinds_only": []any{0.0, 1.0}}
-	f.set("classes", append(f.list("classes"), keyed("all", true), keyed("zone", false), keyed("cell", false), placed))
-	f.set("invariants.further_ratio", 0.05).set("invariants.budget_free", 2.0).set("invariants.extra_window_ns", 2e9)
-	f.set("tenants", []any{map[string]any{"quota_per_s": 5.0},
+	raw.set("classes", append(raw.list("classes"), keyed("all", true), keyed("zone", false), keyed("cell", false), placed))
+	raw.set("invariants.further_ratio", 0.05).set("invariants.budget_free", 2.0).set("invariants.extra_window_ns", 2e9)
+	raw.set("tenants", []any{map[string]any{"quota_per_s": 5.0},
 		map[string]any{"quota_per_s": 0.5}}).set("over_share_worth", 0.3)
 }
 
-func playPlans(t *testing.T, watch func(*stage)) {
+func playPlans(t *testing.T, observe func(*simulation)) {
 	t.Helper()
-	s := newStage(t, plainSettings(), 0)
-	watch(s)
-	restart(s)
+	s := newSimulation(t, testSettings(), 0)
+	observe(s)
+	restartController(s)
 	r := rand.New(rand.NewSource(8))
 	for range 5 {
 		p := &Plan{DemandThreads: r.Float64() * 40, MaxDemandRatio: 1 + 5*r.Float64(), IdleEngines: []EngineID{105}}
@@ -83,15 +87,16 @@
 	s.chaos(r, 20)
 }
 
-// playHandover has an older process beside the controller, its teaching, shares that are told and settings restated
-// while jobs run, and at last the end of the controller.
-func playHandover(t *testing.T, watch func(*stage)) {
+// playHandover covers a predecessor and its state transfer, assigned quotas, settings that change while jobs run, and
+// finally the stop of the controller.
+func playHandover(t *testing.T, observe func(*simulation)) {
 	t.Helper()
-	f := plainSettings().set("invariants.further_ratio", 0.1).set("invariants.budget_free",
+	raw := testSettings().set("invariants.further_ratio", 0.1).set("invariants.budget_free",
 		3.0).set("invariants.extra_window_ns", 2e9)
-	s := newStage(t, f.set("tenants", []any{map[string]any{"quota_per_s": 3.0}, map[string]any{"quota_per_s": 2.0}}), 0)
-	watch(s)
-	restart(s)
+	s := newSimulation(t, raw.set("tenants",
+		[]any{map[string]any{"quota_per_s": 3.0}, map[string]any{"quota_per_s": 2.0}}), 0)
+	observe(s)
+	restartController(s)
 	r := rand.New(rand.NewSource(9))
 	s.handle(Event{Kind: PredecessorChanged, PredecessorRunning: true})
 	transferred := []TypeStats{{meanWork: 2e8, workCount: 40, costBias: 0.3, costCount: 60, memoryBias: -0.2,
@@ -104,10 +109,10 @@
 	s.handle(Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.2, TenantShares: map[TenantID]float64{0: 0.7, 1: 0.1},
 		ExpiresAt: s.now + 3*second}})
 	s.chaos(r, 80)
-	s.settings = plainSettings().set("limits.cancel", false).set("limits.probes", false)
+	s.settings = testSettings().set("limits.cancel", false).set("limits.probes", false)
 	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings)})
 	s.chaos(r, 60)
-	s.settings = plainSettings().set("limits.most_tries", 2.0).set("balancers", 3.0)
+	s.settings = testSettings().set("limits.most_tries", 2.0).set("balancers", 3.0)
 	s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings)})
 	s.handle(Event{Kind: QuotaAssigned, Quota: Quota{FleetShare: 0.9, ExpiresAt: s.now + 60*second}})
 	s.chaos(r, 60)
@@ -116,42 +121,42 @@
 	for range 4 {
 		s.arriveAs(Event{Type: 1, TimeLeft: 20 * second, Cost: 10 * second, CostKnown: true, RequiredProtocols: 3})
 	}
-	s.pass(2 * second)
+	s.advance(2 * second)
 	s.handle(Event{Kind: Stopping, TimeLeft: 3 * second})
 	s.chaos(r, 40)
 }
 
-// playGossip has four controllers gossip, one of which is watched; messages between some are lost now and then.
-func playGossip(observed int) func(*testing.T, func(*stage)) {
-	return func(t *testing.T, watch func(*stage)) {
+// playGossip records one of four controllers that exchange gossip, some of which is lost.
+func playGossip(observed int) func(*testing.T, func(*simulation)) {
+	return func(t *testing.T, observe func(*simulation)) {
 		t.Helper()
-		observeGossip(t, watch, observed)
+		observeGossip(t, observe, observed)
 	}
 }
 
-func observeGossip(t *testing.T, watch func(*stage), observed int) {
+func observeGossip(t *testing.T, observe func(*simulation), observed int) {
 	t.Helper()
 	f := newFleet(t, 4, 3)
 	r := rand.New(rand.NewSource(10))
-	f.lost = func(int, int) bool { return r.Intn(6) == 0 }
-	watch(f.stages[observed])
-	deliver := f.stages[observed].onDecide
-	f.stages[observed].onDecide = func(ev Event, acts []Action) {
-		deliver(ev, acts)
-		f.deliver(observed, acts)
+	f.drops = func(int, int) bool { return r.Intn(6) == 0 }
+	observe(f.members[observed])
+	deliver := f.members[observed].onDecide
+	f.members[observed].onDecide = func(ev Event, actions []Action) {
+		deliver(ev, actions)
+		f.deliver(observed, actions)
 	}
-	f.stages[observed].c, f.stages[observed].timers = Controller{}, map[TimerID]Nanos{}
-	f.stages[observed].handle(Event{Kind: Started, Seed: 11, Settings: ParseSettings(f.stages[observed].settings)})
-	f.stages[observed].list(CachedList, EngineEntry{Engine: 100, State: Ready},
+	f.members[observed].c, f.members[observed].timers = Controller{}, map[TimerID]Nanos{}
+	f.members[observed].handle(Event{Kind: Started, Seed: 11, Settings: ParseSettings(f.members[observed].settings)})
+	f.members[observed].list(CachedList, EngineEntry{Engine: 100, State: Ready},
 		EngineEntry{Engine: 101, State: Ready, Zone: 1}, EngineEntry{Engine: 102, State: Ready})
 	for round := range 120 {
-		for i, s := range f.stages {
+		for i, s := range f.members {
 			for range 1 + r.Intn(3) {
 				s.arrive(TypeID(r.Intn(3)), Key(r.Intn(4)), TableGroup(r.Intn(4)))
 			}
 			for _, j := range slices.Clone(s.admitted) {
 				switch roll := r.Intn(20); {
-				case !j.out() || roll > 8:
+				case !j.inFlight() || roll > 8:
 				case roll == 0:
 					s.finish(j.ev.Job, Failed)
 				default:
@@ -165,28 +170,28 @@
 				s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, Zone: 1})
 			}
 		}
-		f.pass(40 * ms)
+		f.advance(40 * ms)
 	}
 	payload := []byte{mapMarker, 1, 2, 3, 4}
-	f.stages[observed].handle(Event{Kind: GossipReceived, Peer: 2, Payload: payload})
-	f.stages[observed].handle(Event{Kind: GossipReceived, Peer: 77, Payload: payload})
-	f.stages[observed].handle(Event{Kind: GossipReceived, Peer: 3, Payload: payload[:3]})
-	f.pass(2 * second)
+	f.members[observed].handle(Event{Kind: GossipReceived, Peer: 2, Payload: payload})
+	f.members[observed].handle(Event{Kind: GossipReceived, Peer: 77, Payload: payload})
+	f.members[observed].handle(Event{Kind: GossipReceived, Peer: 3, Payload: payload[:3]})
+	f.advance(2 * second)
 }
 
-// playFleet has one of forty controllers look at a few of thirty engines, whose reports tell of many siblings, in
-// calm, in a burst and after it, while engines restart.
-func playFleet(t *testing.T, watch func(*stage)) {
+// playFleet records one of forty controllers, which samples a few of thirty engines, at low load, in a burst of sibling
+// load and after it, while engines restart.
+func playFleet(t *testing.T, observe func(*simulation)) {
 	t.Helper()
-	f := plainSettings().set("balancers", 40.0).set("me", 7.0).set("tariffs", map[string]any{"probe": 0.01, "peer": 0.01})
-	s := newStage(t, f.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.says_cost", false), 0)
-	watch(s)
-	restart(s)
-	var lines []EngineEntry
+	raw := testSettings().set("balancers", 40.0).set("me", 7.0).set("tariffs", map[string]any{"probe": 0.01, "peer": 0.01})
+	s := newSimulation(t, raw.set("telemetry.fields", []any{"load_share", "x0"}).set("domain.says_cost", false), 0)
+	observe(s)
+	restartController(s)
+	var entries []EngineEntry
 	for i := range 30 {
-		lines = append(lines, EngineEntry{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3)})
+		entries = append(entries, EngineEntry{Engine: EngineID(200 + i), State: Ready, Zone: ZoneID(i % 3)})
 	}
-	s.list(FullList, lines...)
+	s.list(FullList, entries...)
 	s.playSteadyLoad(2*second, 0.04)
 	s.playSteadyLoad(2*second, 0.25)
 	for i := range 8 {
@@ -195,27 +200,27 @@
 	s.playSteadyLoad(4*second, 0.04)
 }
 
-// playGranted has reports that tell of memory granted by the engines themselves, at each answer, under chaos.
-func playGranted(t *testing.T, watch func(*stage)) {
+// playGranted is a chaos run with reports of memory granted by the engines, with each answer.
+func playGranted(t *testing.T, observe func(*simulation)) {
 	t.Helper()
-	f := plainSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false)
-	s := newStage(t, f.set("domain.note_period_ns", 2e8).set("balancers", 5.0), 0)
-	watch(s)
+	raw := testSettings().set("telemetry.fields", []any{"load_share", "x0"}).set("domain.grants_count", false)
+	s := newSimulation(t, raw.set("domain.note_period_ns", 2e8).set("balancers", 5.0), 0)
+	observe(s)
 	r := rand.New(rand.NewSource(13))
-	s.load = func(EngineID) []float64 { return []float64{r.Float64(), 2 * r.Float64()} }
-	restart(s)
+	s.loadReport = func(EngineID) []float64 { return []float64{r.Float64(), 2 * r.Float64()} }
+	restartController(s)
 	s.chaos(r, 200)
 }
 
-// playTurns has one of twelve controllers send to engines that restart, as the list tells or as their few jobs show,
-// while progress is reported that now and then shows a bad plan.
-func playTurns(t *testing.T, watch func(*stage)) {
+// playTurns records one of twelve controllers that take turns at engines in slow start, after restarts that are listed
+// or suspected by few jobs, with progress reports that sometimes show a bad plan.
+func playTurns(t *testing.T, observe func(*simulation)) {
 	t.Helper()
-	s := newStage(t, plainSettings().set("balancers", 12.0).set("me", 3.0).set("domain.note_period_ns", 2e8), 0)
-	watch(s)
+	s := newSimulation(t, testSettings().set("balancers", 12.0).set("me", 3.0).set("domain.note_period_ns", 2e8), 0)
+	observe(s)
 	r := rand.New(rand.NewSource(14))
-	s.load = func(EngineID) []float64 { return []float64{[]float64{14, 16, 18, 2, 1, 0}[r.Intn(6)]} }
-	restart(s)
+	s.loadReport = func(EngineID) []float64 { return []float64{[]float64{14, 16, 18, 2, 1, 0}[r.Intn(6)]} }
+	restartController(s)
 	for round := range 300 {
 		typ := TypeID(r.Intn(2))
 		s.arriveAs(Event{Type: typ, Tables: TableGroup(r.Intn(3)), TimeLeft: 8 * second,
@@ -225,7 +230,7 @@
 			s.list(ListDelta, EngineEntry{Engine: id, State: Ready, StartedAt: s.now, Zone: ZoneID(id % 2)})
 		}
 		for _, j := range slices.Clone(s.admitted) {
-			if !j.out() {
+			if !j.inFlight() {
 				continue
 			}
 			last := len(j.attempts) - 1
@@ -241,6 +246,6 @@
 					Progress: ProgressFraction, Amount: r.Float64()})
 			}
 		}
-		s.pass(50 * ms)
+		s.advance(50 * ms)
 	}
 }
--- a/choice/transfer_test.go
+++ b/choice/transfer_test.go
@@ -2,41 +2,40 @@
 
 import "testing"
 
-// slowJobs is how many jobs of each process take far longer than their estimates, and time after time.
 const (
-	slowJobs    = 60
-	slowJobCost = 10 * ms // as its client estimates it
+	slowJobs    = 60      // of each process
+	slowJobCost = 10 * ms // by its client's estimate
 	slowJobTime = 500 * ms
 )
 
-// playSlowJobs plays jobs that take fifty times their estimates, and returns how many attempts were cancelled for
-// another one.
-func playSlowJobs(s *stage) (cancelled int) {
+// playSlowJobs runs jobs that take fifty times their estimates, and returns the number of attempts that were canceled
+// to be retried.
+func playSlowJobs(s *simulation) (canceled int) {
 	for range slowJobs {
 		id := s.arriveAs(Event{Type: 0, TimeLeft: 2 * second, Cost: slowJobCost, CostKnown: true, MemoryMB: 10})
-		for s.pass(slowJobTime); s.jobs[id].out(); {
+		for s.advance(slowJobTime); s.jobs[id].inFlight(); {
 			for _, attempt := range s.jobs[id].attempts {
 				if attempt.cancelRequested && !attempt.ended {
-					cancelled++
+					canceled++
 				}
 			}
 			s.finish(id, Done)
 		}
 	}
-	return cancelled
+	return canceled
 }
 
-// What `make proof-rollout` shows with processes: a process that knows what its predecessor has learned takes no
-// attempt for lost that only takes as long as such jobs do; one that does not know it cancels some to try them again.
+// A successor that adopted its predecessor's statistics knows how long jobs take, and cancels none as overdue. Without
+// them it cancels and retries some. `make proof-rollout` shows the same with real processes.
 func TestAProcessThatKnowsItsPredecessorsStateRetriesLess(t *testing.T) {
-	predecessor := newStage(t, plainSettings(), 2)
-	if untaught := playSlowJobs(predecessor); untaught == 0 {
-		t.Error("a process that knows nothing cancels nothing: the test shows nothing")
+	predecessor := newSimulation(t, testSettings(), 2)
+	if withoutState := playSlowJobs(predecessor); withoutState == 0 {
+		t.Error("a process without statistics cancels nothing, so the test proves nothing")
 	}
-	successor := newStage(t, plainSettings(), 2)
+	successor := newSimulation(t, testSettings(), 2)
 	successor.handle(Event{Kind: StateTransferred, TypeStats: predecessor.c.TypeStats(),
 		EngineHealth: predecessor.c.EngineHealth()})
-	if taught := playSlowJobs(successor); taught > 0 {
-		t.Errorf("%d attempts are cancelled by a process that knows how long they take", taught)
+	if withState := playSlowJobs(successor); withState > 0 {
+		t.Errorf("%d attempts are canceled by a process that adopted statistics", withState)
 	}
 }
