--- a/choice/admission.go
+++ b/choice/admission.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	maxBucketQueue, maxParkedPerType = 96, 400            // parked jobs per bucket, per type over all tenants
-	maxWork, maxMemoryMB             = 3600 * second, 1e9 // estimates: work is capped, more memory is ignored
-	idleStateTTL                     = 10 * second        // idle buckets and tenants are dropped after this
-	offeredWindow                    = 10 * second        // time constant of the demand in threads
-	demandSamples                    = 100.0              // jobs that the moving means of demand cover
+	maxBucketQueue, maxParkedPerType = 96, 400            // parked per bucket; per type, over all tenants
+	maxWork, maxMemoryMB             = 3600 * second, 1e9 // caps work estimates; larger memory is ignored
+	idleStateTTL                     = 10 * second        // idle buckets and tenants are deleted after this
+	offeredWindow                    = 10 * second        // time constant by which the offered load decays
+	demandSamples                    = 100.0              // jobs that the moving averages of demand cover
 
 	tenantBurstSeconds, tenantBurstJobs = 2.0, 4.0 // a tenant's burst: seconds of its quota, plus jobs
 )
 
-// newJobType assumes that a job takes half its latency objective until answers show its work.
+// newJobType creates a job type. Until answers show its work, a job is assumed to take half its latency
+// objective.
 func newJobType(s typeSettings) *jobType {
 	t := &jobType{typeSettings: s, TypeStats: TypeStats{bestSlowdown: 1, slowdown: 1}}
 	t.meanWork = math.Max(float64(t.latencyObjective)*t.threads/2, float64(ms))
 	return t
 }
 
-// admit accepts a job: it is dispatched, parked in its bucket, or rejected at once.
+// admit handles a new job: it is dispatched, parked in its bucket, or rejected immediately.
 func (c *Controller) admit(ev Event) {
 	if int(ev.Type) >= len(c.types) || c.jobs[ev.Job] != nil {
 		return
@@ -35,21 +36,21 @@
 		j.value *= c.settings.overQuotaValueFactor
 	}
 	j.bucket = c.bucketFor(j.jobType, ev.Tenant)
-	why := c.shedReason(j)
-	if why == "" && len(j.bucket.queue) == 0 && c.tryDispatch(j) {
+	reason := c.shedReason(j)
+	if reason == "" && len(j.bucket.queue) == 0 && c.tryDispatch(j) {
 		return
 	}
 	if len(j.bucket.queue) >= maxBucketQueue || j.jobType.parkedJobs >= maxParkedPerType {
-		why = cmp.Or(why, QueueFull)
+		reason = cmp.Or(reason, QueueFull)
 	}
-	if why != "" {
-		c.finishUnserved(j, why)
+	if reason != "" {
+		c.finishUnserved(j, reason)
 		return
 	}
 	c.park(j, len(j.bucket.queue))
 }
 
-// newJob estimates the work, memory and deadline of a job.
+// newJob returns a job with its estimated work and memory, and its deadline.
 func (c *Controller) newJob(ev Event) *job {
 	t := c.types[ev.Type]
 	j := &job{id: ev.Job, jobType: t, key: ev.Key, tables: ev.Tables, requiredProtocols: ev.RequiredProtocols,
@@ -67,7 +68,7 @@
 	return j
 }
 
-// arrivedAt is when a job may have arrived, at the earliest.
+// arrivedAt returns the earliest time at which a job may have arrived.
 func (c *Controller) arrivedAt(ev Event) Nanos {
 	if ev.ArrivedAt == 0 {
 		return c.now
@@ -75,18 +76,19 @@
 	return min(ev.ArrivedAt, c.now)
 }
 
-// fundBudgets credits what an admitted job earns for retries, gossip and probes. Retries it earns in the
-// window in which it arrived, also where it lay unread since: a process that was stopped finds such jobs.
+// fundBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget counts
+// it at its arrival time even if it was read much later, as happens after the process was paused.
 func (c *Controller) fundBudgets(arrivedAt Nanos) {
 	c.retryBudget.admit(arrivedAt)
 	c.retryBudget.tokens = min(maxRetryTokens, c.retryBudget.tokens+retryTokensPerJob)
 	c.gossip.messageTokens = min(maxMessageTokens, c.gossip.messageTokens+gossipPointsPerJob)
 	c.gossip.unreportedJobs++
-	probes := min(maxProbesPerJob, probePointsPerJob/max(minPrice, c.settings.probePrice))
-	c.probeBudget.tokens = min(maxProbeTokens, c.probeBudget.tokens+probes)
+	earnedProbes := min(maxProbesPerJob, probePointsPerJob/max(minPrice, c.settings.probePrice))
+	c.probeBudget.tokens = min(maxProbeTokens, c.probeBudget.tokens+earnedProbes)
 }
 
-// withinTenantQuota counts a job against our share of its tenant's quota, which may be below a job a second.
+// withinTenantQuota reports whether a job is within this controller's share of its tenant's quota, and takes
+// a token if it is. The share may be less than one job per second, hence the fixed part of the burst.
 func (c *Controller) withinTenantQuota(id TenantID) bool {
 	rate := c.settings.tenantQuota(id) * c.quota.tenantShare(id, c.now, c.fleet.share)
 	burst := tenantBurstSeconds*rate + tenantBurstJobs
--- a/choice/capacity.go
+++ b/choice/capacity.go
@@ -1,77 +1,78 @@
 package choice
 
 const (
-	limitRaiseRatio, limitRaiseInterval = 1.5, 250 * ms   // latency ratio below which a limit rises, how often
-	limitHalveRatio, limitHalveInterval = 3.0, 2 * second // latency ratio above which it halves, how often
+	limitRaiseRatio, limitRaiseInterval = 1.5, 250 * ms   // latency ratio below which a limit rises; interval
+	limitHalveRatio, limitHalveInterval = 3.0, 2 * second // latency ratio above which it halves; interval
 	pressureRatio                       = 2.0             // latency ratio above which it is enforced
 	highContention, lowContention       = 1.75, 1.4       // threads per core: pressure begins above, ends below
-	startLimitFactor                    = 2.0             // limit without pressure, in our share of the cores
+	startLimitFactor                    = 2.0             // limit without pressure, as a multiple of own cores
 
-	shortTypeFill, unreportedFill = 1.25, 0.6 // usable part of an idle engine: by short types, without a report
+	shortTypeFill, unreportedFill = 1.25, 0.6 // usable part of an idle engine: for short types; without a report
 	swapFill                      = 0.8       // usable part of the memory of an engine that swaps
-	probeExhaustedAfter           = second    // without probe tokens this long, unreported engines count fully
-	priorJobs                     = 2.0       // mean-size jobs that our means of threads and memory start from
+	probeExhaustedAfter           = second    // after this long without a probe token, unreportedFill is unused
+	priorJobs                     = 2.0       // weight, in jobs, of the prior in the means of threads and memory
 )
 
-// hasCapacity reports whether an engine has threads and memory for a job: by its concurrency limit under
-// pressure or for a bucket that borrows, else by twice our share.
+// hasCapacity reports whether an engine has threads and memory for a job. Under pressure, or for a bucket
+// that borrows, the concurrency limit applies, else startLimitFactor times this controller's share of the
+// engine.
 func (c *Controller) hasCapacity(j *job, e *engine) bool {
 	if e.ejected || c.now < e.fullUntil {
 		return false
 	}
-	start := e.cores * c.fleet.share
-	limit := startLimitFactor * start
-	memory := max(e.memoryMB*c.fleet.share, e.memoryMB-e.siblingThreads*c.meanMemoryPerThread())
+	startLimit := e.cores * c.fleet.share
+	limit := startLimitFactor * startLimit
+	memoryLimit := max(e.memoryMB*c.fleet.share, e.memoryMB-e.siblingThreads*c.meanMemoryPerThread())
 	b := j.bucket
 	borrows := b.threadsInUse > 0 && b.threadsInUse+j.jobType.threads > c.bucketLimit(b)
 	if e.underPressure || borrows {
-		limit, memory = e.concurrencyLimit, e.memoryMB*c.fleet.share
+		limit, memoryLimit = e.concurrencyLimit, e.memoryMB*c.fleet.share
 	}
 	if c.isShortType(j.jobType) {
-		limit += start / 2
+		limit += startLimit / 2
 	}
 	limit *= c.slowStartFraction(e)
-	// A job fits if half of it does: small shares of small engines would else shut out jobs of many threads.
+	// Only half of a job's threads must fit: a small share of a small engine would never admit a large job.
 	half := j.jobType.threads / 2
 	if len(e.attempts) == 0 || limit < half {
 		return c.fitsBesideSiblings(j, e, half)
 	}
-	return e.ownThreads+half <= limit && (e.memoryMB == 0 || e.ownMemoryMB+c.memoryNeed(j, e) <= memory)
+	return e.ownThreads+half <= limit && (e.memoryMB == 0 || e.ownMemoryMB+c.memoryNeed(j, e) <= memoryLimit)
 }
 
-// fitsBesideSiblings checks capacity where none of our jobs runs, or our share holds no job: the known load
-// of all controllers counts instead of our share.
+// fitsBesideSiblings checks capacity by the known load of all controllers. It replaces the check by share
+// where this controller has no job on the engine, or its share is too small for the job.
 func (c *Controller) fitsBesideSiblings(j *job, e *engine, threads float64) bool {
-	fill, memoryFill := 1.0, 1.0
+	threadFill, memoryFill := 1.0, 1.0
 	probesPossible := c.now-c.probeBudget.lastFundedAt < probeExhaustedAfter || c.fleet.lastReportAt == 0
 	if c.isShortType(j.jobType) {
-		fill = shortTypeFill
+		threadFill = shortTypeFill
 	} else if c.now-e.loadKnownAt >= reportTTL && probesPossible {
-		fill = unreportedFill
+		threadFill = unreportedFill
 	}
 	if c.settings.memorySwaps {
 		memoryFill = swapFill
 	}
-	return e.ownThreads+e.siblingThreads+threads <= highContention*fill*e.cores*c.slowStartFraction(e) &&
-		(e.memoryMB == 0 || c.knownMemoryMB(e)+c.memoryNeed(j, e) <= memoryFill*fill*e.memoryMB)
+	return e.ownThreads+e.siblingThreads+threads <= highContention*threadFill*e.cores*c.slowStartFraction(e) &&
+		(e.memoryMB == 0 || c.knownMemoryMB(e)+c.memoryNeed(j, e) <= memoryFill*threadFill*e.memoryMB)
 }
 
-// updatePressure decides whether the concurrency limit is enforced, and halves it, down to its start, when
-// latency grows while cores are busy.
+// updatePressure decides whether an engine's concurrency limit is enforced. It halves the limit, at most down
+// to this controller's share of the cores, when latency grows while cores are busy.
 func (c *Controller) updatePressure(e *engine) {
-	busy, full := (e.ownThreads+e.siblingThreads)/e.cores, c.now < e.fullUntil
-	if full || busy > highContention || (busy > 1 && e.latencyRatio > pressureRatio) {
+	load, full := (e.ownThreads+e.siblingThreads)/e.cores, c.now < e.fullUntil
+	if full || load > highContention || (load > 1 && e.latencyRatio > pressureRatio) {
 		e.underPressure = true
-	} else if busy < 1 || (e.latencyRatio < limitRaiseRatio && busy < lowContention) {
+	} else if load < 1 || (e.latencyRatio < limitRaiseRatio && load < lowContention) {
 		e.underPressure = false
 	}
-	if (full || (busy > 1 && e.latencyRatio > limitHalveRatio)) && c.now-e.limitHalvedAt >= limitHalveInterval {
+	if (full || (load > 1 && e.latencyRatio > limitHalveRatio)) && c.now-e.limitHalvedAt >= limitHalveInterval {
 		e.limitHalvedAt, e.limitRaisedAt = c.now, c.now
 		e.concurrencyLimit = max(e.cores*c.fleet.share, e.concurrencyLimit/2)
 	}
 }
 
-// raiseLimit raises the concurrency limit of an engine that answers near its best latency by one thread.
+// raiseLimit raises an engine's concurrency limit by one thread if its latency is near the best.
 func (c *Controller) raiseLimit(e *engine, latencyRatio float64) {
 	if latencyRatio < limitRaiseRatio && c.now-e.limitRaisedAt >= limitRaiseInterval {
 		e.limitRaisedAt = c.now
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,6 +1,6 @@
 package choice
 
-// handlers says which function takes an event of each kind.
+// handlers maps each kind of event to the function that handles it.
 var handlers = [...]func(*Controller, Event){
 	Started:            (*Controller).start,
 	JobArrived:         (*Controller).admit,
@@ -21,8 +21,8 @@
 	ClockStepped:       func(c *Controller, ev Event) { c.clockOffset = ev.ClockOffset },
 }
 
-// Decide takes one event and returns the actions to carry out, in their order. The first event must be
-// Started, and now may not go back. The slice is valid until the next call.
+// Decide processes one event and returns the actions to carry out, in order. The first event must be Started,
+// and now must not decrease between calls. The returned slice is valid until the next call.
 func (c *Controller) Decide(now Nanos, ev Event) []Action {
 	c.now = now
 	c.actions = c.actions[:0]
--- a/choice/dispatch.go
+++ b/choice/dispatch.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	normalPriority, lockPriority, shortPriority = 1, 2, 3 // lock: other jobs wait behind a load on their tables
+	normalPriority, lockPriority, shortPriority = 1, 2, 3 // lock: for loads, as other jobs wait for their tables
 
-	minGrantSafety, maxGrantSafety = 0.6, 2.2 // mean deviations added to a memory estimate
-	grantSafetySlope               = 2.5      // of them, times the free part of the memory; all if engines swap
+	minGrantSafety, maxGrantSafety = 0.6, 2.2 // safety added to a memory estimate, in mean deviations
+	grantSafetySlope               = 2.5      // safety on an empty engine, less as it fills; fixed if it swaps
 
-	workSamples, estimateSamples       = 50.0, 100.0 // answers that means of work and of estimate errors cover
-	priorCosts, priorMemories          = 10.0, 5.0   // least divisor of the first errors of cost and of memory
-	maxCostStep, maxDurationStep       = 3.0, 2.0    // caps of one error of cost and of duration, natural log
-	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown to a better, a worse one
-	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent slowdown, and the cap of one answer
+	workSamples, estimateSamples       = 50.0, 100.0 // samples in the averages of work; of estimate errors
+	priorCosts, priorMemories          = 10.0, 5.0   // minimum divisor of the first errors of cost; of memory
+	maxCostStep, maxDurationStep       = 3.0, 2.0    // caps on one error of cost; of duration (natural log)
+	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown: down; up
+	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent slowdown; cap on one sample
 
-	minLatencyStep, maxLatencyStep, fullStepWork = 0.02, 0.25, 4 * second // of latency ratios: by work / full
+	// Step of latency ratios: an answer's work / fullStepWork, within the bounds.
+	minLatencyStep, maxLatencyStep, fullStepWork = 0.02, 0.25, 4 * second
 )
 
-// dispatch sends a job to an engine, with its memory grant and priority where engines honor them.
+// dispatch sends a job to an engine, with its memory grant and priority if engines honor them.
 func (c *Controller) dispatch(j *job, e *engine) bool {
 	if !c.dispatchAllowed(j, e) {
 		return false
@@ -31,11 +32,11 @@
 	if c.settings.grantsHonored || c.settings.takesPriority {
 		c.emit(Action{Kind: SetDispatchOptions, Job: j.id, Priority: c.priority(t), MemoryMB: grant})
 	}
-	deadline := c.now + c.settings.drainGrace // rule 3: later it may have been draining for too long
+	sendDeadline := c.now + c.settings.drainGrace // rule 3: later the engine may be past its drain grace
 	if j.mayHaveRun && !t.repeatable {
-		deadline = min(deadline, c.repeatDeadline(j)) // rule 2
+		sendDeadline = min(sendDeadline, c.repeatDeadline(j)) // rule 2
 	}
-	c.emit(Action{Kind: Dispatch, Job: j.id, Engine: e.Engine, SendDeadline: deadline})
+	c.emit(Action{Kind: Dispatch, Job: j.id, Engine: e.Engine, SendDeadline: sendDeadline})
 	if j.attemptCount > 0 {
 		c.retryBudget.retry(c.now)
 	}
@@ -43,7 +44,7 @@
 		e.slowStartWork = append(e.slowStartWork, timedWork{c.now, max(j.work, t.meanWork)})
 	}
 	attach(&attempt{job: j, engine: e, seq: AttemptSeq(j.attemptCount), dispatchedAt: c.now,
-		sendDeadline: deadline, engineStartedAt: e.StartedAt, lastProgressAt: c.now, reservedMB: reserved,
+		sendDeadline: sendDeadline, engineStartedAt: e.StartedAt, lastProgressAt: c.now, reservedMB: reserved,
 		expectedNanos: j.work / t.threads * t.slowdown})
 	return true
 }
@@ -57,8 +58,9 @@
 	return normalPriority
 }
 
-// memoryGrant returns the MB granted to a job (0: unspecified) and the MB it is assumed to use. Free memory
-// is spent on safety from low estimates; where engines swap, only use counts, so safety costs nothing.
+// memoryGrant returns the MB granted to a job (0: unspecified) and the MB that it is assumed to use. The
+// grant uses free memory as a margin for low estimates. Where engines swap, only memory in use counts, so the
+// margin costs nothing.
 func (c *Controller) memoryGrant(j *job, e *engine) (grant, reserved float64) {
 	reserved = c.memoryNeed(j, e)
 	if !c.settings.grantsHonored || j.memoryMB <= 0 {
@@ -68,13 +70,13 @@
 	if c.settings.memorySwaps {
 		return min(reserved*math.Exp(grantSafetySlope*deviation), limit), reserved
 	}
-	used := max(c.knownMemoryMB(e), e.ownMemoryMB/c.fleet.share) / max(1, e.memoryMB)
-	safety := min(maxGrantSafety, max(minGrantSafety, grantSafetySlope*(1-used)))
+	usedShare := max(c.knownMemoryMB(e), e.ownMemoryMB/c.fleet.share) / max(1, e.memoryMB)
+	safety := min(maxGrantSafety, max(minGrantSafety, grantSafetySlope*(1-usedShare)))
 	grant = min(reserved*math.Exp(safety*deviation), limit)
 	return grant, grant
 }
 
-// handleAttemptEnd processes the outcome of an attempt: its job is finished, parked for a retry, or given up.
+// handleAttemptEnd handles the outcome of an attempt: its job is finished, parked for a retry, or given up.
 func (c *Controller) handleAttemptEnd(ev Event) {
 	a := c.attemptOf(ev)
 	if a == nil {
@@ -100,14 +102,14 @@
 	}
 }
 
-// observeSuccess learns work, memory and latency from an answer, and adjusts the concurrency limit.
+// observeSuccess updates the estimates of work, memory and latency, and adjusts the concurrency limit.
 func (c *Controller) observeSuccess(a *attempt, ev Event) {
 	t, work := a.job.jobType, a.job.work
 	if c.settings.usageReported && ev.Usage > 0 {
 		work = t.observeUsage(a.job, usage(ev.Usage))
 	}
 	if a.stalled > 0 {
-		return // its latency shows our stall, not the engine
+		return // its latency includes a stall of this process
 	}
 	c.durationError.observe(a, ev.Latency, maxDurationStep, priorCosts, estimateSamples)
 	slowdown := float64(ev.Latency) / (work / t.threads)
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -10,15 +10,16 @@
 	latencyStaleAfter  = 5 * second // a type's slowdown decays after this long without an answer
 	failureDecay       = 0.999      // factor per sweep on an engine's failure rate
 	siblingDrift       = 0.02       // step per sweep of unreported sibling threads toward the fleet's mean
-	ownLoadStep        = 0.005      // step per sweep of the means of our load and of contention
-	shareStep          = 0.05       // step per sweep of our share as estimated from reports
+	ownLoadStep        = 0.005      // step per sweep of the means of own load and of contention
+	shareStep          = 0.05       // step per sweep of the own share estimated from reports
 	minLatencyMean     = 0.1        // lower bound of the fleet's latency ratio
-	minContentionCores = 4.0        // a smaller share of the cores says little about siblings
+	minContentionCores = 4.0        // lower bound of own cores: fewer say little about siblings
 
-	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep counts once per ownLoadJobs jobs out, up to this
+	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep is multiplied by own jobs / ownLoadJobs, capped
 )
 
-// updateEngines applies a list from discovery. A new start time is a restart, which voids what was learned.
+// updateEngines applies an engine list from discovery. A new start time means a restart, which resets the
+// engine's statistics.
 func (c *Controller) updateEngines(ev Event) {
 	c.watchingEngines = ev.List != ListFailed && (c.watchingEngines || ev.List != CachedList)
 	if ev.List == ListFailed {
@@ -39,14 +40,14 @@
 	c.sampleSize = max(minSampleSize, int(math.Ceil(c.fleet.cores*c.settings.evenShare)))
 }
 
-// updateFleet updates each engine, the means over the fleet and the means of our own load.
+// updateFleet updates each engine, the means over the fleet and the means of this controller's load.
 func (c *Controller) updateFleet() {
 	var total fleetTotals
 	for _, e := range c.engines {
 		c.updateHealth(e)
 		total.add(e, c.warmCores(e))
 	}
-	c.fleet.cores = cmp.Or(total.cores, c.fleet.cores) // where all are in slow start: of all
+	c.fleet.cores = cmp.Or(total.cores, c.fleet.cores) // kept if all engines are in slow start
 	speedup := min(maxOwnLoadSpeedup, max(1, c.ownLoad.jobs/ownLoadJobs))
 	c.ownLoad.approach(total.own, ownLoadStep*speedup)
 	c.fleet.meanLatencyRatio = max(minLatencyMean, total.latencyRatio/max(1, total.active))
@@ -54,8 +55,8 @@
 	c.logPressure(total.pressed)
 }
 
-// updateHealth decays what was learned of an engine and restores it after an ejection. Unreported siblings
-// are assumed to load it like the rest of the fleet.
+// updateHealth decays an engine's statistics and restores it after an ejection. Without a fresh report,
+// siblings are assumed to load it like the rest of the fleet.
 func (c *Controller) updateHealth(e *engine) {
 	if c.now-e.loadKnownAt >= reportTTL {
 		expectedThreads := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
@@ -67,16 +68,16 @@
 	c.restoreIfHealthy(e)
 }
 
-// updateShare estimates our share of the fleet's load from reports, unless a share is assigned. Without
-// reports, siblings are assumed to hold what we hold.
+// updateShare estimates this controller's share of the fleet's load from reports, unless a share is assigned.
+// Without reports, siblings are assumed to have the same load as this controller.
 func (c *Controller) updateShare() {
 	if c.now-c.fleet.lastReportAt >= reportTTL {
-		ours := c.ownLoad.threads / max(minContentionCores, c.settings.evenShare*c.fleet.cores)
-		c.fleet.contention += ownLoadStep * (ours - c.fleet.contention)
+		ownContention := c.ownLoad.threads / max(minContentionCores, c.settings.evenShare*c.fleet.cores)
+		c.fleet.contention += ownLoadStep * (ownContention - c.fleet.contention)
 	}
 	if c.fleet.contention > 0 {
-		carried := c.ownLoad.threads / max(1, c.fleet.contention*c.fleet.cores)
-		c.fleet.estimatedShare += shareStep * (min(1, max(c.settings.evenShare, carried)) - c.fleet.estimatedShare)
+		ownShare := c.ownLoad.threads / max(1, c.fleet.contention*c.fleet.cores)
+		c.fleet.estimatedShare += shareStep * (min(1, max(c.settings.evenShare, ownShare)) - c.fleet.estimatedShare)
 	}
 	if c.fleet.share = c.fleet.estimatedShare; c.now < c.quota.ExpiresAt {
 		c.fleet.share = c.quota.FleetShare
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -4,22 +4,23 @@
 
 const (
 	gossipCollectors   = 3    // controllers that collect messages and broadcast maps
-	gossipPointsPerJob = 0.01 // points earned per admitted job for messages, and at most for maps
-	minMapPointsShare  = 0.25 // of these for maps in a calm fleet, where engines have capacity anyway
+	gossipPointsPerJob = 0.01 // points earned per admitted job: for messages, and at most for maps
+	minMapPointsShare  = 0.25 // part of these earned for maps in an idle fleet, where engines have capacity
 	gossipUnit         = 256  // bytes per unit of the gossip price
 	tablesEveryRounds  = 3    // one in this many rounds of maps includes locked tables, which cost most
 
-	maxMessageTokens, maxMapTokens          = 0.1, 20.0               // saved up: points for messages, and maps
-	gossipRepeatInterval, gossipTTL         = 4 * second, 10 * second // a message is repeated, expires
-	mapInterval, collectorTakeoverDelay     = 100 * ms, second        // between maps; until the next one acts
-	siblingOutcomeDecay, minSiblingOutcomes = 0.95, 4                 // factor per map; fewer are ignored
+	maxMessageTokens, maxMapTokens          = 0.1, 20.0               // caps on points for messages; on maps
+	gossipRepeatInterval, gossipTTL         = 4 * second, 10 * second // message is repeated after; expires after
+	mapInterval, collectorTakeoverDelay     = 100 * ms, second        // between maps; until the next takes over
+	siblingOutcomeDecay, minSiblingOutcomes = 0.95, 4                 // factor per map; fewer are not reported
 )
 
-// sendGossip sends collectors our load and outcomes when they change. One collector broadcasts a map of all
-// reports, as often as admitted jobs pay for. What is lost is sent again later.
+// sendGossip sends this controller's load and outcomes to the collectors when they change. One collector
+// broadcasts a map of all reports, as often as points earned by admitted jobs allow. Lost content is sent
+// again with a later message.
 func (c *Controller) sendGossip() {
 	message, bytePrice := c.ownMessage(), c.settings.gossipPrice/gossipUnit
-	payload := message[1:] // without the count of jobs
+	payload := message[1:] // without the job count
 	changed := payload != c.gossip.lastPayload || c.now-c.gossip.lastMessageAt >= gossipRepeatInterval
 	cost := bytePrice * float64((messageOverhead+len(message))*c.collectors())
 	if c.gossip.messageTokens >= cost && changed {
@@ -32,32 +33,33 @@
 	if c.gossip.mapTokens >= cost && len(c.engines) > 0 && c.isMapDue() {
 		c.gossip.lastOwnMapAt = c.now
 		c.gossip.mapTokens -= cost
-		fleet := c.fleetMap(c.now - gossipTTL)
-		c.receiveGossip(c.settings.ownIndex, []byte(fleet))
-		c.emit(Action{Kind: SendGossip, Peer: math.MaxUint32, Payload: fleet})
+		mapPayload := c.fleetMap(c.now - gossipTTL)
+		c.receiveGossip(c.settings.ownIndex, []byte(mapPayload))
+		c.emit(Action{Kind: SendGossip, Peer: math.MaxUint32, Payload: mapPayload})
 	}
 }
 
-// isMapDue reports whether we are a collector, and no collector before us sends maps.
+// isMapDue reports whether this controller is a collector and no collector before it sends maps.
 func (c *Controller) isMapDue() bool {
 	place := c.collectorPlace()
 	return place >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(place)*collectorTakeoverDelay &&
 		c.now-c.gossip.lastOwnMapAt >= mapInterval
 }
 
-// receiveGossip processes a message, or a map, which replaces missing reports and adds siblings' outcomes.
+// receiveGossip handles a message or a map. A map replaces missing load reports and carries siblings'
+// outcomes.
 func (c *Controller) receiveGossip(peer int, message []byte) {
-	first, entries, ok := decodeGossip(message)
+	header, entries, ok := decodeGossip(message)
 	if !ok || peer >= len(c.gossip.messages) {
 		return
 	}
-	isMap := first == mapMarker
+	isMap := header == mapMarker
 	if isMap && peer != c.settings.ownIndex {
 		c.gossip.lastMapReceivedAt = c.now
 	} else if !isMap {
 		points := gossipPointsPerJob * min(1, max(minMapPointsShare, c.fleet.contention/lowContention))
 		c.gossip.messages[peer] = peerMessage{entries, c.now}
-		c.gossip.mapTokens += points * float64(first)
+		c.gossip.mapTokens += points * float64(header)
 	}
 	for _, e := range c.engines {
 		if entry, found := entryFor(e, entries); found && isMap {
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -2,13 +2,13 @@
 
 const (
 	reportTTL                          = 1500 * ms // a load report counts as fresh for this long
-	maxReportedJobs, maxReportedMemory = 1e6, 1e3  // caps of reported jobs, of granted memory in engine sizes
-	engineGrantFactor                  = 1.25      // memory granted over the estimate if engines choose it
+	maxReportedJobs, maxReportedMemory = 1e6, 1e3  // caps on reported jobs; on granted memory / engine size
+	engineGrantFactor                  = 1.25      // granted over estimated memory if engines choose it
 	contentionStep                     = 0.2       // step of the fleet's contention per report
 )
 
-// applyLoadReport derives siblings' threads at an engine from its report: from the jobs beyond ours, or else
-// from the memory granted beyond ours, which blocked jobs hold too.
+// applyLoadReport estimates siblings' threads on an engine from its load report: from the jobs other than
+// this controller's, or else from the memory granted to others, which includes that of blocked jobs.
 func (c *Controller) applyLoadReport(e *engine, load []float64) {
 	if jobs, reported := c.settings.jobCount(load); reported {
 		jobs = min(jobs, maxReportedJobs)
@@ -17,18 +17,18 @@
 		e.lastReportAt = c.now
 		return
 	}
-	share, reported := c.settings.grantedMemory(load)
-	if perThread := c.meanMemoryPerThread(); reported && perThread*e.memoryMB > 0 {
-		grantedMB := min(share, maxReportedMemory) * e.memoryMB
+	grantedShare, reported := c.settings.grantedMemory(load)
+	if memoryPerThread := c.meanMemoryPerThread(); reported && memoryPerThread*e.memoryMB > 0 {
+		grantedMB := min(grantedShare, maxReportedMemory) * e.memoryMB
 		if !c.settings.grantsHonored {
 			grantedMB /= engineGrantFactor
 		}
-		c.setSiblingThreads(e, (grantedMB-e.ownMemoryMB)/perThread)
+		c.setSiblingThreads(e, (grantedMB-e.ownMemoryMB)/memoryPerThread)
 		e.lastReportAt = c.now
 	}
 }
 
-// setSiblingThreads records the threads of siblings at an engine, as reported by it or by them.
+// setSiblingThreads records siblings' threads on an engine, as reported by the engine or by siblings.
 func (c *Controller) setSiblingThreads(e *engine, threads float64) {
 	e.siblingThreads = max(0, threads)
 	e.loadKnownAt, c.fleet.lastReportAt = c.now, c.now
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -9,23 +9,23 @@
 	failureRateStep     = 0.05  // step of an engine's failure rate per outcome
 	ejectAfterFailures  = 3.0   // consecutive failures that eject an engine
 	accidentProbability = 0.001 // of a run of failures at the fleet's failure rate: only rarer runs eject
-	maxMeanFailureRate  = 0.9   // cap of the fleet's failure rate in that
+	maxMeanFailureRate  = 0.9   // cap on the fleet's failure rate in that
 	maxEjectedShare     = 3     // at most one in this many ready engines is ejected
 	restoreAfterProbes  = 2     // consecutive successful probes that restore an engine
 
 	minEjectionTime, maxEjectionTime  = second, 8 * second // doubled by each further ejection
-	fullCooldown, failedProbeCooldown = second / 5, second // no dispatch after a Full result, a failed probe
+	fullCooldown, failedProbeCooldown = second / 5, second // no dispatch after a Full result; a failed probe
 )
 
 // recordOutcome counts the outcome of an attempt or probe for or against an engine. connectedAt is when the
-// connection came up over which it answered; 0: not known.
+// connection over which it answered was established (0: unknown).
 func (c *Controller) recordOutcome(e *engine, r Result, connectedAt Nanos) {
 	switch r {
 	case Done:
 		c.markSeen(e, connectedAt)
 		e.newSuccesses++
 		e.failureRate *= 1 - failureRateStep
-		if !e.ejected { // what was out when it was ejected does not restore it
+		if !e.ejected { // an attempt from before the ejection does not reset these
 			e.consecutiveFailures, e.ejectionTime = 0, 0
 		}
 	case Full:
@@ -44,14 +44,14 @@
 	}
 }
 
-// ejectionThreshold is the number of consecutive failures that ejects an engine. It grows where all engines
-// fail some of the time, as on a faulty network: short runs are accidents there.
+// ejectionThreshold returns the number of consecutive failures that ejects an engine. It grows with the
+// failure rate of the whole fleet, as on a faulty network, where short runs of failures occur by chance.
 func (c *Controller) ejectionThreshold() float64 {
 	rate := min(maxMeanFailureRate, c.fleet.meanFailureRate)
 	return max(ejectAfterFailures, math.Log(accidentProbability)/math.Log(rate))
 }
 
-// recordRefusal records that no connection came up. The first one begins an outage.
+// recordRefusal records that a connection could not be established. The first time begins an outage.
 func (c *Controller) recordRefusal(e *engine, r Result) {
 	if c.now-c.outage.lastRefusalAt >= outageDuration {
 		c.outage.startedAt = c.now
@@ -66,11 +66,12 @@
 	e.refusing = true
 }
 
-// eject stops using an engine. At most a third of the fleet is ejected, as a fault of most engines is
-// elsewhere; but always one that refuses connections: it fails so fast that it looks idle.
-func (c *Controller) eject(e *engine, refuses bool) {
+// eject stops using an engine. At most a third of the ready engines is ejected, as a fault of most engines
+// has its cause elsewhere. An engine that refuses connections is always ejected, as it fails so fast that it
+// looks idle.
+func (c *Controller) eject(e *engine, refusesConnections bool) {
 	ejected, ready := c.countEjected()
-	if !refuses && ejected+1 > max(1, ready/maxEjectedShare) {
+	if !refusesConnections && ejected+1 > max(1, ready/maxEjectedShare) {
 		return
 	}
 	e.ejectionTime = min(maxEjectionTime, max(minEjectionTime, 2*e.ejectionTime))
@@ -84,8 +85,8 @@
 	}
 }
 
-// restoreIfHealthy restores an ejected engine that answered probes, or after its time where there are none.
-// One more failure ejects it for twice as long.
+// restoreIfHealthy restores an ejected engine after its ejection time, once it passed its probes if probes
+// are allowed. One more failure ejects it again for twice as long.
 func (c *Controller) restoreIfHealthy(e *engine) {
 	if e.State != Ready || !e.ejected {
 		return
@@ -99,7 +100,7 @@
 	}
 }
 
-// handleProbe processes the answer to a probe, with the load report that came with it.
+// handleProbe handles the result of a probe and the load report that came with it.
 func (c *Controller) handleProbe(ev Event) {
 	e := c.engineByID(ev.Engine)
 	if e == nil {
--- a/choice/permission.go
+++ b/choice/permission.go
@@ -1,24 +1,24 @@
 package choice
 
-// Refusal says why an attempt may not be ordered or sent now; 0: it may.
+// Refusal is the reason why an attempt must not be dispatched or sent now. Zero permits it.
 type Refusal uint8
 
-// The reasons, with the rule that each keeps. Permitted is none.
+// The refusals, each with the rule of the package comment that it enforces. Permitted is no refusal.
 const (
 	Permitted         Refusal = iota
 	JobOver                   // rule 1: the job has its final answer, or no time is left for one
-	AttemptOver               // rule 1: another attempt is out; this one has ended or is being canceled
-	ClientLeft                // rule 1: nobody waits for the answer
-	AttemptsUsedUp            // the job had all its attempts
-	RepeatUnsafe              // rule 2: the job may have run, and a repeat may have an effect
-	EngineUnavailable         // rule 3: the engine drains, was removed, or has another address by now
-	OrderTooOld               // rules 2 and 3: it is past its send deadline, or older than a dial may take
-	ListTooOld                // rule 3: what the list said of late may be unread, as after a stall
-	EngineWarmingUp           // rule 4: our part of what the engine withstands in its slow start is used
-	EngineRestarted           // rule 4: it started after the order, which was not counted for its slow start
-	OutOfOrder                // rule 5: an earlier job of the key is not over, or the key pauses
-	PlaceNotAllowed           // rule 6
-	RetryBudgetSpent          // rule 7
+	AttemptOver               // rule 1: another attempt is in flight, or this one ended or is being canceled
+	ClientLeft                // rule 1: the client no longer waits for the answer
+	AttemptsUsedUp            // the job has had the maximum number of attempts
+	RepeatUnsafe              // rule 2: the job may have run, and another run may not be harmless
+	EngineUnavailable         // rule 3: the engine is draining, was removed, or changed its address
+	OrderTooOld               // rules 2 and 3: the send deadline passed, or more time than a dial may take
+	ListTooOld                // rule 3: recent updates of the list may be unread, as after a stall
+	EngineWarmingUp           // rule 4: this controller's part of the engine's slow-start budget is used up
+	EngineRestarted           // rule 4: it restarted after the dispatch, which its slow start does not count
+	OutOfOrder                // rule 5: an earlier job of the key has not ended, or the key is paused
+	PlaceNotAllowed           // rule 6: the job does not allow the engine's zone, kind or protocols
+	RetryBudgetSpent          // rule 7: the retry budget is used up
 )
 
 var refusalNames = [...]string{
@@ -38,17 +38,18 @@
 	RetryBudgetSpent:  "retry_budget_spent",
 }
 
-// String returns the name of the reason, as logs and counters have it.
+// String returns the name used in logs and counters.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// orderRefusal decides whether a job's next attempt may be ordered at an engine now; no order bypasses it.
+// orderRefusal decides whether a job's next attempt may be dispatched to an engine now. Every dispatch passes
+// this check.
 func (c *Controller) orderRefusal(j *job, e *engine) Refusal {
 	if refusal := c.attemptRefusal(j, e); refusal != Permitted {
 		return refusal
 	}
 	t := j.jobType
 	switch {
-	case e.State != Ready: // with no use of the grace
+	case e.State != Ready: // the drain grace is not for new dispatches
 		return EngineUnavailable
 	case c.inSlowStart(e) && !c.slowStartAllows(j, e):
 		return EngineWarmingUp
@@ -63,7 +64,7 @@
 	return Permitted
 }
 
-// attemptRefusal decides whether a job may have another attempt, before it matters what the engine is like.
+// attemptRefusal does the checks of orderRefusal that do not depend on the engine's state.
 func (c *Controller) attemptRefusal(j *job, e *engine) Refusal {
 	switch {
 	case j.finished, c.now >= j.expiresAt:
@@ -78,42 +79,42 @@
 	return Permitted
 }
 
-// dispatchAllowed reports whether a job's next attempt may be ordered at an engine now.
+// dispatchAllowed reports whether a job's next attempt may be dispatched to an engine now.
 func (c *Controller) dispatchAllowed(j *job, e *engine) bool {
 	return c.orderRefusal(j, e) == Permitted
 }
 
-// minTimeLeft is the least time for which an engine is asked: it is told whole milliseconds.
+// minTimeLeft is the shortest timeout that can be sent to an engine, which is given whole milliseconds.
 const minTimeLeft = ms
 
-// SendFacts are what the caller knows of an ordered attempt as its first byte would go out.
+// SendFacts are what the caller knows of a dispatched attempt just before its first byte is sent.
 type SendFacts struct {
 	Job             JobID
 	Seq             AttemptSeq
-	ClientConnected bool  // its connection shows no end
-	TimeLeft        Nanos // until its client gives up, or the attempt's own limit; the engine is told so
-	SameAddress     bool  // the engine is listed where the connection goes
-	MaxAge          Nanos // of the order; later the engine may have been drained without our knowing
-	ListCurrentAt   Nanos // what was told of engines by then is known here; 0: the caller cannot tell
+	ClientConnected bool  // the client's connection is not known to have closed
+	TimeLeft        Nanos // until the client or the attempt times out; sent to the engine
+	SameAddress     bool  // the engine is still listed at the address of the connection
+	MaxAge          Nanos // of the dispatch; later the engine may have been drained unnoticed
+	ListCurrentAt   Nanos // all updates of the engine list until then were applied; 0: unknown
 }
 
-// SendRefusal decides whether the first byte of an ordered attempt may go out now. Since the order a dial, a
-// move to another connection or a stall of the process may have passed, so what the order relied on is looked
-// at again. Nothing changes by it. An attempt that is refused never ran: its caller reports it as Superseded.
-func (c *Controller) SendRefusal(now Nanos, facts SendFacts) Refusal {
-	j := c.jobs[facts.Job]
+// SendRefusal decides whether the first byte of a dispatched attempt may be sent now. It checks the
+// conditions of the dispatch again, as a dial, a move to another connection or a stall of the process may
+// have happened since. It changes no state. A refused attempt never ran: the caller reports it as Superseded.
+func (c *Controller) SendRefusal(now Nanos, conditions SendFacts) Refusal {
+	j := c.jobs[conditions.Job]
 	switch {
-	case j == nil, j.finished, now >= j.expiresAt, facts.TimeLeft < minTimeLeft:
+	case j == nil, j.finished, now >= j.expiresAt, conditions.TimeLeft < minTimeLeft:
 		return JobOver
-	case j.attempt == nil, j.attempt.seq != facts.Seq, j.attempt.cancelRequested:
+	case j.attempt == nil, j.attempt.seq != conditions.Seq, j.attempt.cancelRequested:
 		return AttemptOver
-	case !facts.ClientConnected:
+	case !conditions.ClientConnected:
 		return ClientLeft
-	case now > j.attempt.sendDeadline, now-j.attempt.dispatchedAt > facts.MaxAge:
+	case now > j.attempt.sendDeadline, now-j.attempt.dispatchedAt > conditions.MaxAge:
 		return OrderTooOld
-	case now-c.listCurrentAt(facts) > c.settings.drainGrace:
+	case now-c.listCurrentAt(conditions) > c.settings.drainGrace:
 		return ListTooOld
-	case j.attempt.engine.State != Ready, !facts.SameAddress:
+	case j.attempt.engine.State != Ready, !conditions.SameAddress:
 		return EngineUnavailable
 	case j.attempt.engine.StartedAt != j.attempt.engineStartedAt:
 		return EngineRestarted
@@ -121,11 +122,11 @@
 	return Permitted
 }
 
-// listCurrentAt is when the list of engines was last known to be complete. Where the caller cannot tell, it
-// is the last sweep: what came later may be unread, as the process may have stalled since.
-func (c *Controller) listCurrentAt(facts SendFacts) Nanos {
-	if facts.ListCurrentAt != 0 {
-		return facts.ListCurrentAt
+// listCurrentAt returns when the engine list was last known to be complete. If the caller does not know, it
+// is the last sweep: later updates may be unread, as the process may have stalled since.
+func (c *Controller) listCurrentAt(conditions SendFacts) Nanos {
+	if conditions.ListCurrentAt != 0 {
+		return conditions.ListCurrentAt
 	}
 	return c.lastSweepAt
 }
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	minSampleSize    = 4        // engines sampled per job, at least
-	resampleInterval = 300 * ms // a parked head samples again after this
-	probeWait        = 60 * ms  // a job waits at most this long for the probes of its sample
+	minSampleSize    = 4        // minimum number of engines sampled per job
+	resampleInterval = 300 * ms // engines are sampled again for a queue head after this
+	probeWait        = 60 * ms  // maximum wait of a job for the probes of its sample
 	probeInterval    = 400 * ms // minimum time between two probes of an engine
-	probeValueShare  = 0.05     // part of a job's value that may be spent on the probes of its sample
+	probeValueShare  = 0.05     // maximum part of a job's value spent on probes of its sample
 
-	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // earned per admitted job: points for probes, probes at most
-	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // probes saved up, and the part that only long jobs may use
+	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // earned per admitted job: points for probes; cap in probes
+	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // cap on saved probes; probes reserved for long jobs
 
 	minPrice       = 1e-9 // points; avoids a division by zero
-	shortTypeRatio = 4    // a type is short if the longest type has this many times its mean work
+	shortTypeRatio = 4    // minimum ratio of the longest type's mean work to that of a short type
 
-	// Terms of the placement load, in threads per core.
-	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // bounds of the factor for latency relative to the fleet
+	// Weights and terms of the placement load; terms are in threads per core.
+	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // bounds of the weight for latency relative to the fleet
 	failureLoad, repeatLoad            = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
-	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // for another zone: at most, and per crossing price by value
-	minCrossZoneValue                  = 0.01      // smaller job values count as this
-	foreignTablesLoad, tieBreakLoad    = 3.0, 0.02 // table loads on siblings' engines; random tie-break
+	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // for another zone: maximum; per price over job value
+	minCrossZoneValue                  = 0.01      // lower bound of the job value in that
+	foreignTablesLoad, tieBreakLoad    = 3.0, 0.02 // table loads on siblings' engines; largest tie-break
 )
 
-// tryDispatch dispatches a job if its key and an engine allow it, once the probes of its sample are in.
+// tryDispatch dispatches a job if its ordering key and an engine allow it. It waits up to probeWait for
+// pending probes of the job's sample.
 func (c *Controller) tryDispatch(j *job) bool {
 	if !c.orderingAllows(j) {
 		return false
@@ -41,8 +42,9 @@
 	return e != nil && c.dispatch(j, e)
 }
 
-// sampleEngines chooses the engines that a job may use: all if our share is many threads, else a few at
-// random, as hundreds of controllers would choose the same. Without probes, freshly reported ones come first.
+// sampleEngines picks a job's candidate engines: all if this controller's share of the cores is large, else a
+// few at random, so that hundreds of controllers do not pick the same ones. Without probes, engines with
+// fresh reports come first.
 func (c *Controller) sampleEngines(j *job) {
 	if j.candidates != nil && c.now-j.sampledAt < resampleInterval {
 		return
@@ -50,7 +52,7 @@
 	j.sampledAt, j.candidates = c.now, j.candidates[:0]
 	for _, e := range c.engines {
 		if c.sampleSize >= len(c.engines) || (!c.settings.probesAllowed && c.now-e.lastReportAt < reportTTL) ||
-			(c.inSlowStart(e) && c.slowStartAllows(j, e)) { // our turn there comes seldom
+			(c.inSlowStart(e) && c.slowStartAllows(j, e)) { // this controller's turns are rare
 			j.addCandidate(e)
 		}
 	}
@@ -66,18 +68,18 @@
 	}
 }
 
-// probeCandidates probes engines without a fresh report, as the job's value and the probe budget allow.
+// probeCandidates probes candidates without a recent report, as far as the job's value and the budget allow.
 func (c *Controller) probeCandidates(j *job) {
-	affordable, reserve := 0.0, 1.0
+	affordable, minTokens := 0.0, 1.0
 	if c.settings.probesAllowed && c.settings.reportsLoad() {
 		affordable = probeValueShare * j.jobType.value / max(minPrice, c.settings.probePrice*c.demand.meanValue)
 	}
 	if c.isShortType(j.jobType) {
-		reserve = longProbeReserve
+		minTokens = longProbeReserve
 	}
 	for _, e := range j.candidates {
-		old := c.now-max(e.loadKnownAt, e.lastProbeAt) >= probeInterval
-		if old && !e.probePending && affordable >= 1 && c.probeBudget.tokens >= reserve {
+		stale := c.now-max(e.loadKnownAt, e.lastProbeAt) >= probeInterval
+		if stale && !e.probePending && affordable >= 1 && c.probeBudget.tokens >= minTokens {
 			affordable--
 			c.probeBudget.tokens--
 			c.sendProbe(e)
@@ -85,7 +87,7 @@
 	}
 }
 
-// isShortType reports whether a type's jobs are short: they get priority and half a start limit on top.
+// isShortType reports whether a type's jobs are short. They get priority and a higher concurrency limit.
 func (c *Controller) isShortType(t *jobType) bool {
 	return t.meanWork*shortTypeRatio <= c.longestMeanWork()
 }
@@ -93,37 +95,37 @@
 // pickEngine returns the allowed candidate with the lowest placement load, or nil.
 func (c *Controller) pickEngine(j *job) *engine {
 	var best *engine
-	lowest := math.Inf(1)
+	lowestLoad := math.Inf(1)
 	for _, e := range j.candidates {
 		if !c.dispatchAllowed(j, e) || !c.hasCapacity(j, e) || c.tablesLocked(j, e) {
 			continue
 		}
-		if load := c.placementLoad(j, e); load < lowest {
-			best, lowest = e, load
+		if load := c.placementLoad(j, e); load < lowestLoad {
+			best, lowestLoad = e, load
 		}
 	}
 	return best
 }
 
-// tablesLocked reports whether a job would block on an engine, holding memory, behind a load.
+// tablesLocked reports whether a job would hold memory on an engine while a load blocks it.
 func (c *Controller) tablesLocked(j *job, e *engine) bool {
 	if !j.jobType.locksTables && !j.jobType.waitsForTables {
 		return false
 	}
-	bySibling := c.now-e.lockedTablesAt < reportTTL && slices.Contains(e.lockedTables, j.tables.hash())
-	return bySibling || slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+	lockedBySibling := c.now-e.lockedTablesAt < reportTTL && slices.Contains(e.lockedTables, j.tables.hash())
+	return lockedBySibling || slices.ContainsFunc(e.attempts, func(a *attempt) bool {
 		return a.job.jobType.locksTables && a.job.tables == j.tables
 	})
 }
 
-// placementLoad is the load that an engine would carry with the job, weighted by its latency, plus terms for
-// and against it. Each call draws a random number.
+// placementLoad returns the load of an engine with the job added, weighted by its relative latency, plus
+// penalties and minus the plan's preference. Each call draws a random number.
 func (c *Controller) placementLoad(j *job, e *engine) float64 {
 	t := j.jobType
 	load := (e.ownThreads + e.siblingThreads + t.threads) / (e.cores * c.slowStartFraction(e))
 	latency := e.latencyRatio / c.fleet.meanLatencyRatio
 	load = load*min(maxLatencyWeight, max(minLatencyWeight, latency)) + failureLoad*e.failureRate
-	if e.Zone != c.settings.zone { // the price is one a job: it keeps jobs of little value near
+	if e.Zone != c.settings.zone { // the price is per job, so low-value jobs stay in the zone
 		price := crossZoneFactor * c.settings.crossZonePrice * c.demand.meanValue
 		load += min(maxCrossZoneLoad, price/max(minCrossZoneValue, t.value))
 	}
@@ -131,7 +133,7 @@
 		load += repeatLoad
 	}
 	if t.locksTables && (e.index+int(j.tables))%c.settings.controllers != c.settings.ownIndex {
-		load += foreignTablesLoad // each controller has its own engines for a group's loads, which block each other
+		load += foreignTablesLoad // loads of a group block each other: controllers use different engines
 	}
 	if weights := c.plan.engine(e.Engine).weights; c.planWeight > 0 && int(t.id) < len(weights) {
 		load -= c.planWeight * planPreference * weights[t.id]
--- a/choice/plan.go
+++ b/choice/plan.go
@@ -1,14 +1,14 @@
 package choice
 
 const (
-	planPreference   = 1.0               // threads per core in favor of the engine preferred most for a type
-	planMaxMissing   = 0.2               // part of a plan's threads; the plan is dropped if this much is missing
-	planResumeFactor = 0.5               // of that part, and of the demand margin, below which it is resumed
-	planSettleTime   = 2 * offeredWindow // demand is compared only this long after a plan begins
+	planPreference   = 1.0               // threads per core in favor of the most preferred engine for a type
+	planMaxMissing   = 0.2               // a plan is suspended if this part of its threads is missing
+	planResumeFactor = 0.5               // part of that and of the demand margin below which it is resumed
+	planSettleTime   = 2 * offeredWindow // demand is checked only this long after a plan begins
 	minDemand        = 1e-9              // threads; avoids a division by zero
 )
 
-// setPlan follows a plan, or none for nil. Demand is assumed to be as planned until it is known.
+// setPlan begins to follow a plan, or none if it is nil. Until demand is measured, it is assumed as planned.
 func (c *Controller) setPlan(p *Plan) {
 	c.plan, c.planWeight = p.indexed(c.now), 0
 	if p != nil {
@@ -19,20 +19,21 @@
 }
 
 // updatePlanWeight decides how far the plan is followed: less as its threads go missing or unknown engines
-// come, not at all from planMaxMissing on or when demand is off by its ratio. It resumes with hysteresis.
+// join, and not at all from planMaxMissing on or if demand is off by MaxDemandRatio. It resumes with
+// hysteresis.
 func (c *Controller) updatePlanWeight() {
-	present, unknown := c.planPresence()
-	missing := max(1-present/c.plan.totalThreads, unknown/max(1, c.fleet.cores))
-	demand := max(c.offeredThreads, minDemand) / max(minDemand, c.plan.DemandThreads*c.fleet.share)
+	presentThreads, unknownCores := c.planPresence()
+	missingShare := max(1-presentThreads/c.plan.totalThreads, unknownCores/max(1, c.fleet.cores))
+	demandRatio := max(c.offeredThreads, minDemand) / max(minDemand, c.plan.DemandThreads*c.fleet.share)
 	maxMissing, maxRatio := planMaxMissing, c.plan.MaxDemandRatio
 	if c.planWeight == 0 {
 		maxMissing, maxRatio = planResumeFactor*planMaxMissing, 1+planResumeFactor*(maxRatio-1)
 	}
-	weight := max(0, 1-missing/planMaxMissing)
+	weight := max(0, 1-missingShare/planMaxMissing)
 	settled := c.now-c.plan.followedSince >= planSettleTime
-	if missing >= maxMissing || (settled && max(demand, 1/demand) > maxRatio) {
+	if missingShare >= maxMissing || (settled && max(demandRatio, 1/demandRatio) > maxRatio) {
 		weight = 0
 	}
-	c.logPlan(weight, missing, demand)
+	c.logPlan(weight, missingShare, demandRatio)
 	c.planWeight = weight
 }
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -5,9 +5,10 @@
 	"slices"
 )
 
-const threadsPerCore = 2 // that all buckets together may use before they borrow
+const threadsPerCore = 2 // threads that all buckets together may use before they borrow
 
-// bucketLimit is a bucket's limit in threads, computed at each use: even for all tenants, or as a plan says.
+// bucketLimit returns the threads that a bucket may use before it borrows: the same for all tenants, or their
+// shares in the plan as far as it is followed. It is computed at each use.
 func (c *Controller) bucketLimit(b *bucket) float64 {
 	limit := c.fleet.cores * threadsPerCore * c.fleet.share / float64(max(1, len(c.tenants)))
 	if c.planWeight > 0 {
@@ -18,7 +19,7 @@
 }
 
 // dispatchParked dispatches parked jobs: first from the bucket that an ended attempt freed (nil: none), then
-// the head with the earliest deadline that fits anywhere.
+// repeatedly the bucket head with the earliest deadline among those that fit on an engine.
 func (c *Controller) dispatchParked(freed *bucket) {
 	for freed != nil {
 		if j := c.bucketHead(freed); j == nil || !c.tryDispatch(j) {
@@ -34,7 +35,8 @@
 	}
 }
 
-// bucketHead is the first parked job of a bucket that its ordering key allows to run, or nil.
+// bucketHead returns the first parked job of a bucket that its ordering key allows to run, or nil. It notes
+// when that job became the head.
 func (c *Controller) bucketHead(b *bucket) *job {
 	i := slices.IndexFunc(b.queue, c.orderingAllows)
 	if i < 0 {
@@ -46,8 +48,8 @@
 	return b.queue[i]
 }
 
-// orderingAllows is rule 5: all earlier jobs of the key have ended, and the key has paused after an unknown
-// outcome. Keys that a predecessor served pause after its end.
+// orderingAllows implements rule 5: all earlier jobs of the key have ended, and the pause after an unknown
+// outcome is over. Keys also pause after the end of a predecessor, which may have served them.
 func (c *Controller) orderingAllows(j *job) bool {
 	order := c.orderings[j.key]
 	if !j.jobType.orderedByKey || j.key == 0 || order == nil {
@@ -57,7 +59,7 @@
 	return order.jobs[0] == j && c.now >= pausedUntil
 }
 
-// pauseOrdering pauses a key after an unknown outcome, as the attempt may still run.
+// pauseOrdering pauses an ordering key after an unknown outcome, as the attempt may still be running.
 func (c *Controller) pauseOrdering(j *job, r Result) {
 	order := c.orderings[j.key]
 	if order != nil && j.jobType.orderedByKey && (r == TimedOut || r == Reset || r == Canceled) {
@@ -65,8 +67,8 @@
 	}
 }
 
-// measureHeadWaits records how long the head of each bucket waits for capacity. A head that only waits for a
-// load on its tables is no sign of overload.
+// measureHeadWaits records how long the head of each bucket has waited for capacity. A head that waits only
+// for a load on its tables does not indicate overload.
 func (c *Controller) measureHeadWaits() {
 	for _, b := range c.buckets {
 		j := c.bucketHead(b)
--- a/choice/shedding.go
+++ b/choice/shedding.go
@@ -1,23 +1,24 @@
 package choice
 
 const (
-	maxShedSlowdown = 2.0 // largest slowdown assumed to predict a job's end
+	maxShedSlowdown = 2.0 // cap on the slowdown that predicts when a job ends
 
-	overloadWait, overloadEndWait  = 0.15, 0.05 // head wait in latency objectives: the price rises, falls
-	priceChangePerSecond, maxPrice = 0.5, 2.0   // price of a second of work, in the mean value of one
+	// Waits of queue heads, in latency objectives, above which the price rises and below which it falls.
+	overloadWait, overloadEndWait  = 0.15, 0.05
+	priceChangePerSecond, maxPrice = 0.5, 2.0 // price of a second of work, in units of its mean value
 )
 
-// shedReason says why a job is not worth its work: it cannot end before it expires or we stop, or its value
-// per work (the late value past its deadline) is below the overload price. Empty: it is worth it.
+// shedReason returns why a job should be shed, or "": it cannot end before it expires or this process stops,
+// or its value per work is below the overload price. A job that ends after its deadline has its late value.
 func (c *Controller) shedReason(j *job) Reason {
 	t, value := j.jobType, j.value
-	ends := c.now + Nanos(j.work/t.threads*min(max(1, t.slowdown), maxShedSlowdown))
-	if c.nearExpiry(j) || ends > j.expiresAt {
+	expectedEnd := c.now + Nanos(j.work/t.threads*min(max(1, t.slowdown), maxShedSlowdown))
+	if c.nearExpiry(j) || expectedEnd > j.expiresAt {
 		return TooLateToServe
-	} else if ends > c.stopsAt {
+	} else if expectedEnd > c.stopsAt {
 		return WouldNotFinish
 	}
-	late := ends > j.deadline
+	late := expectedEnd > j.deadline
 	if late {
 		value *= t.lateValueFactor
 	}
@@ -27,38 +28,40 @@
 	return ""
 }
 
-// nearExpiry reports whether a job needs its final answer now: it expires before the next sweep.
+// nearExpiry reports whether a job needs its final answer now, as it may expire before the next sweep.
 func (c *Controller) nearExpiry(j *job) bool {
 	return c.now+sweepInterval+2*c.settings.batchStep >= j.expiresAt
 }
 
-// nearStop reports whether all jobs need their final answers now: our process may be killed after stopsAt,
-// also while engines hang under job timeouts that are longer.
+// nearStop reports whether all jobs need their final answers now: the process may be killed after stopsAt,
+// even while jobs with later timeouts are on hung engines.
 func (c *Controller) nearStop() bool {
 	return c.now+sweepInterval+2*c.settings.batchStep >= c.stopsAt
 }
 
-// finishUnserved gives a final answer without a result: Throttle where a repeat by the client is harmless.
-func (c *Controller) finishUnserved(j *job, why Reason) {
+// finishUnserved gives a job its final answer without a result: Throttle if the client can safely repeat it,
+// CancelPermanently otherwise.
+func (c *Controller) finishUnserved(j *job, reason Reason) {
 	if j.finished || j.streaming {
 		return
 	}
 	t := j.jobType
 	neverRan := !j.mayHaveRun && j.attempt == nil
-	dropsRepeats := t.repeatableByKey && t.keyScope == "all" && c.now < j.firstAttemptAt+t.repeatWindow
-	if neverRan || t.repeatable || dropsRepeats {
-		c.emit(Action{Kind: Throttle, Job: j.id, Reason: why, Duration: c.settings.retryAfter})
+	enginesDropRepeats := t.repeatableByKey && t.keyScope == "all" && c.now < j.firstAttemptAt+t.repeatWindow
+	if neverRan || t.repeatable || enginesDropRepeats {
+		c.emit(Action{Kind: Throttle, Job: j.id, Reason: reason, Duration: c.settings.retryAfter})
 	} else {
-		c.emit(Action{Kind: CancelPermanently, Job: j.id, Reason: why})
+		c.emit(Action{Kind: CancelPermanently, Job: j.id, Reason: reason})
 	}
 	c.closeJob(j)
 }
 
-// updatePrices adjusts the price of a second of work to how long queue heads wait. A type follows heads of
-// types whose places include its own: full engines cost only the types bound to them.
+// updatePrices adjusts each type's overload price to how long queue heads wait. A type's price depends only
+// on the heads of types that may use all of its own zones and kinds: full engines raise it only for types
+// that are restricted to them.
 func (c *Controller) updatePrices() {
 	step := float64(sweepInterval) / float64(second)
-	highest, longestWait := 0.0, 0.0
+	highestPrice, longestWait := 0.0, 0.0
 	for _, t := range c.types {
 		wait := c.longestHeadWait(t)
 		if wait > overloadWait {
@@ -67,9 +70,9 @@
 			t.price = max(0, t.price-priceChangePerSecond*step)
 		}
 		if c.now-t.lastLatencyAt >= latencyStaleAfter {
-			t.slowdown += latencyDecay * (1 - t.slowdown) // or what is rejected for it would keep it
+			t.slowdown += latencyDecay * (1 - t.slowdown) // else a type shed for its slowdown would keep it
 		}
-		highest, longestWait = max(highest, t.price), max(longestWait, wait)
+		highestPrice, longestWait = max(highestPrice, t.price), max(longestWait, wait)
 	}
-	c.logOverload(highest, longestWait)
+	c.logOverload(highestPrice, longestWait)
 }
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -7,9 +7,10 @@
 	restartSuspectShare = 0.15       // part of the expected jobs below which a restart is suspected
 )
 
-// effectiveStart is when an engine last started, or is suspected to: in an outage, any not seen since.
+// effectiveStart returns when an engine last started or may have started. In an outage, any engine not seen
+// since its beginning may have restarted then.
 func (c *Controller) effectiveStart(e *engine) Nanos {
-	if e.refusing { // it was not seen since it refused: it starts now at the earliest
+	if e.refusing { // not seen since it refused: it starts now at the earliest
 		return c.now
 	}
 	if c.now-c.outage.lastRefusalAt < outageDuration && e.lastSeenAt < c.outage.startedAt {
@@ -18,51 +19,54 @@
 	return max(e.StartedAt, e.suspectedRestartAt)
 }
 
-// slowStartFraction is the part of its capacity that an engine is sure to have, from its start on.
+// slowStartFraction returns the part of its capacity that an engine is certain to have, by the time since its
+// start.
 func (c *Controller) slowStartFraction(e *engine) float64 {
 	started, window := c.effectiveStart(e), c.settings.slowStartWindow
 	if started == 0 || c.now-started >= window {
 		return 1
 	}
-	from := c.settings.startCapacity
-	return from + (1-from)*float64(max(0, c.now-started))/float64(window)
+	initial := c.settings.startCapacity
+	return initial + (1-initial)*float64(max(0, c.now-started))/float64(window)
 }
 
 // inSlowStart reports whether an engine started so recently that part of its capacity is missing.
 func (c *Controller) inSlowStart(e *engine) bool { return c.slowStartFraction(e) < 1 }
 
-// slowStartAllows is rule 4: a job fits our part of the work that an engine in slow start withstands per
-// window, or all of it in our turn. A new process waits for a window, as earlier dispatches are unknown.
+// slowStartAllows implements rule 4: a job fits this controller's part of the work that an engine in slow
+// start withstands per window. If that is too small for a long job, fewer controllers share the work, in
+// turns. A new process first waits for a window, as it does not know earlier dispatches.
 func (c *Controller) slowStartAllows(j *job, e *engine) bool {
 	window := c.settings.overloadWindow
 	budget := slowStartSafety * c.settings.slowStartWork * e.cores * float64(window)
-	turns, ours := max(1, int(budget/max(1, c.longestMeanWork()))), true
+	turns, ownTurn := max(1, int(budget/max(1, c.longestMeanWork()))), true
 	if turns < c.settings.controllers {
-		// By the wall clock, which all share: a controller that counts more turns adds few others to them.
+		// Turns follow the wall clock, which all share: one that counts more turns adds few senders at a time.
 		slot := c.settings.ownIndex + int((c.now+c.clockOffset)/max(window, 1)) + int(e.Engine)
-		ours = slot%c.settings.controllers < turns
+		ownTurn = slot%c.settings.controllers < turns
 		budget *= slowStartTurnShare
 	}
-	sum := max(j.work, j.jobType.meanWork)
+	committedWork := max(j.work, j.jobType.meanWork)
 	for _, sent := range e.slowStartWork {
-		sum += max(sent.work, slowStartSafety*c.demand.meanWork) // many short ones are no more calls than it stands
+		committedWork += max(sent.work, slowStartSafety*c.demand.meanWork) // bounds the calls of short jobs, too
 	}
-	return ours && c.now-max(c.startedAt, c.predecessorEndedAt) >= window &&
-		sum <= budget/float64(min(turns, c.settings.controllers))
+	return ownTurn && c.now-max(c.startedAt, c.predecessorEndedAt) >= window &&
+		committedWork <= budget/float64(min(turns, c.settings.controllers))
 }
 
-// suspectRestart begins a slow start that the list does not report: the engine refused connections and
-// answers again, or is almost empty in a busy fleet. A wrong guess slows its use for one window.
-func (c *Controller) suspectRestart(e *engine, why restartReason) {
+// suspectRestart begins a slow start for a restart that the list does not report: the engine refused
+// connections and answers again, or is almost empty in a busy fleet. A false suspicion limits its use for one
+// window.
+func (c *Controller) suspectRestart(e *engine, reason restartReason) {
 	e.refusing = false
 	if !c.inSlowStart(e) {
 		e.suspectedRestartAt = c.now
-		c.logSuspectedRestart(e, why)
+		c.logSuspectedRestart(e, reason)
 	}
 }
 
-// suspectRestartByJobs does so for an engine with far fewer jobs than expected, unless its slow start just
-// ended: then we kept it empty ourselves.
+// suspectRestartByJobs suspects a restart of an engine with far fewer jobs than expected, unless its slow
+// start just ended: then the controllers themselves kept it empty.
 func (c *Controller) suspectRestartByJobs(e *engine, jobs float64) {
 	expected, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
 	settled := started == 0 || c.now-started >= 2*c.settings.slowStartWindow
@@ -71,8 +75,8 @@
 	}
 }
 
-// markSeen records that an engine answered, over a connection that came up at a time; 0: not known. One that
-// is older than the first failed dial shows that the engine did not restart: only those dials failed.
+// markSeen records that an engine answered over a connection established at connectedAt (0: unknown). If the
+// connection is older than the first failed dial, the engine did not restart: only dials failed.
 func (c *Controller) markSeen(e *engine, connectedAt Nanos) {
 	e.lastSeenAt = c.now
 	if !e.refusing {
--- a/choice/sweep.go
+++ b/choice/sweep.go
@@ -4,11 +4,11 @@
 
 const (
 	sweepInterval  = 20 * ms
-	stallThreshold = 100 * ms // a sweep that is this late shows that the process stalled
+	stallThreshold = 100 * ms // a sweep this late means that the process stalled
 	watchInterval  = second   // between requests to watch the engine list
 )
 
-// sweep runs every sweepInterval: it ends expiring jobs, cancels overdue attempts and updates all estimates.
+// sweep runs every sweepInterval. It ends expiring jobs, cancels overdue attempts and updates all estimates.
 func (c *Controller) sweep() {
 	c.armTimer()
 	c.probeBudget.checkFunds(c.now)
@@ -35,8 +35,8 @@
 	c.requestWatch()
 }
 
-// checkJob ends a job that is about to expire, that outlasts our process or that is not worth its work any
-// more, and checks its attempt.
+// checkJob ends a job that is about to expire, that must end before the process stops, or that is waiting and
+// should be shed; otherwise it checks the job's attempt.
 func (c *Controller) checkJob(j *job) {
 	switch {
 	case j.finished || j.streaming:
@@ -47,8 +47,8 @@
 	case j.attempt != nil:
 		c.checkAttempt(j.attempt)
 	default:
-		if why := c.shedReason(j); why != "" {
-			c.finishUnserved(j, why)
+		if reason := c.shedReason(j); reason != "" {
+			c.finishUnserved(j, reason)
 		}
 	}
 }
