--- a/choice/admission.go
+++ b/choice/admission.go
@@ -76,8 +76,8 @@
 	return min(ev.ArrivedAt, c.now)
 }
 
-// fundBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget counts
-// it at its arrival time even if it was read much later, as happens after the process was paused.
+// fundBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget
+// counts it at its arrival time even if it was read much later, as after a pause of the process.
 func (c *Controller) fundBudgets(arrivedAt Nanos) {
 	c.retryBudget.admit(arrivedAt)
 	c.retryBudget.tokens = min(maxRetryTokens, c.retryBudget.tokens+retryTokensPerJob)
--- a/choice/permission.go
+++ b/choice/permission.go
@@ -41,8 +41,8 @@
 // String returns the name used in logs and counters.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// orderRefusal decides whether a job's next attempt may be dispatched to an engine now. Every dispatch passes
-// this check.
+// orderRefusal decides whether a job's next attempt may be dispatched to an engine now. Every dispatch
+// passes this check.
 func (c *Controller) orderRefusal(j *job, e *engine) Refusal {
 	if refusal := c.attemptRefusal(j, e); refusal != Permitted {
 		return refusal
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -12,7 +12,7 @@
 	probeInterval    = 400 * ms // minimum time between two probes of an engine
 	probeValueShare  = 0.05     // maximum part of a job's value spent on probes of its sample
 
-	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // earned per admitted job: points for probes; cap in probes
+	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // points earned per admitted job; cap in probes
 	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // cap on saved probes; probes reserved for long jobs
 
 	minPrice       = 1e-9 // points; avoids a division by zero
--- a/choice/plan.go
+++ b/choice/plan.go
@@ -1,7 +1,7 @@
 package choice
 
 const (
-	planPreference   = 1.0               // threads per core in favor of the most preferred engine for a type
+	planPreference   = 1.0               // threads per core in favor of a type's most preferred engine
 	planMaxMissing   = 0.2               // a plan is suspended if this part of its threads is missing
 	planResumeFactor = 0.5               // part of that and of the demand margin below which it is resumed
 	planSettleTime   = 2 * offeredWindow // demand is checked only this long after a plan begins
--- a/choice/shedding.go
+++ b/choice/shedding.go
@@ -39,8 +39,8 @@
 	return c.now+sweepInterval+2*c.settings.batchStep >= c.stopsAt
 }
 
-// finishUnserved gives a job its final answer without a result: Throttle if the client can safely repeat it,
-// CancelPermanently otherwise.
+// finishUnserved gives a job its final answer without a result: Throttle if the client can safely
+// repeat it, CancelPermanently otherwise.
 func (c *Controller) finishUnserved(j *job, reason Reason) {
 	if j.finished || j.streaming {
 		return
@@ -56,9 +56,9 @@
 	c.closeJob(j)
 }
 
-// updatePrices adjusts each type's overload price to how long queue heads wait. A type's price depends only
-// on the heads of types that may use all of its own zones and kinds: full engines raise it only for types
-// that are restricted to them.
+// updatePrices adjusts each type's overload price to how long queue heads wait. A type's price
+// depends only on the heads of types that may use all of its own zones and kinds: full engines raise
+// it only for types that are restricted to them.
 func (c *Controller) updatePrices() {
 	step := float64(sweepInterval) / float64(second)
 	highestPrice, longestWait := 0.0, 0.0
