--- a/internal/engine/abort.go
+++ b/internal/engine/abort.go
@@ -6,9 +6,9 @@
 	"swiftreel/internal/backend"
 )
 
-// Cancel tells the engine that nobody waits for a dispatch any more. It returns false if the dispatch has ended. Else
-// done is called once the dispatch cannot run any more: when the engine has read the abort, or the connection has
-// ended.
+// Cancel tells the engine that the dispatch is no longer wanted. It returns false if the dispatch has already ended.
+// Otherwise it calls done once the dispatch can no longer run: when the engine has read the abort, or when the
+// connection has ended.
 func (d *Dispatch) Cancel(done func()) bool {
 	p := d.pool
 	p.mu.Lock()
@@ -19,37 +19,37 @@
 	c := d.conn
 	wasQueued := d.state == stateQueued
 	c.release(d)
-	d.close(backend.Running)
+	d.markEnded(backend.Running)
 	needsAbort := !wasQueued && !d.isProbe && !c.isRemoved
 	switch {
 	case needsAbort:
 		c.rememberID(d.id)
 		c.pendingAborts[d.id] = done
 	case !wasQueued && c.lastReceived.Before(d.writtenAt):
-		p.suspect(c.engine.Name, d.writtenAt)
+		p.markSuspect(c.engine.Name, d.writtenAt)
 	}
 	p.mu.Unlock()
 	if !needsAbort {
 		done()
 		return true
 	}
-	go c.abort(d.id) // an engine that takes no bytes must not hold up whoever answers the job
+	go c.abort(d.id) // a write to an engine that reads nothing must not block the caller, which answers the job
 	return true
 }
 
-// abort writes an abort, and behind it a command that the engine answers also for an unknown id: it reads in order,
-// so that answer proves that it has read the abort.
+// abort writes an abort command, followed by a more command, which the engine answers even for an unknown id. An engine
+// processes commands in order, so that answer proves that it has read the abort.
 func (c *conn) abort(id string) {
 	at := time.Now()
 	message := appendCommand(nil, commandAbort, id)
 	message = appendNumberCommand(message, commandMore, id, 1)
 	c.write(message)
-	afterReading(c.pool.bounds.DialTimeout, func() { c.checkAbort(id, at) })
+	startTimeout(c.pool.limits.DialTimeout, func() { c.checkAbort(id, at) })
 }
 
-// checkAbort looks after an abort some time after it was written. If something was received since, the connection
-// works and the abort counts as read. If nothing at all was received, the connection is closed, which gives up what
-// is out on it, unless others that must not be lost are open there.
+// checkAbort runs some time after an abort was written. If anything was received since, the connection works and the
+// abort counts as read. Otherwise handleSilence closes the connection, which cancels what is in flight on it, unless
+// run-once dispatches are open there.
 func (c *conn) checkAbort(id string, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
@@ -68,14 +68,15 @@
 	}
 }
 
-// handleSilence closes a connection on which an abort was not answered, or looks again later. The lock is held.
+// handleSilence closes a connection on which an abort got no answer. While run-once dispatches are open on it, it stays
+// open and is checked again later. The pool's lock is held.
 func (c *conn) handleSilence(id string, since time.Time) {
 	p := c.pool
-	p.suspect(c.engine.Name, since)
+	p.markSuspect(c.engine.Name, since)
 	if c.lane == backend.Restartable || len(c.open) == 0 {
-		c.isCutByUs = true
-		p.remove(c, closedSilent) // its reader ends the rest
+		c.isClosedLocally = true
+		p.remove(c, closedSilent) // its reader ends the dispatches still open
 		return
 	}
-	afterReading(p.bounds.DialTimeout, func() { c.checkAbort(id, since) })
+	startTimeout(p.limits.DialTimeout, func() { c.checkAbort(id, since) })
 }
--- a/internal/engine/abort_test.go
+++ b/internal/engine/abort_test.go
@@ -8,7 +8,7 @@
 	"swiftreel/internal/fake"
 )
 
-// A probe has no effect, and the engine is not to blame for a connection: its reset took an engine out for a second.
+// When probes were not retried, the reset of one connection made its engine unavailable for a second.
 func TestAProbeIsRetriedWhenItsConnectionIsReset(t *testing.T) {
 	b := newHarness(t, nil)
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
@@ -30,21 +30,21 @@
 	first := b.nextCommand("fetch")
 	read := make(chan bool, 2)
 	if !d.Cancel(func() { read <- true }) || d.Cancel(func() { read <- false }) {
-		t.Fatal("given up once")
+		t.Fatal("the first Cancel must succeed, the second must not")
 	}
 	b.nextCommand("abort")
 	if c := b.nextCommand("more"); len(read) > 0 {
-		t.Fatal("given up before the engine is known to have read it")
+		t.Fatal("the cancellation was confirmed before the engine was known to have read the abort")
 	} else {
-		c.from.Answer("a", "failed", "", "") // it no longer knows that
+		c.from.Answer("a", "failed", "", "") // the engine no longer knows the id
 	}
 	if !<-read {
-		t.Fatal("the second call's")
+		t.Fatal("the callback of the second Cancel was called")
 	}
 	b.start("a")
 	second := b.nextCommand("fetch")
 	if second.from == first.from {
-		t.Fatal("the same id on the same connection while its late answer may come")
+		t.Fatal("an id was reused on a connection on which a late answer may arrive")
 	}
 	first.from.Answer("a", "data", "sheets=1", "late\tb\tc\n")
 	second.from.Answer("a", "data", "sheets=1", "right\tb\tc\n")
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestAPartitionedEngineLeavesNothingBehind(t *testing.T) {
+func TestTheConnectionToAPartitionedEngineIsClosed(t *testing.T) {
 	b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 300 * time.Millisecond })
 	b.pool.Probe(b.host, true, 10*time.Second, func(r backend.Reply) { b.replies <- r })
 	c := b.nextCommand("stats")
@@ -64,16 +64,17 @@
 	b.pool.Probe(b.host, false, 300*time.Millisecond, func(r backend.Reply) { b.replies <- r })
 	first := b.nextCommand("alive").from
 	b.expectOutcome(backend.TimedOut)
-	b.start("a") // not on the connection that says nothing
+	b.start("a") // must not use the silent connection
 	if b.nextCommand("fetch").from == first {
-		t.Fatal("sent where a probe was lost")
+		t.Fatal("sent over a connection on which a probe was lost")
 	}
-	b.until("the silent connection stays", func() bool { return b.peer.Sessions() == 1 })
+	b.waitUntil("the silent connection was not closed", func() bool { return b.peer.Sessions() == 1 })
 	b.peer.Close()
 	b.expectOutcome(backend.Reset)
 }
 
-// A machine that vanished reads no abort: the job still counted as out there when it was sent again elsewhere.
+// An engine whose machine has vanished never reads an abort. While its connection stayed open, the job still counted as
+// in flight there when it was sent again elsewhere.
 func TestASilentConnectionIsClosedToCancelWhatIsInFlight(t *testing.T) {
 	b := newHarness(t, func(l *backend.Limits) { l.DialTimeout = 200 * time.Millisecond; l.Conns.Store(2) })
 	read := make(chan string, 3)
@@ -81,20 +82,21 @@
 	runOnce := b.nextCommand("fetch")
 	d := b.start("a")
 	b.nextCommand("fetch")
-	b.start("b") // no connection is left for it alone
+	b.start("b") // shares a connection, as none is left
 	b.nextCommand("fetch")
 	d.Cancel(func() { read <- "a" })
-	b.expectOutcome(backend.Reset) // b was beside it
+	b.expectOutcome(backend.Reset) // b shared the connection with a
 	if id := <-read; id != "a" || b.peer.Sessions() > 2 {
 		t.Fatal(id)
 	}
 	b.nextCommand("abort")
 	b.nextCommand("more")
-	runOnce.from.Answer("c", "full", "", "") // the other lane is untouched
+	runOnce.from.Answer("c", "full", "", "") // the other lane is not affected
 	b.expectOutcome(backend.Full)
 }
 
-// The engine vanished unnoticed: a run-once job that goes there over a connection that is up may have run for ever.
+// The engine has vanished unnoticed. A run-once job sent to it over an established connection would be lost, with no
+// way to tell whether it ran.
 func TestARunOnceJobIsNotSentWhereAProbeWasLost(t *testing.T) {
 	b := newHarness(t, nil)
 	importing := func(id string) *fake.Session {
@@ -109,6 +111,6 @@
 	b.nextCommand("alive")
 	b.expectOutcome(backend.TimedOut)
 	if importing("b") == first {
-		t.Fatal("sent over a connection to an engine that lost a probe, with nothing heard since")
+		t.Fatal("sent over a connection to an engine that lost a probe, with nothing received since")
 	}
 }
--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -8,22 +8,22 @@
 	"unicode/utf8"
 )
 
-// Bounds of the protocol.
+// Limits of the protocol.
 const (
-	maxLine       = 1024                    // bytes
-	maxPage       = 6000                    // bytes
-	maxResult     = 48000                   // bytes
-	maxPages      = 2*maxResult/maxPage + 1 // any two in a row hold more than one page could
-	resultColumns = 3                       // text columns of a row
-	lineEnd       = "\r\n"
+	maxLineBytes   = 1024
+	maxPageBytes   = 6000
+	maxResultBytes = 48000
+	maxPages       = 2*maxResultBytes/maxPageBytes + 1 // any two consecutive pages together exceed the size of one
+	resultColumns  = 3                                 // text columns per row
+	lineEnd        = "\r\n"
 )
 
 // Kinds of answer.
 const (
-	answerWell       = "well"   // to alive and stats
-	answerIll        = "ill"    // likewise
-	answerNews       = "news"   // a note on a dispatch in progress
-	answerData       = "data"   // the first page, with the number of pages
+	answerHealthy    = "well"   // answer to alive and stats
+	answerUnhealthy  = "ill"    // answer to alive and stats
+	answerNotice     = "news"   // a notice about a dispatch in progress
+	answerData       = "data"   // the first page and the number of pages
 	answerPage       = "page"   // a further page
 	answerFull       = "full"   // not run: no capacity
 	answerSuperseded = "moot"   // not run: too late
@@ -35,19 +35,19 @@
 	errMalformed  = errors.New("malformed line")
 )
 
-// answer is one answer of an engine. Its parts are slices of the buffer that it was read into.
+// answer is one answer of an engine. Its fields are slices of the buffer that it was read into.
 type answer struct {
 	id, kind, fields, body []byte
 }
 
-// parseAnswer parses the first answer of a buffer and returns its size in bytes. errIncomplete means that more has to
-// be read, errMalformed that framing is lost.
+// parseAnswer parses the first answer in a buffer and returns its size in bytes. errIncomplete means that more data
+// must be read, errMalformed that framing is lost.
 func parseAnswer(buffer []byte) (a answer, size int, err error) {
 	end := bytes.IndexByte(buffer, '\n')
-	if end < 0 && len(buffer) < maxLine {
+	if end < 0 && len(buffer) < maxLineBytes {
 		return answer{}, 0, errIncomplete
 	}
-	if end < 1 || end >= maxLine || buffer[end-1] != '\r' {
+	if end < 1 || end >= maxLineBytes || buffer[end-1] != '\r' {
 		return answer{}, 0, errMalformed
 	}
 	a, bodySize, err := parseAnswerLine(buffer[:end-1])
@@ -67,14 +67,14 @@
 	return a, size, nil
 }
 
-// parseAnswerLine parses ID KIND FIELDS LENGTH.
+// parseAnswerLine parses a line of the form ID KIND FIELDS LENGTH.
 func parseAnswerLine(line []byte) (a answer, bodySize int, err error) {
 	separator := []byte(" ")
 	id, remainder, _ := bytes.Cut(line, separator)
 	kind, remainder, _ := bytes.Cut(remainder, separator)
 	fields, length, _ := bytes.Cut(remainder, separator)
 	size, err := strconv.ParseUint(string(length), 10, 16)
-	if err != nil || size > maxPage || len(id) == 0 || len(kind) == 0 || len(fields) == 0 {
+	if err != nil || size > maxPageBytes || len(id) == 0 || len(kind) == 0 || len(fields) == 0 {
 		return answer{}, 0, errMalformed
 	}
 	if string(fields) == "-" {
@@ -94,28 +94,28 @@
 	return "", false
 }
 
-// number returns the value of a field that is a finite number of at least 0.
+// number returns the value of a field that is a finite non-negative number.
 func (a answer) number(name string) (float64, bool) {
 	text, found := a.field(name)
 	value, err := strconv.ParseFloat(text, 64)
 	return value, found && err == nil && value >= 0 && !math.IsInf(value, 0)
 }
 
-// integer returns the value of a field that is a whole number of at least 0.
+// integer returns the value of a field that is a non-negative integer.
 func (a answer) integer(name string) (int, bool) {
 	value, found := a.number(name)
 	return int(value), found && value == float64(int(value))
 }
 
-// isNumberOrAbsent reports whether a field is absent or a finite number of at least 0.
+// isNumberOrAbsent reports whether a field is absent or a finite non-negative number.
 func (a answer) isNumberOrAbsent(name string) bool {
 	_, isPresent := a.field(name)
 	_, isNumber := a.number(name)
 	return isNumber || !isPresent
 }
 
-// hasCompleteRows reports whether a page consists of complete rows of text: columns separated by tabs, each row ended
-// by a line feed.
+// hasCompleteRows reports whether a page consists of complete rows of valid UTF-8 text: columns are separated by tabs,
+// and each row ends with a line feed.
 func hasCompleteRows(page []byte) bool {
 	tabs := 0
 	for _, b := range page {
--- a/internal/engine/command.go
+++ b/internal/engine/command.go
@@ -10,15 +10,15 @@
 // Commands.
 const (
 	commandFetch  = "fetch"  // run a statement
-	commandMore   = "more"   // send a page
+	commandMore   = "more"   // request a page
 	commandDone   = "done"   // all pages were received
-	commandAbort  = "abort"  // nobody waits any more
+	commandAbort  = "abort"  // cancel a dispatch
 	commandRenice = "renice" // change the priority
 	commandAlive  = "alive"  // health check
 	commandStats  = "stats"  // health check with a load report
 )
 
-// appendFetch appends the fetch of a request whose engine may take so many milliseconds.
+// appendFetch appends the fetch command of a request that the engine may take timeoutMS for.
 func appendFetch(b []byte, r *backend.Request, timeoutMS int64) []byte {
 	b = append(b, commandFetch...)
 	b = append(b, ' ')
@@ -44,7 +44,7 @@
 	return append(b, lineEnd...)
 }
 
-// appendCommand appends a command on an id.
+// appendCommand appends a command that has only an id.
 func appendCommand(b []byte, command, id string) []byte {
 	b = append(b, command...)
 	b = append(b, ' ')
@@ -52,7 +52,7 @@
 	return append(b, lineEnd...)
 }
 
-// appendNumberCommand appends a command on an id that has a number.
+// appendNumberCommand appends a command that has an id and a number.
 func appendNumberCommand(b []byte, command, id string, number int) []byte {
 	b = append(b, command...)
 	b = append(b, ' ')
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -16,43 +16,44 @@
 )
 
 const (
-	maxStrayAnswers = 256 // answers in a row for ids that are not open
-	maxRecentIDs    = 64  // ids that ended without a result and are remembered on a connection
+	maxStrayAnswers = 256 // consecutive answers for ids that are not open
+	maxRecentIDs    = 64  // ids remembered on a connection, of dispatches that ended without a result
 )
 
-var errStrayAnswers = errors.New("too many answers for unknown ids")
+var errStrayAnswers = errors.New("too many consecutive answers for unknown ids")
 
-// conn is one connection to an engine. The pool's lock guards all but writeMu and what it guards.
+// conn is one connection to an engine. The pool's lock guards its fields unless noted otherwise; writeMu serializes
+// writes to the socket.
 type conn struct {
-	pool          *Pool
-	engine        backend.Host // name and address
-	lane          backend.Lane
-	socket        net.Conn      // nil until dialled
-	reader        *answerReader // with socket
-	isRemoved     bool          // from the pool; it is closed, or will be once it is dialled
-	isCutByUs     bool          // with dispatches out: the engine learns of it a moment later
-	isSuspect     bool          // a probe was lost, or an abort not read in time, and nothing received since
-	open          map[string]*Dispatch
-	queue         []*Dispatch       // wait for the dial, in order
-	recentIDs     []string          // ended here but may be sent again, and their answers may still come
-	pendingAborts map[string]func() // by id: called once the engine is known to have read the abort
-	strayAnswers  int               // in a row
-	idleSince     time.Time
-	idleBefore    time.Duration // until what is open now was sent; 0 once something is received
-	lastReceived  time.Time
-	connectedAt   time.Time // zero until dialled
-	dialTime      time.Duration
-	isCutOff      bool // an answer made no sense: nothing more is read. Used by the reader only
+	pool             *Pool
+	engine           backend.Host // name and address
+	lane             backend.Lane
+	socket           net.Conn      // nil until dialled
+	reader           *answerReader // set together with socket
+	isRemoved        bool          // removed from the pool; the socket is closed, or will be once it is dialled
+	isClosedLocally  bool          // closed by this side with dispatches in flight; the engine notices a moment later
+	isSuspect        bool          // a probe was lost or an abort not read in time, and nothing was received since
+	open             map[string]*Dispatch
+	queue            []*Dispatch       // waiting for the dial to complete, in order
+	recentIDs        []string          // of ended dispatches that may be sent again while old answers still arrive
+	pendingAborts    map[string]func() // by id; called once the engine is known to have read the abort
+	strayAnswers     int               // consecutive answers for ids that are not open
+	idleSince        time.Time
+	idleBefore       time.Duration // before the dispatches now open were sent; 0 once something is received
+	lastReceived     time.Time
+	connectedAt      time.Time     // zero until dialled
+	dialTime         time.Duration // used by the connection's own goroutine only
+	hasInvalidAnswer bool          // an answer was invalid, and reading stops; used by the reader only
 
 	writeMu sync.Mutex // held while a message is written
 }
 
-// hasCarried reports whether an answer to an id could still come from before. The lock is held.
+// hasCarried reports whether an answer to an earlier use of the id may still arrive. The pool's lock is held.
 func (c *conn) hasCarried(id string) bool {
 	return c.open[id] != nil || slices.Contains(c.recentIDs, id)
 }
 
-// rememberID keeps an id off this connection for a while. The lock is held.
+// rememberID keeps an id off this connection until maxRecentIDs others have ended on it. The pool's lock is held.
 func (c *conn) rememberID(id string) {
 	if len(c.recentIDs) == maxRecentIDs {
 		c.recentIDs = slices.Delete(c.recentIDs, 0, 1)
@@ -60,35 +61,35 @@
 	c.recentIDs = append(c.recentIDs, id)
 }
 
-// isIdle reports whether the connection is up with nothing open on it. The lock is held.
+// isIdle reports whether the connection is established and has no open dispatch. The pool's lock is held.
 func (c *conn) isIdle() bool { return c.socket != nil && len(c.open) == 0 && !c.isRemoved }
 
-// run dials the connection, sends what waited for that, and reads answers until the connection ends.
+// run dials the connection, sends the dispatches queued for it, and reads answers until the connection ends.
 func (c *conn) run() {
 	startedAt := time.Now()
 	socket, err := c.pool.dial(c)
 	if err != nil {
-		c.dialFailed(err)
+		c.handleDialFailure(err)
 		return
 	}
-	c.dialTime = time.Since(startedAt) // read by this goroutine only
-	reader := newAnswerReader(socket, completeWithin(c.pool.bounds))
-	for _, d := range c.connected(socket, reader) {
-		go c.send(d) // one may wait for its client's input, which must not hold up those of other clients
+	c.dialTime = time.Since(startedAt)
+	reader := newAnswerReader(socket, answerReadTimeout(c.pool.limits))
+	for _, d := range c.attachSocket(socket, reader) {
+		go c.send(d) // a dispatch may wait for its client's input, which must not delay those of other clients
 	}
 	c.readAnswers(reader)
-	c.ended(socket)
+	c.handleEnd(socket)
 }
 
-func (c *conn) dialFailed(err error) {
+func (c *conn) handleDialFailure(err error) {
 	c.pool.mu.Lock()
-	c.pool.remove(c, closedUndialled)
+	c.pool.remove(c, closedDialFailed)
 	c.pool.mu.Unlock()
 	c.endAll(outcomeOfDial(err))
 }
 
-// connected puts a dialled connection to use and returns the dispatches to send now.
-func (c *conn) connected(socket net.Conn, reader *answerReader) []*Dispatch {
+// attachSocket stores the dialled socket and returns the queued dispatches, which the caller sends.
+func (c *conn) attachSocket(socket net.Conn, reader *answerReader) []*Dispatch {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	now := time.Now()
@@ -110,46 +111,46 @@
 	return queue
 }
 
-// readAnswers reads answers until the connection ends or is of no further use.
+// readAnswers reads answers until the connection ends or can no longer be used.
 func (c *conn) readAnswers(reader *answerReader) {
-	for !c.isCutOff {
+	for !c.hasInvalidAnswer {
 		a, err := reader.next()
 		if errors.Is(err, errMalformed) || errors.Is(err, os.ErrDeadlineExceeded) {
-			c.pool.noteMalformed(c, err)
+			c.pool.logMalformedLine(c, err)
 			c.pool.mu.Lock()
-			c.isCutByUs = true
+			c.isClosedLocally = true
 			c.pool.mu.Unlock()
 		}
 		if err != nil {
 			return
 		}
 		if !c.receive(a) {
-			c.pool.noteMalformed(c, errStrayAnswers)
+			c.pool.logMalformedLine(c, errStrayAnswers)
 			return
 		}
 	}
 }
 
-// ended ends what is open on a connection that can no longer be read.
-func (c *conn) ended(socket net.Conn) {
+// handleEnd ends all dispatches open on a connection that can no longer be read.
+func (c *conn) handleEnd(socket net.Conn) {
 	p := c.pool
 	p.mu.Lock()
-	lostByPeer := !c.isRemoved && !c.isCutByUs // the engine, or the network
+	lostByPeer := !c.isRemoved && !c.isClosedLocally // by the engine or the network
 	if now := time.Now(); lostByPeer && c.wasResetPromptly(now) {
-		p.idleLimit.lost(c.idleBefore, now)
+		p.idleLimit.recordLoss(c.idleBefore, now)
 	}
 	p.remove(c, closedLost)
-	isCutByUs := c.isCutByUs
+	isClosedLocally := c.isClosedLocally
 	p.mu.Unlock()
-	_ = socket.Close() // it is lost already
-	if isCutByUs {     // what is sent again must not overtake the close
-		time.AfterFunc(p.bounds.CancelDelay, func() { c.endAll(backend.Reset) })
+	_ = socket.Close()   // an error is irrelevant: the connection is lost
+	if isClosedLocally { // a dispatch sent again elsewhere must not overtake the close
+		time.AfterFunc(p.limits.CancelDelay, func() { c.endAll(backend.Reset) })
 	} else {
 		c.endAll(backend.Reset)
 	}
 }
 
-// wasResetPromptly reports whether the connection has ended in answer to what was just written. The lock is held.
+// wasResetPromptly reports whether the connection ended in response to the latest write. The pool's lock is held.
 func (c *conn) wasResetPromptly(now time.Time) bool {
 	for _, d := range c.open {
 		if d.state != stateQueued && isPromptReset(now.Sub(d.writtenAt), c.dialTime) {
@@ -159,14 +160,15 @@
 	return false
 }
 
-// endAll ends all that is open when the connection has ended. What is being written is ended by its writer.
+// endAll ends all dispatches open on a connection that has ended, and completes its pending aborts. A dispatch that is
+// being written is ended by its writer.
 func (c *conn) endAll(end backend.Outcome) {
 	c.pool.mu.Lock()
 	var ended []*Dispatch
 	for id, d := range c.open {
 		if d.state != stateSending {
 			delete(c.open, id)
-			d.close(end)
+			d.markEnded(end)
 			ended = append(ended, d)
 		}
 	}
@@ -181,14 +183,14 @@
 	}
 }
 
-// recipient is what an answer is for. Without a dispatch or abort the answer is late.
+// recipient is what an answer is for: a dispatch or a pending abort. If neither is set, the answer is late.
 type recipient struct {
 	dispatch  *Dispatch
-	abortDone func() // called because the answer proves that the abort was read
+	abortDone func() // called because the answer proves that the engine has read the abort
 }
 
-// receive hands an answer to its dispatch; a late one, whose id is no longer open, is dropped. It returns false if
-// too many of those came in a row.
+// receive passes an answer to its dispatch and drops a late one, whose id is no longer open. It returns false after too
+// many consecutive late answers.
 func (c *conn) receive(a answer) bool {
 	to := c.recipientOf(a)
 	switch {
@@ -200,10 +202,10 @@
 		return true
 	}
 	counters.Increment("answers_late")
-	return c.tolerateStray()
+	return c.countStrayAnswer()
 }
 
-// recipientOf notes that something was received and finds what it is for.
+// recipientOf records that something was received and returns what it is for.
 func (c *conn) recipientOf(received answer) recipient {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -213,33 +215,33 @@
 	id := string(received.id)
 	if d := c.open[id]; d != nil {
 		c.strayAnswers = 0
-		if d.state == stateSending { // the answer overtook its writer
+		if d.state == stateSending { // the answer arrived before the writer recorded the write
 			d.markDispatched()
 		}
 		return recipient{dispatch: d}
 	}
 	done := c.pendingAborts[id]
 	kind := string(received.kind)
-	if done == nil || kind == answerNews || kind == answerPage { // not for the command behind the abort
+	if done == nil || kind == answerNotice || kind == answerPage { // not for the command after the abort
 		return recipient{}
 	}
 	delete(c.pendingAborts, id)
 	return recipient{abortDone: done}
 }
 
-// tolerateStray counts a late answer and reports whether the connection may go on.
-func (c *conn) tolerateStray() bool {
+// countStrayAnswer counts a late answer and reports whether the connection may stay open.
+func (c *conn) countStrayAnswer() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.strayAnswers++
 	if c.strayAnswers <= maxStrayAnswers {
 		return true
 	}
-	c.isCutByUs = true
+	c.isClosedLocally = true
 	return false
 }
 
-// release frees a dispatch's place. The lock is held.
+// release removes a dispatch from the open ones. The pool's lock is held.
 func (c *conn) release(d *Dispatch) {
 	delete(c.open, d.id)
 	if len(c.open) == 0 {
--- a/internal/engine/crossing_harness_test.go
+++ b/internal/engine/crossing_harness_test.go
@@ -11,65 +11,66 @@
 	"swiftreel/internal/limits"
 )
 
-// Pairs of events that can cross between the pool and an engine, each held in its bad order by a gate.
+// The harness reproduces races between the pool and an engine: a latch delays one of two events, so that they occur in
+// the order under test.
 
-// gate holds whoever passes it while it is shut.
-type gate struct {
-	mu sync.Mutex
-	on chan struct{} // nil: open
+// latch blocks callers of wait while it is closed.
+type latch struct {
+	mu     sync.Mutex
+	opened chan struct{} // nil: open
 }
 
-func (g *gate) shut() {
+func (g *latch) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.on = make(chan struct{})
+	g.opened = make(chan struct{})
 }
 
-func (g *gate) open() {
+func (g *latch) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.on != nil {
-		close(g.on)
+	if g.opened != nil {
+		close(g.opened)
 	}
-	g.on = nil
+	g.opened = nil
 }
 
-func (g *gate) pass() {
+func (g *latch) wait() {
 	g.mu.Lock()
-	on := g.on
+	opened := g.opened
 	g.mu.Unlock()
-	if on != nil {
-		<-on
+	if opened != nil {
+		<-opened
 	}
 }
 
-// gatedConn is a connection whose reader stands before a gate: it has not come to what the peer did. Its writer stands
-// before another: the peer takes no bytes.
-type gatedConn struct {
+// blockingConn is a connection whose reads return, and whose writes begin, only while their latch is open: the pool
+// does not see what the peer has done, or the peer accepts no bytes.
+type blockingConn struct {
 	*net.TCPConn
-	reads  *gate
-	writes *gate
+	reads  *latch
+	writes *latch
 }
 
-func (c gatedConn) Write(b []byte) (int, error) {
-	c.writes.pass()
+func (c blockingConn) Write(b []byte) (int, error) {
+	c.writes.wait()
 	return c.TCPConn.Write(b)
 }
 
-func (c gatedConn) Read(b []byte) (int, error) {
+func (c blockingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.reads.pass()
+	c.reads.wait()
 	return n, err
 }
 
-// scriptedEngine is an engine that hands out its connections and what is asked on them.
+// scriptedEngine is an engine that passes its connections, and the commands received on them, to the test.
 type scriptedEngine struct {
 	net.Listener
-	fetched chan fetched
-	paged   chan fetched // what is asked for in pages; not read where nobody looks
+	fetches      chan receivedCommand
+	pageRequests chan receivedCommand // buffered: most tests do not read them
 }
 
-type fetched struct {
+type receivedCommand struct {
 	id   string
 	conn net.Conn
 }
@@ -80,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &scriptedEngine{l, make(chan fetched, 100), make(chan fetched, 1000)}
+	p := &scriptedEngine{l, make(chan receivedCommand, 100), make(chan receivedCommand, 1000)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -97,9 +98,9 @@
 					}
 					switch c.Name {
 					case commandFetch:
-						p.fetched <- fetched{c.ID, nc}
+						p.fetches <- receivedCommand{c.ID, nc}
 					case commandMore:
-						p.paged <- fetched{c.ID, nc}
+						p.pageRequests <- receivedCommand{c.ID, nc}
 					}
 				}
 			}()
@@ -108,24 +109,24 @@
 	return p
 }
 
-func (p *scriptedEngine) nextFetch(t *testing.T) fetched {
+func (p *scriptedEngine) nextFetch(t *testing.T) receivedCommand {
 	t.Helper()
 	select {
-	case f := <-p.fetched:
+	case f := <-p.fetches:
 		return f
 	case <-time.After(20 * time.Second):
-		t.Fatal("no fetch")
+		t.Fatal("no fetch command received")
 	}
-	return fetched{}
+	return receivedCommand{}
 }
 
 type harness struct {
 	t       *testing.T
 	pool    *Pool
 	peer    *scriptedEngine
-	dials   *gate // held once the connection is up
-	reads   *gate
-	writes  *gate
+	dials   *latch // blocks after the connection is established
+	reads   *latch
+	writes  *latch
 	replies chan backend.Reply
 }
 
@@ -134,9 +135,9 @@
 	w := &harness{
 		t:       t,
 		peer:    newScriptedEngine(t),
-		dials:   new(gate),
-		reads:   new(gate),
-		writes:  new(gate),
+		dials:   new(latch),
+		reads:   new(latch),
+		writes:  new(latch),
 		replies: make(chan backend.Reply, 100),
 	}
 	bounds := backend.Limits{
@@ -154,8 +155,8 @@
 		if err != nil {
 			return nil, err
 		}
-		w.dials.pass()
-		return gatedConn{nc.(*net.TCPConn), w.reads, w.writes}, nil
+		w.dials.wait()
+		return blockingConn{nc.(*net.TCPConn), w.reads, w.writes}, nil
 	}
 	t.Cleanup(func() {
 		w.dials.open()
@@ -166,17 +167,17 @@
 	return w
 }
 
-// gateUntil permits dispatches up to a moment; zero: always.
-type gateUntil time.Time
+// deadlineGate permits dispatches until a time; zero: always.
+type deadlineGate time.Time
 
-func (g gateUntil) Permit() backend.Permission {
+func (g deadlineGate) Permit() backend.Permission {
 	until := time.Time(g)
 	isTooLate := !until.IsZero() && time.Now().After(until)
 	return backend.Permission{Granted: !isTooLate, TimeoutMS: 1000}
 }
 
-func (gateUntil) Withdraw() {}
-func (gateUntil) Await()    {}
+func (deadlineGate) Withdraw() {}
+func (deadlineGate) Await()    {}
 
 func (w *harness) start(id string, until time.Time) backend.Dispatch {
 	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
@@ -187,7 +188,7 @@
 		Priority:  1,
 		Lane:      backend.RunOnce,
 		OrderedAt: time.Now(),
-		Gate:      gateUntil(until),
+		Gate:      deadlineGate(until),
 	}
 	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
 }
@@ -200,11 +201,11 @@
 			w.t.Fatalf("%+v instead of %d", r, end)
 		}
 	case <-time.After(20 * time.Second):
-		w.t.Fatalf("no end %d", end)
+		w.t.Fatalf("no outcome %d", end)
 	}
 }
 
-// serveOne has one dispatch serveOne and its connection idle.
+// serveOne completes one dispatch, which leaves its connection idle.
 func (w *harness) serveOne(id string) net.Conn {
 	w.t.Helper()
 	w.start(id, time.Time{})
@@ -214,17 +215,17 @@
 	return f.conn
 }
 
-func (w *harness) until(what string, is func() bool) {
+func (w *harness) waitUntil(what string, holds func() bool) {
 	w.t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
 			w.t.Fatal(what)
 		}
 	}
 }
 
-// onlyOneEnded tells whether the only connection shows its end.
-func (p *Pool) onlyOneEnded() bool {
+// isOnlyConnClosedByPeer reports whether the peer's close of the only connection has arrived.
+func (p *Pool) isOnlyConnClosedByPeer() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conns := range p.conns {
@@ -235,8 +236,8 @@
 	return false
 }
 
-// drop gives up what is out.
-func (w *harness) drop() {
+// cancelAll cancels all open dispatches.
+func (w *harness) cancelAll() {
 	w.pool.mu.Lock()
 	var out []*Dispatch
 	for _, c := range w.pool.conns["e1"] {
@@ -250,13 +251,13 @@
 	}
 }
 
-func (p *scriptedEngine) nextPageRequest(t *testing.T) fetched {
+func (p *scriptedEngine) nextPageRequest(t *testing.T) receivedCommand {
 	t.Helper()
 	select {
-	case f := <-p.paged:
+	case f := <-p.pageRequests:
 		return f
 	case <-time.After(20 * time.Second):
-		t.Fatal("no page is asked for")
+		t.Fatal("no page request received")
 	}
-	return fetched{}
+	return receivedCommand{}
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -9,41 +9,41 @@
 	"swiftreel/internal/backend"
 )
 
-// The connection comes up after the moment that the module named: the engine may have begun to drain, or a keyed
-// job's window of repeats be over. It is within the dial time-out. Nothing is sent.
+// The connection comes up within the dial timeout, but after the time until which the dispatch may be sent: the engine
+// may have begun to drain, or the repeat window of a keyed job may be over. Nothing is sent.
 func TestADialThatEndsAfterTheSendDeadlineSendsNothing(t *testing.T) {
 	w := newHarness(t)
-	w.dials.shut()
+	w.dials.close()
 	w.start("late", time.Now())
-	w.until("no dial", func() bool { return w.pool.ConnCount() == 1 })
-	time.Sleep(time.Millisecond) // the clock goes on past that moment, however coarse it is
+	w.waitUntil("no dial was started", func() bool { return w.pool.ConnCount() == 1 })
+	time.Sleep(time.Millisecond) // a clock with a coarse resolution passes the send deadline
 	w.dials.open()
 	w.expectOutcome(backend.Superseded)
 	w.serveOne("next") // over the same connection
-	if len(w.peer.fetched) > 0 {
-		t.Errorf("sent: %+v", <-w.peer.fetched)
+	if len(w.peer.fetches) > 0 {
+		t.Errorf("sent after the send deadline: %+v", <-w.peer.fetches)
 	}
 }
 
-// The client leaves while the dial is under way; what waited for it is not sent when it ends.
+// The client leaves while the dial is in progress. Its dispatch is not sent when the dial completes.
 func TestADialThatEndsAfterItsDispatchWasCancelledSendsNothing(t *testing.T) {
 	w := newHarness(t)
-	w.dials.shut()
+	w.dials.close()
 	d := w.start("left", time.Time{})
-	given := make(chan struct{})
-	if !d.Cancel(func() { close(given) }) {
-		t.Fatal("was over")
+	cancelled := make(chan struct{})
+	if !d.Cancel(func() { close(cancelled) }) {
+		t.Fatal("the dispatch had already ended")
 	}
-	<-given
+	<-cancelled
 	w.dials.open()
 	w.serveOne("next")
-	if len(w.peer.fetched) > 0 || len(w.replies) > 0 {
-		t.Errorf("sent, or told: %d, %d", len(w.peer.fetched), len(w.replies))
+	if len(w.peer.fetches) > 0 || len(w.replies) > 0 {
+		t.Errorf("%d commands sent, %d replies reported", len(w.peer.fetches), len(w.replies))
 	}
 }
 
-// The engine has closed an idle connection, and the reader has not come to that: what is sent on it would be lost,
-// and a run-once job with it. It goes over another; it never ran on the first.
+// The engine has closed an idle connection, and the reader has not noticed yet. A dispatch sent over it would be lost,
+// and a run-once job with it. It is sent over another connection, as it never ran on the first.
 func TestAConnectionClosedByTheEngineIsNotUsed(t *testing.T) {
 	for name, end := range map[string]func(*net.TCPConn){
 		"close": func(c *net.TCPConn) { c.Close() },
@@ -52,9 +52,9 @@
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(t)
 			first := w.serveOne("first")
-			w.reads.shut()
+			w.reads.close()
 			end(first.(*net.TCPConn))
-			w.until("the close has not come", func() bool { return w.pool.onlyOneEnded() })
+			w.waitUntil("the close has not arrived", func() bool { return w.pool.isOnlyConnClosedByPeer() })
 			w.start("second", time.Time{})
 			f := w.peer.nextFetch(t)
 			if f.id != "second" || f.conn == first {
@@ -67,13 +67,13 @@
 	}
 }
 
-// Half a line lies on an idle connection: it will be cut off when the other half does not come, and what was sent on
-// it would be lost with it.
+// An idle connection holds an incomplete line. It is closed if the rest does not arrive, and a dispatch sent over it
+// would be lost.
 func TestAnIdleConnectionWithAPartialLineIsNotUsed(t *testing.T) {
 	w := newHarness(t)
 	first := w.serveOne("first")
 	first.Write([]byte("first data shee"))
-	w.until("not read", func() bool {
+	w.waitUntil("the incomplete answer was not read", func() bool {
 		w.pool.mu.Lock()
 		defer w.pool.mu.Unlock()
 		return w.pool.conns["e1"][0].reader.isPartial.Load()
@@ -84,24 +84,24 @@
 	}
 }
 
-// The answer comes in the moment in which the job is given up, milliseconds before the abort is read, and its id is
-// used again at once: one end is told of each dispatch, and the late answer is not the second's.
+// The answer arrives as the job is cancelled, milliseconds before the engine reads the abort, and the id is used again
+// at once. Each dispatch has one outcome, and the late answer is not taken for that of the second.
 func TestALateAnswerIsNotThatOfTheNextDispatchOfItsID(t *testing.T) {
 	w := newHarness(t)
-	w.reads.shut()
+	w.reads.close()
 	d := w.start("again", time.Time{})
 	f := w.peer.nextFetch(t)
 	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("late\tb\tc\n")))
 	if !d.Cancel(func() {}) {
-		t.Fatal("was over")
+		t.Fatal("the dispatch had already ended")
 	}
 	w.start("again", time.Time{})
 	second := w.peer.nextFetch(t)
 	if second.conn == f.conn {
-		t.Fatal("sent over the connection on which the late answer comes")
+		t.Fatal("sent over the connection on which the late answer arrives")
 	}
 	w.reads.open()
-	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("second\tb\tc\n"))) // and once more
+	f.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("second\tb\tc\n"))) // a second late answer
 	second.conn.Write(AppendAnswer(nil, "again", "data", "sheets=1", []byte("good\tb\tc\n")))
 	select {
 	case r := <-w.replies:
@@ -109,45 +109,45 @@
 			t.Errorf("%+v", r)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("no end")
+		t.Fatal("no outcome")
 	}
 	w.serveOne("next")
 	if len(w.replies) > 0 {
-		t.Errorf("a second end: %+v", <-w.replies)
+		t.Errorf("a second outcome: %+v", <-w.replies)
 	}
 }
 
-// An answer of two pages is cut at each of its bytes: where the rest comes later it is whole, where the connection
-// ends there the dispatch ends as one that may have run. One end of each.
+// An answer of two pages is split after each of its bytes. If the rest arrives later, the result is complete; if the
+// connection ends there, the dispatch ends as one that may have run. Each dispatch has one outcome.
 func TestAnAnswerIsCutAnywhere(t *testing.T) {
 	w := newHarness(t)
 	n := 0
-	play := func(cut int, ends bool) (whole bool) {
+	sendCutAnswer := func(cut int, closes bool) (whole bool) {
 		n++
 		id := fmt.Sprintf("id%03d", n)
 		w.start(id, time.Time{})
 		f := w.peer.nextFetch(t)
-		for len(w.peer.paged) > 0 {
-			<-w.peer.paged
+		for len(w.peer.pageRequests) > 0 {
+			<-w.peer.pageRequests
 		}
 		text := AppendAnswer(nil, id, "data", "sheets=2,toil=1", []byte("a\tb\tc\n"))
 		text = AppendAnswer(text, id, "page", "sheet=1", []byte("d\te\tf\n"))
 		if cut >= len(text) {
 			return true
 		}
-		paged := len(w.peer.paged)
+		paged := len(w.peer.pageRequests)
 		f.conn.Write(text[:cut])
-		if ends {
+		if closes {
 			f.conn.Close()
 			w.expectOutcome(backend.Reset)
 			return false
 		}
-		if cut > 0 { // the first part is read on its own
-			w.until("not read", func() bool {
+		if cut > 0 { // the first part is read separately
+			w.waitUntil("the incomplete answer was not read", func() bool {
 				w.pool.mu.Lock()
 				defer w.pool.mu.Unlock()
 				for _, c := range w.pool.conns["e1"] {
-					if c.open[id] != nil && (c.reader.isPartial.Load() || len(w.peer.paged) > paged) {
+					if c.open[id] != nil && (c.reader.isPartial.Load() || len(w.peer.pageRequests) > paged) {
 						return true
 					}
 				}
@@ -162,42 +162,42 @@
 			}
 			w.pool.Release(r.Pages)
 		case <-time.After(20 * time.Second):
-			t.Fatalf("cut at %d: no end", cut)
+			t.Fatalf("cut at %d: no outcome", cut)
 		}
 		return false
 	}
-	for cut := 0; !play(cut, false); cut++ {
+	for cut := 0; !sendCutAnswer(cut, false); cut++ {
 	}
-	w.drop()
-	for cut := 0; !play(cut, true); cut++ {
+	w.cancelAll()
+	for cut := 0; !sendCutAnswer(cut, true); cut++ {
 	}
 	if len(w.replies) > 0 {
-		t.Errorf("a second end: %+v", <-w.replies)
+		t.Errorf("a second outcome: %+v", <-w.replies)
 	}
-	if got := w.pool.bounds.ResultBytes.Available(); got != 1<<20 {
-		t.Errorf("%d bytes are not given back", 1<<20-got)
+	if got := w.pool.limits.ResultBytes.Available(); got != 1<<20 {
+		t.Errorf("%d bytes were not released", 1<<20-got)
 	}
 }
 
-// The answer has been told when the job is given up: nothing is left to give up, and no second end comes.
+// The result was reported before the job is cancelled: Cancel has no effect, and no second outcome is reported.
 func TestAnAnsweredDispatchCannotBeCancelled(t *testing.T) {
 	w := newHarness(t)
 	d := w.start("done", time.Time{})
 	f := w.peer.nextFetch(t)
 	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n")))
 	w.expectOutcome(backend.Done)
-	if d.Cancel(func() { t.Error("given up") }) {
-		t.Error("given up after its end")
+	if d.Cancel(func() { t.Error("the callback was called") }) {
+		t.Error("cancelled after its outcome was reported")
 	}
-	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n"))) // a second answer, late
+	f.conn.Write(AppendAnswer(nil, "done", "data", "sheets=1", []byte("a\tb\tc\n"))) // a late duplicate
 	w.serveOne("next")
 	if len(w.replies) > 0 {
-		t.Errorf("a second end: %+v", <-w.replies)
+		t.Errorf("a second outcome: %+v", <-w.replies)
 	}
 }
 
-// The engine dies when it is asked for a page that it still owes.
-func TestAnEngineThatDiesOverAPageMayHaveRunIt(t *testing.T) {
+// The engine dies when it is asked for a page that it has not sent yet.
+func TestAnEngineThatDiesBeforeItsLastPageMayHaveRunTheJob(t *testing.T) {
 	w := newHarness(t)
 	w.start("paged", time.Time{})
 	f := w.peer.nextFetch(t)
@@ -207,16 +207,16 @@
 	f.conn.Close()
 	w.expectOutcome(backend.Reset)
 	if len(w.replies) > 0 {
-		t.Errorf("a second end: %+v", <-w.replies)
+		t.Errorf("a second outcome: %+v", <-w.replies)
 	}
 }
 
-// An engine hangs and takes no more bytes, and the job behind a dispatch is given up: whoever started it, who owes the
-// client its answer, is not held up by either write.
-func TestAnEngineThatTakesNoBytesHoldsUpNobody(t *testing.T) {
+// An engine hangs and reads nothing more while a dispatch is sent to it and cancelled. The caller, which owes the
+// client its answer, is not blocked by either write.
+func TestAnEngineThatReadsNothingBlocksNoCaller(t *testing.T) {
 	w := newHarness(t)
 	w.serveOne("first")
-	w.writes.shut()
+	w.writes.close()
 	returned := make(chan bool, 1)
 	go func() {
 		d := w.start("second", time.Time{})
@@ -225,9 +225,9 @@
 	select {
 	case cancelled := <-returned:
 		if !cancelled {
-			t.Error("it was over")
+			t.Error("the dispatch had already ended")
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("held up by a write")
+		t.Error("blocked by a write")
 	}
 }
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	maxDials        = 3 // of a connection that is reset as soon as it is up
-	minDialTimeout  = time.Millisecond
-	dialRetryDelay  = 10 * time.Millisecond // after a dial that this machine could not make
-	minCompleteTime = 500 * time.Millisecond
+	maxDials             = 3 // attempts for a connection that is reset as soon as it is established
+	minDialTimeout       = time.Millisecond
+	dialRetryDelay       = 10 * time.Millisecond // after a dial that failed for a reason local to this machine
+	minAnswerReadTimeout = 500 * time.Millisecond
 )
 
-// completeWithin is how long an answer that has begun may take to be complete.
-func completeWithin(bounds backend.Limits) time.Duration {
-	return max(2*bounds.DialTimeout, minCompleteTime)
+// answerReadTimeout returns how long an answer that has begun may take to arrive completely.
+func answerReadTimeout(limits backend.Limits) time.Duration {
+	return max(2*limits.DialTimeout, minAnswerReadTimeout)
 }
 
-// dial makes the connection of c within the dial timeout. It dials again where a connection came up and was reset at
-// once, and where this machine could not make the dial.
+// dial connects within the dial timeout. It dials again if the connection is reset as soon as it is established, and if
+// the dial failed for a reason local to this machine.
 func (p *Pool) dial(c *conn) (net.Conn, error) {
-	deadline := time.Now().Add(p.bounds.DialTimeout)
+	deadline := time.Now().Add(p.limits.DialTimeout)
 	resets := 0
 	for {
 		socket, err := p.dialOnce(c.engine.Address, max(minDialTimeout, time.Until(deadline)))
@@ -36,12 +36,12 @@
 		case errors.Is(err, syscall.ECONNRESET) && resets+1 < maxDials:
 			resets++
 			counters.Increment("dials_reset")
-		case isOwnShortage(err) && time.Until(deadline) > dialRetryDelay && !p.hasRemoved(c):
+		case isLocalDialError(err) && time.Until(deadline) > dialRetryDelay && !p.isConnRemoved(c):
 			counters.Increment("dials_short")
 			time.Sleep(dialRetryDelay)
 		default:
 			counters.Increment("dials_failed")
-			p.dialsFailed.Warn("dial_failed", "engine", c.engine.Name, "address", c.engine.Address, "reason", err)
+			p.dialFailureLog.Warn("dial_failed", "engine", c.engine.Name, "address", c.engine.Address, "reason", err)
 			return nil, err
 		}
 	}
@@ -56,27 +56,28 @@
 	return p.dialTimeout("tcp4", address, timeout)
 }
 
-// hasRemoved reports whether a connection was removed: nobody waits for it any more.
-func (p *Pool) hasRemoved(c *conn) bool {
+// isConnRemoved reports whether a connection was removed from the pool, so that nothing waits for its dial.
+func (p *Pool) isConnRemoved(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return c.isRemoved
 }
 
-// outcomeOfDial tells what a failed dial proves. In each case nothing ran; only a refusal shows that nobody listens.
+// outcomeOfDial returns what a failed dial proves. The dispatch never ran in any case; only a refused connection proves
+// that nothing listens at the address.
 func outcomeOfDial(err error) backend.Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return backend.NotConnected
-	case isOwnShortage(err):
+	case isLocalDialError(err):
 		return backend.Full
 	default:
 		return backend.DialFailed
 	}
 }
 
-// isOwnShortage reports whether this machine could not make a dial, also by rules of its own: that says nothing of the
-// engine.
-func isOwnShortage(err error) bool {
+// isLocalDialError reports whether a dial failed for a reason local to this machine, a shortage or a rule such as a
+// firewall's, which says nothing about the engine.
+func isLocalDialError(err error) bool {
 	return shortage.Is(err) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
 }
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -11,8 +11,8 @@
 	"swiftreel/internal/limits"
 )
 
-// Seen on sockets: 37 dials of a day came up and were reset at once; told as refused, each had an engine that served
-// well taken for just started, and four fifths of the fleet lay idle.
+// On real sockets, 37 dials in a day were reset as soon as they were established. Reported as refused, each made a
+// healthy engine count as just started, and four fifths of the fleet stayed idle.
 func TestADialThatIsResetIsNoRefusal(t *testing.T) {
 	p := NewPool(backend.Limits{
 		DialTimeout:    time.Second,
@@ -47,22 +47,22 @@
 	}
 }
 
-// The time-outs of a program that stood still all fire at once, before it has read what came meanwhile.
+// After a stall of the process all timers fire at once, before it has read what arrived meanwhile.
 func TestALateTimerLetsBufferedAnswersBeReadFirst(t *testing.T) {
 	called := make(chan bool, 2)
-	callWhenRead(time.Now().Add(-time.Second), func() { called <- true })
+	fireTimeout(time.Now().Add(-time.Second), func() { called <- true })
 	if len(called) > 0 {
-		t.Error("called at once, a second late")
+		t.Error("called at once although the timer was a second late")
 	}
 	<-called
-	callWhenRead(time.Now(), func() { called <- true })
+	fireTimeout(time.Now(), func() { called <- true })
 	if len(called) != 1 {
-		t.Error("not called in time")
+		t.Error("not called at once although the timer was on time")
 	}
 }
 
-// A dial that this machine cannot make is made again within the dial timeout. What a failed dial proves of the engine:
-// only a refusal, that nobody listens there. Any other had an engine that serves well taken for just started.
+// A dial that fails for a local reason is retried within the dial timeout. Only a refusal proves that nothing listens
+// at the engine: when other failures counted as refusals, a healthy engine was taken for one that had just started.
 func TestOnlyARefusedDialIsARefusal(t *testing.T) {
 	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	for _, c := range []struct {
@@ -89,7 +89,7 @@
 			w := newHarness(t)
 			dial := w.pool.dialTimeout
 			failed := 0
-			w.pool.bounds.DialTimeout = 5 * dialRetryDelay
+			w.pool.limits.DialTimeout = 5 * dialRetryDelay
 			w.pool.dialTimeout = func(network, address string, limit time.Duration) (net.Conn, error) {
 				failed++
 				if isFailingOnce && failed > 1 {
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -8,20 +8,20 @@
 	"swiftreel/internal/counters"
 )
 
-// fetchOverhead is room for what a fetch command has beside the statement, in bytes.
+// fetchOverhead is the buffer space reserved for a fetch command without its statement, in bytes.
 const fetchOverhead = 128
 
-// dispatchState is where a dispatch stands.
+// dispatchState is the state of a dispatch.
 type dispatchState uint8
 
 const (
 	stateQueued     dispatchState = iota // waits for its connection to be dialled
-	stateSending                         // its turn to be written has come
-	stateDispatched                      // out at the engine
-	stateEnded                           // its end was notified, or is about to be
+	stateSending                         // it is being written, or is about to be
+	stateDispatched                      // in flight at the engine
+	stateEnded                           // its outcome was reported, or is about to be
 )
 
-// Dispatch is a dispatch or probe whose end was not notified yet. It implements backend.Dispatch and is safe for
+// Dispatch is a dispatch or probe whose outcome was not reported yet. It implements backend.Dispatch and is safe for
 // concurrent use.
 type Dispatch struct {
 	pool      *Pool
@@ -31,52 +31,52 @@
 	isProbe   bool
 	lane      backend.Lane
 	probe     []byte           // the command of a probe
-	request   *backend.Request // of a dispatch, until it is sent; read by its sender only
+	request   *backend.Request // of a dispatch, until it is sent; used by its sender only
 
 	// Guarded by the pool's lock.
-	moves         int // to another connection, with no byte out
+	moves         int // to another connection, before any byte was sent
 	conn          *conn
 	state         dispatchState
 	writtenAt     time.Time
-	reservedBytes int // of pages
+	reservedBytes int // for result pages
 
-	// Used by the connection's reader only.
-	noteCount    int
+	// Used by the connection's reader goroutine only.
+	noticeCount  int
 	result       backend.Reply
-	pages        [][]byte // nil until the first answer
+	pages        [][]byte // nil until the first data answer
 	missingPages int
 }
 
-// proceed goes on from an assignment, without waiting for a write. A dispatch on a connection that is still being
-// dialled is sent by that.
+// proceed continues after assign, without waiting for a write. A dispatch on a connection that is still being dialled
+// is sent by the goroutine that dials it.
 func (d *Dispatch) proceed(state dispatchState) {
 	switch state {
 	case stateSending:
-		go d.conn.send(d) // an engine that takes no bytes must not hold up whoever answers the job
+		go d.conn.send(d) // a write to an engine that reads nothing must not block the caller, which answers the job
 	case stateEnded:
 		counters.Increment("engine_conns_full")
-		d.notifyEnd(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine refused nothing
+		d.notifyEnd(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine did not refuse it
 	case stateQueued, stateDispatched:
 	}
 }
 
-// markDispatched marks a dispatch as out. The lock is held.
+// markDispatched marks a dispatch as in flight. The pool's lock is held.
 func (d *Dispatch) markDispatched() {
 	d.state = stateDispatched
 }
 
-// notifyEnd passes on the end. Whoever sets the state to ended calls it, once.
+// notifyEnd reports the outcome. It is called once, by whoever sets stateEnded.
 func (d *Dispatch) notifyEnd(r backend.Reply) { d.reply(r) }
 
-// end frees the place of a dispatch that has not ended, and passes on its end.
+// end ends a dispatch that has not ended yet and reports its outcome.
 func (d *Dispatch) end(r backend.Reply) {
 	d.pool.mu.Lock()
 	wasOpen := d.state != stateEnded
 	if wasOpen {
 		r.ConnectedAt = d.conn.connectedAt
 		d.conn.release(d)
-		d.close(r.Outcome)
-		if r.Outcome != backend.Done { // it may be sent again, and the answer to this one come twice
+		d.markEnded(r.Outcome)
+		if r.Outcome != backend.Done { // its id may be sent again, and a second copy of this answer may arrive
 			d.conn.rememberID(d.id)
 		}
 	}
@@ -86,70 +86,70 @@
 	}
 }
 
-// close marks a dispatch as ended; pages that nobody gets are freed. The lock is held.
-func (d *Dispatch) close(end backend.Outcome) {
+// markEnded marks a dispatch as ended and frees pages that are not delivered. The pool's lock is held.
+func (d *Dispatch) markEnded(end backend.Outcome) {
 	d.state = stateEnded
 	if end != backend.Done {
-		d.pool.bounds.ResultBytes.Release(d.reservedBytes)
+		d.pool.limits.ResultBytes.Release(d.reservedBytes)
 		d.reservedBytes = 0
 	}
 }
 
-// cutOff closes the connection of a dispatch for which an answer came that makes no sense: it may go on running, until
-// the engine sees the close. So it ends as reset, with all that is open there, and not before the cancel delay. Only
-// the connection's reader calls it.
-func (d *Dispatch) cutOff(reason string) {
+// closeForInvalidAnswer closes the connection of a dispatch that received an answer which the protocol does not allow.
+// The dispatch may run on until the engine notices the close, so it ends as Reset after CancelDelay, with all others
+// open on the connection. Only the connection's reader calls it.
+func (d *Dispatch) closeForInvalidAnswer(reason string) {
 	p := d.pool
-	d.conn.isCutOff = true
+	d.conn.hasInvalidAnswer = true
 	p.mu.Lock()
-	d.conn.isCutByUs = true
+	d.conn.isClosedLocally = true
 	p.remove(d.conn, closedMalformed)
 	p.mu.Unlock()
-	p.noteUnusable(d.conn, reason)
+	p.logInvalidAnswer(d.conn, reason)
 }
 
-// failMalformed ends a dispatch whose result came and cannot be used: it has run. A connection that carried such an
-// answer is of no further use for others either.
-func (d *Dispatch) failMalformed(reason string) {
+// failInvalidResult ends a dispatch whose result arrived and cannot be used: it has run. The connection is closed, as
+// it can no longer be trusted for other dispatches either.
+func (d *Dispatch) failInvalidResult(reason string) {
 	p := d.pool
 	p.mu.Lock()
 	wasOpen := d.state != stateEnded
 	if wasOpen {
 		d.conn.release(d)
-		d.close(backend.Failed)
-		d.conn.isCutByUs = true
+		d.markEnded(backend.Failed)
+		d.conn.isClosedLocally = true
 		p.remove(d.conn, closedMalformed) // its reader ends the others
 	}
 	p.mu.Unlock()
 	if wasOpen {
-		p.noteUnusable(d.conn, reason)
+		p.logInvalidAnswer(d.conn, reason)
 		d.notifyEnd(backend.Reply{Outcome: backend.Failed})
 	}
 }
 
-// awaitGate waits until it can be decided whether the dispatch may be sent. No lock is held.
+// awaitGate waits until the gate can decide whether the dispatch may be sent. No lock is held.
 func (d *Dispatch) awaitGate() {
 	if !d.isProbe {
 		d.request.Gate.Await()
 	}
 }
 
-// permission asks whether the dispatch may be sent now. A probe always may.
-func (d *Dispatch) permission() backend.Permission {
+// requestPermission asks whether the dispatch may be sent now. A probe always may.
+func (d *Dispatch) requestPermission() backend.Permission {
 	if d.isProbe {
 		return backend.Permission{Granted: true}
 	}
 	return d.request.Gate.Permit()
 }
 
-// withdraw gives a permission back of which no use was made.
-func (d *Dispatch) withdraw(granted backend.Permission) {
+// withdrawPermission returns a permission that was not used.
+func (d *Dispatch) withdrawPermission(granted backend.Permission) {
 	if granted.Granted && !d.isProbe {
 		d.request.Gate.Withdraw()
 	}
 }
 
-// appendCommand appends the command of a dispatch that was permitted.
+// appendCommand appends the command of a permitted dispatch.
 func (d *Dispatch) appendCommand(b []byte, granted backend.Permission) []byte {
 	if d.isProbe {
 		return append(b, d.probe...)
@@ -158,13 +158,13 @@
 	return appendFetch(b, d.request, granted.TimeoutMS)
 }
 
-// SetPriority gives a dispatch that is out a new priority.
+// SetPriority changes the priority of a dispatch in flight.
 func (d *Dispatch) SetPriority(priority uint8) {
 	d.pool.mu.Lock()
-	isOut := d.state == stateDispatched
+	isInFlight := d.state == stateDispatched
 	c := d.conn
 	d.pool.mu.Unlock()
-	if isOut {
+	if isInFlight {
 		c.write(appendNumberCommand(nil, commandRenice, d.id, int(priority)))
 	}
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -1,19 +1,20 @@
-// Package engine speaks the line protocol of query engines over pooled TCP connections. It implements
-// backend.Engines.
+// Package engine implements the engines' line protocol over pooled TCP connections. Pool implements backend.Engines.
 //
-// A controller writes commands (COMMAND ID [FIELDS] [NUMBER], CR LF; fetch has a statement behind its line), an
-// engine answers with ID KIND FIELDS LENGTH, CR LF, a body of that length, CR LF. Each dispatch gets a connection of
-// its own while descriptors last; then dispatches of one lane share connections, and answers are matched by id.
+// A controller sends commands of the form COMMAND ID [FIELDS] [NUMBER] CR LF; a fetch command is followed by its
+// statement. An engine answers with ID KIND FIELDS LENGTH CR LF, followed by a body of that length and CR LF. Each
+// dispatch gets a connection of its own while descriptors last; beyond that, dispatches of one lane share connections,
+// and answers are matched by id.
 //
 // # Ownership and concurrency
 //
-// A Pool is safe for concurrent use. It owns its connections; each has one goroutine that dials, sends what waited
-// for the dial, and reads answers until the connection ends. The pool's lock guards the state of all connections and
-// dispatches and is never held over a read, write or dial. Replies are delivered without the lock: notes and the
-// result by the connection's reader, other ends by whoever caused them. Each dispatch ends exactly once.
+// A Pool is safe for concurrent use. It owns its connections. Each connection has one goroutine that dials, sends the
+// dispatches queued during the dial, and reads answers until the connection ends. The pool's lock guards the state of
+// all connections and dispatches and is never held during a read, write or dial. Replies are delivered without the
+// lock: notices and results by the connection's reader, other outcomes by the goroutine that causes them. Each dispatch
+// ends exactly once.
 //
-// # What an end proves
+// # Outcomes
 //
-// backend.Outcome tells whether a dispatch may have run at the engine. The package never sends a dispatch twice
-// unless no byte of it went out.
+// backend.Outcome tells whether a dispatch may have run at the engine. The package sends a dispatch again only if none
+// of its bytes was sent.
 package engine
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -11,31 +11,31 @@
 	"swiftreel/internal/limits"
 )
 
-// wirePeer is an engine that holds what comes to it against bytes.
+// wirePeer is an engine that compares the bytes it receives with those expected.
 type wirePeer struct {
 	t  *testing.T
 	nc net.Conn
 }
 
-func (p *wirePeer) gets(want string) {
+func (p *wirePeer) expect(want string) {
 	p.t.Helper()
 	if err := p.nc.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		p.t.Fatal(err)
 	}
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(p.nc, got); err != nil || string(got) != want {
-		p.t.Fatalf("%q came, %v, not %q", got[:n], err, want)
+		p.t.Fatalf("received %q, %v, want %q", got[:n], err, want)
 	}
 }
 
-func (p *wirePeer) answers(text string) {
+func (p *wirePeer) send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p.nc, text); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func TestEachCommandHasItsBytes(t *testing.T) {
+func TestCommandsMatchTheirWireFormat(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,13 +49,13 @@
 		ResultBytes:    new(limits.Bytes),
 	}
 	bounds.Conns.Store(1)
-	bounds.ResultBytes.SetCapacity(memory)
+	bounds.ResultBytes.SetCapacity(resultMemory)
 	pool := engine.NewPool(bounds)
 	defer pool.Close()
 	host := backend.Host{Name: "e1", Address: listener.Addr().String()}
 	replies := make(chan backend.Reply, 10)
 	reply := func(r backend.Reply) { replies <- r }
-	ends := func(end backend.Outcome) backend.Reply {
+	expectOutcome := func(end backend.Outcome) backend.Reply {
 		t.Helper()
 		select {
 		case r := <-replies:
@@ -64,7 +64,7 @@
 			}
 			return r
 		case <-time.After(20 * time.Second):
-			t.Fatalf("no end %d", end)
+			t.Fatalf("no outcome %d", end)
 		}
 		return backend.Reply{}
 	}
@@ -76,15 +76,15 @@
 	}
 	defer nc.Close()
 	peer := &wirePeer{t, nc}
-	peer.gets("stats t1\r\n")
-	peer.answers("t1 well load=inflight:7;util:0.61 0\r\n\r\n")
-	if r := ends(backend.Done); r.Load != "inflight:7;util:0.61" {
+	peer.expect("stats t1\r\n")
+	peer.send("t1 well load=inflight:7;util:0.61 0\r\n\r\n")
+	if r := expectOutcome(backend.Done); r.Load != "inflight:7;util:0.61" {
 		t.Errorf("%+v", r)
 	}
 	pool.Probe(host, false, time.Minute, reply)
-	peer.gets("alive t2\r\n")
-	peer.answers("t2 well - 0\r\n\r\n")
-	ends(backend.Done)
+	peer.expect("alive t2\r\n")
+	peer.send("t2 well - 0\r\n\r\n")
+	expectOutcome(backend.Done)
 
 	first := pool.Start(host, backend.Request{
 		ID:        []byte("9b1f03aa5c7e2d41"),
@@ -94,16 +94,16 @@
 		OrderedAt: time.Now(),
 		Gate:      openGate(1500),
 	}, reply)
-	peer.gets("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
-	peer.answers("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
-	ends(backend.Running)
+	peer.expect("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
+	peer.send("9b1f03aa5c7e2d41 news note=frac,val=0.5 0\r\n\r\n")
+	expectOutcome(backend.Running)
 	first.SetPriority(4)
-	peer.gets("renice 9b1f03aa5c7e2d41 4\r\n")
-	peer.answers("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
-	peer.gets("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
-	peer.answers("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
-	peer.gets("done 9b1f03aa5c7e2d41\r\n")
-	pool.Release(ends(backend.Done).Pages)
+	peer.expect("renice 9b1f03aa5c7e2d41 4\r\n")
+	peer.send("9b1f03aa5c7e2d41 data sheets=3,toil=35,room=76 6\r\na\tb\tc\n\r\n")
+	peer.expect("more 9b1f03aa5c7e2d41 1\r\nmore 9b1f03aa5c7e2d41 2\r\n")
+	peer.send("9b1f03aa5c7e2d41 page sheet=2 6\r\ng\th\ti\n\r\n9b1f03aa5c7e2d41 page sheet=1 6\r\nd\te\tf\n\r\n")
+	peer.expect("done 9b1f03aa5c7e2d41\r\n")
+	pool.Release(expectOutcome(backend.Done).Pages)
 
 	second := pool.Start(host, backend.Request{
 		ID:             []byte("00000000000000ff"),
@@ -113,21 +113,21 @@
 		OrderedAt:      time.Now(),
 		Gate:           openGate(0),
 	}, reply)
-	peer.gets("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
-	given := make(chan struct{})
-	if !second.Cancel(func() { close(given) }) {
-		t.Fatal("not given up")
+	peer.expect("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
+	cancelled := make(chan struct{})
+	if !second.Cancel(func() { close(cancelled) }) {
+		t.Fatal("the dispatch had already ended")
 	}
-	peer.gets("abort 00000000000000ff\r\nmore 00000000000000ff 1\r\n")
-	peer.answers("00000000000000ff failed - 0\r\n\r\n")
+	peer.expect("abort 00000000000000ff\r\nmore 00000000000000ff 1\r\n")
+	peer.send("00000000000000ff failed - 0\r\n\r\n")
 	select {
-	case <-given:
+	case <-cancelled:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the abort is not known to be read")
+		t.Fatal("the cancellation was not confirmed")
 	}
 }
 
-func TestAnEnginesAnswerHasItsBytes(t *testing.T) {
+func TestAnswersMatchTheirWireFormat(t *testing.T) {
 	data := engine.AppendAnswer(nil, "a1", "data", "sheets=1,toil=3", []byte("a\tb\tc\n"))
 	full := engine.AppendAnswer(nil, "a1", "full", "", nil)
 	for want, got := range map[string][]byte{
@@ -135,7 +135,7 @@
 		"a1 full - 0\r\n\r\n":                        full,
 	} {
 		if string(got) != want {
-			t.Errorf("%q, not %q", got, want)
+			t.Errorf("%q, want %q", got, want)
 		}
 	}
 }
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -10,7 +10,7 @@
 	"swiftreel/internal/limits"
 )
 
-// harness is a pool and one stand-in, whose commands come through a channel.
+// harness is a pool and one fake engine, whose commands arrive on a channel.
 type harness struct {
 	t        *testing.T
 	pool     *engine.Pool
@@ -26,9 +26,9 @@
 	from *fake.Session
 }
 
-const memory = 100_000
+const resultMemory = 100_000
 
-// openGate permits every dispatch, to take so many milliseconds.
+// openGate permits every dispatch, with this engine timeout in milliseconds.
 type openGate int64
 
 func (g openGate) Permit() backend.Permission {
@@ -37,7 +37,7 @@
 func (openGate) Withdraw() {}
 func (openGate) Await()    {}
 
-// closedGate permits none.
+// closedGate permits no dispatch.
 type closedGate struct{}
 
 func (closedGate) Permit() backend.Permission { return backend.Permission{TimeoutMS: 1000} }
@@ -52,7 +52,7 @@
 		commands: make(chan command, 100),
 		replies:  make(chan backend.Reply, 1000),
 	}
-	b.bytes.SetCapacity(memory)
+	b.bytes.SetCapacity(resultMemory)
 	var err error
 	b.peer, err = fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) { b.commands <- command{c, s} })
 	if err != nil {
@@ -74,7 +74,7 @@
 		b.pool.Close()
 		b.peer.Close()
 		if len(b.replies) > 0 {
-			t.Errorf("an outcome more than once: %+v", <-b.replies)
+			t.Errorf("unexpected reply: %+v", <-b.replies)
 		}
 	})
 	return b
@@ -85,14 +85,14 @@
 		Priority: 1, OrderedAt: time.Now(), Gate: openGate(1000)}, func(r backend.Reply) { b.replies <- r })
 }
 
-// startImport starts a dispatch that must not be lost.
+// startImport starts a run-once dispatch.
 func (b *harness) startImport(id string) {
 	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.RunOnce, OrderedAt: time.Now(),
 		Gate: openGate(1000)}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 }
 
-// nextCommand waits for the next command and checks its word.
+// nextCommand waits for the next command and checks its name.
 func (b *harness) nextCommand(name string) command {
 	b.t.Helper()
 	select {
@@ -102,7 +102,7 @@
 		}
 		return c
 	case <-time.After(20 * time.Second):
-		b.t.Fatalf("no %s", name)
+		b.t.Fatalf("no %s command received", name)
 	}
 	return command{}
 }
@@ -116,15 +116,15 @@
 		}
 		return r
 	case <-time.After(20 * time.Second):
-		b.t.Fatalf("no end %d", end)
+		b.t.Fatalf("no outcome %d", end)
 	}
 	return backend.Reply{}
 }
 
-// until waits for what another goroutine brings about.
-func (b *harness) until(what string, is func() bool) {
+// waitUntil waits for a condition that another goroutine brings about.
+func (b *harness) waitUntil(what string, holds func() bool) {
 	b.t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
 			b.t.Fatal(what)
 		}
@@ -133,7 +133,7 @@
 
 const row = "one\ttwo\tthree\n"
 
-// nextFetch waits for a dispatch, past pages asked for before.
+// nextFetch waits for the next fetch command and skips any other.
 func (b *harness) nextFetch() *fake.Session {
 	c := <-b.commands
 	for c.Name != "fetch" {
--- a/internal/engine/idle_limit.go
+++ b/internal/engine/idle_limit.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	idleReduction    = 0.75             // of the idle time after which a connection was lost
-	minIdleLimit     = time.Millisecond // a connection idle for less is not to blame for its loss
-	idleLimitHoldoff = 10 * time.Second // without a loss, until twice the limit is tried
+	idleReduction    = 0.75             // new limit as a fraction of the idle time after which a connection was lost
+	minIdleLimit     = time.Millisecond // a loss after a shorter idle time has another cause
+	idleLimitHoldoff = 10 * time.Second // time without a loss before the limit is doubled
 
-	// A network or engine that has forgotten a connection resets it as soon as something comes over it: within a round
-	// trip, for which the dial stands, and resetDelay. What breaks later breaks for another reason.
+	// A network or engine that has dropped a connection's state resets it as soon as data arrives: within a round trip,
+	// approximated by the dial time, plus resetDelay. A later reset has another cause.
 	maxRoundTrip = 50 * time.Millisecond
 	resetDelay   = 10 * time.Millisecond
 )
 
-// idleLimit is for how long a connection may have been idle to carry another dispatch. Some networks silently drop
-// idle connections long before the settings say so; the next dispatch on such a connection is lost, and may have run.
+// idleLimit is the idle time up to which a connection may carry another dispatch. Some networks silently drop idle
+// connections long before the configured timeout; the next dispatch on such a connection is lost and may have run.
 type idleLimit struct {
 	configured time.Duration
 	current    time.Duration
 	changedAt  time.Time
 }
 
-// isPromptReset reports whether a connection ended so soon after a write that its idle time before is to blame.
+// isPromptReset reports whether a connection ended so soon after a write that the idle time before the write is the
+// cause.
 func isPromptReset(sinceWrite, dialTime time.Duration) bool {
 	return sinceWrite <= min(maxRoundTrip, dialTime)+resetDelay
 }
@@ -30,8 +31,8 @@
 	return idleLimit{configured: configured, current: configured}
 }
 
-// lost reports that a connection was lost under the first dispatch after an idle time.
-func (l *idleLimit) lost(idle time.Duration, now time.Time) {
+// recordLoss lowers the limit after a connection was lost under the first dispatch following an idle time.
+func (l *idleLimit) recordLoss(idle time.Duration, now time.Time) {
 	if idle < minIdleLimit || idle >= l.configured {
 		return
 	}
@@ -40,7 +41,7 @@
 	l.changedAt = now
 }
 
-// value returns the limit. It doubles it, up to the configured one, after some time without a loss.
+// value returns the limit, and doubles it up to the configured one after idleLimitHoldoff without a loss.
 func (l *idleLimit) value(now time.Time) time.Duration {
 	if l.current < l.configured && now.Sub(l.changedAt) >= idleLimitHoldoff {
 		l.current = min(l.configured, 2*l.current)
--- a/internal/engine/peer.go
+++ b/internal/engine/peer.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Command is one command of a controller, as an engine reads it. It serves the example and the tests.
+// Command is a command as an engine reads it. It is for engines written in Go: the example, fakes and tests.
 type Command struct {
 	Name   string
 	ID     string
@@ -43,7 +43,7 @@
 	return c, nil
 }
 
-// readStatement reads a statement of a length, and the line end behind it.
+// readStatement reads a statement of the given length and the line end that follows it.
 func readStatement(r *bufio.Reader, length string) ([]byte, error) {
 	size, err := strconv.ParseUint(length, 10, 20)
 	if err != nil {
@@ -59,7 +59,7 @@
 	return body[:size], nil
 }
 
-// AppendAnswer appends an answer as an engine writes it. Empty fields are written as a dash.
+// AppendAnswer appends an answer as an engine sends it. Empty fields are encoded as a dash.
 func AppendAnswer(b []byte, id, kind, fields string, body []byte) []byte {
 	if fields == "" {
 		fields = "-"
--- a/internal/engine/permission_test.go
+++ b/internal/engine/permission_test.go
@@ -8,7 +8,7 @@
 	"swiftreel/internal/backend"
 )
 
-// stallingGate gives permissions that have expired by the time the first byte would go out, so many times.
+// stallingGate grants permissions that expire before the first byte can be sent, as often as stalls says.
 type stallingGate struct{ stalls *atomic.Int64 }
 
 func (g stallingGate) Permit() backend.Permission {
@@ -21,9 +21,10 @@
 func (stallingGate) Withdraw() {}
 func (stallingGate) Await()    {}
 
-// The process is stopped between the permission and the first byte: what was permitted before the stall is not sent, it
-// is asked for anew. The soak showed a call that reached an engine 818 ms after it was listed as draining, at a wake-up
-// beside a load of 32 (drains placed in pauses, seed 8001), with the list read before each permission.
+// The process is stopped between the permission and the first byte. The dispatch is not sent with the expired
+// permission, but requests a new one. In a soak run with drains placed in pauses (seed 8001), a call reached an engine
+// 818 ms after it was listed as draining, as the process resumed under a load of 32, although the list was read before
+// each permission.
 func TestAPermissionThatHasExpiredIsAskedForAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		stalls int64
@@ -46,7 +47,7 @@
 			b.nextCommand("fetch").from.Answer("a", "full", "", "")
 			b.expectOutcome(backend.Full)
 			if left := gate.stalls.Load(); left != -1 {
-				t.Errorf("%d permissions more than it takes were asked for", -1-left)
+				t.Errorf("%d permissions more than needed were requested", -1-left)
 			}
 		})
 	}
--- a/internal/engine/placement.go
+++ b/internal/engine/placement.go
@@ -9,11 +9,11 @@
 	"swiftreel/internal/counters"
 )
 
-// reservedShare is the part of the connections, one in so many, that is reserved for engines that have none;
-// dispatches to the others share connections by then.
-const reservedShare = 8
+// reservedConnDivisor sets the number of connections reserved for engines that have none: the maximum divided by it.
+// Once only those are left, dispatches to other engines share connections.
+const reservedConnDivisor = 8
 
-// place puts a dispatch on a connection and goes on with it.
+// place assigns a dispatch to a connection and continues with it.
 func (p *Pool) place(to backend.Host, d *Dispatch) {
 	p.mu.Lock()
 	state := p.assign(to, d)
@@ -21,11 +21,11 @@
 	d.proceed(state)
 }
 
-// assign puts a dispatch on a connection and returns its state, with which the caller goes on (proceed) without the
-// lock, which must be held here.
+// assign assigns a dispatch to a connection and returns its new state. The pool's lock must be held; after releasing
+// it, the caller passes the state to proceed.
 //
-// A malformed line, a reset or silence loses all that is open on a connection, so each dispatch gets one of its own
-// while there are descriptors: an idle one, or a new one. Only then do dispatches of one lane share.
+// A malformed line, a reset or a silent connection loses every dispatch open on it, so each dispatch gets an idle or a
+// new connection of its own while descriptors last. Only then do dispatches of one lane share connections.
 func (p *Pool) assign(to backend.Host, dispatch *Dispatch) dispatchState {
 	c := p.chooseConn(to, dispatch)
 	if c == nil {
@@ -48,31 +48,33 @@
 	return dispatch.state
 }
 
-// chooseConn returns the connection for a dispatch; nil: there is none. The lock is held.
+// chooseConn returns the connection for a dispatch, or nil if there is none. The pool's lock is held.
 func (p *Pool) chooseConn(to backend.Host, d *Dispatch) *conn {
-	if c := p.lastIdle(to, d); c != nil {
+	if c := p.mostRecentlyIdle(to, d); c != nil {
 		return c
 	}
-	limit := p.bounds.Conns.Max()
-	if p.connCount < limit-limit/reservedShare {
+	limit := p.limits.Conns.Max()
+	if p.connCount < limit-limit/reservedConnDivisor {
 		if c := p.connect(to, d.lane); c != nil {
 			return c
 		}
 	}
-	if c := p.fewestOpen(to, d); c != nil {
+	if c := p.leastLoaded(to, d); c != nil {
 		return c
 	}
 	return p.connect(to, d.lane)
 }
 
-// isUsable reports whether a connection may carry a dispatch: not one that may be cut off, nor one that carried the
-// same id before, whose late answer could be taken for that of the dispatch. The lock is held.
+// isUsable reports whether a connection may carry a dispatch. A suspect connection may not, as it may be closed soon;
+// nor may one that has carried the same id, as a late answer could be mistaken for that of the new dispatch. The pool's
+// lock is held.
 func (c *conn) isUsable(to backend.Host, d *Dispatch) bool {
 	return c.engine.Address == to.Address && !c.isRemoved && !c.isSuspect && !c.hasCarried(d.id)
 }
 
-// lastIdle returns the usable idle connection that was used last: the others age and are closed. The lock is held.
-func (p *Pool) lastIdle(to backend.Host, d *Dispatch) *conn {
+// mostRecentlyIdle returns the usable idle connection that was used last, so that the others reach the idle limit and
+// are closed. The pool's lock is held.
+func (p *Pool) mostRecentlyIdle(to backend.Host, d *Dispatch) *conn {
 	now := time.Now()
 	limit := p.idleLimit.value(now)
 	var last *conn
@@ -87,12 +89,12 @@
 	return last
 }
 
-// fewestOpen returns the usable connection of a dispatch's lane that carries the fewest dispatches, if it may carry
-// one more. The lock is held.
-func (p *Pool) fewestOpen(to backend.Host, d *Dispatch) *conn {
+// leastLoaded returns the usable connection of the dispatch's lane with the fewest open dispatches, or nil if none may
+// carry another one. The pool's lock is held.
+func (p *Pool) leastLoaded(to backend.Host, d *Dispatch) *conn {
 	var fewest *conn
 	for _, c := range p.conns[to.Name] {
-		if c.lane != d.lane || len(c.open) >= p.bounds.StreamsPerConn || !c.isUsable(to, d) {
+		if c.lane != d.lane || len(c.open) >= p.limits.StreamsPerConn || !c.isUsable(to, d) {
 			continue
 		}
 		if fewest == nil || len(c.open) < len(fewest.open) {
@@ -102,12 +104,13 @@
 	return fewest
 }
 
-// connect starts a connection, if need be in place of an idle one; nil: there is no room for it. The lock is held.
+// connect starts a connection, closing an idle one if the pool is full. It returns nil if there is no room. The pool's
+// lock is held.
 func (p *Pool) connect(to backend.Host, lane backend.Lane) *conn {
 	if p.isClosed {
 		return nil
 	}
-	if p.connCount >= p.bounds.Conns.Max() && !p.removeLongestIdle() {
+	if p.connCount >= p.limits.Conns.Max() && !p.removeLongestIdle() {
 		return nil
 	}
 	c := &conn{
@@ -123,7 +126,8 @@
 	return c
 }
 
-// removeLongestIdle closes the connection that is idle longest and reports whether there was one. The lock is held.
+// removeLongestIdle closes the connection that has been idle longest and reports whether there was one. The pool's lock
+// is held.
 func (p *Pool) removeLongestIdle() bool {
 	var oldest *conn
 	for _, conns := range p.conns {
@@ -136,46 +140,46 @@
 	if oldest == nil {
 		return false
 	}
-	p.remove(oldest, closedForAnother)
+	p.remove(oldest, closedToMakeRoom)
 	return true
 }
 
-// suspect marks the connections to an engine on which nothing was received since a moment after which one of them was
-// found silent: a run-once job sent there would be lost, where a new connection shows at once whether the engine is
-// there. The lock is held.
-func (p *Pool) suspect(name string, since time.Time) {
+// markSuspect marks the connections to an engine on which nothing was received since the given time, after which one of
+// them was silent. A run-once job sent over such a connection could be lost, whereas dialling a new one shows at once
+// whether the engine is reachable. The pool's lock is held.
+func (p *Pool) markSuspect(name string, since time.Time) {
 	for _, c := range p.conns[name] {
 		c.isSuspect = c.isSuspect || c.lastReceived.Before(since)
 	}
 }
 
-// closeReason says why a connection is closed. It names a counter.
+// closeReason is the reason for closing a connection. Its value is the name of a counter.
 type closeReason string
 
-// The reasons.
+// Close reasons.
 const (
-	closedIdle       closeReason = "engine_conns_closed_idle"
-	closedSuspect    closeReason = "engine_conns_closed_suspect"
-	closedForAnother closeReason = "engine_conns_closed_for_another"
-	closedOfEngine   closeReason = "engine_conns_closed_engine_removed"
-	closedSilent     closeReason = "engine_conns_closed_silent" // an abort was not read
-	closedMalformed  closeReason = "engine_conns_closed_malformed"
-	closedBySend     closeReason = "engine_conns_closed_send_failed"
-	closedLost       closeReason = "engine_conns_lost" // by the engine or the network, or cut off as of no further use
-	closedUndialled  closeReason = "engine_conns_not_dialled"
-	closedAtStop     closeReason = "engine_conns_closed_at_stop"
+	closedIdle          closeReason = "engine_conns_closed_idle"
+	closedSuspect       closeReason = "engine_conns_closed_suspect"
+	closedToMakeRoom    closeReason = "engine_conns_closed_for_another"
+	closedEngineRemoved closeReason = "engine_conns_closed_engine_removed"
+	closedSilent        closeReason = "engine_conns_closed_silent" // an abort was not answered in time
+	closedMalformed     closeReason = "engine_conns_closed_malformed"
+	closedSendFailed    closeReason = "engine_conns_closed_send_failed"
+	closedLost          closeReason = "engine_conns_lost" // ended by the engine or the network, or no longer readable
+	closedDialFailed    closeReason = "engine_conns_not_dialled"
+	closedAtStop        closeReason = "engine_conns_closed_at_stop"
 )
 
-// remove takes a connection out of the pool and closes it; its reader ends what is open on it. The lock is held.
-func (p *Pool) remove(target *conn, why closeReason) {
+// remove removes a connection from the pool and closes it; its reader ends what is open on it. The pool's lock is held.
+func (p *Pool) remove(target *conn, reason closeReason) {
 	if target.isRemoved {
 		return
 	}
-	counters.Increment(string(why))
-	discard := target.mayHoldUnsent()
+	counters.Increment(string(reason))
+	discard := target.mayHaveUnsentData()
 	target.isRemoved = true
 	p.connCount--
-	// A new slice: callers range over the old one.
+	// Cloned, as callers iterate over the current slice.
 	remaining := slices.Clone(p.conns[target.engine.Name])
 	remaining = slices.DeleteFunc(remaining, func(other *conn) bool { return other == target })
 	if len(remaining) == 0 {
@@ -188,19 +192,20 @@
 	}
 }
 
-// mayHoldUnsent reports whether something that was written, and matters no more, may not have left this machine: the
-// engine took no bytes, or the way to it was cut. The lock is held.
-func (c *conn) mayHoldUnsent() bool {
+// mayHaveUnsentData reports whether data that is no longer wanted may still be in this machine's send buffer, because
+// the engine read nothing or could not be reached. The pool's lock is held.
+func (c *conn) mayHaveUnsentData() bool {
 	return !c.isIdle() || c.isSuspect || len(c.pendingAborts) > 0
 }
 
-// closeSocket closes a socket and does not wait. Without discard the system goes on to deliver what was written; with
-// it that is dropped, and the engine sees a reset: it must not begin later what was given up.
+// closeSocket closes a socket without blocking. Without discard, the operating system still delivers data already
+// written. With discard, that data is dropped and the engine sees a reset, so that it cannot start a dispatch that was
+// cancelled.
 func closeSocket(socket net.Conn, discard bool) {
 	if discard {
 		if lingering, ok := socket.(interface{ SetLinger(seconds int) error }); ok {
-			_ = lingering.SetLinger(0) // an error leaves the close as it was
+			_ = lingering.SetLinger(0) // after an error the close does not discard
 		}
 	}
-	_ = socket.Close() // what was written and not read is lost with it anyway
+	_ = socket.Close() // an error is irrelevant: unread data is lost anyway
 }
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -10,43 +10,42 @@
 )
 
 const (
-	sweepsPerIdle    = 8 // sweeps in an idle time-out
-	minSweepInterval = time.Millisecond
-	maxSweepInterval = time.Second
+	sweepsPerIdleTimeout = 8
+	minSweepInterval     = time.Millisecond
+	maxSweepInterval     = time.Second
 )
 
 // Pool holds the connections to all engines. It is safe for concurrent use; see the package documentation for its
-// lock.
+// locking.
 type Pool struct {
-	bounds      backend.Limits
-	done        chan struct{} // closed by Close
-	malformed   ratelog.Logger
-	dialsFailed ratelog.Logger
-	dialTimeout func(network, address string, timeout time.Duration) (net.Conn, error)
+	limits         backend.Limits
+	done           chan struct{} // closed by Close
+	malformedLog   ratelog.Logger
+	dialFailureLog ratelog.Logger
+	dialTimeout    func(network, address string, timeout time.Duration) (net.Conn, error)
 
 	mu        sync.Mutex
-	conns     map[string][]*conn // by engine; an engine is removed with its last connection
-	connCount int                // connections being dialled or up
+	conns     map[string][]*conn // by engine name; an entry is deleted with its last connection
+	connCount int                // connections established or being dialled
 	probeID   uint64             // of the last probe
 	idleLimit idleLimit
 	isClosed  bool
 }
 
-// NewPool returns an empty pool and starts the goroutine that closes idle connections. Close ends it.
-func NewPool(bounds backend.Limits) *Pool {
+// NewPool returns an empty pool and starts the goroutine that closes idle connections. Close stops it.
+func NewPool(limits backend.Limits) *Pool {
 	p := &Pool{
-		bounds:      bounds,
+		limits:      limits,
 		done:        make(chan struct{}),
 		dialTimeout: net.DialTimeout,
 		conns:       map[string][]*conn{},
-		idleLimit:   newIdleLimit(bounds.IdleTimeout * 2 / 3),
+		idleLimit:   newIdleLimit(limits.IdleTimeout * 2 / 3),
 	}
 	go p.sweep()
 	return p
 }
 
-// Start sends a dispatch to an engine. Everything that becomes of it is passed to reply, in order; its end once and
-// last.
+// Start sends a dispatch to an engine. Notices and, last and once, the outcome are passed to reply in order.
 func (p *Pool) Start(to backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
 	d := &Dispatch{
 		pool:      p,
@@ -66,15 +65,15 @@
 	defer p.mu.Unlock()
 	for _, c := range p.conns[name] {
 		if c.isIdle() {
-			p.remove(c, closedOfEngine)
+			p.remove(c, closedEngineRemoved)
 		}
 	}
 }
 
-// sweep closes connections that are idle too long, some time before the engines or the network would, so that nothing
-// crosses with that; and suspect ones once nothing is out on them. It runs until the pool is closed.
+// sweep closes connections that have been idle for too long, ahead of the timeouts of engines and networks so that no
+// dispatch crosses with their close, and suspect connections once they are idle. It runs until the pool is closed.
 func (p *Pool) sweep() {
-	interval := min(maxSweepInterval, max(p.bounds.IdleTimeout/sweepsPerIdle, minSweepInterval))
+	interval := min(maxSweepInterval, max(p.limits.IdleTimeout/sweepsPerIdleTimeout, minSweepInterval))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -104,7 +103,7 @@
 	}
 }
 
-// Close ends all connections; what is out ends as reset.
+// Close closes all connections; dispatches in flight end as Reset.
 func (p *Pool) Close() {
 	close(p.done)
 	p.mu.Lock()
@@ -117,8 +116,8 @@
 	}
 }
 
-// InFlight returns how many dispatches are open at an engine, and how many were given up there and may still run.
-func (p *Pool) InFlight(name string) (open, givenUp int) {
+// InFlight returns how many dispatches are open at an engine, and how many were cancelled there and may still run.
+func (p *Pool) InFlight(name string) (open, cancelled int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns[name] {
@@ -127,32 +126,32 @@
 				open++
 			}
 		}
-		givenUp += len(c.pendingAborts)
+		cancelled += len(c.pendingAborts)
 	}
-	return open, givenUp
+	return open, cancelled
 }
 
-// ConnCount returns how many connections are being dialled or up.
+// ConnCount returns how many connections are established or being dialled.
 func (p *Pool) ConnCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connCount
 }
 
-// Release returns the memory that the pages of a result hold to the bounds.
+// Release returns the memory held by the pages of a result.
 func (p *Pool) Release(pages [][]byte) {
 	size := 0
 	for _, page := range pages {
 		size += len(page)
 	}
-	p.bounds.ResultBytes.Release(size)
+	p.limits.ResultBytes.Release(size)
 }
 
-func (p *Pool) noteMalformed(c *conn, reason error) {
-	p.malformed.CountAndWarn("engine_lines_malformed", "engine_malformed", "engine", c.engine.Name, "reason", reason)
+func (p *Pool) logMalformedLine(c *conn, reason error) {
+	p.malformedLog.CountAndWarn("engine_lines_malformed", "engine_malformed", "engine", c.engine.Name, "reason", reason)
 }
 
-// noteUnusable notes an answer in the form of the protocol that cannot be used.
-func (p *Pool) noteUnusable(c *conn, reason string) {
-	p.malformed.CountAndWarn("answers_malformed", "answer_malformed", "engine", c.engine.Name, "reason", reason)
+// logInvalidAnswer counts and logs an answer that is well-formed but cannot be used.
+func (p *Pool) logInvalidAnswer(c *conn, reason string) {
+	p.malformedLog.CountAndWarn("answers_malformed", "answer_malformed", "engine", c.engine.Name, "reason", reason)
 }
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -8,9 +8,9 @@
 	"swiftreel/internal/fake"
 )
 
-// One spoilt line, reset or silence costs what is open on that connection, and nothing else.
+// A malformed line, a reset or silence affects only the dispatches open on that connection.
 func TestEachDispatchHasItsOwnConnectionWhileDescriptorsLast(t *testing.T) {
-	b := newHarness(t, nil) // of 10 connections, one is spared for engines that have none
+	b := newHarness(t, nil) // of 10 connections, one is reserved for engines that have none
 	from := map[*fake.Session]int{}
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k"}
 	var last command
@@ -27,7 +27,7 @@
 	b.expectOutcome(backend.Reset)
 	for s := range from {
 		for _, id := range ids {
-			s.Answer(id, "full", "", "") // only what is open there counts
+			s.Answer(id, "full", "", "") // ids that are not open there are ignored
 		}
 	}
 	for range len(ids) - 2 {
@@ -35,10 +35,10 @@
 	}
 }
 
-// Seen on sockets: a network that dropped what was idle for 90 ms cost one dispatch in twenty.
+// On real sockets, a network that dropped connections idle for 90 ms lost one dispatch in twenty.
 func TestIdleLimitFollowsLostConnections(t *testing.T) {
 	b := newHarness(t, nil)
-	turn := func() *fake.Session {
+	serve := func() *fake.Session {
 		b.start("a")
 		from := b.nextFetch()
 		from.Answer("a", "full", "", "")
@@ -47,22 +47,22 @@
 	}
 	idleFor := func(idle time.Duration) {
 		since := time.Now()
-		b.until("time stands still", func() bool { return time.Since(since) >= idle })
+		b.waitUntil("the clock does not advance", func() bool { return time.Since(since) >= idle })
 	}
-	first := turn()
+	first := serve()
 	beforeIdle := time.Now()
 	idleFor(60 * time.Millisecond)
 	b.start("b")
-	lostAfter := time.Since(beforeIdle) // on a busy machine far more
+	lostAfter := time.Since(beforeIdle) // far longer on a busy machine
 	if b.nextFetch() != first {
 		t.Fatal("an idle connection was not used")
 	}
 	first.Reset()
 	b.expectOutcome(backend.Reset)
-	second := turn()
+	second := serve()
 	b.start("c")
 	if b.nextFetch() != second {
-		t.Error("one idle for a moment was not used")
+		t.Error("a connection idle for a moment was not used")
 	}
 	second.Answer("c", "full", "", "")
 	b.expectOutcome(backend.Full)
@@ -70,14 +70,13 @@
 	b.start("d")
 	third := b.nextFetch()
 	if third == second {
-		t.Error("sent where the last one was lost after as long an idle time")
+		t.Error("sent over a connection idle for as long as the one that was lost")
 	}
 	third.Answer("d", "full", "", "")
 	b.expectOutcome(backend.Full)
 }
 
-// An engine that resets connections in the middle of its work says nothing of idle times: the connection that is idle
-// is used on.
+// A reset while the engine works is unrelated to the idle time before: idle connections are still used.
 func TestAResetDuringWorkIsNotBlamedOnIdleness(t *testing.T) {
 	b := newHarness(t, nil)
 	serve := func(id string) *fake.Session {
@@ -90,18 +89,18 @@
 	first := serve("a")
 	idle := 20 * time.Millisecond
 	since := time.Now()
-	b.until("time stands still", func() bool { return time.Since(since) > idle })
+	b.waitUntil("the clock does not advance", func() bool { return time.Since(since) > idle })
 	b.start("b")
 	if b.nextFetch() != first {
 		t.Fatal("an idle connection was not used")
 	}
-	working := time.Now()
-	b.until("time stands still", func() bool { return time.Since(working) > 100*time.Millisecond }) // past any round trip
+	working := time.Now() // the work takes longer than any round trip
+	b.waitUntil("the clock does not advance", func() bool { return time.Since(working) > 100*time.Millisecond })
 	first.Reset()
 	b.expectOutcome(backend.Reset)
 	second := serve("c")
 	since = time.Now()
-	b.until("time stands still", func() bool { return time.Since(since) > 2*idle })
+	b.waitUntil("the clock does not advance", func() bool { return time.Since(since) > 2*idle })
 	b.start("d")
 	if b.nextFetch() != second {
 		t.Error("a connection that was idle for a moment was not used")
@@ -110,8 +109,8 @@
 	b.expectOutcome(backend.Full)
 }
 
-// A controller that stood still between order and send could send to an engine that it has been told is draining: the
-// decision module, which knows, is asked when the first byte would go out.
+// A controller that stalled between the decision and the send could send to an engine that it has since been notified
+// is draining. The gate, which knows, is asked when the first byte is about to be sent.
 func TestADispatchThatIsNotPermittedIsSuperseded(t *testing.T) {
 	b := newHarness(t, nil)
 	request := backend.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now(),
@@ -119,7 +118,7 @@
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 	b.expectOutcome(backend.Superseded)
 	b.start("b")
-	b.nextCommand("fetch").from.Answer("b", "full", "", "") // and nothing of a
+	b.nextCommand("fetch").from.Answer("b", "full", "", "") // nothing of a was sent
 	b.expectOutcome(backend.Full)
 }
 
@@ -133,7 +132,7 @@
 	if b.peer.Sessions() != 2 {
 		t.Fatalf("%d connections for four dispatches", b.peer.Sessions())
 	}
-	b.start("e") // no descriptor for a third: it never ran, and the engine refused nothing
+	b.start("e") // no third connection is allowed: it never ran, and the engine did not refuse it
 	b.expectOutcome(backend.Full)
 	for _, c := range from {
 		if c.from == from[0].from {
@@ -141,7 +140,7 @@
 			b.expectOutcome(backend.Full)
 		}
 	}
-	other := newHarness(t, nil) // an idle connection makes way for another engine
+	other := newHarness(t, nil) // an idle connection is closed to make room for another engine
 	b.host = backend.Host{Name: "e2", Address: other.peer.Address()}
 	b.start("f")
 	other.nextCommand("fetch").from.Answer("f", "full", "", "")
@@ -164,5 +163,5 @@
 	b.start("b")
 	b.nextCommand("fetch").from.Answer("b", "full", "", "")
 	b.expectOutcome(backend.Full)
-	b.until("an idle connection stays", func() bool { return b.pool.ConnCount() == 0 })
+	b.waitUntil("an idle connection was not closed", func() bool { return b.pool.ConnCount() == 0 })
 }
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -8,8 +8,8 @@
 	"swiftreel/internal/counters"
 )
 
-// Probe asks an engine for its load, or only whether it is well. The reply is TimedOut if none came within the
-// timeout.
+// Probe asks an engine for its load report, or only whether it is healthy. The outcome is TimedOut if no answer arrives
+// within the timeout.
 func (p *Pool) Probe(to backend.Host, load bool, timeout time.Duration, reply func(backend.Reply)) {
 	name := commandAlive
 	if load {
@@ -22,7 +22,7 @@
 			reply(r)
 			return
 		}
-		// A probe has no effect, and the connection may have been to blame: it is sent once more.
+		// A probe has no effect, and the reset may concern only this connection: the probe is sent once more.
 		counters.Increment("probes_retried")
 		p.probe(to, id, command, timeout, reply)
 	})
@@ -38,7 +38,7 @@
 func (p *Pool) probe(to backend.Host, id string, command []byte, timeout time.Duration, reply func(backend.Reply)) {
 	d := &Dispatch{pool: p, id: id, reply: reply, orderedAt: time.Now(), isProbe: true, probe: command}
 	p.place(to, d)
-	afterReading(timeout, func() {
+	startTimeout(timeout, func() {
 		if d.Cancel(func() {}) {
 			d.notifyEnd(backend.Reply{Outcome: backend.TimedOut})
 		}
--- a/internal/engine/protocol_test.go
+++ b/internal/engine/protocol_test.go
@@ -13,13 +13,13 @@
 	"swiftreel/internal/backend"
 )
 
-// still is a source that needs no time limits.
-type still struct{ io.Reader }
+// noDeadlineReader is a source that ignores read deadlines.
+type noDeadlineReader struct{ io.Reader }
 
-func (still) SetReadDeadline(time.Time) error { return nil }
+func (noDeadlineReader) SetReadDeadline(time.Time) error { return nil }
 
-func read(r io.Reader) (got []string, err error) {
-	l := newAnswerReader(still{r}, time.Second)
+func readAllAnswers(r io.Reader) (got []string, err error) {
+	l := newAnswerReader(noDeadlineReader{r}, time.Second)
 	for {
 		a, err := l.next()
 		if err != nil {
@@ -30,10 +30,10 @@
 }
 
 func TestAnswersAreRead(t *testing.T) {
-	page := strings.Repeat("a\tb\r\n", maxPage/5)
+	page := strings.Repeat("a\tb\r\n", maxPageBytes/5)
 	in := AppendAnswer(nil, "9b1f03aa5c7e2d41", "data", "sheets=2,toil=35,load=inflight:7;util:0.61", []byte(page))
 	in = AppendAnswer(in, "t1", "well", "", nil)
-	got, err := read(bytes.NewReader(in))
+	got, err := readAllAnswers(bytes.NewReader(in))
 	if !errors.Is(err, io.EOF) || len(got) != 2 || !strings.HasSuffix(got[0], page) || got[1] != "t1 well  " {
 		t.Fatalf("%d answers, %v", len(got), err)
 	}
@@ -50,15 +50,16 @@
 		"no length": "a data -\r\n", "length no number": "a data - x\r\n", "length past a page": "a data - 6001\r\n",
 		"no CR": "a data - 0\n\r\n", "no end of body": "a data - 1\r\nabcd",
 		"a long line":           strings.Repeat("a", 2*readBufferSize),
-		"a line over its bound": "a data " + strings.Repeat("a", maxLine) + " 0\r\n\r\n", "two spaces": "a  - 0\r\n\r\n",
+		"a line over its bound": "a data " + strings.Repeat("a", maxLineBytes) + " 0\r\n\r\n", "two spaces": "a  - 0\r\n\r\n",
 	} {
-		if got, err := read(strings.NewReader(in)); !errors.Is(err, errMalformed) || len(got) > 0 {
+		if got, err := readAllAnswers(strings.NewReader(in)); !errors.Is(err, errMalformed) || len(got) > 0 {
 			t.Errorf("%s: %q %v", name, got, err)
 		}
 	}
 }
 
-// FuzzAnswers: no panic; the same answers and the same end however the bytes come; what is read writes back.
+// FuzzAnswers checks that parsing does not panic, that the answers and the final error do not depend on how the input
+// is split into reads, and that each answer is read back after encoding.
 func FuzzAnswers(f *testing.F) {
 	for seed := range 32 {
 		b := AppendAnswer(nil, "9b1f03aa5c7e2d41", "page", "sheet=1", bytes.Repeat([]byte{byte(seed)}, seed*180))
@@ -67,14 +68,14 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		answers, err := read(bytes.NewReader(in))
-		bits, errBits := read(iotest.OneByteReader(bytes.NewReader(in)))
-		if !errors.Is(err, errBits) || strings.Join(answers, "\x00") != strings.Join(bits, "\x00") {
-			t.Fatalf("%q %v in one, %q %v in bits", answers, err, bits, errBits)
+		answers, err := readAllAnswers(bytes.NewReader(in))
+		split, splitErr := readAllAnswers(iotest.OneByteReader(bytes.NewReader(in)))
+		if !errors.Is(err, splitErr) || strings.Join(answers, "\x00") != strings.Join(split, "\x00") {
+			t.Fatalf("%q %v in one read, %q %v byte by byte", answers, err, split, splitErr)
 		}
 		for _, text := range answers {
 			w := strings.SplitN(text, " ", 4)
-			again, err := read(bytes.NewReader(AppendAnswer(nil, w[0], w[1], w[2], []byte(w[3]))))
+			again, err := readAllAnswers(bytes.NewReader(AppendAnswer(nil, w[0], w[1], w[2], []byte(w[3]))))
 			if !errors.Is(err, io.EOF) || again[0] != text {
 				t.Fatalf("%q reads back as %q %v", text, again, err)
 			}
@@ -82,7 +83,7 @@
 	})
 }
 
-// FuzzCommands: what a controller writes reads back, whatever the statement.
+// FuzzCommands checks that encoded commands are read back, whatever the statement.
 func FuzzCommands(f *testing.F) {
 	f.Add([]byte("SELECT 1\r\nabort x\r\n"), 12.5, uint8(3))
 	f.Add([]byte{}, 0.0, uint8(0))
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -8,13 +8,13 @@
 	"swiftreel/internal/counters"
 )
 
-// Notes on a dispatch may come at once up to a number, then at intervals.
+// An engine may send noticeBurst notices on a dispatch at once, and further ones at this average interval.
 const (
-	noteBurst       = 32
-	minNoteInterval = 10 * time.Millisecond
+	noticeBurst       = 32
+	minNoticeInterval = 10 * time.Millisecond
 )
 
-// receive takes the answers to a dispatch in order. Only the connection's reader calls it.
+// receive handles the answers to a dispatch, in order. Only the connection's reader calls it.
 func (d *Dispatch) receive(received answer) {
 	load, _ := received.field("load")
 	if d.isProbe {
@@ -22,8 +22,8 @@
 		return
 	}
 	switch kind := string(received.kind); {
-	case kind == answerNews:
-		d.receiveNote(received)
+	case kind == answerNotice:
+		d.receiveNotice(received)
 	case kind == answerData:
 		d.receiveFirstPage(received, load)
 	case kind == answerPage && d.pages != nil:
@@ -35,28 +35,28 @@
 	case kind == answerFailed:
 		d.end(backend.Reply{Outcome: backend.Failed, Load: load})
 	default:
-		d.cutOff(kind)
+		d.closeForInvalidAnswer(kind)
 	}
 }
 
 func (d *Dispatch) receiveHealth(a answer, load string) {
 	switch string(a.kind) {
-	case answerWell:
+	case answerHealthy:
 		if load == "" && len(a.fields) == 0 {
 			load = string(a.body)
 		}
 		d.end(backend.Reply{Outcome: backend.Done, Load: load})
-	case answerIll:
+	case answerUnhealthy:
 		d.end(backend.Reply{Outcome: backend.Failed, Load: load})
 	default:
 		d.end(backend.Reply{Outcome: backend.Failed})
 	}
 }
 
-func (d *Dispatch) receiveNote(a answer) {
-	d.noteCount++
-	if time.Duration(d.noteCount-noteBurst)*minNoteInterval > time.Since(d.orderedAt) {
-		d.cutOff("news_flood")
+func (d *Dispatch) receiveNotice(a answer) {
+	d.noticeCount++
+	if time.Duration(d.noticeCount-noticeBurst)*minNoticeInterval > time.Since(d.orderedAt) {
+		d.closeForInvalidAnswer("news_flood")
 		return
 	}
 	note, hasNote := a.field("note")
@@ -66,19 +66,19 @@
 	}
 }
 
-// receiveFirstPage takes the answer that says how many pages there are, and holds the first.
+// receiveFirstPage handles the answer that holds the first page and the number of pages.
 func (d *Dispatch) receiveFirstPage(received answer, load string) {
 	pageCount, isInteger := received.integer("sheets")
 	isRepeat := d.pages != nil && len(d.pages) == pageCount && bytes.Equal(d.pages[0], received.body)
 	switch {
 	case !isInteger || pageCount < 1 || pageCount > maxPages:
-		d.failMalformed("sheets")
+		d.failInvalidResult("sheets")
 	case !received.isNumberOrAbsent("toil") || !received.isNumberOrAbsent("room"):
-		d.failMalformed("toil_or_room")
+		d.failInvalidResult("toil_or_room")
 	case isRepeat:
 		counters.Increment("answers_duplicate")
 	case d.pages != nil:
-		d.failMalformed("conflicting_data")
+		d.failInvalidResult("conflicting_data")
 	default:
 		d.pages = make([][]byte, pageCount)
 		d.missingPages = pageCount
@@ -89,25 +89,26 @@
 	}
 }
 
-// receivePage takes a page that was asked for. A repeat of one is harmless.
+// receivePage handles a requested page. An identical repeat is harmless.
 func (d *Dispatch) receivePage(a answer) {
 	number, isInteger := a.integer("sheet")
 	switch {
 	case !isInteger || number < 1 || number >= len(d.pages):
-		d.failMalformed("sheet")
+		d.failInvalidResult("sheet")
 	case d.pages[number] == nil:
 		d.addPage(number, a.body)
 	case bytes.Equal(d.pages[number], a.body):
 		counters.Increment("answers_duplicate")
 	default:
-		d.failMalformed("conflicting_page")
+		d.failInvalidResult("conflicting_page")
 	}
 }
 
-// addPage adds a page to the result. The first one asks for all others at once, the last one ends the dispatch.
+// addPage adds a page to the result. The first page triggers the request for all others; the last one ends the
+// dispatch.
 func (d *Dispatch) addPage(number int, body []byte) {
 	if !hasCompleteRows(body) {
-		d.failMalformed("rows")
+		d.failInvalidResult("rows")
 		return
 	}
 	if !d.reserve(len(body)) {
@@ -128,12 +129,12 @@
 	d.end(d.result)
 }
 
-// reserve takes memory for a page from the bounds. If it returns false the dispatch has ended.
+// reserve reserves memory for a page. If it returns false, the dispatch has ended.
 func (d *Dispatch) reserve(size int) bool {
 	d.pool.mu.Lock()
 	isOver := d.state == stateEnded
-	isTooLarge := d.reservedBytes+size > maxResult
-	isReserved := !isOver && !isTooLarge && d.pool.bounds.ResultBytes.Reserve(size)
+	isTooLarge := d.reservedBytes+size > maxResultBytes
+	isReserved := !isOver && !isTooLarge && d.pool.limits.ResultBytes.Reserve(size)
 	if isReserved {
 		d.reservedBytes += size
 	}
@@ -141,15 +142,15 @@
 	switch {
 	case isReserved:
 	case isTooLarge:
-		d.failMalformed("result_too_large")
-	case !isOver && d.Cancel(func() {}): // the engine is not to blame
+		d.failInvalidResult("result_too_large")
+	case !isOver && d.Cancel(func() {}): // a shortage on this side, not an error of the engine
 		counters.Increment("results_without_memory")
 		d.notifyEnd(backend.Reply{Outcome: backend.Failed})
 	}
 	return isReserved
 }
 
-// requestPages asks for all pages but the first.
+// requestPages requests all pages but the first.
 func (d *Dispatch) requestPages() {
 	var commands []byte
 	for number := 1; number < len(d.pages); number++ {
--- a/internal/engine/result_test.go
+++ b/internal/engine/result_test.go
@@ -22,7 +22,7 @@
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
 	if b.nextCommand("more").Number != 1 || b.nextCommand("more").Number != 2 {
-		t.Fatal("pages asked for out of order")
+		t.Fatal("pages requested out of order")
 	}
 	c.from.Answer("a", "page", "sheet=2", "three\tb\tc\n")
 	c.from.Answer("a", "page", "sheet=1", "two\tb\tc\n")
@@ -32,13 +32,13 @@
 	}
 	b.nextCommand("done")
 	b.pool.Release(r.Pages)
-	if b.bytes.Available() != memory {
-		t.Errorf("%d bytes left of %d", b.bytes.Available(), memory)
+	if b.bytes.Available() != resultMemory {
+		t.Errorf("%d bytes available of %d", b.bytes.Available(), resultMemory)
 	}
 }
 
 func TestOutcomesTellWhatNeverRanFromWhatMayHave(t *testing.T) {
-	b := newHarness(t, func(l *backend.Limits) { l.Conns.Store(1) }) // shared
+	b := newHarness(t, func(l *backend.Limits) { l.Conns.Store(1) }) // dispatches share it
 	for word, end := range map[string]backend.Outcome{
 		"full":   backend.Full,
 		"moot":   backend.Superseded,
@@ -48,7 +48,7 @@
 		b.nextCommand("fetch").from.Answer("a", word, "", "")
 		b.expectOutcome(end)
 	}
-	b.start("a") // the connection breaks with two out: each ends once
+	b.start("a") // the connection breaks with two dispatches in flight: each ends once
 	b.start("b")
 	b.nextCommand("fetch")
 	c := b.nextCommand("fetch")
@@ -57,8 +57,8 @@
 	c.from.Reset()
 	b.expectOutcome(backend.Reset)
 	b.expectOutcome(backend.Reset)
-	b.until("bytes of lost pages stay", func() bool { return b.bytes.Available() == memory })
-	b.until("the connection stays", func() bool { return b.pool.ConnCount() == 0 })
+	b.waitUntil("the memory of lost pages was not released", func() bool { return b.bytes.Available() == resultMemory })
+	b.waitUntil("the connection was not closed", func() bool { return b.pool.ConnCount() == 0 })
 	b.peer.Close()
 	b.start("c")
 	b.expectOutcome(backend.NotConnected)
@@ -69,24 +69,24 @@
 	b.start("other")
 	s := b.nextCommand("fetch").from
 	large := strings.Repeat(row, 400)
-	mayRunOn := map[string]bool{"a page first": true, "no word of theirs": true} // no result came: it may still run
+	mayRunOn := map[string]bool{"a page first": true, "unknown kind": true} // no result arrived: it may still run
 	for name, answers := range map[string][][3]string{
-		"no sheets":           {{"data", "", row}},
-		"no page":             {{"data", "sheets=0", row}},
-		"more than fit":       {{"data", "sheets=18", row}},
-		"a page first":        {{"page", "sheet=1", row}},
-		"no word of theirs":   {{"strange", "", row}},
-		"work no number":      {{"data", "sheets=1,toil=x,room=76", row}},
-		"memory below 0":      {{"data", "sheets=1,toil=35,room=-1", row}},
-		"half a row":          {{"data", "sheets=1", row + "four\tfive\tsix"}},
-		"two columns":         {{"data", "sheets=1", row + "four\tfive\n"}},
-		"noise":               {{"data", "sheets=1", "one\ttw\x01\tthree\n"}},
-		"no UTF-8":            {{"data", "sheets=1", "one\ttw\xff\tthree\n"}},
-		"sheet 0":             {{"data", "sheets=2", row}, {"page", "sheet=0", row}},
-		"sheet past the last": {{"data", "sheets=2", row}, {"page", "sheet=2", row}},
-		"sheet no number":     {{"data", "sheets=2", row}, {"page", "sheet=x", row}},
-		"another page":        {{"data", "sheets=3", row}, {"page", "sheet=1", row}, {"page", "sheet=1", row + row}},
-		"another first":       {{"data", "sheets=3", row}, {"data", "sheets=3", row + row}},
+		"no sheets":              {{"data", "", row}},
+		"zero sheets":            {{"data", "sheets=0", row}},
+		"too many sheets":        {{"data", "sheets=18", row}},
+		"a page first":           {{"page", "sheet=1", row}},
+		"unknown kind":           {{"strange", "", row}},
+		"work not a number":      {{"data", "sheets=1,toil=x,room=76", row}},
+		"memory below 0":         {{"data", "sheets=1,toil=35,room=-1", row}},
+		"half a row":             {{"data", "sheets=1", row + "four\tfive\tsix"}},
+		"two columns":            {{"data", "sheets=1", row + "four\tfive\n"}},
+		"control character":      {{"data", "sheets=1", "one\ttw\x01\tthree\n"}},
+		"invalid UTF-8":          {{"data", "sheets=1", "one\ttw\xff\tthree\n"}},
+		"sheet 0":                {{"data", "sheets=2", row}, {"page", "sheet=0", row}},
+		"sheet past the last":    {{"data", "sheets=2", row}, {"page", "sheet=2", row}},
+		"sheet not a number":     {{"data", "sheets=2", row}, {"page", "sheet=x", row}},
+		"conflicting page":       {{"data", "sheets=3", row}, {"page", "sheet=1", row}, {"page", "sheet=1", row + row}},
+		"conflicting first page": {{"data", "sheets=3", row}, {"data", "sheets=3", row + row}},
 		"too large a result": {{"data", "sheets=12", large},
 			{"page", "sheet=1", large}, {"page", "sheet=2", large}, {"page", "sheet=3", large}, {"page", "sheet=4", large},
 			{"page", "sheet=5", large}, {"page", "sheet=6", large}, {"page", "sheet=7", large}, {"page", "sheet=8", large}},
@@ -110,19 +110,19 @@
 			t.Fatalf("%s: no outcome", name)
 		}
 		for len(b.commands) > 0 {
-			<-b.commands // pages asked for
+			<-b.commands // page requests
 		}
 	}
 	s.Answer("other", "data", "sheets=1", row)
 	b.pool.Release(b.expectOutcome(backend.Done).Pages)
-	b.until("a connection of no further use stays", func() bool { return b.pool.ConnCount() == 1 })
+	b.waitUntil("an unusable connection was not closed", func() bool { return b.pool.ConnCount() == 1 })
 	b.start("a")
-	b.nextFetch().Write([]byte("no answer at all\r\n")) // framing is lost: so is the connection
+	b.nextFetch().Write([]byte("no answer at all\r\n")) // framing is lost, and the connection with it
 	b.expectOutcome(backend.Reset)
-	b.until("bytes stay", func() bool { return b.bytes.Available() == memory })
+	b.waitUntil("memory was not released", func() bool { return b.bytes.Available() == resultMemory })
 }
 
-// Seen on sockets: a second copy of a good answer was taken for a spoilt one, and the job lost.
+// On real sockets, a duplicate of a valid answer was taken for an invalid one, and the job was lost.
 func TestDuplicateAnswersAreHarmless(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start("a")
@@ -133,20 +133,20 @@
 		c.from.Answer("a", a[0], a[1], row)
 	}
 	b.pool.Release(b.expectOutcome(backend.Done).Pages)
-	b.start("b") // turned away: sent anew, not where the same word may come once more
+	b.start("b") // refused, then sent again: not where a duplicate of the refusal may arrive
 	first := b.nextFetch()
 	first.Answer("b", "full", "", "")
 	b.expectOutcome(backend.Full)
 	b.start("b")
 	second := b.nextFetch()
 	if second == first {
-		t.Error("sent anew where a second copy would end it")
+		t.Error("sent again over a connection on which a duplicate refusal would end it")
 	}
 	second.Answer("b", "full", "", "")
 	b.expectOutcome(backend.Full)
 }
 
-// What nobody waits for, sent without end, would keep a reader busy for good.
+// An endless stream of answers that nothing waits for would keep a reader busy for ever.
 func TestEndlessAnswersLoseTheirConnection(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start("a")
@@ -168,7 +168,7 @@
 	}
 }
 
-// An answer that begins and does not end held its job until the job timeout.
+// An answer that began and was never completed occupied its job until the job timeout.
 func TestAPartialAnswerHasADeadline(t *testing.T) {
 	for name, half := range map[string]string{
 		"a line": "a data she",
@@ -182,7 +182,7 @@
 			b.nextCommand("fetch").from.Write([]byte(half))
 			b.expectOutcome(backend.Reset)
 			if b.pool.ConnCount() != 0 {
-				t.Error("leaves its connection open")
+				t.Error("the connection was not closed")
 			}
 		})
 	}
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	writeTimeout = time.Second // an engine that takes no byte for so long is cut off
-	maxMoves     = 3           // of a dispatch of which no byte went out, to another connection
+	writeTimeout = time.Second // a connection on which a write takes longer is closed
+	maxMoves     = 3           // of a dispatch to another connection, before any byte was sent
 
-	maxPermissions = 3 // that a dispatch asks for on one connection
+	maxPermissions = 3 // requested for a dispatch on one connection
 )
 
 var (
-	errClosedByEngine    = errors.New("the engine has closed the connection")
-	errPermissionExpired = errors.New("the permission to send has expired")
+	errClosedByEngine    = errors.New("engine closed the connection")
+	errPermissionExpired = errors.New("permission to send expired")
 )
 
-// send writes a dispatch, unless it was given up or is not permitted any more. If no byte of it went out it never ran,
-// and may go over another connection. A permission that has expired before the first byte is asked for again.
+// send writes a dispatch, unless it was cancelled or is no longer permitted. If none of its bytes was sent it never
+// ran, and may move to another connection. A permission that expires before the first byte is requested again.
 func (c *conn) send(dispatch *Dispatch) {
 	for range maxPermissions {
 		dispatch.awaitGate()
@@ -30,14 +30,14 @@
 		}
 		counters.Increment("permissions_expired")
 	}
-	c.endExpired(dispatch)
+	c.refuseExpired(dispatch)
 }
 
-// trySend asks for the permission and writes a dispatch. It reports whether the permission has expired meanwhile, and
-// nothing was written: then it may be tried again.
+// trySend requests the permission and writes a dispatch. It reports whether the permission expired before anything was
+// written, in which case the caller may try again.
 func (c *conn) trySend(dispatch *Dispatch) (hasExpired bool) {
 	c.writeMu.Lock()
-	granted := dispatch.permission()
+	granted := dispatch.requestPermission()
 	decision := c.beginSend(dispatch, granted)
 	var written int
 	var err error
@@ -45,9 +45,9 @@
 		written, err = c.writeDispatch(dispatch, granted)
 	}
 	if written == 0 {
-		dispatch.withdraw(granted)
+		dispatch.withdrawPermission(granted)
 	}
-	c.writeMu.Unlock() // an abort of the dispatch has waited for it
+	c.writeMu.Unlock() // an abort of this dispatch waits for the lock
 	switch {
 	case errors.Is(err, errPermissionExpired):
 		return true
@@ -60,57 +60,57 @@
 	return false
 }
 
-// endExpired ends a dispatch whose permissions have all expired: this process is short of CPU.
-func (c *conn) endExpired(dispatch *Dispatch) {
+// refuseExpired ends a dispatch whose permissions have all expired, as happens when this process is short of CPU time.
+func (c *conn) refuseExpired(dispatch *Dispatch) {
 	if c.beginSend(dispatch, backend.Permission{}) == sendRefused {
 		counters.Increment("dispatches_refused_at_send")
 		dispatch.notifyEnd(backend.Reply{Outcome: backend.Superseded})
 	}
 }
 
-// sendDecision is what becomes of a dispatch whose turn has come.
+// sendDecision is what to do with a dispatch that is ready to be sent.
 type sendDecision uint8
 
 const (
-	sendNow     sendDecision = iota
-	sendNothing              // it was given up
+	sendNow sendDecision = iota
+	sendCancelled
 	sendRefused
 )
 
-// beginSend decides on a dispatch whose turn has come, and ends it if it is not permitted.
+// beginSend decides whether to send a dispatch that is ready, and ends it if it is not permitted.
 func (c *conn) beginSend(d *Dispatch, granted backend.Permission) sendDecision {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	d.writtenAt = time.Now()
 	switch {
 	case d.state != stateSending:
-		return sendNothing
+		return sendCancelled
 	case granted.Granted:
 		return sendNow
 	}
 	c.release(d)
-	d.close(backend.Superseded)
+	d.markEnded(backend.Superseded)
 	return sendRefused
 }
 
-// writeDispatch writes the command of a dispatch, unless the engine has closed the connection, which its reader may
-// not have come to yet. writeMu is held.
+// writeDispatch writes the command of a dispatch, unless the permission has expired or the engine has closed the
+// connection, which its reader may not have noticed yet. writeMu is held.
 func (c *conn) writeDispatch(d *Dispatch, granted backend.Permission) (int, error) {
 	command := d.appendCommand(nil, granted)
 	if isClosedByPeer(c.socket) {
 		return 0, errClosedByEngine
 	}
-	if !granted.ExpiresAt.IsZero() && time.Now().After(granted.ExpiresAt) { // a stall, since the permission
+	if !granted.ExpiresAt.IsZero() && time.Now().After(granted.ExpiresAt) { // the process has stalled since
 		return 0, errPermissionExpired
 	}
 	return c.writeLocked(command)
 }
 
-// finishSend goes on with a dispatch after its write: it is out, or ends, or goes over another connection.
+// finishSend continues after the write of a dispatch: it is in flight, ends, or moves to another connection.
 func (c *conn) finishSend(dispatch *Dispatch, written int, err error) {
 	p := c.pool
 	p.mu.Lock()
-	if dispatch.state != stateSending { // given up, or answered already
+	if dispatch.state != stateSending { // cancelled or answered already
 		p.mu.Unlock()
 		return
 	}
@@ -120,13 +120,13 @@
 		return
 	}
 	delete(c.open, dispatch.id)
-	p.remove(c, closedBySend)
-	// Past half the dial time-out another connection might be too late for an engine that now drains.
-	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.bounds.DialTimeout/2
+	p.remove(c, closedSendFailed)
+	// After half the dial timeout, another connection might come up only once the engine has begun to drain.
+	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.limits.DialTimeout/2
 	if !canMove {
-		dispatch.close(backend.Reset)
+		dispatch.markEnded(backend.Reset)
 		p.mu.Unlock()
-		dispatch.notifyEnd(backend.Reply{Outcome: endOfFailedSend(written)})
+		dispatch.notifyEnd(backend.Reply{Outcome: outcomeOfFailedSend(written)})
 		return
 	}
 	dispatch.moves++
@@ -136,27 +136,27 @@
 	dispatch.proceed(state)
 }
 
-func endOfFailedSend(written int) backend.Outcome {
+func outcomeOfFailedSend(written int) backend.Outcome {
 	if written > 0 {
 		return backend.Reset
 	}
 	return backend.DialFailed
 }
 
-// write writes a message; one that does not go out completely ends the connection, whose reader then ends what is
-// open.
+// write writes a message. If it cannot be written completely the connection is closed, and its reader ends the
+// dispatches open on it.
 func (c *conn) write(message []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_, _ = c.writeLocked(message) // the reader sees the end of the connection
+	_, _ = c.writeLocked(message) // after an error the reader sees the end of the connection
 }
 
-// writeLocked writes a message and returns how many bytes went out. writeMu is held.
+// writeLocked writes a message and returns how many bytes were written. writeMu is held.
 func (c *conn) writeLocked(message []byte) (int, error) {
-	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error shows at the write
+	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error surfaces at the write
 	n, err := c.socket.Write(message)
 	if err != nil {
-		closeSocket(c.socket, true) // it is of no further use
+		closeSocket(c.socket, true) // nothing valid can follow an incomplete message
 	}
 	return n, err
 }
--- a/internal/engine/unsent_test.go
+++ b/internal/engine/unsent_test.go
@@ -12,10 +12,10 @@
 	"swiftreel/internal/limits"
 )
 
-// largeStatement does not fit into what an engine that reads nothing takes: its end stays in this machine's buffers.
+// largeStatement exceeds what an engine that reads nothing can receive: its end stays in this machine's send buffer.
 var largeStatement = []byte(strings.Repeat("x", 128<<10))
 
-// stalledEngine accepts one connection, and reads nothing from it before it is told to.
+// stalledEngine accepts one connection and reads nothing from it until the test does.
 type stalledEngine struct {
 	net.Listener
 	conns chan *net.TCPConn
@@ -41,9 +41,9 @@
 	return e
 }
 
-// An engine takes no bytes while a dispatch to it is given up, and its connection is closed for that. What still lay in
-// this machine's buffers must not reach it later: it would begin a job that nobody waits for.
-func TestWhatWasNotTakenIsNotSentAfterTheClose(t *testing.T) {
+// An engine reads nothing while a dispatch to it is cancelled, and its connection is closed for that. What is still in
+// this machine's buffers must not reach the engine later: it would start a job that nobody waits for.
+func TestUnsentDataIsDiscardedOnClose(t *testing.T) {
 	peer := newStalledEngine(t)
 	bounds := backend.Limits{DialTimeout: 50 * time.Millisecond, IdleTimeout: time.Minute, StreamsPerConn: 1,
 		Conns: new(limits.Count), ResultBytes: new(limits.Bytes)}
@@ -58,19 +58,19 @@
 		return socket, err
 	}
 	request := backend.Request{ID: []byte("given-up"), Type: []byte("report"), Statement: largeStatement, Priority: 1,
-		OrderedAt: time.Now(), Gate: gateUntil{}, Lane: backend.Restartable}
+		OrderedAt: time.Now(), Gate: deadlineGate{}, Lane: backend.Restartable}
 	dispatch := pool.Start(backend.Host{Name: "e1", Address: peer.Addr().String()}, request, func(backend.Reply) {})
 	conn := <-peer.conns
-	waitUntil(t, "the dispatch is not written", func() bool { return pool.isWritten("e1") })
-	given := make(chan struct{})
-	if !dispatch.Cancel(func() { close(given) }) {
-		t.Fatal("it was over")
+	waitUntil(t, "the dispatch was not written", func() bool { return pool.isWritten("e1") })
+	cancelled := make(chan struct{})
+	if !dispatch.Cancel(func() { close(cancelled) }) {
+		t.Fatal("the dispatch had already ended")
 	}
-	<-given
-	waitUntil(t, "the connection is not closed", func() bool { return pool.ConnCount() == 0 })
+	<-cancelled
+	waitUntil(t, "the connection was not closed", func() bool { return pool.ConnCount() == 0 })
 	received, err := io.ReadAll(bufio.NewReader(conn))
 	if err == nil || len(received) >= len(largeStatement) {
-		t.Errorf("the engine is given %d bytes after the close, error: %v", len(received), err)
+		t.Errorf("the engine received %d bytes after the close, error: %v", len(received), err)
 	}
 }
 
