--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/crossing_test.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/counters"
 )
 
-// fakeFeed is a control feed that a test plays by hand.
+// fakeFeed is a discovery feed that the test controls.
 type fakeFeed struct {
 	net.Listener
 	conns chan net.Conn
@@ -36,13 +36,13 @@
 	return p
 }
 
-// nextSubscription waits for the next connection and gives what it subscribes from.
+// nextSubscription waits for the next connection and returns the event number that it resumes from.
 func (p *fakeFeed) nextSubscription(t *testing.T) (nc net.Conn, last int) {
 	t.Helper()
 	select {
 	case nc = <-p.conns:
 	case <-time.After(20 * time.Second):
-		t.Fatal("not called")
+		t.Fatal("no connection")
 	}
 	nc.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := fmt.Fscanf(nc, "SUB %d\n", &last); err != nil {
@@ -51,7 +51,7 @@
 	return nc, last
 }
 
-func change(n int) string {
+func changeEvent(n int) string {
 	return fmt.Sprintf(`{"n":%d,"members":{"hosts":[{"host":"e%d","dial":"127.0.0.1:1","health":"ready"}]}}`+"\n", n, n)
 }
 
@@ -60,7 +60,7 @@
 	events chan Event
 }
 
-func (e eventRecorder) next(n uint64) {
+func (e eventRecorder) expect(n uint64) {
 	e.t.Helper()
 	select {
 	case ev := <-e.events:
@@ -72,75 +72,75 @@
 	}
 }
 
-// watchFakeFeed is a feed that has told event 2 over its first connection.
+// watchFakeFeed watches a feed that has sent event 2 over its first connection.
 func watchFakeFeed(t *testing.T) (f *Watcher, e eventRecorder, p *fakeFeed, nc net.Conn) {
 	t.Helper()
 	p, e = newFakeFeed(t), eventRecorder{t, make(chan Event, 100)}
 	f = Watch(p.Addr().String(), 1, func(ev Event) { e.events <- ev })
 	t.Cleanup(f.Close)
 	nc, _ = p.nextSubscription(t)
-	nc.Write([]byte(change(2)))
-	e.next(2)
+	nc.Write([]byte(changeEvent(2)))
+	e.expect(2)
 	return f, e, p, nc
 }
 
-// The feed moves twice, to places that are down: where it was last heard is kept all the while.
+// The feed moves twice, to addresses that are unreachable. The last address that sent something is watched meanwhile.
 func TestThePreviousAddressIsWatchedUntilANewOneSendsSomething(t *testing.T) {
 	next := newFakeFeed(t)
 	f, e, _, nc := watchFakeFeed(t)
 	f.Reconfigure("127.0.0.1:1", nil)
 	f.Reconfigure("127.0.0.1:2", nil)
-	nc.Write([]byte(change(3)))
-	e.next(3)
+	nc.Write([]byte(changeEvent(3)))
+	e.expect(3)
 	f.Reconfigure(next.Addr().String(), nil)
-	now, last := next.nextSubscription(t)
+	newConn, last := next.nextSubscription(t)
 	if last != 3 {
-		t.Errorf("the new place is asked from %d", last)
+		t.Errorf("the new address is subscribed to from event %d", last)
 	}
-	nc.Write([]byte(change(4))) // the new place has not spoken yet
-	e.next(4)
-	now.Write([]byte(change(4) + change(5)))
-	e.next(5)
+	nc.Write([]byte(changeEvent(4))) // the new address has not sent anything yet
+	e.expect(4)
+	newConn.Write([]byte(changeEvent(4) + changeEvent(5)))
+	e.expect(5)
 }
 
-// A line of the old place was read before the new one spoke, and is taken after: it is passed over, also where it
-// would be the next, as what the old place says by now is of no account.
+// A line from the old address was read before the new address sent something, and is handled afterwards. It is ignored
+// even if it is the next event, as the old address is no longer authoritative.
 func TestThePreviousAddressIsIgnoredOnceTheNewOneSendsSomething(t *testing.T) {
 	next := newFakeFeed(t)
 	f, e, _, _ := watchFakeFeed(t)
 	f.mu.Lock()
-	was := f.current
+	previous := f.current
 	f.mu.Unlock()
 	f.Reconfigure(next.Addr().String(), nil)
-	now, _ := next.nextSubscription(t)
-	now.Write([]byte(change(3)))
-	e.next(3)
-	if err := f.receive(was, []byte(change(4))); err == nil || len(e.events) > 0 {
-		t.Errorf("the old place is heard: %v, %d events", err, len(e.events))
+	newConn, _ := next.nextSubscription(t)
+	newConn.Write([]byte(changeEvent(3)))
+	e.expect(3)
+	if err := f.receive(previous, []byte(changeEvent(4))); err == nil || len(e.events) > 0 {
+		t.Errorf("a line from the old address was accepted: %v, %d events", err, len(e.events))
 	}
-	now.Write([]byte(change(4)))
-	e.next(4)
+	newConn.Write([]byte(changeEvent(4)))
+	e.expect(4)
 }
 
-// An open watch falls silent, with no word of it: it is called anew from the last event on, well within 7 s, also
-// where the first call is not answered either. What the new one tells again is passed over.
+// An open connection falls silent without any notice. The watcher reconnects and resumes from the last event, well
+// within 7 s, even if the next connection is silent too. Events that are sent again are ignored.
 func TestASilentWatchReconnects(t *testing.T) {
 	_, e, p, first := watchFakeFeed(t)
-	silent := time.Now() // nothing is said any more, nor on the next connection
+	silent := time.Now() // nothing more is sent, nor on the next connection
 	second, last := p.nextSubscription(t)
 	third, again := p.nextSubscription(t)
 	if late := time.Since(silent); last != 2 || again != 2 || late > 7*time.Second {
-		t.Errorf("called from %d and %d, the third time after %v", last, again, late)
+		t.Errorf("subscribed from events %d and %d, the third time after %v", last, again, late)
 	}
 	before := counters.Value("discovery_events_duplicate")
-	third.Write([]byte(change(2) + change(3)))
-	e.next(3)
+	third.Write([]byte(changeEvent(2) + changeEvent(3)))
+	e.expect(3)
 	if counters.Value("discovery_events_duplicate") == before {
-		t.Error("what was told before is told anew")
+		t.Error("the duplicate event was not counted")
 	}
-	first.Write([]byte(change(3)))
-	second.Write([]byte(change(3)))
+	first.Write([]byte(changeEvent(3)))
+	second.Write([]byte(changeEvent(3)))
 	if len(e.events) > 0 {
-		t.Errorf("told twice: %+v", <-e.events)
+		t.Errorf("delivered twice: %+v", <-e.events)
 	}
 }
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Bounds of an event.
+// Limits of an event.
 const (
-	maxEngines = 4096    // entries
-	maxName    = 255     // bytes
-	maxShare   = 1e6     //
-	maxBornMS  = 1 << 43 // Unix time in ms, exclusive
+	maxEngines   = 4096 // entries
+	maxNameBytes = 255
+	maxShare     = 1e6
+	maxBornMS    = 1 << 43 // Unix time in ms, exclusive
 )
 
-var errTooManyEngines = errors.New("event has too many engines")
+var errTooManyEngines = errors.New("event lists too many engines")
 
-// Engine is one entry of the engine list, in the terms of the protocol.
+// Engine is one entry of the endpoint list, with the field names of the protocol.
 type Engine struct {
 	Host   string  `json:"host"` // unique name
-	Dial   string  `json:"dial"` // address, host:port; empty: as before
+	Dial   string  `json:"dial"` // address, host:port; empty: unchanged
 	Site   string  `json:"site"`
 	Class  string  `json:"class"`
 	Block  uint16  `json:"block"` // engines of one block fail together
 	Health string  `json:"health"`
 	Share  float64 `json:"share"`   // capacity
-	BornMS int64   `json:"born_ms"` // start, Unix time in ms; 0: unknown
+	BornMS int64   `json:"born_ms"` // start time, Unix time in ms; 0: unknown
 }
 
-// Event is one event of the watch.
+// Event is one event of the discovery feed.
 type Event struct {
 	Number     uint64
-	Members    *Members  // nil: about something else than engines
-	IsPosition bool      // no event, but the number of the last one
-	Invalid    int       // entries that were left out because they cannot be used
-	UpToDateAt time.Time // when the feed had last no event but those passed on: it arose since; zero: not known
+	Members    *Members  // nil: the event does not concern engines
+	IsPosition bool      // not an event: Number is that of the last one
+	Invalid    int       // entries that were skipped as invalid
+	UpToDateAt time.Time // when the feed last reported no further event, so that this one is newer; zero: unknown
 }
 
-// Members is a change of the engine list.
+// Members is a change of the endpoint list.
 type Members struct {
-	IsComplete bool // the entries are all engines there are; else those that changed
+	IsComplete bool // Engines holds all engines; otherwise only those that changed
 	Engines    []Engine
 }
 
-// ParseEvent parses an event in JSON. Entries that cannot be used are left out and counted: they do not cost the
-// others.
+// ParseEvent parses an event in JSON. Invalid entries are skipped and counted, so that they do not discard the valid
+// ones.
 func ParseEvent(text []byte) (Event, error) {
 	var raw struct {
 		Number  uint64 `json:"n"`
@@ -79,10 +79,10 @@
 	return event, nil
 }
 
-// isValid reports whether an entry has a name, a usable address if any, and figures in range.
+// isValid reports whether an entry has a name, a well-formed address if any, and numbers in range.
 func (e Engine) isValid() bool {
 	_, _, err := net.SplitHostPort(e.Dial)
-	hasValidName := e.Host != "" && len(e.Host) <= maxName
+	hasValidName := e.Host != "" && len(e.Host) <= maxNameBytes
 	hasValidAddress := e.Dial == "" || err == nil
 	isInRange := e.Share >= 0 && e.Share <= maxShare && e.BornMS >= 0 && e.BornMS < maxBornMS
 	return hasValidName && hasValidAddress && isInRange
--- a/internal/discovery/feed_reader.go
+++ b/internal/discovery/feed_reader.go
@@ -11,25 +11,26 @@
 	"swiftreel/internal/socketstate"
 )
 
-// feedSocket is a TCP connection as the feed is read from it.
+// feedSocket is the TCP connection that a feedReader reads from.
 type feedSocket interface {
 	syscall.Conn
 	SetReadDeadline(until time.Time) error
 }
 
-// feedReader reads from a feed that may be slow: what bounds a read is the silence before it, and the time that the
-// line has taken, not the length of the line. It belongs to one goroutine, but for what its freshness guards.
+// feedReader reads from a discovery feed that may be slow: a read is bounded by the silence before it and by the time
+// that the line has taken, not by the length of the line. It is for use by one goroutine, except for the fields that
+// the freshness lock guards.
 type feedReader struct {
-	socket    feedSocket
-	raw       syscall.RawConn
-	freshness *freshness
-	lineUntil time.Time
+	socket       feedSocket
+	raw          syscall.RawConn
+	freshness    *freshness
+	lineDeadline time.Time
 
-	// Guarded by the freshness's lock.
-	isWaiting   bool      // all that was received is passed on
-	hasReceived bool      // anything
-	currentAt   time.Time // all that had arrived by then was passed on
-	drainedAt   time.Time // of the last read after which nothing was left to read
+	// Guarded by the freshness lock.
+	isWaiting   bool      // everything received was delivered
+	hasReceived bool      // any data
+	currentAt   time.Time // everything that had arrived by then was delivered
+	drainedAt   time.Time // when the last read began that left nothing unread
 }
 
 func newFeedReader(socket feedSocket, fresh *freshness) (*feedReader, error) {
@@ -38,28 +39,28 @@
 		return nil, err
 	}
 	r := &feedReader{socket: socket, raw: raw, freshness: fresh}
-	r.lineComplete()
+	r.resetLineDeadline()
 	return r, nil
 }
 
-// checkSocket notes that nothing has arrived that was not passed on, if that is so. The freshness's lock is held.
+// checkSocket advances currentAt to now if nothing undelivered has arrived. The freshness lock is held.
 func (r *feedReader) checkSocket(now time.Time) {
 	if r.hasReceived && r.isWaiting && !r.hasBuffered() {
 		r.currentAt = now
 	}
 }
 
-// hasBuffered reports whether something has arrived that was not read.
+// hasBuffered reports whether data has arrived that was not read.
 func (r *feedReader) hasBuffered() bool { return socketstate.Readable(r.socket) }
 
-// lineComplete gives the next line its time.
-func (r *feedReader) lineComplete() { r.lineUntil = time.Now().Add(lineTimeout) }
+// resetLineDeadline starts the time limit of the next line.
+func (r *feedReader) resetLineDeadline() { r.lineDeadline = time.Now().Add(lineTimeout) }
 
-// Read implements io.Reader. It is called once all that it returned before is passed on.
+// Read implements io.Reader. It is called once everything that it returned before was delivered.
 func (r *feedReader) Read(buffer []byte) (n int, err error) {
 	until := time.Now().Add(silenceTimeout)
-	if r.lineUntil.Before(until) {
-		until = r.lineUntil
+	if r.lineDeadline.Before(until) {
+		until = r.lineDeadline
 	}
 	if err := r.socket.SetReadDeadline(until); err != nil {
 		return 0, err
@@ -67,11 +68,11 @@
 	r.freshness.beginRead(r)
 	var readErr error
 	take := func(fd uintptr) (done bool) {
-		n, readErr = r.freshness.take(r, len(buffer), func() (int, error) { return readUninterrupted(int(fd), buffer) })
+		n, readErr = r.freshness.trackRead(r, len(buffer), func() (int, error) { return readUninterrupted(int(fd), buffer) })
 		return !errors.Is(readErr, syscall.EAGAIN)
 	}
 	err = r.raw.Read(take)
-	if errors.Is(err, os.ErrDeadlineExceeded) { // what arrived while the process was stalled can be read
+	if errors.Is(err, os.ErrDeadlineExceeded) { // data received while the process was stalled can still be read
 		var hasRead bool
 		if controlErr := r.raw.Control(func(fd uintptr) { hasRead = take(fd) }); controlErr == nil && hasRead {
 			err = nil
@@ -88,7 +89,7 @@
 	return n, nil
 }
 
-// readUninterrupted reads from a descriptor, again where a signal has interrupted it. It returns no negative count.
+// readUninterrupted reads from a descriptor and retries after EINTR. The count that it returns is never negative.
 func readUninterrupted(fd int, buffer []byte) (int, error) {
 	for {
 		n, err := unix.Read(fd, buffer)
--- a/internal/discovery/feed_reader_test.go
+++ b/internal/discovery/feed_reader_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newReaderPair returns the reader of a connection, and the feed's end of it.
+// newReaderPair returns a reader and the feed's end of its connection.
 func newReaderPair(t *testing.T) (*feedReader, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,26 +35,26 @@
 	return reader, feed
 }
 
-// The process is stalled for longer than the feed may be silent, and an event comes meanwhile. As the process goes on
-// the deadline of the read has passed, and the event lies unread: it was dropped with the connection, and calls went
-// to an engine that drained. The soak showed it (seed 10036): discovery_lost with an i/o timeout, process_stalled for
-// 2.1 s in the same millisecond, and 81 ms later a call at an engine that had been listed as draining 981 ms before.
-func TestWhatCameDuringAStallIsReadAfterTheDeadline(t *testing.T) {
+// The process is stalled for longer than the silence timeout, and an event arrives meanwhile. When the process resumes,
+// the read deadline has passed and the event lies unread; it was dropped with the connection, and calls were sent to a
+// draining engine. In a soak run (seed 10036), discovery_lost with an i/o timeout came in the same millisecond as
+// process_stalled for 2.1 s, and 81 ms later a call reached an engine that had been listed as draining 981 ms before.
+func TestDataReceivedDuringAStallIsReadAfterTheDeadline(t *testing.T) {
 	reader, feed := newReaderPair(t)
 	if _, err := feed.Write([]byte("41\n")); err != nil {
 		t.Fatal(err)
 	}
 	for stop := time.Now().Add(20 * time.Second); !reader.hasBuffered(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatal("nothing comes")
+			t.Fatal("no data arrived")
 		}
 	}
-	reader.lineUntil = time.Now().Add(-time.Second)
+	reader.lineDeadline = time.Now().Add(-time.Second)
 	buffer := make([]byte, 100)
 	if n, err := reader.Read(buffer); err != nil || string(buffer[:n]) != "41\n" {
 		t.Errorf("read %q, %v", buffer[:n], err)
 	}
 	if _, err := reader.Read(buffer); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("with nothing unread: %v", err)
+		t.Errorf("read with nothing unread: %v", err)
 	}
 }
--- a/internal/discovery/freshness.go
+++ b/internal/discovery/freshness.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// notifiedWithin is how long after an event of the feed a controller that the feed does not reach counts as
+	// assumedNotifiedAfter is how long after an event a controller that the discovery feed does not reach counts as
 	// notified (protocol page, Figures).
-	notifiedWithin = 7 * time.Second
-	// reconnectTime is how long after the loss of the feed its next connection is waited for, where what was received
-	// before is older than notifiedWithin. Then the feed counts as out of reach, which must stop nothing.
-	reconnectTime = 500 * time.Millisecond
-	// runningInterval is how often it is noted that the process runs.
-	runningInterval = 250 * time.Millisecond
-	// minStall is the least stall after which the feed is waited for anew: without one a connection is tried as often.
-	minStall = maxReconnect
+	assumedNotifiedAfter = 7 * time.Second
+	// reconnectGrace is how long after the loss of the feed its next connection is awaited, if what was received before
+	// is older than assumedNotifiedAfter. After that the feed counts as unreachable, which must not block any send.
+	reconnectGrace = 500 * time.Millisecond
+	// runningCheckInterval is the interval at which the process is recorded as running.
+	runningCheckInterval = 250 * time.Millisecond
+	// minStall is the shortest stall after which the feed is awaited again: a process that runs tries to reconnect at
+	// least this often.
+	minStall = maxReconnectDelay
 )
 
-// freshness knows how old the endpoint list is, as far as it was passed on: what the feed has sent may lie unread, or
-// be read and not passed on yet, while the process or a goroutine of it is stalled. It is safe for concurrent use.
+// freshness tracks how old the delivered endpoint list is. Data from the feed may lie unread, or be read and not yet
+// delivered, while the process or one of its goroutines is stalled. It is safe for concurrent use.
 type freshness struct {
-	mu          sync.Mutex // taken last: no other lock is taken while it is held
-	connections map[*feedReader]struct{}
-	currentAt   time.Time     // without a connection: all that had arrived by then was passed on
-	lostAt      time.Time     // when the last connection ended over which something had come, or a stall since
-	runningAt   time.Time     // when the process last ran; zero: nobody notes it
-	changed     chan struct{} // closed when more was passed on, or a connection ends
+	mu            sync.Mutex // innermost lock: no other lock is taken while it is held
+	connections   map[*feedReader]struct{}
+	currentAt     time.Time     // without a connection: everything that had arrived by then was delivered
+	lostAt        time.Time     // when the last connection ended that had received data, or a stall after that
+	lastRunningAt time.Time     // when the process was last recorded as running; zero: not recorded
+	changed       chan struct{} // closed when more was delivered, or a connection ended
 }
 
 func newFreshness(now time.Time) *freshness {
@@ -37,27 +38,27 @@
 		changed: make(chan struct{})}
 }
 
-// noteRunning notes that the process runs. After a stall the feed is waited for as if it had just been lost: no
-// connection could be tried meanwhile, and what was told since may count as told already.
-func (f *freshness) noteRunning(now time.Time) {
+// recordRunning records that the process is running. After a stall the feed is awaited as if it had just been lost: no
+// connection could be attempted during the stall, and events sent since may already count as notified.
+func (f *freshness) recordRunning(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.noteRunningLocked(now)
+	f.recordRunningLocked(now)
 }
 
-func (f *freshness) noteRunningLocked(now time.Time) {
-	if !f.runningAt.IsZero() && now.Sub(f.runningAt) >= minStall {
+func (f *freshness) recordRunningLocked(now time.Time) {
+	if !f.lastRunningAt.IsZero() && now.Sub(f.lastRunningAt) >= minStall {
 		f.lostAt = now
 	}
-	f.runningAt = now
+	f.lastRunningAt = now
 }
 
-// watchRunning notes that the process runs until the context ends.
-func (f *freshness) watchRunning(ctx context.Context) {
-	ticker := time.NewTicker(runningInterval)
+// trackRunning records that the process is running until the context ends.
+func (f *freshness) trackRunning(ctx context.Context) {
+	ticker := time.NewTicker(runningCheckInterval)
 	defer ticker.Stop()
 	for {
-		f.noteRunning(time.Now())
+		f.recordRunning(time.Now())
 		select {
 		case <-ctx.Done():
 			return
@@ -66,19 +67,19 @@
 	}
 }
 
-// add counts a connection from now on.
+// add starts to track a connection.
 func (f *freshness) add(r *feedReader) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.currentAt = f.lastCurrent()
+	r.currentAt = f.effectiveCurrentAt()
 	f.connections[r] = struct{}{}
 }
 
-// remove forgets a connection. All that was received over it is passed on, or will be told again.
+// remove stops tracking a connection. Everything received over it was delivered, or will be sent again.
 func (f *freshness) remove(r *feedReader) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.currentAt = f.lastCurrent()
+	f.currentAt = f.effectiveCurrentAt()
 	delete(f.connections, r)
 	if r.hasReceived {
 		f.lostAt = time.Now()
@@ -86,13 +87,13 @@
 	f.notifyChange()
 }
 
-// notifyChange wakes all that wait. The lock is held.
+// notifyChange wakes all waiters. The lock is held.
 func (f *freshness) notifyChange() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// beginRead notes that all that was received over a connection is passed on, and that it waits for more.
+// beginRead records that everything received over a connection was delivered, and that it waits for more.
 func (f *freshness) beginRead(r *feedReader) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,9 +105,9 @@
 	f.notifyChange()
 }
 
-// take reads what has arrived over a connection; from then on until beginRead it counts as not passed on. Where
-// nothing has arrived the error is EAGAIN, and the connection waits on.
-func (f *freshness) take(r *feedReader, bufferSize int, read func() (int, error)) (n int, err error) {
+// trackRead reads what has arrived over a connection; from then on until beginRead, it counts as undelivered. If
+// nothing has arrived the error is EAGAIN, and the connection keeps waiting.
+func (f *freshness) trackRead(r *feedReader, bufferSize int, read func() (int, error)) (n int, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -116,14 +117,14 @@
 	}
 	r.isWaiting = false
 	r.hasReceived = r.hasReceived || n > 0
-	if n < bufferSize { // nothing is left of what had arrived by now
+	if n < bufferSize { // everything that had arrived by now was read
 		r.drainedAt = now
 	}
 	return n, err
 }
 
-// lastCurrent is a moment such that all that had arrived by then was passed on. The lock is held.
-func (f *freshness) lastCurrent() time.Time {
+// effectiveCurrentAt returns a time by which everything that had arrived was delivered. The lock is held.
+func (f *freshness) effectiveCurrentAt() time.Time {
 	var last time.Time
 	for r := range f.connections {
 		if r.hasReceived && (last.IsZero() || r.currentAt.Before(last)) {
@@ -136,33 +137,33 @@
 	return last
 }
 
-// check returns a moment such that the list is known as it was told by then, and a channel that is closed once that
-// may have become a later one. A moment within maxAge is not looked for anew.
+// check returns a time as of which the list is current, and a channel that is closed once a later one may be available.
+// If the known time is within maxAge, the connections are not checked.
 func (f *freshness) check(maxAge time.Duration) (currentAt time.Time, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	last := f.lastCurrent()
+	last := f.effectiveCurrentAt()
 	if now.Sub(last) <= maxAge {
 		return last, f.changed
 	}
-	if !f.runningAt.IsZero() {
-		f.noteRunningLocked(now) // a send may come before the note of the same moment
+	if !f.lastRunningAt.IsZero() {
+		f.recordRunningLocked(now) // a send may precede the periodic record
 	}
 	hasReceived := false
 	for r := range f.connections {
 		r.checkSocket(now)
 		hasReceived = hasReceived || r.hasReceived
 	}
-	last = f.lastCurrent()
-	isOutOfReach := now.Sub(last) < notifiedWithin || now.Sub(f.lostAt) >= reconnectTime
-	if !hasReceived && isOutOfReach { // what it has to tell counts as told later
+	last = f.effectiveCurrentAt()
+	canAssumeCurrent := now.Sub(last) < assumedNotifiedAfter || now.Sub(f.lostAt) >= reconnectGrace
+	if !hasReceived && canAssumeCurrent { // what the feed sends from now on counts as notified later
 		return now, f.changed
 	}
 	return last, f.changed
 }
 
-// await returns what check does, once that is within maxAge of the call or the limit is over.
+// await returns the result of check once that is within maxAge of the call, or after limit.
 func (f *freshness) await(maxAge, limit time.Duration) time.Time {
 	wanted := time.Now().Add(-maxAge)
 	currentAt, changed := f.check(maxAge)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/discovery"
 )
 
-func TestTheSubscriptionHasItsBytes(t *testing.T) {
+func TestTheSubscriptionMatchesItsWireFormat(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/discovery/slow_feed_test.go
+++ b/internal/discovery/slow_feed_test.go
@@ -10,12 +10,12 @@
 	"swiftreel/internal/discovery"
 )
 
-// The feed sends one line so slowly that the whole takes longer than silence is waited for: it is received, on the
-// first connection, as bytes keep coming.
+// The feed sends one line so slowly that it takes longer than the silence timeout. The line is received on the first
+// connection, as bytes keep arriving.
 func TestALineThatComesSlowlyIsReceived(t *testing.T) {
 	const (
 		pieces   = 20
-		interval = 200 * time.Millisecond // 4 s in all, where silence is waited for 2.5 s
+		interval = 200 * time.Millisecond // 4 s in all; the silence timeout is 2.5 s
 	)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -43,14 +43,14 @@
 			t.Errorf("received %+v", event)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("never received")
+		t.Fatal("no event received")
 	}
 	if n := len(connections); n != 1 {
-		t.Errorf("on connection %d", n)
+		t.Errorf("received on connection %d", n)
 	}
 }
 
-// writeSlowly writes a line in pieces once the subscription has come.
+// writeSlowly writes a line in pieces after the subscription has arrived.
 func writeSlowly(conn net.Conn, line string, pieces int, interval time.Duration) {
 	defer conn.Close()
 	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -11,44 +11,43 @@
 )
 
 const (
-	dialTimeout     = 2 * time.Second         // a SYN that is lost is sent again after a second
-	silenceTimeout  = 2500 * time.Millisecond // the feed sends something every second
-	lineTimeout     = time.Minute             // of one line: a complete list may come over a slow or crowded way
-	firstReconnect  = 100 * time.Millisecond  // delay; doubles each time the feed says nothing
-	maxReconnect    = time.Second
-	firstLineBuffer = 4 << 10
-	maxLine         = 4 << 20 // bytes; a complete list of many engines
+	dialTimeout       = 2 * time.Second         // a lost SYN is retransmitted after a second
+	silenceTimeout    = 2500 * time.Millisecond // the feed sends something every second
+	lineTimeout       = time.Minute             // for one line: a complete list may come over a slow or congested path
+	minReconnectDelay = 100 * time.Millisecond  // doubles after each connection without data
+	maxReconnectDelay = time.Second
+	initialLineBuffer = 4 << 10 // bytes
+	maxLineBytes      = 4 << 20 // holds a complete list of many engines
 )
 
 var (
-	errClosedByFeed = errors.New("closed by the feed")
-	errNotTCP       = errors.New("the feed's connection is not TCP")
+	errClosedByFeed = errors.New("discovery feed closed the connection")
+	errNotTCP       = errors.New("discovery feed connection is not TCP")
 )
 
-// source is the feed at one address.
+// source is the discovery feed at one address.
 type source struct {
 	watcher *Watcher
 	address string
-	stop    context.CancelFunc // called once the feed is watched elsewhere
+	stop    context.CancelFunc // called once the feed is watched at another address
 }
 
-// run connects again whenever the connection ends, unless the feed has moved away from here. It ends with the
-// context.
+// run reconnects whenever the connection ends, unless the feed has moved to another address. It ends with the context.
 func (s *source) run(ctx context.Context) {
 	defer s.watcher.running.Done()
 	defer s.stop()
-	delay := firstReconnect
+	delay := minReconnectDelay
 	isDown := false
 	for {
-		hasReceived, err := s.follow(ctx)
+		hasReceived, err := s.watchConnection(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if hasReceived {
-			delay = firstReconnect
+			delay = minReconnectDelay
 			isDown = false
 		}
-		s.watcher.noteLost(s, !isDown, err)
+		s.watcher.recordLoss(s, !isDown, err)
 		isDown = true
 		if !s.watcher.isCurrent(s) {
 			return
@@ -58,22 +57,24 @@
 			return
 		case <-time.After(jittered(delay)):
 		}
-		delay = min(2*delay, maxReconnect)
+		delay = min(2*delay, maxReconnectDelay)
 	}
 }
 
-// jittered shortens a delay by up to half: all controllers lose the feed at once, and must not come back in step.
+// jittered shortens a delay by up to half at random: all controllers lose the feed at the same time and must not
+// reconnect in step.
 func jittered(delay time.Duration) time.Duration { return delay - rand.N(delay/2) }
 
-// follow watches over one connection until that or the context ends, and reports whether an event was received on it.
-func (s *source) follow(ctx context.Context) (hasReceived bool, err error) {
+// watchConnection receives events over one connection until that or the context ends, and reports whether a line was
+// accepted.
+func (s *source) watchConnection(ctx context.Context) (hasReceived bool, err error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	socket, err := dialer.DialContext(ctx, "tcp4", s.address)
 	if err != nil {
 		return false, err
 	}
 	defer socket.Close()
-	stopClosing := context.AfterFunc(ctx, func() { _ = socket.Close() }) // ends a read in progress
+	stopClosing := context.AfterFunc(ctx, func() { _ = socket.Close() }) // unblocks a pending read
 	defer stopClosing()
 	reader, err := s.newReader(socket)
 	if err != nil {
@@ -88,9 +89,9 @@
 		return false, err
 	}
 	lines := bufio.NewScanner(reader)
-	lines.Buffer(make([]byte, firstLineBuffer), maxLine)
+	lines.Buffer(make([]byte, initialLineBuffer), maxLineBytes)
 	for lines.Scan() {
-		reader.lineComplete()
+		reader.resetLineDeadline()
 		if err := s.watcher.receive(s, lines.Bytes()); err != nil {
 			return hasReceived, err
 		}
@@ -99,7 +100,7 @@
 	return hasReceived, lines.Err()
 }
 
-// newReader makes the reader of a connection, which counts from now on for how old the list is.
+// newReader returns the reader of a connection and adds it to the freshness of the list.
 func (s *source) newReader(socket net.Conn) (*feedReader, error) {
 	tcp, isTCP := socket.(*net.TCPConn)
 	if !isTCP {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,10 +1,11 @@
-// Package discovery watches the list of engines: what the configuration knew of it, and the events of the control
-// feed since.
+// Package discovery watches the endpoint list: the entries known from the configuration, and the events that the
+// discovery feed has sent since.
 //
-// A Watcher subscribes over TCP ("SUB <last event>\n") and gets one event a line, in JSON, or the number of the last
-// event alone. Whenever the feed is out of reach, silent, unreadable or has a gap, the watcher reconnects and resumes
-// from the last event that it passed on; so each event is passed on once and in order. It owns one goroutine for each
-// address it watches: one as a rule, two while the feed moves.
+// A Watcher subscribes over TCP ("SUB <last event>\n") and receives one event per line, in JSON, or the number of the
+// last event alone. Whenever the feed is unreachable, silent or unreadable, or skips an event, the watcher reconnects
+// and resumes from the last event that it delivered, so each event is delivered once and in order. It owns one
+// goroutine for each address that it watches, normally one and two while the feed moves, and one that detects stalls of
+// the process.
 package discovery
 
 import (
@@ -20,49 +21,50 @@
 	"swiftreel/internal/ratelog"
 )
 
-// errMoved ends a connection to an address from which the feed has moved.
-var errMoved = errors.New("the feed has moved")
+// errFeedMoved ends a connection to an address that the feed has moved away from.
+var errFeedMoved = errors.New("discovery feed moved to another address")
 
 // GapError means that events are missing between two that were received.
 type GapError struct {
-	Last     uint64 // passed on
+	Last     uint64 // delivered
 	Received uint64
 }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("event %d follows event %d", e.Received, e.Last)
+	return fmt.Sprintf("gap in discovery events: event %d received after event %d", e.Received, e.Last)
 }
 
-// Watcher passes on the events of the feed, wherever it moves. It is safe for concurrent use.
+// Watcher delivers the events of the discovery feed, also when the feed moves to another address. It is safe for
+// concurrent use.
 type Watcher struct {
 	notify  func(Event)
 	ctx     context.Context    // of all sources; ends with Close
 	stop    context.CancelFunc // called by Close
-	running sync.WaitGroup     // the sources' goroutines
+	running sync.WaitGroup     // all goroutines of the watcher
 	invalid ratelog.Logger
 
-	freshness *freshness // of what was passed on
+	freshness *freshness // of the events delivered
 
-	mu       sync.Mutex // held over notify as well, so that two connections pass events on in one order
-	last     uint64     // number of the last event passed on
-	upToDate time.Time  // when the feed last said that there is no later one
-	current  *source
-	previous *source // where the feed was, until the current one sends something; nil as a rule
+	mu         sync.Mutex // also held during notify, so that two connections deliver events in one order
+	last       uint64     // number of the last event delivered
+	upToDateAt time.Time  // when the feed last reported that there is no later event
+	current    *source
+	previous   *source // the former address, until the current one sends something; normally nil
 }
 
-// Watch passes each event after last on to notify, once and in order, until Close.
+// Watch delivers each event after last to notify, once and in order, until Close.
 func Watch(address string, last uint64, notify func(Event)) *Watcher {
 	ctx, stop := context.WithCancel(context.Background())
 	w := &Watcher{notify: notify, ctx: ctx, stop: stop, last: last, freshness: newFreshness(time.Now())}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.start(address)
-	w.running.Go(func() { w.freshness.watchRunning(ctx) })
+	w.running.Go(func() { w.freshness.trackRunning(ctx) })
 	return w
 }
 
-// start watches an address. The lock is held.
+// start starts to watch an address. The lock is held.
 func (w *Watcher) start(address string) {
 	ctx, stop := context.WithCancel(w.ctx)
 	w.current = &source{watcher: w, address: address, stop: stop}
@@ -70,9 +72,9 @@
 	go w.current.run(ctx)
 }
 
-// Reconfigure takes over a new configuration: the address of the feed, and the events known when it was written. It
-// reports whether the address is another one. The connection to the old one stays until the new one sends something,
-// or it ends.
+// Reconfigure applies a new configuration: the address of the feed, and the events known when it was written. It
+// reports whether the address has changed. The connection to the old address stays until the new one sends something,
+// or until it ends.
 func (w *Watcher) Reconfigure(address string, known []Event) (hasMoved bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -85,7 +87,7 @@
 	if address == w.current.address {
 		return false
 	}
-	if w.previous != nil { // the current one never sent anything: the one that did last stays
+	if w.previous != nil { // the current address never sent anything: keep the one that last did
 		w.current.stop()
 	} else {
 		w.previous = w.current
@@ -94,35 +96,34 @@
 	return true
 }
 
-// Position returns the number of the last event passed on, and the address of the feed.
+// Position returns the number of the last event delivered, and the address of the feed.
 func (w *Watcher) Position() (last uint64, address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.last, w.current.address
 }
 
-// CurrentAt returns a moment such that all that the feed had told by then was passed on: what lies unread, or is
-// being passed on, came later. It does not look whether there is a later moment than one within maxAge. While the
-// feed is out of reach it returns the present, as what is told then counts as told only 7 s later (protocol page,
-// Figures).
+// CurrentAt returns a time such that everything the feed had sent by then was delivered; what is unread or being
+// delivered came later. If the known time is within maxAge, it does not look for a later one. While the feed is
+// unreachable it returns the present, as events sent then count as notified only 7 s later (protocol page, Figures).
 func (w *Watcher) CurrentAt(maxAge time.Duration) time.Time {
 	currentAt, _ := w.freshness.check(maxAge)
 	return currentAt
 }
 
-// AwaitCurrent returns what CurrentAt does, but waits until that is within maxAge, no longer than limit. It must not
-// be called by notify, nor with a lock held that notify takes.
+// AwaitCurrent returns what CurrentAt does, but waits up to limit until that is within maxAge of the call. It must not
+// be called by notify, nor while holding a lock that notify takes.
 func (w *Watcher) AwaitCurrent(maxAge, limit time.Duration) time.Time {
 	return w.freshness.await(maxAge, limit)
 }
 
-// Close ends the watch. Nothing is passed on after it.
+// Close ends the watch. Nothing is delivered afterwards.
 func (w *Watcher) Close() {
 	w.stop()
 	w.running.Wait()
 }
 
-// receive takes a line from a source: an event, or the number of the last one. An error ends the connection.
+// receive handles a line from a source: an event, or the number of the last one. An error ends the connection.
 func (w *Watcher) receive(from *source, line []byte) error {
 	if len(line) == 0 {
 		return nil
@@ -142,7 +143,7 @@
 		w.previous = nil
 	}
 	if from != w.current && from != w.previous {
-		return errMoved
+		return errFeedMoved
 	}
 	return w.accept(event)
 }
@@ -156,29 +157,29 @@
 	return ParseEvent(line)
 }
 
-// accept passes on the event that is next. The lock is held.
+// accept delivers the next event. The lock is held.
 func (w *Watcher) accept(event Event) error {
 	switch {
 	case event.IsPosition && event.Number > w.last:
 		return &GapError{Last: w.last, Received: event.Number}
 	case event.IsPosition:
 		if event.Number == w.last {
-			w.upToDate = time.Now()
+			w.upToDateAt = time.Now()
 		}
-	case event.Number <= w.last: // passed on before
+	case event.Number <= w.last: // delivered before
 		counters.Increment("discovery_events_duplicate")
 	case event.Number != w.last+1:
 		return &GapError{Last: w.last, Received: event.Number}
 	default:
 		w.last = event.Number
-		event.UpToDateAt = w.upToDate
+		event.UpToDateAt = w.upToDateAt
 		w.notify(event)
 	}
 	return nil
 }
 
-// noteLost notes the end of a connection, in the log only if it is the first in a row.
-func (w *Watcher) noteLost(s *source, isFirst bool, reason error) {
+// recordLoss counts the end of a connection, and logs the first of consecutive ones.
+func (w *Watcher) recordLoss(s *source, isFirst bool, reason error) {
 	counters.Increment("discovery_lost")
 	if isFirst {
 		last, _ := w.Position()
@@ -186,7 +187,7 @@
 	}
 }
 
-// isCurrent reports whether the feed has not moved away from a source.
+// isCurrent reports whether the feed is still at the address of a source.
 func (w *Watcher) isCurrent(s *source) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -41,11 +41,11 @@
 	next(3)
 	next(4)
 	event := func(n int) string { return fmt.Sprintf(`{"n":%d,"members":{"hosts":%s}}`+"\n", n, hosts) }
-	// Unreadable, a gap, and gaps shown by the number alone.
+	// An unreadable line, a gap, and gaps shown by the number of the last event alone.
 	for i, bad := range []string{"no JSON\n", event(9), "99\n", `{"n":8}` + "\n"} {
-		source.Write(event(4) + "\n4\n" + `{"n":4}` + "\n") // told before: passed over
+		source.Write(event(4) + "\n4\n" + `{"n":4}` + "\n") // delivered before: ignored
 		source.Write(bad)
-		source.AddEvent(false, hosts) // perhaps on a connection that is given up: then it comes on the next
+		source.AddEvent(false, hosts) // if this connection is being closed, sent on the next
 		next(uint64(5 + i))
 	}
 	source.DropConnections()
@@ -61,17 +61,17 @@
 	}
 	again, err := discovery.ParseEvent([]byte(event(9)))
 	if err != nil || !f.Reconfigure(moved.Address(), []discovery.Event{again}) {
-		t.Fatal("not moved", err)
+		t.Fatal("the address has not changed", err)
 	}
 	next(10)
-	source.AddEvent(false, hosts) // where it was: told before, if it still speaks
-	moved.DropConnections()       // and it is called anew where it is
+	source.AddEvent(false, hosts) // at the old address: a duplicate, if it is still connected
+	moved.DropConnections()       // the watcher reconnects to the new address
 	moved.AddEvent(false, hosts)
 	next(11)
 	if f.Reconfigure(moved.Address(), nil) {
-		t.Error("moved to where it is")
+		t.Error("a move to the same address is reported")
 	}
-	f.Reconfigure("127.0.0.1:1", nil) // out of reach: the old place is kept while it speaks
+	f.Reconfigure("127.0.0.1:1", nil) // unreachable: the former address is kept while it is connected
 	moved.AddEvent(false, hosts)
 	next(12)
 	f.Reconfigure(source.Address(), nil) // and back
@@ -81,15 +81,15 @@
 	next(13)
 	f.Close()
 	if subs := moved.DropConnections(); subs[0] != 9 || subs[1] != 10 {
-		t.Errorf("the new place was asked from %v", subs)
+		t.Errorf("the new address was subscribed to from %v", subs)
 	}
 	subs := source.DropConnections()
 	if subs[0] != 2 || !slices.IsSorted(subs) || subs[len(subs)-1] < 8 || len(delivered) > 0 {
-		t.Errorf("resumed from %v, %d events told again", subs, len(delivered))
+		t.Errorf("resumed from %v, %d events delivered again", subs, len(delivered))
 	}
 }
 
-// FuzzParse: no panic, and what is read names every engine.
+// FuzzParse checks that parsing does not panic, and that each entry has a name and no negative numbers.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		`{"n":41,"members":{"seq":7,"whole":false,"hosts":` + hosts + `}}`,
@@ -113,8 +113,8 @@
 	})
 }
 
-// An entry that could not be used had the feed called anew for ever, from the event before it.
-func TestInvalidEntriesCostNoOther(t *testing.T) {
+// An invalid entry made the watcher reconnect for ever, from the event before it.
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	const unusable = `{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},`
 	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[` + unusable + hosts[1:] + `}}`))
 	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
