--- a/internal/assignment/accepted.go
+++ b/internal/assignment/accepted.go
@@ -9,22 +9,22 @@
 	"swiftreel/internal/quota"
 )
 
-// Reasons for which a supervisor refuses an assignment.
+// Errors with which a supervisor rejects an assignment.
 var (
-	// ErrOtherMember: the assignment is for another member.
+	// ErrOtherMember means that the assignment is addressed to another member.
 	ErrOtherMember = errors.New("assignment for another member")
-	// ErrOtherIncarnation: the assignment is for an earlier process of this member.
+	// ErrOtherIncarnation means that the assignment is addressed to an earlier process of this member.
 	ErrOtherIncarnation = errors.New("assignment for an earlier incarnation")
-	// ErrStale: an assignment of the same or a later term and sequence was accepted before.
+	// ErrStale means that an assignment with the same or a later term and sequence has already been accepted.
 	ErrStale = errors.New("stale assignment")
-	// ErrOtherLeader: the term belongs to another leader.
+	// ErrOtherLeader means that an assignment of the same term from another leader has been accepted.
 	ErrOtherLeader = errors.New("term of another leader")
-	// ErrTooFarAhead: an expiry is further ahead than an hour.
+	// ErrTooFarAhead means that an expiry is more than an hour in the future.
 	ErrTooFarAhead = errors.New("expiry too far ahead")
 )
 
-// Accepted is what a supervisor holds of the assignments that it has accepted. It does not outlive the process, as
-// the next one is another incarnation.
+// Accepted is the state that a supervisor keeps of the assignments it has accepted. It is not persisted: the next
+// process is another incarnation and starts without it.
 type Accepted struct {
 	Term        int64         `json:"reign"`
 	Sequence    int64         `json:"count"`
@@ -37,8 +37,8 @@
 	PlanText json.RawMessage `json:"-"`
 }
 
-// Accept decides on an assignment for a member's incarnation. It returns what is held afterwards, or why the
-// assignment is refused. now is the machine's time in nanoseconds.
+// Accept checks an assignment received by the given incarnation of a member. It returns the new state, or the
+// unchanged state and the reason for the rejection. now is the machine's time in nanoseconds.
 func (a Accepted) Accept(next Assignment, member, incarnation string, now int64) (Accepted, error) {
 	if err := a.check(next, member, incarnation, now); err != nil {
 		return a, err
@@ -56,7 +56,7 @@
 		accepted.setPlan(next.Plan, next.PlanUntil, next.PlanText)
 	case next.Plan == a.Plan:
 		accepted.setPlan(a.Plan, next.PlanUntil, a.PlanText)
-	default: // the plan's text has not arrived yet: the earlier plan stays until its own expiry
+	default: // without the new plan's text the earlier plan stays in force until its own expiry
 		accepted.setPlan(a.Plan, a.PlanUntil, a.PlanText)
 	}
 	return accepted.ValidAt(now), nil
@@ -71,22 +71,23 @@
 func (a Accepted) check(next Assignment, member, incarnation string, now int64) error {
 	switch {
 	case next.Member != member:
-		return fmt.Errorf("%w: %s, this is %s", ErrOtherMember, next.Member, member)
+		return fmt.Errorf("%w: %s, but this member is %s", ErrOtherMember, next.Member, member)
 	case next.Incarnation != incarnation:
 		return ErrOtherIncarnation
 	case next.Term < a.Term:
-		return fmt.Errorf("%w: term %d comes after %d", ErrStale, next.Term, a.Term)
+		return fmt.Errorf("%w: term %d comes after term %d was accepted", ErrStale, next.Term, a.Term)
 	case next.Term == a.Term && next.Leader != a.Leader:
 		return fmt.Errorf("%w: term %d is of %s, not %s", ErrOtherLeader, a.Term, a.Leader, next.Leader)
 	case next.Term == a.Term && next.Sequence <= a.Sequence:
-		return fmt.Errorf("%w: sequence %d of term %d comes after %d", ErrStale, next.Sequence, next.Term, a.Sequence)
-	case max(next.SharesUntil, next.PlanUntil) > now+maxAhead:
-		return fmt.Errorf("%w: over %d s", ErrTooFarAhead, maxAhead/nsPerSecond)
+		return fmt.Errorf("%w: sequence %d of term %d comes after %d was accepted",
+			ErrStale, next.Sequence, next.Term, a.Sequence)
+	case max(next.SharesUntil, next.PlanUntil) > now+maxExpiryAhead:
+		return fmt.Errorf("%w: more than %d s", ErrTooFarAhead, maxExpiryAhead/nsPerSecond)
 	}
 	return nil
 }
 
-// ValidAt returns what has not expired at a time.
+// ValidAt returns the state without the shares and the plan that have expired at the given time.
 func (a Accepted) ValidAt(now int64) Accepted {
 	if now >= a.SharesUntil {
 		a.Shares = nil
--- a/internal/assignment/accepted_test.go
+++ b/internal/assignment/accepted_test.go
@@ -21,7 +21,7 @@
 	otherMember, otherIncarnation, tooFar := assigned(9, 9, "a"), assigned(9, 9, "a"), assigned(9, 9, "a")
 	otherMember.Member = "c2"
 	otherIncarnation.Incarnation = "w"
-	tooFar.SharesUntil = 100 + maxAhead + 1
+	tooFar.SharesUntil = 100 + maxExpiryAhead + 1
 	var accepted Accepted
 	for i, step := range []struct {
 		assignment Assignment
@@ -42,10 +42,10 @@
 	} {
 		next, err := accepted.Accept(step.assignment, "c1", "x", 100)
 		if !errors.Is(err, step.want) {
-			t.Errorf("step %d: %v, wanted %v", i, err, step.want)
+			t.Errorf("step %d: got error %v, want %v", i, err, step.want)
 		}
 		if err != nil && (!strings.Contains(err.Error(), step.text) || fmt.Sprint(next) != fmt.Sprint(accepted)) {
-			t.Errorf("step %d: %v, and %+v is held after %+v", i, err, next, accepted)
+			t.Errorf("step %d: error %v, state %+v after %+v", i, err, next, accepted)
 		}
 		accepted = next
 	}
@@ -55,8 +55,8 @@
 	}
 }
 
-// A plan that the member lacks is followed once its text has arrived. Until then the earlier one stays, to its own
-// expiry.
+// A member follows a new plan only once it has received the plan's text. Until then the earlier plan stays in force,
+// up to its own expiry.
 func TestAPlanIsFollowedOnceItsTextHasArrived(t *testing.T) {
 	text := json.RawMessage(`{"a":1}`)
 	first, second := change.JSONDigest(text), change.JSONDigest(json.RawMessage(`{"a":2}`))
@@ -75,7 +75,7 @@
 	}
 	accept(1, first, 100, nil)
 	if accepted.Plan != "" {
-		t.Error("it follows a plan that it does not have")
+		t.Error("the member follows a plan whose text it has not received")
 	}
 	accept(2, first, 110, text)
 	accept(3, first, 120, nil)
@@ -88,6 +88,6 @@
 	}
 	accept(5, "", 0, nil)
 	if accepted.Plan != "" {
-		t.Error("it follows a plan that the leader has withdrawn")
+		t.Error("the member still follows a plan that the leader has withdrawn")
 	}
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -16,32 +16,32 @@
 	"swiftreel/internal/quota"
 )
 
-// Assignment is everything that the leader wants a member to go by. It is always complete, so that a lost or repeated
-// one does no harm. Its expiries are in the time of the receiving machine's clock, as that machine has reported it,
-// so a late assignment expires no later.
+// Assignment is the complete set of shares and the plan that the leader assigns to a member. Each assignment replaces
+// the previous one as a whole, so losing or repeating one is harmless. Expiries are times of the receiving machine's
+// clock, based on the time that it last reported, so a delayed assignment does not expire any later.
 type Assignment struct {
 	Format      int             `json:"format"`
 	Term        int64           `json:"reign"` // the leader's fencing token
-	Sequence    int64           `json:"count"` // rises with each assignment of the term
+	Sequence    int64           `json:"count"` // increases with each assignment in a term
 	Leader      string          `json:"owner"`
 	Member      string          `json:"member"`
-	Incarnation string          `json:"life"` // of the supervisor's process: a later one starts with nothing
+	Incarnation string          `json:"life"` // of the supervisor's process; a new process starts without an assignment
 	Shares      quota.Shares    `json:"part,omitempty"`
 	SharesUntil int64           `json:"part_until_boot_ns,omitempty"`
-	Plan        change.Digest   `json:"plan,omitempty"` // to be followed; empty: none
+	Plan        change.Digest   `json:"plan,omitempty"` // to be followed; empty means none
 	PlanUntil   int64           `json:"plan_until_boot_ns,omitempty"`
-	PlanText    json.RawMessage `json:"plan_text,omitempty"` // sent while the member does not hold the plan
+	PlanText    json.RawMessage `json:"plan_text,omitempty"` // sent until the member reports that it has the plan
 }
 
-// Bounds of an assignment.
+// Limits of an assignment.
 const (
-	maxBytes     = 8 << 20
-	maxAhead     = 3600 * nsPerSecond // of an expiry
-	maxResources = 4096
-	nsPerSecond  = int64(1e9)
+	maxBytes       = 8 << 20
+	maxExpiryAhead = 3600 * nsPerSecond // how far an expiry may lie in the future, in ns
+	maxResources   = 4096
+	nsPerSecond    = int64(1e9)
 )
 
-// Read decodes and validates an assignment. An unknown field is an error. Errors begin with the path of the faulty
+// Read decodes and validates an assignment. Unknown fields are rejected. Errors begin with the path of the invalid
 // field.
 func Read(from io.Reader) (Assignment, error) {
 	text, err := io.ReadAll(io.LimitReader(from, maxBytes+1))
@@ -49,7 +49,7 @@
 		return Assignment{}, err
 	}
 	if len(text) > maxBytes {
-		return Assignment{}, fmt.Errorf("/: over %d bytes", maxBytes)
+		return Assignment{}, fmt.Errorf("/: larger than %d bytes", maxBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -68,7 +68,7 @@
 		return err
 	}
 	if len(a.PlanText) > 0 && change.JSONDigest(a.PlanText) != a.Plan {
-		return errors.New("/plan_text: its digest is not that of /plan")
+		return errors.New("/plan_text: digest does not match /plan")
 	}
 	return validateShares(a.Shares)
 }
@@ -76,9 +76,9 @@
 func (a Assignment) validateHeader() error {
 	switch {
 	case a.Format != change.Format:
-		return fmt.Errorf("/format: %d, known is %d", a.Format, change.Format)
+		return fmt.Errorf("/format: %d is not supported, want %d", a.Format, change.Format)
 	case a.Term < 1 || a.Sequence < 1:
-		return fmt.Errorf("/reign, /count: %d, %d: under 1", a.Term, a.Sequence)
+		return fmt.Errorf("/reign, /count: %d, %d: must be at least 1", a.Term, a.Sequence)
 	case a.Leader == "" || a.Member == "" || a.Incarnation == "":
 		return errors.New("/owner, /member, /life: missing")
 	}
@@ -87,7 +87,7 @@
 
 func validateShares(shares quota.Shares) error {
 	if len(shares) > maxResources {
-		return fmt.Errorf("/part: over %d resources", maxResources)
+		return fmt.Errorf("/part: more than %d resources", maxResources)
 	}
 	for resource, share := range shares {
 		_, isQuota := resource.Tenant()
@@ -95,7 +95,7 @@
 			return fmt.Errorf("/part/%s: unknown resource", resource)
 		}
 		if share < 1 || share > quota.FullShare {
-			return fmt.Errorf("/part/%s: %d, not from 1 to %d", resource, share, quota.FullShare)
+			return fmt.Errorf("/part/%s: %d is not between 1 and %d", resource, share, quota.FullShare)
 		}
 	}
 	return nil
--- a/internal/assignment/assignment_test.go
+++ b/internal/assignment/assignment_test.go
@@ -43,7 +43,7 @@
 			return
 		}
 		accepted, err := Accepted{}.Accept(assignment, assignment.Member, assignment.Incarnation, 0)
-		if err == nil && (accepted.SharesUntil > maxAhead || accepted.PlanUntil > maxAhead) {
+		if err == nil && (accepted.SharesUntil > maxExpiryAhead || accepted.PlanUntil > maxExpiryAhead) {
 			t.Errorf("%+v", accepted)
 		}
 	})
--- a/internal/assignment/exhaustive_test.go
+++ b/internal/assignment/exhaustive_test.go
@@ -10,72 +10,72 @@
 	"swiftreel/internal/quota"
 )
 
-// The tests here walk through everything that can happen with two leaders, one after the other, and two receivers:
-// each step of a leader may be its last for any time (a stall before, between or after its checks), and each
-// assignment may arrive at any later time or never. The ledger and the receivers' fence are the real ones; the lease
-// is as package leader has it.
+// These tests explore all reachable states of a model with two successive leaders and two receivers. A leader may stall
+// at any of its steps for any time (before, between or after its checks), and each assignment may arrive at any later
+// time or never. The ledger and the receivers' fence are the production code; the lease follows the rules of package
+// leader.
 
-// Times are in moments.
+// Times are in abstract time units.
 const (
-	lease         = 2 // of the voters' promise
+	lease         = 2 // during which voters elect no other leader
 	shareLifetime = 3
 	endOfTime     = 8
 
-	stepsPerRound = 5
-	firstRounds   = 2 // of the first leader; the second one has one more
-	noStall       = -1
-	maxStates     = 600_000
+	stepsPerRound     = 5
+	firstLeaderRounds = 2 // the second leader has one round more
+	noStall           = -1
+	maxStates         = 600_000
 )
 
-// defects are parts of the protocol taken out, which the walk must detect.
+// defects disables parts of the protocol; the exploration must detect each one that is missing.
 type defects struct{ noFence, noLeaseCheck, noWait, noCommit bool }
 
-// delivery is an assignment on its way.
+// delivery is an assignment in flight.
 type delivery struct {
 	to         int
 	assignment Assignment
 }
 
-// activeLeader is a leader's place in its rounds: poll, commit, check the lease, send to the first, send to the
-// second.
-type activeLeader struct {
-	term     int64 // 0: it does not lead
-	step     int   // of all its rounds
-	quorumAt int64 // when a majority last followed it
+// leaderState is a leader's progress in its rounds. The steps of a round are: poll, commit, check the lease, send to
+// the first receiver, send to the second.
+type leaderState struct {
+	term     int64 // 0 while it does not lead
+	step     int   // counted over all rounds
+	quorumAt int64 // when a majority last confirmed it
 	polledAt int64
 	sequence int64
 	ledger   *quota.Ledger
 	targets  map[string]quota.Shares
-	roundAt  int64 // when it last began a round
+	roundAt  int64 // start of the latest round
 }
 
 // isDone reports whether a leader has no round left.
-func (l *activeLeader) isDone(index int) bool {
-	return l.term == 0 || l.step >= (firstRounds+index)*stepsPerRound
+func (l *leaderState) isDone(index int) bool {
+	return l.term == 0 || l.step >= (firstLeaderRounds+index)*stepsPerRound
 }
 
-// mayAct is the lease as package leader has it: less what clocks may differ.
-func (l *activeLeader) mayAct(now int64, d defects) bool {
+// hasLease reports whether the lease still holds, with the same margin for clock drift as in package leader.
+func (l *leaderState) hasLease(now int64, d defects) bool {
 	return l.term != 0 && (d.noLeaseCheck || now-l.quorumAt < lease*800/1000)
 }
 
-// walkState is one state of the system.
-type walkState struct {
+// modelState is one state of the modelled system.
+type modelState struct {
 	now        int64
-	leaders    [2]activeLeader
+	leaders    [2]leaderState
 	committed  quota.Record
-	term       int64 // committed
+	term       int64 // the committed one
 	deliveries []delivery
 	accepted   [2]Accepted
-	maxTerm    [2]int64 // accepted
-	isStalled  bool     // the first leader is, within a round
+	maxTerm    [2]int64 // highest accepted, by receiver
+	isStalled  bool     // the first leader is stalled within a round
 	stalls     int
 }
 
 var receivers = [2]string{"c1", "c2"}
 
-// key identifies a state by a hash of 128 bits.
-func (s *walkState) key() [16]byte {
+// key identifies a state by a 128-bit hash.
+func (s *modelState) key() [16]byte {
 	h := fnv.New128a()
 	put := func(list ...int64) {
 		for _, n := range list {
@@ -100,7 +100,7 @@
 	return [16]byte(h.Sum(nil))
 }
 
-func (s *walkState) clone() *walkState {
+func (s *modelState) clone() *modelState {
 	clone := *s
 	clone.deliveries = slices.Clone(s.deliveries)
 	for i := range clone.leaders {
@@ -111,7 +111,7 @@
 	return &clone
 }
 
-// targetsOf returns the targets of a leader: the second one raises the share of the receiver that it sends to first.
+// targetsOf returns a leader's targets. The second leader raises the share of c2 and lowers that of c1.
 func targetsOf(index int) map[string]quota.Shares {
 	large, small := quota.Shares{quota.Fleet: 700_000}, quota.Shares{quota.Fleet: 300_000}
 	if index == 0 {
@@ -120,14 +120,14 @@
 	return map[string]quota.Shares{"c1": small, "c2": large}
 }
 
-// takeOver makes a leader active under the next term.
-func (s *walkState) takeOver(index int, d defects) {
+// takeOver makes a leader active in the next term.
+func (s *modelState) takeOver(index int, d defects) {
 	since := s.now
 	if d.noWait {
 		since -= 2 * shareLifetime
 	}
 	s.term++
-	s.leaders[index] = activeLeader{
+	s.leaders[index] = leaderState{
 		term:     s.term,
 		quorumAt: s.now,
 		ledger:   quota.NewLedger(s.committed, shareLifetime, since),
@@ -136,8 +136,8 @@
 	}
 }
 
-// step is the next step of a leader; false: it has none now.
-func (s *walkState) step(index int, d defects) bool {
+// step performs a leader's next step. It returns false if there is none.
+func (s *modelState) step(index int, d defects) bool {
 	l := &s.leaders[index]
 	if l.isDone(index) {
 		return false
@@ -151,8 +151,8 @@
 	case 1:
 		s.commit(index, d)
 	case 2:
-		if !l.mayAct(s.now, d) {
-			l.step += 2 // to the next round
+		if !l.hasLease(s.now, d) {
+			l.step += 2 // skip to the next round
 		}
 	case 3, 4:
 		s.send(index, l.step%stepsPerRound-3)
@@ -161,7 +161,7 @@
 	return true
 }
 
-func (s *walkState) poll(l *activeLeader) {
+func (s *modelState) poll(l *leaderState) {
 	l.polledAt = s.now
 	for i, a := range s.accepted {
 		if a.Term == l.term {
@@ -170,8 +170,8 @@
 	}
 }
 
-// commit is fenced by the leader's term.
-func (s *walkState) commit(index int, d defects) {
+// commit performs the commit step, which is fenced by the leader's term.
+func (s *modelState) commit(index int, d defects) {
 	l := &s.leaders[index]
 	next, isChanged := l.ledger.NextRecord(l.targets, s.now)
 	if d.noCommit {
@@ -181,8 +181,8 @@
 		return
 	}
 	isStale := s.term != l.term
-	if isStale && !d.noCommit { // it has no effect, and the leader ends
-		l.step = (firstRounds+index)*stepsPerRound - 1
+	if isStale && !d.noCommit { // the commit has no effect, and the leader stops
+		l.step = (firstLeaderRounds+index)*stepsPerRound - 1
 		return
 	}
 	l.ledger.Commit(next)
@@ -191,7 +191,7 @@
 	}
 }
 
-func (s *walkState) send(index, to int) {
+func (s *modelState) send(index, to int) {
 	l := &s.leaders[index]
 	name := receivers[to]
 	l.sequence++
@@ -207,11 +207,12 @@
 	s.deliveries = append(s.deliveries, delivery{to, sent})
 }
 
-// round has a leader go on to the end of its round, or to the step before which it stalls; false: it has none now.
-func (s *walkState) round(index, stallBefore int, d defects) bool {
+// round runs a leader to the end of its round, or up to the step at which it stalls. It returns false if there is no
+// round to run.
+func (s *modelState) round(index, stallBefore int, d defects) bool {
 	l := &s.leaders[index]
 	if l.step%stepsPerRound == 0 {
-		if l.roundAt == s.now || l.step >= (firstRounds+index)*stepsPerRound {
+		if l.roundAt == s.now || l.step >= (firstLeaderRounds+index)*stepsPerRound {
 			return false
 		}
 		l.roundAt = s.now
@@ -229,8 +230,8 @@
 	}
 }
 
-// deliver delivers an assignment, and returns what was wrong, or "".
-func (s *walkState) deliver(index int, d defects) string {
+// deliver delivers an assignment, and returns a description of a violated invariant, or "".
+func (s *modelState) deliver(index int, d defects) string {
 	arrived := s.deliveries[index]
 	s.deliveries = slices.Delete(slices.Clone(s.deliveries), index, index+1)
 	accepted := s.accepted[arrived.to]
@@ -249,8 +250,8 @@
 	return ""
 }
 
-// fault returns by how much the shares in use exceed the full share, or "".
-func (s *walkState) fault() string {
+// invariantViolation describes by how much the shares in use exceed the full share, or returns "".
+func (s *modelState) invariantViolation() string {
 	sum := int64(0)
 	for _, a := range s.accepted {
 		sum += a.ValidAt(s.now).Shares[quota.Fleet]
@@ -261,36 +262,37 @@
 	return ""
 }
 
-// tick lets a moment pass. Assignments that arrive after their expiry have no effect.
-func (s *walkState) tick() bool {
+// tick advances time by one unit. It drops assignments that have expired, as they no longer have an effect. It returns
+// false at the end of time.
+func (s *modelState) tick() bool {
 	s.now++
 	s.deliveries = slices.DeleteFunc(s.deliveries, func(d delivery) bool { return d.assignment.SharesUntil <= s.now })
 	return s.now < endOfTime
 }
 
-// successors returns all states that can follow, and what was wrong on the way to one, or "".
-func (s *walkState) successors(d defects) (next []*walkState, fault string) {
-	try := func(change func(*walkState) bool) {
+// successors returns all states that can follow, or a description of an invariant that a transition violates.
+func (s *modelState) successors(d defects) (next []*modelState, fault string) {
+	addSuccessor := func(change func(*modelState) bool) {
 		if clone := s.clone(); change(clone) {
 			next = append(next, clone)
 		}
 	}
-	try((*walkState).tick)
+	addSuccessor((*modelState).tick)
 	for i := range s.leaders {
-		try(func(c *walkState) bool { return c.leaders[i].term != 0 && c.round(i, noStall, d) })
+		addSuccessor(func(c *modelState) bool { return c.leaders[i].term != 0 && c.round(i, noStall, d) })
 	}
 	for before := 1; before < stepsPerRound && s.stalls == 0; before++ {
-		try(func(c *walkState) bool { return c.round(0, before, d) })
+		addSuccessor(func(c *modelState) bool { return c.round(0, before, d) })
 	}
-	isLeaseOver := s.now-s.leaders[0].quorumAt >= lease // until then the voters elect nobody else
+	isLeaseOver := s.now-s.leaders[0].quorumAt >= lease // voters elect no other leader before
 	if s.leaders[1].term == 0 && isLeaseOver {
-		try(func(c *walkState) bool {
+		addSuccessor(func(c *modelState) bool {
 			c.takeOver(1, d)
 			return true
 		})
 	}
 	for i := range s.deliveries {
-		try(func(c *walkState) bool {
+		addSuccessor(func(c *modelState) bool {
 			fault = c.deliver(i, d)
 			return true
 		})
@@ -301,35 +303,36 @@
 	return next, ""
 }
 
-// walk visits all states that can be reached. It returns what was wrong, or "", and how many states it found.
-func walk(d defects) (fault string, states int) {
-	start := &walkState{}
+// explore visits all reachable states. It returns a description of a violated invariant, or "", and the number of
+// states found.
+func explore(d defects) (fault string, states int) {
+	start := &modelState{}
 	start.takeOver(0, d)
 	seen := map[[16]byte]bool{start.key(): true}
-	open := []*walkState{start}
-	for len(open) > 0 {
-		state := open[len(open)-1]
-		open = open[:len(open)-1]
+	unvisited := []*modelState{start}
+	for len(unvisited) > 0 {
+		state := unvisited[len(unvisited)-1]
+		unvisited = unvisited[:len(unvisited)-1]
 		next, fault := state.successors(d)
 		if fault != "" {
 			return fault, len(seen)
 		}
 		for _, successor := range next {
-			if fault := successor.fault(); fault != "" {
+			if fault := successor.invariantViolation(); fault != "" {
 				return fault, len(seen)
 			}
 			if key := successor.key(); !seen[key] && len(seen) < maxStates {
 				seen[key] = true
-				open = append(open, successor)
+				unvisited = append(unvisited, successor)
 			}
 		}
 	}
 	return "", len(seen)
 }
 
-// make proof-owner-virtual prints what is logged here: the wording of its lines stays.
+// make proof-owner-virtual prints the log lines of this test, so their wording must not change.
 func TestAllThatCanHappenWithTwoLeadersAndOneStall(t *testing.T) {
-	if fault, states := walk(defects{}); fault != "" || states >= maxStates {
+	if fault, states := explore(defects{}); fault != "" || states >= maxStates {
 		t.Errorf("%s (%d states)", fault, states)
 	} else {
 		t.Logf("%d states", states)
@@ -340,7 +343,7 @@
 		"a new owner that does not wait":            {noWait: true},
 		"parts given before they are agreed":        {noCommit: true},
 	} {
-		if fault, states := walk(d); fault == "" {
+		if fault, states := explore(d); fault == "" {
 			t.Errorf("%s is not found in %d states", name, states)
 		} else {
 			t.Logf("%s: %s after %d states", name, fault, states)
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -13,10 +13,9 @@
 	"swiftreel/internal/quota"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is
-// written.
+// The files in testdata were written by the version at commit 70e2e4b. With -record a missing file is written.
 
-// checkGolden compares text with a file of testdata, and returns what that holds.
+// checkGolden compares got with a file in testdata, and returns the content of that file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	golden.Check(t, name, got)
@@ -36,8 +35,8 @@
 	return append(text, '\n')
 }
 
-// Assignments, and what is held of them, are written to the byte as before, and read back completely.
-func TestTheFormsOfAssignmentsStay(t *testing.T) {
+// The encodings of Assignment and Accepted match the recorded ones byte for byte, and can be decoded without loss.
+func TestAssignmentEncodingStaysCompatible(t *testing.T) {
 	plan := json.RawMessage(`{"method":"m","status":"optimal"}`)
 	full := Assignment{
 		Format:      change.Format,
@@ -60,7 +59,7 @@
 	for name, written := range map[string]Assignment{"word-full.json": full, "word-least.json": smallest} {
 		got, err := Read(bytes.NewReader(checkGolden(t, name, marshal(t, written))))
 		if err != nil || !reflect.DeepEqual(got, written) {
-			t.Errorf("%s is read as %+v, %v", name, got, err)
+			t.Errorf("%s is decoded as %+v, %v", name, got, err)
 		}
 	}
 	accepted, err := Accepted{}.Accept(full, "c1", full.Incarnation, 1000)
@@ -72,9 +71,9 @@
 		if err := json.Unmarshal(checkGolden(t, name, marshal(t, written)), &got); err != nil {
 			t.Fatal(err)
 		}
-		written.PlanText = nil // a status does not carry it
+		written.PlanText = nil // a status does not include it
 		if !reflect.DeepEqual(got, written) {
-			t.Errorf("%s is read as %+v", name, got)
+			t.Errorf("%s is decoded as %+v", name, got)
 		}
 	}
 }
