--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -8,40 +8,39 @@
 	"swiftreel/internal/canary"
 )
 
-// Tuned values of Demand. Times are in nanoseconds.
+// Parameters of Demand. Times are in nanoseconds.
 const (
-	smoothingTime    = 10e9   // work that long ago counts a third
-	baseFraction     = 0.25   // of a mean share: every controller has it, for the jobs to come
-	changeThreshold  = 0.1    // of a mean share: targets that would change by less stay as they are
-	unseenLimit      = 5e9    // a controller not seen for this long is limited to a mean share
-	unseenTimeout    = 30e9   // one not seen for this long has none: until then it may serve on by its own estimate
-	minRate          = 1e-3   // jobs a second below which a rate is dropped
-	maxServiceWeight = 10_000 // jobs beyond which the older half of a mean counts half
+	smoothingTime    = 10e9   // time constant of the rates: work of this age counts about a third
+	baseFraction     = 0.25   // of the mean share: added to each controller's demand, so that new jobs find capacity
+	changeThreshold  = 0.1    // of the mean share: targets are kept while no share would change by more
+	unseenCapDelay   = 5e9    // a controller not seen for this long gets at most the mean share
+	unseenTimeout    = 30e9   // a controller not seen for this long gets no share; until then it may still be serving
+	minRate          = 1e-3   // jobs per second; lower rates are removed
+	maxServiceWeight = 10_000 // jobs; beyond this the weight of a mean is halved, so that recent jobs count more
 	nsPerSecond      = 1e9
 )
 
-// Observation is the work of a controller since it was last observed.
+// Observation is the work that a controller did since it was last observed.
 type Observation struct {
 	Member    string
 	Reachable bool
-	Interval  int64 // ns since it was last observed; 0: it was not, and Work says nothing
+	Interval  int64 // ns since the last observation; 0 if there was none, and Work is ignored
 	Work      map[canary.Group]canary.JobCounts
 }
 
-// Demand is the recent load of the controllers, and the shares that follow from it. It is not safe for concurrent
-// use.
+// Demand tracks the recent load of the controllers and computes their target shares. It is not safe for concurrent use.
 type Demand struct {
 	members      map[string]*memberDemand
-	serviceTimes map[string]*weightedMean // by job type: how long a job occupies its threads, in the caller's unit
-	lastTargets  map[string]Shares        // returned as long as they are close enough
+	serviceTimes map[string]*weightedMean // by job type: how long a job occupies its threads, in the unit of medianLatency
+	lastTargets  map[string]Shares        // returned again while new targets differ little
 }
 
 type memberDemand struct {
 	lastSeen int64
-	rates    map[canary.Group]float64 // jobs a second, smoothed
+	rates    map[canary.Group]float64 // jobs per second, smoothed
 }
 
-// weightedMean is a mean as its sum and weight.
+// weightedMean represents a mean by its weighted sum and its total weight.
 type weightedMean struct{ sum, weight float64 }
 
 // NewDemand returns a Demand without any observation.
@@ -49,8 +48,8 @@
 	return &Demand{members: map[string]*memberDemand{}, serviceTimes: map[string]*weightedMean{}}
 }
 
-// Observe takes in one observation of each member; members without one are removed. medianLatency computes the median
-// of a histogram of latencies.
+// Observe records one observation per member and removes members that have none. medianLatency computes the median of
+// a latency histogram.
 func (d *Demand) Observe(now int64, observations []Observation, medianLatency func(counts []uint64) float64) {
 	observed := map[string]bool{}
 	for _, observation := range observations {
@@ -77,7 +76,7 @@
 	weight := 1 - math.Exp(-float64(observation.Interval)/smoothingTime)
 	seconds := float64(observation.Interval) / nsPerSecond
 	for group := range observation.Work {
-		m.rates[group] += 0 // so that it is in the map
+		m.rates[group] += 0 // adds a group that is new
 	}
 	for group := range m.rates {
 		jobs := observation.Work[group].Jobs
@@ -114,7 +113,7 @@
 	}
 }
 
-// serviceTime returns the mean service time of a job type, or the mean over all types where none of it was done yet.
+// serviceTime returns the mean service time of a job type, or the mean over all types if no job of it has finished.
 func (d *Demand) serviceTime(jobType string) float64 {
 	if mean := d.serviceTimes[jobType]; mean != nil && mean.sum > 0 {
 		return mean.sum / mean.weight
@@ -130,7 +129,7 @@
 	return all.sum / all.weight
 }
 
-// Rates returns the jobs a second of each group, by member.
+// Rates returns the jobs per second of each group, by member.
 func (d *Demand) Rates() map[string]map[canary.Group]float64 {
 	rates := map[string]map[canary.Group]float64{}
 	for name, member := range d.members {
@@ -139,8 +138,8 @@
 	return rates
 }
 
-// Targets returns the shares that each member should have now; together they are at most FullShare of each resource.
-// They stay as they were while none would change by much, so that the record is not committed again in each round.
+// Targets returns the shares that each member should have now. Their sum is at most FullShare for each resource. The
+// previous targets are returned while no share would change by much, so that not every round commits a new record.
 func (d *Demand) Targets(now int64) map[string]Shares {
 	present := d.presentMembers(now)
 	loads := d.loads(present)
@@ -148,7 +147,7 @@
 	isChanged := d.lastTargets == nil || len(d.lastTargets) != len(present)
 	for _, name := range present {
 		targets[name] = d.target(name, loads, now)
-		isChanged = isChanged || d.isFarFrom(targets[name], d.lastTargets[name])
+		isChanged = isChanged || d.differsNoticeably(targets[name], d.lastTargets[name])
 	}
 	if isChanged {
 		d.lastTargets = targets
@@ -156,7 +155,7 @@
 	return d.lastTargets
 }
 
-// presentMembers returns the members that were seen recently enough to have a share, sorted.
+// presentMembers returns the sorted names of the members that were seen recently enough to get a share.
 func (d *Demand) presentMembers(now int64) []string {
 	var present []string
 	for _, name := range slices.Sorted(maps.Keys(d.members)) {
@@ -173,7 +172,7 @@
 	byMember map[string]float64
 }
 
-// loads sums the members' demand by resource: threads for the fleet, jobs for a tenant's quota.
+// loads sums the demand of the members by resource: in threads for the fleet, in jobs for a tenant's quota.
 func (d *Demand) loads(members []string) map[Resource]*load {
 	loads := map[Resource]*load{Fleet: {byMember: map[string]float64{}}}
 	add := func(resource Resource, member string, amount float64) {
@@ -193,7 +192,7 @@
 	return loads
 }
 
-// target returns a member's shares: in proportion to its demand, on top of a base share.
+// target returns a member's shares, in proportion to its demand plus a base demand.
 func (d *Demand) target(name string, loads map[Resource]*load, now int64) Shares {
 	count := float64(len(d.members))
 	target := Shares{}
@@ -203,7 +202,7 @@
 		if demand.total > 0 {
 			share = (demand.byMember[name] + base) / (demand.total + count*base)
 		}
-		if now-d.members[name].lastSeen >= unseenLimit {
+		if now-d.members[name].lastSeen >= unseenCapDelay {
 			share = min(share, 1/count)
 		}
 		target[resource] = int64(share * FullShare)
@@ -211,8 +210,8 @@
 	return target
 }
 
-// isFarFrom reports whether any share differs by more than changeThreshold.
-func (d *Demand) isFarFrom(target, last Shares) bool {
+// differsNoticeably reports whether any share differs by more than changeThreshold of the mean share.
+func (d *Demand) differsNoticeably(target, last Shares) bool {
 	threshold := changeThreshold * FullShare / float64(len(d.members))
 	for _, resource := range resources(target, last) {
 		if math.Abs(float64(target[resource]-last[resource])) > threshold {
@@ -222,7 +221,7 @@
 	return false
 }
 
-// sortedGroups returns a map's groups in order, so that sums of floating-point numbers do not depend on the map's
+// sortedGroups returns a map's groups in a fixed order, so that floating-point sums do not depend on the iteration
 // order.
 func sortedGroups[V any](groups map[canary.Group]V) []canary.Group {
 	return slices.SortedFunc(maps.Keys(groups), canary.Group.Compare)
--- a/internal/quota/demand_test.go
+++ b/internal/quota/demand_test.go
@@ -9,10 +9,10 @@
 
 func fixedLatency([]uint64) float64 { return 2 }
 
-// jobsOfA are those of member a in a second.
+// jobsOfA is the number of jobs that member a does per second.
 const jobsOfA = 80
 
-// observe has members a and b do jobs for a second, b also for a tenant of its own; c does none.
+// observe records a second in which members a and b do jobs, b also for a tenant of its own, and c does none.
 func observe(d *Demand, now int64, jobsOfB uint64, isBReachable bool) {
 	acme, bee := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "lookup", Tenant: "bee"}
 	work := func(jobs uint64) canary.JobCounts { return canary.JobCounts{Jobs: jobs, Done: jobs} }
@@ -32,7 +32,7 @@
 	targets := d.Targets(60e9)
 	sum := targets["a"][Fleet] + targets["b"][Fleet] + targets["c"][Fleet]
 	if sum > FullShare || sum < FullShare-3 {
-		t.Errorf("they sum to %d", sum)
+		t.Errorf("the fleet shares sum to %d", sum)
 	}
 	if targets["a"][Fleet] < 600_000 || targets["c"][Fleet] < 50_000 {
 		t.Errorf("%v", targets)
@@ -50,15 +50,15 @@
 		observe(d, now, 0, false)
 	}
 	if got := d.Targets(90e9); got["b"] == nil || got["b"][Fleet] > FullShare/3+1 {
-		t.Errorf("one that is not reachable: %v", got)
+		t.Errorf("with an unreachable member: %v", got)
 	}
 	observe(d, 63e9+unseenTimeout, 0, false)
 	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][Fleet] < 700_000 {
-		t.Errorf("one that has long not been reachable: %v", got)
+		t.Errorf("with a member that has been unreachable for a long time: %v", got)
 	}
 	d.Observe(200e9, []Observation{{Member: "a", Reachable: true}}, fixedLatency)
 	if len(d.members) != 1 {
-		t.Errorf("%d are remembered", len(d.members))
+		t.Errorf("%d members are tracked", len(d.members))
 	}
 }
 
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -14,10 +14,9 @@
 	"swiftreel/internal/golden"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. With -record a missing one is
-// written.
+// The files in testdata were written by the version at commit 70e2e4b. With -record a missing file is written.
 
-// checkGolden compares text with a file of testdata, and returns what that holds.
+// checkGolden compares got with a file in testdata, and returns the content of that file.
 func checkGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	golden.Check(t, name, got)
@@ -37,7 +36,8 @@
 	return append(text, '\n')
 }
 
-// A ledger takes over from the record as it was written before: nothing of it is granted twice until it has expired.
+// A ledger can resume from a record written by an earlier version, and grants none of its shares to another member
+// before they have expired.
 func TestALedgerGoesOnFromARecordOfAnEarlierProgram(t *testing.T) {
 	targets := map[string]Shares{"a": {Fleet: 700_000, TenantQuota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
 	l := NewLedger(Record{}, 5000, 0)
@@ -52,13 +52,13 @@
 	checkGolden(t, "record-next.json", marshal(t, next))
 	l.Commit(next)
 	if got := l.Grant("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
-		t.Errorf("%v is granted while the earlier share is in use", got)
+		t.Errorf("%v is granted while the earlier shares are still in use", got)
 	}
 	next, _ = l.NextRecord(other, 1000+5000+250)
 	checkGolden(t, "record-ended.json", marshal(t, next))
 }
 
-// On random input ledgers and demands decide, step by step, as before.
+// On random input, Ledger and Demand make the same decisions as the earlier version.
 func TestDecisionsAreThoseOfAnEarlierProgram(t *testing.T) {
 	var lines bytes.Buffer
 	for seed := range uint64(40) {
@@ -70,7 +70,7 @@
 
 var traceMembers = []string{"a", "b", "c", "d"}
 
-// ledgerTrace is one run: a digest of all decisions, and the last record.
+// ledgerTrace runs a ledger on random input, and returns a digest of all decisions and the last record.
 func ledgerTrace(t *testing.T, seed uint64) string {
 	t.Helper()
 	random, trace := rand.New(rand.NewPCG(seed, 7)), fnv.New64a()
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("%016x %s", trace.Sum64(), bytes.TrimSpace(last))
 }
 
-// drawTargets divides three resources at random among most of the members.
+// drawTargets randomly divides three resources among most of the members.
 func drawTargets(random *rand.Rand) map[string]Shares {
 	targets := map[string]Shares{}
 	for _, resource := range []Resource{Fleet, TenantQuota("x"), TenantQuota("y")} {
@@ -127,7 +127,7 @@
 	return targets
 }
 
-// demandTrace is one run: a digest of all targets and rates, and the last targets.
+// demandTrace runs a Demand on random input, and returns a digest of all targets and rates and the last targets.
 func demandTrace(t *testing.T, seed uint64) string {
 	t.Helper()
 	random, trace := rand.New(rand.NewPCG(seed, 8)), fnv.New64a()
@@ -154,7 +154,7 @@
 	{Type: "lookup", Tenant: "bee"},
 }
 
-// drawObservations returns random work of most of the members.
+// drawObservations returns observations of random work for most of the members.
 func drawObservations(random *rand.Rand) []Observation {
 	var observations []Observation
 	for _, member := range traceMembers {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Record is the replicated part of a Ledger: the upper limit of what each member may have been granted. It is
-// committed before anything of it is granted.
+// Record is the replicated part of a Ledger: the upper limits of the shares that each member may have been granted. It
+// is committed before any of its shares is granted.
 type Record struct {
 	Limits map[string]Shares `json:"caps"` // by member
 }
 
-// MaxClockDriftPerMille is by how much the rates of two machines' clocks may differ.
+// MaxClockDriftPerMille is the maximum difference between the rates of two machines' clocks.
 const MaxClockDriftPerMille = 50
 
-// Ledger is a leader's view of the shares: the committed record, and what may still be in use.
+// Ledger is a leader's view of the shares: the committed record, and the grants that may still be in use.
 type Ledger struct {
 	record      Record
-	lifetime    int64 // of a grant, in ns of its holder's clock
+	lifetime    int64 // of a grant, in ns of the member's clock
 	grants      map[string]grant
-	isUncertain bool // a record whose commit failed may still be committed, until a later one is
+	isUncertain bool // a commit failed but may still take effect, until a later record is committed
 }
 
-// grant is what a member may be using.
+// grant holds the shares that a member may be using.
 type grant struct {
 	upperBound Shares // over all its grants that have not expired
 	expiresAt  int64
@@ -30,8 +30,8 @@
 	sequence   int64 // of the assignment that carried latest
 }
 
-// NewLedger takes over from an earlier leader. Everything that its record allows may be in use until a lifetime from
-// now.
+// NewLedger creates a ledger from the record of an earlier leader. Everything that the record allows is assumed to be
+// in use until the worst-case lifetime has passed.
 func NewLedger(record Record, lifetime, now int64) *Ledger {
 	l := &Ledger{
 		record:      Record{Limits: map[string]Shares{}},
@@ -46,18 +46,18 @@
 	return l
 }
 
-// worstCaseLifetime is how long a grant may last by the leader's clock.
+// worstCaseLifetime returns how long a grant may last by the leader's clock.
 func (l *Ledger) worstCaseLifetime() int64 { return l.lifetime + l.lifetime*MaxClockDriftPerMille/1000 }
 
 // Clone returns an independent copy.
 func (l *Ledger) Clone() *Ledger {
 	clone := *l
-	clone.grants = maps.Clone(l.grants) // the shares in it are never modified
+	clone.grants = maps.Clone(l.grants) // its Shares are never modified
 	return &clone
 }
 
-// Confirm notes that a member, its controller included, uses the shares of the assignment with that sequence number:
-// its earlier grants are over.
+// Confirm records that a member and its controller have applied the assignment with that sequence number. If it is the
+// latest one, earlier grants to the member are no longer in use.
 func (l *Ledger) Confirm(member string, sequence int64) {
 	granted := l.grants[member]
 	if granted.sequence > 0 && sequence == granted.sequence {
@@ -66,22 +66,22 @@
 	}
 }
 
-// NextRecord returns the record that comes closest to the targets now, and whether it must be committed: it differs
-// from the committed one, or that is uncertain. It counts only after Commit. A limit falls as far as to what may
-// still be in use, and rises into what the committed record leaves free.
+// NextRecord returns the record that comes closest to the targets, and whether it must be committed because it differs
+// from the committed one or because that one is uncertain. The record takes effect only with Commit. Limits are first
+// lowered towards their targets, but not below what may still be in use; then limits are raised into what is free.
 func (l *Ledger) NextRecord(targets map[string]Shares, now int64) (next Record, isChanged bool) {
 	next.Limits = map[string]Shares{}
-	free := map[Resource]int64{} // below FullShare
+	free := map[Resource]int64{} // the unallocated part minus FullShare
 	members := l.members(targets)
 	for _, member := range members {
-		limits := l.lowered(member, targets[member], now)
+		limits := l.loweredLimits(member, targets[member], now)
 		next.Limits[member] = limits
 		for resource, limit := range limits {
 			free[resource] -= limit
 		}
 	}
 	for _, member := range members {
-		raise(next.Limits[member], targets[member], free)
+		raiseLimits(next.Limits[member], targets[member], free)
 	}
 	removeEmpty(next.Limits)
 	isEqual := maps.EqualFunc(next.Limits, l.record.Limits, maps.Equal[Shares, Shares])
@@ -95,8 +95,8 @@
 	return slices.Compact(names)
 }
 
-// lowered returns a member's limits, lowered towards its target as far as its grants allow.
-func (l *Ledger) lowered(member string, target Shares, now int64) Shares {
+// loweredLimits returns a member's committed limits, lowered towards its target as far as its grants allow.
+func (l *Ledger) loweredLimits(member string, target Shares, now int64) Shares {
 	limits := Shares{}
 	granted := l.grants[member]
 	for _, resource := range resources(l.record.Limits[member], target) {
@@ -109,8 +109,8 @@
 	return limits
 }
 
-// raise raises limits towards a target, as far as there is something free.
-func raise(limits, target Shares, free map[Resource]int64) {
+// raiseLimits raises limits towards a target as far as there are free shares.
+func raiseLimits(limits, target Shares, free map[Resource]int64) {
 	for _, resource := range resources(target) {
 		more := min(target[resource]-limits[resource], FullShare+free[resource])
 		if more > 0 {
@@ -129,18 +129,18 @@
 	}
 }
 
-// Commit takes in that a record was committed.
+// Commit records that a record has been committed.
 func (l *Ledger) Commit(record Record) {
 	l.record = record
 	l.isUncertain = false
 }
 
-// MarkUncertain takes in that a record may be committed later, or never. Another one must be committed before
-// anything is granted again: the next leader might go by the uncertain one.
+// MarkUncertain records that the outcome of a commit is unknown. Another record must be committed before the next
+// grant, because the next leader may resume from the uncertain one.
 func (l *Ledger) MarkUncertain() { l.isUncertain = true }
 
-// Grant returns the shares that a member is granted with an assignment of that sequence number: its target within its
-// committed limits. clockReadAt is when the member's clock, from which the lifetime counts, was read.
+// Grant returns the shares to grant to a member in the assignment with the given sequence number: its target, capped
+// by its committed limits. clockReadAt is the time at which the member's clock was read, where the lifetime begins.
 func (l *Ledger) Grant(member string, target Shares, clockReadAt, sequence int64) Shares {
 	granted := Shares{}
 	for resource, share := range target {
@@ -165,7 +165,7 @@
 	return granted
 }
 
-// DropExpired drops the grants that have expired.
+// DropExpired removes expired grants.
 func (l *Ledger) DropExpired(now int64) {
 	maps.DeleteFunc(l.grants, func(_ string, granted grant) bool { return now >= granted.expiresAt })
 }
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// fleetTargets are the fleet's shares of two members.
+// fleetTargets returns targets for the fleet's threads of two members.
 func fleetTargets(a, b int64) map[string]Shares {
 	return map[string]Shares{"a": {Fleet: a}, "b": {Fleet: b}}
 }
 
-// A record whose commit timed out may be committed later. Though it is not wanted any more, another one must be
-// committed before anything is granted.
+// A record whose commit timed out may still be committed later. Even if the targets return to the committed record,
+// another record must be committed before the next grant.
 func TestAnUncertainRecordIsReplaced(t *testing.T) {
 	l := NewLedger(Record{}, 5000, 0)
 	targets := fleetTargets(700_000, 300_000)
@@ -23,25 +23,25 @@
 	if _, isChanged := l.NextRecord(map[string]Shares{"a": {Fleet: 300_000}}, 3); !isChanged {
 		t.Error("a change is not committed")
 	}
-	l.MarkUncertain() // its commit timed out, and the earlier targets are wanted again
+	l.MarkUncertain() // the commit timed out, and the targets return to the earlier ones
 	record, isChanged = l.NextRecord(targets, 4)
 	if !isChanged {
-		t.Error("nothing replaces it")
+		t.Error("the uncertain record is not replaced")
 	}
 	l.Commit(record)
 	if got := l.Grant("a", targets["a"], 5, 1)[Fleet]; got != 700_000 {
-		t.Errorf("%d is granted once it is committed", got)
+		t.Errorf("%d is granted after the commit", got)
 	}
 }
 
-// converging is a leader's rounds with two members that accept everything.
-type converging struct {
+// convergenceRun simulates a leader's rounds with two members that accept every assignment.
+type convergenceRun struct {
 	ledger   *Ledger
 	sequence int64
 }
 
-// round returns what b is granted. Members that do not reply confirm nothing.
-func (c *converging) round(now int64, targets map[string]Shares, doReply bool) Shares {
+// round runs one round and returns the shares granted to b. Members that do not reply confirm nothing.
+func (c *convergenceRun) round(now int64, targets map[string]Shares, doReply bool) Shares {
 	if doReply && c.sequence > 0 {
 		c.ledger.Confirm("a", c.sequence-1)
 		c.ledger.Confirm("b", c.sequence)
@@ -56,19 +56,19 @@
 	return c.ledger.Grant("b", targets["b"], now, c.sequence)
 }
 
-// Targets are reached once what was in use has expired or was confirmed as given back.
+// Grants reach the targets once the shares in use have expired or their return has been confirmed.
 func TestSharesConverge(t *testing.T) {
-	c := &converging{ledger: NewLedger(Record{}, 5000, 0)}
+	c := &convergenceRun{ledger: NewLedger(Record{}, 5000, 0)}
 	if got := c.round(1000, fleetTargets(900_000, 100_000), true); got[Fleet] != 100_000 {
 		t.Errorf("%v", got)
 	}
 	if got := c.round(2000, fleetTargets(100_000, 900_000), true); got[Fleet] != 100_000 {
-		t.Errorf("granted before it was given back: %v", got)
+		t.Errorf("granted before the other member has returned its share: %v", got)
 	}
 	if got := c.round(3000, fleetTargets(100_000, 900_000), true); got[Fleet] != 900_000 {
-		t.Errorf("given back, and not granted: %v", got)
+		t.Errorf("not granted although the share has been returned: %v", got)
 	}
-	// The share of a member that does not reply is granted only when it has expired there.
+	// The share of a member that does not reply is granted to another one only after it has expired.
 	c.round(4000, fleetTargets(800_000, 200_000), true)
 	c.round(5000, fleetTargets(800_000, 200_000), true)
 	for now := int64(6000); now < 5000+5250; now += 1000 {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -7,31 +7,31 @@
 	"testing"
 )
 
-// Leaders come and go, members' clocks run at different rates, assignments are late, repeated and lost: never more
-// than the full share is in use.
+// The simulation replaces leaders, runs the members' clocks at different rates, and delays, repeats and loses
+// assignments. The shares in use must never exceed the full share.
 
 const (
-	grantLifetime = int64(5000) // the simulation's unit of time is a millisecond
+	grantLifetime = int64(5000) // times are in simulated milliseconds
 	roundInterval = int64(1000)
 	maxReplyDelay = 400
 	maxDelay      = 3000
 	maxRepeatLate = 9000
 )
 
-// holder is a member with its own clock.
+// holder is a member that holds shares and has its own clock.
 type holder struct {
 	name      string
 	clockRate float64
 	clockSkew int64
 	shares    Shares
-	until     int64 // its own time
+	until     int64 // by its own clock
 	term      int
 	sequence  int64
 }
 
 func (h *holder) clock(now int64) int64 { return int64(float64(now)*h.clockRate) + h.clockSkew }
 
-// delivery is an assignment on its way.
+// delivery is an assignment in flight.
 type delivery struct {
 	to        int
 	term      int
@@ -41,7 +41,7 @@
 	arrivesAt int64
 }
 
-// shareSimulation is a leader, its successors, and the members that they grant shares to.
+// shareSimulation simulates successive leaders and the members to which they grant shares.
 type shareSimulation struct {
 	random     *rand.Rand
 	newLedger  func(record Record, lifetime, now int64) *Ledger
@@ -73,7 +73,7 @@
 	return s
 }
 
-// drawTargets divides each resource at random; one member may be missing.
+// drawTargets randomly divides each resource; one member may be missing.
 func (s *shareSimulation) drawTargets() map[string]Shares {
 	targets := map[string]Shares{}
 	for _, resource := range s.resources {
@@ -91,7 +91,7 @@
 	return targets
 }
 
-// run runs the simulation for two minutes and returns what was wrong, or "".
+// run simulates two minutes and returns a description of a violated invariant, or "".
 func (s *shareSimulation) run() string {
 	for now := int64(0); now < 120_000; now += roundInterval / 2 {
 		if s.random.IntN(25) == 0 {
@@ -111,16 +111,16 @@
 		}
 	}
 	if s.commits < 3 {
-		return "nothing was committed"
+		return "fewer than 3 records were committed"
 	}
 	return ""
 }
 
-// round is one round of the leader.
+// round performs one round of the leader.
 func (s *shareSimulation) round(now int64) {
 	clocks := s.poll(now)
 	next, isChanged := s.ledger.NextRecord(s.targets, now)
-	if isChanged && s.random.IntN(6) > 0 { // else its commit fails
+	if isChanged && s.random.IntN(6) > 0 { // otherwise the commit fails
 		s.committed = next
 		s.ledger.Commit(next)
 		s.commits++
@@ -133,7 +133,7 @@
 	s.ledger.DropExpired(now)
 }
 
-// poll returns the clocks of the members that reply.
+// poll returns the clock readings of the members that reply, by index.
 func (s *shareSimulation) poll(now int64) map[int]int64 {
 	clocks := map[int]int64{}
 	for i := range s.holders {
@@ -149,7 +149,7 @@
 	return clocks
 }
 
-// grant sends an assignment, which may be lost, repeated and late.
+// grant sends an assignment, which may be lost, repeated or delayed.
 func (s *shareSimulation) grant(to int, clock, now int64) {
 	s.sequence++
 	name := s.holders[to].name
@@ -183,7 +183,7 @@
 	})
 }
 
-// check returns which resource is in use, or committed, beyond the full share.
+// check describes a resource of which more than the full share is in use or committed, or returns "".
 func (s *shareSimulation) check(now int64) string {
 	for _, resource := range s.resources {
 		inUse, committed := int64(0), int64(0)
@@ -196,7 +196,7 @@
 			committed += limits[resource]
 		}
 		if inUse > FullShare || committed > FullShare {
-			return fmt.Sprintf("at %d %d of %s are in use, %d are committed", now, inUse, resource, committed)
+			return fmt.Sprintf("at %d: %d of %s in use, %d committed", now, inUse, resource, committed)
 		}
 	}
 	return ""
@@ -208,14 +208,14 @@
 			t.Errorf("seed %d: %s", seed, fault)
 		}
 	}
-	impatient := func(record Record, lifetime, now int64) *Ledger { return NewLedger(record, lifetime, now-10*lifetime) }
-	found := 0
+	withoutWait := func(record Record, lifetime, now int64) *Ledger { return NewLedger(record, lifetime, now-10*lifetime) }
+	detected := 0
 	for seed := range uint64(100) {
-		if newShareSimulation(seed, impatient).run() != "" {
-			found++
+		if newShareSimulation(seed, withoutWait).run() != "" {
+			detected++
 		}
 	}
-	if found < 50 {
-		t.Errorf("a new leader that does not wait is found in %d of 100", found)
+	if detected < 50 {
+		t.Errorf("a new leader that does not wait is detected in only %d of 100 runs", detected)
 	}
 }
