--- a/internal/planner/golden_test.go
+++ b/internal/planner/golden_test.go
@@ -12,13 +12,13 @@
 	"swiftreel/internal/golden"
 )
 
-// The file in testdata was written by the program as it stood at commit 70e2e4b. With -record it is written if missing.
+// The file in testdata was written by the version at commit 70e2e4b. With -record it is written if missing.
 
-// On random input plans are due at the same times, for the same problems, as before.
+// On random input, plans are due at the same times and for the same problems as in the earlier version.
 func TestDecisionsAreThoseOfAnEarlierProgram(t *testing.T) {
 	var lines bytes.Buffer
 	for seed := range uint64(40) {
-		fmt.Fprintf(&lines, "%d: %s\n", seed, trace(t, seed))
+		fmt.Fprintf(&lines, "%d: %s\n", seed, decisionTrace(t, seed))
 	}
 	golden.Check(t, "decisions.txt", lines.Bytes())
 }
@@ -30,12 +30,13 @@
 	unlistedTenant = canary.Group{Type: "lookup", Tenant: "nobody"}
 )
 
-// trace is one run: the seconds at which plans were due, and a digest of the problems.
-func trace(t *testing.T, seed uint64) string {
+// decisionTrace runs a planner on random input, and returns the seconds at which plans were due and a digest of the
+// problems.
+func decisionTrace(t *testing.T, seed uint64) string {
 	t.Helper()
 	random, problems := rand.New(rand.NewPCG(seed, 9)), fnv.New64a()
 	p := New(base, Timing{MaxInterval: 60e9, MinInterval: 5e9}, 0)
-	var dueAt []int64 // at which second
+	var dueAt []int64 // in seconds
 	rates := [2]float64{100, 5}
 	lists := [][]string{{"e1", "e2", "e3"}, {"e1", "e2", "e3"}, {"e1", "e2", "e3", "e9"}}
 	for now := int64(1e9); now < 400e9; now += 1e9 {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,5 +1,5 @@
-// Package planner decides when a new plan for the fleet is due, and builds the problem to solve from the recent load
-// of the controllers and the engines that they see. It does not solve the problem.
+// Package planner decides when a new plan for the fleet is due, and builds the planning problem from the recent load of
+// the controllers and the engines that they see. It does not solve the problem.
 //
 // The package is free of I/O and clock: callers pass the time in nanoseconds. A Planner is not safe for concurrent
 // use.
@@ -13,45 +13,45 @@
 	"swiftreel/internal/solve"
 )
 
-// Timing says how often the fleet is planned, in nanoseconds.
+// Timing bounds how often the fleet is planned. Times are in nanoseconds.
 type Timing struct {
-	MaxInterval int64 // after which a new plan is due though nothing has changed
-	MinInterval int64 // between two attempts, doubled with each failed one in a row
+	MaxInterval int64 // after which a new plan is due even if nothing has changed
+	MinInterval int64 // between two attempts; doubled with each consecutive failure
 }
 
 const (
 	// maxBackoffDoublings bounds the interval after failed attempts to 64 times MinInterval.
 	maxBackoffDoublings = 6
-	// engineConfirmations is how many observations in a row must show a change of the engines.
+	// engineConfirmations is the number of consecutive observations that must show a change of the engines.
 	engineConfirmations = 2
 )
 
-// Planner is the planning state of one leader. A new leader starts with a new one, and plans as soon as it knows the
+// Planner is the planning state of one leader. A new leader starts with a new Planner, and plans once it knows the
 // load.
 type Planner struct {
 	timing    Timing
-	base      solve.Problem // what the operator has set; its engines are all that there may be, its demand is ignored
+	base      solve.Problem // as configured by the operator: lists all possible engines; its demand is ignored
 	startedAt int64
 
-	attemptedAt    int64 // 0: never
-	failures       int   // in a row
+	attemptedAt    int64 // 0 if never
+	failures       int   // consecutive
 	plannedLoad    map[loadSource]float64
 	plannedEngines []string
-	engineChanges  int // observations in a row with other engines than planned
+	engineChanges  int // consecutive observations with engines other than planned
 }
 
-// Observation is what the leader sees of the fleet at one time.
+// Observation is the leader's view of the fleet at one time.
 type Observation struct {
-	Rates   map[string]map[canary.Group]float64 // jobs a second, by zone of origin
-	Engines [][]string                          // the ready engines that each controller sees, sorted
+	Rates   map[string]map[canary.Group]float64 // jobs per second, by zone of origin
+	Engines [][]string                          // ready engines as seen by each controller, sorted
 }
 
-// New returns a Planner for the operator's problem.
+// New returns a Planner for the problem configured by the operator.
 func New(base solve.Problem, timing Timing, now int64) *Planner {
 	return &Planner{timing: timing, base: base, startedAt: now}
 }
 
-// Next returns the problem to solve now and why it is due, or nil if no new plan is.
+// Next returns the problem to solve and the reason why a new plan is due, or nil if none is due.
 func (p *Planner) Next(now int64, observed Observation) (*solve.Problem, string) {
 	engines := readyEngines(observed.Engines)
 	load := p.threadLoad(observed.Rates)
@@ -63,7 +63,7 @@
 	if len(engines) == 0 || len(load) == 0 || p.isTooEarly(now) {
 		return nil, ""
 	}
-	reason := p.reason(now, engines, load)
+	reason := p.dueReason(now, engines, load)
 	if reason == "" {
 		return nil, ""
 	}
@@ -71,10 +71,10 @@
 	p.plannedLoad = load
 	p.plannedEngines = engines
 	p.engineChanges = 0
-	return p.problem(observed.Rates, engines), reason
+	return p.buildProblem(observed.Rates, engines), reason
 }
 
-// isTooEarly reports whether the minimum interval since the start or the last attempt has not passed.
+// isTooEarly reports whether the minimum interval since the start or the last attempt has not yet passed.
 func (p *Planner) isTooEarly(now int64) bool {
 	if now-p.startedAt < p.timing.MinInterval {
 		return true
@@ -83,8 +83,8 @@
 	return p.attemptedAt != 0 && now-p.attemptedAt < backoff
 }
 
-// reason returns why a plan is due, or "".
-func (p *Planner) reason(now int64, engines []string, load map[loadSource]float64) string {
+// dueReason returns the reason why a plan is due, or "".
+func (p *Planner) dueReason(now int64, engines []string, load map[loadSource]float64) string {
 	switch {
 	case p.attemptedAt == 0:
 		return "first plan"
@@ -96,7 +96,7 @@
 	return loadChange(p.plannedLoad, load)
 }
 
-// ReportResult takes in whether a plan was found. After failures attempts become less frequent.
+// ReportResult records whether a plan was found. Consecutive failures lengthen the interval between attempts.
 func (p *Planner) ReportResult(isPlanned bool) {
 	if isPlanned {
 		p.failures = 0
@@ -105,7 +105,7 @@
 	p.failures++
 }
 
-// UnknownEngines returns the ready engines that the operator's problem does not list; nothing is planned for them.
+// UnknownEngines returns the ready engines that the operator's problem does not list. They are left out of plans.
 func (p *Planner) UnknownEngines() []string {
 	var unknown []string
 	for _, name := range p.plannedEngines {
@@ -117,8 +117,8 @@
 	return unknown
 }
 
-// readyEngines returns the engines that more than half of the controllers see ready, sorted: a single list may be
-// late.
+// readyEngines returns the sorted names of the engines that more than half of the controllers see as ready, because a
+// single controller's list may be out of date.
 func readyEngines(lists [][]string) []string {
 	counts := map[string]int{}
 	for _, list := range lists {
--- a/internal/planner/planner_test.go
+++ b/internal/planner/planner_test.go
@@ -23,7 +23,7 @@
 	Zones:   []solve.Zone{{Name: "east"}, {Name: "west"}},
 }
 
-// observation has two of three controllers see the engines, and jobs a second from one zone.
+// observation returns an Observation in which two of three controllers see the engines, and all jobs are from one zone.
 func observation(lookups, reports float64, engines ...string) Observation {
 	rates := map[canary.Group]float64{
 		{Type: "lookup", Tenant: "acme"}: lookups,
@@ -35,12 +35,13 @@
 	}
 }
 
-// expectNext fails the test unless a plan is due for a reason; "": none is due. A plan that is due is found.
+// expectNext fails the test unless a plan is due for the given reason ("" for none due). It reports success for a plan
+// that is due.
 func expectNext(t *testing.T, p *Planner, seconds int64, observed Observation, reason string) *solve.Problem {
 	t.Helper()
 	problem, got := p.Next(seconds*1e9, observed)
 	if (reason == "") != (problem == nil) || !strings.Contains(got, reason) {
-		t.Errorf("at %d s: %q, wanted %q", seconds, got, reason)
+		t.Errorf("at %d s: got reason %q, want %q", seconds, got, reason)
 	}
 	if problem != nil {
 		p.ReportResult(true)
@@ -61,14 +62,14 @@
 	expectNext(t, p, 40, observation(100, 8, "e1", "e2", "e3"), `report from "east" needs 16.0 threads, planned for 10.0`)
 	expectNext(t, p, 45, typical, "") // too early
 	expectNext(t, p, 46, observation(1, 8, "e1", "e2", "e3"), "")
-	expectNext(t, p, 60, observation(100, 8, "e1", "e3"), "") // not confirmed yet
+	expectNext(t, p, 60, observation(100, 8, "e1", "e3"), "") // not yet confirmed
 	problem = expectNext(t, p, 61, observation(100, 8, "e1", "e3"), "2 engines, planned for 3")
 	if len(problem.Engines) != 2 || problem.Engines[1].Name != "e3" {
 		t.Errorf("%+v", problem.Engines)
 	}
 	expectNext(t, p, 100, observation(100, 8, "e1", "e3"), "")
 	expectNext(t, p, 242, observation(100, 8, "e1", "e3"), "interval elapsed")
-	expectNext(t, p, 260, Observation{}, "") // nobody replies: nothing is planned for no engines
+	expectNext(t, p, 260, Observation{}, "") // no controller replies: without engines no plan is due
 	if len(base.Demand) != 0 || len(base.Engines) != 3 {
 		t.Error("the operator's problem is modified")
 	}
@@ -90,7 +91,7 @@
 
 func TestAttemptsBecomeLessFrequentAfterFailures(t *testing.T) {
 	p := New(base, Timing{MaxInterval: 1e9, MinInterval: 1e9}, 0)
-	var attempts []int64 // at which second
+	var attempts []int64 // in seconds
 	for now := int64(0); now < 300e9; now += 1e9 {
 		if problem, _ := p.Next(now, observation(100, 5, "e1")); problem != nil {
 			p.ReportResult(false)
--- a/internal/planner/problem.go
+++ b/internal/planner/problem.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// loadChangeFactor is by how much a source's load must rise or fall to be a change.
+	// loadChangeFactor is the factor by which a source's load must rise or fall to count as a change.
 	loadChangeFactor = 1.5
-	// minLoadFraction is the part of the total load below which a source is ignored.
+	// minLoadFraction is the fraction of the total load below which a source is ignored.
 	minLoadFraction = 0.1
-	// demandMargin is how much more than the observed demand is planned for, as demand varies.
+	// demandMargin multiplies the observed demand, so that a plan leaves room for variation.
 	demandMargin = 1.2
-	// minLoad keeps the factor defined where a source had no load, in threads.
+	// minLoad, in threads, avoids comparing with zero where a source had no load.
 	minLoad = 1e-9
 
-	msPerSecond   = 1000
-	secondsPer1ks = 1000 // demand is counted in jobs per 1,000 seconds
+	msPerSecond       = 1000
+	demandUnitSeconds = 1000 // solve.Demand counts jobs per 1,000 seconds
 )
 
-// loadSource is the jobs of a type from a zone.
+// loadSource identifies the jobs of one type from one zone.
 type loadSource struct{ jobType, zone string }
 
 func compareSources(a, b loadSource) int {
 	return cmp.Or(cmp.Compare(a.jobType, b.jobType), cmp.Compare(a.zone, b.zone))
 }
 
-// threadLoad returns the threads that the observed jobs occupy, of job types that the problem lists.
+// threadLoad returns the threads that the observed jobs occupy, by source. Job types that the problem does not list are
+// ignored.
 func (p *Planner) threadLoad(rates map[string]map[canary.Group]float64) map[loadSource]float64 {
 	load := map[loadSource]float64{}
 	for zone, groups := range rates {
@@ -47,7 +48,8 @@
 	return load
 }
 
-// loadChange describes the first source whose load differs much from the planned one, or returns "".
+// loadChange describes the first source whose load differs from the planned one by more than loadChangeFactor, or
+// returns "".
 func loadChange(planned, observed map[loadSource]float64) string {
 	sources := slices.AppendSeq(slices.Collect(maps.Keys(planned)), maps.Keys(observed))
 	slices.SortFunc(sources, compareSources)
@@ -66,8 +68,8 @@
 	return ""
 }
 
-// problem returns the operator's problem with the observed demand, and of its engines those that are ready.
-func (p *Planner) problem(rates map[string]map[canary.Group]float64, ready []string) *solve.Problem {
+// buildProblem returns the operator's problem with the observed demand, restricted to the engines that are ready.
+func (p *Planner) buildProblem(rates map[string]map[canary.Group]float64, ready []string) *solve.Problem {
 	problem := p.base
 	problem.Engines = nil
 	problem.Demand = nil
@@ -77,19 +79,19 @@
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(rates)) {
-		problem.Demand = append(problem.Demand, p.demand(zone, rates[zone])...)
+		problem.Demand = append(problem.Demand, p.zoneDemand(zone, rates[zone])...)
 	}
 	return &problem
 }
 
-// demand returns the demand from a zone, of the job types and tenants that the operator's problem lists.
-func (p *Planner) demand(zone string, rates map[canary.Group]float64) []solve.Demand {
+// zoneDemand returns the demand from a zone for the job types and tenants that the operator's problem lists.
+func (p *Planner) zoneDemand(zone string, rates map[canary.Group]float64) []solve.Demand {
 	if !slices.ContainsFunc(p.base.Zones, func(z solve.Zone) bool { return z.Name == zone }) {
 		return nil
 	}
 	var list []solve.Demand
 	for _, group := range sortedGroups(rates) {
-		jobs := int64(math.Ceil(rates[group] * secondsPer1ks * demandMargin))
+		jobs := int64(math.Ceil(rates[group] * demandUnitSeconds * demandMargin))
 		if jobs > 0 && p.isListed(group) {
 			list = append(list, solve.Demand{Type: group.Type, Tenant: group.Tenant, Zone: zone, JobsPer1000S: jobs})
 		}
@@ -102,7 +104,7 @@
 		slices.ContainsFunc(p.base.Tenants, func(t solve.Tenant) bool { return t.Name == group.Tenant })
 }
 
-// sortedGroups returns a map's groups in order, so that sums of floating-point numbers do not depend on the map's
+// sortedGroups returns a map's groups in a fixed order, so that floating-point sums do not depend on the iteration
 // order.
 func sortedGroups(rates map[canary.Group]float64) []canary.Group {
 	return slices.SortedFunc(maps.Keys(rates), canary.Group.Compare)
