--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -10,32 +10,32 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Timing holds a member's time constants, in nanoseconds of its own monotonic clock.
+// Timing configures a member. Times are in nanoseconds of the member's monotonic clock.
 type Timing struct {
 	Tick            int64 // between two calls of Core.Tick
-	Lease           int64 // a voter that has heard from a leader votes for no other one for this long
-	LeasePerMille   int64 // part of the lease that the leader uses; the rest covers clock drift
+	Lease           int64 // a voter that has heard from a leader votes for no other candidate for this long
+	LeasePerMille   int64 // part of the lease during which the leader acts; the rest is a margin for clock drift
 	RetainedEntries int   // the log is compacted once it holds twice as many entries
 }
 
-// DefaultTiming tolerates clocks whose rates differ by a tenth, with as much again in reserve.
+// DefaultTiming returns a Timing that tolerates clocks whose rates differ by 10%, with a reserve of another 10%.
 func DefaultTiming() Timing {
 	return Timing{Tick: 50e6, Lease: 1e9, LeasePerMille: 800, RetainedEntries: 256}
 }
 
-// Raft's parameters that do not depend on Timing.
+// Raft parameters that do not depend on Timing.
 const (
 	minElectionTicks      = 3
 	heartbeatsPerElection = 10
-	maxAppendBytes        = 1 << 20 // of one append message
-	maxInflightAppends    = 64      // to one member
+	maxAppendBytes        = 1 << 20 // per append message
+	maxInflightAppends    = 64      // append messages per member
 	maxUncommittedBytes   = 64 << 20
-	readRequestBytes      = 8 // a read request's context is the time at which it was made
+	readRequestBytes      = 8 // the context of a read request is the time of the request
 )
 
-// Core is one member: raft, the replicated state, and the leader's lease. It performs no I/O and reads no clock:
-// callers pass the member's own monotonic time in nanoseconds and carry out the returned Output. It is not safe for
-// concurrent use.
+// Core is the state machine of one member: raft, the replicated state and the leader's lease. It performs no I/O and
+// reads no clock: callers pass the member's monotonic time in nanoseconds and process the returned Output. It is not
+// safe for concurrent use.
 type Core struct {
 	name         string
 	id           uint64
@@ -46,20 +46,20 @@
 	membership   *raftpb.ConfState
 	appliedIndex uint64
 	startedAt    int64 // of this process
-	now          int64 // the latest time passed in
+	now          int64 // latest time passed by a caller
 
-	quorumAt    int64  // at this time a quorum followed this member
-	claimedTerm uint64 // the last raft term for which this member proposed its claim
-	ignoreLease bool   // a defect that tests inject to see it detected
+	quorumAt    int64  // latest time at which a quorum is known to have followed this member
+	claimedTerm uint64 // latest raft term that this member proposed to claim
+	ignoreLease bool   // set by tests to verify that they detect the defect
 
-	transferring      bool // leadership is being handed over: this member no longer acts
+	transferring      bool // leadership is being transferred: this member no longer acts
 	transferStartedAt int64
 
-	membersChanged    bool             // the next snapshot is due at once: a new member needs one that includes it
-	snapshotStartedAt map[uint64]int64 // by member: when the snapshot that is under way to it was first seen
+	membersChanged    bool             // a snapshot is due at once: a new member needs one that lists it
+	snapshotStartedAt map[uint64]int64 // by member: when the pending snapshot to it was first noticed
 }
 
-// NewCore starts a member from its persistent state. It follows until it hears of a leader or is elected.
+// NewCore starts a member as a follower from its persistent state.
 func NewCore(name string, persistent PersistentState, timing Timing, now int64) (*Core, error) {
 	c := &Core{
 		name:       name,
@@ -69,7 +69,7 @@
 		membership: &raftpb.ConfState{},
 		startedAt:  now,
 		now:        now,
-		quorumAt:   now - timing.Lease - 1, // no quorum yet
+		quorumAt:   now - timing.Lease - 1, // no quorum so far
 	}
 	if err := c.load(persistent); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	return c.storage.Append(persistent.Entries)
 }
 
-// startRaft starts raft as a follower on what the storage holds.
+// startRaft starts raft as a follower from the content of the storage.
 func (c *Core) startRaft() error {
 	electionTicks := max(minElectionTicks, int(c.timing.Lease/c.timing.Tick))
 	rawNode, err := raft.NewRawNode(&raft.Config{
@@ -116,7 +116,7 @@
 	return err
 }
 
-// Tick advances raft's clock. It is due every Timing.Tick.
+// Tick advances raft's clock. It must be called every Timing.Tick.
 func (c *Core) Tick(now int64) Output {
 	c.now = max(c.now, now)
 	if c.transferring && c.now-c.transferStartedAt > c.timing.Lease {
@@ -131,51 +131,51 @@
 	return c.collectOutput()
 }
 
-// abandonTransfer restarts as a follower: nobody took over in time, but the request to do so may still be on its way,
-// so this member must not act again in its term.
+// abandonTransfer restarts raft as a follower after no other member has taken over in time. The request to take over
+// may still arrive, so this member must not act again in its term.
 func (c *Core) abandonTransfer() {
 	c.transferring = false
-	_ = c.startRaft() // NewCore has accepted the same configuration
+	_ = c.startRaft() // cannot fail: NewCore started raft with the same configuration
 }
 
-// requestQuorum asks all members for a confirmation. Who answers followed this member at the time in the request or
-// later.
+// requestQuorum asks all members to confirm that they follow this member. A reply proves that its sender did so at the
+// time in the request or later.
 func (c *Core) requestQuorum() {
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, uint64(c.now)))
 }
 
-// claimTerm proposes, once in each raft term that this member leads, that it becomes the term's leader.
+// claimTerm proposes this member as the leader of the raft term that it leads, once per term.
 func (c *Core) claimTerm() {
 	raftTerm := c.rawNode.BasicStatus().GetTerm()
 	if raftTerm == c.claimedTerm || c.transferring {
 		return
 	}
 	c.claimedTerm = raftTerm
-	// A claim that raft drops is not repeated: this member then does not act in this term.
+	// A claim that raft drops is not retried: this member then does not act in this term.
 	_ = c.propose(Command{Proposer: c.id, Term: Term(raftTerm), Candidate: c.name})
 }
 
-// Step handles a message from another member. Messages that only this process may create are ignored.
+// Step handles a message from another member. Message types that only this process may create are ignored.
 func (c *Core) Step(now int64, message *raftpb.Message) Output {
 	c.now = max(c.now, now)
 	switch message.GetType() {
 	case raftpb.MsgVote, raftpb.MsgPreVote:
-		// Within a lease of its start a process cannot know to which leader it gave a promise before.
+		// During the first lease after its start a process does not know whether it granted a lease before the restart.
 		if c.now-c.startedAt < c.timing.Lease && !c.ignoreLease {
 			return c.collectOutput()
 		}
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgTransferLeader:
 		return c.collectOutput()
 	}
-	_ = c.rawNode.Step(message) // an error means that the message was of no use here
+	_ = c.rawNode.Step(message) // an error means that the message does not apply
 	return c.collectOutput()
 }
 
 func (c *Core) isLeader() bool { return c.rawNode.BasicStatus().RaftState == raft.StateLeader }
 
-// ActiveTerm returns the term under which this member may act now, or 0: it leads, its claim is committed, and a
-// quorum followed it within the lease. Ask before each act. Time passes between the answer and the act, so what
-// cannot be fenced by the term where it arrives must not rely on it.
+// ActiveTerm returns the term under which this member may act as leader now, or 0. The member must lead, its claim must
+// be committed, and a quorum must have confirmed it within the lease. Call it before each action. The lease may expire
+// between the call and the action, so receivers must also fence the action by its term.
 func (c *Core) ActiveTerm(now int64) Term {
 	c.now = max(c.now, now)
 	status := c.rawNode.BasicStatus()
@@ -192,8 +192,8 @@
 	return c.state.Term
 }
 
-// Propose asks for an item to be written under a term. The outcome arrives as a Result with the given command ID, or
-// never if this member loses the leadership first.
+// Propose proposes to write an item under a term. The outcome is returned later as a Result with the given command ID.
+// There is no Result if this member loses the leadership first.
 func (c *Core) Propose(commandID uint64, term Term, item string, value []byte) (Output, error) {
 	if !c.isLeader() || c.transferring {
 		return Output{}, ErrNotLeader
@@ -210,13 +210,13 @@
 	return c.rawNode.Propose(text)
 }
 
-// State returns the replicated state as far as this member has applied it. The caller must not modify it.
+// State returns the replicated state as applied by this member so far. The caller must not modify it.
 func (c *Core) State() State { return c.state }
 
 // Voters returns the IDs of the voting members.
 func (c *Core) Voters() []uint64 { return c.membership.GetVoters() }
 
-// RaftLeader returns the ID of raft's leader (0: none is known) and raft's term.
+// RaftLeader returns the ID of the raft leader (0 if unknown) and the raft term.
 func (c *Core) RaftLeader() (id, term uint64) {
 	status := c.rawNode.BasicStatus()
 	return status.Lead, status.GetTerm()
--- a/internal/leader/core_test.go
+++ b/internal/leader/core_test.go
@@ -10,24 +10,24 @@
 	"testing"
 )
 
-var worlds = flag.Int("worlds", 120, "simulations with faults that are run")
+var simulationCount = flag.Int("worlds", 120, "number of simulations with faults to run")
 
 func TestOneLeaderAtATime(t *testing.T) {
-	runWorlds(t, func(*simulation) {})
+	runSimulations(t, func(*simulation) {})
 }
 
-// Writes fail now and then, before or after they have reached the disk, and the member goes on from what is stored.
+// Some writes fail, before or after they have reached the disk, and the member resumes from what is stored.
 func TestOneLeaderAtATimeWhereWritesFail(t *testing.T) {
-	runWorlds(t, func(s *simulation) { s.diskFaults = true })
+	runSimulations(t, func(s *simulation) { s.diskFaults = true })
 }
 
-// runWorlds runs simulations with faults, and those that are injected.
-func runWorlds(t *testing.T, inject func(*simulation)) {
+// runSimulations runs simulations with random faults. inject configures each simulation before it starts.
+func runSimulations(t *testing.T, inject func(*simulation)) {
 	t.Helper()
 	var acts atomic.Int64
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for seed := range uint64(*worlds) {
+	for seed := range uint64(*simulationCount) {
 		slots <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-slots }()
@@ -35,14 +35,14 @@
 		})
 	}
 	wait.Wait()
-	if acts.Load() < int64(500**worlds) {
+	if acts.Load() < int64(500**simulationCount) {
 		t.Errorf("only %d acts", acts.Load())
 	}
-	t.Logf("%d worlds, %d acts: never two that may act", *worlds, acts.Load())
+	t.Logf("%d worlds, %d acts: never two that may act", *simulationCount, acts.Load())
 }
 
-// runWithFaults runs a simulation with faults, and then without: a leader must act again. It returns how often one
-// acted during the faults.
+// runWithFaults runs a simulation with faults and then without, when a leader must act again. It returns the number of
+// acts during the faults.
 func runWithFaults(t *testing.T, seed uint64, inject func(*simulation)) int {
 	t.Helper()
 	s := newSimulation(t, seed, 3+2*int(seed%2))
@@ -60,13 +60,13 @@
 	}
 	s.runUntil(s.now + 8e9)
 	if s.acts == acts || s.violation != "" {
-		t.Errorf("seed %d: nobody leads after all faults are over (%s)", seed, s.violation)
+		t.Errorf("seed %d: no leader acts after the faults have ended (%s)", seed, s.violation)
 	}
 	return acts
 }
 
-// Each of five members does not hear the next one, and everyone hears someone. There is a leader, one at a time, and
-// it stays.
+// Five members form a ring in which messages from each member to the next one are lost. The members must still elect
+// one leader at a time, and leaders must not change often.
 func TestARingOfCutLinksHasOneLeader(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newSimulation(t, seed, 5)
@@ -100,12 +100,12 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("the defect is not detected")
 		})
 	}
 }
 
-// runOrPanic returns the violation found: raft itself panics on some of what a defective member breaks.
+// runOrPanic returns the violation found, or the message of a panic: raft itself panics on some effects of a defect.
 func runOrPanic(s *simulation) (violation string) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -121,7 +121,7 @@
 	former := s.awaitLeader(10e9)
 	out, isTransferring := former.TransferLeadership("")
 	if !isTransferring || s.activeTerm(s.members[former.id]) != 0 {
-		t.Fatal("it acts on after it handed over")
+		t.Fatal("the former leader may still act after the transfer has started")
 	}
 	s.carryOut(former.id, out)
 	startedAt := s.now
@@ -136,7 +136,7 @@
 		}
 		return
 	}
-	t.Fatal("nobody takes over")
+	t.Fatal("no other member takes over")
 }
 
 func TestCommandsAreFencedAndBounded(t *testing.T) {
@@ -162,7 +162,7 @@
 	}
 	tooLarge := Command{Term: 4, Item: "y", Value: make([]byte, maxItemBytes+1)}
 	if err := state.apply(tooLarge); !errors.Is(err, ErrItemTooLarge) {
-		t.Errorf("an item that is too large: %v", err)
+		t.Errorf("item that is too large: got error %v", err)
 	}
 	for i := range 2 * maxItems {
 		var want error
@@ -171,7 +171,7 @@
 		}
 		command := Command{Term: 4, Item: fmt.Sprint(i), Value: []byte("1")}
 		if err := state.apply(command); !errors.Is(err, want) {
-			t.Errorf("item %d: %v, wanted %v", i, err, want)
+			t.Errorf("item %d: got error %v, want %v", i, err, want)
 		}
 	}
 	if len(state.Items) != maxItems || string(state.Items["x"]) != "1" || state.Leader != "b" {
--- a/internal/leader/disk_fault_test.go
+++ b/internal/leader/disk_fault_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// failingDisk fails all writes while it is full.
+// failingDisk fails all writes while isFull is set.
 type failingDisk struct {
 	isFull atomic.Bool
 	fault  syscall.Errno
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// failDisks has the disks of all members fail, as where a log has filled them, until the returned disk has room.
+// failDisks makes the writes of all members fail until isFull of the returned disk is cleared.
 func (f *testFleet) failDisks(fault syscall.Errno) *failingDisk {
 	disk := &failingDisk{fault: fault}
 	disk.isFull.Store(true)
@@ -32,8 +32,8 @@
 	return disk
 }
 
-// found makes all processes members of one fleet.
-func (f *testFleet) found() {
+// bootstrapAll makes all processes members of a new fleet.
+func (f *testFleet) bootstrapAll() {
 	f.t.Helper()
 	names := map[uint64]string{}
 	for i, name := range fixtureNames {
@@ -48,29 +48,29 @@
 
 func (n *Node) isHalted() bool { return n.Status().Halted != "" }
 
-// writeAgain has a member store what it has promised once more, whether or not it has something new to store.
-func (n *Node) writeAgain() {
+// rewriteHardState makes a member persist its hard state again, even if nothing has changed.
+func (n *Node) rewriteHardState() {
 	n.update(func(c *Core) Output {
 		return Output{HardState: c.rawNode.BasicStatus().HardState}
 	})
 }
 
-// The disks of all voters fail for a moment: the fleet has a leader again once they work, without a restart, and what
-// was agreed before is still there. Each member is made to write: once two are halted the third may stay a candidate
-// that asks in vain for votes ahead of its election (raft's PreCandidate), which promises nothing and writes nothing,
-// so that it would never notice. A trace showed just that in each run that waited for it in vain.
+// After the disks of all voters have failed temporarily, the fleet must elect a leader without a restart, and the state
+// committed before must be intact. The test makes each member write: once two members are halted, the third may remain
+// a raft pre-candidate, which persists nothing and so never notices the fault. Traces showed this in every run that
+// timed out without the forced write.
 func TestAFleetGoesOnAfterItsDisksFailedForAMoment(t *testing.T) {
 	for name, fault := range map[string]syscall.Errno{"full": syscall.ENOSPC, "error": syscall.EIO} {
 		t.Run(name, func(t *testing.T) {
 			f := openFleet(t, t.TempDir(), nil)
-			f.found()
+			f.bootstrapAll()
 			f.propose("kept", []byte("before"))
 			disk := f.failDisks(fault)
 			leader := f.awaitLeader()
-			_ = leader.Propose(leader.ActiveTerm(), "lost", []byte("amid")) // its outcome is not known
+			_ = leader.Propose(leader.ActiveTerm(), "lost", []byte("amid")) // the outcome is unknown
 			await(t, "all members notice", func() bool {
 				for _, node := range f.nodes {
-					node.writeAgain()
+					node.rewriteHardState()
 					if !node.isHalted() {
 						return false
 					}
--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -24,35 +24,35 @@
 )
 
 const (
-	// assignmentInterval is the time between two rounds; each renews the shares and plans of all members.
+	// assignmentInterval is the time between two rounds. Each round renews the shares and plans of all members.
 	assignmentInterval = time.Second
-	// minAssignmentFormat is the first format whose supervisors take assignments. Others go on as without a leader.
+	// minAssignmentFormat is the first format whose supervisors accept assignments. Older ones run without a leader.
 	minAssignmentFormat = 2
-	// medianPercent is the quantile of latencies taken as the time for which a job occupies its threads.
+	// medianPercent is the latency percentile used as the time for which a job occupies its threads.
 	medianPercent = 50
 	nsPerMS       = int64(time.Millisecond)
 )
 
-// distributor distributes quota shares and plans under one term. It decides nothing itself: it polls the members, has
-// what packages quota and planner decide committed, and only then assigns it. It is used by one goroutine.
+// distributor distributes quota shares and plans under one term. It polls the members, commits the decisions of
+// packages quota and planner, and only then sends them as assignments. It is used by one goroutine.
 type distributor struct {
 	duties    *Duties
 	store     termStore
 	fleet     *coordinator.FleetClient
 	startedAt time.Time
-	latest    []memberObservation // by the member's index
+	latest    []memberObservation // by member index
 	demand    *quota.Demand
-	ledger    *quota.Ledger // nil: no shares are assigned
-	planning  *planning     // nil: the fleet is not planned
+	ledger    *quota.Ledger // nil if no shares are assigned
+	planning  *planning     // nil if the fleet is not planned
 }
 
 // memberObservation is the latest status of a member.
 type memberObservation struct {
 	status     supervisor.Status
-	observedAt int64 // 0: never
+	observedAt int64 // 0 if never
 }
 
-// newDistributor resumes from the replicated items.
+// newDistributor creates a distributor that resumes from the replicated items.
 func newDistributor(duties *Duties, store termStore) (*distributor, error) {
 	members := duties.fleet.Members
 	d := &distributor{
@@ -80,7 +80,7 @@
 	return d, nil
 }
 
-// readJSON decodes a replicated item; one that does not exist leaves into as it is.
+// readJSON decodes a replicated item. If the item does not exist, into is not modified.
 func (s termStore) readJSON(name string, into any) error {
 	text, isPresent := s.Read(name)
 	if !isPresent {
@@ -101,10 +101,10 @@
 	return s.Write(name, text)
 }
 
-// now returns nanoseconds since the distributor started, above 0.
+// now returns the nanoseconds since the distributor started; it is always positive.
 func (d *distributor) now() int64 { return int64(time.Since(d.startedAt)) + 1 }
 
-// run distributes until ctx ends.
+// run performs a round in every assignmentInterval until ctx ends.
 func (d *distributor) run(ctx context.Context) {
 	unregister := d.duties.registerPoll(d.fleet)
 	defer unregister()
@@ -122,10 +122,10 @@
 	}
 }
 
-// distribute polls all members once and assigns what follows from their answers.
+// distribute performs one round: it polls all members and sends assignments based on their replies.
 func (d *distributor) distribute(ctx context.Context) error {
 	answers := d.fleet.Poll(ctx)
-	now := d.now() // the members' clocks in the answers were read before this
+	now := d.now() // not before the members read the clocks in their replies
 	if !d.store.IsLeader() {
 		return nil
 	}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// observe takes in the members' answers and returns the fleet's load.
+// observe processes the members' replies and returns the load of the fleet.
 func (d *distributor) observe(answers []coordinator.StatusReply, now int64) planner.Observation {
 	var load planner.Observation
 	var observations []quota.Observation
@@ -175,8 +175,8 @@
 	return load
 }
 
-// workSince returns the work that a member did since it was last observed. One that was not observed before, or whose
-// controller has restarted since, has no known interval.
+// workSince returns the work that a member did since it was last observed. The interval is 0 if the member was not
+// observed before or its controller has restarted since.
 func (m memberObservation) workSince(name string, status supervisor.Status, now int64) quota.Observation {
 	observation := quota.Observation{Member: name, Reachable: true}
 	if m.observedAt == 0 || m.status.StartedUnixNS != status.StartedUnixNS {
@@ -192,7 +192,7 @@
 
 func medianLatency(counts []uint64) float64 { return float64(jobstats.Quantile(counts, medianPercent)) }
 
-// ratesByZone sums the members' job rates by their zones.
+// ratesByZone sums the job rates of the members by zone.
 func (d *distributor) ratesByZone() map[string]map[canary.Group]float64 {
 	zones := map[string]map[canary.Group]float64{}
 	for name, rates := range d.demand.Rates() {
@@ -207,7 +207,7 @@
 	return zones
 }
 
-// commitQuota has the record that comes closest to the targets committed, if it differs from the committed one.
+// commitQuota commits the next record of the ledger if it is due.
 func (d *distributor) commitQuota(targets map[string]quota.Shares, now int64) error {
 	if d.ledger == nil {
 		return nil
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// assignments returns what each member that answered is assigned, by its index.
+// assignments returns the assignments for all members that replied, by member index.
 func (d *distributor) assignments(
 	answers []coordinator.StatusReply, targets map[string]quota.Shares, now int64,
 ) map[int]assignment.Assignment {
@@ -239,7 +239,7 @@
 	return assignments
 }
 
-// assignmentFor returns a member's assignment. Its expiries are in the time of the member's own clock.
+// assignmentFor returns a member's assignment. Its expiries are times of the member's clock.
 func (d *distributor) assignmentFor(
 	name string, status supervisor.Status, target quota.Shares, now int64,
 ) assignment.Assignment {
@@ -268,7 +268,7 @@
 	return next
 }
 
-// logRejections logs assignments that were refused or did not arrive, the same one once.
+// logRejections logs assignments that were rejected or could not be delivered. It skips one equal to the last logged.
 func (d *distributor) logRejections(rejections map[int]error) {
 	for i, err := range rejections {
 		name := d.fleet.Members[i].Name
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// beginTimeout is how long a change may take to begin: whoever requests it waits for little more.
+	// beginTimeout bounds the start of a change. The client that requests the change waits only slightly longer.
 	beginTimeout = 3 * time.Second
 
-	// requestTimeout is how long a supervisor may take to answer.
+	// requestTimeout bounds a request to a supervisor.
 	requestTimeout = 2 * time.Second
-	// dutyInterval is the pause between two looks for work.
+	// dutyInterval is the pause between two checks for work.
 	dutyInterval = 100 * time.Millisecond
-	// activeCheckInterval is the pause between two checks that the term has not ended.
+	// activeCheckInterval is the pause between two checks that the term is still active.
 	activeCheckInterval = dutyInterval / 2
 )
 
-// Duties is the work that the leader does once for the whole fleet: it coordinates rollouts, distributes quota shares
-// and plans, and hands the leadership over if another voter is fitter. All methods are safe for concurrent use.
+// Duties performs the leader's work for the whole fleet: it coordinates rollouts, distributes quota shares and plans,
+// and transfers the leadership if this member is unfit and another voter is fit. All methods are safe for concurrent
+// use.
 type Duties struct {
 	node     *Node
 	fleet    *operator.Fleet
-	problem  *solve.Problem // nil: no planning
-	changeMu sync.Mutex     // held while a change is begun
-	fitness  FitnessMonitor // used by the term that runs
+	problem  *solve.Problem // nil if the fleet is not planned
+	changeMu sync.Mutex     // held while a change is started
+	fitness  FitnessMonitor // used by the running term
 
 	mu    sync.Mutex
 	polls []*coordinator.FleetClient // of running duties that poll all members
 
-	// Used by the distributor of the term that runs.
-	sequence      int64  // of assignments sent by this process: it rises across terms
-	lastRejection string // as logged
+	// Used by the distributor of the running term.
+	sequence      int64  // of the assignments sent by this process; it increases across terms
+	lastRejection string // last logged, to avoid repeating it
 }
 
-// termStore gives duties access to the replicated items under one term. It is the coordinator's view of the leader.
+// termStore gives duties access to the replicated items under one term. The coordinator uses it as its store.
 type termStore struct {
 	node *Node
 	term Term
@@ -53,21 +54,21 @@
 // Read returns a replicated item.
 func (s termStore) Read(name string) ([]byte, bool) { return s.node.Item(name) }
 
-// Write replicates an item under the term, and waits until that is committed.
+// Write replicates an item under the term and waits until it is committed.
 func (s termStore) Write(name string, value []byte) error {
 	return s.node.Propose(s.term, name, value)
 }
 
-// IsLeader reports whether the term is active now.
+// IsLeader reports whether this member may act under the term now.
 func (s termStore) IsLeader() bool { return s.node.ActiveTerm() == s.term }
 
-// Term returns the fencing token.
+// Term returns the term as the fencing token.
 func (s termStore) Term() int64 { return int64(s.term) }
 
-// LeaderName returns the name of this member.
+// LeaderName returns this member's name.
 func (s termStore) LeaderName() string { return s.node.name }
 
-// NewDuties returns the duties of a process. Files named in the operator's settings are relative to folder.
+// NewDuties returns the duties of a process. Relative paths in the operator's settings are resolved against folder.
 func NewDuties(node *Node, fleet *operator.Fleet, folder string) (*Duties, error) {
 	problem, err := loadProblem(fleet, folder)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return &Duties{node: node, fleet: fleet, problem: problem}, nil
 }
 
-// loadProblem reads the problem from which plans are computed; nil: the fleet is not planned.
+// loadProblem reads the planning problem. It returns nil if the fleet is not planned.
 func loadProblem(fleet *operator.Fleet, folder string) (*solve.Problem, error) {
 	if fleet.Planning == nil {
 		return nil, nil
@@ -98,8 +99,9 @@
 	}
 }
 
-// runTerm performs the duties until the term ends. Whatever ends it, nothing is left half done: each step is
-// committed before it is carried out, and orders carry the term, so that late ones are refused where they arrive.
+// runTerm performs the duties until the term ends. The term may end at any point: each step is committed before it is
+// carried out, so the next leader can resume it, and orders carry the term, so receivers reject orders that arrive
+// late.
 func (d *Duties) runTerm(ctx context.Context, term Term) {
 	slog.Info("leader_term_started", "term", term)
 	ctx, cancel := context.WithCancel(ctx)
@@ -122,7 +124,7 @@
 	slog.Info("leader_term_ended", "term", term)
 }
 
-// awaitTermEnd returns once the term is no longer active, or ctx has ended.
+// awaitTermEnd waits until the term is no longer active or ctx ends.
 func (d *Duties) awaitTermEnd(ctx context.Context, term Term) {
 	for ctx.Err() == nil && d.node.ActiveTerm() == term {
 		pause(ctx, activeCheckInterval)
@@ -141,18 +143,18 @@
 	duties.Go(func() { distributor.run(ctx) })
 }
 
-// continueRollout coordinates the rollout that is under way, if there is one, until it ends or ctx does.
+// continueRollout coordinates the rollout in progress, if any, until the rollout or ctx ends.
 func (d *Duties) continueRollout(ctx context.Context, store termStore) error {
-	folder := coordinator.Replicated(store)
-	record, isPresent, err := folder.Record()
+	records := coordinator.Replicated(store)
+	record, isPresent, err := records.Record()
 	if err != nil || !isPresent {
 		return err
 	}
-	if record.State.Phase.IsTerminal() && !hasRollbackRequest(folder, record) {
+	if record.State.Phase.IsTerminal() && !hasRollbackRequest(records, record) {
 		return nil
 	}
 	fleet := coordinator.NewFleetClient(d.fleet.Members, requestTimeout, requestTimeout)
-	rolloutCoordinator, err := coordinator.TakeOver(folder, fleet)
+	rolloutCoordinator, err := coordinator.TakeOver(records, fleet)
 	if err != nil {
 		return err
 	}
@@ -161,14 +163,15 @@
 	return rolloutCoordinator.Run(ctx)
 }
 
-// hasRollbackRequest reports whether an operator has asked to roll back a rollout that was stopped.
-func hasRollbackRequest(folder *coordinator.RecordStore, record coordinator.Record) bool {
-	request := folder.PendingRequest()
+// hasRollbackRequest reports whether an operator has requested to roll back a stopped rollout.
+func hasRollbackRequest(records *coordinator.RecordStore, record coordinator.Record) bool {
+	request := records.PendingRequest()
 	isNew := request.ID != "" && request.ID != record.LastRequestID
 	return isNew && request.Request == rollout.RequestRollback && record.State.Phase == rollout.PhaseStopped
 }
 
-// registerPoll makes the health watch aware of a duty that polls all members, until the returned function is called.
+// registerPoll registers a duty's fleet client, which polls all members, with the health watch until the returned
+// function is called.
 func (d *Duties) registerPoll(fleet *coordinator.FleetClient) (unregister func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/leader/duty_handlers.go
+++ b/internal/leader/duty_handlers.go
@@ -11,23 +11,24 @@
 	"swiftreel/internal/schema"
 )
 
-// Bounds of requests, in bytes.
+// Size limits of requests, in bytes.
 const (
 	maxChangeBytes = 4 << 20
 	maxActionBytes = 1024
 )
 
-// errPlanFile refuses a change whose plan is a file on the operator's machine.
+// errPlanFile rejects a change to a plan, because its file is on the operator's machine.
 var errPlanFile = errors.New("/kind: a plan's file is not on the leader's machine; use swiftreel rollout start")
 
-// RegisterHandlers adds what operators request of the leader: to begin a change, and to steer the one under way.
+// RegisterHandlers adds the handlers for operator requests to the leader: to start a change, and to control the rollout
+// in progress.
 func (d *Duties) RegisterHandlers(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/owner/change", d.onLeader(d.beginChange))
-	mux.HandleFunc("POST /v1/owner/wish", d.onLeader(d.requestAction))
+	mux.HandleFunc("POST /v1/owner/change", d.requireLeader(d.beginChange))
+	mux.HandleFunc("POST /v1/owner/wish", d.requireLeader(d.requestAction))
 }
 
-// onLeader refuses requests to a member that is not the active leader.
-func (d *Duties) onLeader(serve func(*http.Request, termStore) error) http.HandlerFunc {
+// requireLeader rejects requests to a member that is not the active leader.
+func (d *Duties) requireLeader(serve func(*http.Request, termStore) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		store := termStore{node: d.node, term: d.node.ActiveTerm()}
 		err := ErrNotLeader
@@ -42,7 +43,7 @@
 	}
 }
 
-// beginChange begins the rollout of a change.
+// beginChange starts the rollout of a change.
 func (d *Duties) beginChange(r *http.Request, store termStore) error {
 	var requested change.Change
 	if err := decodeRequest(r, maxChangeBytes, &requested); err != nil {
@@ -62,7 +63,7 @@
 	return coordinator.Begin(ctx, coordinator.Replicated(store), requested, fleet, false)
 }
 
-// requestAction records what an operator asks of the rollout under way.
+// requestAction records an operator request for the rollout in progress.
 func (d *Duties) requestAction(r *http.Request, store termStore) error {
 	var request coordinator.OperatorRequest
 	if err := decodeRequest(r, maxActionBytes, &request); err != nil {
--- a/internal/leader/errors.go
+++ b/internal/leader/errors.go
@@ -5,36 +5,36 @@
 	"fmt"
 )
 
-// Reasons for which a request to a member is refused.
+// Errors with which a member rejects a request.
 var (
-	// ErrNotLeader: the request needs the leader, and this member is not, or is handing over.
+	// ErrNotLeader means that the request must go to the leader, and this member is not it or is handing over.
 	ErrNotLeader = errors.New("this member is not the leader: swiftreel fleet leader shows which one is")
-	// ErrNotMember: the process belongs to no fleet yet, or its store has failed.
+	// ErrNotMember means that the process has not joined a fleet yet, or that its store has failed.
 	ErrNotMember = errors.New("this process is not an active member of a fleet")
-	// ErrAlreadyMember: a member cannot be bootstrapped again, except to recover the fleet.
+	// ErrAlreadyMember means that the process is a member already; it can be bootstrapped again only to recover the fleet.
 	ErrAlreadyMember = errors.New("already a member")
-	// ErrUnknownMember: no member has the given name.
+	// ErrUnknownMember means that no member has the given name.
 	ErrUnknownMember = errors.New("unknown member")
-	// ErrItemTooLarge: the value of an item exceeds maxItemBytes.
+	// ErrItemTooLarge means that the value of an item exceeds maxItemBytes.
 	ErrItemTooLarge = errors.New("item too large")
-	// ErrTooManyItems: the state holds maxItems items already.
+	// ErrTooManyItems means that the state already contains maxItems items.
 	ErrTooManyItems = errors.New("too many items")
-	// ErrProposalTimeout: the outcome of a proposal is unknown; it may still be committed later.
+	// ErrProposalTimeout means that the outcome of a proposal is unknown: it may still be committed later.
 	ErrProposalTimeout = errors.New("proposal not committed in time, it may still be")
-	// ErrClosed: the node was closed while the request was under way.
+	// ErrClosed means that the node was closed during the request.
 	ErrClosed = errors.New("node closed")
-	// ErrNoSuccessor: no other voter can take over the leadership.
+	// ErrNoSuccessor means that this member does not lead or that no other voter can take over the leadership.
 	ErrNoSuccessor = errors.New("this member is not the leader, or no other voter can take over")
 )
 
-// StaleTermError refuses a command whose term is not the one that is due.
+// StaleTermError rejects a command that does not carry the current term, or a claim of a term that is not newer.
 type StaleTermError struct {
 	Term    Term   // of the command
 	Current Term   // committed
 	Leader  string // of the current term
 }
 
-// Error describes both terms.
+// Error returns a description with both terms.
 func (e *StaleTermError) Error() string {
 	return fmt.Sprintf("term %d is not valid: %q leads term %d", e.Term, e.Leader, e.Current)
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -6,29 +6,29 @@
 	"testing"
 )
 
-// How much TestTimesWithoutALeader runs; make proof-owner runs more.
+// Extent of TestTimesWithoutALeader; make proof-owner runs more.
 var (
-	runs  = flag.Int("runs", 10, "leaders lost in each way")
-	hours = flag.Int("hours", 0, "of virtual time without faults")
+	runs  = flag.Int("runs", 10, "number of failovers for each kind of loss")
+	hours = flag.Int("hours", 0, "hours of virtual time without faults")
 )
 
-// Times without a leader, in virtual time, on links that lose 2 of 100 messages. make proof-owner prints what is
-// logged.
+// Measures how long the fleet is without a leader, in virtual time, on links that lose 2% of the messages. make
+// proof-owner prints the log lines of this test.
 func TestTimesWithoutALeader(t *testing.T) {
-	for _, way := range []string{"killed", "stopped", "cut off", "stepped down"} {
-		t.Run(way, func(t *testing.T) {
+	for _, lossKind := range []string{"killed", "stopped", "cut off", "stepped down"} {
+		t.Run(lossKind, func(t *testing.T) {
 			t.Parallel()
 			var gaps []int64 // ms
 			for seed := range uint64(*runs) {
-				if gap, isLost := failover(t, seed, way); isLost {
+				if gap, isLost := failover(t, seed, lossKind); isLost {
 					gaps = append(gaps, gap)
 				}
 			}
 			slices.Sort(gaps)
 			median, p99 := gaps[len(gaps)/2], gaps[len(gaps)*99/100]
-			t.Logf("owner %-12s %d times: median %4d ms, p99 %4d ms until another may act", way, len(gaps), median, p99)
-			if way == "stepped down" && median > 1000 || p99 > 8000 {
-				t.Errorf("%s: %d ms, %d ms", way, median, p99)
+			t.Logf("owner %-12s %d times: median %4d ms, p99 %4d ms until another may act", lossKind, len(gaps), median, p99)
+			if lossKind == "stepped down" && median > 1000 || p99 > 8000 {
+				t.Errorf("%s: %d ms, %d ms", lossKind, median, p99)
 			}
 		})
 	}
@@ -49,8 +49,9 @@
 	})
 }
 
-// failover loses a leader and returns the milliseconds until another one may act; false: it could not hand over.
-func failover(t *testing.T, seed uint64, way string) (gap int64, isLost bool) {
+// failover makes the fleet lose its leader, and returns the milliseconds until another member may act. It returns false
+// if the leader could not transfer the leadership.
+func failover(t *testing.T, seed uint64, lossKind string) (gap int64, isLost bool) {
 	t.Helper()
 	s := newSimulation(t, seed, 5)
 	s.start()
@@ -62,26 +63,26 @@
 	}
 	id := s.activeExcept(0)
 	startedAt := s.now
-	if !s.loseLeader(id, way) {
+	if !s.loseLeader(id, lossKind) {
 		return 0, false
 	}
 	excluded := id
-	if way == "stepped down" { // one that nobody could take over from may act again
+	if lossKind == "stepped down" { // if the transfer fails, the same member may act again
 		excluded = 0
 	}
 	for s.activeExcept(excluded) == 0 {
 		s.step()
 		if s.now > startedAt+60e9 {
-			t.Fatalf("%s, seed %d: nobody takes over", way, seed)
+			t.Fatalf("%s, seed %d: no other member takes over", lossKind, seed)
 		}
 	}
 	if s.violation != "" {
-		t.Fatalf("%s, seed %d: %s", way, seed, s.violation)
+		t.Fatalf("%s, seed %d: %s", lossKind, seed, s.violation)
 	}
 	return (s.now - startedAt) / 1e6, true
 }
 
-// activeExcept returns a running member other than the given one that may act, or 0.
+// activeExcept returns the ID of a running member, other than the excluded one, that may act, or 0.
 func (s *simulation) activeExcept(excluded uint64) uint64 {
 	for _, id := range s.ids {
 		m := s.members[id]
@@ -92,10 +93,10 @@
 	return 0
 }
 
-// loseLeader loses a leader in one way; false: it cannot hand over.
-func (s *simulation) loseLeader(id uint64, way string) bool {
+// loseLeader makes the fleet lose its leader. It returns false if the leader cannot transfer the leadership.
+func (s *simulation) loseLeader(id uint64, lossKind string) bool {
 	m := s.members[id]
-	switch way {
+	switch lossKind {
 	case "killed":
 		m.core = nil
 		m.downUntil = s.now + 60e9
--- a/internal/leader/fitness.go
+++ b/internal/leader/fitness.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// Health is what is known of a voter's ability to lead.
+// Health describes a voter's ability to lead.
 type Health struct {
 	Name             string
 	Reachable        bool
-	Serving          bool  // its own controller serves jobs
-	ReadyEngines     int   // that its controller sees
+	Serving          bool  // the voter's controller serves jobs
+	ReadyEngines     int   // as seen by the voter's controller
 	StalledTicks     int64 // since its process started
-	ReachableMembers int   // of Members; both 0: not known
+	ReachableMembers int   // of Members; both are 0 if unknown
 	Members          int
 }
 
-// When a leader hands over by itself. Times are in nanoseconds.
+// Parameters of automatic handovers. Times are in nanoseconds.
 const (
-	handoverDelay          = int64(3e9)   // it must have been unfit for this long
-	initialHandoverBackoff = int64(30e9)  // until the same process hands over again, doubled each time
+	handoverDelay          = int64(3e9)   // a leader must have been unfit for this long
+	initialHandoverBackoff = int64(30e9)  // before the same process hands over again; doubled each time
 	maxHandoverBackoff     = int64(960e9) // upper bound of the backoff
 	maxBackoffDoublings    = 10
 	maxStalls              = 3 // within stallWindow
 	stallWindow            = int64(10e9)
 )
 
-// unfitReason returns why a voter should not lead, or "". Without a serving controller of its own, a leader cannot
-// tell what state the fleet is in.
+// unfitReason returns the reason why a voter should not lead, or "". A leader needs a serving controller of its own to
+// know the state of the fleet.
 func (h Health) unfitReason() string {
 	switch {
 	case !h.Reachable:
@@ -41,23 +41,23 @@
 
 // Handover names the voter that should lead instead, and why.
 type Handover struct {
-	Successor string // "": no handover
+	Successor string // empty if there is no handover
 	Reason    string
 }
 
-// FitnessMonitor decides when a leader hands over by itself. It belongs to a process and outlives its terms, so that
-// two equally unfit voters do not hand over to each other again and again. It is free of I/O and clock, and not safe
-// for concurrent use.
+// FitnessMonitor decides when a leader hands over automatically. A process uses one monitor across all its terms, so
+// that the backoff keeps two equally unfit voters from handing over to each other repeatedly. It is free of I/O and
+// clock, and not safe for concurrent use.
 type FitnessMonitor struct {
-	unfitSince    int64 // 0: fit
+	unfitSince    int64 // 0 if fit
 	handoverAt    int64
 	handovers     int
 	stallTimes    []int64 // within stallWindow
 	countedStalls int64
 }
 
-// Evaluate takes in the leader's own health and that of the other voters at a time in nanoseconds. It asks for a
-// handover only if the leader has been unfit for a while and another voter is fit.
+// Evaluate processes the health of the leader and of the other voters at a time in nanoseconds. It returns a handover
+// only if the leader has been unfit for handoverDelay and another voter is fit.
 func (f *FitnessMonitor) Evaluate(now int64, own Health, others []Health) Handover {
 	f.recordStalls(now, own.StalledTicks)
 	reason := own.unfitReason()
--- a/internal/leader/fitness_test.go
+++ b/internal/leader/fitness_test.go
@@ -31,7 +31,7 @@
 		t.Run(reason, func(t *testing.T) {
 			var monitor FitnessMonitor
 			if got := monitor.Evaluate(1e9, own, others); got.Successor != "" {
-				t.Errorf("at once to %s", got.Successor)
+				t.Errorf("handed over to %s without a delay", got.Successor)
 			}
 			if got := monitor.Evaluate(1e9+handoverDelay, own, others); got != (Handover{Successor: "d", Reason: reason}) {
 				t.Errorf("%+v", got)
@@ -61,7 +61,7 @@
 	for now := int64(1e9); now < 60e9; now += 5e9 {
 		own.StalledTicks++
 		if got := monitor.Evaluate(now, own, others); got.Successor != "" {
-			t.Fatalf("one stall in 5 s: to %s", got.Successor)
+			t.Fatalf("handed over to %s with one stall in 5 s", got.Successor)
 		}
 	}
 	for now := int64(60e9); now < 70e9; now += 1e9 {
@@ -70,10 +70,10 @@
 			return
 		}
 	}
-	t.Error("a stall a second, and it stays")
+	t.Error("no handover with one stall per second")
 }
 
-// Voters whose health comes and goes at random hand over seldom: an hour, and all of them unfit half of the time.
+// Three voters become unfit and fit again at random for an hour, each unfit half of the time. Handovers must be rare.
 func TestVotersThatAreUnfitInTurnsDoNotHandBackAndForth(t *testing.T) {
 	const interval = int64(5e8)
 	random := rand.New(rand.NewPCG(5, 5))
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -25,12 +25,12 @@
 	"swiftreel/internal/quota"
 )
 
-// The files in testdata were written by the program as it stood at commit 70e2e4b. The tests below read them, so that
-// a change of a Go name cannot change what is stored or sent. With -record a file that is not there yet is written.
+// The files in testdata were written by the version at commit 70e2e4b. The tests below read them to ensure that
+// renaming Go identifiers does not change the stored or transmitted encodings. With -record a missing file is written.
 
 const statePath = "testdata/agreed.json"
 
-// fixtureFolder returns a copy of the recorded members' files.
+// fixtureFolder returns a folder with a copy of the recorded members' files.
 func fixtureFolder(t *testing.T) string {
 	t.Helper()
 	if golden.Missing(statePath) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// fixtureState returns the replicated state that the recorded files hold.
+// fixtureState returns the replicated state of the recorded files.
 func fixtureState(t *testing.T) State {
 	t.Helper()
 	text, err := os.ReadFile(statePath)
@@ -77,7 +77,7 @@
 	return state
 }
 
-// describe writes all of a member's persistent state as text.
+// describe returns a complete textual description of a member's persistent state.
 func describe(persistent PersistentState) []byte {
 	var b bytes.Buffer
 	hard, metadata := persistent.HardState, persistent.Snapshot.GetMetadata()
@@ -104,16 +104,16 @@
 			persistent := loadStore(t, path)
 			golden.Check(t, name+".disk.txt", describe(persistent))
 			if len(persistent.Entries) == 0 || len(persistent.Snapshot.GetData()) == 0 {
-				t.Errorf("%d entries, a snapshot of %d bytes: it shows nothing",
+				t.Errorf("%d entries, a snapshot of %d bytes: the fixture must have both",
 					len(persistent.Entries), len(persistent.Snapshot.GetData()))
 			}
 			copyPath := filepath.Join(folder, name+"-copy.db")
 			writeStore(t, copyPath, persistent)
 			if got := loadStore(t, copyPath); !bytes.Equal(describe(got), describe(persistent)) {
-				t.Errorf("written again it reads as\n%s", describe(got))
+				t.Errorf("state differs after writing and reading it:\n%s", describe(got))
 			}
 			if got, want := storeKeys(t, copyPath), storeKeys(t, path); got != want {
-				t.Errorf("keys %s, wanted %s", got, want)
+				t.Errorf("got keys %s, want %s", got, want)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// storeKeys returns the buckets of a file and their keys; those of entries are numbers.
+// storeKeys returns all keys of a file with their buckets. Keys of entries are shown as length and number.
 func storeKeys(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, ReadOnly: true})
@@ -175,8 +175,8 @@
 	return strings.Join(keys, " ")
 }
 
-// The recorded folder is opened by this program: the fleet agrees on a leader of a later term, with nothing lost, and
-// what is written then is there after another start.
+// A fleet started from the recorded files must elect a leader with a later term and lose no data, and items written
+// then must survive another restart.
 func TestAFleetGoesOnFromFilesOfAnEarlierProgram(t *testing.T) {
 	folder := fixtureFolder(t)
 	recorded := fixtureState(t)
@@ -212,8 +212,8 @@
 	}
 }
 
-// The leader's duties go on from the recorded folder: its plan is assigned with its text, and shares within its
-// record.
+// The leader's duties resume from the recorded files: members are assigned the recorded plan with its text, and shares
+// within the recorded limits.
 func TestDutiesGoOnFromFilesOfAnEarlierProgram(t *testing.T) {
 	const lifetimeMS = 600_000
 	folder := fixtureFolder(t)
@@ -233,13 +233,13 @@
 		var second map[string]any
 		err := json.Unmarshal(fake.acceptedTexts()[1], &second)
 		if err != nil || second["plan"] == nil {
-			t.Errorf("the second assignment of %s has no plan: %v, %v", name, second, err)
+			t.Errorf("second assignment of %s has no plan: %v, %v", name, second, err)
 		}
 	}
 	planned := checkRecordedItems(t, recorded)
 	until := fakeClock + lifetimeMS*nsPerMS
 	for _, name := range fixtureNames {
-		held := f.supervisors[name].held()
+		held := f.supervisors[name].currentAssignment()
 		isRecordedPlan := held.Plan == planned && held.Plan == change.JSONDigest(held.PlanText)
 		if !isRecordedPlan || held.PlanUntil != until || held.SharesUntil != until {
 			t.Errorf("%s holds %+v, the plan is %s", name, held, planned)
@@ -253,8 +253,8 @@
 	}
 }
 
-// checkFirstAssignment compares a member's first assignment with the one recorded. Which member leads, under which
-// term, and how many assignments it made before, depends on the run.
+// checkFirstAssignment compares a member's first assignment with the recorded one. The leader, its term and the
+// sequence number depend on the run and are not compared.
 func checkFirstAssignment(t *testing.T, name string, text []byte, recorded Term) {
 	t.Helper()
 	var fields map[string]any
@@ -277,7 +277,7 @@
 	golden.Check(t, "word-"+name+".json", append(normalized, '\n'))
 }
 
-// checkRecordedItems checks that the recorded plan and shares are what the test needs, and returns the plan's digest.
+// checkRecordedItems checks that the recorded plan and shares suit the test, and returns the plan's digest.
 func checkRecordedItems(t *testing.T, recorded State) change.Digest {
 	t.Helper()
 	var planned planRecord
@@ -286,14 +286,14 @@
 	}
 	isNumbered := planned.Term != 0 && planned.Sequence != 0
 	if len(planned.Answer.Steps) == 0 || change.JSONDigest(planned.Answer) != planned.Digest || !isNumbered {
-		t.Errorf("the recorded plan shows nothing: %+v", planned)
+		t.Errorf("the recorded plan does not suit the test: %+v", planned)
 	}
 	var shares quota.Record
 	if err := json.Unmarshal(recorded.Items[quotaItem], &shares); err != nil {
 		t.Fatal(err)
 	}
 	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.Fleet] <= shares.Limits["v3"][quota.Fleet] {
-		t.Errorf("the recorded shares show nothing: %+v", shares)
+		t.Errorf("the recorded shares do not suit the test: %+v", shares)
 	}
 	return planned.Digest
 }
--- a/internal/leader/forms_test.go
+++ b/internal/leader/forms_test.go
@@ -9,9 +9,9 @@
 	"swiftreel/internal/solve"
 )
 
-// What is written into the log, into snapshots and into the replicated state, to the byte, and that it is read as it
-// was written.
-func TestTheFormsOfWhatIsStoredStay(t *testing.T) {
+// The encodings of log entries, snapshots and replicated items match the recorded ones byte for byte, and decoding them
+// loses nothing.
+func TestStoredEncodingStaysCompatible(t *testing.T) {
 	var got bytes.Buffer
 	put := func(written, read any) {
 		t.Helper()
@@ -25,7 +25,7 @@
 		}
 		again, err := json.Marshal(read)
 		if err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s is read as %s, %v", text, again, err)
+			t.Errorf("%s is decoded as %s, %v", text, again, err)
 		}
 	}
 	put(Command{ID: 3, Proposer: 7, Term: 5, Candidate: "v1"}, &Command{})
--- a/internal/leader/handlers.go
+++ b/internal/leader/handlers.go
@@ -7,13 +7,13 @@
 	"net/http"
 )
 
-// Bounds of requests, in bytes.
+// Size limits of requests, in bytes.
 const (
 	maxBootstrapBytes = 2 * maxItems * maxItemBytes
 	maxRequestBytes   = 1 << 16
 )
 
-// RegisterHandlers adds what other members and operators request of a member.
+// RegisterHandlers adds the handlers for requests from other members and operators.
 func (n *Node) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+messagePath, n.serveMessage)
 	mux.HandleFunc("GET /v1/owner", func(w http.ResponseWriter, _ *http.Request) { n.replyStatus(w, nil) })
@@ -25,18 +25,18 @@
 	mux.HandleFunc("POST /v1/owner/step-down", n.serveStepDown)
 }
 
-// replyStatus replies with the member's status, or with the reason why the request was refused.
+// replyStatus replies with the member's status, or with err as the reason why the request was rejected.
 func (n *Node) replyStatus(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(n.Status()) // the client has gone
+	_ = json.NewEncoder(w).Encode(n.Status()) // fails only if the client has disconnected
 }
 
 func (n *Node) serveState(w http.ResponseWriter, _ *http.Request) {
-	_, _ = w.Write(n.encodedState()) // the client has gone
+	_, _ = w.Write(n.encodedState()) // fails only if the client has disconnected
 }
 
 func (n *Node) encodedState() []byte {
@@ -55,7 +55,7 @@
 		http.Error(w, "no such item", http.StatusNotFound)
 		return
 	}
-	_, _ = w.Write(value) // the client has gone
+	_, _ = w.Write(value) // fails only if the client has disconnected
 }
 
 func (n *Node) serveBootstrap(w http.ResponseWriter, r *http.Request) {
@@ -68,7 +68,7 @@
 }
 
 func (n *Node) serveJoin(w http.ResponseWriter, r *http.Request) {
-	var request bootstrapRequest // only its members count
+	var request bootstrapRequest // only Members is used
 	err := decodeRequest(r, maxRequestBytes, &request)
 	for id, name := range request.Members {
 		if err == nil {
@@ -94,7 +94,7 @@
 	n.replyStatus(w, err)
 }
 
-// updateMembers calls the core; it returns ErrNotMember if the call is not made.
+// updateMembers calls the core. It returns ErrNotMember if the process is not an active member.
 func (n *Node) updateMembers(call func(*Core) (Output, error)) error {
 	err := ErrNotMember
 	n.update(func(c *Core) Output {
--- a/internal/leader/handlers_test.go
+++ b/internal/leader/handlers_test.go
@@ -15,14 +15,14 @@
 	"swiftreel/internal/operator"
 )
 
-// testMember is a member whose handlers are called without a network.
+// testMember is a member whose handlers are called directly, without a network.
 type testMember struct {
 	t    *testing.T
 	node *Node
 	mux  *http.ServeMux
 }
 
-// ownAddresses is the address book of a member that is alone.
+// ownAddresses contains only the member's own address.
 var ownAddresses = map[string]string{"v1": "127.0.0.1:1"}
 
 func newTestMember(t *testing.T, addresses map[string]string) *testMember {
@@ -43,14 +43,14 @@
 	return m
 }
 
-// call fails the test unless the reply has the given status code, and returns its body.
+// call sends a request, fails the test unless the reply has the given status code, and returns the reply's body.
 func (m *testMember) call(method, path, body string, code int) string {
 	m.t.Helper()
 	w := httptest.NewRecorder()
 	m.mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	reply := w.Body.String()
 	if w.Code != code {
-		m.t.Errorf("%s %s %s: %d %s, wanted %d", method, path, body, w.Code, reply, code)
+		m.t.Errorf("%s %s %s: got %d %s, want %d", method, path, body, w.Code, reply, code)
 	}
 	contentType := w.Header().Get("Content-Type")
 	isStatus := w.Code == http.StatusOK && strings.HasPrefix(reply, `{"name"`)
@@ -59,7 +59,7 @@
 	}
 	hasReason := strings.TrimSpace(reply) != "" && contentType == "text/plain; charset=utf-8"
 	if w.Code >= http.StatusBadRequest && !hasReason {
-		m.t.Errorf("%s %s: refused without a reason in text: %s %q", method, path, contentType, reply)
+		m.t.Errorf("%s %s: rejected without a reason as plain text: %s %q", method, path, contentType, reply)
 	}
 	return reply
 }
@@ -76,38 +76,38 @@
 
 func (m *testMember) awaitActive() {
 	m.t.Helper()
-	await(m.t, "it acts as leader", func() bool { return m.node.ActiveTerm() != 0 })
+	await(m.t, "the member acts as leader", func() bool { return m.node.ActiveTerm() != 0 })
 }
 
-// planChange is a change that names a file on the operator's machine.
+// planChange is a change of kind plan, which refers to a file on the operator's machine.
 const planChange = `{"number":1,"kind":"plan","to":{"plan":"x"},"stages":[{"per_mille":1000}],"pace":{"look_ms":1}}`
 
-// Each body that a member replies with, to the byte.
-func TestTheBodiesOfRepliesStay(t *testing.T) {
+// All reply bodies of a member match the recorded ones byte for byte.
+func TestReplyBodiesStayCompatible(t *testing.T) {
 	m := newTestMember(t, ownAddresses)
 	var got bytes.Buffer
-	tell := func(what, body string) { got.WriteString(what + "\n" + body + "\n") }
-	tell("of no fleet", m.get("/v1/owner", http.StatusOK))
-	tell("agreed, of no fleet", m.get("/v1/owner/agreed", http.StatusOK))
-	tell("founded", m.post("/v1/owner/found", `{"id":7,"names":{"7":"v1"}}`, http.StatusOK))
+	record := func(what, body string) { got.WriteString(what + "\n" + body + "\n") }
+	record("of no fleet", m.get("/v1/owner", http.StatusOK))
+	record("agreed, of no fleet", m.get("/v1/owner/agreed", http.StatusOK))
+	record("founded", m.post("/v1/owner/found", `{"id":7,"names":{"7":"v1"}}`, http.StatusOK))
 	m.awaitActive()
-	tell("it owns", m.get("/v1/owner", http.StatusOK))
+	record("it owns", m.get("/v1/owner", http.StatusOK))
 	if err := m.node.Propose(m.node.ActiveTerm(), "some.json", []byte(`{"a":1}`)); err != nil {
 		t.Fatal(err)
 	}
-	tell("agreed", m.get("/v1/owner/agreed", http.StatusOK))
-	tell("item", m.get("/v1/owner/item?name=some.json", http.StatusOK))
-	tell("join of nobody", m.post("/v1/owner/join", `{}`, http.StatusOK))
+	record("agreed", m.get("/v1/owner/agreed", http.StatusOK))
+	record("item", m.get("/v1/owner/item?name=some.json", http.StatusOK))
+	record("join of nobody", m.post("/v1/owner/join", `{}`, http.StatusOK))
 	recovery := `{"id":9,"names":{"9":"v1"},"again":true,` +
 		`"kept":{"reign":2,"owner":"v1","items":{"x":"eHl6"},"seq":{"x":3},"names":{"7":"v1"}},"term":5}`
-	tell("begun again", m.post("/v1/owner/found", recovery, http.StatusOK))
+	record("begun again", m.post("/v1/owner/found", recovery, http.StatusOK))
 	m.awaitActive()
-	tell("agreed after that", m.get("/v1/owner/agreed", http.StatusOK))
+	record("agreed after that", m.get("/v1/owner/agreed", http.StatusOK))
 	m.node.mu.Lock()
 	m.node.storeError = errors.New("no space left")
-	m.node.resumeAt = math.MaxInt64 // its disk stays so
+	m.node.resumeAt = math.MaxInt64 // the store is never retried
 	m.node.mu.Unlock()
-	tell("its disk failed", m.get("/v1/owner", http.StatusOK))
+	record("its disk failed", m.get("/v1/owner", http.StatusOK))
 	golden.Check(t, "bodies.txt", got.Bytes())
 }
 
@@ -150,19 +150,19 @@
 	m.post("/v1/owner/message", strings.Repeat("x", maxMessageBytes+1), http.StatusUnprocessableEntity)
 }
 
-func TestAWishIsReplicated(t *testing.T) {
+func TestAnOperatorRequestIsReplicated(t *testing.T) {
 	m := newTestMember(t, ownAddresses)
 	m.post("/v1/owner/found", `{"id":7,"names":{"7":"v1"}}`, http.StatusOK)
 	m.awaitActive()
 	if body := m.post("/v1/owner/wish", `{"ask":"pause"}`, http.StatusNoContent); body != "" {
 		t.Error(body)
 	}
-	var wish struct {
+	var request struct {
 		ID  string `json:"id"`
 		Ask string `json:"ask"`
 	}
-	err := json.Unmarshal([]byte(m.get("/v1/owner/item?name=ask.json", http.StatusOK)), &wish)
-	if err != nil || wish.Ask != "pause" || len(wish.ID) != 16 {
-		t.Errorf("%+v %v", wish, err)
+	err := json.Unmarshal([]byte(m.get("/v1/owner/item?name=ask.json", http.StatusOK)), &request)
+	if err != nil || request.Ask != "pause" || len(request.ID) != 16 {
+		t.Errorf("%+v %v", request, err)
 	}
 }
--- a/internal/leader/health_watch.go
+++ b/internal/leader/health_watch.go
@@ -10,18 +10,18 @@
 	"swiftreel/internal/operator"
 )
 
-// healthInterval is the time between two polls of the voters' health.
+// healthInterval is the pause between two polls of the voters' health.
 const healthInterval = 500 * time.Millisecond
 
-// healthWatch polls the voters' supervisors and remembers when each last replied.
+// healthWatch polls the voters' supervisors and records when each one last replied.
 type healthWatch struct {
 	fleet     *coordinator.FleetClient
-	repliedAt []time.Time // by the voter's index
+	repliedAt []time.Time // by voter index
 	latest    []Health
 }
 
-// watchHealth hands the leadership over where another voter is fitter, until ctx ends. It polls the voters only; how
-// many of all members are reachable it learns from the duties that poll all of them.
+// watchHealth transfers the leadership when this member is unfit and another voter is fit, until ctx ends. It polls
+// only the voters; the number of reachable members comes from the duties that poll all members.
 func (d *Duties) watchHealth(ctx context.Context, term Term) {
 	watch := d.newHealthWatch()
 	for ctx.Err() == nil {
@@ -53,7 +53,8 @@
 	}
 }
 
-// poll asks all voters once. One that does not answer counts as reachable until requestTimeout after its last answer.
+// poll polls all voters once. A voter that does not reply counts as reachable until requestTimeout after its last
+// reply.
 func (w *healthWatch) poll(ctx context.Context) {
 	now := time.Now()
 	for i, answer := range w.fleet.Poll(ctx) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// split returns the health of the voter of that name, and that of all others.
+// split returns the health of the voter with the given name, and that of all other voters.
 func (w *healthWatch) split(name string) (own Health, others []Health) {
 	for _, health := range w.latest {
 		if health.Name == name {
@@ -78,8 +79,8 @@
 	return own, others
 }
 
-// reachableMembers returns the worst figure of all duties that poll the members: how many replied, of how many; 0 of
-// 0 if no duty has polled yet.
+// reachableMembers returns how many of the members replied to the latest poll, as the lowest count of all duties that
+// poll them. Both results are 0 if no duty has polled yet.
 func (d *Duties) reachableMembers() (reachable, members int) {
 	for _, poll := range d.activePolls() {
 		n, of := poll.Answered()
--- a/internal/leader/history_test.go
+++ b/internal/leader/history_test.go
@@ -9,11 +9,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// register is a replicated item: leaders write it, and who may act reads it.
+// register models a replicated item that active leaders write and read.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		if in := input.(string); in != "" { // a write, which may have had no effect if its outcome is unknown
+		if in := input.(string); in != "" { // a write; if its outcome is unknown, it may have had no effect
 			return true, in
 		}
 		return state == output, state
@@ -21,7 +21,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// historyRecorder records what the members of a simulation write and read.
+// historyRecorder records the reads and writes of the members of a simulation.
 type historyRecorder struct {
 	simulation *simulation
 	operations []porcupine.Operation
@@ -39,15 +39,15 @@
 		return
 	}
 	delete(h.open, value)
-	if result.Err != nil { // it had no effect, for certain
+	if result.Err != nil { // the write certainly had no effect
 		h.operations[i].Input = nil
 		return
 	}
 	h.operations[i].Return = h.simulation.now*1000 + 500
 }
 
-// onActive reads and writes at random, and always reads as a member that was not active a step before: one that wakes
-// up after a stall may act on what it knew.
+// onActive reads and writes at random. It always reads if the member was not active in the previous step, because a
+// member that resumes after a stall may act on outdated state.
 func (h *historyRecorder) onActive(id uint64, m *simulatedMember) {
 	wasActive := h.activeAt[id] == h.simulation.now-simulationStep
 	h.activeAt[id] = h.simulation.now
@@ -91,7 +91,7 @@
 	})
 }
 
-// isLinearizable runs a simulation with faults and reports whether its reads and writes have an order in time.
+// isLinearizable runs a simulation with faults and reports whether its history of reads and writes is linearizable.
 func isLinearizable(t *testing.T, seed uint64, inject func(*simulation)) bool {
 	t.Helper()
 	s := newSimulation(t, seed, 3)
@@ -102,11 +102,11 @@
 	s.onActive = history.onActive
 	for s.now < 20e9 {
 		s.step()
-		s.disturb()
+		s.injectFault()
 	}
 	operations := slices.DeleteFunc(history.operations, func(o porcupine.Operation) bool { return o.Input == nil })
 	if len(operations) < 20 {
-		return true // faults from end to end
+		return true // too few operations, as faults lasted for most of the run
 	}
 	return porcupine.CheckOperationsTimeout(register, operations, 20*time.Second) != porcupine.Illegal
 }
@@ -122,5 +122,5 @@
 			return
 		}
 	}
-	t.Error("without the lease no history is out of order: the check sees nothing")
+	t.Error("no violation is detected without the lease")
 }
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -11,12 +11,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxLearnerLag is by how many entries a learner may lag when it is made a voter.
+// maxLearnerLag is the maximum number of entries by which a learner may lag when it is promoted to a voter.
 const maxLearnerLag = 8
 
-// TransferLeadership stops this member from acting at once, and then hands the leadership over to the voter of that
-// name, or, with an empty name, to the one whose log is most complete. It reports false if there is none to hand over
-// to.
+// TransferLeadership stops this member from acting as leader at once and starts the transfer of the leadership to the
+// voter with the given name or, if the name is empty, to the voter with the most complete log. It returns false if this
+// member does not lead or there is no such voter.
 func (c *Core) TransferLeadership(name string) (Output, bool) {
 	if !c.isLeader() {
 		return Output{}, false
@@ -31,8 +31,8 @@
 	return c.collectOutput(), true
 }
 
-// successor returns the active voter with the most complete log, of the given name if it is not empty; 0: there is
-// none.
+// successor returns the ID of the active voter with the most complete log, only considering the given name if it is not
+// empty. It returns 0 if there is none.
 func (c *Core) successor(name string) uint64 {
 	var best, bestMatch uint64
 	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
@@ -50,7 +50,7 @@
 	return best
 }
 
-// RemoveMember removes a member that is gone for good, without a replacement.
+// RemoveMember permanently removes a member without replacing it.
 func (c *Core) RemoveMember(name string) (Output, error) {
 	if !c.isLeader() {
 		return Output{}, ErrNotLeader
@@ -61,7 +61,7 @@
 			continue
 		}
 		if id == c.id {
-			return Output{}, fmt.Errorf("%s is the leader: transfer the leadership first", name)
+			return Output{}, fmt.Errorf("%s is the leader; transfer the leadership first", name)
 		}
 		addChange(change, raftpb.ConfChangeRemoveNode, id)
 	}
@@ -72,8 +72,9 @@
 	return c.collectOutput(), err
 }
 
-// AddMember adds a member under a new ID, in place of one of the same name that has lost its store. It is to be
-// called until the new member votes: the member learns first, and is made a voter once its log has caught up.
+// AddMember adds a member under a new ID. It replaces a member of the same name that has lost its store. The member is
+// first added as a learner, and a later call promotes it once its log has caught up, so AddMember must be called until
+// the new member is a voter.
 func (c *Core) AddMember(id uint64, name string) (Output, error) {
 	if !c.isLeader() {
 		return Output{}, ErrNotLeader
@@ -95,7 +96,7 @@
 	return c.collectOutput(), err
 }
 
-// promote makes a learner a voter, in place of the earlier voters of its name.
+// promote adds the changes that make a learner a voter and remove earlier voters of the same name.
 func (c *Core) promote(change *raftpb.ConfChangeV2, id uint64, name string) {
 	addChange(change, raftpb.ConfChangeAddNode, id)
 	for other, otherName := range c.state.Members {
@@ -105,7 +106,7 @@
 	}
 }
 
-// hasCaughtUp reports whether a member is a learner whose log is nearly complete.
+// hasCaughtUp reports whether a member is a learner that lags by at most maxLearnerLag entries.
 func (c *Core) hasCaughtUp(id uint64) bool {
 	isCaughtUp := false
 	c.rawNode.WithProgress(func(member uint64, _ raft.ProgressType, progress tracker.Progress) {
@@ -120,14 +121,14 @@
 	change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id})
 }
 
-// applyMembershipChange applies a committed change of members and drops the names of those that have left.
+// applyMembershipChange applies a committed membership change and deletes the names of removed members.
 func (c *Core) applyMembershipChange(entry *raftpb.Entry) {
 	change, err := decodeMembershipChange(entry)
 	if err != nil {
 		return
 	}
 	var names map[uint64]string
-	_ = json.Unmarshal(change.Context, &names) // a removal carries no names
+	_ = json.Unmarshal(change.Context, &names) // a removal has no names
 	for id, name := range names {
 		c.state.Members[id] = name
 	}
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestALostSnapshotIsSentAgain(t *testing.T) {
-	for _, kind := range []raftpb.MessageType{raftpb.MsgSnap, raftpb.MsgAppResp} { // it, or the confirmation
+	for _, kind := range []raftpb.MessageType{raftpb.MsgSnap, raftpb.MsgAppResp} { // the snapshot, or its confirmation
 		t.Run(kind.String(), func(t *testing.T) {
 			s := newSimulation(t, 2, 3)
 			s.lossPercent = 0
@@ -28,7 +28,7 @@
 			}
 			testReplacement(t, s)
 			if lost < 3 {
-				t.Errorf("%d were lost, so that it shows nothing", lost)
+				t.Errorf("only %d messages were lost", lost)
 			}
 		})
 	}
@@ -36,7 +36,7 @@
 
 const newMemberID = uint64(9)
 
-// testReplacement replaces a follower that has lost its store, and waits until the new member votes in its place.
+// testReplacement replaces a follower that has lost its store, and waits until the new member is a voter in its place.
 func testReplacement(t *testing.T, s *simulation) {
 	t.Helper()
 	s.start()
@@ -48,7 +48,7 @@
 	name := nameOf(former)
 	added := s.members[newMemberID]
 	for end := s.now + 20e9; s.now < end; {
-		s.addNowAndThen(newMemberID, name)
+		s.addMemberOccasionally(newMemberID, name)
 		s.step()
 		leader := s.activeLeader()
 		if leader == nil || len(added.core.Voters()) != 3 {
@@ -59,18 +59,19 @@
 			continue
 		}
 		if added.core.state.Term != leader.state.Term {
-			t.Error("it does not know the state")
+			t.Error("the new member has not received the state")
 		}
 		if s.violation != "" {
 			t.Error(s.violation)
 		}
 		return
 	}
-	t.Fatalf("it does not become a voter: %v", added.core.Voters())
+	t.Fatalf("the new member does not become a voter: %v", added.core.Voters())
 }
 
-// addNowAndThen has the leader, if there is one, asked to add a member, as an operator repeats it.
-func (s *simulation) addNowAndThen(id uint64, name string) {
+// addMemberOccasionally asks the leader to add a member, in a small random fraction of its calls, as an operator would
+// retry it.
+func (s *simulation) addMemberOccasionally(id uint64, name string) {
 	leader := s.activeLeader()
 	if leader == nil || s.random.IntN(20) != 0 {
 		return
@@ -81,14 +82,14 @@
 	}
 }
 
-// Of five members one is removed, and the others lose their stores one by one and return under new IDs.
+// One of five members is removed. Then the others lose their stores one by one and rejoin under new IDs.
 func TestMembersAreRemovedAndReplacedOneByOne(t *testing.T) {
 	s := newSimulation(t, 11, 5)
 	s.start()
 	removed := uint64(1)
 	if leader := s.awaitLeader(60e9); leader.id == removed {
 		if _, err := leader.RemoveMember(nameOf(removed)); err == nil {
-			t.Error("a leader removes itself")
+			t.Error("the leader can remove itself")
 		}
 		removed = 2
 	}
@@ -103,7 +104,7 @@
 	}
 }
 
-// awaitRemoval has the leader asked to remove a member until it is not one any more.
+// awaitRemoval asks the leader to remove a member until it is no longer a voter.
 func (s *simulation) awaitRemoval(removed uint64) {
 	s.t.Helper()
 	for end := s.now + 60e9; s.now < end; s.step() {
@@ -121,13 +122,13 @@
 	s.t.Fatalf("%s is not removed", nameOf(removed))
 }
 
-// awaitReplacement replaces a member, and waits until the new one votes in its place.
+// awaitReplacement replaces a member, and waits until the new member is a voter in its place.
 func (s *simulation) awaitReplacement(former, id uint64) {
 	s.t.Helper()
 	s.replaceMember(former, id)
 	added := s.members[id]
 	for end := s.now + 60e9; s.now < end; s.step() {
-		s.addNowAndThen(id, nameOf(former))
+		s.addMemberOccasionally(id, nameOf(former))
 		leader := s.activeLeader()
 		if leader == nil {
 			continue
@@ -138,5 +139,5 @@
 			return
 		}
 	}
-	s.t.Fatalf("%s does not return", nameOf(former))
+	s.t.Fatalf("%s is not replaced", nameOf(former))
 }
--- a/internal/leader/node.go
+++ b/internal/leader/node.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// stallsPerLease: a tick that comes later than this part of a lease counts as a stall.
-	stallsPerLease = 4
-	// proposeTimeout is for how long Node.Propose waits for the outcome.
+	// stallLeaseDivisor defines a stall: a tick that comes later than the lease divided by this number.
+	stallLeaseDivisor = 4
+	// proposeTimeout is how long Node.Propose waits for the outcome.
 	proposeTimeout = 3 * time.Second
 )
 
-// Node runs a member in a process: its Core, its Store, its clock and its links. All methods are safe for concurrent
-// use.
+// Node runs a member in a process: its Core, Store and clock, and the connections to other members. All methods are
+// safe for concurrent use.
 type Node struct {
 	name      string
-	addresses map[string]string // of members' supervisors, by name
+	addresses map[string]string // of the members' supervisors, by name
 	store     *Store
 	timing    Timing
 	client    http.Client
 	startedAt time.Time
 	closed    chan struct{}
-	senders   sync.WaitGroup // the ticker and one sender per member; they end when closed is closed
+	workers   sync.WaitGroup // the ticker and one sender per member; they stop when closed is closed
 
 	mu              sync.Mutex
-	core            *Core // nil: not a member of any fleet yet
-	storeError      error // the store failed: the node sends nothing until it works again; nil: it works
-	resumeAt        int64 // when the store is tried again
+	core            *Core // nil until the process is a member of a fleet
+	storeError      error // why the store failed; the node is halted until it works again and this is nil
+	resumeAt        int64 // when to retry the store
 	stalledTicks    int64
 	lastTick        int64
 	lastCommandID   uint64
 	pending         map[uint64]chan<- error // callers of Propose, by command ID
 	sendQueues      map[string]chan []byte  // by member name
-	unlistedSenders map[uint64]string       // by ID, while the state lists no members: a joining one must reply
+	unlistedSenders map[uint64]string       // names by ID, to reply while joining, when the state lists no members
 }
 
-// Open starts a member on its file. addresses are those of the members' supervisors, by name.
+// Open starts a member from its store at path. addresses holds the addresses of the members' supervisors, by name.
 func Open(name, path string, addresses map[string]string, timing Timing) (*Node, error) {
 	store, err := OpenStore(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 		_ = store.Close() // the first error is the cause
 		return nil, err
 	}
-	n.senders.Go(n.runTicker)
+	n.workers.Go(n.runTicker)
 	return n, nil
 }
 
@@ -79,11 +79,11 @@
 	return err
 }
 
-// Close stops the node and closes its file.
+// Close stops the node and closes its store.
 func (n *Node) Close() {
 	close(n.closed)
-	n.senders.Wait()
-	n.mu.Lock() // requests of other members may still be under way
+	n.workers.Wait()
+	n.mu.Lock() // requests of other members may still be in progress
 	defer n.mu.Unlock()
 	if err := n.store.Close(); err != nil {
 		slog.Warn("leader_store_not_closed", "reason", err)
@@ -111,20 +111,20 @@
 func (n *Node) countStall(now int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lastTick != 0 && now-n.lastTick > n.timing.Lease/stallsPerLease {
+	if n.lastTick != 0 && now-n.lastTick > n.timing.Lease/stallLeaseDivisor {
 		n.stalledTicks++
 	}
 	n.lastTick = now
 }
 
-// StalledTicks returns how many ticks came so late that the lease suffered from it.
+// StalledTicks returns the number of ticks that were late enough to endanger the lease.
 func (n *Node) StalledTicks() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stalledTicks
 }
 
-// update calls the core, persists its output, and only then sends its messages and delivers its results. It does
+// update calls the core, persists its output, and only then sends the messages and delivers the results. It does
 // nothing if the process is not a member or its store has failed.
 func (n *Node) update(call func(*Core) Output) {
 	n.mu.Lock()
@@ -145,8 +145,8 @@
 	}
 }
 
-// halt silences the node: what it would send might not be in its store. It only asks another voter to take over,
-// which promises nothing. The caller holds the lock.
+// halt stops the node from sending messages after a failed write, because their content may not be persisted. It still
+// asks another voter to take over, as that message relies on no persisted state. The caller holds the lock.
 func (n *Node) halt(cause error) {
 	n.storeError = cause
 	n.resumeAt = n.now() + n.timing.Lease
@@ -159,8 +159,8 @@
 	}
 }
 
-// resumeIfDue tries the store of a halted node once in a lease. Once it works the node goes on as a process does that
-// starts on this file: what it had not stored it has not promised either.
+// resumeIfDue retries the store of a halted node once per lease. Once the store works, the node resumes like a process
+// that restarts from this file. This is safe because the node has sent nothing that was not persisted.
 func (n *Node) resumeIfDue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,10 +180,10 @@
 	slog.Warn("leader_member_resumed", "name", n.name)
 }
 
-// deliver hands a result to the caller of Propose. The caller holds the lock.
+// deliver passes a result to the waiting Propose call. The caller holds the lock.
 func (n *Node) deliver(result Result) {
 	if outcome := n.pending[result.CommandID]; outcome != nil {
-		outcome <- result.Err // buffered
+		outcome <- result.Err // does not block: the channel is buffered
 		delete(n.pending, result.CommandID)
 	}
 }
@@ -198,8 +198,8 @@
 	return n.core.ActiveTerm(n.now())
 }
 
-// Propose writes an item under a term and waits until it is committed, or until it is known that it was not. After
-// ErrProposalTimeout or ErrClosed the item may still be written later.
+// Propose writes an item under a term and waits until the write is committed or rejected. After ErrProposalTimeout or
+// ErrClosed the item may still be written later.
 func (n *Node) Propose(term Term, item string, value []byte) error {
 	outcome := make(chan error, 1)
 	err := ErrNotMember
@@ -228,8 +228,8 @@
 	return err
 }
 
-// Item returns a replicated item as far as this member has applied the log. The active leader has applied everything
-// that was committed before its term.
+// Item returns the value of a replicated item as applied by this member so far. The active leader has applied all
+// entries that were committed before its term.
 func (n *Node) Item(name string) (value []byte, isPresent bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -240,17 +240,17 @@
 	return value, isPresent
 }
 
-// Status describes a member to operators and to other programs.
+// Status is the status of a member, as served to operators and other programs.
 type Status struct {
 	Name       string   `json:"name"`
-	ID         uint64   `json:"id"` // 0: not a member of any fleet yet
+	ID         uint64   `json:"id"` // 0 until the process is a member of a fleet
 	Term       Term     `json:"reign"`
 	Leader     string   `json:"owner"`  // of Term
-	Active     bool     `json:"may"`    // this member acts as leader now
-	RaftLeader string   `json:"leader"` // as far as this member knows
+	Active     bool     `json:"may"`    // this member may act as leader now
+	RaftLeader string   `json:"leader"` // as known to this member
 	RaftTerm   uint64   `json:"term"`
 	Voters     []string `json:"voters"`
-	Halted     string   `json:"halted,omitempty"` // why its store failed
+	Halted     string   `json:"halted,omitempty"` // error of the store while the member is halted
 }
 
 // Status returns the member's status.
@@ -277,7 +277,7 @@
 	return status
 }
 
-// bootstrap makes this process a member as requested.
+// bootstrap makes this process a member according to the request.
 func (n *Node) bootstrap(request bootstrapRequest) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -296,25 +296,27 @@
 	return err
 }
 
-// checkBootstrap refuses a request that would break what this process has promised. The caller holds the lock.
+// checkBootstrap rejects a request that conflicts with the current membership, or whose term is not above the known
+// terms. The caller holds the lock.
 func (n *Node) checkBootstrap(request bootstrapRequest) error {
 	if request.Recover {
 		term := Term(request.RaftTerm)
 		if term == 0 || term <= request.State.Term || n.core != nil && term <= n.core.state.Term {
-			return fmt.Errorf("term %d is not above the known terms, %d is one of them", request.RaftTerm, request.State.Term)
+			return fmt.Errorf("recovery term %d must be above all known terms, including %d",
+				request.RaftTerm, request.State.Term)
 		}
 	}
 	if n.core != nil && !request.Recover {
 		return fmt.Errorf("%s: %w, with ID %d", n.name, ErrAlreadyMember, n.core.id)
 	}
 	if request.ID == 0 || len(request.Members) > 0 && request.Members[request.ID] != n.name {
-		return fmt.Errorf("member ID %d is not that of %s", request.ID, n.name)
+		return fmt.Errorf("member ID %d is not assigned to %s", request.ID, n.name)
 	}
 	return nil
 }
 
-// TransferLeadership hands the leadership over to the voter of that name, or with an empty name to any. It reports
-// false if this member does not lead or there is none to hand over to.
+// TransferLeadership starts the transfer of the leadership to the voter with the given name, or to any voter if the
+// name is empty. It returns false if this member does not lead or there is no such voter.
 func (n *Node) TransferLeadership(name string) bool {
 	isTransferring := false
 	n.update(func(c *Core) Output {
--- a/internal/leader/output.go
+++ b/internal/leader/output.go
@@ -8,25 +8,25 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Output is what the caller must do after a call of Core, in this order: persist HardState, Snapshot and Entries, and
-// only then send Messages and deliver Results.
+// Output is the work that the caller of a Core method must do, in this order: persist HardState, Snapshot and Entries,
+// and only then send Messages and deliver Results.
 type Output struct {
 	HardState  *raftpb.HardState
-	Entries    []*raftpb.Entry // replace all stored entries from the first one's index on
+	Entries    []*raftpb.Entry // replace all stored entries from the index of the first one on
 	Snapshot   *raftpb.Snapshot
-	ReplaceLog bool // the snapshot came from another member: all entries stored before are void
+	ReplaceLog bool // the snapshot came from another member and replaces all stored entries
 	Messages   []*raftpb.Message
 	Results    []Result
 }
 
-// Result is the outcome of a command that this process proposed.
+// Result is the outcome of a command proposed by this process.
 type Result struct {
 	CommandID uint64
 	Err       error
 }
 
-// collectOutput drains raft. The storage in memory is updated at once; the caller persists the same before it sends
-// any message.
+// collectOutput processes everything that raft has ready. It updates the in-memory storage at once; the caller must
+// persist the same data before it sends any message.
 func (c *Core) collectOutput() Output {
 	var out Output
 	for c.rawNode.HasReady() {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// storeReady stores what raft wants stored, in memory and in the output. Raft never hands out a snapshot or entries
-// that its own storage refuses, so those errors are ignored.
+// storeReady adds the data that raft wants stored to the in-memory storage and to the output. Raft never returns a
+// snapshot or entries that its own storage rejects, so those errors are ignored.
 func (c *Core) storeReady(ready *raft.Ready, out *Output) {
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		_ = c.storage.ApplySnapshot(ready.Snapshot)
@@ -68,7 +68,7 @@
 	}
 }
 
-// appendEntry appends an entry in place of those that it supersedes.
+// appendEntry appends an entry and removes the entries with the same or a higher index, which it supersedes.
 func (o *Output) appendEntry(entry *raftpb.Entry) {
 	for len(o.Entries) > 0 && o.Entries[len(o.Entries)-1].GetIndex() >= entry.GetIndex() {
 		o.Entries = o.Entries[:len(o.Entries)-1]
@@ -76,7 +76,7 @@
 	o.Entries = append(o.Entries, entry)
 }
 
-// confirmQuorum takes in answers to requestQuorum.
+// confirmQuorum processes the replies to requestQuorum.
 func (c *Core) confirmQuorum(states []raft.ReadState) {
 	for _, state := range states {
 		if len(state.RequestCtx) == readRequestBytes {
@@ -85,7 +85,7 @@
 	}
 }
 
-// applyEntry applies a committed entry. One that cannot be decoded has no effect, on any member.
+// applyEntry applies a committed entry. An entry that cannot be decoded has no effect, on any member.
 func (c *Core) applyEntry(entry *raftpb.Entry, out *Output) {
 	c.appliedIndex = entry.GetIndex()
 	switch entry.GetType() {
@@ -97,7 +97,7 @@
 }
 
 func (c *Core) applyCommand(text []byte, out *Output) {
-	if len(text) == 0 { // raft's own entry at the beginning of a term
+	if len(text) == 0 { // raft appends an empty entry at the start of a term
 		return
 	}
 	var command Command
--- a/internal/leader/persistent.go
+++ b/internal/leader/persistent.go
@@ -6,25 +6,25 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// PersistentState is everything of a member that outlives its process.
+// PersistentState is the state of a member that survives a restart of its process.
 type PersistentState struct {
-	MemberID  uint64 // a member that has lost its store returns under another ID
+	MemberID  uint64 // a member that has lost its store rejoins under another ID
 	HardState *raftpb.HardState
 	Snapshot  *raftpb.Snapshot
 	Entries   []*raftpb.Entry
 }
 
-// bootstrapRequest makes a process a member: of a new fleet, of one that will add it (no Members), or of one that is
-// recovered after a majority has lost its stores (Recover).
+// bootstrapRequest makes a process a member of a new fleet, of an existing fleet that will add it (no Members), or of a
+// fleet that is recovered after a majority has lost its stores (Recover).
 type bootstrapRequest struct {
 	ID       uint64            `json:"id"`
 	Members  map[uint64]string `json:"names"`
-	Recover  bool              `json:"again"` // replace the fleet of which the process is a member
-	State    State             `json:"kept"`  // Recover: the surviving replicated state
-	RaftTerm uint64            `json:"term"`  // Recover: above every term that any member has seen
+	Recover  bool              `json:"again"` // replaces the fleet of which the process is a member
+	State    State             `json:"kept"`  // with Recover: the surviving replicated state
+	RaftTerm uint64            `json:"term"`  // with Recover: above every term that any member has seen
 }
 
-// initialState returns the persistent state with which the member starts.
+// initialState returns the initial persistent state of the member.
 func (r bootstrapRequest) initialState() PersistentState {
 	switch {
 	case r.Recover:
@@ -35,14 +35,14 @@
 	return PersistentState{MemberID: r.ID, HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
 }
 
-// BootstrapState returns the persistent state of a member of a new fleet; names are given by member ID. All members
-// must start with the same names.
+// BootstrapState returns the initial persistent state of a member of a new fleet. names maps member IDs to names and
+// must be the same for all members.
 func BootstrapState(id uint64, names map[uint64]string) PersistentState {
 	return RecoveryState(id, names, State{}, 1)
 }
 
-// RecoveryState returns the persistent state of a member of a fleet that starts over with a surviving state. raftTerm
-// must be above every term that any member of the earlier fleet has seen, so that terms keep rising.
+// RecoveryState returns the initial persistent state of a member of a fleet that is recovered from a surviving state.
+// raftTerm must be above every term that any member of the earlier fleet has seen, so that terms keep increasing.
 func RecoveryState(id uint64, names map[uint64]string, state State, raftTerm uint64) PersistentState {
 	var voters []uint64
 	for member := range names {
--- a/internal/leader/planning.go
+++ b/internal/leader/planning.go
@@ -15,12 +15,13 @@
 	"swiftreel/internal/solve"
 )
 
-// planRecord is the replicated plan. It is numbered by the term that computed it, and a sequence within that.
+// planRecord is the replicated plan. It is numbered by the term in which it was computed and a sequence number within
+// that term.
 type planRecord struct {
 	Term     Term          `json:"reign"`
 	Sequence int64         `json:"count"`
-	Digest   change.Digest `json:"digest"` // of Answer; empty: there is no plan
-	Reason   string        `json:"why"`    // why the fleet was planned
+	Digest   change.Digest `json:"digest"` // of Answer; empty if there is no plan
+	Reason   string        `json:"why"`    // why a new plan was due
 	Answer   solve.Answer  `json:"answer"`
 }
 
@@ -38,10 +39,10 @@
 	solveLimit time.Duration
 	current    planRecord
 	text       json.RawMessage // of current.Answer
-	running    chan solution   // nil: no solver runs
+	running    chan solution   // nil while no solver runs
 }
 
-// newPlanning resumes from the replicated plan.
+// newPlanning creates a planning that resumes from the replicated plan.
 func newPlanning(store termStore, settings *operator.Planning, problem *solve.Problem, now int64) (*planning, error) {
 	timing := planner.Timing{MaxInterval: settings.IntervalMS * nsPerMS, MinInterval: settings.MinIntervalMS * nsPerMS}
 	p := &planning{
@@ -60,7 +61,7 @@
 	return p, err
 }
 
-// update adopts the solution of a solver that has finished, or starts one if a new plan is due.
+// update adopts the solution of a finished solver, or starts a solver if none runs and a new plan is due.
 func (p *planning) update(ctx context.Context, now int64, load planner.Observation) error {
 	if p.running == nil {
 		return p.startIfDue(ctx, now, load)
@@ -74,7 +75,7 @@
 	}
 }
 
-// adopt has a solution committed as the current plan.
+// adopt commits a solution as the current plan.
 func (p *planning) adopt(solved solution) error {
 	hasPlan := len(solved.answer.Steps) > 0
 	p.planner.ReportResult(hasPlan)
@@ -118,14 +119,14 @@
 		p.planner.ReportResult(false)
 		return fmt.Errorf("invalid planning problem: %s", faults[0])
 	}
-	running := make(chan solution, 1) // the solver ends even if nobody waits for it any more
+	running := make(chan solution, 1) // buffered, so that the solver can finish after the term has ended
 	p.running = running
 	go func() { running <- p.solve(ctx, problem, reason) }()
 	return nil
 }
 
-// solve computes a plan within the time limit, or until ctx ends. A plan that does not satisfy the problem is
-// dropped.
+// solve computes a plan within the time limit, and stops early if ctx ends. A plan that fails verification is
+// discarded.
 func (p *planning) solve(ctx context.Context, problem *solve.Problem, reason string) solution {
 	startedAt := time.Now()
 	stop := func(perMille int) bool {
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -18,8 +18,8 @@
 	"swiftreel/internal/rollout"
 )
 
-// recordFixture writes the members' files into testdata: a fleet that has replicated a change, shares and a plan,
-// whose leader changed, whose log was compacted, and of which one member lost its store and joined again.
+// recordFixture writes the members' files into testdata. The recorded fleet has replicated a change, shares and a plan.
+// Its leader has changed, its log has been compacted, and one member has lost its store and rejoined.
 func recordFixture(t *testing.T) {
 	t.Helper()
 	folder := t.TempDir()
@@ -49,7 +49,7 @@
 	}
 }
 
-// recordDuties has shares and a plan replicated by the duties themselves.
+// recordDuties runs the duties until they have replicated shares and a plan.
 func recordDuties(t *testing.T, f *testFleet) {
 	t.Helper()
 	f.settings.Shares = &operator.Shares{LeaseMS: 3000}
@@ -72,7 +72,7 @@
 	})
 }
 
-// recordChange replicates a change that is done, and a wish that was taken in.
+// recordChange replicates a completed change, and an operator request that has been processed.
 func recordChange(t *testing.T, f *testFleet) {
 	t.Helper()
 	program := change.Program{Path: "/opt/swiftreel", Digest: "00"}
@@ -88,8 +88,8 @@
 	}
 	record.Change.Number = 1
 	record.Change.Kind = change.KindSettings
-	wish := coordinator.OperatorRequest{ID: "1", Request: rollout.RequestResume}
-	for item, value := range map[string]any{"change.json": record, "ask.json": wish} {
+	request := coordinator.OperatorRequest{ID: "1", Request: rollout.RequestResume}
+	for item, value := range map[string]any{"change.json": record, "ask.json": request} {
 		text, err := json.MarshalIndent(value, "", " ")
 		if err != nil {
 			t.Fatal(err)
@@ -98,7 +98,7 @@
 	}
 }
 
-// recordJoin has v3, which has lost its store, join under another ID.
+// recordJoin makes v3, which has lost its store, join under another ID.
 func recordJoin(t *testing.T, f *testFleet) {
 	t.Helper()
 	const id = 9
--- a/internal/leader/simulation_test.go
+++ b/internal/leader/simulation_test.go
@@ -9,32 +9,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A simulation runs members in virtual time: the real core and raft's state machine, a network that loses, delays,
-// duplicates and reorders messages and is cut one way, processes that stall, crash and lose their stores, clocks of
-// different rates.
+// A simulation runs members in virtual time, with the production Core and raft. It simulates a network that loses,
+// delays, duplicates and reorders messages and can be cut in one direction, processes that stall, crash and lose their
+// stores, and clocks that run at different rates.
 
 const (
 	simulationStep = int64(10e6) // ns
 	maxDelayMS     = 30
-	maxLateMS      = 3000 // spans several terms
+	maxLateMS      = 3000 // spans several raft terms
 	maxDuplicateMS = 500
 	diskFaultOneIn = 2000
 )
 
-// simulatedMember is a member with its store and its clock.
+// simulatedMember is a member with its store and clock.
 type simulatedMember struct {
-	core         *Core // nil: crashed
+	core         *Core // nil after a crash
 	persistent   PersistentState
 	clockRate    float64
-	nextTick     int64 // in its own time
-	stalledUntil int64 // in the simulation's time, as the next
+	nextTick     int64 // by the member's clock
+	stalledUntil int64 // in simulation time, like downUntil
 	downUntil    int64
 }
 
-// link is a direction between two members.
+// link is one direction of the connection between two members.
 type link struct{ from, to uint64 }
 
-// packet is a message on its way.
+// packet is a message in flight.
 type packet struct {
 	arrivesAt int64
 	to        uint64
@@ -53,16 +53,16 @@
 	timing  Timing
 
 	lossPercent int
-	diskFaults  bool // one in diskFaultOneIn writes fails, and its process goes on from what is stored
+	diskFaults  bool // one in diskFaultOneIn writes fails, and the member resumes from what is stored
 	drop        func(*raftpb.Message) bool
-	ignoreLease bool // a defect
-	reuseIDs    bool // a defect: a member that has lost its store returns under its old ID
+	ignoreLease bool // an injected defect
+	reuseIDs    bool // an injected defect: a member that has lost its store rejoins under its old ID
 
-	onActive func(uint64, *simulatedMember) // a member may act, before it receives anything at that time
+	onActive func(uint64, *simulatedMember) // called for a member that may act, before it receives messages in this step
 	onResult func(uint64, Result)
 
 	leaders   map[Term]string
-	applied   map[uint64]string // the state by log index
+	applied   map[uint64]string // applied state by log index
 	acts      int
 	violation string
 }
@@ -101,25 +101,25 @@
 	}
 }
 
-// local returns a member's own time.
-func (s *simulation) local(m *simulatedMember) int64 { return int64(float64(s.now) * m.clockRate) }
+// localTime returns the time of a member's clock.
+func (s *simulation) localTime(m *simulatedMember) int64 { return int64(float64(s.now) * m.clockRate) }
 
 // activeTerm returns the term under which a member may act, or 0.
-func (s *simulation) activeTerm(m *simulatedMember) Term { return m.core.ActiveTerm(s.local(m)) }
+func (s *simulation) activeTerm(m *simulatedMember) Term { return m.core.ActiveTerm(s.localTime(m)) }
 
 func (s *simulation) restart(id uint64) {
 	m := s.members[id]
-	core, err := NewCore(nameOf(id), m.persistent, s.timing, s.local(m))
+	core, err := NewCore(nameOf(id), m.persistent, s.timing, s.localTime(m))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	core.ignoreLease = s.ignoreLease
 	m.core = core
-	m.nextTick = s.local(m)
+	m.nextTick = s.localTime(m)
 }
 
-// carryOut persists an output, and then delivers its results and messages. Where the disk fails the member halts and
-// goes on later from what is stored, which may have the output or not.
+// carryOut persists an output, and then delivers its results and messages. If the disk fails, the member halts and
+// later resumes from what is stored, which may or may not include the output.
 func (s *simulation) carryOut(id uint64, out Output) {
 	if s.diskFaults && s.random.IntN(diskFaultOneIn) == 0 {
 		s.halt(id, out)
@@ -136,11 +136,11 @@
 	}
 }
 
-// halt has the write of an output fail.
+// halt simulates a failed write of an output.
 func (s *simulation) halt(id uint64, out Output) {
 	m := s.members[id]
 	if s.random.IntN(2) == 0 {
-		m.persist(out) // the error came after the write
+		m.persist(out) // the error occurred after the write
 	}
 	m.core = nil
 	m.downUntil = s.now + s.timing.Lease
@@ -171,7 +171,7 @@
 	}
 }
 
-// send loses some messages, delays all, some of them for long, and duplicates some.
+// send loses some messages, delays all others, some of them for a long time, and duplicates some.
 func (s *simulation) send(from uint64, message *raftpb.Message) {
 	text, err := proto.Marshal(message)
 	if err != nil {
@@ -194,7 +194,8 @@
 
 func (s *simulation) milliseconds(limit int) int64 { return int64(s.random.IntN(limit)) * 1e6 }
 
-// step advances the simulation. A member that wakes up may ask whether it may act before it receives anything.
+// step advances the simulation by one step. It first checks for active members, because a member that resumes after a
+// stall may check whether it may act before it receives any message.
 func (s *simulation) step() {
 	s.now += simulationStep
 	s.checkActive()
@@ -211,11 +212,11 @@
 		if m.stalledUntil > s.now {
 			continue
 		}
-		if m.nextTick <= s.local(m) {
-			m.nextTick = s.local(m) + s.timing.Tick // missed ticks are not made up for
-			s.carryOut(id, m.core.Tick(s.local(m)))
+		if m.nextTick <= s.localTime(m) {
+			m.nextTick = s.localTime(m) + s.timing.Tick // missed ticks are skipped
+			s.carryOut(id, m.core.Tick(s.localTime(m)))
 		}
-		if m.core == nil { // its disk has failed
+		if m.core == nil { // halted by a disk fault
 			continue
 		}
 		if term := s.activeTerm(m); term != 0 {
@@ -228,7 +229,7 @@
 	}
 }
 
-// checkActive finds two members that may act at the same time.
+// checkActive records a violation if two members may act at the same time.
 func (s *simulation) checkActive() {
 	active := ""
 	for _, id := range s.ids {
@@ -260,12 +261,12 @@
 			if err := proto.Unmarshal(p.text, message); err != nil {
 				s.t.Fatal(err)
 			}
-			s.carryOut(p.to, m.core.Step(s.local(m), message))
+			s.carryOut(p.to, m.core.Step(s.localTime(m), message))
 		}
 	}
 }
 
-// act has the active leader write an item now and then, and finds a term with two leaders.
+// act records a violation if a term has two leaders or two members are active, and sometimes writes an item.
 func (s *simulation) act(id uint64, m *simulatedMember, term Term, otherActive string) {
 	name := m.core.name
 	if known := s.leaders[term]; known != "" && known != name {
@@ -286,7 +287,7 @@
 	}
 }
 
-// checkApplied finds members that have applied different states at the same index.
+// checkApplied records a violation if members have applied different states at the same log index.
 func (s *simulation) checkApplied(core *Core) {
 	state := core.State()
 	text := fmt.Sprint(state.Term, state.Leader, state.Versions)
@@ -296,8 +297,8 @@
 	s.applied[core.appliedIndex] = text
 }
 
-// disturb lets a fault occur now and then.
-func (s *simulation) disturb() {
+// injectFault injects a random fault in a small fraction of its calls, or ends network cuts.
+func (s *simulation) injectFault() {
 	id := s.randomID()
 	m := s.members[id]
 	switch s.random.IntN(400) {
@@ -335,17 +336,17 @@
 	return names
 }
 
-// run starts the members and disturbs them for a time, and returns the violation found, or "".
+// run starts the members, runs them with faults until the given time, and returns the violation found, or "".
 func (s *simulation) run(duration int64) string {
 	s.start()
 	for s.now < duration && s.violation == "" {
 		s.step()
-		s.disturb()
+		s.injectFault()
 	}
 	return s.violation
 }
 
-// runUntil advances the simulation until a time, without disturbing it.
+// runUntil advances the simulation to the given time without injecting faults.
 func (s *simulation) runUntil(end int64) {
 	for s.now < end {
 		s.step()
@@ -363,7 +364,7 @@
 	return nil
 }
 
-// awaitLeader advances the simulation until a member may act.
+// awaitLeader advances the simulation until a member may act, and returns its core.
 func (s *simulation) awaitLeader(limit int64) *Core {
 	s.t.Helper()
 	for end := s.now + limit; s.now < end; s.step() {
@@ -375,7 +376,7 @@
 	return nil
 }
 
-// replaceMember puts a member without a store in another one's place, under a new ID.
+// replaceMember replaces a member with one that has an empty store and a new ID.
 func (s *simulation) replaceMember(former, id uint64) {
 	delete(s.members, former)
 	for i := range s.ids {
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -9,17 +9,18 @@
 	"go.etcd.io/raft/v3/tracker"
 )
 
-// snapshotTimeoutLeases is for how many leases a snapshot may stay unconfirmed. A message of maxMessageBytes passes a
-// slow link within that time.
+// snapshotTimeoutLeases is the number of leases for which a snapshot may stay unconfirmed. It is long enough to send a
+// message of maxMessageBytes over a slow link.
 const snapshotTimeoutLeases = 3
 
-// Compaction keeps a quarter of RetainedEntries behind the snapshot, for members that lag a little.
+// The log is compacted at compactionFactor times RetainedEntries. RetainedEntries divided by retainedDivisor remain
+// before the snapshot, for members that lag slightly.
 const (
-	compactAtMultiple   = 2
-	retainedBehindShare = 4
+	compactionFactor = 2
+	retainedDivisor  = 4
 )
 
-// restore replaces the state by that of a snapshot.
+// restore replaces the state with that of a snapshot.
 func (c *Core) restore(snapshot *raftpb.Snapshot) error {
 	var state State
 	if err := json.Unmarshal(snapshot.GetData(), &state); err != nil {
@@ -31,11 +32,11 @@
 	return nil
 }
 
-// compact takes a snapshot once the log is long or the members have changed, and drops the log behind it. It returns
-// nil if no snapshot is due.
+// compact creates a snapshot if the log is long or the members have changed, and drops the entries that are no longer
+// needed. It returns nil if no snapshot is due.
 func (c *Core) compact() *raftpb.Snapshot {
-	first, _ := c.storage.FirstIndex() // a storage in memory always has one
-	limit := uint64(compactAtMultiple * c.timing.RetainedEntries)
+	first, _ := c.storage.FirstIndex() // never fails for an in-memory storage
+	limit := uint64(compactionFactor * c.timing.RetainedEntries)
 	isLong := c.appliedIndex >= first && c.appliedIndex-first >= limit
 	if !c.membersChanged && !isLong {
 		return nil
@@ -43,17 +44,17 @@
 	c.membersChanged = false
 	snapshot, err := c.storage.CreateSnapshot(c.appliedIndex, c.membership, c.state.encode())
 	if err != nil {
-		return nil // there is one of this index already
+		return nil // a snapshot of this index already exists
 	}
-	retained := uint64(c.timing.RetainedEntries) / retainedBehindShare
+	retained := uint64(c.timing.RetainedEntries) / retainedDivisor
 	if c.appliedIndex > first+retained {
 		_ = c.storage.Compact(c.appliedIndex - retained) // the index lies within the log
 	}
 	return snapshot
 }
 
-// retryLostSnapshots sends snapshots again that were not confirmed in time. Raft itself waits for ever, as the links
-// here do not report lost messages. A snapshot that has arrived but was overtaken by a compaction counts as lost.
+// retryLostSnapshots resends snapshots that were not confirmed in time. The transport does not report lost messages, so
+// raft itself would wait forever. A snapshot that was delivered but made obsolete by a compaction also counts as lost.
 func (c *Core) retryLostSnapshots() {
 	previous := c.snapshotStartedAt
 	c.snapshotStartedAt = nil
@@ -73,7 +74,7 @@
 	for id, startedAt := range c.snapshotStartedAt {
 		if c.now-startedAt >= snapshotTimeoutLeases*c.timing.Lease {
 			delete(c.snapshotStartedAt, id)
-			c.rawNode.ReportSnapshot(id, raft.SnapshotFailure) // raft probes the member and sends what it lacks
+			c.rawNode.ReportSnapshot(id, raft.SnapshotFailure) // raft then probes the member and sends the missing data
 		}
 	}
 }
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -5,36 +5,36 @@
 	"fmt"
 )
 
-// Term is a fencing token: it only rises, and each term has one leader.
+// Term is a fencing token. It never decreases, and each term has one leader.
 type Term int64
 
 // State is the replicated state. It is equal on all members that have applied the same prefix of the log.
 type State struct {
 	Term     Term              `json:"reign"`
 	Leader   string            `json:"owner"` // of Term
-	Items    map[string][]byte `json:"items"` // by name, bounded by maxItems and maxItemBytes
-	Versions map[string]uint64 `json:"seq"`   // of items: how often each was written
+	Items    map[string][]byte `json:"items"` // by name; limited by maxItems and maxItemBytes
+	Versions map[string]uint64 `json:"seq"`   // number of writes of each item
 	Members  map[uint64]string `json:"names"` // names by raft member ID
 }
 
-// Bounds of the state: a new member receives all of it in one snapshot.
+// Limits of the state. A new member receives the whole state in one snapshot.
 const (
 	maxItems     = 8
 	maxItemBytes = 4 << 20
 )
 
-// Command is an entry of the log: it claims a term for a candidate, or writes an item under the current term. A
-// command of any other term has no effect, whoever proposes it.
+// Command is an entry of the log. It claims a new term for a candidate, or writes an item under the current term. A
+// write under any other term has no effect.
 type Command struct {
-	ID        uint64 `json:"id"`    // chosen by the proposer, to match the result; 0: no result is wanted
+	ID        uint64 `json:"id"`    // chosen by the proposer to match the result; 0 if no result is needed
 	Proposer  uint64 `json:"from"`  // raft member ID
-	Term      Term   `json:"reign"` // the current one, or the one claimed
+	Term      Term   `json:"reign"` // the current term, or the term to claim
 	Candidate string `json:"claim,omitempty"`
 	Item      string `json:"name,omitempty"`
 	Value     []byte `json:"value,omitempty"`
 }
 
-// apply executes a command. An error means that it had no effect; it is the same on all members.
+// apply executes a command. An error means that the command had no effect. The outcome is the same on all members.
 func (s *State) apply(command Command) error {
 	if command.Candidate != "" {
 		return s.claim(command)
@@ -43,10 +43,10 @@
 		return &StaleTermError{Term: command.Term, Current: s.Term, Leader: s.Leader}
 	}
 	if len(command.Value) > maxItemBytes {
-		return fmt.Errorf("%s: over %d bytes: %w", command.Item, maxItemBytes, ErrItemTooLarge)
+		return fmt.Errorf("%s: larger than %d bytes: %w", command.Item, maxItemBytes, ErrItemTooLarge)
 	}
 	if s.Items[command.Item] == nil && len(s.Items) >= maxItems {
-		return fmt.Errorf("%s: there are %d items: %w", command.Item, maxItems, ErrTooManyItems)
+		return fmt.Errorf("%s: there are already %d items: %w", command.Item, maxItems, ErrTooManyItems)
 	}
 	if s.Items == nil {
 		s.Items = map[string][]byte{}
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// encode returns the state as JSON, as snapshots hold it.
+// encode returns the JSON encoding of the state, as used in snapshots.
 func (s *State) encode() []byte {
-	text, _ := json.Marshal(s) // maps of strings, numbers and bytes always marshal
+	text, _ := json.Marshal(s) // maps of strings, numbers and bytes can always be marshalled
 	return text
 }
--- a/internal/leader/store.go
+++ b/internal/leader/store.go
@@ -13,7 +13,7 @@
 	"swiftreel/internal/failpoint"
 )
 
-// Buckets and keys of the file. Entries are stored by their index, big-endian.
+// Buckets and keys of the file. The key of an entry is its index in big-endian order.
 var (
 	metaBucket    = []byte("meta")
 	entriesBucket = []byte("entries")
@@ -24,22 +24,22 @@
 
 const (
 	storeFileMode    = 0o600
-	storeLockTimeout = time.Second // while another process has the file open
+	storeLockTimeout = time.Second // how long to wait while another process has the file open
 	memberIDBytes    = 8
 )
 
-// Store is a member's persistent state in a file that one process has open. Every change is synced before it returns.
-// It is not safe for concurrent use.
+// Store is a member's persistent state in a file that only one process can open at a time. Each write is synced to disk
+// before its method returns. It is not safe for concurrent use.
 type Store struct {
 	path        string
-	database    *bbolt.DB    // nil: the file could not be opened again
-	beforeWrite func() error // an error fails the write
+	database    *bbolt.DB    // nil if the file could not be reopened
+	beforeWrite func() error // a failpoint: its error fails the write
 }
 
-// errStoreNotOpen is the error of a store whose file could not be opened again.
-var errStoreNotOpen = errors.New("the store's file is not open")
+// errStoreNotOpen means that the file could not be reopened.
+var errStoreNotOpen = errors.New("store file is not open")
 
-// OpenStore opens a member's file, or creates it.
+// OpenStore opens a member's file, and creates it if it does not exist.
 func OpenStore(path string) (*Store, error) {
 	s := &Store{path: path, beforeWrite: failpoint.BeforeWrite}
 	if err := s.open(); err != nil {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Reopen opens the file again after a failed write, whose outcome is what the file then holds, and shows by a write
-// of its own that the disk works. After an error it may be called again.
+// Reopen reopens the file after a failed write, and writes the hard state again to verify that the disk works. The
+// content of the file then decides whether the failed write took effect. After an error it may be called again.
 func (s *Store) Reopen() error {
 	if err := s.Close(); err != nil {
 		return err
@@ -120,7 +120,7 @@
 	return state, nil
 }
 
-// Initialize writes the state with which a member starts, in place of everything stored before.
+// Initialize replaces everything stored with the initial state of a member.
 func (s *Store) Initialize(state PersistentState) error {
 	if s.database == nil {
 		return errStoreNotOpen
@@ -140,7 +140,7 @@
 	})
 }
 
-// Save persists what a call of Core has returned, all or nothing.
+// Save persists an Output atomically.
 func (s *Store) Save(out Output) error {
 	if out.HardState == nil && out.Snapshot == nil && len(out.Entries) == 0 {
 		return nil
@@ -168,7 +168,7 @@
 	return saveEntries(tx, out.Entries, out.Snapshot.GetMetadata().GetIndex())
 }
 
-// saveSnapshot writes a snapshot and deletes the entries that it covers, or all of them.
+// saveSnapshot writes a snapshot and deletes the entries that it covers, or all entries if replaceLog is set.
 func saveSnapshot(tx *bbolt.Tx, snapshot *raftpb.Snapshot, replaceLog bool) error {
 	if err := putMeta(tx, snapshotKey, snapshot); err != nil {
 		return err
@@ -177,8 +177,8 @@
 	return deleteEntries(tx, func(index uint64) bool { return replaceLog || index <= last })
 }
 
-// saveEntries writes entries in place of all stored ones from the first one's index on, without those that a snapshot
-// up to the index covered includes (0: there is no new snapshot).
+// saveEntries writes entries and replaces all stored ones from the index of the first one on. Entries up to the index
+// covered are not stored, because the new snapshot includes them (0 if there is no new snapshot).
 func saveEntries(tx *bbolt.Tx, entries []*raftpb.Entry, covered uint64) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/leader/testfleet_test.go
+++ b/internal/leader/testfleet_test.go
@@ -22,28 +22,28 @@
 	"swiftreel/internal/supervisor"
 )
 
-// fixtureNames are the members of a test fleet, and those whose files are in testdata.
+// fixtureNames are the names of the members of a test fleet, and of the members whose files are in testdata.
 var fixtureNames = []string{"v1", "v2", "v3"}
 
 var fixtureZones = []string{"east", "west", "west"}
 
-// fixtureTiming is quick, and has the log compacted after a few entries.
+// fixtureTiming uses short times, and compacts the log after a few entries.
 var fixtureTiming = Timing{Tick: 20e6, Lease: 400e6, LeasePerMille: 800, RetainedEntries: 8}
 
-// fixtureProblem is what a test fleet is planned from.
+// fixtureProblem is the planning problem of a test fleet.
 const fixtureProblem = `{"engines":[{"name":"e1","kind":"std","zone":"east","cores":16,"memory_mb":32000},
 {"name":"e2","kind":"std","zone":"west","cores":16,"memory_mb":32000}],
 "types":[{"name":"lookup","threads":1,"memory_mb":96,"work_ms":50,"value":1}],
 "tenants":[{"name":"acme"}],"zones":[{"name":"east"},{"name":"west"}],"must":{},
 "demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":1}]}`
 
-// fakeClock is what the clocks of all fake supervisors show: they stand still.
+// fakeClock is the constant time of all fake supervisors' clocks.
 const fakeClock = int64(1e12)
 
-// fakeSupervisor serves a member's status, accepts assignments with the real fence, and records their texts.
+// fakeSupervisor serves a member's status, accepts assignments with the production fencing, and records their texts.
 type fakeSupervisor struct {
 	name        string
-	jobsPerPoll uint64 // that its controller has done since the last status
+	jobsPerPoll uint64 // jobs that its controller completes between two status requests
 
 	mu       sync.Mutex
 	accepted assignment.Accepted
@@ -58,7 +58,7 @@
 	if r.URL.Query().Get("engines") == "1" {
 		status.ReadyEngines = []string{"e1", "e2"}
 	}
-	_ = json.NewEncoder(w).Encode(status) // the leader has closed the connection
+	_ = json.NewEncoder(w).Encode(status) // fails only if the leader has closed the connection
 }
 
 func (s *fakeSupervisor) status() supervisor.Status {
@@ -119,13 +119,13 @@
 	return slices.Clone(s.texts)
 }
 
-func (s *fakeSupervisor) held() assignment.Accepted {
+func (s *fakeSupervisor) currentAssignment() assignment.Accepted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted
 }
 
-// testFleet is members in this process, each with its own file and its own server on loopback.
+// testFleet is a fleet of members in this process, each with its own file and its own server on loopback.
 type testFleet struct {
 	t           *testing.T
 	folder      string
@@ -136,7 +136,7 @@
 	isClosed    bool
 }
 
-// openFleet opens the members' files in a folder. jobsPerPoll is by member.
+// openFleet starts a fleet from the members' files in a folder. jobsPerPoll is by member name.
 func openFleet(t *testing.T, folder string, jobsPerPoll map[string]uint64) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, folder: folder, nodes: map[string]*Node{}, supervisors: map[string]*fakeSupervisor{}}
@@ -180,7 +180,7 @@
 	}
 }
 
-// runDuties has all members perform their duties until the returned function is called.
+// runDuties runs the duties of all members until the returned function is called.
 func (f *testFleet) runDuties() (end func()) {
 	f.t.Helper()
 	if err := os.WriteFile(filepath.Join(f.folder, "problem.json"), []byte(fixtureProblem), 0o600); err != nil {
@@ -202,7 +202,7 @@
 	}
 }
 
-// bootstrap makes a process a member, as an operator does.
+// bootstrap makes a process a member, like an operator would.
 func (f *testFleet) bootstrap(name string, request bootstrapRequest) error {
 	f.t.Helper()
 	code, reply := f.post(name, "/v1/owner/found", request)
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// post sends a request to a member, as another member or an operator does.
+// post sends a request to a member and returns the reply.
 func (f *testFleet) post(name, path string, body any) (code int, reply string) {
 	f.t.Helper()
 	text, err := json.Marshal(body)
@@ -232,12 +232,12 @@
 	return response.StatusCode, string(got)
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test after a minute.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in a minute: %s", what)
+			t.Fatalf("timed out after a minute waiting until %s", what)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 // awaitLeader returns a node that acts as leader.
 func (f *testFleet) awaitLeader() (leader *Node) {
 	f.t.Helper()
-	await(f.t, "one acts as leader", func() bool {
+	await(f.t, "a member acts as leader", func() bool {
 		for _, node := range f.nodes {
 			if node.Status().Active {
 				leader = node
@@ -256,7 +256,7 @@
 	return leader
 }
 
-// propose writes an item under whoever leads.
+// propose writes an item through the current leader.
 func (f *testFleet) propose(item string, value []byte) {
 	f.t.Helper()
 	await(f.t, item+" is written", func() bool {
@@ -265,7 +265,7 @@
 	})
 }
 
-// state returns the replicated state as a member serves it.
+// state returns the replicated state as served by a member.
 func (f *testFleet) state(name string) State {
 	f.t.Helper()
 	member, _ := f.settings.Member(name)
@@ -281,11 +281,11 @@
 	return state
 }
 
-// awaitEqualStates waits until all members have the same state, and returns it.
+// awaitEqualStates waits until all members have applied the same state, and returns it.
 func (f *testFleet) awaitEqualStates() State {
 	f.t.Helper()
 	var state State
-	await(f.t, "all have the same state", func() bool {
+	await(f.t, "all members have the same state", func() bool {
 		state = f.state(f.awaitLeader().name)
 		for _, name := range fixtureNames {
 			other := f.state(name)
--- a/internal/leader/transport.go
+++ b/internal/leader/transport.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxMessageBytes  = 8 << 20
-	maxReplyBytes    = 1024 // read of a reply, so that its connection can be used again
-	sendQueueLength  = 64   // messages to one member; further ones are dropped, as a link may drop them
-	maxUnlisted      = sendQueueLength
-	messagePath      = "/v1/owner/message"
-	memberNameHeader = "Owner-Name" // the sender's name
-	idleConnections  = 2            // to one member
-	idleTimeout      = 30 * time.Second
+	maxMessageBytes    = 8 << 20
+	maxReplyBytes      = 1024 // read from a reply, so that its connection can be reused
+	sendQueueLength    = 64   // messages per member; further ones are dropped, which raft tolerates
+	maxUnlistedSenders = sendQueueLength
+	messagePath        = "/v1/owner/message"
+	memberNameHeader   = "Owner-Name" // carries the sender's name
+	idleConnections    = 2            // per member
+	idleTimeout        = 30 * time.Second
 )
 
 func newClient(timing Timing) http.Client {
@@ -27,8 +27,8 @@
 	return http.Client{Timeout: time.Duration(timing.Lease), Transport: transport}
 }
 
-// send queues a message for its receiver, and drops it if the queue is full or the receiver's address is unknown. The
-// caller holds the lock.
+// send queues a message for its receiver. It drops the message if the queue is full or the receiver's address is
+// unknown. The caller holds the lock.
 func (n *Node) send(message *raftpb.Message) {
 	name := n.core.state.Members[message.GetTo()]
 	if name == "" {
@@ -46,7 +46,7 @@
 	if queue == nil {
 		queue = make(chan []byte, sendQueueLength)
 		n.sendQueues[name] = queue
-		n.senders.Go(func() { n.runSender(address, queue) })
+		n.workers.Go(func() { n.runSender(address, queue) })
 	}
 	select {
 	case queue <- text:
@@ -66,8 +66,8 @@
 	}
 }
 
-// post sends a message. An error means that it is lost, which raft provides for. A message that is on its way when
-// the node is closed is still delivered: it may hand over the leadership.
+// post sends a message. Errors are ignored, because raft tolerates lost messages. A request in progress is not
+// cancelled when the node is closed, because its message may transfer the leadership.
 func (n *Node) post(address string, text []byte) {
 	url := "http://" + address + messagePath
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, url, bytes.NewReader(text))
@@ -80,10 +80,10 @@
 		return
 	}
 	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // else its connection is not used again
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // so that the connection can be reused
 }
 
-// serveMessage takes a message from another member.
+// serveMessage handles a message from another member.
 func (n *Node) serveMessage(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
 	message := &raftpb.Message{}
@@ -93,7 +93,7 @@
 	}
 	n.update(func(c *Core) Output {
 		n.rememberSender(message.GetFrom(), r.Header.Get(memberNameHeader))
-		if message.GetTo() != c.id { // for an earlier member of this name or address
+		if message.GetTo() != c.id { // addressed to an earlier member of this name or address
 			return Output{}
 		}
 		return c.Step(n.now(), message)
@@ -101,9 +101,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// rememberSender notes a sender's name as long as the state lists no members. The caller holds the lock.
+// rememberSender records the sender's name while the state lists no members. The caller holds the lock.
 func (n *Node) rememberSender(id uint64, name string) {
-	if len(n.core.state.Members) == 0 && n.addresses[name] != "" && len(n.unlistedSenders) < maxUnlisted {
+	if len(n.core.state.Members) == 0 && n.addresses[name] != "" && len(n.unlistedSenders) < maxUnlistedSenders {
 		n.unlistedSenders[id] = name
 	}
 }
--- a/internal/leader/transport_test.go
+++ b/internal/leader/transport_test.go
@@ -11,15 +11,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// inbox records the messages that another member receives.
-type inbox struct {
+// messageRecorder is a server that records the messages it receives.
+type messageRecorder struct {
 	t        *testing.T
 	mu       sync.Mutex
 	messages []*raftpb.Message
 }
 
-// ServeHTTP checks the path, the header and the form of a message.
-func (i *inbox) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP checks the path, header and encoding of a message.
+func (i *messageRecorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(r.Body)
 	message := &raftpb.Message{}
 	isMessage := err == nil && proto.Unmarshal(text, message) == nil
@@ -34,7 +34,7 @@
 }
 
 // first returns the first message, or nil.
-func (i *inbox) first() *raftpb.Message {
+func (i *messageRecorder) first() *raftpb.Message {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.messages) == 0 {
@@ -43,13 +43,13 @@
 	return i.messages[0]
 }
 
-func TestTheFormOfMessagesStays(t *testing.T) {
-	received := &inbox{t: t}
+func TestMessageEncodingStaysCompatible(t *testing.T) {
+	received := &messageRecorder{t: t}
 	other := httptest.NewServer(received)
 	defer other.Close()
 	m := newTestMember(t, map[string]string{"v1": "127.0.0.1:1", "v2": other.Listener.Addr().String()})
 	m.post("/v1/owner/found", `{"id":7,"names":{"7":"v1","8":"v2"}}`, http.StatusOK)
-	await(t, "it asks for a vote", func() bool { return received.first() != nil })
+	await(t, "the member asks for a vote", func() bool { return received.first() != nil })
 	message := received.first()
 	isVoteRequest := message.GetType() == raftpb.MsgPreVote && message.GetTerm() == 2
 	if !isVoteRequest || message.GetFrom() != 7 || message.GetTo() != 8 {
