--- a/internal/assignment/accepted.go
+++ b/internal/assignment/accepted.go
@@ -71,18 +71,18 @@
 func (a Accepted) check(next Assignment, member, incarnation string, now int64) error {
 	switch {
 	case next.Member != member:
-		return fmt.Errorf("%w: %s, but this member is %s", ErrOtherMember, next.Member, member)
+		return fmt.Errorf("%w: %s, this is %s", ErrOtherMember, next.Member, member)
 	case next.Incarnation != incarnation:
 		return ErrOtherIncarnation
 	case next.Term < a.Term:
-		return fmt.Errorf("%w: term %d comes after term %d was accepted", ErrStale, next.Term, a.Term)
+		return fmt.Errorf("%w: term %d comes after %d", ErrStale, next.Term, a.Term)
 	case next.Term == a.Term && next.Leader != a.Leader:
 		return fmt.Errorf("%w: term %d is of %s, not %s", ErrOtherLeader, a.Term, a.Leader, next.Leader)
 	case next.Term == a.Term && next.Sequence <= a.Sequence:
-		return fmt.Errorf("%w: sequence %d of term %d comes after %d was accepted",
+		return fmt.Errorf("%w: sequence %d of term %d comes after %d",
 			ErrStale, next.Sequence, next.Term, a.Sequence)
 	case max(next.SharesUntil, next.PlanUntil) > now+maxExpiryAhead:
-		return fmt.Errorf("%w: more than %d s", ErrTooFarAhead, maxExpiryAhead/nsPerSecond)
+		return fmt.Errorf("%w: over %d s", ErrTooFarAhead, maxExpiryAhead/nsPerSecond)
 	}
 	return nil
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -49,7 +49,7 @@
 		return Assignment{}, err
 	}
 	if len(text) > maxBytes {
-		return Assignment{}, fmt.Errorf("/: larger than %d bytes", maxBytes)
+		return Assignment{}, fmt.Errorf("/: over %d bytes", maxBytes)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -68,7 +68,7 @@
 		return err
 	}
 	if len(a.PlanText) > 0 && change.JSONDigest(a.PlanText) != a.Plan {
-		return errors.New("/plan_text: digest does not match /plan")
+		return errors.New("/plan_text: its digest is not that of /plan")
 	}
 	return validateShares(a.Shares)
 }
@@ -76,9 +76,9 @@
 func (a Assignment) validateHeader() error {
 	switch {
 	case a.Format != change.Format:
-		return fmt.Errorf("/format: %d is not supported, want %d", a.Format, change.Format)
+		return fmt.Errorf("/format: %d, known is %d", a.Format, change.Format)
 	case a.Term < 1 || a.Sequence < 1:
-		return fmt.Errorf("/reign, /count: %d, %d: must be at least 1", a.Term, a.Sequence)
+		return fmt.Errorf("/reign, /count: %d, %d: under 1", a.Term, a.Sequence)
 	case a.Leader == "" || a.Member == "" || a.Incarnation == "":
 		return errors.New("/owner, /member, /life: missing")
 	}
@@ -87,7 +87,7 @@
 
 func validateShares(shares quota.Shares) error {
 	if len(shares) > maxResources {
-		return fmt.Errorf("/part: more than %d resources", maxResources)
+		return fmt.Errorf("/part: over %d resources", maxResources)
 	}
 	for resource, share := range shares {
 		_, isQuota := resource.Tenant()
@@ -95,7 +95,7 @@
 			return fmt.Errorf("/part/%s: unknown resource", resource)
 		}
 		if share < 1 || share > quota.FullShare {
-			return fmt.Errorf("/part/%s: %d is not between 1 and %d", resource, share, quota.FullShare)
+			return fmt.Errorf("/part/%s: %d, not from 1 to %d", resource, share, quota.FullShare)
 		}
 	}
 	return nil
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		if id == c.id {
-			return Output{}, fmt.Errorf("%s is the leader; transfer the leadership first", name)
+			return Output{}, fmt.Errorf("%s is the leader: transfer the leadership first", name)
 		}
 		addChange(change, raftpb.ConfChangeRemoveNode, id)
 	}
--- a/internal/leader/node.go
+++ b/internal/leader/node.go
@@ -302,7 +302,7 @@
 	if request.Recover {
 		term := Term(request.RaftTerm)
 		if term == 0 || term <= request.State.Term || n.core != nil && term <= n.core.state.Term {
-			return fmt.Errorf("recovery term %d must be above all known terms, including %d",
+			return fmt.Errorf("term %d is not above the known terms, %d is one of them",
 				request.RaftTerm, request.State.Term)
 		}
 	}
@@ -310,7 +310,7 @@
 		return fmt.Errorf("%s: %w, with ID %d", n.name, ErrAlreadyMember, n.core.id)
 	}
 	if request.ID == 0 || len(request.Members) > 0 && request.Members[request.ID] != n.name {
-		return fmt.Errorf("member ID %d is not assigned to %s", request.ID, n.name)
+		return fmt.Errorf("member ID %d is not that of %s", request.ID, n.name)
 	}
 	return nil
 }
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -43,10 +43,10 @@
 		return &StaleTermError{Term: command.Term, Current: s.Term, Leader: s.Leader}
 	}
 	if len(command.Value) > maxItemBytes {
-		return fmt.Errorf("%s: larger than %d bytes: %w", command.Item, maxItemBytes, ErrItemTooLarge)
+		return fmt.Errorf("%s: over %d bytes: %w", command.Item, maxItemBytes, ErrItemTooLarge)
 	}
 	if s.Items[command.Item] == nil && len(s.Items) >= maxItems {
-		return fmt.Errorf("%s: there are already %d items: %w", command.Item, maxItems, ErrTooManyItems)
+		return fmt.Errorf("%s: there are %d items: %w", command.Item, maxItems, ErrTooManyItems)
 	}
 	if s.Items == nil {
 		s.Items = map[string][]byte{}
--- a/internal/leader/store.go
+++ b/internal/leader/store.go
@@ -37,7 +37,7 @@
 }
 
 // errStoreNotOpen means that the file could not be reopened.
-var errStoreNotOpen = errors.New("store file is not open")
+var errStoreNotOpen = errors.New("the store's file is not open")
 
 // OpenStore opens a member's file, and creates it if it does not exist.
 func OpenStore(path string) (*Store, error) {
