--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -16,32 +16,32 @@
 	"swiftreel/internal/quota"
 )
 
-// Assignment is everything that the leader wants a member to go by. It is always complete, so that a lost or repeated
-// one does no harm. Its expiries are in the time of the receiving machine's clock, as that machine has reported it,
-// so a late assignment expires no later.
+// Assignment is the complete set of shares and the plan that the leader assigns to a member. Each assignment replaces
+// the previous one as a whole, so losing or repeating one is harmless. Expiries are times of the receiving machine's
+// clock, based on the time that it last reported, so a delayed assignment does not expire any later.
 type Assignment struct {
 	Format      int             `json:"format"`
 	Term        int64           `json:"reign"` // the leader's fencing token
-	Sequence    int64           `json:"count"` // rises with each assignment of the term
+	Sequence    int64           `json:"count"` // increases with each assignment in a term
 	Leader      string          `json:"owner"`
 	Member      string          `json:"member"`
-	Incarnation string          `json:"life"` // of the supervisor's process: a later one starts with nothing
+	Incarnation string          `json:"life"` // of the supervisor's process; a new process starts without an assignment
 	Shares      quota.Shares    `json:"part,omitempty"`
 	SharesUntil int64           `json:"part_until_boot_ns,omitempty"`
-	Plan        change.Digest   `json:"plan,omitempty"` // to be followed; empty: none
+	Plan        change.Digest   `json:"plan,omitempty"` // to be followed; empty means none
 	PlanUntil   int64           `json:"plan_until_boot_ns,omitempty"`
-	PlanText    json.RawMessage `json:"plan_text,omitempty"` // sent while the member does not hold the plan
+	PlanText    json.RawMessage `json:"plan_text,omitempty"` // sent until the member reports that it has the plan
 }
 
-// Bounds of an assignment.
+// Limits of an assignment.
 const (
-	maxBytes     = 8 << 20
-	maxAhead     = 3600 * nsPerSecond // of an expiry
-	maxResources = 4096
-	nsPerSecond  = int64(1e9)
+	maxBytes       = 8 << 20
+	maxExpiryAhead = 3600 * nsPerSecond // how far an expiry may lie in the future, in ns
+	maxResources   = 4096
+	nsPerSecond    = int64(1e9)
 )
 
-// Read decodes and validates an assignment. An unknown field is an error. Errors begin with the path of the faulty
+// Read decodes and validates an assignment. Unknown fields are rejected. Errors begin with the path of the invalid
 // field.
 func Read(from io.Reader) (Assignment, error) {
 	text, err := io.ReadAll(io.LimitReader(from, maxBytes+1))
