--- a/cmd/swiftreel/faults_test.go
+++ b/cmd/swiftreel/faults_test.go
@@ -14,18 +14,18 @@
 	"swiftreel/internal/fake"
 )
 
-// Bad clients, bad engines, a feed that breaks and moves, and reloads, all at once against one controller. Each job of
-// a usual client is answered once, and with what an engine made for it; no bad client is served; in the end nothing is
-// left: newTown's own check sees goroutines and descriptors, the counters see jobs, ids and bytes.
-func TestAllTroublesAtOnce(t *testing.T) {
+// Bad clients, bad engines, a feed that breaks and moves, and reloads all affect one controller at the same time. Each
+// job of a typical client is answered once with an engine's result for it, and no bad client is served. Nothing is
+// leaked: startController checks goroutines and descriptors, the counters check jobs, ids and bytes.
+func TestAllFaultsAtOnce(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playFaults(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runFaults(t, seed) })
 	}
 }
 
-func playFaults(t *testing.T, seed uint64) {
+func runFaults(t *testing.T, seed uint64) {
 	t.Helper()
-	left := func() [4]uint64 {
+	leakCounters := func() [4]uint64 {
 		return [4]uint64{
 			counters.Value("jobs_left"),
 			counters.Value("bytes_left"),
@@ -33,18 +33,18 @@
 			counters.Value("action_for_no_job"),
 		}
 	}
-	before := left()
+	before := leakCounters()
 	w := startControllerWith(t, fake.NewFaultyEngine(seed).Handle, "e1", "e2", "e3")
 	var typicalClients, others sync.WaitGroup
-	over := make(chan struct{})
-	for i := range uint64(4) { // usual clients
+	stopped := make(chan struct{})
+	for i := range uint64(4) { // typical clients
 		typicalClients.Go(func() { w.sendTypicalJobs(1000*seed+i, 60) })
 	}
 	for i := range uint64(3) { // bad ones
 		others.Go(func() {
 			for random := rand.New(rand.NewPCG(seed, i)); ; {
 				select {
-				case <-over:
+				case <-stopped:
 					return
 				default:
 				}
@@ -55,20 +55,20 @@
 		})
 	}
 	feeds := []*fake.Discovery{w.feed}
-	others.Go(func() { feeds = w.disturbFeed(rand.New(rand.NewPCG(seed, 9)), over) })
+	others.Go(func() { feeds = w.disturbFeed(rand.New(rand.NewPCG(seed, 9)), stopped) })
 	typicalClients.Wait()
-	close(over)
+	close(stopped)
 	others.Wait()
 	w.finish()
 	for _, f := range feeds[1:] {
 		f.Close()
 	}
-	if after := left(); after != before {
-		t.Errorf("left, or out of turn: %v, before %v", after, before)
+	if after := leakCounters(); after != before {
+		t.Errorf("leaked or out of turn: %v, before %v", after, before)
 	}
 }
 
-// sendTypicalJobs sends jobs, some at a time, and checks each one's answer.
+// sendTypicalJobs sends n jobs, up to 8 at a time, and checks each answer.
 func (w *testController) sendTypicalJobs(first uint64, n int) {
 	c := w.dial()
 	defer c.Conn.Close()
@@ -87,15 +87,15 @@
 			continue
 		}
 		a, err := c.Read(20 * time.Second)
-		id, is := open[a.ID]
+		id, isOpen := open[a.ID]
 		switch {
 		case err != nil:
-			w.t.Errorf("%d answers owed: %v", len(open), err)
+			w.t.Errorf("%d answers pending: %v", len(open), err)
 			return
-		case !is:
-			w.t.Errorf("a second answer, or one for nothing: %+v", a)
+		case !isOpen:
+			w.t.Errorf("second or unexpected answer: %+v", a)
 		case a.Error == "" && string(a.Body) != fake.FaultyEngineRows(id):
-			w.t.Errorf("done with what no engine made: %.60q", a.Body)
+			w.t.Errorf("result that no engine sent for this job: %.60q", a.Body)
 		case a.Error != "" && a.Error != "Overloaded" && a.Error != "Internal":
 			w.t.Errorf("%+v", a)
 		}
@@ -103,7 +103,7 @@
 	}
 }
 
-// disturbFeed breaks, repeats and moves the feed, and has the file read anew, whole or not.
+// disturbFeed breaks, replays and moves the feed, and reloads complete and truncated files.
 func (w *testController) disturbFeed(random *rand.Rand, over <-chan struct{}) []*fake.Discovery {
 	feeds := []*fake.Discovery{w.feed}
 	known := strings.TrimSuffix(
@@ -126,12 +126,12 @@
 			now.Replay(true)
 		case 3:
 			now.Write("noise\n")
-		case 4: // half a file
+		case 4: // truncated file
 			if err := os.WriteFile(w.config, []byte(readText(w.config)[:200]), 0o600); err != nil {
 				w.t.Error(err)
 			}
 			w.sendSIGHUP()
-			w.write(now.Address(), known)
+			w.writeConfig(now.Address(), known)
 		case 5:
 			moved, err := fake.StartDiscovery("127.0.0.1:0", 1)
 			if err != nil {
@@ -140,7 +140,7 @@
 			}
 			feeds = append(feeds, moved)
 			moved.AddRaw(known)
-			w.write(moved.Address(), known)
+			w.writeConfig(moved.Address(), known)
 			w.sendSIGHUP()
 			now.Close()
 		}
@@ -150,6 +150,6 @@
 func (w *testController) sendSIGHUP() {
 	select {
 	case w.reload <- syscall.SIGHUP:
-	default: // one is waiting
+	default: // a signal is already pending
 	}
 }
--- a/cmd/swiftreel/files.go
+++ b/cmd/swiftreel/files.go
@@ -13,16 +13,16 @@
 	"swiftreel/internal/shortage"
 )
 
-// files are the two files that a controller runs with, as read.
+// files holds the contents of the configuration and the operator's file.
 type files struct {
 	config       config.File
-	cachedEvents []discovery.Event // that the configuration has of the discovery feed
+	cachedEvents []discovery.Event // events of the discovery feed that the configuration contains
 	operator     operator.File
-	settings     choice.RawSettings // for the module: the base settings with the topology of the operator's file applied
+	settings     choice.RawSettings // for the decision module: base settings with the operator's topology applied
 }
 
-// readTimeout is how long a file that this machine cannot read for a moment is tried again. A reload that gave up would
-// leave the controller with a feed that has moved away.
+// readTimeout is how long reading a file is retried after a temporary shortage of descriptors or memory. A reload that
+// failed at once could leave the controller on a discovery feed that has moved.
 const readTimeout = 2 * time.Second
 
 // loadConfig reads the configuration file.
@@ -35,7 +35,7 @@
 	return file, err
 }
 
-// loadOperatorFile reads the operator's file; an empty path: there is none.
+// loadOperatorFile reads the operator's file. An empty path means that there is none.
 func loadOperatorFile(path string) (operator.File, error) {
 	var file operator.File
 	err := shortage.Retry(readTimeout, func() (err error) {
@@ -45,8 +45,8 @@
 	return file, err
 }
 
-// readFiles completes a configuration by the operator's file; an empty path: there is none. The base settings are those
-// of the configuration that the process was started with.
+// readFiles combines a configuration with the operator's file. An empty path means that there is none. The base
+// settings are those of the configuration at startup.
 func readFiles(file config.File, operatorPath string, baseSettings choice.RawSettings) (files, error) {
 	cachedEvents, err := parseEvents(file.CachedEvents.Events)
 	if err != nil {
@@ -68,14 +68,14 @@
 	for i, text := range texts {
 		event, err := discovery.ParseEvent(text)
 		if err != nil {
-			return nil, fmt.Errorf("known event %d: %w", i, err)
+			return nil, fmt.Errorf("known.events[%d]: %w", i, err)
 		}
 		events[i] = event
 	}
 	return events, nil
 }
 
-// predecessorRunning reports whether the operator's file says that an older process of this controller still runs.
+// predecessorRunning reports whether, by the operator's file, an older process of this controller is still running.
 func (f files) predecessorRunning() bool {
 	return f.operator.Stats != nil && f.operator.Stats.Predecessor
 }
--- a/cmd/swiftreel/harness_test.go
+++ b/cmd/swiftreel/harness_test.go
@@ -22,8 +22,8 @@
 	"swiftreel/internal/fake"
 )
 
-// The program as a whole between stand-ins, on loopback. Nothing here is decided by how long something took,
-// but by what came.
+// The tests run the whole program on loopback with fake clients, engines and a fake discovery feed. Results depend on
+// the messages that arrive, not on elapsed time.
 
 const testSettings = `{"balancers":1,"me":0,"step_ns":2e8,"discovery":"automatic","localities":["east"],"kinds":["std"],
 "tenants":[{"name":"acme","quota_per_s":1000,"share":1}],
@@ -38,21 +38,21 @@
 "invariants":{"answer_slack_ns":2e7,"drain_grace_ns":2.5e8,"start_capacity":0.4,"warm_within_ns":1e9,
 "fall_multiple":2,"fall_ns":1e9}}`
 
-const step = 200 * time.Millisecond // as in the facts: long, so that a slow machine does not blur it
+const step = 200 * time.Millisecond // step_ns of testSettings: long, so that the tests pass on a slow machine
 
 // testController is a running controller with its peers.
 type testController struct {
 	t        *testing.T
-	handle   func(*fake.Session, engine.Command) // nil: what is no probe comes through the channel
+	handle   func(*fake.Session, engine.Command) // nil: commands other than probes are sent to the channel
 	feed     *fake.Discovery
 	engines  map[string]*fake.Engine
 	commands chan engineCommand
 	address  string
-	config   string // the file's path
+	config   string // path of the configuration file
 	stop     chan os.Signal
 	reload   chan os.Signal
 	ended    chan error
-	caller   *fake.Client
+	client   *fake.Client
 }
 
 type engineCommand struct {
@@ -61,11 +61,12 @@
 	from *fake.Session
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits for a condition and fails the test with message if it is not met in time.
+func eventually(t *testing.T, message string, condition func() bool) {
 	t.Helper()
-	for stop := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for stop := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
@@ -75,13 +76,14 @@
 	return len(list)
 }
 
-// startController starts a controller that knows the engines named, and checks in the end that nothing stays open.
+// startController starts a controller whose endpoint list has the named engines. At the end of the test it checks that
+// no goroutine or descriptor is leaked.
 func startController(t *testing.T, names ...string) *testController {
 	t.Helper()
 	return startControllerWith(t, nil, names...)
 }
 
-// startControllerWith has the engines' commands handled; else they come through the channel.
+// startControllerWith does the same with engines that pass their commands to handle, unless it is nil.
 func startControllerWith(t *testing.T, handle func(*fake.Session, engine.Command), names ...string) *testController {
 	t.Helper()
 	previousWindow := lateArrivalWindow
@@ -105,11 +107,11 @@
 	}
 	var hosts []string
 	for _, name := range names {
-		hosts = append(hosts, w.engine(name))
+		hosts = append(hosts, w.startEngine(name))
 	}
 	known := w.feed.AddEvent(true, "["+strings.Join(hosts, ",")+"]")
 	t.Setenv("ROUTER_CONFIG", w.config)
-	w.write(w.feed.Address(), known)
+	w.writeConfig(w.feed.Address(), known)
 	file, err := config.Load(os.Getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -122,8 +124,8 @@
 	go func() {
 		w.ended <- run(file, l, command.ServeOptions{Operator: os.Getenv("ROUTER_OPERATOR")}, w.stop, w.reload)
 	}()
-	w.caller = w.dial()
-	eventually(t, "not ready", func() bool { ready, err := w.caller.Ready(); return ready && err == nil })
+	w.client = w.dial()
+	eventually(t, "not ready", func() bool { ready, err := w.client.Ready(); return ready && err == nil })
 	t.Cleanup(func() {
 		w.finish()
 		lateArrivalWindow = previousWindow
@@ -131,15 +133,15 @@
 		for _, e := range w.engines {
 			e.Close()
 		}
-		eventually(t, "goroutines or descriptors stay", func() bool {
-			return runtime.NumGoroutine() <= goroutines && openDescriptors() <= files+2 // the poller's own
+		eventually(t, "goroutines or descriptors leaked", func() bool {
+			return runtime.NumGoroutine() <= goroutines && openDescriptors() <= files+2 // descriptors of the poller
 		})
 	})
 	return w
 }
 
-// write writes the configuration file.
-func (w *testController) write(feed, known string) {
+// writeConfig writes the configuration file.
+func (w *testController) writeConfig(feed, known string) {
 	text := fmt.Sprintf(`{"name":"n0","listen":"-","seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 		"feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`, feed, known, testSettings)
 	if err := os.WriteFile(w.config, []byte(text), 0o600); err != nil {
@@ -147,15 +149,15 @@
 	}
 }
 
-// finish stops the controller, which owes nothing.
+// finish stops the controller, which must have no pending answers.
 func (w *testController) finish() {
-	if w.caller != nil {
+	if w.client != nil {
 		w.stop <- syscall.SIGTERM
 		if err := <-w.ended; err != nil {
 			w.t.Error(err)
 		}
-		w.caller.Conn.Close()
-		w.caller = nil
+		w.client.Conn.Close()
+		w.client = nil
 	}
 }
 
@@ -167,8 +169,9 @@
 	return c
 }
 
-// engine starts an engine and gives its entry in the list. It is well; jobs come through the channel.
-func (w *testController) engine(name string) string {
+// startEngine starts an engine and returns its entry for the endpoint list. The engine answers probes; jobs are sent to
+// the channel.
+func (w *testController) startEngine(name string) string {
 	e, err := fake.StartEngine("127.0.0.1:0", func(s *fake.Session, c engine.Command) {
 		if w.handle != nil {
 			w.handle(s, c)
@@ -182,22 +185,22 @@
 		w.t.Fatal(err)
 	}
 	w.engines[name] = e
-	return entry(name, e.Address(), "ready")
+	return endpointEntry(name, e.Address(), "ready")
 }
 
-func entry(name, address, state string) string {
+func endpointEntry(name, address, state string) string {
 	b, _ := json.Marshal(map[string]any{"host": name, "dial": address, "site": "east", "class": "std", "block": 0,
 		"health": state, "share": 1, "born_ms": 0})
 	return string(b)
 }
 
-var calls int
+var lastCallID int
 
-// submit asks for a job with a call id of its own.
+// submit sends a call with a new call id.
 func (w *testController) submit(method string, ttl string, more ...string) uint32 {
-	calls++
-	fields := []string{"call", fmt.Sprintf("%016x", calls), "ttl", ttl, "org", "acme", "work", "50", "est_mb", "96"}
-	id, err := w.caller.Send(method, "INSERT INTO sales_17.orders SELECT * FROM staging.x", append(fields, more...)...)
+	lastCallID++
+	fields := []string{"call", fmt.Sprintf("%016x", lastCallID), "ttl", ttl, "org", "acme", "work", "50", "est_mb", "96"}
+	id, err := w.client.Send(method, "INSERT INTO sales_17.orders SELECT * FROM staging.x", append(fields, more...)...)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -218,30 +221,30 @@
 	return engineCommand{}
 }
 
-// reloadOperatorFile writes the operator's file anew, sends SIGHUP and waits until the counter tells that it was read.
+// reloadOperatorFile rewrites the operator's file, sends SIGHUP and waits until the counter is incremented.
 func (w *testController) reloadOperatorFile(path, counter, text string) {
 	w.t.Helper()
 	writeFile(w.t, path, text)
 	before := counters.Value(counter)
 	w.reload <- syscall.SIGHUP
-	eventually(w.t, "not read anew", func() bool { return counters.Value(counter) > before })
+	eventually(w.t, "not reloaded", func() bool { return counters.Value(counter) > before })
 }
 
 func (w *testController) expectAnswer(id uint32, errorName string) client.Answer {
 	w.t.Helper()
-	a, err := w.caller.Read(20 * time.Second)
+	a, err := w.client.Read(20 * time.Second)
 	if err != nil || a.ID != id || a.Error != errorName {
 		w.t.Fatalf("%+v %v instead of id %d %q", a, err, id, errorName)
 	}
 	return a
 }
 
-// isThrottled answers a job if it is sent anywhere; true if it was not, but throttled.
+// isThrottled reports whether a job is throttled. A job that is dispatched instead is answered.
 func (w *testController) isThrottled(id uint32) bool {
 	w.t.Helper()
 	answers := make(chan client.Answer, 1)
 	go func() {
-		a, _ := w.caller.Read(20 * time.Second)
+		a, _ := w.client.Read(20 * time.Second)
 		answers <- a
 	}()
 	for dispatched := false; ; {
@@ -258,7 +261,7 @@
 	}
 }
 
-// serveJobs gives the module some jobs that end well: of those it may send some again that may have run.
+// serveJobs completes n jobs, which adds to the budget for retries of restartable jobs that may have run.
 func (w *testController) serveJobs(n int) {
 	for range n {
 		id := w.submit("lookup", "20000")
@@ -268,7 +271,7 @@
 	}
 }
 
-// expectAbort waits for the abort of a dispatch and proves it read.
+// expectAbort waits for the abort of a dispatch and answers it.
 func (w *testController) expectAbort(c engineCommand) {
 	w.t.Helper()
 	if a := w.nextCommand("abort"); a.ID != c.ID {
@@ -278,7 +281,7 @@
 	c.from.Answer(c.ID, "failed", "", "")
 }
 
-// readText is the text of a file.
+// readText returns the text of a file.
 func readText(path string) string {
 	b, _ := os.ReadFile(path)
 	return string(b)
--- a/cmd/swiftreel/hooks.go
+++ b/cmd/swiftreel/hooks.go
@@ -2,10 +2,10 @@
 
 import "net"
 
-// testHooks lets builds with the tag fault misbehave (see hooks_fault.go). In all other builds every hook is nil.
+// testHooks injects faults in builds with the tag fault (see hooks_fault.go). In all other builds every hook is nil.
 var testHooks struct {
 	beforeListen   func()
 	afterStart     func()
-	ignoreSnapshot func() bool // do not restore what an older process has learned
+	ignoreSnapshot func() bool // reports whether to skip the restore of a predecessor's statistics
 	listener       func(net.Listener) net.Listener
 }
--- a/cmd/swiftreel/hooks_fault.go
+++ b/cmd/swiftreel/hooks_fault.go
@@ -15,10 +15,10 @@
 	testHooks.listener = func(l net.Listener) net.Listener { return failingListener{l.(*net.TCPListener)} }
 }
 
-// failingListener is a listener whose accept fails while a fault says so.
+// failingListener is a listener whose Accept fails while a fault is injected.
 type failingListener struct{ *net.TCPListener }
 
-// Accept accepts a connection, or fails with the error that the fault names.
+// Accept accepts a connection, or returns the injected error.
 func (l failingListener) Accept() (net.Conn, error) {
 	if err := failpoint.SyscallError("accept"); err != nil {
 		return nil, err
--- a/cmd/swiftreel/input_test.go
+++ b/cmd/swiftreel/input_test.go
@@ -14,31 +14,31 @@
 	"swiftreel/internal/fake"
 )
 
-func TestCallsComeInAnyPiecesAndAClientMayReadSlowlyOrGo(t *testing.T) {
+func TestFragmentedCallsAndAClientThatDoesNotRead(t *testing.T) {
 	w := startController(t, "e1")
-	w.feed.Close() // out of reach: the list stays as it is
+	w.feed.Close() // while the feed is unreachable, the endpoint list stays as it is
 	var b []byte
 	for id := range uint32(3) {
 		fields := []string{"call", fmt.Sprintf("%016x", 1<<40+uint64(id)), "ttl", "20000", "org", "acme", "work", "50"}
 		b = client.AppendCall(b, 1000+id, "lookup", fields, []byte("SELECT 1 FROM a_1.b"))
 	}
 	third := len(b) / 3
-	w.caller.Conn.Write(b[:2*third]) // two in one piece, one byte by byte
+	w.client.Conn.Write(b[:2*third]) // two calls in one write, the third byte by byte
 	for _, c := range b[2*third:] {
-		w.caller.Conn.Write([]byte{c})
+		w.client.Conn.Write([]byte{c})
 	}
 	for range 3 {
 		c := w.nextCommand("fetch")
 		c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-		if a, err := w.caller.Read(20 * time.Second); err != nil || fmt.Sprintf("%016x", 1<<40+uint64(a.ID)-1000) != c.ID {
+		if a, err := w.client.Read(20 * time.Second); err != nil || fmt.Sprintf("%016x", 1<<40+uint64(a.ID)-1000) != c.ID {
 			t.Fatal(a, err)
 		}
 	}
-	mute := w.dial() // takes no byte of 32 results, then goes
-	mute.Conn.(*net.TCPConn).SetReadBuffer(1 << 12)
+	nonReading := w.dial() // reads nothing of 32 results, then disconnects
+	nonReading.Conn.(*net.TCPConn).SetReadBuffer(1 << 12)
 	page := strings.Repeat("a\tb\tc\n", 900)
 	for i := range 32 {
-		_, err := mute.Send("lookup", "SELECT 1 FROM a_1.b",
+		_, err := nonReading.Send("lookup", "SELECT 1 FROM a_1.b",
 			"call", fmt.Sprintf("%016x", 1<<41+uint64(i)), "ttl", "20000", "org", "acme", "work", "50")
 		if err != nil {
 			t.Fatal(err)
@@ -52,10 +52,11 @@
 		w.nextCommand("done")
 	}
 	w.serveJobs(3)
-	mute.Conn.Close()
+	nonReading.Conn.Close()
 }
 
-// The table of docs/protocol.md, "What bad input gets", for clients: each is answered or closed, and none is served.
+// Covers the table "What bad input gets" in docs/protocol.md for clients: each bad input is answered with an error or
+// its connection closed, and none is served.
 func TestBadInputFromClients(t *testing.T) {
 	w := startController(t, "e1")
 	open := w.submit("lookup", "20000")
@@ -83,7 +84,7 @@
 	const closed, answered, both = 1, 2, 3
 	type bad struct {
 		name, text string
-		gets       int
+		want       int
 		conn       *fake.Client
 	}
 	cases := []bad{
@@ -113,30 +114,30 @@
 			call(1, "lookup", with("call", "00000000000000ac")...), both, nil},
 		{"hundreds taken back at once", string(many) + call(400, "nothing"), answered, nil},
 	}
-	for i := range cases { // side by side
+	for i := range cases { // concurrently
 		cases[i].conn = w.dial()
 		defer cases[i].conn.Conn.Close()
 		go cases[i].conn.Conn.Write([]byte(cases[i].text))
 	}
-	came := time.Now()
+	sentAt := time.Now()
 	for _, bad := range cases {
 		a, err := bad.conn.Read(20 * time.Second)
-		if name := a.Error; bad.gets&answered != 0 && (err != nil || name != "Internal" && name != "Overloaded") {
+		if name := a.Error; bad.want&answered != 0 && (err != nil || name != "Internal" && name != "Overloaded") {
 			t.Errorf("%s: %+v %v", bad.name, a, err)
 		}
-		if bad.gets == both {
+		if bad.want == both {
 			_, err = bad.conn.Read(20 * time.Second)
 		}
-		if bad.gets&closed != 0 && !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
+		if bad.want&closed != 0 && !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
 			t.Errorf("%s: not closed: %v", bad.name, err)
 		}
 	}
-	if late := time.Since(came); late > 3*time.Second {
-		t.Errorf("the last was answered after %v", late)
+	if elapsed := time.Since(sentAt); elapsed > 3*time.Second {
+		t.Errorf("the last was answered after %v", elapsed)
 	}
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-	w.expectAnswer(open, "")          // its connection was silent meanwhile, and is kept
-	if n := len(w.commands); n > 60 { // some reads end between a call and its revoke: fetch, abort, more
-		t.Errorf("%d commands to the engine for 300 calls that were taken back", n)
+	w.expectAnswer(open, "")          // its idle connection was kept
+	if n := len(w.commands); n > 60 { // where a read ends between a call and its revoke: fetch, abort, more
+		t.Errorf("%d commands to the engine for 300 revoked calls", n)
 	}
 }
--- a/cmd/swiftreel/jobs_test.go
+++ b/cmd/swiftreel/jobs_test.go
@@ -17,8 +17,8 @@
 	}
 	w.nextCommand("more")
 	w.nextCommand("done")
-	w.feed.AddEvent(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
-	for !w.isThrottled(w.submit("lookup", "900")) { // draining is heard of in a moment
+	w.feed.AddEvent(false, "["+endpointEntry("e1", w.engines["e1"].Address(), "draining")+"]")
+	for !w.isThrottled(w.submit("lookup", "900")) { // until the event has arrived
 	}
 }
 
@@ -26,7 +26,7 @@
 	w := startController(t, "e1")
 	id := w.submit("lookup", "20000")
 	c := w.nextCommand("fetch")
-	if err := w.caller.Revoke(id); err != nil {
+	if err := w.client.Revoke(id); err != nil {
 		t.Fatal(err)
 	}
 	w.expectAbort(c)
@@ -34,7 +34,7 @@
 	id = w.submit("lookup", "20000")
 	c = w.nextCommand("fetch")
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
-	w.expectAnswer(id, "") // and not what was revoked
+	w.expectAnswer(id, "") // and no answer to the revoked job
 }
 
 func TestARunOnceJobIsRetriedOnlyIfItNeverRan(t *testing.T) {
@@ -42,16 +42,16 @@
 	id := w.submit("import", "20000", "row", "k1")
 	c := w.nextCommand("fetch")
 	c.from.Answer(c.ID, "full", "", "")
-	c = w.nextCommand("fetch") // never ran: once more
+	c = w.nextCommand("fetch") // it never ran, so it is retried
 	c.from.Reset()
-	w.expectAnswer(id, "Internal") // may have run: neither again nor harmless to repeat
+	w.expectAnswer(id, "Internal") // it may have run: not retried, and not safe for the client to repeat
 	w.serveJobs(12)
 	id = w.submit("lookup", "20000")
 	w.nextCommand("fetch").from.Reset()
 	c = w.nextCommand("fetch") // restartable
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
 	w.expectAnswer(id, "")
-	w.engines["e1"].Close() // refuses: what goes there never ran
+	w.engines["e1"].Close() // refuses connections: jobs sent there never ran
 	for range 4 {
 		id = w.submit("import", "20000", "row", "k2")
 		c = w.nextCommand("fetch")
@@ -60,21 +60,21 @@
 	}
 }
 
-func TestASilentEngineCostsNoAnswer(t *testing.T) {
+func TestAJobOnASilentEngineIsAnswered(t *testing.T) {
 	w := startController(t, "e1")
 	id := w.submit("lookup", "1500")
 	c := w.nextCommand("fetch")
-	w.expectAnswer(id, "Overloaded") // restartable, so harmless to repeat
+	w.expectAnswer(id, "Overloaded") // restartable, so safe to repeat
 	w.expectAbort(c)
 }
 
-// A dispatch called back and the next one go over two connections: seen on sockets, the next was read first, and
-// the job ran twice at once for a moment.
+// The abort of a dispatch and the retry go over two connections. When the retry was read first, the job briefly ran
+// twice at the same time.
 func TestACancelledDispatchIsAbortedWellBeforeTheRetry(t *testing.T) {
 	w := startController(t, "e1", "e2")
 	w.serveJobs(12)
 	id := w.submit("lookup", "20000")
-	first := w.nextCommand("fetch") // silent: the module calls it back when it is overdue
+	first := w.nextCommand("fetch") // not answered: the decision module cancels it when it is overdue
 	w.expectAbort(first)
 	aborted := time.Now()
 	c := w.nextCommand("fetch")
@@ -85,7 +85,7 @@
 	w.expectAnswer(id, "")
 }
 
-func TestJobsOfOneKeyTakeTurns(t *testing.T) {
+func TestJobsOfOneKeyAreSerialized(t *testing.T) {
 	w := startController(t, "e1", "e2")
 	first := w.submit("import", "20000", "row", "k1")
 	second := w.submit("import", "20000", "row", "k1")
@@ -97,7 +97,7 @@
 	b.from.Answer(b.ID, "data", "sheets=1", "")
 	w.expectAnswer(other, "")
 	if len(w.commands) > 0 {
-		t.Fatal("the second of a key went out beside the first")
+		t.Fatal("the second job of a key was dispatched while the first was running")
 	}
 	a.from.Answer(a.ID, "data", "sheets=1", "")
 	w.expectAnswer(first, "")
@@ -106,8 +106,8 @@
 	w.expectAnswer(second, "")
 }
 
-// Seen on a made-up deployment with keyed jobs: the bench ended each day at the first of them, as the key under which
-// an engine does a thing once was not passed on.
+// The idempotency key of a job must be passed to the engine, which runs a job once per key. When it was missing, each
+// simulated day of a deployment with keyed jobs ended at the first such job.
 func TestAnIdempotencyKeyIsPassedOn(t *testing.T) {
 	w := startController(t, "e1")
 	for key, fields := range map[string]string{"k-7f3a9c21": ",i=k-7f3a9c21", "": ""} {
@@ -117,7 +117,7 @@
 		}
 		id := w.submit("lookup", "20000", more...)
 		c := w.nextCommand("fetch")
-		if _, got, is := strings.Cut(c.Fields, ",i="); is != (key != "") || is && ",i="+got != fields {
+		if _, got, found := strings.Cut(c.Fields, ",i="); found != (key != "") || found && ",i="+got != fields {
 			t.Errorf("%q is passed on as %q", key, c.Fields)
 		}
 		c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
--- a/cmd/swiftreel/listener.go
+++ b/cmd/swiftreel/listener.go
@@ -12,12 +12,12 @@
 	"swiftreel/internal/shortage"
 )
 
-// listenTimeout is how long a start waits for its address, which a process that is just ending may still have, and for
-// descriptors and memory.
+// listenTimeout is how long startup retries to listen when the address is still in use by an exiting process, or when
+// descriptors or memory are short.
 const listenTimeout = 5 * time.Second
 
-// listen listens for clients. A supervisor starts a new process of a controller beside the old one; then both share the
-// address for a while, and the kernel gives each new connection to one of them.
+// listen listens for clients. During an upgrade a supervisor runs a controller's new process beside the old one. Both
+// then listen on the same address (shared), and the kernel distributes new connections between them.
 func listen(address string, shared bool) (net.Listener, error) {
 	var listenConfig net.ListenConfig
 	if shared {
--- a/cmd/swiftreel/listener_test.go
+++ b/cmd/swiftreel/listener_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The process before still has the address when the next one starts: the start waits for it.
+// Startup waits for an address that an exiting process still uses.
 func TestAStartWaitsForItsAddress(t *testing.T) {
 	before, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/swiftreel/main.go
+++ b/cmd/swiftreel/main.go
@@ -1,8 +1,8 @@
-// Command swiftreel is one controller: it admits jobs of clients and has engines run them as the decision module
-// (package choice) says. The ROUTER_* variables name its configuration; what it does beyond that stands in the
-// operator's file.
+// Command swiftreel is a controller: it admits jobs from clients and dispatches them to engines as the decision module
+// (package choice) decides. The ROUTER_* environment variables name its configuration; the operator's file enables
+// further functions.
 //
-// Signals: SIGHUP reads both files again; SIGTERM and SIGINT stop it once every answer that it owes is given.
+// Signals: SIGHUP reloads both files; SIGTERM and SIGINT stop the controller once no answer is pending.
 package main
 
 import (
@@ -23,9 +23,9 @@
 	os.Exit(command.Run(os.Args[1:], os.Stdout, os.Stderr, serve))
 }
 
-// serve is what swiftreel does without a command.
+// serve runs the controller. It is what swiftreel does without a subcommand.
 func serve(options command.ServeOptions) error {
-	reload := make(chan os.Signal, 1) // caught before anything else: SIGHUP never ends the program
+	reload := make(chan os.Signal, 1) // caught before anything else, so that SIGHUP never terminates the process
 	signal.Notify(reload, syscall.SIGHUP)
 	defer logging.Setup(os.Stderr)()
 	if options.Operator == "" {
@@ -45,7 +45,7 @@
 	if testHooks.beforeListen != nil {
 		testHooks.beforeListen()
 	}
-	stop := make(chan os.Signal, 1) // caught before clients can connect: those that do are answered
+	stop := make(chan os.Signal, 1) // caught before clients can connect, so that all of them are answered
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	listener, err := listen(file.Listen, operatorFile.Stats != nil)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return run(file, listener, options, stop, reload)
 }
 
-// run serves on a listener until a stop signal has come and no answer is owed. At each reload signal both files are
-// read again.
+// run serves on a listener until a stop signal has arrived and no answer is pending. Each reload signal reloads both
+// files.
 func run(file config.File, listener net.Listener, options command.ServeOptions, stop, reload <-chan os.Signal) error {
 	listeningSince := time.Now()
 	files, err := readFiles(file, options.Operator, file.Settings)
--- a/cmd/swiftreel/plan_follower.go
+++ b/cmd/swiftreel/plan_follower.go
@@ -11,17 +11,17 @@
 	"swiftreel/internal/operator"
 )
 
-// planFollower has the gateway follow the plan of the operator's file until the plan ends.
+// planFollower makes the gateway follow the plan in the operator's file until the plan expires.
 type planFollower struct {
 	gateway *gateway.Gateway
 
 	mu         sync.Mutex
-	current    *operator.Plan // followed now; nil: none
-	timer      *time.Timer    // of its end; nil: it does not end
-	generation int            // increases with each change, so that a timer of an earlier plan has no effect
+	current    *operator.Plan // nil if none is followed
+	timer      *time.Timer    // fires when current expires; nil if it does not expire
+	generation int            // incremented with each change, so that a timer of an earlier plan has no effect
 }
 
-// follow changes to another plan; nil ends the one before. The same plan with another end is not a new one.
+// follow replaces the current plan; nil ends it. A plan that differs only in its expiry continues without interruption.
 func (p *planFollower) follow(plan *operator.Plan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,12 +30,12 @@
 	}
 	p.set(plan)
 	if plan != nil && plan.UntilNS != 0 {
-		p.endAfter(time.Duration(plan.UntilNS - monotonic.Now()))
+		p.expireAfter(time.Duration(plan.UntilNS - monotonic.Now()))
 	}
 }
 
-// endAfter sets the timer that ends the current plan. The caller holds the lock.
-func (p *planFollower) endAfter(delay time.Duration) {
+// expireAfter starts the timer that ends the current plan. The caller must hold the lock.
+func (p *planFollower) expireAfter(delay time.Duration) {
 	generation := p.generation
 	p.timer = time.AfterFunc(delay, func() {
 		p.mu.Lock()
@@ -47,7 +47,8 @@
 	})
 }
 
-// set makes a plan the current one, and tells the gateway if it differs from the one before. The caller holds the lock.
+// set makes plan the current one and passes it to the gateway if it differs from the previous one. The caller must hold
+// the lock.
 func (p *planFollower) set(plan *operator.Plan) {
 	p.stopTimer()
 	previous := p.current
@@ -65,7 +66,7 @@
 	return a.DemandFactor == b.DemandFactor && reflect.DeepEqual(a.Answer, b.Answer)
 }
 
-// stopTimer stops the timer of the current plan. The caller holds the lock.
+// stopTimer stops the timer of the current plan. The caller must hold the lock.
 func (p *planFollower) stopTimer() {
 	p.generation++
 	if p.timer != nil {
@@ -74,7 +75,7 @@
 	}
 }
 
-// close stops the timer. The current plan stays.
+// close stops the timer. The gateway keeps following the current plan.
 func (p *planFollower) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/swiftreel/plan_test.go
+++ b/cmd/swiftreel/plan_test.go
@@ -23,11 +23,11 @@
 "tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},
 "demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":300000}]}`
 
-// runCommand carries a command line out and gives its code and output.
+// runCommand runs a command line and returns its exit code and output.
 func runCommand(t *testing.T, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
-	code := command.Run(args, &out, &out, func(command.ServeOptions) error { t.Error("it serves"); return nil })
+	code := command.Run(args, &out, &out, func(command.ServeOptions) error { t.Error("controller started"); return nil })
 	return code, out.String()
 }
 
@@ -55,10 +55,10 @@
 			t.Errorf("%v: %d: %s", args, code, out)
 		}
 	}
-	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
-	t.Setenv("ROUTER_OPERATOR", own)
+	operatorPath := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
+	t.Setenv("ROUTER_OPERATOR", operatorPath)
 	w := startController(t, "e1", "e2")
-	// Jobs go one after the other, so that both engines are empty: all go where the plan wants them.
+	// Jobs are sent one at a time, so that both engines are idle and the plan alone decides the engine.
 	done := func(host string) {
 		t.Helper()
 		for range 6 {
@@ -71,7 +71,7 @@
 			w.expectAnswer(id, "")
 		}
 	}
-	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(own, counter, text) }
+	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(operatorPath, counter, text) }
 	done("")
 	reload("reloads", `{"plan":{"file":"plan.json"}}`)
 	done("e1")
@@ -81,7 +81,7 @@
 	done("")
 }
 
-func TestABuildTellsWhatItIs(t *testing.T) {
+func TestVersionCommand(t *testing.T) {
 	code, out := runCommand(t, "version", "--json")
 	var b version.Build
 	if err := json.Unmarshal([]byte(out), &b); code != 0 || err != nil || b.Version != version.Name ||
@@ -132,14 +132,14 @@
 		}
 		for _, problem := range c.problems {
 			if !strings.Contains(out, problem) {
-				t.Errorf("%v of %s tells %q, not %q", c.args, c.text, out, problem)
+				t.Errorf("%v of %s prints %q, want %q", c.args, c.text, out, problem)
 			}
 		}
 	}
 }
 
-// The schema bounds a file before anything is made of it; what is large but in form is read and solved, or refused.
-func TestALargeProblemIsReadOrRefused(t *testing.T) {
+// A large problem that is valid under the schema is read. A file over the size limit is rejected.
+func TestLargeProblemIsReadOrRejected(t *testing.T) {
 	dir, p := t.TempDir(), map[string]any{}
 	if err := json.Unmarshal([]byte(problem), &p); err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 	}
 }
 
-// Plans come, go and are bad while clients send and engines misbehave: every job has its one answer all the same.
+// While plans are applied, removed and rejected and engines misbehave, every job still gets exactly one answer.
 func TestPlansAreAppliedUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	from := writeFile(t, filepath.Join(dir, "problem.json"), problem)
@@ -174,8 +174,8 @@
 			t.Fatalf("%d: %s", code, out)
 		}
 	}
-	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
-	t.Setenv("ROUTER_OPERATOR", own)
+	operatorPath := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
+	t.Setenv("ROUTER_OPERATOR", operatorPath)
 	w := startControllerWith(t, fake.NewFaultyEngine(4).Handle, "e1", "e2", "e3")
 	var typicalClients sync.WaitGroup
 	for i := range uint64(3) {
@@ -184,12 +184,12 @@
 	for i := range 12 {
 		texts := []string{`{"plan":{"file":"a.json"}}`, `{"plan":{"file":"b.json","demand_factor":1.1}}`, `{"plan":{}}`, `{}`}
 		text := texts[i%len(texts)]
-		writeFile(t, own, text)
+		writeFile(t, operatorPath, text)
 		before := counters.Value("reloads") + counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
 		eventually(
 			t,
-			"not read anew",
+			"not reloaded",
 			func() bool { return counters.Value("reloads")+counters.Value("reloads_failed") > before },
 		)
 	}
--- a/cmd/swiftreel/reload.go
+++ b/cmd/swiftreel/reload.go
@@ -14,13 +14,14 @@
 	"swiftreel/internal/limits"
 )
 
-// reloader applies to a running server what can be changed of its files without a restart.
+// reloader applies changes of the configuration and the operator's file to a running server, as far as they need no
+// restart.
 type reloader struct {
 	server       *server
 	budget       *limits.Budget
 	operatorPath string
-	current      files              // as applied last
-	baseSettings choice.RawSettings // as at the start: changed settings need a restart
+	current      files              // last applied
+	baseSettings choice.RawSettings // of the configuration at startup: changed settings need a restart
 
 	closing chan struct{}
 	closed  chan struct{}
@@ -28,7 +29,7 @@
 
 func newReloader(s *server, budget *limits.Budget, operatorPath string) *reloader {
 	current := s.files
-	current.cachedEvents = nil // passed on already
+	current.cachedEvents = nil // already passed to the gateway
 	return &reloader{
 		server:       s,
 		budget:       budget,
@@ -40,7 +41,8 @@
 	}
 }
 
-// run reads the files again at each signal, until close. Signals that come meanwhile count as one.
+// run reloads the files on each signal until close is called. Signals that arrive during a reload cause a single
+// further one.
 func (r *reloader) run(signals <-chan os.Signal) {
 	defer close(r.closed)
 	for {
@@ -53,13 +55,13 @@
 	}
 }
 
-// close ends run and waits for it.
+// close stops run and waits for it to return.
 func (r *reloader) close() {
 	close(r.closing)
 	<-r.closed
 }
 
-// reload applies both files, or changes nothing if one of them cannot be used.
+// reload applies both files, or changes nothing if either is invalid.
 func (r *reloader) reload() {
 	next, err := r.read()
 	if err != nil {
@@ -80,7 +82,8 @@
 	return readFiles(file, r.operatorPath, r.baseSettings)
 }
 
-// retainUntilRestart puts back what cannot be changed in a running process, and returns the names of what differs.
+// retainUntilRestart restores in next the current values that cannot change in a running process. It returns the names
+// of the values that differ.
 func (r *reloader) retainUntilRestart(next *files) []string {
 	names := r.changedSettings(next.config)
 	if !reflect.DeepEqual(next.operator.SPARQL, r.current.operator.SPARQL) {
@@ -94,7 +97,8 @@
 	return names
 }
 
-// changedSettings names what differs in the configuration and needs a restart, sorted. The seed is new at each start.
+// changedSettings returns the sorted names of configuration values that differ and need a restart. The seed is ignored:
+// it differs on each start.
 func (r *reloader) changedSettings(next config.File) []string {
 	current := r.current.config
 	var names []string
@@ -118,7 +122,7 @@
 	return names
 }
 
-// statsAddress is where the stats server listens, if it does.
+// statsAddress is the listen address of the stats server.
 type statsAddress struct {
 	enabled bool
 	listen  string
@@ -131,7 +135,7 @@
 	return statsAddress{enabled: true, listen: f.operator.Stats.Listen}
 }
 
-// apply changes the running server.
+// apply applies the files to the running server, except for what needs a restart.
 func (r *reloader) apply(next files, needsRestart []string) {
 	s := r.server
 	moved := s.discovery.Reconfigure(next.config.Feed, next.cachedEvents)
@@ -144,18 +148,19 @@
 	if !reflect.DeepEqual(next.operator.Topology, r.current.operator.Topology) {
 		s.gateway.Reconfigure(next.settings)
 	}
-	if !reflect.DeepEqual(next.operator.Plan, r.current.operator.Plan) { // the same plan once more is not a new one
+	if !reflect.DeepEqual(next.operator.Plan, r.current.operator.Plan) { // an unchanged plan is not restarted
 		s.plans.follow(next.operator.Plan)
 	}
 	if next.predecessorRunning() != r.current.predecessorRunning() {
 		s.gateway.SetPredecessor(next.predecessorRunning())
 	}
 	s.stats.setApplied(next)
-	r.remember(next)
+	r.recordApplied(next)
 }
 
-// remember keeps what was applied. Of the configuration that is the feed and the limits.
-func (r *reloader) remember(next files) {
+// recordApplied records the applied files as current. Of the configuration only the feed and the limits can have
+// changed.
+func (r *reloader) recordApplied(next files) {
 	r.current.operator = next.operator
 	r.current.config.Feed = next.config.Feed
 	r.current.config.CachedEvents = next.config.CachedEvents
--- a/cmd/swiftreel/reload_test.go
+++ b/cmd/swiftreel/reload_test.go
@@ -17,17 +17,17 @@
 	w.feed.DropConnections()
 	w.feed.Write("no JSON\n")
 	address := w.engines["e1"].Address()
-	w.feed.AddEvent(false, "["+entry("e1", address, "gone")+"]")
-	w.feed.AddEvent(false, "["+entry("e2", address, "ready")+"]")
-	for w.isThrottled(w.submit("lookup", "900")) { // until the feed is called anew
+	w.feed.AddEvent(false, "["+endpointEntry("e1", address, "gone")+"]")
+	w.feed.AddEvent(false, "["+endpointEntry("e2", address, "ready")+"]")
+	for w.isThrottled(w.submit("lookup", "900")) { // until the feed is reconnected
 	}
 	if requested := w.feed.DropConnections(); requested[0] != 1 {
-		t.Errorf("asked for what is known: %v", requested)
+		t.Errorf("subscribed from events already received: %v", requested)
 	}
 }
 
-// Under load: a job is out when the feed moves, and again when the file cannot be used.
-func TestAtSIGHUPTheFeedIsFollowedWhereItMoved(t *testing.T) {
+// A job stays dispatched while SIGHUP moves the feed and while reloads of an invalid file fail.
+func TestSIGHUPFollowsAMovedFeed(t *testing.T) {
 	w := startController(t, "e1")
 	out := w.submit("lookup", "20000")
 	c := w.nextCommand("fetch")
@@ -36,20 +36,20 @@
 		t.Fatal(err)
 	}
 	defer moved.Close()
-	known := moved.AddEvent(true, "["+entry("e1", w.engines["e1"].Address(), "ready")+"]")
-	moved.AddEvent(false, "["+w.engine("e2")+"]")
-	w.write(moved.Address(), known)
+	known := moved.AddEvent(true, "["+endpointEntry("e1", w.engines["e1"].Address(), "ready")+"]")
+	moved.AddEvent(false, "["+w.startEngine("e2")+"]")
+	w.writeConfig(moved.Address(), known)
 	w.reload <- syscall.SIGHUP
 	w.feed.Close()
-	eventually(t, "the new place is not asked", func() bool { return len(moved.Subscriptions()) == 1 })
+	eventually(t, "no subscription at the new address", func() bool { return len(moved.Subscriptions()) == 1 })
 	for _, text := range []string{"{", strings.Replace(readText(w.config), moved.Address(), "nowhere", 1)} {
 		writeFile(t, w.config, text)
 		failed := counters.Value("reloads_failed")
 		w.reload <- syscall.SIGHUP
 		eventually(t, "no failed reload", func() bool { return counters.Value("reloads_failed") == failed+1 })
 	}
-	moved.AddEvent(false, "["+entry("e1", w.engines["e1"].Address(), "draining")+"]")
-	for host := ""; host != "e2"; { // told of in a moment
+	moved.AddEvent(false, "["+endpointEntry("e1", w.engines["e1"].Address(), "draining")+"]")
+	for host := ""; host != "e2"; { // until the event has arrived
 		id := w.submit("lookup", "20000")
 		d := w.nextCommand("fetch")
 		host = d.host
@@ -59,12 +59,12 @@
 	c.from.Answer(c.ID, "data", "sheets=1", "a\tb\tc\n")
 	w.expectAnswer(out, "")
 	if requested := moved.Subscriptions(); !slices.Equal(requested, []int{1}) {
-		t.Errorf("the new place was asked from %v", requested)
+		t.Errorf("subscribed at the new address from %v", requested)
 	}
 }
 
-// What differs and needs a restart is named, in order, and stays as it was.
-func TestWhatNeedsARestartIsNamedAndStays(t *testing.T) {
+// Values that differ but need a restart are named in order and keep their current values.
+func TestValuesThatNeedARestartAreNamedAndKept(t *testing.T) {
 	current := files{
 		config: config.File{
 			Name:     "n0",
@@ -79,7 +79,7 @@
 	}
 	r := reloader{current: current}
 	same := current
-	same.config.Seed = 2 // new with each start
+	same.config.Seed = 2 // differs on each start
 	if names := r.retainUntilRestart(&same); len(names) > 0 {
 		t.Errorf("nothing differs, but %q", names)
 	}
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -15,10 +15,10 @@
 	"swiftreel/internal/limits"
 )
 
-// server is a controller: the gateway with all that feeds it. Its parts are made by newServer, run from start on and
-// end with stop, in the reverse order of their dependencies.
+// server is a controller: the gateway and the components around it. newServer creates the components, start runs them
+// and stop closes them in reverse order of their dependencies.
 type server struct {
-	files          files // as at the start, and until it
+	files          files // as read at startup; cleared by start
 	listener       net.Listener
 	listeningSince time.Time
 	gateway        *gateway.Gateway
@@ -30,7 +30,8 @@
 	reloader       *reloader
 }
 
-// newServer makes a server. It owns the listener, which is open since the time given, from start on.
+// newServer returns a server that has not started. The server owns the listener once start is called; since is when the
+// listener was opened.
 func newServer(files files, listener net.Listener, since time.Time, options command.ServeOptions) (*server, error) {
 	sparql, err := newSPARQLServer(files.operator.SPARQL, files.config.Limits)
 	if err != nil {
@@ -49,7 +50,7 @@
 	})
 	sparql.attach(gate)
 	clients := client.NewServer(gate, budget)
-	stats, err := newStatsServer(files, gate, func() int64 { return clients.OwedAnswers() + sparql.owed() })
+	stats, err := newStatsServer(files, gate, func() int64 { return clients.OwedAnswers() + sparql.pendingAnswers() })
 	if err != nil {
 		sparql.close()
 		clients.Close()
@@ -69,7 +70,8 @@
 	return s, nil
 }
 
-// restoreState gives the gateway what is known before the first job: of an older process, and of the endpoint list.
+// restoreState passes to the gateway what is known before the first job: the state of a predecessor process and the
+// cached endpoint list.
 func (s *server) restoreState() {
 	if s.files.predecessorRunning() {
 		s.gateway.SetPredecessor(true)
@@ -80,17 +82,17 @@
 	restoreSnapshot(s.files.operator.Stats, s.gateway)
 }
 
-// start begins to serve. It does not wait.
+// start serves in the background.
 func (s *server) start(reload <-chan os.Signal) {
 	go s.reloader.run(reload)
-	go func() { _ = s.clients.Serve(s.listener, s.listeningSince) }() // ends without an error once the listener is closed
+	go func() { _ = s.clients.Serve(s.listener, s.listeningSince) }() // returns nil once the listener is closed
 	s.sparql.start()
-	debug.FreeOSMemory() // what the libraries of the command line allocated when they were set up
+	debug.FreeOSMemory() // returns memory that the command-line libraries allocated during initialization
 	s.gateway.Start()
 	if testHooks.afterStart != nil {
 		testHooks.afterStart()
 	}
 	slog.Info("serving", "name", s.files.config.Name, "address", s.listener.Addr(),
 		"events_known", s.files.config.CachedEvents.LastNumber, "settings", change.JSONDigest(s.files.settings))
-	s.files = files{} // the reloader has what is in force; a plan or snapshot of the start is not retained
+	s.files = files{} // frees the initial plan and snapshot; the reloader holds what is in force
 }
--- a/cmd/swiftreel/shutdown.go
+++ b/cmd/swiftreel/shutdown.go
@@ -8,36 +8,37 @@
 	"swiftreel/internal/counters"
 )
 
-// After a stop signal jobs may still arrive for lateArrivalWindow: on new connections for 0.4 s, 0.2 s more on open
-// ones, and a margin; what comes later is throttled. Then the program ends once, for quietPeriod, no answer was owed
-// and no bytes of a client lay unread. Half a message is waited for no longer than partialMessageTimeout.
+// Shutdown goes through two phases. For lateArrivalWindow after the stop signal, calls are still served: clients may
+// open connections for another 0.4 s and use open ones for 0.2 s more; the rest is a margin. Later calls are throttled,
+// and the process exits after quietPeriod without a pending answer or unread client input. It waits for the rest of a
+// partly received message for at most partialMessageTimeout.
 const (
 	quietPeriod    = 100 * time.Millisecond
 	quietPoll      = 10 * time.Millisecond
-	stallTolerance = 5 * quietPoll // a poll later than this says nothing: the process itself has stalled
+	stallTolerance = 5 * quietPoll // a longer poll interval means that the process was stalled: the poll does not count
 
-	// idleCloseDelay is how long after the last call was taken connections without an open call begin to be closed: until
-	// then a client that goes on gets its answers, and then it learns that it must go elsewhere.
+	// idleCloseDelay is the time between the end of lateArrivalWindow and the closing of connections without an open
+	// call. In between, clients that keep sending have their calls throttled; the close makes them connect elsewhere.
 	idleCloseDelay = 200 * time.Millisecond
 
-	minCloseTime = 20 * time.Millisecond  // for the connections that are left
-	maxCloseTime = 500 * time.Millisecond // likewise: what came between the last look and the close is answered
-	exitMargin   = 70 * time.Millisecond  // before the process may be killed the connections are closed
+	minCloseTime = 20 * time.Millisecond  // lower bound of the time for closing the remaining connections
+	maxCloseTime = 500 * time.Millisecond // upper bound; calls that arrive after the last poll are still answered
+	exitMargin   = 70 * time.Millisecond  // between the close of the connections and when the process may be killed
 )
 
-// Variables for tests, where nothing comes late, or half a message is held for as long as it takes.
+// Variables so that tests can shorten the window or lengthen the timeout.
 var (
 	lateArrivalWindow     = time.Second
 	partialMessageTimeout = 2 * time.Second
 )
 
-// stop waits until no answer is owed, and ends all parts of the server.
+// stop waits until no answer is pending, then closes all components of the server.
 func (s *server) stop(signal os.Signal) {
 	stoppedAt := time.Now()
 	s.gateway.Stop()
 	slog.Info("stopping", "signal", signal, "owed", s.clients.OwedAnswers())
 	s.awaitQuiet(stoppedAt)
-	_ = s.listener.Close() // nothing depends on it: no connection is accepted any more
+	_ = s.listener.Close() // an error does not matter: no more connections are accepted
 	s.clients.CloseWithin(s.closeTime(stoppedAt))
 	s.sparql.close()
 	s.reloader.close()
@@ -49,15 +50,15 @@
 	slog.Info("stopped", append([]any{"after_ms", after}, counters.LogAttributes()...)...)
 }
 
-// closeTime is how long the close of the connections may take, so that the process ends before it may be killed.
+// closeTime returns the time limit for closing the connections, so that the process exits before it may be killed.
 func (s *server) closeTime(stoppedAt time.Time) time.Duration {
 	killedAt := stoppedAt.Add(s.gateway.KilledAfter())
 	return min(maxCloseTime, max(minCloseTime, time.Until(killedAt)-exitMargin))
 }
 
-// awaitQuiet waits until no answer is owed and nothing lies unread for a while, or until the process is about to be
-// killed: all answers are out by then. Connections are closed as they become idle, since clients that go on using them
-// would keep the process busy for good.
+// awaitQuiet waits until there has been no pending answer and no unread input for quietPeriod, or until the stop
+// timeout has passed and no answer is pending. It closes connections as they become idle: clients that keep using
+// theirs would otherwise keep the process running indefinitely.
 func (s *server) awaitQuiet(stoppedAt time.Time) {
 	quiet := time.Duration(0)
 	lastPoll := stoppedAt
@@ -76,18 +77,18 @@
 		} else {
 			quiet = 0
 		}
-		if sinceStop >= s.gateway.StopTimeout() && s.owedAnswers() == 0 {
+		if sinceStop >= s.gateway.StopTimeout() && s.pendingAnswers() == 0 {
 			return
 		}
 		lastPoll = now
 	}
 }
 
-func (s *server) owedAnswers() int64 { return s.clients.OwedAnswers() + s.sparql.owed() }
+func (s *server) pendingAnswers() int64 { return s.clients.OwedAnswers() + s.sparql.pendingAnswers() }
 
 func (s *server) isQuiet(sinceStop, sincePoll time.Duration) bool {
 	switch {
-	case sinceStop < lateArrivalWindow, s.owedAnswers() > 0, sincePoll > stallTolerance:
+	case sinceStop < lateArrivalWindow, s.pendingAnswers() > 0, sincePoll > stallTolerance:
 		return false
 	case sinceStop < lateArrivalWindow+partialMessageTimeout:
 		return !s.clients.HasPendingInput()
--- a/cmd/swiftreel/shutdown_test.go
+++ b/cmd/swiftreel/shutdown_test.go
@@ -13,7 +13,7 @@
 	"swiftreel/internal/fake"
 )
 
-func TestAfterSIGTERMWhatComesIsServedAndThenItEnds(t *testing.T) {
+func TestSIGTERMServesLateCallsThenExits(t *testing.T) {
 	w := startController(t, "e1")
 	lateArrivalWindow = 900 * time.Millisecond
 	id := w.submit("lookup", "20000")
@@ -32,7 +32,7 @@
 	}
 	select {
 	case err := <-w.ended:
-		t.Fatal("ended with an answer owed", err)
+		t.Fatal("exited with an answer pending", err)
 	case <-time.After(lateArrivalWindow + 100*time.Millisecond):
 	}
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
@@ -40,14 +40,14 @@
 	if err := <-w.ended; err != nil {
 		t.Fatal(err)
 	}
-	w.caller.Conn.Close()
+	w.client.Conn.Close()
 	late.Conn.Close()
-	w.caller = nil
+	w.client = nil
 }
 
-// What was begun before the end, and what comes once nothing is taken any more, is answered and not sent on; a client
-// that rests until the controller ends it sees an end in order.
-func TestWhatIsHalfReadAtTheEndIsAnswered(t *testing.T) {
+// A call that is partly received at the stop signal and calls that arrive after the window are answered without being
+// dispatched. An idle client's connection is closed in order, with EOF.
+func TestPartialMessageAtShutdownIsAnswered(t *testing.T) {
 	w := startController(t, "e1")
 	previousTimeout := partialMessageTimeout
 	partialMessageTimeout = time.Minute
@@ -65,8 +65,8 @@
 	late.Conn.Write(call[:20])
 	before := counters.Value("calls_after_stop")
 	w.stop <- syscall.SIGTERM
-	for submitted := 0; counters.Value("calls_after_stop") == before; submitted++ { // until nothing is taken any more
-		id, err := w.caller.Send("lookup", "SELECT 1 FROM a_1.b",
+	for submitted := 0; counters.Value("calls_after_stop") == before; submitted++ { // until calls are throttled
+		id, err := w.client.Send("lookup", "SELECT 1 FROM a_1.b",
 			"call", fmt.Sprintf("%016x", 0xcc00+submitted), "ttl", "20000", "org", "acme")
 		if err != nil {
 			t.Fatal(err)
@@ -78,31 +78,31 @@
 			case <-w.throttledAfterStop(before):
 			}
 		}
-		if a, err := w.caller.Read(20 * time.Second); err != nil || a.ID != id || a.Error != "" && a.Error != "Overloaded" {
+		if a, err := w.client.Read(20 * time.Second); err != nil || a.ID != id || a.Error != "" && a.Error != "Overloaded" {
 			t.Fatal(a, err)
 		}
 	}
-	time.Sleep(5 * quietPeriod) // time enough to end in, for one that does not wait for the other half
+	time.Sleep(5 * quietPeriod) // long enough to exit if the controller did not wait for the rest of the message
 	late.Conn.Write(call[20:])
 	if a, err := late.Read(20 * time.Second); err != nil || a.ID != 9 || a.Error != "Overloaded" {
 		t.Fatal(a, err)
 	}
 	if len(w.commands) > 0 {
-		t.Errorf("sent on: %+v", <-w.commands)
+		t.Errorf("dispatched: %+v", <-w.commands)
 	}
 	if err := <-w.ended; err != nil {
 		t.Fatal(err)
 	}
 	if _, err := resting.Read(20 * time.Second); !errors.Is(err, io.EOF) {
-		t.Errorf("not ended in order: %v", err)
+		t.Errorf("not closed in order: %v", err)
 	}
-	w.caller.Conn.Close()
-	w.caller = nil
+	w.client.Conn.Close()
+	w.client = nil
 }
 
-// SIGHUP and SIGTERM at once, and SIGTERM twice: the file is read or not, the job that is out gets its answer, and the
-// program ends once.
-func TestSignalsThatCross(t *testing.T) {
+// With SIGHUP and SIGTERM at the same time and a second SIGTERM, the dispatched job is answered and the controller
+// exits once, whether or not the file is reloaded.
+func TestConcurrentSignals(t *testing.T) {
 	for range 5 {
 		w := startController(t, "e1")
 		id := w.submit("lookup", "20000")
@@ -118,12 +118,12 @@
 		if err := <-w.ended; err != nil {
 			t.Fatal(err)
 		}
-		w.caller.Conn.Close()
-		w.caller = nil
+		w.client.Conn.Close()
+		w.client = nil
 	}
 }
 
-// throttledAfterStop is closed once a call was throttled because nothing is taken any more.
+// throttledAfterStop returns a channel that is closed once a call was throttled because of the shutdown.
 func (w *testController) throttledAfterStop(before uint64) <-chan struct{} {
 	seen := make(chan struct{})
 	go func() {
--- a/cmd/swiftreel/snapshot.go
+++ b/cmd/swiftreel/snapshot.go
@@ -9,8 +9,9 @@
 	"swiftreel/internal/operator"
 )
 
-// restoreSnapshot gives the gateway what an older process of this controller has learned, as the operator's file hands
-// it over. A snapshot of another version, or a damaged one, is ignored: what it holds is learned again from jobs.
+// restoreSnapshot restores in the gateway the statistics that a predecessor process has learned, which a supervisor
+// passes on in the operator's file. A snapshot that is damaged or of another version is ignored: its statistics are
+// learned again from jobs.
 func restoreSnapshot(options *operator.Stats, gate *gateway.Gateway) {
 	if options == nil || len(options.TypeStats) == 0 {
 		return
@@ -23,11 +24,11 @@
 		slog.Warn("state_not_restored", "reason", err)
 		return
 	}
-	gate.Restore(types, engineHealth(options.EngineHealth))
+	gate.Restore(types, decodeEngineHealth(options.EngineHealth))
 }
 
-// engineHealth reads the part of a snapshot on engines; nil if it has another form.
-func engineHealth(text json.RawMessage) map[string]gateway.EngineHealth {
+// decodeEngineHealth decodes the engine health of a snapshot. It returns nil if the format is unknown.
+func decodeEngineHealth(text json.RawMessage) map[string]gateway.EngineHealth {
 	if len(text) == 0 {
 		return nil
 	}
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -17,33 +17,34 @@
 	"swiftreel/internal/sparql/front"
 )
 
-// maxFingerprints is for how many fingerprints of queries the cost is remembered, about 150 bytes each.
+// maxFingerprints is the number of query fingerprints whose cost is stored, at about 150 bytes each.
 const maxFingerprints = 4096
 
-// minSockets is how many descriptors the rest of the program needs.
-const minSockets = 64
+// minDescriptors is the number of descriptors that the rest of the process needs.
+const minDescriptors = 64
 
-// sparqlServer is the SPARQL front, and the connections to SPARQL endpoints. If the protocol is off, options is nil and
-// no method has an effect.
+// sparqlServer is the SPARQL front end with its connections to SPARQL endpoints. If the protocol is disabled, options
+// is nil and the methods do nothing.
 type sparqlServer struct {
 	options  *operator.SPARQL
 	listener net.Listener
-	conns    limits.Count     // to endpoints
+	maxConns limits.Count     // maximum number of connections to endpoints
 	gateway  *gateway.Gateway // set by attach
 	front    *front.Front     // set by attach
 }
 
-// newSPARQLServer listens for clients, unless options is nil. Its connections must leave enough of the descriptors.
+// newSPARQLServer listens for clients, unless options is nil. It fails if its connections would leave fewer than
+// minDescriptors descriptors.
 func newSPARQLServer(options *operator.SPARQL, machine config.Limits) (*sparqlServer, error) {
 	s := &sparqlServer{options: options}
 	if options == nil {
 		return s, nil
 	}
-	if s.remainingLimits(machine).Sockets < minSockets {
-		return nil, fmt.Errorf("sparql: %d connections leave under %d of the descriptors to the rest",
-			options.Connections, minSockets)
+	if s.remainingLimits(machine).Sockets < minDescriptors {
+		return nil, fmt.Errorf("sparql: with %d connections, fewer than %d descriptors are left for other uses",
+			options.Connections, minDescriptors)
 	}
-	s.conns.Store(int64(options.Connections))
+	s.maxConns.Store(int64(options.Connections))
 	listener, err := net.Listen("tcp4", options.Listen)
 	if err != nil {
 		return nil, err
@@ -52,7 +53,7 @@
 	return s, nil
 }
 
-// remainingLimits returns what its connections leave of the machine's limits.
+// remainingLimits returns the machine's limits less the descriptors that this server needs.
 func (s *sparqlServer) remainingLimits(machine config.Limits) config.Limits {
 	if s.options != nil {
 		machine.Sockets -= 2*s.options.Connections + 1 // clients, endpoints and the listener
@@ -60,7 +61,8 @@
 	return machine
 }
 
-// protocols returns how engines are reached, by protocol. The factories must not be used before attach has returned.
+// protocols returns the factory of engine connections for each protocol. The factories must not be used before attach
+// has returned.
 func (s *sparqlServer) protocols() map[backend.Protocol]backend.Factory {
 	factories := map[backend.Protocol]backend.Factory{
 		backend.Line: func(limits backend.Limits) backend.Engines { return engine.NewPool(limits) },
@@ -72,11 +74,11 @@
 }
 
 func (s *sparqlServer) newEndpoints(limits backend.Limits) backend.Engines {
-	limits.Conns = &s.conns
+	limits.Conns = &s.maxConns
 	return endpoint.New(limits, func(name string, signal decide.Signal) { s.gateway.UpdateDrain(name, signal) })
 }
 
-// attach connects it with the gateway. It must be called before the gateway gets its first list of engines.
+// attach connects the server to the gateway. It must be called before the gateway gets its first engine list.
 func (s *sparqlServer) attach(gate *gateway.Gateway) {
 	if s.options == nil {
 		return
@@ -105,7 +107,7 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// start begins to serve clients. It does not wait.
+// start serves clients in the background.
 func (s *sparqlServer) start() {
 	if s.options == nil {
 		return
@@ -115,8 +117,8 @@
 	go s.front.Serve(s.listener)
 }
 
-// owed returns how many answers are owed to clients.
-func (s *sparqlServer) owed() int64 {
+// pendingAnswers returns the number of pending answers.
+func (s *sparqlServer) pendingAnswers() int64 {
 	if s.options == nil {
 		return 0
 	}
@@ -128,5 +130,5 @@
 		return
 	}
 	s.front.Close()
-	_ = s.listener.Close() // the front has closed it, unless it never served
+	_ = s.listener.Close() // the front has already closed it, unless start was never called
 }
--- a/cmd/swiftreel/sparql_test.go
+++ b/cmd/swiftreel/sparql_test.go
@@ -16,14 +16,14 @@
 	"swiftreel/internal/fake"
 )
 
-// startSPARQL starts a controller with a SPARQL front and two endpoints beside two engines of the line protocol, all
-// on the machines e1 and e2.
-func startSPARQL(t *testing.T) (w *testController, at string, ends [2]*fake.Endpoint) {
+// startSPARQL starts a controller with a SPARQL front end. The engines e1 and e2 each serve SPARQL and the line
+// protocol.
+func startSPARQL(t *testing.T) (w *testController, at string, endpoints [2]*fake.Endpoint) {
 	t.Helper()
 	var list []string
-	for i := range ends {
+	for i := range endpoints {
 		var err error
-		if ends[i], err = fake.StartEndpoint(
+		if endpoints[i], err = fake.StartEndpoint(
 			"127.0.0.1:0",
 			[3]string{"<a>", "<p>", `"1"`},
 			[3]string{"<b>", "<p>", `"2"`},
@@ -31,8 +31,8 @@
 		); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(ends[i].Close)
-		list = append(list, fmt.Sprintf(`"e%d":%q`, i+1, ends[i].URL()))
+		t.Cleanup(endpoints[i].Close)
+		list = append(list, fmt.Sprintf(`"e%d":%q`, i+1, endpoints[i].URL()))
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,10 +46,10 @@
 	t.Setenv("ROUTER_OPERATOR", writeFile(t, filepath.Join(t.TempDir(), "own.json"), text))
 	w = startController(t, "e1", "e2")
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
-	return w, "http://" + at + "/sparql", ends
+	return w, "http://" + at + "/sparql", endpoints
 }
 
-// sendRequest asks and gives status, content type and body.
+// sendRequest sends a request and returns the status, header and body of the response.
 func sendRequest(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	a, err := http.DefaultClient.Do(r)
@@ -80,7 +80,7 @@
 	askStatement = `SELECT * { ?s <p> ?o . ?s <q> ?x }`
 )
 
-func TestTheProtocolIsServed(t *testing.T) {
+func TestSPARQLProtocol(t *testing.T) {
 	_, at, _ := startSPARQL(t)
 	q, json := url.QueryEscape(askStatement), `"s":{"type":"uri","value":"a"}`
 	for _, c := range []struct {
@@ -144,10 +144,10 @@
 	}
 }
 
-// What may have run is not sent again, and is told as cancelled for good; what never ran goes elsewhere; malformed text
-// reaches no engine.
-func TestUpdatesRunOnceOverHTTPToo(t *testing.T) {
-	_, at, ends := startSPARQL(t)
+// An update that may have run is not retried but cancelled permanently. One that did not run is sent to another engine,
+// and a malformed one to none.
+func TestUpdatesRunOnceOverHTTP(t *testing.T) {
+	_, at, endpoints := startSPARQL(t)
 	update := func(n int) *http.Request {
 		return newRequest(
 			"POST",
@@ -159,8 +159,8 @@
 	}
 	var mu sync.Mutex
 	broke, refused := 0, 0
-	for i, e := range ends {
-		e.Intercept(func(w http.ResponseWriter, text string) bool { // begins, and breaks off
+	for i, e := range endpoints {
+		e.Intercept(func(w http.ResponseWriter, text string) bool { // starts and breaks the connection
 			if strings.HasPrefix(text, "INSERT") {
 				mu.Lock()
 				broke = i
@@ -174,9 +174,9 @@
 		t.Errorf("broken off: %d %q", status, body)
 	}
 	mu.Lock()
-	other := 1 - broke // which is chosen more now
+	other := 1 - broke // now preferred
 	mu.Unlock()
-	ends[other].Intercept(func(w http.ResponseWriter, text string) bool { // full, and says that nothing began
+	endpoints[other].Intercept(func(w http.ResponseWriter, text string) bool { // overloaded, with the header Not-Started
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(text, "INSERT") {
@@ -187,7 +187,7 @@
 		}
 		return false
 	})
-	ends[1-other].Intercept(nil)
+	endpoints[1-other].Intercept(nil)
 	for n := range 6 {
 		if status, _, body := sendRequest(t, update(10+n)); status != 204 {
 			t.Errorf("%d: %d %q", n, status, body)
@@ -195,7 +195,7 @@
 	}
 	sendRequest(t, newRequest("POST", at, "application/sparql-update", "", "INSERT DATA { <x> }"))
 	seen := map[string]int{}
-	for _, e := range ends {
+	for _, e := range endpoints {
 		for _, text := range e.Received() {
 			seen[text]++
 		}
@@ -212,109 +212,111 @@
 	}
 }
 
-// A client that leaves with a query in hand takes it back; the engine's dispatch is given up, and nothing stays.
-func TestAClientThatLeavesTakesItsQueryBack(t *testing.T) {
-	w, at, ends := startSPARQL(t)
-	began, over := make(chan struct{}, 2), make(chan struct{})
+// When a client disconnects during its query, the query is revoked, its dispatch cancelled, and no answer stays
+// pending.
+func TestDisconnectRevokesTheQuery(t *testing.T) {
+	w, at, endpoints := startSPARQL(t)
+	started, release := make(chan struct{}, 2), make(chan struct{})
 	var once sync.Once
-	for _, e := range ends {
+	for _, e := range endpoints {
 		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			if text == askStatement {
-				began <- struct{}{}
-				<-over
+				started <- struct{}{}
+				<-release
 			}
 			return false
 		})
 	}
-	t.Cleanup(func() { once.Do(func() { close(over) }) })
+	t.Cleanup(func() { once.Do(func() { close(release) }) })
 	c, err := net.Dial("tcp", strings.TrimSuffix(strings.TrimPrefix(at, "http://"), "/sparql"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "GET /sparql?query=%s HTTP/1.1\r\nHost: x\r\n\r\n", url.QueryEscape(askStatement))
-	<-began
+	<-started
 	c.Close()
 	before := counters.Value("answers_overdue")
-	once.Do(func() { close(over) })
+	once.Do(func() { close(release) })
 	status, _, _ := sendRequest(t, newRequest("GET", at+"?query="+url.QueryEscape("ASK { <a> <p> ?o }"), "", "", ""))
 	if status != 200 {
-		t.Error("served no more")
+		t.Error("no longer served")
 	}
-	w.finish() // ends only with nothing owed
+	w.finish() // returns only once no answer is pending
 	if counters.Value("answers_overdue") != before {
-		t.Error("an answer was owed to who left")
+		t.Error("an answer was pending for the disconnected client")
 	}
 }
 
-// The machine says of itself, over either protocol, that it drains: nothing new goes there, whatever the list says.
-func TestADrainToldByTheEngineItselfHoldsForItsMachine(t *testing.T) {
-	_, at, ends := startSPARQL(t)
-	ends[0].Intercept(func(w http.ResponseWriter, text string) bool {
+// An engine that reports that it is draining, over either protocol, gets no new jobs, whatever the endpoint list says.
+func TestDrainReportedByAnEngine(t *testing.T) {
+	_, at, endpoints := startSPARQL(t)
+	endpoints[0].Intercept(func(w http.ResponseWriter, text string) bool {
 		w.Header().Set("Draining", "?1")
 		return false
 	})
 	query := func() { sendRequest(t, newRequest("GET", at+"?query="+url.QueryEscape(askStatement), "", "", "")) }
-	for stop := time.Now().Add(20 * time.Second); len(ends[0].Received()) == 0; query() {
+	for stop := time.Now().Add(20 * time.Second); len(endpoints[0].Received()) == 0; query() {
 		if time.Now().After(stop) {
-			t.Fatal("the first is never asked")
+			t.Fatal("the first engine gets no query")
 		}
 	}
-	before := len(ends[0].Received())
+	before := len(endpoints[0].Received())
 	for range 20 {
 		query()
 	}
-	if n := len(ends[0].Received()); n > before {
-		t.Errorf("%d jobs more after it said that it drains", n-before)
+	if n := len(endpoints[0].Received()); n > before {
+		t.Errorf("%d more jobs after it reported that it is draining", n-before)
 	}
 }
 
-// The same update sent twice, on two connections, at once and later: it runs once, whatever became of the first.
-func TestAMarkedUpdateRunsOnce(t *testing.T) {
-	_, at, ends := startSPARQL(t)
-	began, over := make(chan struct{}, 4), make(chan struct{})
-	t.Cleanup(sync.OnceFunc(func() { close(over) }))
-	for _, e := range ends {
+// An update sent again with the same idempotency key, concurrently or later, runs once whatever the outcome of the
+// first.
+func TestUpdateWithIdempotencyKeyRunsOnce(t *testing.T) {
+	_, at, endpoints := startSPARQL(t)
+	started, release := make(chan struct{}, 4), make(chan struct{})
+	t.Cleanup(sync.OnceFunc(func() { close(release) }))
+	for _, e := range endpoints {
 		e.Intercept(func(_ http.ResponseWriter, text string) bool {
 			switch {
 			case strings.Contains(text, "<slow>"):
-				began <- struct{}{}
-				<-over
+				started <- struct{}{}
+				<-release
 			case strings.Contains(text, "<breaks>"):
 				panic(http.ErrAbortHandler)
 			}
 			return false
 		})
 	}
-	send := func(mark, text string) int {
+	send := func(key, text string) int {
 		r := newRequest("POST", at, "application/sparql-update", "", "INSERT DATA { "+text+" <p> 1 }")
-		r.Header.Set("Idempotency-Key", mark)
+		r.Header.Set("Idempotency-Key", key)
 		status, _, _ := sendRequest(t, r)
 		return status
 	}
 	first := make(chan int, 1)
 	go func() { first <- send(`"m1"`, "<slow>") }()
-	<-began
+	<-started
 	if s := send("m1", "<slow>"); s != 409 {
-		t.Errorf("while the first is in hand: %d", s)
+		t.Errorf("while the first is running: %d", s)
 	}
 	if s := send("m1", "<other>"); s != 422 {
 		t.Errorf("another text: %d", s)
 	}
-	over <- struct{}{}
+	release <- struct{}{}
 	if s := <-first; s != 204 {
 		t.Errorf("the first: %d", s)
 	}
 	if s := send("m1", "<slow>"); s != 204 {
-		t.Errorf("once more, after it was done: %d", s)
+		t.Errorf("again after the first was done: %d", s)
 	}
 	if a, b := send("m2", "<breaks>"), send("m2", "<breaks>"); a != 502 || b != 502 {
 		t.Errorf("one that may have run: %d, then %d", a, b)
 	}
 	if s := send("a b", "<x>"); s != 400 {
-		t.Errorf("no mark: %d", s)
+		t.Errorf("malformed key: %d", s)
 	}
 	slow := 0
-	for _, e := range ends {
+	for _, e := range endpoints {
 		for _, text := range e.Received() {
 			if strings.Contains(text, "<slow>") {
 				slow++
--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -18,26 +18,26 @@
 // perMillion is the denominator of shares in reports and assignments.
 const perMillion = 1e6
 
-// statsServer reports over HTTP what becomes of jobs, and takes the share of the fleet that a leader assigns. If it is
-// off, server is nil.
+// statsServer reports job statistics over HTTP and accepts the fleet share that a leader assigns to this controller.
+// If it is disabled, server is nil.
 type statsServer struct {
-	server    *jobstats.Server
-	stats     *jobstats.Recorder
-	gateway   *gateway.Gateway
-	owed      func() int64 // answers owed to clients
-	startedNS int64        // Unix time by the process's own clock: a name of the process, not a time to compare
-	applied   atomic.Pointer[appliedDigests]
+	server         *jobstats.Server
+	stats          *jobstats.Recorder
+	gateway        *gateway.Gateway
+	pendingAnswers func() int64 // number of pending answers
+	startedNS      int64        // Unix time by the process's own clock; identifies the process, not comparable
+	applied        atomic.Pointer[appliedDigests]
 }
 
-// appliedDigests identify the files that a controller runs with.
+// appliedDigests identifies the files that a controller runs with.
 type appliedDigests struct {
-	spec     change.Digest // as the operator's file says it
-	settings change.Digest // as the module has them
+	spec     change.Digest // as given in the operator's file
+	settings change.Digest // of the settings that the decision module uses
 }
 
-// newStatsServer serves where the operator's file says, if it does.
-func newStatsServer(files files, gate *gateway.Gateway, owed func() int64) (*statsServer, error) {
-	s := &statsServer{gateway: gate, owed: owed}
+// newStatsServer listens on the address in the operator's file. Without such a part it returns a disabled server.
+func newStatsServer(files files, gate *gateway.Gateway, pendingAnswers func() int64) (*statsServer, error) {
+	s := &statsServer{gateway: gate, pendingAnswers: pendingAnswers}
 	s.setApplied(files)
 	options := files.operator.Stats
 	if options == nil {
@@ -51,11 +51,11 @@
 		return nil, err
 	}
 	s.server = server
-	slog.Info("serving_tally", "address", server.Address()) // supervisors of all versions read this line
+	slog.Info("serving_tally", "address", server.Address()) // supervisors of all versions parse this line
 	return s, nil
 }
 
-// setApplied changes which files are reported as applied.
+// setApplied sets the files that reports identify as applied.
 func (s *statsServer) setApplied(files files) {
 	applied := appliedDigests{settings: change.JSONDigest(files.settings)}
 	if files.operator.Stats != nil {
@@ -77,14 +77,14 @@
 	report.EjectedEngines = s.gateway.EjectedEngines()
 	report.ReadyEngines = s.gateway.ReadyEngines()
 	report.SharePerMillion = int64(perMillion * s.gateway.Share())
-	report.OwedAnswers = s.owed()
-	report.EngineHealth = marshalOrNothing(s.gateway.EngineHealth())
-	report.LearnedEstimates = marshalOrNothing(s.gateway.TypeStats())
+	report.OwedAnswers = s.pendingAnswers()
+	report.EngineHealth = marshalOrNil(s.gateway.EngineHealth())
+	report.LearnedEstimates = marshalOrNil(s.gateway.TypeStats())
 	return report
 }
 
-// marshalOrNothing returns nil for figures that JSON cannot hold, such as infinities: they are not reported.
-func marshalOrNothing(value any) json.RawMessage {
+// marshalOrNil returns nil for values that JSON cannot represent, such as infinities. These are not reported.
+func marshalOrNil(value any) json.RawMessage {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil
@@ -92,17 +92,17 @@
 	return text
 }
 
-// assignShare passes on an assignment of the leader, unless it has expired.
+// assignShare passes a leader's assignment to the gateway, unless it has expired.
 func (s *statsServer) assignShare(assigned jobstats.Share) {
-	valid := assigned.ExpiryNS - monotonic.Now()
-	if valid <= 0 {
+	remaining := assigned.ExpiryNS - monotonic.Now()
+	if remaining <= 0 {
 		return
 	}
 	quotas := map[string]float64{}
 	for tenant, share := range assigned.TenantQuotas {
 		quotas[tenant] = float64(share) / perMillion
 	}
-	s.gateway.AssignShare(float64(assigned.PerMillion)/perMillion, quotas, time.Duration(valid))
+	s.gateway.AssignShare(float64(assigned.PerMillion)/perMillion, quotas, time.Duration(remaining))
 }
 
 func (s *statsServer) close() {
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -26,10 +26,10 @@
 	"swiftreel/internal/operator"
 )
 
-// scriptedEngines end each dispatch as its statement says; only the engine named e1 is well.
+// scriptedEngines end each dispatch according to a word in its statement. Only the engine e1 answers probes.
 type scriptedEngines struct {
 	backend.Engines
-	stays chan struct{} // a dispatch has come that does not end
+	hanging chan struct{} // receives when a dispatch arrives that never ends
 }
 
 func (e scriptedEngines) Start(_ backend.Host, r backend.Request, reply func(backend.Reply)) backend.Dispatch {
@@ -39,7 +39,7 @@
 	case strings.Contains(string(r.Statement), "breaks"):
 		go reply(backend.Reply{Outcome: backend.Reset})
 	case strings.Contains(string(r.Statement), "stays"):
-		e.stays <- struct{}{}
+		e.hanging <- struct{}{}
 	}
 	return scriptedDispatch{}
 }
@@ -61,7 +61,7 @@
 func (scriptedDispatch) Cancel(done func()) bool { done(); return true }
 func (scriptedDispatch) SetPriority(uint8)       {}
 
-// recordingClient is a client that keeps what it was answered.
+// recordingClient is a client that records its answers.
 type recordingClient struct {
 	list  chan string
 	leave func(left func())
@@ -74,7 +74,7 @@
 func (a recordingClient) Connected() bool          { return true }
 func (a recordingClient) AwaitInput(time.Duration) {}
 
-// patientSettings are the facts with SLA times that no machine is too slow for.
+// patientSettings are testSettings with SLA times that even a slow machine meets.
 var patientSettings = strings.NewReplacer(
 	`"aim_ns":5e8`,
 	`"aim_ns":5e12`,
@@ -84,11 +84,11 @@
 	testSettings,
 )
 
-// restoredGateway starts a gateway that has two engines in its list and what an older process has learned, told by the
-// operator's file of testdata, and its stats server.
-func restoredGateway(t *testing.T) (gate *gateway.Gateway, address string, stays <-chan struct{}) {
+// restoredGateway returns a gateway with two engines and the snapshot in the operator's file of testdata, together with
+// its stats server.
+func restoredGateway(t *testing.T) (gate *gateway.Gateway, address string, hanging <-chan struct{}) {
 	t.Helper()
-	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
+	operatorFile, err := operator.Load(filepath.Join("testdata", "operator.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,38 +96,37 @@
 	if err := json.Unmarshal([]byte(patientSettings), &settings); err != nil {
 		t.Fatal(err)
 	}
-	parts := new(limits.Budget)
-	parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
-	engines := scriptedEngines{stays: make(chan struct{}, 10)}
+	budget := new(limits.Budget)
+	budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+	engines := scriptedEngines{hanging: make(chan struct{}, 10)}
 	gate = gateway.New(gateway.Options{
 		Settings: choice.RawSettings(settings),
 		Seed:     1,
-		Budget:   parts,
+		Budget:   budget,
 		Protocols: map[backend.Protocol]backend.Factory{
 			backend.Line: func(backend.Limits) backend.Engines { return engines },
 		},
 	})
 	t.Cleanup(gate.Close)
-	stats, err := newStatsServer(files{operator: own, settings: settings}, gate, func() int64 { return 0 })
+	stats, err := newStatsServer(files{operator: operatorFile, settings: settings}, gate, func() int64 { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(stats.close)
 	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
-		entry("e1", "127.0.0.1:1", "ready") + "," + entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+		endpointEntry("e1", "127.0.0.1:1", "ready") + "," + endpointEntry("e2", "127.0.0.1:2", "ready") + `]}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	gate.UpdateEngines(ev, true)
-	restoreSnapshot(own.Stats, gate)
-	return gate, stats.server.Address(), engines.stays
+	restoreSnapshot(operatorFile.Stats, gate)
+	return gate, stats.server.Address(), engines.hanging
 }
 
-// What an older process has learned goes into a new one by the operator's file, under the same keys and in the same
-// order of figures.
+// The statistics of an older process are restored from the operator's file, with the same keys and order of values.
 func TestASnapshotOfAnOlderProcessIsRestored(t *testing.T) {
 	gate, _, _ := restoredGateway(t)
-	means, health := gate.TypeStats(), gate.EngineHealth()
+	typeStats, health := gate.TypeStats(), gate.EngineHealth()
 	list := func(m choice.TypeStats) (v []float64) {
 		text, err := json.Marshal(m)
 		if err == nil {
@@ -138,10 +137,10 @@
 		}
 		return v
 	}
-	if got := fmt.Sprint(list(means["import"])); got != "[9e+08 12 0.5 9 -0.5 0.25 9 1.5 1]" {
+	if got := fmt.Sprint(list(typeStats["import"])); got != "[9e+08 12 0.5 9 -0.5 0.25 9 1.5 1]" {
 		t.Errorf("import: %v", got)
 	}
-	lookup := list(means["lookup"]) // its slowness decays until a job tells it anew
+	lookup := list(typeStats["lookup"]) // the ratio of latency to best decays until a job updates it
 	if got := fmt.Sprint(lookup[:8]); got != "[5.1e+07 50 -0.25 88 0.125 0.0625 70 1.25]" || lookup[8] <= 1 ||
 		lookup[8] > 1.75 {
 		t.Errorf("lookup: %v, latency over best %v", got, lookup[8])
@@ -150,44 +149,45 @@
 		h.Ejected {
 		t.Errorf("e1: %+v", h)
 	}
-	if h := health["e2"]; !h.Ejected || len(means) != 2 || len(health) != 2 || gate.EjectedEngines() != 1 {
-		t.Errorf("e2: %+v of %d, %d types, %d aside", h, len(health), len(means), gate.EjectedEngines())
+	if h := health["e2"]; !h.Ejected || len(typeStats) != 2 || len(health) != 2 || gate.EjectedEngines() != 1 {
+		t.Errorf("e2: %+v of %d, %d types, %d ejected", h, len(health), len(typeStats), gate.EjectedEngines())
 	}
 }
 
-// The snapshot's text is the same after it was read and written.
-func TestASnapshotKeepsItsText(t *testing.T) {
-	own, err := operator.Load(filepath.Join("testdata", "operator.json"))
+// A snapshot is unchanged after decoding and encoding.
+func TestSnapshotRoundTrip(t *testing.T) {
+	operatorFile, err := operator.Load(filepath.Join("testdata", "operator.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var means map[string]choice.TypeStats
+	var typeStats map[string]choice.TypeStats
 	var health map[string]gateway.EngineHealth
-	if err := json.Unmarshal(own.Stats.TypeStats, &means); err != nil {
+	if err := json.Unmarshal(operatorFile.Stats.TypeStats, &typeStats); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(own.Stats.EngineHealth, &health); err != nil {
+	if err := json.Unmarshal(operatorFile.Stats.EngineHealth, &health); err != nil {
 		t.Fatal(err)
 	}
-	if own.Stats.TypeStats, err = json.Marshal(means); err != nil {
+	if operatorFile.Stats.TypeStats, err = json.Marshal(typeStats); err != nil {
 		t.Fatal(err)
 	}
-	if own.Stats.EngineHealth, err = json.Marshal(health); err != nil {
+	if operatorFile.Stats.EngineHealth, err = json.Marshal(health); err != nil {
 		t.Fatal(err)
 	}
-	text, err := json.Marshal(own.Stats)
+	text, err := json.Marshal(operatorFile.Stats)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "snapshot.golden.json", append(text, '\n'))
 }
 
-// A snapshot that cannot be read teaches nothing; of its two parts each is taken by itself.
+// A snapshot with malformed type statistics is ignored entirely. If only the engine health is malformed, the type
+// statistics are restored.
 func TestASnapshotThatCannotBeReadIsIgnored(t *testing.T) {
 	for name, c := range map[string]struct {
-		stats     operator.Stats
-		usualWork float64
-		health    bool
+		stats    operator.Stats
+		meanWork float64
+		health   bool
 	}{
 		"no snapshot": {operator.Stats{}, 2.5e12, false},
 		"figures of another length": {operator.Stats{TypeStats: json.RawMessage(`{"lookup":[1,2,3]}`),
@@ -202,19 +202,19 @@
 			if err := json.Unmarshal([]byte(patientSettings), &settings); err != nil {
 				t.Fatal(err)
 			}
-			parts := new(limits.Budget)
-			parts.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+			budget := new(limits.Budget)
+			budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
 			gate := gateway.New(gateway.Options{
 				Settings: choice.RawSettings(settings),
 				Seed:     1,
-				Budget:   parts,
+				Budget:   budget,
 				Protocols: map[backend.Protocol]backend.Factory{
 					backend.Line: func(backend.Limits) backend.Engines { return scriptedEngines{} },
 				},
 			})
 			defer gate.Close()
 			ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"whole":true,"hosts":[` +
-				entry("e2", "127.0.0.1:2", "ready") + `]}}`))
+				endpointEntry("e2", "127.0.0.1:2", "ready") + `]}}`))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -228,7 +228,7 @@
 			if err := json.Unmarshal(text, &figures); err != nil {
 				t.Fatal(err)
 			}
-			if figures[0] != c.usualWork || gate.EngineHealth()["e2"].Ejected != c.health {
+			if figures[0] != c.meanWork || gate.EngineHealth()["e2"].Ejected != c.health {
 				t.Errorf("usual work %v, health %+v", figures[0], gate.EngineHealth())
 			}
 		})
@@ -249,7 +249,7 @@
 	return string(text)
 }
 
-// timeDependent are the figures of GET /tally that depend on when it is asked.
+// timeDependent matches values in GET /tally that depend on the time of the request.
 var timeDependent = []struct {
 	figure *regexp.Regexp
 	put    string
@@ -262,9 +262,9 @@
 	{regexp.MustCompile(`"slow":[0-9.e+-]+,"bad":[0-9.e+-]+`), `"slow":0,"bad":0`},
 }
 
-// The body of GET /tally, to the byte but for figures that depend on time.
-func TestTheTallyOverHTTP(t *testing.T) {
-	gate, address, stays := restoredGateway(t)
+// The body of GET /tally is compared byte for byte, except for values that depend on time.
+func TestStatsReportOverHTTP(t *testing.T) {
+	gate, address, hanging := restoredGateway(t)
 	a := recordingClient{make(chan string, 10), func(func()) {}}
 	submit := func(id byte, typ, statement string, left time.Duration, from gateway.Client) {
 		gate.Submit(gateway.Request{
@@ -298,10 +298,10 @@
 		time.Hour,
 		recordingClient{a.list, func(left func()) { leave = left }},
 	)
-	<-stays
+	<-hanging
 	leave()
 	var body string
-	eventually(t, "no job was left", func() bool {
+	eventually(t, "the abandoned job is not counted", func() bool {
 		body = getBody(t, "http://"+address+"/tally")
 		return strings.Contains(body, `"\"lookup\" \"acme\"":{"jobs":3`)
 	})
@@ -318,8 +318,8 @@
 	golden.Check(t, "tally.golden.json", []byte(body))
 }
 
-// POST /part, as a fleet's leader sends it.
-func TestAPartOverHTTP(t *testing.T) {
+// A share arrives by POST /part, as the fleet's leader sends it.
+func TestShareAssignmentOverHTTP(t *testing.T) {
 	gate, address, _ := restoredGateway(t)
 	text, err := os.ReadFile(filepath.Join("testdata", "part.json"))
 	if err != nil {
@@ -338,10 +338,10 @@
 			t.Errorf("%s: %s", body, r.Status)
 		}
 	}
-	eventually(t, "the part is not gone by", func() bool { return gate.Share() == 0.25 })
+	eventually(t, "the share is not applied", func() bool { return gate.Share() == 0.25 })
 }
 
-// addressLog is a log handler that passes on where the stats server listens.
+// addressLog is a log handler that sends the listen address of the stats server to a channel.
 type addressLog struct{ to chan<- string }
 
 func (addressLog) Enabled(context.Context, slog.Level) bool { return true }
@@ -360,8 +360,8 @@
 	return nil
 }
 
-// A process that is started with the file that a keeper wrote tells in its tally what the older one has learned, and
-// serves.
+// A process started with an operator's file that a supervisor wrote reports the predecessor's statistics and serves
+// jobs.
 func TestAProcessStartsFromASnapshot(t *testing.T) {
 	before := slog.Default()
 	defer slog.SetDefault(before)
--- a/cmd/swiftreel/topology_test.go
+++ b/cmd/swiftreel/topology_test.go
@@ -12,14 +12,14 @@
 	"swiftreel/internal/config"
 )
 
-// The shape of the deployment is taken over by SIGHUP and given back the same way, in a running controller with a
-// job in hand; a bad file changes nothing. Grants are what the engine sees of it: allot= in a fetch.
-func TestAShapeIsTakenOverAndBackBySIGHUP(t *testing.T) {
+// SIGHUP applies the topology in the operator's file and reverts it when it is removed, while a job is dispatched; an
+// invalid file changes nothing. Engines see the change in the memory grant, the field allot of a fetch.
+func TestTopologyIsAppliedAndRevertedBySIGHUP(t *testing.T) {
 	dir := t.TempDir()
-	own := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
-	t.Setenv("ROUTER_OPERATOR", own)
+	operatorPath := writeFile(t, filepath.Join(dir, "own.json"), `{}`)
+	t.Setenv("ROUTER_OPERATOR", operatorPath)
 	w := startController(t, "e1")
-	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(own, counter, text) }
+	reload := func(counter, text string) { t.Helper(); w.reloadOperatorFile(operatorPath, counter, text) }
 	fetched := map[string]bool{} // a job sent twice would show as a fetch of an id seen before
 	fetch := func(granted bool) (uint32, engineCommand) {
 		t.Helper()
@@ -41,7 +41,7 @@
 		w.expectAnswer(id, "")
 	}
 	served(true)
-	id, c := fetch(true) // in hand across the switch: answered once, not sent again
+	id, c := fetch(true) // dispatched during the reload: answered once, not sent again
 	reload("reloads", `{"shape":{"grants_count":false,"takes_priority":false,"cancel":false}}`)
 	c.from.Answer(c.ID, "data", "sheets=1", "one\tb\tc\n")
 	w.expectAnswer(id, "")
@@ -56,10 +56,10 @@
 	served(true)
 }
 
-// A shape that names what the settings do not know keeps the controller from starting, and the error names the file
-// and the part.
+// A topology that names an unknown job type prevents the controller from starting. The error has the file and the path
+// in it.
 func TestABadTopologyAtTheStartIsRefused(t *testing.T) {
-	own := writeFile(
+	operatorPath := writeFile(
 		t,
 		filepath.Join(t.TempDir(), "own.json"),
 		`{"shape":{"types":{"nonesuch":{"waits_for_loads":true}}}}`,
@@ -78,14 +78,15 @@
 	defer l.Close()
 	ended := make(chan error, 1)
 	go func() {
-		ended <- run(file, l, command.ServeOptions{Operator: own}, make(chan os.Signal), make(chan os.Signal))
+		ended <- run(file, l, command.ServeOptions{Operator: operatorPath}, make(chan os.Signal), make(chan os.Signal))
 	}()
 	select {
 	case err = <-ended:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it serves")
+		t.Fatal("the controller started")
 	}
-	if err == nil || !strings.Contains(err.Error(), own) || !strings.Contains(err.Error(), "/shape/types/nonesuch") {
-		t.Errorf("started, or the error %v names not the file and the part", err)
+	if err == nil || !strings.Contains(err.Error(), operatorPath) ||
+		!strings.Contains(err.Error(), "/shape/types/nonesuch") {
+		t.Errorf("%v, want an error with the file and the path", err)
 	}
 }
