--- a/cmd/swiftreel-fleet/main.go
+++ b/cmd/swiftreel-fleet/main.go
@@ -1,5 +1,5 @@
-// Command swiftreel-fleet is the commands of swiftreel for fleets: supervise, rollout, fleet and store. swiftreel
-// executes it for these.
+// Command swiftreel-fleet implements the fleet subcommands of swiftreel: supervise, rollout, fleet and store. swiftreel
+// executes it for them.
 package main
 
 import (
--- a/deploy/schemas.go
+++ b/deploy/schemas.go
@@ -1,9 +1,9 @@
-// Package deploy holds the JSON schemas of the files that operators write.
+// Package deploy embeds the JSON schemas of the files that operators write.
 package deploy
 
 import "embed"
 
-// Schemas are the files *.schema.json of this folder.
+// Schemas holds the files *.schema.json of this directory.
 //
 //go:embed *.schema.json
 var Schemas embed.FS
