--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config reads the configuration of a controller: the ROUTER_* variables and the JSON file that they name.
+// Package config reads the configuration of a controller: the ROUTER_* environment variables and the JSON file that
+// ROUTER_CONFIG names.
 package config
 
 import (
@@ -15,14 +16,14 @@
 	"swiftreel/choice"
 )
 
-// Limits are the bounds of the machine that the controller runs on.
+// Limits are the resource limits of the machine that the controller runs on.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Sockets  int     `json:"sockets"` // file descriptors, including those that are not sockets
 }
 
-// Bounds of Limits that the program can keep to.
+// Range of Limits that the controller supports.
 const (
 	maxCores    = 1024
 	minMemoryMB = 16
@@ -30,41 +31,41 @@
 	minSockets  = 64
 )
 
-func (l Limits) usable() bool {
+func (l Limits) isSupported() bool {
 	return l.Cores > 0 && l.Cores < maxCores && l.MemoryMB >= minMemoryMB && l.MemoryMB < maxMemoryMB &&
 		l.Sockets >= minSockets
 }
 
-// CachedEvents is what the discovery feed had sent when the file was written.
+// CachedEvents holds what the discovery feed had sent when the file was written.
 type CachedEvents struct {
 	LastNumber uint64            `json:"n"`
 	Events     []json.RawMessage `json:"events"`
 }
 
-// File is the configuration as read.
+// File is the parsed configuration.
 type File struct {
 	Name         string
 	Listen       string // host:port for clients
-	Seed         uint64 // of the module's random source
+	Seed         uint64 // of the decision module's random source
 	Limits       Limits
 	Feed         string // host:port of the discovery feed
 	CachedEvents CachedEvents
-	Settings     choice.RawSettings // for the module, as they stand in the file
-	UnknownNames []string           // names in the file that nothing reads: the platform may send such
+	Settings     choice.RawSettings // for the decision module, unchanged from the file
+	UnknownNames []string           // keys that nothing reads, which the platform may send
 }
 
-// Errors of a file that lacks something.
+// Errors of an incomplete configuration.
 var (
-	ErrNoFile     = errors.New("ROUTER_CONFIG names no file")
-	ErrNoListen   = errors.New("no address to listen on")
-	ErrNoSettings = errors.New("no settings")
-	ErrNoClasses  = errors.New("the settings name no usable classes")
+	ErrNoFile     = errors.New("ROUTER_CONFIG is not set")
+	ErrNoListen   = errors.New("listen address is missing")
+	ErrNoSettings = errors.New("settings are missing")
+	ErrNoClasses  = errors.New("settings.classes is missing, empty or too long")
 )
 
-// maxBytes bounds the file.
+// maxBytes is the maximum size of the file.
 const maxBytes = 8 << 20
 
-// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME and ROUTER_LISTEN replace what it says.
+// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME and ROUTER_LISTEN override its values.
 func Load(getenv func(string) string) (File, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -95,33 +96,33 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(text) > maxBytes {
-		return nil, fmt.Errorf("%s: over %d bytes", path, maxBytes)
+		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxBytes)
 	}
 	return text, nil
 }
 
-// rawFile is the file's JSON form.
+// rawFile is the JSON structure of the file.
 type rawFile struct {
 	Name         string             `json:"name"`
 	Listen       string             `json:"listen"`
-	Seed         string             `json:"seed"` // hex digits
+	Seed         string             `json:"seed"` // hexadecimal
 	Limits       Limits             `json:"limits"`
 	Feed         string             `json:"feed"`
 	CachedEvents CachedEvents       `json:"known"`
 	Settings     choice.RawSettings `json:"settings"`
 }
 
-// Parse reads the text of a file. It fails on what the controller cannot start with.
+// Parse parses the text of a configuration file. It fails if the controller cannot start with the file.
 func Parse(text []byte) (File, error) {
 	var raw rawFile
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return File{}, withPosition(text, err)
+		return File{}, addPosition(text, err)
 	}
 	if raw.Settings == nil {
 		return File{}, ErrNoSettings
@@ -131,13 +132,13 @@
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return File{}, fmt.Errorf("seed %q is not of hex digits", raw.Seed)
+		return File{}, fmt.Errorf("seed %q is not a hexadecimal number of at most 64 bits", raw.Seed)
 	}
 	if _, _, err := net.SplitHostPort(raw.Feed); err != nil {
 		return File{}, fmt.Errorf("feed: %w", err)
 	}
-	if l := raw.Limits; !l.usable() {
-		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d cannot be kept to", l.Cores, l.MemoryMB, l.Sockets)
+	if l := raw.Limits; !l.isSupported() {
+		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d are out of range", l.Cores, l.MemoryMB, l.Sockets)
 	}
 	return File{
 		Name:         raw.Name,
@@ -151,8 +152,8 @@
 	}, nil
 }
 
-// withPosition adds the line and column of an error in the text.
-func withPosition(text []byte, err error) error {
+// addPosition prepends the line and column in the text to a JSON error.
+func addPosition(text []byte, err error) error {
 	offset := int64(len(text))
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,26 +28,26 @@
 	}
 }
 
-func TestWhatIsLackingIsSaid(t *testing.T) {
+func TestIncompleteFilesAreRejected(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"no JSON": {"{", ""}, "no seed": {"8c1f30d27a5be964", "zz"}, "no settings": {"settings", "other"},
 		"no classes": {`[{"name":"a"}]`, "[]"}, "no memory": {"192", "0"}, "few sockets": {"1024", "8"},
 		"no cores": {"1.0", "0"}, "no feed": {"127.0.0.1:1", ""},
 	} {
 		if _, err := Parse([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s: read", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-func TestFaultsArePlacedAndStrangersNamed(t *testing.T) {
-	for text, told := range map[string]string{
+func TestErrorPositionsAndUnknownNames(t *testing.T) {
+	for text, want := range map[string]string{
 		"{\n\"name\": }": "line 2, column 9",
 		"{\"name\": \"x\",\n \"limits\": {\"cores\": \"a\"}}": "line 2, column 24",
 		"{\"name\":": "line 1",
 	} {
-		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), told) {
-			t.Errorf("%s: %v, not %s", text, err, told)
+		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %s", text, err, want)
 		}
 	}
 	f, err := Parse(
--- a/internal/config/unknown.go
+++ b/internal/config/unknown.go
@@ -6,18 +6,19 @@
 	"slices"
 )
 
-// knownNames are the names that the file and its sections may have. What is below settings belongs to the module.
+// knownNames lists the keys of the file, under "", and of its sections. The keys below settings are checked by the
+// decision module.
 var knownNames = map[string][]string{
 	"":       {"name", "listen", "seed", "limits", "feed", "known", "settings"},
 	"limits": {"cores", "memory_mb", "sockets"},
 	"known":  {"n", "events"},
 }
 
-// unknownNames returns all other names, by section and name.
+// unknownNames returns all other keys of the file, sorted by section and name.
 func unknownNames(text []byte) []string {
 	var file map[string]json.RawMessage
 	if json.Unmarshal(text, &file) != nil {
-		return nil // Parse has read it before
+		return nil // cannot happen: Parse has already decoded the text
 	}
 	var unknown []string
 	for _, section := range slices.Sorted(maps.Keys(knownNames)) {
@@ -36,7 +37,7 @@
 	return unknown
 }
 
-// sectionNames reads a section; nil if it is absent or null.
+// sectionNames returns the keys of a section with their values, or nil if it is absent or null.
 func sectionNames(text json.RawMessage) map[string]json.RawMessage {
 	var names map[string]json.RawMessage
 	if json.Unmarshal(text, &names) != nil {
