--- a/internal/operator/files_test.go
+++ b/internal/operator/files_test.go
@@ -11,8 +11,8 @@
 	"swiftreel/internal/golden"
 )
 
-// Files that operators and keepers wrote are read whole: each key, and what stands for one that is absent.
-func TestAFileIsReadWhole(t *testing.T) {
+// Load reads every key of files that operators and supervisors wrote, and fills in the defaults.
+func TestLoadReadsEveryKey(t *testing.T) {
 	for _, name := range []string{"full", "defaults"} {
 		t.Run(name, func(t *testing.T) {
 			f, err := Load(filepath.Join("testdata", name+".json"))
@@ -31,8 +31,8 @@
 	}
 }
 
-// The settings with the shape of a file over them, each key at its place.
-func TestAShapeStandsAtItsPlaceInTheSettings(t *testing.T) {
+// Every key of the topology in a file replaces the right key of the settings.
+func TestTopologyReplacesSettings(t *testing.T) {
 	f, err := Load(filepath.Join("testdata", "full.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -45,17 +45,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, err := f.Topology.Apply(settings)
+	applied, err := f.Topology.Apply(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if text, err = json.MarshalIndent(over, "", " "); err != nil {
+	if text, err = json.MarshalIndent(applied, "", " "); err != nil {
 		t.Fatal(err)
 	}
 	golden.Check(t, "shape.golden.json", append(text, '\n'))
 }
 
-// What the SPARQL part says of types, as the front's rules.
+// The job types of the SPARQL part are converted to rules of the front end.
 func TestTheRulesOfAFile(t *testing.T) {
 	f, err := Load(filepath.Join("testdata", "full.json"))
 	if err != nil {
@@ -76,9 +76,9 @@
 	}
 }
 
-// Contradictions that a schema does not see: each is told with its path.
-func TestContradictionsAreTold(t *testing.T) {
-	for _, c := range []struct{ name, text, fault string }{
+// Contradictions that the schema cannot detect are reported with their paths.
+func TestContradictionsAreReported(t *testing.T) {
+	for _, c := range []struct{ name, text, problem string }{
 		{"listen", `{"sparql":{"listen":"x","types":[{"type":"a"}],"endpoints":{"e":"http://h/"}}}`,
 			"/sparql/listen: address x: missing port in address"},
 		{"timeout",
@@ -101,16 +101,16 @@
 			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := Load(path); err == nil || err.Error() != path+": "+c.fault {
-				t.Errorf("%v, want %s", err, c.fault)
+			if _, err := Load(path); err == nil || err.Error() != path+": "+c.problem {
+				t.Errorf("%v, want %s", err, c.problem)
 			}
 		})
 	}
 }
 
-// A supervisor tells its controllers for how long they may drain; one of an earlier version does not.
-func TestTheTimeToDrainIsToldByTheSupervisor(t *testing.T) {
-	told := func(text string) func(string) string {
+// A supervisor sets the drain timeout of its controllers in their environment; one of an earlier version does not.
+func TestDrainTimeout(t *testing.T) {
+	environment := func(text string) func(string) string {
 		return func(name string) string {
 			value, _ := strings.CutPrefix(text, name+"=")
 			return value
@@ -127,7 +127,7 @@
 		"an earlier version": {supervised, "", defaultDrainMS * time.Millisecond},
 		"no number":          {supervised, drainVariable + "=soon", defaultDrainMS * time.Millisecond},
 	} {
-		if got := c.file.DrainTimeout(told(c.text)); got != c.want {
+		if got := c.file.DrainTimeout(environment(c.text)); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// Fleet is the controllers that changes go through in stages. Supervisors and coordinators read it; a controller does
-// not.
+// Fleet lists the controllers that changes are rolled out to in stages. Supervisors and coordinators read this part;
+// controllers do not.
 type Fleet struct {
 	Members []Member `json:"members"`
-	DrainMS int64    `json:"drain_ms,omitempty"` // a controller that has not ended so long after SIGTERM is killed
+	DrainMS int64    `json:"drain_ms,omitempty"` // time from SIGTERM until a controller that still runs is killed
 	Voters  []string `json:"voters,omitempty"`   // members that elect a leader: three or five
-	Program string   `json:"program,omitempty"`  // that a supervisor starts without an order; its own where absent
+	Program string   `json:"program,omitempty"`  // started by a supervisor that has no order; default: its own program
 
 	Shares   *Shares   `json:"parts,omitempty"`
 	Planning *Planning `json:"planning,omitempty"`
 }
 
-// Shares has the leader assign to each controller the share of the fleet that it carries.
+// Shares makes the leader assign to each controller its share of the fleet.
 type Shares struct {
-	LeaseMS int64 `json:"life_ms,omitempty"` // an assignment that is not renewed expires after it
+	LeaseMS int64 `json:"life_ms,omitempty"` // lifetime of an assignment that is not renewed
 }
 
-// Planning has the leader plan for the demand.
+// Planning makes the leader compute plans for the current demand.
 type Planning struct {
-	Problem        string `json:"problem"` // a file, relative to the operator's file
+	Problem        string `json:"problem"` // path of the problem file, relative to the operator's file
 	IntervalMS     int64  `json:"every_ms,omitempty"`
 	MinIntervalMS  int64  `json:"least_ms,omitempty"`
-	LeaseMS        int64  `json:"life_ms,omitempty"` // a plan that is not renewed is followed so long
+	LeaseMS        int64  `json:"life_ms,omitempty"` // lifetime of a plan that is not renewed
 	SolveTimeoutMS int64  `json:"solve_ms,omitempty"`
 }
 
-// Member is a controller with its supervisor.
+// Member is a controller and its supervisor.
 type Member struct {
 	Name   string   `json:"name"`
-	Listen string   `json:"listen"`          // host:port of its supervisor, over HTTP
-	Reach  string   `json:"reach,omitempty"` // where others reach that, if it is not Listen
+	Listen string   `json:"listen"`          // host:port of the supervisor's HTTP server
+	Reach  string   `json:"reach,omitempty"` // address at which others reach that server; default: Listen
 	Zone   string   `json:"zone,omitempty"`
-	Types  []string `json:"types,omitempty"` // job types that it serves; none: all
+	Types  []string `json:"types,omitempty"` // job types that the controller serves; empty: all
 }
 
-// Defaults in milliseconds. defaultDrainMS is past the longest job timeout of any deployment so far.
+// Defaults in milliseconds. defaultDrainMS exceeds the longest job timeout of all known deployments.
 const (
 	defaultDrainMS        = 120_000
 	defaultShareLeaseMS   = 5000
@@ -53,19 +53,20 @@
 	defaultSolveTimeoutMS = 1000
 )
 
-// drainVariable is the environment variable by which a supervisor tells a controller after how many milliseconds it
-// kills it once it has sent SIGTERM. A job that is out then may go on until shortly before.
+// drainVariable is the environment variable with which a supervisor tells a controller how many milliseconds after
+// SIGTERM it will kill it. Dispatched jobs may run until shortly before then.
 const drainVariable = "SWIFTREEL_DRAIN_MS"
 
-// DrainEnvironment is what a supervisor adds to a controller's environment.
+// DrainEnvironment returns the environment entry that a supervisor sets for a controller.
 func DrainEnvironment(timeout time.Duration) string {
 	return fmt.Sprint(drainVariable, "=", timeout.Milliseconds())
 }
 
-// DrainTimeout returns for how long a controller may drain after SIGTERM before it is killed; 0: nobody but the
-// protocol page says. Supervisors of earlier versions say nothing, and had this default.
+// DrainTimeout returns how long after SIGTERM a controller is killed. It returns 0 for a controller without a
+// supervisor: the time of the protocol page applies. Supervisors of earlier versions do not set the variable and use
+// the default.
 func (f File) DrainTimeout(getenv func(string) string) time.Duration {
-	if f.Stats == nil { // it is not supervised
+	if f.Stats == nil { // not supervised
 		return 0
 	}
 	milliseconds, err := strconv.ParseUint(getenv(drainVariable), 10, 32)
@@ -75,7 +76,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// minIntervalDivisor is how many times the default of Planning.MinIntervalMS fits into the interval.
+// minIntervalDivisor is the divisor of Planning.IntervalMS that gives the default of MinIntervalMS.
 const minIntervalDivisor = 10
 
 func (f *Fleet) setDefaults() {
@@ -91,7 +92,7 @@
 	}
 }
 
-// problems returns the contradictions that a schema does not see.
+// problems returns the problems that the schema cannot detect.
 func (f *Fleet) problems() []string {
 	var problems []string
 	if (f.Shares != nil || f.Planning != nil) && len(f.Voters) == 0 {
@@ -136,10 +137,10 @@
 	return problems
 }
 
-// Address is where others reach a member's supervisor.
+// Address returns the address at which others reach the member's supervisor.
 func (m Member) Address() string { return cmp.Or(m.Reach, m.Listen) }
 
-// Member returns a member by name.
+// Member returns the member with the given name.
 func (f *Fleet) Member(name string) (Member, bool) {
 	i := slices.IndexFunc(f.Members, func(m Member) bool { return m.Name == name })
 	if i < 0 {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operator's file: what swiftreel does beyond serving jobs as the ROUTER_* variables say.
-// Without such a file, or without a part of it, nothing of that part is on.
+// Package operator reads the operator's file, which enables functions of swiftreel beyond those that the ROUTER_*
+// variables configure. A function whose part of the file is absent is off.
 //
-// The file is a bounded JSON file with the schema deploy/operator.schema.json. Load reports everything that is wrong
-// with it at once; what it returns has all defaults filled in.
+// The file is JSON of limited size with the schema deploy/operator.schema.json. Load reports all problems that it finds
+// in a part together and fills in defaults.
 package operator
 
 import (
@@ -13,7 +13,7 @@
 	"swiftreel/internal/solve"
 )
 
-// File is the operator's file with the files that it names. A part that is nil is off.
+// File is the operator's file together with the plan file that it names. A part that is nil is off.
 type File struct {
 	Plan     *Plan     `json:"plan"`
 	SPARQL   *SPARQL   `json:"sparql"`
@@ -26,16 +26,16 @@
 type Plan struct {
 	File         string  `json:"file"`          // relative to the operator's file
 	DemandFactor float64 `json:"demand_factor"` // the plan is not followed where demand is off by more than this factor
-	UntilNS      int64   `json:"until_boot_ns"` // when it ends, by the machine's monotonic clock; 0: it does not
+	UntilNS      int64   `json:"until_boot_ns"` // expiry by the machine's monotonic clock; 0: never
 
 	Answer solve.Answer `json:"-"` // the plan itself
 }
 
-// defaultDemandFactor is Plan.DemandFactor where the file has none.
+// defaultDemandFactor is the default of Plan.DemandFactor.
 const defaultDemandFactor = 3
 
-// Load reads the file and the plan that it names. An empty path gives the zero File. If the content of one of them is
-// wrong, the error is a *schema.ValidationError that names every problem.
+// Load reads the file and the plan that it names. An empty path returns the zero File. If the content of either is
+// invalid, the error is a *schema.ValidationError.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, nil
@@ -64,7 +64,7 @@
 	return f, nil
 }
 
-// load reads the plan; directory is where the operator's file is.
+// load reads the plan file; directory is that of the operator's file.
 func (p *Plan) load(directory string) error {
 	if p.DemandFactor == 0 {
 		p.DemandFactor = defaultDemandFactor
--- a/internal/operator/sparql.go
+++ b/internal/operator/sparql.go
@@ -12,29 +12,29 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// SPARQL is the front of the SPARQL protocol, and the engines that speak it.
+// SPARQL configures the SPARQL front end and the engines that are SPARQL endpoints.
 type SPARQL struct {
 	Listen              string            `json:"listen"` // host:port
-	Path                string            `json:"path"`   // of URLs; a tenant may stand behind it
-	Tenant              string            `json:"tenant"` // of clients that name none
+	Path                string            `json:"path"`   // of request URLs; a tenant may follow it
+	Tenant              string            `json:"tenant"` // of requests that name none
 	TenantHeader        string            `json:"tenant_header"`
 	Types               []SPARQLType      `json:"types"`
-	TimeoutMS           int64             `json:"timeout_ms"` // job timeout of requests that name none
+	TimeoutMS           int64             `json:"timeout_ms"` // job timeout of requests that set none
 	MaxTimeoutMS        int64             `json:"most_timeout_ms"`
-	Services            []string          `json:"services"`       // endpoints that SERVICE may name
+	Services            []string          `json:"services"`       // endpoints that SERVICE clauses may name
 	Endpoints           map[string]string `json:"endpoints"`      // URL by engine name
-	Connections         int               `json:"connections"`    // of clients, and as many to endpoints
-	IdempotencyKeys     int               `json:"marks"`          // that are remembered
-	IdempotencyWindowMS int64             `json:"mark_window_ms"` // for so long after their update ended
+	Connections         int               `json:"connections"`    // limit for clients, and likewise for endpoints
+	IdempotencyKeys     int               `json:"marks"`          // maximum number of stored keys
+	IdempotencyWindowMS int64             `json:"mark_window_ms"` // how long keys are stored after their update has ended
 }
 
-// SPARQLType says which requests are jobs of a type: the first one that fits counts.
+// SPARQLType maps requests to a job type. The first entry that matches a request applies.
 type SPARQLType struct {
 	Type      string   `json:"type"`
-	Forms     []string `json:"forms"`  // SELECT, CONSTRUCT, DESCRIBE, ASK, UPDATE; none: all
+	Forms     []string `json:"forms"`  // SELECT, CONSTRUCT, DESCRIBE, ASK, UPDATE; empty: all
 	Keyed     bool     `json:"marked"` // only updates with an idempotency key
 	MinWorkMS int64    `json:"least_work_ms"`
-	MaxWorkMS int64    `json:"most_work_ms"` // 0: no bound
+	MaxWorkMS int64    `json:"most_work_ms"` // 0: no limit
 }
 
 // Defaults of the SPARQL part.
@@ -56,7 +56,7 @@
 	s.IdempotencyWindowMS = cmp.Or(s.IdempotencyWindowMS, defaultIdempotencyWindowMS)
 }
 
-// problems returns the contradictions that a schema does not see, sorted.
+// problems returns the problems that the schema cannot detect, sorted.
 func (s *SPARQL) problems() []string {
 	var problems []string
 	if _, _, err := net.SplitHostPort(s.Listen); err != nil {
--- a/internal/operator/stats.go
+++ b/internal/operator/stats.go
@@ -6,12 +6,12 @@
 	"swiftreel/internal/change"
 )
 
-// Stats has the controller count what becomes of its jobs and report it over HTTP. A supervisor writes this part.
+// Stats makes the controller record job statistics and report them over HTTP. A supervisor writes this part.
 type Stats struct {
-	Listen      string        `json:"listen"` // host:port; port 0: any, which the log names
-	Spec        change.Digest `json:"spec"`   // reported as it is: which specification this file belongs to
-	Predecessor bool          `json:"elder"`  // an older process of this controller still answers what it owes
+	Listen      string        `json:"listen"` // host:port; port 0: any free port, which is logged
+	Spec        change.Digest `json:"spec"`   // digest of the specification of this file, reported unchanged
+	Predecessor bool          `json:"elder"`  // an older process of this controller is still running
 
-	TypeStats    json.RawMessage `json:"learned,omitempty"` // what that process has learned of job types, as it reports it
-	EngineHealth json.RawMessage `json:"health,omitempty"`  // and of engines; what cannot be read is ignored
+	TypeStats    json.RawMessage `json:"learned,omitempty"` // job type statistics, as the older process reports them
+	EngineHealth json.RawMessage `json:"health,omitempty"`  // likewise for engines; a malformed value is ignored
 }
--- a/internal/operator/topology_test.go
+++ b/internal/operator/topology_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestAShapeStandsOverTheSettingsAndLeavesThemBe(t *testing.T) {
+func TestApplyReturnsAChangedCopyOfTheSettings(t *testing.T) {
 	var given, before choice.RawSettings
 	unmarshal(t, settings, &given)
 	unmarshal(t, settings, &before)
@@ -42,14 +42,14 @@
 		}
 	}
 	if f, _ := (*Topology)(nil).Apply(given); !reflect.DeepEqual(f, before) {
-		t.Errorf("no shape changed the settings: %v", f)
+		t.Errorf("a nil topology changed the settings: %v", f)
 	}
-	for types, told := range map[string]string{`{"import":{}}`: "/shape/types/import:",
+	for types, want := range map[string]string{`{"import":{}}`: "/shape/types/import:",
 		`{"report":{"kinds_only":["type-a","type-c"]}}`: "/shape/types/report/kinds_only/1:"} {
 		var s Topology
 		unmarshal(t, `{"types":`+types+`}`, &s)
-		if _, err := s.Apply(given); err == nil || !strings.Contains(err.Error(), told) {
-			t.Errorf("%s: %v, not %s", types, err, told)
+		if _, err := s.Apply(given); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %s", types, err, want)
 		}
 	}
 }
