--- a/internal/jobstats/jobstats_test.go
+++ b/internal/jobstats/jobstats_test.go
@@ -14,7 +14,7 @@
 	"swiftreel/internal/golden"
 )
 
-// sampleRecorder counts jobs of two groups, each way that a job may end.
+// sampleRecorder returns a recorder with jobs of two groups and every outcome.
 func sampleRecorder() *Recorder {
 	b := NewRecorder()
 	lookup, report := canary.Group{Type: "lookup", Tenant: "acme"}, canary.Group{Type: "report", Tenant: "b c"}
@@ -31,7 +31,7 @@
 	return b
 }
 
-// sampleReport fills every field.
+// sampleReport returns a report with every field set.
 func sampleReport() (r Report) {
 	r = Report{
 		StartedUnixNS:  1700000000000000001,
@@ -71,7 +71,7 @@
 	golden.Check(t, "report.json", body)
 	for i, v := 0, reflect.ValueOf(sampleReport()); i < v.NumField(); i++ {
 		if v.Field(i).IsZero() {
-			t.Errorf("%s is not filled: the golden file does not hold its key", v.Type().Field(i).Name)
+			t.Errorf("%s is not set, so the golden file lacks its key", v.Type().Field(i).Name)
 		}
 	}
 	var read Report
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestCountsOfAReportReachTheAnalysis has counts go from a report's text into a verdict's sums, and latencies come
-// back.
+// TestCountsOfAReportReachTheAnalysis checks that the counts in an encoded report reach the sums of the canary analysis
+// and that quantiles of its latencies are right.
 func TestCountsOfAReportReachTheAnalysis(t *testing.T) {
 	text, err := json.Marshal(sampleReport())
 	if err != nil {
@@ -160,7 +160,7 @@
 		t.Errorf("99th percentile: %v", p99)
 	}
 	if q := Quantile(nil, 50); q != 0 {
-		t.Errorf("of nothing: %v", q)
+		t.Errorf("without latencies: %v", q)
 	}
 }
 
--- a/internal/jobstats/recorder.go
+++ b/internal/jobstats/recorder.go
@@ -1,5 +1,5 @@
-// Package jobstats counts the outcomes of a controller's jobs by reservation type and tenant, and serves them over
-// HTTP together with the controller's state to its supervisor. Without a Recorder nothing is counted.
+// Package jobstats counts the outcomes of a controller's jobs by job type and tenant, and serves them over HTTP,
+// together with the controller's state, to its supervisor.
 package jobstats
 
 import (
@@ -12,7 +12,7 @@
 	"swiftreel/internal/change"
 )
 
-// Latencies are counted in microseconds up to an hour, to one significant digit.
+// Latencies are recorded in microseconds up to an hour, to one significant digit.
 const (
 	minLatencyUS       = 1
 	maxLatencyUS       = int64(time.Hour / time.Microsecond)
@@ -23,18 +23,19 @@
 type Outcome uint8
 
 const (
-	// Done means that the client got its answer.
+	// Done means that the client got its result.
 	Done Outcome = iota
 	// Throttled means that the job was refused for lack of capacity or quota.
 	Throttled
-	// Cancelled means that the job failed for good.
+	// Cancelled means that the job was cancelled permanently.
 	Cancelled
-	// Abandoned means that the client went away before its answer; the job counts as over its SLA time.
+	// Abandoned means that the client disconnected or revoked the job before its answer; the job counts as over its
+	// SLA time.
 	Abandoned
 )
 
-// Recorder counts jobs since its creation. It holds one entry for each type and tenant of the settings, as jobs of
-// others are refused before they are counted. It is safe for concurrent use; a nil Recorder counts nothing.
+// Recorder counts jobs since its creation. It has at most one entry for each type and tenant in the settings, because
+// jobs of others are refused before they are counted. It is safe for concurrent use; a nil Recorder counts nothing.
 type Recorder struct {
 	mu     sync.Mutex // guards the fields below
 	groups map[canary.Group]*groupStats
@@ -51,8 +52,8 @@
 	return &Recorder{groups: map[canary.Group]*groupStats{}}
 }
 
-// RecordJob counts a job that got its final answer after latency. isWithinSLA counts for done jobs only; dispatches
-// is the number of engines' attempts that ended.
+// RecordJob counts a job that ended after latency. isWithinSLA is used for done jobs only; dispatches is the number of
+// dispatches of the job that ended.
 func (r *Recorder) RecordJob(
 	group canary.Group, outcome Outcome, latency time.Duration, isWithinSLA bool, dispatches uint64,
 ) {
@@ -72,11 +73,11 @@
 		stats.counts.Throttled++
 	case Cancelled:
 		stats.counts.Cancelled++
-	case Abandoned: // counts as a job that is not done
+	case Abandoned: // counted in Jobs only
 	}
 }
 
-// statsOf returns the entry of a group. The lock must be held.
+// statsOf returns the entry of a group. The caller must hold the lock.
 func (r *Recorder) statsOf(group canary.Group) *groupStats {
 	stats := r.groups[group]
 	if stats == nil {
@@ -92,10 +93,10 @@
 		s.counts.WithinSLA++
 	}
 	latencyUS := min(maxLatencyUS, max(minLatencyUS, latency.Microseconds()))
-	_ = s.latencies.RecordValue(latencyUS) // fails only for a value out of the bounds
+	_ = s.latencies.RecordValue(latencyUS) // fails only for a value out of range
 }
 
-// RecordProbe counts a health check that was sent.
+// RecordProbe counts a probe that was sent.
 func (r *Recorder) RecordProbe() {
 	if r == nil {
 		return
@@ -105,7 +106,7 @@
 	r.probes++
 }
 
-// FillReport sets the format and the counts of a report. The recorder must not be nil.
+// FillReport sets the format and the counts of a report. The Recorder must not be nil.
 func (r *Recorder) FillReport(report *Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// latencyBuckets returns a histogram's counts up to the last bucket that is not empty.
+// latencyBuckets returns the counts of a histogram up to the last nonempty bucket.
 func latencyBuckets(latencies *hdrhistogram.Histogram) []uint64 {
 	var buckets []uint64
 	for i, count := range latencies.Export().Counts {
@@ -133,8 +134,8 @@
 	return buckets
 }
 
-// Quantile returns the latency that so many percent of the jobs in LatencyBuckets did not exceed, to one significant
-// digit. Without any job it is 0.
+// Quantile returns a percentile of the latencies in LatencyBuckets, to one significant digit. It returns 0 if there are
+// none.
 func Quantile(buckets []uint64, percent float64) time.Duration {
 	empty := hdrhistogram.New(minLatencyUS, maxLatencyUS, significantFigures)
 	counts := make([]int64, len(empty.Export().Counts))
--- a/internal/jobstats/server.go
+++ b/internal/jobstats/server.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxShareBytes bounds the text of a share.
+	// maxShareBytes is the maximum size of a request body with a share.
 	maxShareBytes = 1 << 20
 	// million is the denominator of shares.
 	million = 1_000_000
@@ -25,37 +25,37 @@
 	maxHeaderBytes = 8 << 10
 )
 
-// Report is the state of a controller. Counts are since its start: a reader takes differences of reports with the
-// same StartedUnixNS.
+// Report is the state of a controller. Counts are since the start of the process: readers compute the difference of two
+// reports with the same StartedUnixNS.
 type Report struct {
-	Format int `json:"format"` // version of this document
-	// StartedUnixNS tells processes apart. It is by the controller's clock, and not to be compared with other times.
+	Format int `json:"format"` // version of the report format
+	// StartedUnixNS identifies the process. It is by the controller's clock and must not be compared with other times.
 	StartedUnixNS  int64         `json:"started"`
 	Version        string        `json:"version"`
-	SpecDigest     change.Digest `json:"spec"`     // as the operator file in force names it
+	SpecDigest     change.Digest `json:"spec"`     // from the operator's file in force
 	SettingsDigest change.Digest `json:"settings"` // of the settings in force
 	Ready          bool          `json:"ready"`
 	OwedAnswers    int64         `json:"owed"`
 	ReloadsFailed  uint64        `json:"reloads_failed"`
-	Probes         uint64        `json:"probes"` // health checks sent
-	EjectedEngines int           `json:"aside"`  // now
-	// LearnedEstimates (by type) and EngineHealth (by engine) are for a newer process of the same controller.
+	Probes         uint64        `json:"probes"` // sent
+	EjectedEngines int           `json:"aside"`  // current number
+	// LearnedEstimates (by type) and EngineHealth (by engine) are the snapshot for a newer process of this controller.
 	LearnedEstimates json.RawMessage                   `json:"learned,omitempty"`
 	EngineHealth     json.RawMessage                   `json:"health,omitempty"`
 	JobCounts        map[canary.Group]canary.JobCounts `json:"work"`
 	ReadyEngines     []string                          `json:"engines,omitempty"` // sorted
-	// SharePerMillion is the share of the fleet that the controller goes by.
+	// SharePerMillion is the share of the fleet that the controller currently uses.
 	SharePerMillion int64 `json:"carries_per_million"`
 }
 
-// Share is what the controller may use of the fleet and of tenants' quotas.
+// Share is the share of the fleet and of tenants' quotas that the controller may use.
 type Share struct {
 	PerMillion   int64            `json:"per_million"`      // of the fleet, 1 to 1,000,000
 	TenantQuotas map[string]int64 `json:"quotas,omitempty"` // per million, 0 to 1,000,000
 	ExpiryNS     int64            `json:"until_boot_ns"`    // by the machine's monotonic clock
 }
 
-// isValid reports whether all figures are in their ranges.
+// isValid reports whether all values are in range.
 func (s Share) isValid() bool {
 	if s.PerMillion <= 0 || s.PerMillion > million || s.ExpiryNS <= 0 {
 		return false
@@ -74,8 +74,8 @@
 	http     *http.Server
 }
 
-// Serve listens on a TCP address over IPv4. It serves what report returns at GET /tally and passes shares that come
-// at POST /part to accept, until Close. Both functions are called concurrently.
+// Serve listens on an IPv4 TCP address. Until Close, it serves the result of report at GET /tally and passes shares
+// received at POST /part to accept. Both functions are called concurrently.
 func Serve(address string, report func() Report, accept func(Share)) (*Server, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -84,7 +84,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /tally", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(report()) // fails only if the client is gone
+		_ = json.NewEncoder(w).Encode(report()) // fails only if the client has disconnected
 	})
 	mux.HandleFunc("POST /part", func(w http.ResponseWriter, r *http.Request) {
 		serveShare(w, r, accept)
@@ -103,7 +103,7 @@
 	return server, nil
 }
 
-// serveShare reads a share and passes it to accept if it is valid.
+// serveShare decodes a share and passes it to accept if it is valid.
 func serveShare(w http.ResponseWriter, r *http.Request, accept func(Share)) {
 	var share Share
 	err := json.NewDecoder(io.LimitReader(r.Body, maxShareBytes)).Decode(&share)
@@ -122,12 +122,12 @@
 	}
 }
 
-// Address returns the address that is listened on.
+// Address returns the listen address.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
 // Close stops the server and closes its connections.
 func (s *Server) Close() {
-	_ = s.http.Close() // the listener is not used any more
+	_ = s.http.Close() // an error does not matter: the listener is no longer used
 }
