--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -9,11 +9,11 @@
 	"swiftreel/internal/counters"
 )
 
-// maxQueuedLines is how many lines wait for a reader of the log that is slow; more are dropped.
+// maxQueuedLines is the number of lines that may wait for a slow reader of the log.
 const maxQueuedLines = 1024
 
-// asyncWriter writes lines in a goroutine of its own, so that a log that nobody reads holds up nobody who logs. Lines
-// that find the queue full are dropped and counted; the next line that is written says how many. It is safe for
+// asyncWriter writes lines in a goroutine of its own, so that callers do not block when nobody reads the log. While the
+// queue is full, lines are dropped and counted; once it is empty, a line with their number is written. It is safe for
 // concurrent use.
 type asyncWriter struct {
 	out io.Writer
@@ -21,8 +21,8 @@
 	mu      sync.Mutex
 	queue   [][]byte
 	dropped int
-	writing bool          // a goroutine writes until the queue is empty
-	idle    chan struct{} // closed once it has
+	writing bool          // a goroutine is running writeQueue
+	idle    chan struct{} // closed when that goroutine has emptied the queue
 }
 
 func newAsyncWriter(out io.Writer) *asyncWriter {
@@ -31,7 +31,7 @@
 	return &asyncWriter{out: out, idle: idle}
 }
 
-// Write queues a line. It never waits and never fails.
+// Write queues a line. It never blocks and never fails.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -52,11 +52,12 @@
 // writeQueue writes until the queue is empty.
 func (w *asyncWriter) writeQueue() {
 	for line := w.next(); line != nil; line = w.next() {
-		_, _ = w.out.Write(line) // a log that cannot be written is no reason to stop
+		_, _ = w.out.Write(line) // the program continues when its log cannot be written
 	}
 }
 
-// next takes the first line off the queue, or says how many were dropped; nil: the queue is empty.
+// next removes and returns the first line of the queue. From an empty queue it returns a line with the number of
+// dropped lines, or nil if there are none.
 func (w *asyncWriter) next() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +77,7 @@
 	return line
 }
 
-// flush waits until all lines were written, no longer than a time.
+// flush waits until all lines are written, for at most timeout.
 func (w *asyncWriter) flush(timeout time.Duration) {
 	w.mu.Lock()
 	idle := w.idle
--- a/internal/logging/async_test.go
+++ b/internal/logging/async_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// heldWriter takes lines once it is released.
-type heldWriter struct {
+// blockingWriter blocks until it is released.
+type blockingWriter struct {
 	release chan struct{}
 
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (w *heldWriter) Write(line []byte) (int, error) {
+func (w *blockingWriter) Write(line []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.text.Write(line)
 }
 
-// Nobody reads: lines are queued up to a bound, the rest is dropped, and whoever logs is not held up. Then somebody
-// reads: what was queued comes in order, and how many were dropped.
+// While nobody reads the log, lines are queued up to a limit, more are dropped, and callers do not block. Once it is
+// read, the queued lines are written, then the number of dropped lines.
 func TestALogThatIsNotReadIsBounded(t *testing.T) {
-	out := &heldWriter{release: make(chan struct{})}
+	out := &blockingWriter{release: make(chan struct{})}
 	w := newAsyncWriter(out)
 	for range 2 * maxQueuedLines {
 		_, _ = w.Write([]byte("line\n")) // never fails
@@ -35,13 +35,13 @@
 	lines := strings.SplitAfter(out.text.String(), "\n")
 	written := strings.Count(out.text.String(), "line\n")
 	if written < maxQueuedLines || written > maxQueuedLines+1 {
-		t.Errorf("%d lines of %d are written", written, maxQueuedLines)
+		t.Errorf("%d lines of %d were written", written, maxQueuedLines)
 	}
 	if last := lines[len(lines)-2]; !strings.Contains(last, "msg=log_lines_dropped count=") {
 		t.Errorf("the last line is %q", last)
 	}
 	if _, _ = w.Write([]byte("later\n")); !flushed(w) || !strings.HasSuffix(out.text.String(), "later\n") {
-		t.Error("a later line is not written")
+		t.Error("a later line was not written")
 	}
 }
 
@@ -50,9 +50,9 @@
 	return true
 }
 
-// A flush of a log that nobody reads comes to an end.
+// A flush of a log that nobody reads returns.
 func TestAFlushIsBounded(t *testing.T) {
-	w := newAsyncWriter(&heldWriter{release: make(chan struct{})})
+	w := newAsyncWriter(&blockingWriter{release: make(chan struct{})})
 	_, _ = w.Write([]byte("line\n")) // never fails
 	w.flush(time.Millisecond)
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up the program's log: structured, key=value, one line an event, by log/slog.
+// Package logging sets up the program's log with log/slog: one line of key=value pairs for each event.
 package logging
 
 import (
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// timeLayout is UTC with microseconds.
+// timeLayout is RFC 3339 with microseconds.
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
-// flushTimeout is how long the end of the program waits for a slow reader of its log.
+// flushTimeout is how long the program waits at exit for a slow reader of its log.
 const flushTimeout = time.Second
 
-// Setup has everything that is logged from now on written to out: times in UTC with microseconds, durations in whole
-// nanoseconds. Lines are written in the background; flush, called before the program ends, waits for them for a second
-// at most. A reader of the log that has gone does not end the program by SIGPIPE.
+// Setup makes out the destination of the default logger, with times in UTC with microseconds and durations in whole
+// nanoseconds. Lines are written in the background; flush must be called before the program exits and waits for them
+// for at most a second. SIGPIPE no longer terminates the program when the reader of the log has gone.
 func Setup(out io.Writer) (flush func()) {
-	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE) // caught, not ignored: what it executes would inherit that
+	signal.Notify(make(chan os.Signal, 1), syscall.SIGPIPE) // caught, as child processes would inherit an ignored signal
 	writer := newAsyncWriter(out)
 	options := &slog.HandlerOptions{ReplaceAttr: formatAttribute}
 	slog.SetDefault(slog.New(slog.NewTextHandler(writer, options)))
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// On-call staff search these lines: key=value, UTC with microseconds, spans in ns.
+// On-call staff search the log for key=value pairs, with times in UTC with microseconds and durations in nanoseconds.
 func TestALineIsKeysAndValues(t *testing.T) {
 	before := slog.Default()
 	defer slog.SetDefault(before)
