--- a/internal/ratelog/ratelog.go
+++ b/internal/ratelog/ratelog.go
@@ -1,5 +1,5 @@
-// Package ratelog keeps repeated faults from flooding the log. Its types are safe for concurrent use, and their zero
-// values are ready to use.
+// Package ratelog limits the rate of log lines, so that repeated faults do not flood the log. Its types are safe for
+// concurrent use, and their zero values are ready to use.
 package ratelog
 
 import (
@@ -15,27 +15,27 @@
 	linesPerSecond = 20          // of a Limiter
 )
 
-// Logger logs one kind of event at most once a second, with how many there were since the line before.
+// Logger logs one kind of event at most once a second, with the number of events since the previous line.
 type Logger struct {
 	mu         sync.Mutex
 	loggedAt   time.Time
 	unreported int
 }
 
-// CountAndWarn increments a counter, then does what Warn does.
+// CountAndWarn increments a counter and calls Warn.
 func (l *Logger) CountAndWarn(counter, event string, attributes ...any) {
 	counters.Increment(counter)
 	l.Warn(event, attributes...)
 }
 
-// Warn logs an event as a warning, with the attribute count, unless the last line is under a second old.
+// Warn logs an event as a warning with the attribute count, unless a line was logged less than a second ago.
 func (l *Logger) Warn(event string, attributes ...any) {
 	if count := l.due(); count > 0 {
 		slog.Warn(event, append(attributes, "count", count)...)
 	}
 }
 
-// due notes one more event, and returns how many are to be reported now; 0: none yet.
+// due counts an event. It returns the number of events to report now, or 0 if no line is due yet.
 func (l *Logger) due() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	return count
 }
 
-// Limiter allows 20 log lines a second. Lines beyond them are counted as lines_dropped.
+// Limiter allows 20 log lines a second. Further lines are counted as lines_dropped.
 type Limiter struct {
 	mu          sync.Mutex
 	windowStart time.Time
 	lines       int
 }
 
-// Allow reports whether one more line may be logged at the time now.
+// Allow reports whether a line may be logged at the time now.
 func (l *Limiter) Allow(now time.Time) bool {
 	if l.withinLimit(now) {
 		return true
--- a/internal/ratelog/ratelog_test.go
+++ b/internal/ratelog/ratelog_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestLinesPastTheRateAreDropped(t *testing.T) {
+func TestLinesOverTheLimitAreDropped(t *testing.T) {
 	var limiter Limiter
 	at, n := time.Unix(1000, 0), 0
 	for range 3 * linesPerSecond {
