--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,5 +1,5 @@
-// Package counters counts named events of the process for its log line at the end and for tests. All functions are safe
-// for concurrent use. Names are constants of the code, so the number of counters is bounded by the program.
+// Package counters counts named events of the process. The counters are logged at exit and read by tests. All functions
+// are safe for concurrent use. Names are constants in the code, which bounds the number of counters.
 package counters
 
 import (
@@ -14,14 +14,14 @@
 	counts = map[string]uint64{} // guarded by mu
 )
 
-// Increment adds one to the counter of that name.
+// Increment adds one to the named counter.
 func Increment(name string) {
 	mu.Lock()
 	counts[name]++
 	mu.Unlock()
 }
 
-// Value returns how often a counter was incremented: 0 if it never was.
+// Value returns the value of the named counter; 0 if it was never incremented.
 func Value(name string) uint64 {
 	mu.Lock()
 	defer mu.Unlock()
