--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-func violated(name string) { panic("does not hold: " + name) }
+func violated(name string) { panic("invariant violated: " + name) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,10 +1,10 @@
-// Package invariant checks conditions that a correct program always meets. A violation is counted under its name
-// (package counters); builds with the tag debug panic.
+// Package invariant checks conditions that always hold in a correct program. Violations are counted (package counters);
+// builds with the tag debug panic.
 package invariant
 
 import "swiftreel/internal/counters"
 
-// Check counts a violation under name unless the condition holds; builds with the tag debug panic.
+// Check increments the counter name if the condition does not hold. Builds with the tag debug also panic.
 func Check(holds bool, name string) {
 	if !holds {
 		counters.Increment(name)
