--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits divides what the machine allows - cores, memory, descriptors - among the parts of a controller. Counts
-// and byte budgets may be used concurrently, also while they are divided again.
+// Package limits divides the machine's cores, memory and descriptors among the components of a controller. Its types
+// are safe for concurrent use, also while new limits are applied.
 package limits
 
 import (
@@ -11,14 +11,14 @@
 	"swiftreel/internal/config"
 )
 
-// Budget is the division of one machine's limits.
+// Budget is how one machine's limits are divided.
 type Budget struct {
-	ClientConns  Count // well over the third of the descriptors that typical clients hold
+	ClientConns  Count // about half of the descriptors; clients typically use a third
 	EngineConns  Count // at least as many
-	Lingering    Count // closed by the controller, not yet by their clients: from the reserve
+	Lingering    Count // connections closed by the controller but not yet by clients; from the reserved descriptors
 	Jobs         Count // admitted and not finished
 	MessageBytes Bytes // statements and results
-	ReadBytes    Bytes // messages of clients while they are read
+	ReadBytes    Bytes // messages of clients while they are being read
 }
 
 // Shares of the machine's memory.
@@ -34,48 +34,48 @@
 	maxJobs    = 1 << 20
 )
 
-// Descriptors that are not for connections of clients and engines.
+// Descriptors that are not available for connections of clients and engines.
 const (
-	baseDescriptors   = 12 // standard streams, poller, listener, feeds, files, what the runtime opens for a moment
-	maxReserved       = 40 // with those for connections that linger
+	baseDescriptors   = 12 // standard streams, poller, listener, feeds, files, temporary ones of the runtime
+	maxReserved       = 40 // including those for lingering connections
 	socketsPerReserve = 32
 )
 
-// reserved returns how many descriptors are reserved.
-func reserved(sockets int) int {
+// reservedDescriptors returns the number of reserved descriptors.
+func reservedDescriptors(sockets int) int {
 	return min(maxReserved, baseDescriptors+sockets/socketsPerReserve)
 }
 
-// Apply sets the limits of the Go runtime and divides the rest. What is in use beyond a limit that has become smaller
-// stays until it is returned.
+// Apply sets the limits of the Go runtime and divides the remaining resources. If a limit is lowered, resources in use
+// beyond it remain in use until they are released.
 func (b *Budget) Apply(machine config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(machine.Cores))))
 	debug.SetMemoryLimit(int64(machine.MemoryMB * heapShare * bytesPerMB))
-	connections := machine.Sockets - reserved(machine.Sockets)
+	connections := machine.Sockets - reservedDescriptors(machine.Sockets)
 	b.ClientConns.Store(int64(max(1, connections/2)))
-	b.Lingering.Store(int64(max(1, (reserved(machine.Sockets)-baseDescriptors)/2)))
+	b.Lingering.Store(int64(max(1, (reservedDescriptors(machine.Sockets)-baseDescriptors)/2)))
 	b.EngineConns.Store(int64(max(1, connections-connections/2)))
 	b.Jobs.Store(int64(min(maxJobs, jobsPerMB*machine.MemoryMB)))
 	b.MessageBytes.SetCapacity(int64(machine.MemoryMB * messageShare * bytesPerMB))
 	b.ReadBytes.SetCapacity(int64(machine.MemoryMB * readShare * bytesPerMB))
 }
 
-// Count is how many of something there may be.
+// Count is the maximum number of items of a kind.
 type Count struct{ atomic.Int64 }
 
-// Max returns the number.
+// Max returns the maximum.
 func (c *Count) Max() int { return int(c.Load()) }
 
-// Bytes is a budget of bytes that messages in memory share. The zero value has none.
+// Bytes is a memory budget that messages share. The zero value has a capacity of 0.
 type Bytes struct {
 	capacity  atomic.Int64
-	available atomic.Int64 // negative while more is in use than a smaller capacity allows
+	available atomic.Int64 // negative while more is in use than a lowered capacity allows
 }
 
-// SetCapacity changes how many bytes there are.
+// SetCapacity changes the capacity to n bytes.
 func (b *Bytes) SetCapacity(n int64) { b.available.Add(n - b.capacity.Swap(n)) }
 
-// Reserve takes n bytes, and reports whether so many were available.
+// Reserve reserves n bytes and reports whether they were available.
 func (b *Bytes) Reserve(n int) bool {
 	if b.available.Add(-int64(n)) >= 0 {
 		return true
@@ -84,11 +84,11 @@
 	return false
 }
 
-// Release returns n bytes.
+// Release returns n reserved bytes to the budget.
 func (b *Bytes) Release(n int) { b.available.Add(int64(n)) }
 
-// Unused reports whether none are reserved.
+// Unused reports whether no bytes are reserved.
 func (b *Bytes) Unused() bool { return b.available.Load() == b.capacity.Load() }
 
-// Available returns how many bytes can be reserved; below 0 if more are reserved than there are.
+// Available returns how many bytes can be reserved. It is negative if more are reserved than the capacity.
 func (b *Bytes) Available() int64 { return b.available.Load() }
