--- a/internal/monotonic/monotonic.go
+++ b/internal/monotonic/monotonic.go
@@ -1,10 +1,10 @@
-// Package monotonic reads the clock of the machine that is the same for all its processes: it starts with the
-// machine, goes on during suspension, and is never set.
+// Package monotonic reads the machine's boot-time clock. The clock is common to all processes, starts at boot,
+// continues during suspension, and is never set.
 package monotonic
 
 import "golang.org/x/sys/unix"
 
-// Now returns the time since the machine started, in ns; 0 if the system has no such clock.
+// Now returns the time since boot in nanoseconds; 0 if the system has no such clock.
 func Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
