--- a/internal/statement/statement.go
+++ b/internal/statement/statement.go
@@ -1,16 +1,16 @@
-// Package statement reads from the text of a SQL statement what matters for its placement: the group of tables that it
-// uses. It does no more than tell names from strings and comments, and keeps no state.
+// Package statement extracts from a SQL statement the group of tables that it uses, which matters for placement. It
+// does not parse SQL: it only distinguishes names from strings and comments.
 package statement
 
-// staging names the schema that belongs to no group.
+// staging is the schema that belongs to no group.
 const staging = "staging"
 
-// maxGroupDigits bounds the digits of a group's number, so that it fits 32 bits.
+// maxGroupDigits limits the digits of a group number, so that it fits in 32 bits.
 const maxGroupDigits = 9
 
-// Group returns the number of the statement's group of tables: the one at the end of the name of the first schema that
-// has a number after an underscore, as 17 in sales_17.orders. Strings and comments do not count. It reports false where
-// no schema has a number.
+// Group returns the number of the statement's group of tables. It is the number after the last underscore in the name
+// of the first schema that has one, such as 17 in sales_17.orders. Strings and comments are skipped. It returns false
+// if no schema has a number.
 func Group(text []byte) (group uint32, found bool) {
 	for at := 0; at < len(text); {
 		if end := skipNonCode(text, at); end > at {
@@ -30,12 +30,12 @@
 		if number, ok := groupNumber(name); ok {
 			return number, true
 		}
-		_, at = readName(text, skipSpace(text, dot+1)) // the table; a column may follow
+		_, at = readName(text, skipSpace(text, dot+1)) // skips the table name, which a column may follow
 	}
 	return 0, false
 }
 
-// skipNonCode returns the end of the string or comment that starts at an offset; the offset itself where none does.
+// skipNonCode returns the end of the string or comment that starts at offset at, or at itself if none does.
 func skipNonCode(text []byte, at int) int {
 	switch {
 	case text[at] == '\'':
@@ -68,7 +68,7 @@
 	return at
 }
 
-// skipQuoted returns the end of a string or quoted name; a doubled quote stands for one.
+// skipQuoted returns the end of a string or quoted name. A doubled quote is an escaped quote.
 func skipQuoted(text []byte, at int) int {
 	quote := text[at]
 	for at++; at < len(text); at++ {
@@ -82,7 +82,7 @@
 	return at
 }
 
-// skipComment returns the end of a comment, with those nested in it.
+// skipComment returns the end of a comment, including comments nested in it.
 func skipComment(text []byte, at int) int {
 	depth := 0
 	for at < len(text) {
@@ -103,7 +103,7 @@
 	return at
 }
 
-// readName returns the name that starts at an offset, quoted or not, and its end.
+// readName returns the quoted or unquoted name that starts at offset at, and its end.
 func readName(text []byte, at int) ([]byte, int) {
 	if hasByte(text, at, '"') {
 		end := skipQuoted(text, at)
@@ -116,19 +116,19 @@
 	return text[at:end], end
 }
 
-// groupNumber returns the digits after the last underscore of a schema's name, and whether the schema has a group.
+// groupNumber returns the number after the last underscore of a schema's name, and whether the schema has a group.
 func groupNumber(schema []byte) (number uint32, ok bool) {
-	digits := len(schema)
-	for digits > 0 && isDigit(schema[digits-1]) {
-		digits--
+	firstDigit := len(schema)
+	for firstDigit > 0 && isDigit(schema[firstDigit-1]) {
+		firstDigit--
 	}
-	if digits == len(schema) || len(schema)-digits > maxGroupDigits {
+	if firstDigit == len(schema) || len(schema)-firstDigit > maxGroupDigits {
 		return 0, false
 	}
-	if digits < 2 || schema[digits-1] != '_' || string(schema[:digits-1]) == staging {
+	if firstDigit < 2 || schema[firstDigit-1] != '_' || string(schema[:firstDigit-1]) == staging {
 		return 0, false
 	}
-	for _, digit := range schema[digits:] {
+	for _, digit := range schema[firstDigit:] {
 		number = number*10 + uint32(digit-'0')
 	}
 	return number, true
--- a/internal/statement/statement_test.go
+++ b/internal/statement/statement_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// FuzzGroup checks that no text makes Group panic, and that a comment or a string before it never changes the result.
+// FuzzGroup checks that Group does not panic and that comments and strings before a text do not change the result.
 func FuzzGroup(f *testing.F) {
 	for _, s := range []string{
 		"SELECT * FROM sales_17.orders", "--", "/*/", "'", `"`, "a_1.b", "a_1",
