--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema reads JSON files that operators write: bounded in size, checked against the JSON schema of their kind
-// (deploy/KIND.schema.json), and with every problem reported by its path in the file.
+// Package schema reads JSON files that operators write. It limits their size, validates them against the JSON schema of
+// their kind (deploy/KIND.schema.json) and reports problems with their paths in the file.
 package schema
 
 import (
@@ -19,27 +19,27 @@
 	"swiftreel/deploy"
 )
 
-// MaxBytes bounds a file.
+// MaxBytes is the maximum size of a file.
 const MaxBytes = 32 << 20
 
-// maxProblems is how many problems of a file are reported.
+// maxProblems is the number of problems reported for a file.
 const maxProblems = 50
 
-// ValidationError is all that is wrong with the content of a file.
+// ValidationError lists the problems in the content of a file.
 type ValidationError struct {
 	File     string
-	Problems []string // each with its path in the file
+	Problems []string // each starts with its path in the file
 }
 
-// Error returns the file and all problems.
+// Error returns the file name and all problems.
 func (e *ValidationError) Error() string {
 	return e.File + ": " + strings.Join(e.Problems, "; ")
 }
 
-// Kind is a kind of file that has a schema.
+// Kind identifies the schema of a file.
 type Kind string
 
-// The kinds.
+// Kinds of files that have a schema.
 const (
 	Problem  Kind = "problem"
 	Plan     Kind = "plan"
@@ -47,14 +47,14 @@
 	Change   Kind = "change"
 )
 
-// Read reads a file into a value if it fits the schema of its kind. The error is a *ValidationError, or says why the
-// file cannot be read.
+// Read decodes a file into a value if the file is valid under the schema of its kind. The error is a *ValidationError
+// if the content is invalid.
 func Read(path string, kind Kind, into any) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // opened for reading only
 	text, err := io.ReadAll(io.LimitReader(f, MaxBytes+1))
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return Parse(path, text, kind, into)
 }
 
-// Parse does what Read does with a text; the path is for errors only.
+// Parse is like Read for the text of a file; the path is used in errors only.
 func Parse(path string, text []byte, kind Kind, into any) error {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -82,13 +82,13 @@
 		}
 		return &ValidationError{File: path, Problems: problems(invalid)}
 	}
-	if err := json.Unmarshal(text, into); err != nil { // the schema has refused unknown names
+	if err := json.Unmarshal(text, into); err != nil { // the schema already rejects unknown keys
 		return &ValidationError{File: path, Problems: []string{"/: " + err.Error()}}
 	}
 	return nil
 }
 
-// compile makes the schema of a kind, which is part of the program.
+// compile compiles the embedded schema of a kind.
 func compile(kind Kind) (*jsonschema.Schema, error) {
 	name := string(kind) + ".schema.json"
 	text, err := deploy.Schemas.ReadFile(name)
@@ -106,9 +106,9 @@
 	return compiler.Compile(name)
 }
 
-// problems returns the innermost errors of a validation, sorted by their paths.
+// problems returns the innermost errors of a validation, sorted by path, at most maxProblems of them.
 func problems(invalid *jsonschema.ValidationError) []string {
-	list := innermost(invalid, message.NewPrinter(language.English))
+	list := innermostErrors(invalid, message.NewPrinter(language.English))
 	slices.Sort(list)
 	if len(list) > maxProblems {
 		list = append(list[:maxProblems], fmt.Sprintf("and %d more", len(list)-maxProblems))
@@ -116,14 +116,14 @@
 	return list
 }
 
-func innermost(invalid *jsonschema.ValidationError, printer *message.Printer) []string {
+func innermostErrors(invalid *jsonschema.ValidationError, printer *message.Printer) []string {
 	if len(invalid.Causes) == 0 {
 		path := "/" + strings.Join(invalid.InstanceLocation, "/")
 		return []string{path + ": " + invalid.ErrorKind.LocalizedString(printer)}
 	}
 	var list []string
 	for _, cause := range invalid.Causes {
-		list = append(list, innermost(cause, printer)...)
+		list = append(list, innermostErrors(cause, printer)...)
 	}
 	return list
 }
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -63,7 +63,7 @@
 func TestAFileThatCannotBeRead(t *testing.T) {
 	dir := t.TempDir()
 	if err := Read(filepath.Join(dir, "none.json"), Operator, new(map[string]any)); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("absent: %v", err)
+		t.Errorf("missing file: %v", err)
 	}
 	large := filepath.Join(dir, "large.json")
 	if err := os.WriteFile(large, make([]byte, MaxBytes+1), 0o600); err != nil {
