--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version identifies the build of a program.
+// Package version identifies the build of the program.
 package version
 
 import (
@@ -9,21 +9,21 @@
 	"swiftreel/internal/change"
 )
 
-// Name is the version's name. A build sets it by -ldflags "-X swiftreel/internal/version.Name=...".
+// Name is the version. A build sets it with -ldflags "-X swiftreel/internal/version.Name=...".
 var Name = "dev"
 
-// Build is what a program knows of itself.
+// Build describes a build of the program.
 type Build struct {
 	Version   string        `json:"version"`
-	Commit    string        `json:"commit"` // empty if the build does not know it
-	Dirty     bool          `json:"dirty"`  // built from a changed working tree
+	Commit    string        `json:"commit"` // empty if unknown
+	Dirty     bool          `json:"dirty"`  // built from a modified working tree
 	GoVersion string        `json:"go"`
-	Digest    change.Digest `json:"digest"`  // of the program's file
-	Formats   []int         `json:"formats"` // of orders and reports that it reads
-	Schemas   []string      `json:"schemas"` // of files that it reads
+	Digest    change.Digest `json:"digest"`  // of the executable
+	Formats   []int         `json:"formats"` // supported formats of orders and reports
+	Schemas   []string      `json:"schemas"` // kinds of files that it reads
 }
 
-// Current returns the build of this process. It fails if the program's file cannot be read.
+// Current describes the build of this process. It fails if the executable cannot be read.
 func Current() (Build, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -44,7 +44,7 @@
 	return build, nil
 }
 
-// revision returns what the build recorded of its source.
+// revision returns the source revision that the Go toolchain recorded in the executable.
 func revision() (commit string, dirty bool) {
 	info, recorded := debug.ReadBuildInfo()
 	if !recorded {
