--- a/internal/plan/files_test.go
+++ b/internal/plan/files_test.go
@@ -22,8 +22,8 @@
 	return append(text, '\n')
 }
 
-// A plan that swiftreel solve --out wrote is read and written again to the byte, and fits its problem.
-func TestAPlanFileIsReadWhole(t *testing.T) {
+// A plan that swiftreel solve --out wrote is unchanged after decoding and encoding, and satisfies its problem.
+func TestPlanAndProblemRoundTrip(t *testing.T) {
 	a, err := Load(filepath.Join("testdata", "plan.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -39,11 +39,11 @@
 	}
 	a.Steps[0].Threads[0].Threads++
 	if Verify(p, a) == nil {
-		t.Error("a plan of other threads fits")
+		t.Error("a plan with different threads was accepted")
 	}
 }
 
-func TestTwoPlansAreToldApart(t *testing.T) {
+func TestDiff(t *testing.T) {
 	a, err := Load(filepath.Join("testdata", "plan.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -58,11 +58,11 @@
 	}
 }
 
-// Contradictions in a plan that a schema does not see: each is told with its path.
-func TestContradictionsInAPlanAreTold(t *testing.T) {
+// Contradictions in a plan that the schema cannot detect are reported with their paths.
+func TestContradictionsInAPlanAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(s map[string]any)
-		fault  string
+		change  func(s map[string]any)
+		problem string
 	}{
 		"begins late": {func(s map[string]any) { s["from_ms"] = 5 },
 			"/steps/0/from_ms: steps begin at 0 and follow each other"},
@@ -87,8 +87,8 @@
 			path := filepath.Join(t.TempDir(), "plan.json")
 			writeJSON(t, path, text)
 			_, err = Load(path)
-			if err == nil || !containsFault(err, c.fault) {
-				t.Errorf("%v, want %s", err, c.fault)
+			if err == nil || !hasProblem(err, c.problem) {
+				t.Errorf("%v, want %s", err, c.problem)
 			}
 		})
 	}
@@ -101,10 +101,10 @@
 	}
 }
 
-func containsFault(err error, fault string) bool {
-	var faults *schema.ValidationError
-	if !errors.As(err, &faults) {
+func hasProblem(err error, prefix string) bool {
+	var invalid *schema.ValidationError
+	if !errors.As(err, &invalid) {
 		return false
 	}
-	return slices.ContainsFunc(faults.Problems, func(f string) bool { return strings.HasPrefix(f, fault) })
+	return slices.ContainsFunc(invalid.Problems, func(problem string) bool { return strings.HasPrefix(problem, prefix) })
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,4 +1,4 @@
-// Package plan reads the files of plans and problems, verifies plans against problems and compares plans.
+// Package plan reads plan and problem files, verifies plans against problems and compares plans.
 package plan
 
 import (
@@ -10,22 +10,22 @@
 	"swiftreel/internal/solve"
 )
 
-// maxShareSum is what the shares of tenants may sum to, in millionths.
+// maxShareSum is the maximum sum of the tenants' shares in a step, in millionths.
 const maxShareSum = 1_000_000
 
-// Load reads a plan. If it cannot be followed, the error is a *schema.ValidationError with all problems.
+// Load reads a plan file. If the plan is invalid, the error is a *schema.ValidationError.
 func Load(path string) (solve.Answer, error) {
 	var answer solve.Answer
 	if err := schema.Read(path, schema.Plan, &answer); err != nil {
 		return solve.Answer{}, err
 	}
-	if problems := contradictions(answer); len(problems) > 0 {
+	if problems := planProblems(answer); len(problems) > 0 {
 		return solve.Answer{}, &schema.ValidationError{File: path, Problems: problems}
 	}
 	return answer, nil
 }
 
-// LoadProblem reads a problem to solve. If it is not sound, the error is a *schema.ValidationError with all problems.
+// LoadProblem reads a problem file. If the problem is invalid, the error is a *schema.ValidationError.
 func LoadProblem(path string) (*solve.Problem, error) {
 	problem := new(solve.Problem)
 	if err := schema.Read(path, schema.Problem, problem); err != nil {
@@ -42,7 +42,7 @@
 	return nil, invalid
 }
 
-// Verify checks that each step of a plan keeps the limits and demands of a problem.
+// Verify checks that each step of a plan satisfies the limits and requirements of a problem.
 func Verify(problem *solve.Problem, answer solve.Answer) error {
 	for i, step := range answer.Steps {
 		if err := solve.Verify(problem, step); err != nil {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// contradictions returns what is wrong with a plan that a schema does not see.
-func contradictions(answer solve.Answer) []string {
+// planProblems returns the problems of a plan that the schema cannot detect.
+func planProblems(answer solve.Answer) []string {
 	var problems []string
 	for i, step := range answer.Steps {
 		path := fmt.Sprintf("/steps/%d", i)
@@ -73,26 +73,26 @@
 	return steps[i].FromMS > steps[i-1].FromMS
 }
 
-// threadProblems holds the threads of a step against what it says of the use of engines.
+// threadProblems compares the threads of a step with its list of engine use.
 func threadProblems(path string, step solve.Step) []string {
 	var problems []string
 	limits := map[string]int64{}
 	for i, use := range step.Use {
-		if _, twice := limits[use.Engine]; twice {
+		if _, isDuplicate := limits[use.Engine]; isDuplicate {
 			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q stands twice", path, i, use.Engine))
 		}
 		limits[use.Engine] = use.Usable
 	}
-	given := map[string]int64{}
+	assigned := map[string]int64{}
 	for i, t := range step.Threads {
 		if _, known := limits[t.Engine]; !known {
 			problems = append(problems, fmt.Sprintf("%s/threads/%d: engine %q does not stand in use", path, i, t.Engine))
 		}
-		given[t.Engine] += t.Threads
+		assigned[t.Engine] += t.Threads
 	}
 	for i, use := range step.Use {
-		if threads := given[use.Engine]; threads > use.Usable || threads != use.Threads {
-			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q is given %d threads, it tells %d of %d",
+		if threads := assigned[use.Engine]; threads > use.Usable || threads != use.Threads {
+			problems = append(problems, fmt.Sprintf("%s/use/%d: engine %q is assigned %d threads, but use states %d of %d",
 				path, i, use.Engine, threads, use.Threads, use.Usable))
 		}
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Change is how many threads two plans give to a type's jobs of a tenant at an engine, where they differ.
+// Change is a difference between two plans: the threads for jobs of a type and tenant on an engine.
 type Change struct {
 	Type   string `json:"type"`
 	Tenant string `json:"tenant"`
@@ -119,13 +119,13 @@
 	After  int64  `json:"after"`
 }
 
-// compareChanges orders by type, tenant and engine.
+// compareChanges orders changes by type, tenant and engine.
 func compareChanges(a, b Change) int {
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Engine, b.Engine))
 }
 
-// Diff returns what changes from the last step of one plan to that of another, sorted by type, tenant and engine. Zones
-// of origin are summed.
+// Diff returns the differences between the last steps of two plans, sorted by type, tenant and engine. Threads are
+// summed over zones of origin.
 func Diff(before, after solve.Answer) []Change {
 	type key struct{ jobType, tenant, engine string }
 	changes := map[key]*Change{}
@@ -152,5 +152,5 @@
 	return list
 }
 
-// lastStep is when all engines are warm. A plan that Load has read has one.
+// lastStep returns the last step of a plan, in which all engines are warm. Load ensures that there is one.
 func lastStep(answer solve.Answer) solve.Step { return answer.Steps[len(answer.Steps)-1] }
