--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,6 +1,7 @@
-// Package rollout decides how a change goes through a fleet: a state machine that takes one observation of the fleet
-// at a time and says which spec each controller is to run.
+// Package rollout implements the state machine of a staged rollout. Each step takes one observation of the fleet and
+// determines which spec each controller has to run.
 //
-// It has no clock, socket or file: time comes with each observation, in nanoseconds of the coordinator's own clock,
-// and whoever drives the machine records its State before acting on its Orders. A Machine belongs to one goroutine.
+// The package has no clock, socket or file: the time is part of each observation, in nanoseconds of the coordinator's
+// own clock, and the caller must record the State of a Machine before it acts on its Orders. A Machine may be used by
+// one goroutine only.
 package rollout
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -8,8 +8,8 @@
 	"swiftreel/internal/canary"
 )
 
-// detect returns the event that an observation shows in the present phase, and the reason to record with the transition
-// that follows from it. It also counts in the state what later decisions of the phase rest on.
+// detect returns the event that an observation shows in the current phase, and the reason to record with the
+// transition that follows from it. It also updates the counters in the state that later decisions depend on.
 func (m *Machine) detect(seen Observation) (event, string) {
 	switch m.State.Phase {
 	case PhasePreparing:
@@ -39,27 +39,27 @@
 	switch {
 	case len(unready) == 0:
 		return fleetReady, "all are there"
-	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return fleetNotReady, "not ready to begin: " + strings.Join(unready, " ")
 	}
 	return noEvent, ""
 }
 
 func (m *Machine) whileBaseline(seen Observation) (event, string) {
-	if m.State.Paused || !m.lasted(seen.Now, m.plan.Timing.BaselineMS) {
+	if m.State.Paused || !m.phaseLasted(seen.Now, m.plan.Timing.BaselineMS) {
 		return noEvent, ""
 	}
 	return baselineComplete, "watched before the first stage"
 }
 
-// whileApplying waits until the stage's reachable controllers run the new version and serve. One that reports that it
-// cannot, or that does worse at once, ends the stage.
+// whileApplying waits until the stage's reachable controllers run the new version and serve. The stage fails if one of
+// them reports that it cannot run the new version, or if a regression shows already.
 func (m *Machine) whileApplying(seen Observation) (event, string) {
 	if seen.Verdict.Conclusion == canary.Regressed {
-		return m.failWorse(seen)
+		return m.failRegressed(seen)
 	}
 	for _, member := range seen.Members {
-		if member.Failure != "" && m.wanted(member.Name) == m.plan.ToSpec {
+		if member.Failure != "" && m.desiredSpec(member.Name) == m.plan.ToSpec {
 			return stageFailed, fmt.Sprintf("%s cannot take it: %s", member.Name, member.Failure)
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 	stage := m.plan.Stages[m.State.Stage]
 	staged := seen.Members
-	if stage != nil { // a fleet of one has an empty first stage: then the reason names all
+	if stage != nil { // in a fleet of one controller the first stage is empty: the reason then names all members
 		staged = membersNamed(seen.Members, stage)
 	}
 	missing := namesUnless(staged, m.servesTarget)
@@ -78,8 +78,9 @@
 	updated := len(stage) - len(missing)
 	switch {
 	case len(missingReachable) == 0 && updated > m.previousStageSize():
-		return stageApplied, fmt.Sprintf("stage %d of %d is on %d controllers", m.State.Stage+1, len(m.plan.Stages), updated)
-	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+		return stageApplied, fmt.Sprintf("stage %d of %d is on %d controllers",
+			m.State.Stage+1, len(m.plan.Stages), updated)
+	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return stageFailed, fmt.Sprintf("stage %d was not taken by %s", m.State.Stage+1, strings.Join(missing, " "))
 	}
 	return noEvent, ""
@@ -89,8 +90,8 @@
 	return member.Reachable && member.Running == m.plan.ToSpec && member.Serving
 }
 
-// previousStageSize is how many controllers the stage before holds. A stage of which no further controller is reachable
-// would show nothing.
+// previousStageSize returns the number of controllers in the previous stage. A stage that adds no reachable controller
+// to these would provide no evidence.
 func (m *Machine) previousStageSize() int {
 	if m.State.Stage == 0 {
 		return 0
@@ -98,8 +99,8 @@
 	return len(m.plan.Stages[m.State.Stage-1])
 }
 
-// failWorse records the verdict that ends the stage.
-func (m *Machine) failWorse(seen Observation) (event, string) {
+// failRegressed records the verdict that makes the stage fail.
+func (m *Machine) failRegressed(seen Observation) (event, string) {
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
 	return stageFailed, fmt.Sprintf("stage %d does worse: %s", m.State.Stage+1, seen.Verdict.Reason)
 }
@@ -107,7 +108,7 @@
 func (m *Machine) whileBaking(seen Observation) (event, string) {
 	switch seen.Verdict.Conclusion {
 	case canary.Regressed:
-		return m.failWorse(seen)
+		return m.failRegressed(seen)
 	case canary.AllRegressed:
 		return sharedRegression, seen.Verdict.Reason
 	case canary.NoRegression:
@@ -116,14 +117,14 @@
 		}
 		return m.passStage(seen)
 	}
-	if m.State.Paused || !m.lasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+	if m.State.Paused || !m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS) {
 		return noEvent, ""
 	}
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
 	return stageFailed, "undecided after its time: " + seen.Verdict.Reason
 }
 
-// passStage records the verdict that lets the next stage begin.
+// passStage records the verdict with which the stage passes, and moves on to the next stage.
 func (m *Machine) passStage(seen Observation) (event, string) {
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
 	if m.State.Stage+1 == len(m.plan.Stages) {
@@ -137,28 +138,29 @@
 
 func (m *Machine) whileStageRollback(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return !member.Reachable || member.Running == m.wanted(member.Name)
+		return !member.Reachable || member.Running == m.desiredSpec(member.Name)
 	})
 	switch {
 	case len(remaining) == 0:
 		return stageReverted, "withdrawn"
-	case m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return stageFailed, "could not be withdrawn: " + strings.Join(remaining, " ")
 	}
 	return noEvent, ""
 }
 
-// whileAwaitingRecovery retries the stage once all do as before it. Where all recover soon after each rollback, the
-// stage is the cause; where they recover late, it may have been the day.
+// whileAwaitingRecovery retries the stage once the whole fleet performs as it did before the stage. If the fleet
+// recovers soon after each rollback, the stage is the cause; if it recovers late, the cause may be unrelated to the
+// stage.
 func (m *Machine) whileAwaitingRecovery(seen Observation) (event, string) {
 	state := &m.State
 	if !seen.Recovered {
-		if m.lasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+		if m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS) {
 			return stageFailed, "undecided: the day stays bad"
 		}
 		return noEvent, ""
 	}
-	if !state.Paused && !m.lasted(seen.Now, m.plan.Timing.SharedRecoveryMS) {
+	if !state.Paused && !m.phaseLasted(seen.Now, m.plan.Timing.SharedRecoveryMS) {
 		state.PromptRecoveries++
 	}
 	retriesExhausted := state.StageRetries >= m.plan.Timing.MaxSharedRetries
@@ -172,7 +174,7 @@
 	case !state.Paused:
 		state.StageRetries++
 		return stageRetried, "all do as before: the stage or the day, it is begun once more"
-	case m.lasted(seen.Now, m.plan.Timing.MaxBakeMS):
+	case m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS):
 		return stageFailed, "undecided: the day stays bad"
 	}
 	return noEvent, ""
@@ -195,13 +197,13 @@
 	switch {
 	case len(remaining) == 0:
 		return fleetReverted, m.State.Outcome
-	case m.State.Phase == PhaseRollback && m.lasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.State.Phase == PhaseRollback && m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
 		return rollbackOverdue, "not back: " + strings.Join(remaining, " ")
 	}
 	return noEvent, ""
 }
 
-// membersNamed returns the members that a list names.
+// membersNamed returns the members whose names are in a list.
 func membersNamed(members []Member, names []string) []Member {
 	var named []Member
 	for _, member := range members {
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -7,12 +7,12 @@
 	"swiftreel/internal/change"
 )
 
-// Plan is what a rollout carries through the fleet; it does not change in the rollout's course, but for Stages.
+// Plan is the configuration of a rollout. It does not change in the course of the rollout, except for Stages.
 type Plan struct {
 	Kind     change.Kind
 	FromSpec change.Digest // the old version
 	ToSpec   change.Digest // the new version
-	Stages   [][]string    // the members on the new version by stage; nil until the baseline is complete
+	Stages   [][]string    // members that run the new version, by stage; nil until the baseline is complete
 	Timing   change.Timing
 }
 
@@ -20,10 +20,10 @@
 type Machine struct {
 	State      State
 	plan       Plan
-	phaseStart int64 // ns, as Observation.Now; a coordinator that takes over starts it anew
+	phaseStart int64 // ns, as Observation.Now; reset when another coordinator takes over
 }
 
-// New continues a rollout from its recorded state, now being the time as in Observation.
+// New returns a machine that continues a rollout from its recorded state; now is the time as in Observation.
 func New(state State, plan Plan, now int64) *Machine {
 	if state.Drained == nil {
 		state.Drained = map[string]string{}
@@ -31,11 +31,11 @@
 	return &Machine{State: state, plan: plan, phaseStart: now}
 }
 
-// SetStages sets the stages, which depend on what was observed in PhaseBaseline. It must be called before the state
-// that follows PhaseBaseline is recorded.
+// SetStages sets the stages, which are planned from the observations of PhaseBaseline. It must be called before the
+// state that follows PhaseBaseline is recorded.
 func (m *Machine) SetStages(stages [][]string) { m.plan.Stages = stages }
 
-// TargetMembers names the controllers that are to run the new version now.
+// TargetMembers returns the names of the controllers that have to run the new version now.
 func (m *Machine) TargetMembers() []string {
 	switch m.State.Phase {
 	case PhaseApplying, PhaseBaking, PhaseFinishing, PhaseDone:
@@ -49,10 +49,10 @@
 }
 
 // BakeElapsed reports whether the stage has been observed for its minimum time.
-func (m *Machine) BakeElapsed(now int64) bool { return m.lasted(now, m.plan.Timing.BakeMS) }
+func (m *Machine) BakeElapsed(now int64) bool { return m.phaseLasted(now, m.plan.Timing.BakeMS) }
 
-// Step takes in an observation. It reports whether the state has changed, which must be recorded before the Orders that
-// follow from it are sent.
+// Step processes an observation and reports whether the state has changed. A changed state must be recorded before the
+// Orders that follow from it are sent.
 func (m *Machine) Step(seen Observation) bool {
 	requested := m.handleRequest(seen)
 	advanced := m.advance(seen)
@@ -64,10 +64,10 @@
 	return changed
 }
 
-// requestedByOperator is the reason of a transition that an operator asked for.
+// requestedByOperator is the reason of a transition that an operator requested.
 const requestedByOperator = "asked for"
 
-// handleRequest carries an operator's request out and reports whether it changed the state.
+// handleRequest carries out an operator's request and reports whether it changed the state.
 func (m *Machine) handleRequest(seen Observation) bool {
 	state := &m.State
 	switch seen.Request {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// advance takes the step to the next phase where the observation shows an event that leads to it.
+// advance moves to the next phase if the observation shows an event that leads to it.
 func (m *Machine) advance(seen Observation) bool {
 	happened, reason := m.detect(seen)
 	if happened == noEvent {
@@ -115,18 +115,18 @@
 
 // enter moves to the phase that follows an event.
 func (m *Machine) enter(happened event, seen Observation, reason string) {
-	m.State.Phase = after(m.State.Phase, happened)
+	m.State.Phase = nextPhase(m.State.Phase, happened)
 	m.State.Reason = reason
 	m.phaseStart = seen.Now
 }
 
-// lasted reports whether the phase has lasted for a time in milliseconds.
-func (m *Machine) lasted(now, milliseconds int64) bool {
+// phaseLasted reports whether the current phase has lasted for a time in milliseconds.
+func (m *Machine) phaseLasted(now, milliseconds int64) bool {
 	return now-m.phaseStart >= milliseconds*int64(time.Millisecond)
 }
 
-// updateDrains takes controllers out of service that cannot return to the old version: their supervisors answer, and
-// report the failure. One that reports none any more, as somebody has repaired it, returns to service.
+// updateDrains drains controllers that cannot return to the old version: their supervisors are reachable and report a
+// failure. A controller returns to service when its supervisor no longer reports a failure, as after a manual repair.
 func (m *Machine) updateDrains(seen Observation) bool {
 	if !m.State.Phase.isRollback() {
 		return false
@@ -151,8 +151,8 @@
 
 func (m *Machine) isDrained(member Member) bool { return m.State.Drained[member.Name] != "" }
 
-// wanted is the spec that a controller is to run.
-func (m *Machine) wanted(name string) change.Digest {
+// desiredSpec returns the spec that a controller has to run.
+func (m *Machine) desiredSpec(name string) change.Digest {
 	if slices.Contains(m.TargetMembers(), name) {
 		return m.plan.ToSpec
 	}
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -11,8 +11,9 @@
 	"swiftreel/internal/change"
 )
 
-// A fleet in virtual time, where everything goes wrong that a schedule draws: orders are lost, late, doubled and turned
-// round, members are out of reach or die, coordinators are killed between record and orders, and old ones wake up.
+// The tests simulate a fleet in virtual time. A seeded schedule injects faults: orders are lost, delayed, duplicated
+// and reordered, members are unreachable, coordinators are killed before or after they record a state, and a suspended
+// coordinator resumes after another has taken over.
 
 var timing = change.Timing{
 	BaselineMS:         500,
@@ -27,74 +28,74 @@
 	PollIntervalMS:     100,
 }
 
-const step = int64(100e6)
+const pollIntervalNS = int64(100e6)
 
-type member struct {
-	held        change.AcceptedOrder
+type simulatedMember struct {
+	accepted    change.AcceptedOrder
 	running     change.Digest
-	down        int  // ticks until it serves again
-	unreachable bool // out of reach
-	changes     bool // it is down by an order
-	failed      string
+	downTicks   int // ticks until the member serves again
+	unreachable bool
+	restarting  bool // downTicks counts a restart caused by an order
+	failure     string
 }
 
 type delivery struct {
-	at int // tick
-	to int
-	o  change.Order
+	dueTick   int
+	recipient int
+	order     change.Order
 }
 
-type fleet struct {
-	t          *testing.T
-	r          *rand.Rand
-	members    []*member
-	names      []string
-	deliveries []delivery
-	record     State // on disk
-	stages     [][]string
-	m          *Machine
-	now        int64
-	tick       int
-	deepest    int          // stage that was ever begun
-	passed     map[int]bool // stages that had their verdict
-	noFence    bool         // the broken variant
-	broken     string
-	reached    map[Phase]bool
+type simulatedFleet struct {
+	t              *testing.T
+	random         *rand.Rand
+	members        []*simulatedMember
+	names          []string
+	deliveries     []delivery
+	recorded       State // state that a successor continues from
+	stages         [][]string
+	machine        *Machine
+	now            int64
+	tick           int
+	lastStageBegun int          // the furthest stage that was begun, or -1
+	passedStages   map[int]bool // stages that passed by a verdict
+	ignoresFences  bool         // a faulty variant: members follow every order
+	violation      string
+	reachedPhases  map[Phase]bool
 }
 
-// specs are the old version, and under true the new one.
+// specs holds the old version under false and the new version under true.
 var specs = map[bool]change.Spec{
 	false: {Program: change.Program{Path: "/old", Digest: "1"}},
 	true:  {Program: change.Program{Path: "/new", Digest: "2"}},
 }
 
-func newFleet(t *testing.T, seed uint64, n int) *fleet {
+func newFleet(t *testing.T, seed uint64, n int) *simulatedFleet {
 	t.Helper()
-	f := &fleet{
-		t:       t,
-		r:       rand.New(rand.NewPCG(seed, 5)),
-		passed:  map[int]bool{},
-		reached: map[Phase]bool{},
-		deepest: -1,
+	f := &simulatedFleet{
+		t:              t,
+		random:         rand.New(rand.NewPCG(seed, 5)),
+		passedStages:   map[int]bool{},
+		reachedPhases:  map[Phase]bool{},
+		lastStageBegun: -1,
 	}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprint("c", i))
 		f.members = append(
 			f.members,
-			&member{held: change.AcceptedOrder{Spec: specs[false]}, running: specs[false].Digest()},
+			&simulatedMember{accepted: change.AcceptedOrder{Spec: specs[false]}, running: specs[false].Digest()},
 		)
 	}
 	f.stages = [][]string{f.names[:1], f.names[:(n+1)/2], f.names}
-	f.record = State{Phase: PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
-	f.take()
+	f.recorded = State{Phase: PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
+	f.takeOver()
 	return f
 }
 
-// take has a new coordinator take the record over.
-func (f *fleet) take() {
-	f.record.Fence.Term++
-	f.m = New(
-		f.record,
+// takeOver replaces the coordinator by one that continues from the recorded state.
+func (f *simulatedFleet) takeOver() {
+	f.recorded.Fence.Term++
+	f.machine = New(
+		f.recorded,
 		Plan{
 			Kind:     change.KindProgram,
 			FromSpec: specs[false].Digest(),
@@ -106,205 +107,210 @@
 	)
 }
 
-func (f *fleet) input(v canary.Verdict, ask Request) Observation {
-	in := Observation{Now: f.now, Verdict: v, Recovered: f.r.IntN(3) == 0, Request: ask}
-	for i, x := range f.members {
-		in.Members = append(
-			in.Members,
+func (f *simulatedFleet) observe(verdict canary.Verdict, request Request) Observation {
+	seen := Observation{Now: f.now, Verdict: verdict, Recovered: f.random.IntN(3) == 0, Request: request}
+	for i, member := range f.members {
+		seen.Members = append(
+			seen.Members,
 			Member{
 				Name:      f.names[i],
-				Reachable: !x.unreachable,
-				Serving:   x.down == 0,
-				Running:   x.running,
-				Fence:     x.held.Fence,
-				Failure:   x.failed,
+				Reachable: !member.unreachable,
+				Serving:   member.downTicks == 0,
+				Running:   member.running,
+				Fence:     member.accepted.Fence,
+				Failure:   member.failure,
 			},
 		)
 	}
-	return in
+	return seen
 }
 
-// one is a poll of the coordinator, and what comes of it at the members. kill: 1 before the record, 2 before the
-// orders.
-func (f *fleet) one(v canary.Verdict, ask Request, kill int, faults bool) {
-	before := f.m.State
-	in := f.input(v, ask)
-	changed := f.m.Step(in)
-	orders := f.m.Orders(in)
+// poll runs one poll of the coordinator and delivers the orders that result. kill replaces the coordinator: 1 before it
+// records the state, 2 before it sends the orders.
+func (f *simulatedFleet) poll(verdict canary.Verdict, request Request, kill int, faults bool) {
+	before := f.machine.State
+	seen := f.observe(verdict, request)
+	changed := f.machine.Step(seen)
+	orders := f.machine.Orders(seen)
 	if kill == 1 {
-		f.take()
+		f.takeOver()
 		orders = nil
 	} else if changed {
-		f.record = f.m.State
-		f.reached[f.record.Phase] = true
-		if before.Phase == PhaseBaking && f.record.Phase != PhaseBaking && v.Conclusion == canary.NoRegression {
-			f.passed[before.Stage] = true
+		f.recorded = f.machine.State
+		f.reachedPhases[f.recorded.Phase] = true
+		if before.Phase == PhaseBaking && f.recorded.Phase != PhaseBaking && verdict.Conclusion == canary.NoRegression {
+			f.passedStages[before.Stage] = true
 		}
-		if f.record.Phase == PhaseApplying {
-			if f.deepest = max(f.deepest, f.record.Stage); f.record.Stage > 0 && !f.passed[f.record.Stage-1] {
-				f.broken = fmt.Sprintf("stage %d begins without a verdict on the one before", f.record.Stage)
+		if f.recorded.Phase == PhaseApplying {
+			if f.lastStageBegun = max(f.lastStageBegun, f.recorded.Stage); f.recorded.Stage > 0 &&
+				!f.passedStages[f.recorded.Stage-1] {
+				f.violation = fmt.Sprintf("stage %d begins without a verdict on the one before", f.recorded.Stage)
 			}
 		}
 		if kill == 2 {
-			f.take()
+			f.takeOver()
 			orders = nil
 		}
 	}
-	for _, o := range orders {
-		w := change.Order{
+	for _, order := range orders {
+		message := change.Order{
 			Format:        1,
-			Fence:         f.m.State.Fence,
+			Fence:         f.machine.State.Fence,
 			CoordinatorID: "x",
-			Member:        o.Member,
-			Spec:          specs[o.UseTarget],
-			Drain:         o.Drain,
+			Member:        order.Member,
+			Spec:          specs[order.UseTarget],
+			Drain:         order.Drain,
 		}
-		fl := delivery{f.tick, slices.Index(f.names, o.Member), w}
+		sent := delivery{f.tick, slices.Index(f.names, order.Member), message}
 		if faults {
-			switch f.r.IntN(6) {
+			switch f.random.IntN(6) {
 			case 0:
 				continue // lost
 			case 1:
-				fl.at += f.r.IntN(60) // late: past later ones
+				sent.dueTick += f.random.IntN(60) // delayed, so that later orders may arrive first
 			case 2:
-				f.deliveries = append(f.deliveries, delivery{f.tick + f.r.IntN(100), fl.to, w}) // twice
+				f.deliveries = append(f.deliveries, delivery{f.tick + f.random.IntN(100), sent.recipient, message}) // duplicated
 			}
 		}
-		f.deliveries = append(f.deliveries, fl)
+		f.deliveries = append(f.deliveries, sent)
 	}
-	f.land()
-	f.now += step
+	f.deliver()
+	f.now += pollIntervalNS
 	f.tick++
 }
 
-// land brings orders to members, and has them do as they hold.
-func (f *fleet) land() {
+// deliver hands the orders that are due to their recipients, and lets each member follow the order that it accepted.
+func (f *simulatedFleet) deliver() {
 	var later []delivery
-	for _, fl := range f.deliveries {
-		x := f.members[fl.to]
+	for _, sent := range f.deliveries {
+		member := f.members[sent.recipient]
 		switch {
-		case fl.at > f.tick:
-			later = append(later, fl)
-		case x.unreachable:
+		case sent.dueTick > f.tick:
+			later = append(later, sent)
+		case member.unreachable:
 		default:
-			if next, _, err := x.held.Accept(fl.o); err == nil {
-				x.held = next
-			} else if f.noFence {
-				x.held = change.AcceptedOrder{Fence: fl.o.Fence, CoordinatorID: fl.o.CoordinatorID, Spec: fl.o.Spec}
+			if next, _, err := member.accepted.Accept(sent.order); err == nil {
+				member.accepted = next
+			} else if f.ignoresFences {
+				member.accepted = change.AcceptedOrder{
+					Fence:         sent.order.Fence,
+					CoordinatorID: sent.order.CoordinatorID,
+					Spec:          sent.order.Spec,
+				}
 			}
 		}
 	}
 	f.deliveries = later
-	by := 0
-	for i, x := range f.members {
-		if x.down > 0 {
-			if x.down--; x.down == 0 {
-				x.changes = false
+	restarting := 0
+	for i, member := range f.members {
+		if member.downTicks > 0 {
+			if member.downTicks--; member.downTicks == 0 {
+				member.restarting = false
 			}
-		} else if x.running != x.held.Spec.Digest() && x.failed == "" && !x.held.Drain {
-			x.running, x.down, x.changes = x.held.Spec.Digest(), 1+f.r.IntN(5), true
+		} else if member.running != member.accepted.Spec.Digest() && member.failure == "" && !member.accepted.Drain {
+			member.running, member.downTicks, member.restarting = member.accepted.Spec.Digest(), 1+f.random.IntN(5), true
 		}
-		if x.changes {
-			by++
+		if member.restarting {
+			restarting++
 		}
-		if x.running == specs[true].Digest() && !slices.Contains(f.stages[max(0, f.deepest)], f.names[i]) {
-			f.broken = f.names[i] + " runs the new version before its stage"
+		if member.running == specs[true].Digest() && !slices.Contains(f.stages[max(0, f.lastStageBegun)], f.names[i]) {
+			f.violation = f.names[i] + " runs the new version before its stage"
 		}
 	}
-	if most := len(f.members) - (len(f.members)+1)/2; by > most {
-		f.broken = fmt.Sprintf("%d of %d do not serve by the change's doing", by, len(f.members))
+	if limit := len(f.members) - (len(f.members)+1)/2; restarting > limit {
+		f.violation = fmt.Sprintf("%d of %d members are out of service because of the rollout", restarting, len(f.members))
 	}
 }
 
-// settled tells what is wrong at the end.
-func (f *fleet) settled() string {
+// finalViolation returns what is wrong once the rollout has ended, or "".
+func (f *simulatedFleet) finalViolation() string {
 	want := map[Phase]change.Digest{
 		PhaseDone:     specs[true].Digest(),
 		PhaseReverted: specs[false].Digest(),
-	}[f.m.State.Phase]
-	for i, x := range f.members {
-		if want != "" && x.running != want {
-			return fmt.Sprintf("%s, and %s runs %s", f.m.State.Phase, f.names[i], x.running)
+	}[f.machine.State.Phase]
+	for i, member := range f.members {
+		if want != "" && member.running != want {
+			return fmt.Sprintf("%s, and %s runs %s", f.machine.State.Phase, f.names[i], member.running)
 		}
 	}
-	return f.broken
+	return f.violation
 }
 
-// walk plays a schedule; it tells what is wrong.
-func walk(t *testing.T, seed uint64, noFence bool) (wrong string, reached map[Phase]bool) {
+// runSchedule runs the schedule of faults of a seed. It returns what went wrong, or "", and the phases reached.
+func runSchedule(t *testing.T, seed uint64, ignoresFences bool) (wrong string, reached map[Phase]bool) {
 	t.Helper()
 	f := newFleet(t, seed, 3+int(seed%5))
-	f.noFence = noFence
-	var suspended *Machine // a coordinator that was stopped, and another has taken over
-	bad := f.r.IntN(3) == 0
-	for i := 0; i < 3000 && !f.m.State.Phase.IsTerminal(); i++ {
+	f.ignoresFences = ignoresFences
+	var suspended *Machine // a suspended coordinator, after another has taken over
+	regresses := f.random.IntN(3) == 0
+	for i := 0; i < 3000 && !f.machine.State.Phase.IsTerminal(); i++ {
 		faults := i < 250
-		v := canary.Verdict{Conclusion: canary.Inconclusive}
-		if f.m.State.Phase == PhaseBaking {
-			switch n := f.r.IntN(30); {
-			case n == 0 && bad:
-				v.Conclusion = canary.Regressed
+		verdict := canary.Verdict{Conclusion: canary.Inconclusive}
+		if f.machine.State.Phase == PhaseBaking {
+			switch n := f.random.IntN(30); {
+			case n == 0 && regresses:
+				verdict.Conclusion = canary.Regressed
 			case n == 1 && faults:
-				v.Conclusion = canary.AllRegressed
-			case n < 12 && f.m.BakeElapsed(f.now):
-				v.Conclusion = canary.NoRegression
+				verdict.Conclusion = canary.AllRegressed
+			case n < 12 && f.machine.BakeElapsed(f.now):
+				verdict.Conclusion = canary.NoRegression
 			}
 		}
-		kill, ask := 0, Request("")
+		kill, request := 0, Request("")
 		if faults {
-			if f.r.IntN(25) == 0 {
-				kill = 1 + f.r.IntN(2)
+			if f.random.IntN(25) == 0 {
+				kill = 1 + f.random.IntN(2)
 			}
-			if f.r.IntN(40) == 0 {
-				suspended = f.m
-				f.take()
+			if f.random.IntN(40) == 0 {
+				suspended = f.machine
+				f.takeOver()
 			}
-			x := f.members[f.r.IntN(len(f.members))]
-			x.unreachable = f.r.IntN(20) == 0
-			if f.r.IntN(150) == 0 {
-				ask = []Request{RequestPause, RequestResume, RequestRollback}[f.r.IntN(3)]
+			member := f.members[f.random.IntN(len(f.members))]
+			member.unreachable = f.random.IntN(20) == 0
+			if f.random.IntN(150) == 0 {
+				request = []Request{RequestPause, RequestResume, RequestRollback}[f.random.IntN(3)]
 			}
 		} else {
-			for _, x := range f.members {
-				x.unreachable = false
+			for _, member := range f.members {
+				member.unreachable = false
 			}
-			if f.m.State.Paused {
-				ask = RequestResume
+			if f.machine.State.Paused {
+				request = RequestResume
 			}
 		}
-		if suspended != nil && f.r.IntN(10) == 0 { // it wakes, and orders what it thinks is due, before it looks
+		if suspended != nil && f.random.IntN(10) == 0 { // it resumes, and sends orders by its old state before it polls
 			for k, name := range f.names {
 				onTarget := slices.Contains(suspended.TargetMembers(), name)
-				o := change.Order{
+				order := change.Order{
 					Format:        1,
 					Fence:         suspended.State.Fence,
 					CoordinatorID: "x",
 					Member:        name,
 					Spec:          specs[onTarget],
 				}
-				f.deliveries = append(f.deliveries, delivery{f.tick + f.r.IntN(400), k, o})
+				f.deliveries = append(f.deliveries, delivery{f.tick + f.random.IntN(400), k, order})
 			}
 			suspended = nil
 		}
-		f.one(v, ask, kill, faults)
-		if f.broken != "" {
-			return f.broken, f.reached
+		f.poll(verdict, request, kill, faults)
+		if f.violation != "" {
+			return f.violation, f.reachedPhases
 		}
 	}
-	if !f.m.State.Phase.IsTerminal() {
-		return "does not end: " + string(f.m.State.Phase), f.reached
+	if !f.machine.State.Phase.IsTerminal() {
+		return "the rollout does not end: " + string(f.machine.State.Phase), f.reachedPhases
 	}
-	for range 500 { // what is still on its way
-		f.land()
+	for range 500 { // delivers the orders still in transit
+		f.deliver()
 		f.tick++
 	}
-	return f.settled(), f.reached
+	return f.finalViolation(), f.reachedPhases
 }
 
 func TestSchedulesOfFaults(t *testing.T) {
 	all := map[Phase]bool{}
 	for seed := range uint64(300) {
-		wrong, reached := walk(t, seed, false)
+		wrong, reached := runSchedule(t, seed, false)
 		if wrong != "" {
 			t.Fatalf("schedule %d: %s", seed, wrong)
 		}
@@ -322,74 +328,75 @@
 	}
 }
 
-func TestWithoutTheFenceTheWalkFindsHarm(t *testing.T) {
+func TestSchedulesFindHarmWithoutTheFence(t *testing.T) {
 	for seed := range uint64(300) {
-		if wrong, _ := walk(t, seed, true); wrong != "" {
+		if wrong, _ := runSchedule(t, seed, true); wrong != "" {
 			return
 		}
 	}
 	t.Error("no schedule shows that the fence is needed")
 }
 
-func TestACoordinatorKilledAtEveryStepIsFollowed(t *testing.T) {
-	for _, bad := range []bool{false, true} {
-		for _, how := range []int{1, 2} {
-			for at := range 120 {
+func TestASuccessorContinuesAfterAKillAtEveryStep(t *testing.T) {
+	for _, regresses := range []bool{false, true} {
+		for _, killPoint := range []int{1, 2} {
+			for killPoll := range 120 {
 				f := newFleet(t, 1, 4)
-				for i := 0; i < 2000 && !f.m.State.Phase.IsTerminal(); i++ {
-					v := canary.Verdict{Conclusion: canary.Inconclusive}
-					if f.m.State.Phase == PhaseBaking && f.m.BakeElapsed(f.now) {
-						if v.Conclusion = canary.NoRegression; bad && f.m.State.Stage == 1 {
-							v.Conclusion = canary.Regressed
+				for i := 0; i < 2000 && !f.machine.State.Phase.IsTerminal(); i++ {
+					verdict := canary.Verdict{Conclusion: canary.Inconclusive}
+					if f.machine.State.Phase == PhaseBaking && f.machine.BakeElapsed(f.now) {
+						if verdict.Conclusion = canary.NoRegression; regresses && f.machine.State.Stage == 1 {
+							verdict.Conclusion = canary.Regressed
 						}
 					}
 					kill := 0
-					if i == at {
-						kill = how
+					if i == killPoll {
+						kill = killPoint
 					}
-					f.one(v, "", kill, false)
+					f.poll(verdict, "", kill, false)
 				}
-				if want := map[bool]Phase{false: PhaseDone, true: PhaseReverted}[bad]; f.m.State.Phase != want ||
-					f.settled() != "" {
-					t.Fatalf("killed at look %d (%d), bad %v: %s %s", at, how, bad, f.m.State.Phase, f.settled())
+				if want := map[bool]Phase{false: PhaseDone, true: PhaseReverted}[regresses]; f.machine.State.Phase != want ||
+					f.finalViolation() != "" {
+					t.Fatalf("killed at poll %d (%d), regresses %v: %s %s",
+						killPoll, killPoint, regresses, f.machine.State.Phase, f.finalViolation())
 				}
 			}
 		}
 	}
 }
 
-func TestOneThatCannotGoBackIsNamedAndDrained(t *testing.T) {
+func TestMemberThatCannotRollBackIsNamedAndDrained(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	for i := 0; i < 400 && f.m.State.Phase != PhaseDegraded; i++ {
-		v := canary.Verdict{Conclusion: canary.Inconclusive}
-		if f.m.State.Phase == PhaseBaking {
-			v.Conclusion = canary.Regressed
-			f.members[0].failed = "the program is gone"
+	for i := 0; i < 400 && f.machine.State.Phase != PhaseDegraded; i++ {
+		verdict := canary.Verdict{Conclusion: canary.Inconclusive}
+		if f.machine.State.Phase == PhaseBaking {
+			verdict.Conclusion = canary.Regressed
+			f.members[0].failure = "the program is gone"
 		}
-		f.one(v, "", 0, false)
+		f.poll(verdict, "", 0, false)
 	}
-	if f.m.State.Phase != PhaseDegraded || f.m.State.Drained["c0"] == "" ||
-		!strings.Contains(f.m.State.Reason, "c0") ||
-		!f.members[0].held.Drain {
-		t.Fatalf("%+v, drains %v", f.m.State, f.members[0].held.Drain)
+	if f.machine.State.Phase != PhaseDegraded || f.machine.State.Drained["c0"] == "" ||
+		!strings.Contains(f.machine.State.Reason, "c0") ||
+		!f.members[0].accepted.Drain {
+		t.Fatalf("%+v, drains %v", f.machine.State, f.members[0].accepted.Drain)
 	}
-	f.members[0].failed, f.members[0].running = "", "" // mended by hand; it is still out of service, so nothing runs there
-	for i := 0; i < 50 && f.m.State.Phase != PhaseReverted; i++ {
-		f.one(canary.Verdict{}, "", 0, false)
+	f.members[0].failure, f.members[0].running = "", "" // repaired by hand; it is still drained, so no spec runs
+	for i := 0; i < 50 && f.machine.State.Phase != PhaseReverted; i++ {
+		f.poll(canary.Verdict{}, "", 0, false)
 	}
-	if f.m.State.Phase != PhaseReverted || f.members[0].held.Drain || f.settled() != "" {
-		t.Errorf("%+v, drains %v: %s", f.m.State, f.members[0].held.Drain, f.settled())
+	if f.machine.State.Phase != PhaseReverted || f.members[0].accepted.Drain || f.finalViolation() != "" {
+		t.Errorf("%+v, drains %v: %s", f.machine.State, f.members[0].accepted.Drain, f.finalViolation())
 	}
 }
 
-func TestAFleetThatIsNotAllThereBeginsNothing(t *testing.T) {
+func TestNothingBeginsWhileAMemberIsUnreachable(t *testing.T) {
 	f := newFleet(t, 3, 3)
 	f.members[2].unreachable = true
-	for i := 0; i < 400 && !f.m.State.Phase.IsTerminal(); i++ {
-		f.one(canary.Verdict{}, "", 0, false)
+	for i := 0; i < 400 && !f.machine.State.Phase.IsTerminal(); i++ {
+		f.poll(canary.Verdict{}, "", 0, false)
 	}
-	if f.m.State.Phase != PhaseStopped || !strings.Contains(f.m.State.Outcome, "c2") || f.deepest >= 0 {
-		t.Errorf("%+v", f.m.State)
+	if f.machine.State.Phase != PhaseStopped || !strings.Contains(f.machine.State.Outcome, "c2") || f.lastStageBegun >= 0 {
+		t.Errorf("%+v", f.machine.State)
 	}
 }
 
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -2,10 +2,10 @@
 
 import "swiftreel/internal/change"
 
-// Orders returns the orders that controllers have still to follow. Orders state the goal, so they may be repeated;
-// each reachable controller gets one with each new fence, also where its spec stays, so that an earlier coordinator's
-// order is refused everywhere. Where following an order means a restart, only so many are in progress at once that
-// the minimum of healthy controllers keeps serving.
+// Orders returns the orders that controllers have not followed yet. An order states the desired state, so it may be
+// repeated. Each reachable controller gets an order with each new fence, even if its spec does not change, so that
+// orders of an earlier coordinator are refused everywhere. Where following an order means a restart, the number of
+// restarts in progress is limited so that the minimum number of healthy controllers keeps serving.
 func (m *Machine) Orders(seen Observation) []Order {
 	if m.State.Phase == PhasePreparing || m.State.Phase.IsTerminal() {
 		return nil
@@ -16,8 +16,8 @@
 		if !m.needsOrder(member) {
 			continue
 		}
-		wanted := m.wanted(member.Name)
-		if m.State.Paused && wanted == m.plan.ToSpec && member.Running != m.plan.ToSpec {
+		desired := m.desiredSpec(member.Name)
+		if m.State.Paused && desired == m.plan.ToSpec && member.Running != m.plan.ToSpec {
 			continue
 		}
 		if m.takesOutOfService(member) {
@@ -26,27 +26,28 @@
 			}
 			restartsLeft--
 		}
-		orders = append(orders, Order{Member: member.Name, UseTarget: wanted == m.plan.ToSpec, Drain: m.isDrained(member)})
+		orders = append(orders, Order{Member: member.Name, UseTarget: desired == m.plan.ToSpec, Drain: m.isDrained(member)})
 	}
 	return orders
 }
 
-// needsOrder reports whether a reachable member has still to accept or to follow an order of the fence in force.
+// needsOrder reports whether a member is reachable and has not yet accepted and followed an order with the current
+// fence.
 func (m *Machine) needsOrder(member Member) bool {
 	if !member.Reachable {
 		return false
 	}
-	followed := member.Running == m.wanted(member.Name) || m.isDrained(member)
+	followed := member.Running == m.desiredSpec(member.Name) || m.isDrained(member)
 	return member.Fence != m.State.Fence || !followed
 }
 
-// takesOutOfService reports whether an order makes a member that serves now restart.
+// takesOutOfService reports whether an order makes a member restart that is serving now.
 func (m *Machine) takesOutOfService(member Member) bool {
 	restarts := m.plan.Kind == change.KindProgram
-	return restarts && member.Running != m.wanted(member.Name) && member.Serving && !m.inProgress(member)
+	return restarts && member.Running != m.desiredSpec(member.Name) && member.Serving && !m.inProgress(member)
 }
 
-// restartBudget is how many controllers may leave service for a restart now.
+// restartBudget returns the number of controllers that may leave service for a restart now.
 func (m *Machine) restartBudget(seen Observation) int {
 	serving := 0
 	for _, member := range seen.Members {
@@ -59,7 +60,7 @@
 	return serving - int(required)
 }
 
-// inProgress reports whether a member has accepted an order of the fence in force and has not followed it yet.
+// inProgress reports whether a member has accepted an order with the current fence and has not followed it yet.
 func (m *Machine) inProgress(member Member) bool {
-	return member.Fence == m.State.Fence && member.Running != m.wanted(member.Name)
+	return member.Fence == m.State.Fence && member.Running != m.desiredSpec(member.Name)
 }
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -1,49 +1,49 @@
 package rollout
 
-// Phase is the state in which a change is. Its values stand in records and on the wire.
+// Phase is the phase of a rollout. Its values are stored in records and sent on the wire.
 type Phase string
 
 // The phases. PhaseDone, PhaseReverted and PhaseStopped are terminal.
 const (
 	PhasePreparing        Phase = "preparing"   // every controller must be reachable, serving and on the old version
 	PhaseBaseline         Phase = "watching"    // the fleet is observed before anything changes
-	PhaseApplying         Phase = "applying"    // the stage's controllers take the new version
+	PhaseApplying         Phase = "applying"    // the stage's controllers switch to the new version
 	PhaseBaking           Phase = "baking"      // the stage is observed and compared with the old version
-	PhaseStageRollback    Phase = "withdrawing" // all did worse: the stage is rolled back, to see whether that ends it
-	PhaseAwaitingRecovery Phase = "waiting"     // the stage is rolled back; it is retried once all do as before it
+	PhaseStageRollback    Phase = "withdrawing" // all regressed: the stage is rolled back, to find out if it is the cause
+	PhaseAwaitingRecovery Phase = "waiting"     // the stage is rolled back; it is retried once the fleet has recovered
 	PhaseFinishing        Phase = "finishing"   // every stage passed; unreachable controllers still have to follow
-	PhaseDone             Phase = "done"        // all are on the new version
-	PhaseRollback         Phase = "going back"  // all are to return to the old version
-	PhaseReverted         Phase = "back"        // all have returned
-	PhaseDegraded         Phase = "stuck"       // some could not return: they are named, and drained where they answer
-	PhaseStopped          Phase = "stopped"     // by an operator, or before anything changed: all stay as they are
+	PhaseDone             Phase = "done"        // all controllers run the new version
+	PhaseRollback         Phase = "going back"  // all controllers have to return to the old version
+	PhaseReverted         Phase = "back"        // all controllers run the old version again
+	PhaseDegraded         Phase = "stuck"       // some could not return: they are named, and drained if reachable
+	PhaseStopped          Phase = "stopped"     // by an operator, or before anything changed; no controller is changed
 )
 
-// IsTerminal reports whether nothing more follows, unless an operator asks for a rollback of a stopped change.
+// IsTerminal reports whether the rollout has ended. An operator may still request the rollback of a stopped change.
 func (p Phase) IsTerminal() bool {
 	return p == PhaseDone || p == PhaseReverted || p == PhaseStopped
 }
 
-// isRollback reports whether all are on their way back to the old version.
+// isRollback reports whether the whole fleet is being returned to the old version.
 func (p Phase) isRollback() bool { return p == PhaseRollback || p == PhaseDegraded }
 
-// acceptsRollback reports whether an operator may ask for a rollback.
+// acceptsRollback reports whether an operator may request a rollback.
 func (p Phase) acceptsRollback() bool {
 	return p == PhaseStopped || !p.IsTerminal() && !p.isRollback()
 }
 
-// Request is what an operator asks of the rollout in progress. Its values stand in requests that operators leave.
+// Request is an operator's request to the rollout in progress. Its values are stored.
 type Request string
 
 // The requests.
 const (
 	RequestPause    Request = "pause"  // no further stage; a regression still rolls back
 	RequestResume   Request = "resume" // ends a pause
-	RequestStop     Request = "stop"   // ends the change; all stay as they are
-	RequestRollback Request = "back"   // returns all to the old version
+	RequestStop     Request = "stop"   // ends the rollout; every controller keeps its version
+	RequestRollback Request = "back"   // returns all controllers to the old version
 )
 
-// event is what has happened to the rollout, as found in one observation.
+// event is an occurrence, found in an observation, that moves the rollout to another phase.
 type event string
 
 const (
@@ -52,7 +52,7 @@
 	fleetNotReady     event = "fleet not ready"
 	baselineComplete  event = "baseline complete"
 	stageApplied      event = "stage applied"
-	stageFailed       event = "stage failed" // not taken, worse, or undecided for too long
+	stageFailed       event = "stage failed" // not applied, regressed, or inconclusive for too long
 	stagePassed       event = "stage passed"
 	lastStagePassed   event = "last stage passed"
 	sharedRegression  event = "shared regression"
@@ -65,8 +65,8 @@
 	stopRequested     event = "stop requested"
 )
 
-// transitions names the phase that follows an event, by the phase in which the event happens. Requests of operators are
-// events of each phase that accepts them, see handleRequest.
+// transitions holds the phase that follows an event, by the phase in which the event occurs. Operators' requests are
+// events in each phase that accepts them, see handleRequest.
 var transitions = map[Phase]map[event]Phase{
 	PhasePreparing: {
 		fleetReady:    PhaseBaseline,
@@ -105,8 +105,8 @@
 	},
 }
 
-// after returns the phase that follows an event in a phase.
-func after(phase Phase, happened event) Phase {
+// nextPhase returns the phase that follows an event that occurs in a phase.
+func nextPhase(phase Phase, happened event) Phase {
 	switch happened {
 	case rollbackRequested:
 		return PhaseRollback
