--- a/internal/canary/analysis.go
+++ b/internal/canary/analysis.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxMargin bounds the margin of a measure together with the members' excess rate.
+	// maxMargin bounds the sum of a measure's margin and the members' excess rate.
 	maxMargin = 0.9
-	// minLatencyJobs is the number of done jobs of the old version from which on latencies are compared.
+	// minLatencyJobs is the minimum number of done jobs of the old version for latencies to be compared.
 	minLatencyJobs = 20
 )
 
@@ -17,7 +17,7 @@
 type Analysis struct {
 	limits     Limits
 	baseline   *Baseline
-	members    map[string]bool // ordered to the new version
+	members    map[string]bool // the controllers that the stage moves to the new version
 	groups     map[Group]*groupAnalysis
 	oldCounts  map[Group]*JobCounts // of this stage
 	newCounts  map[Group]*JobCounts
@@ -25,24 +25,25 @@
 	guardrails guardrails
 
 	crashes     uint64 // on the new version
-	lastCrashed string // the member
+	lastCrashed string // name of the member that crashed last
 }
 
-// groupAnalysis is the evidence of one group, by measure.
+// groupAnalysis holds the evidence of one group, by measure.
 type groupAnalysis struct {
 	evidence    [measureCount]eProcess
 	excessRates [measureCount]float64 // of the members in the baseline
 	dispersions dispersions
 }
 
-// fleetAnalysis is the evidence that old and new controllers together are worse than before the stage. They share the
-// engines, so harm of the change may show on both.
+// fleetAnalysis holds the evidence that old and new controllers together are worse than before the stage. They share
+// the engines, so a regression caused by the change may show on both versions.
 type fleetAnalysis struct {
 	logEValues [len(effectSizes)]float64 // by effect size
 	missed     proportion                // in this stage
 }
 
-// NewAnalysis begins a stage. members are those ordered to the new version. The baseline is read, never changed.
+// NewAnalysis returns the analysis of a stage that moves the named members to the new version. The baseline is not
+// changed.
 func NewAnalysis(limits Limits, baseline *Baseline, members []string) *Analysis {
 	a := &Analysis{
 		limits:     limits,
@@ -62,7 +63,7 @@
 	return a
 }
 
-// addGroup begins the analysis of a group, unless that has begun.
+// addGroup adds a group to the analysis unless it is part of it already.
 func (a *Analysis) addGroup(g Group) {
 	if a.groups[g] != nil {
 		return
@@ -80,7 +81,8 @@
 	a.groups[g] = group
 }
 
-// Observe adds a sample of every controller. Crashes count for every controller on the new version, steady or not.
+// Observe adds one sample of each controller. Crashes count for every member of the stage, also before the end of its
+// settle time.
 func (a *Analysis) Observe(samples []Sample) {
 	var oldSamples, newSamples []Sample
 	for _, s := range samples {
@@ -129,7 +131,7 @@
 	}
 }
 
-// observe adds the fleet's jobs over their SLA time in one sample to the evidence against the baseline's rate.
+// observe compares the rate of jobs over their SLA time in one sample of the fleet with the baseline's rate.
 func (f *fleetAnalysis) observe(missed proportion, baseline *Baseline, limits Limits) {
 	f.missed = f.missed.plus(missed)
 	before := missedOf(baseline.Counts)
@@ -149,8 +151,8 @@
 	return logMean(f.logEValues[:])
 }
 
-// scarceType returns a type of which the new version has had too few jobs, first by name, or "". It waits for what
-// the members served before the stage: one that gets jobs of one type only can show nothing about the others.
+// scarceType returns the first type, by name, of which the new version has had too few jobs, or "". Only types that the
+// members served before the stage are required: without jobs of a type there is no evidence about it.
 func (a *Analysis) scarceType() string {
 	before := map[string]float64{}
 	total := 0.0
--- a/internal/canary/analysis_test.go
+++ b/internal/canary/analysis_test.go
@@ -10,7 +10,7 @@
 	report = Group{Type: "report", Tenant: "a"}
 )
 
-// countsOf are the counts of so many jobs whose latencies are all in one bucket.
+// countsOf returns the counts of jobs whose latencies are all in one bucket.
 func countsOf(jobs, missed, cancelled, bucket int) JobCounts {
 	counts := JobCounts{
 		Jobs:           uint64(jobs),
@@ -24,7 +24,7 @@
 	return counts
 }
 
-// bothTypes are the counts of a sample in which lookups end as the arguments say.
+// bothTypes returns the counts of a sample in which the arguments apply to the lookups only.
 func bothTypes(missed, cancelled, bucket int) map[Group]JobCounts {
 	return map[Group]JobCounts{
 		lookup: countsOf(20, missed, cancelled, bucket),
@@ -32,10 +32,10 @@
 	}
 }
 
-// usual is what a controller does before the stage.
-func usual() map[Group]JobCounts { return bothTypes(1, 0, 10) }
+// usualCounts returns the counts of a controller in a sample before the stage.
+func usualCounts() map[Group]JobCounts { return bothTypes(1, 0, 10) }
 
-// baselineOf observes the same samples thirty times.
+// baselineOf returns a baseline that observed the same samples thirty times.
 func baselineOf(samples []Sample) *Baseline {
 	b := NewBaseline()
 	for range 30 {
@@ -44,7 +44,8 @@
 	return b
 }
 
-// runStage observes a stage on c1 until it is decided or so many samples are over; at the last it is baked.
+// runStage observes a stage on c1 until a regression is found, or for count samples; the minimum bake time ends with
+// the last one.
 func runStage(baseline *Baseline, samples []Sample, count int) Verdict {
 	analysis := NewAnalysis(DefaultLimits(), baseline, []string{"c1"})
 	var v Verdict
@@ -76,11 +77,11 @@
 			samplesOf := func(isNew bool, first map[Group]JobCounts) []Sample {
 				return []Sample{
 					{Member: "c1", IsNew: isNew, Counts: first, MemoryMB: 20},
-					{Member: "c2", Counts: usual(), MemoryMB: 20},
-					{Member: "c3", Counts: usual(), MemoryMB: 20},
+					{Member: "c2", Counts: usualCounts(), MemoryMB: 20},
+					{Member: "c3", Counts: usualCounts(), MemoryMB: 20},
 				}
 			}
-			v := runStage(baselineOf(samplesOf(false, usual())), samplesOf(true, c.newCounts), 60)
+			v := runStage(baselineOf(samplesOf(false, usualCounts())), samplesOf(true, c.newCounts), 60)
 			if v.Conclusion != c.conclusion || !strings.Contains(v.Reason, c.reason) {
 				t.Errorf("%+v", v)
 			}
@@ -89,7 +90,7 @@
 }
 
 func TestHarmToBothVersionsIsToldApart(t *testing.T) {
-	baseline := baselineOf([]Sample{{Member: "c1", Counts: usual()}, {Member: "c2", Counts: usual()}})
+	baseline := baselineOf([]Sample{{Member: "c1", Counts: usualCounts()}, {Member: "c2", Counts: usualCounts()}})
 	worse := bothTypes(9, 0, 10)
 	analysis := NewAnalysis(DefaultLimits(), baseline, []string{"c1"})
 	var v Verdict
@@ -109,18 +110,18 @@
 		change func(*Sample, int)
 		reason string
 	}{
-		"crashes": {func(s *Sample, i int) { s.Crashes = uint64(i % 2) }, "ended or failed to start 2 times"},
-		"leaks":   {func(s *Sample, i int) { s.MemoryMB += float64(5 * i) }, "memory"},
-		"floods":  {func(s *Sample, _ int) { s.Probes = 200 }, "probes a job"},
-		"shuns":   {func(s *Sample, _ int) { s.EjectedEngines = 3 }, "engines set aside"},
-		"burns":   {func(s *Sample, _ int) { s.CPUNS = 300e6 }, "CPU a job"},
-		"a spike": {func(s *Sample, i int) { s.Probes = uint64(i % 3 * 100) }, ""},
+		"crashes":  {func(s *Sample, i int) { s.Crashes = uint64(i % 2) }, "ended or failed to start 2 times"},
+		"leaks":    {func(s *Sample, i int) { s.MemoryMB += float64(5 * i) }, "memory"},
+		"floods":   {func(s *Sample, _ int) { s.Probes = 200 }, "probes a job"},
+		"ejects":   {func(s *Sample, _ int) { s.EjectedEngines = 3 }, "engines set aside"},
+		"uses CPU": {func(s *Sample, _ int) { s.CPUNS = 300e6 }, "CPU a job"},
+		"a spike":  {func(s *Sample, i int) { s.Probes = uint64(i % 3 * 100) }, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			samplesOf := func(isNew bool) []Sample {
 				return []Sample{
-					{Member: "c1", IsNew: isNew, Counts: usual(), MemoryMB: 20, CPUNS: 6e6},
-					{Member: "c2", Counts: usual(), MemoryMB: 20, CPUNS: 6e6},
+					{Member: "c1", IsNew: isNew, Counts: usualCounts(), MemoryMB: 20, CPUNS: 6e6},
+					{Member: "c2", Counts: usualCounts(), MemoryMB: 20, CPUNS: 6e6},
 				}
 			}
 			baseline := NewBaseline()
@@ -145,11 +146,11 @@
 }
 
 func TestHabitsOfAControllerAreNoRegression(t *testing.T) {
-	samplesOf := func(isNew bool) []Sample { // c1 always misses more than the others
+	samplesOf := func(isNew bool) []Sample { // more jobs of c1 than of the others are always over their SLA time
 		return []Sample{
 			{Member: "c1", IsNew: isNew, Counts: bothTypes(4, 0, 10)},
-			{Member: "c2", Counts: usual()},
-			{Member: "c3", Counts: usual()},
+			{Member: "c2", Counts: usualCounts()},
+			{Member: "c3", Counts: usualCounts()},
 		}
 	}
 	analysis := NewAnalysis(DefaultLimits(), baselineOf(samplesOf(false)), []string{"c1"})
--- a/internal/canary/baseline.go
+++ b/internal/canary/baseline.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Baseline is what all controllers did before the first stage. It is stored as JSON; the keys are those of its first
-// version.
+// Baseline holds what was observed of all controllers before the first stage. It is stored as JSON; the keys are those
+// of its first version.
 type Baseline struct {
 	CountsByMember  map[string]map[Group]*JobCounts `json:"Work"`
 	Counts          map[Group]*JobCounts            `json:"All"`
 	Dispersions     map[Group]*dispersions          `json:"Spreads"`
-	FleetDispersion dispersion                      `json:"Clumps"` // of the fleet's missed jobs from sample to sample
+	FleetDispersion dispersion                      `json:"Clumps"` // of jobs over their SLA time between samples
 
-	previousMissed proportion // in the last sample
+	previousMissed proportion // jobs over their SLA time in the previous sample
 }
 
 // NewBaseline returns an empty baseline.
@@ -22,7 +22,7 @@
 	}
 }
 
-// Observe adds a sample of every controller.
+// Observe adds one sample of each controller.
 func (b *Baseline) Observe(samples []Sample) {
 	for _, s := range samples {
 		for _, g := range sortedGroups(s.Counts) {
@@ -44,8 +44,8 @@
 	b.previousMissed = missed
 }
 
-// excessRate returns by how much the rate of bad jobs of some members was greater than that of the others, at least
-// 0: a habit of theirs that is no effect of the change.
+// excessRate returns by how much the rate of bad jobs of the members exceeded that of the other controllers, at least
+// 0. A difference that existed before the stage is not an effect of the change.
 func (b *Baseline) excessRate(g Group, m measure, members map[string]bool) float64 {
 	thresholds := thresholdsOf(b.Counts[g].orZero())
 	var inside, outside proportion
--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -1,19 +1,19 @@
 package canary
 
-// JobCounts are the jobs of a group that a controller answered in a span of time.
+// JobCounts counts the jobs of a group that a controller answered in a period.
 type JobCounts struct {
-	Jobs       uint64 `json:"jobs"`       // that got their final answer
+	Jobs       uint64 `json:"jobs"`       // that received their final answer
 	WithinSLA  uint64 `json:"within"`     // of Jobs: done within their SLA time
 	Done       uint64 `json:"done"`       // of Jobs
 	Throttled  uint64 `json:"throttled"`  // of Jobs
-	Cancelled  uint64 `json:"cancelled"`  // of Jobs: for good
+	Cancelled  uint64 `json:"cancelled"`  // of Jobs: cancelled permanently
 	Dispatches uint64 `json:"dispatches"` // that ended
-	Retries    uint64 `json:"further"`    // of Dispatches: beyond their job's first
+	Retries    uint64 `json:"further"`    // of Dispatches: all but the first of each job
 	// LatencyBuckets holds the number of done jobs by bucket of their latency; see package jobstats.
 	LatencyBuckets []uint64 `json:"took,omitempty"`
 }
 
-// Minus returns the counts since earlier ones of the same controller. No count is below zero.
+// Minus returns the increase since earlier counts of the same controller. No count is negative.
 func (c JobCounts) Minus(earlier JobCounts) JobCounts {
 	difference := JobCounts{
 		Jobs:           positiveDifference(c.Jobs, earlier.Jobs),
@@ -38,7 +38,6 @@
 	return a - min(a, b)
 }
 
-// add adds other counts.
 func (c *JobCounts) add(other JobCounts) {
 	c.Jobs += other.Jobs
 	c.WithinSLA += other.WithinSLA
@@ -55,7 +54,7 @@
 	}
 }
 
-// orZero returns the counts, or none for a group that has had no job.
+// orZero returns the counts, or the zero value for a group without jobs.
 func (c *JobCounts) orZero() JobCounts {
 	if c == nil {
 		return JobCounts{}
@@ -71,7 +70,7 @@
 	totals[g].add(counts)
 }
 
-// SumCounts returns the total of all groups and controllers on the new or on the old version.
+// SumCounts returns the total over all groups of the controllers on the new version, or of those on the old version.
 func SumCounts(samples []Sample, isNew bool) JobCounts {
 	var sum JobCounts
 	for _, s := range samples {
@@ -85,13 +84,13 @@
 	return sum
 }
 
-// latencyThresholds are the latency buckets of the median and of the ninth decile. Jobs in later buckets are slow.
+// latencyThresholds holds the latency buckets of the median and of the ninth decile. Jobs in later buckets are slow.
 type latencyThresholds struct {
 	median      int
 	ninthDecile int
 }
 
-// thresholdsOf returns the thresholds of several sets of counts together.
+// thresholdsOf returns the thresholds of the sum of several sets of counts.
 func thresholdsOf(sets ...JobCounts) latencyThresholds {
 	var total JobCounts
 	for _, counts := range sets {
@@ -103,7 +102,7 @@
 	}
 }
 
-// decileBucket returns the first bucket up to which there are so many tenths of all jobs.
+// decileBucket returns the first bucket at which the cumulative count reaches the given tenths of all jobs.
 func decileBucket(buckets []uint64, tenths uint64) int {
 	all := uint64(0)
 	for _, count := range buckets {
--- a/internal/canary/dispersion.go
+++ b/internal/canary/dispersion.go
@@ -3,26 +3,26 @@
 import "math"
 
 const (
-	// priorDispersion and priorDegreesOfFreedom are what the estimate starts from.
+	// priorDispersion and priorDegreesOfFreedom are the prior of the estimate.
 	priorDispersion       = 1.2
 	priorDegreesOfFreedom = 8
 )
 
-// dispersion estimates how much wider the counts of controllers at the same time are scattered than by drawing each
-// job independently: Pearson's chi-squared statistic by its degrees of freedom.
+// dispersion estimates the overdispersion of the counts of controllers at the same time, relative to independent jobs:
+// Pearson's chi-squared statistic divided by its degrees of freedom.
 type dispersion struct {
 	ChiSquared       float64 `json:"Sum"`
 	DegreesOfFreedom float64 `json:"Freedom"`
 }
 
-// observe adds the counts of controllers of one version at one time.
+// observe adds the counts of the controllers on one version at one time.
 func (d *dispersion) observe(byController []proportion) {
 	var all proportion
 	for _, p := range byController {
 		all = all.plus(p)
 	}
 	rate := all.bad / all.total
-	hasBoth := rate > 0 && rate < 1 // false also without any job (NaN)
+	hasBoth := rate > 0 && rate < 1 // also false without jobs, as the rate is NaN
 	if !hasBoth {
 		return
 	}
@@ -44,10 +44,10 @@
 	return math.Max(1, chiSquared/(d.DegreesOfFreedom+priorDegreesOfFreedom))
 }
 
-// dispersions holds a group's estimates by measure.
+// dispersions holds a group's estimates, by measure.
 type dispersions [measureCount]dispersion
 
-// observe adds a sample of controllers of one version.
+// observe adds one sample of each controller on one version.
 func (d *dispersions) observe(samples []Sample, g Group, thresholds latencyThresholds) {
 	for m := range measureCount {
 		byController := make([]proportion, 0, len(samples))
--- a/internal/canary/evalue_test.go
+++ b/internal/canary/evalue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// trial is a sample of two arms with true and expected rates of bad jobs.
+// trial is a sample of two arms, with their true and expected rates of bad jobs.
 type trial struct {
 	candidateJobs, referenceJobs         int
 	candidateTrueRate, referenceTrueRate float64
@@ -14,7 +14,7 @@
 	dispersion                           float64
 }
 
-// expectedEValue sums the e-value over all outcomes of both arms.
+// expectedEValue returns the expectation of the e-value over all outcomes of both arms.
 func (c trial) expectedEValue() float64 {
 	candidates := binomial(c.candidateJobs, c.candidateTrueRate)
 	references := binomial(c.referenceJobs, c.referenceTrueRate)
@@ -30,7 +30,7 @@
 	return sum
 }
 
-// binomial returns the probability of each number of successes.
+// binomial returns the probability of each number of bad jobs out of n.
 func binomial(n int, rate float64) []float64 {
 	logFactorial := func(n int) float64 {
 		value, _ := math.Lgamma(float64(n + 1))
@@ -45,7 +45,7 @@
 	return probabilities
 }
 
-// forEachTrial calls visit with trials in which the candidate is worse by exactly the margin.
+// forEachTrial calls visit with trials in which the candidate's true rate is worse by exactly the margin.
 func forEachTrial(visit func(trial)) {
 	for _, jobs := range [][2]int{{1, 1}, {1, 9}, {7, 3}, {12, 12}} {
 		for _, rate := range []float64{0.001, 0.03, 0.2, 0.5, 0.9} {
@@ -87,17 +87,17 @@
 		}
 	})
 	if !hasPower {
-		t.Error("no harm is ever shown")
+		t.Error("no trial gives evidence of a worse candidate")
 	}
 }
 
-// A likelihood ratio against the reference's expected rate alone is no e-value: its expectation is over 1 already
-// where both rates are equal, but not the expected one.
+// A likelihood ratio against the reference's expected rate alone is not an e-value: its expectation exceeds 1 where
+// both true rates are equal but differ from the expected rate.
 func TestLikelihoodRatioAgainstTheExpectedRateIsNoEValue(t *testing.T) {
 	const trueRate, alternative, expected = 0.5, 0.1, 0.01
 	naive := trueRate*alternative/expected + (1-trueRate)*(1-alternative)/(1-expected)
 	if naive <= 1 {
-		t.Error("the broken variant is not found")
+		t.Error("the expectation of the likelihood ratio does not exceed 1")
 	}
 }
 
--- a/internal/canary/golden_test.go
+++ b/internal/canary/golden_test.go
@@ -10,27 +10,27 @@
 	"swiftreel/internal/golden"
 )
 
-// sampleFleet draws samples of a fleet of four members from a seed.
+// sampleFleet generates random samples of a fleet of four members from a seed.
 type sampleFleet struct {
 	random *rand.Rand
-	// Of a job by the new version: cancelled for good, over its SLA time, dispatched again, buckets later.
-	cancelled, missed, further float64
-	later                      int
-	day                        float64 // added misses of all members, old and new
+	// Probabilities that the new version cancels a job permanently, misses its SLA time, dispatches it again.
+	cancelled, missed, retried float64
+	bucketShift                int     // by how many latency buckets the new version is slower
+	addedMisses                float64 // probability, for all members, that a job misses its SLA time in addition
 	probes                     uint64
 	memoryMB                   float64
 	crashes                    uint64
-	silent                     bool // the new version gets jobs of type report only
+	reportsOnly                bool // the new version receives no jobs of type lookup
 }
 
-func (f *sampleFleet) work(isNew bool, typ string) JobCounts {
+func (f *sampleFleet) jobCounts(isNew bool, typ string) JobCounts {
 	jobs := 5 + f.random.IntN(20)
 	w := JobCounts{LatencyBuckets: make([]uint64, 48)}
 	for range jobs {
 		w.Jobs++
 		w.Dispatches++
 		draw := f.random.Float64()
-		if isNew && f.random.Float64() < f.further {
+		if isNew && f.random.Float64() < f.retried {
 			w.Dispatches++
 			w.Retries++
 		}
@@ -43,7 +43,7 @@
 			continue
 		}
 		w.Done++
-		limit := 0.03 + f.day
+		limit := 0.03 + f.addedMisses
 		if isNew {
 			limit += f.missed
 		}
@@ -55,14 +55,14 @@
 			bucket += 10
 		}
 		if isNew {
-			bucket += f.later
+			bucket += f.bucketShift
 		}
 		w.LatencyBuckets[bucket]++
 	}
 	return w
 }
 
-func (f *sampleFleet) look(newMembers int) []Sample {
+func (f *sampleFleet) samples(newMembers int) []Sample {
 	var list []Sample
 	for i := range 4 {
 		isNew := i < newMembers
@@ -76,8 +76,8 @@
 			Counts:         map[Group]JobCounts{},
 		}
 		for _, g := range sampleGroups {
-			w := f.work(isNew, g.Type)
-			if isNew && f.silent && g.Type == "lookup" {
+			w := f.jobCounts(isNew, g.Type)
+			if isNew && f.reportsOnly && g.Type == "lookup" {
 				continue
 			}
 			s.Counts[g] = w
@@ -102,17 +102,17 @@
 	return &sampleFleet{random: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// sampleBaseline is what thirty samples of an unchanged fleet gave.
+// sampleBaseline returns a baseline of thirty samples of a fleet on the old version.
 func sampleBaseline(f *sampleFleet) *Baseline {
 	b := NewBaseline()
 	for range 30 {
-		b.Observe(f.look(0))
+		b.Observe(f.samples(0))
 	}
 	return b
 }
 
-// TestVerdictsAreThoseRecorded holds every verdict on drawn fleets against those that the program gave when they were
-// recorded, evidence to twelve digits.
+// TestVerdictsAreThoseRecorded compares the verdicts on randomly generated samples with those recorded in testdata; the
+// evidence has to agree to twelve digits.
 func TestVerdictsAreThoseRecorded(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -121,13 +121,13 @@
 		{"alike", func(*sampleFleet) {}},
 		{"cancels", func(f *sampleFleet) { f.cancelled = 0.05 }},
 		{"misses", func(f *sampleFleet) { f.missed = 0.08 }},
-		{"dispatches again", func(f *sampleFleet) { f.further = 0.15 }},
-		{"slower", func(f *sampleFleet) { f.later = 4 }},
-		{"a bad day", func(f *sampleFleet) { f.day = 0.3 }},
+		{"dispatches again", func(f *sampleFleet) { f.retried = 0.15 }},
+		{"slower", func(f *sampleFleet) { f.bucketShift = 4 }},
+		{"a bad day", func(f *sampleFleet) { f.addedMisses = 0.3 }},
 		{"more probes", func(f *sampleFleet) { f.probes = 400 }},
 		{"more memory", func(f *sampleFleet) { f.memoryMB = 40 }},
 		{"crashes", func(f *sampleFleet) { f.crashes = 1 }},
-		{"one type only", func(f *sampleFleet) { f.silent = true }},
+		{"one type only", func(f *sampleFleet) { f.reportsOnly = true }},
 	}
 	var text bytes.Buffer
 	for _, c := range cases {
@@ -140,7 +140,7 @@
 				c.change(f)
 				var recovery RecoveryCheck
 				for look := range 40 {
-					list := f.look(newMembers)
+					list := f.samples(newMembers)
 					analysis.Observe(list)
 					v := analysis.Verdict(look >= 30)
 					if look%4 != 3 && v.Conclusion == Inconclusive {
@@ -173,9 +173,9 @@
 	golden.Check(t, "verdicts.txt", text.Bytes())
 }
 
-// TestStoredBaselineIsReadAndEvaluatedBy reads a baseline as the recorded program stored it: it is written the same,
-// and the verdicts by it are those by the base in memory.
-func TestStoredBaselineIsReadAndEvaluatedBy(t *testing.T) {
+// TestStoredBaselineGivesTheSameVerdicts reads a stored baseline. Written again it must not differ, and verdicts
+// against it must be equal to those against the baseline in memory.
+func TestStoredBaselineGivesTheSameVerdicts(t *testing.T) {
 	f := newSampleFleet(7)
 	base := sampleBaseline(f)
 	text, err := json.MarshalIndent(base, "", " ")
@@ -189,23 +189,23 @@
 	}
 	again, err := json.MarshalIndent(stored, "", " ")
 	if err != nil || !bytes.Equal(again, text) {
-		t.Errorf("read back it is written otherwise (%v):\n%s", err, again)
+		t.Errorf("the baseline differs after it was read back (%v):\n%s", err, again)
 	}
 	f.cancelled = 0.02
 	fromMemory := NewAnalysis(DefaultLimits(), base, []string{"c1"})
 	fromFile := NewAnalysis(DefaultLimits(), stored, []string{"c1"})
 	for look := range 40 {
-		list := f.look(1)
+		list := f.samples(1)
 		fromMemory.Observe(list)
 		fromFile.Observe(list)
 		if a, b := fromMemory.Verdict(true), fromFile.Verdict(true); a != b {
-			t.Fatalf("look %d: %+v by memory, %+v by the file", look, a, b)
+			t.Fatalf("sample %d: %+v from memory, %+v from the file", look, a, b)
 		}
 	}
 }
 
-// TestJSONOfVerdictsLimitsAndWork holds the keys of what is stored or reported.
-func TestJSONOfVerdictsLimitsAndWork(t *testing.T) {
+// TestJSONOfVerdictsLimitsAndJobCounts checks the keys of the types that are stored or reported.
+func TestJSONOfVerdictsLimitsAndJobCounts(t *testing.T) {
 	values := map[string]any{
 		"verdict.json": Verdict{
 			Conclusion: AllRegressed,
@@ -241,9 +241,9 @@
 	}
 }
 
-// TestSumsAndDifferencesOfWork holds the arithmetic on counts, which readers of reports rely on.
-func TestSumsAndDifferencesOfWork(t *testing.T) {
-	// textOf names the figures as the golden file does, whatever the fields are called.
+// TestSumsAndDifferencesOfJobCounts checks the arithmetic on counts, on which reports are based.
+func TestSumsAndDifferencesOfJobCounts(t *testing.T) {
+	// textOf uses the names in the golden file, which do not follow the names of the fields.
 	textOf := func(c JobCounts) string {
 		return fmt.Sprintf(
 			"{Jobs:%d Within:%d Done:%d Throttled:%d Cancelled:%d Dispatches:%d Further:%d Took:%v}",
@@ -258,7 +258,7 @@
 		)
 	}
 	f := newSampleFleet(11)
-	first, second := f.look(2), f.look(2)
+	first, second := f.samples(2), f.samples(2)
 	var text bytes.Buffer
 	for _, isNew := range []bool{true, false} {
 		fmt.Fprintf(&text, "sum %t: %s\n", isNew, textOf(SumCounts(second, isNew)))
--- a/internal/canary/guardrail.go
+++ b/internal/canary/guardrail.go
@@ -3,23 +3,23 @@
 import "slices"
 
 const (
-	// guardrailSamples is the number of consecutive samples beyond a guardrail that is a regression: fewer may be a
-	// spike.
+	// guardrailSamples is the number of consecutive samples beyond a guardrail that count as a regression; fewer may be
+	// a spike.
 	guardrailSamples = 3
-	// guardrailMinJobs is the number of jobs of each version from which on what is used per job is compared.
+	// guardrailMinJobs is the minimum number of jobs of each version for the usage per job to be compared.
 	guardrailMinJobs = 30
 
-	memoryToleranceMB      = 8   // ups and downs of a garbage-collected process
-	ejectedTolerance       = 1   // engine: one controller sees what another does not see yet
-	probesPerJobTolerance  = 1   // where hardly any probe is sent, few more are no flood
-	cpuNSPerJobTolerance   = 1e6 // nor is a millisecond of CPU time
+	memoryToleranceMB      = 8   // normal variation of a garbage-collected process
+	ejectedTolerance       = 1   // engine: controllers do not eject an engine at the same time
+	probesPerJobTolerance  = 1   // the relative limit is too strict where few probes are sent
+	cpuNSPerJobTolerance   = 1e6 // the relative limit is too strict for jobs that use little CPU time
 	guardrailMemory        = "memory"
 	guardrailEjected       = "engines set aside"
 	guardrailProbesPerJob  = "probes a job"
 	guardrailCPUTimePerJob = "CPU a job"
 )
 
-// guardrails compare what is no count of jobs with the old version.
+// guardrails compares resource usage and ejected engines of both versions, for which there is no proportion of jobs.
 type guardrails struct {
 	limits      Limits
 	consecutive map[string]int // samples beyond the guardrail, by its name
@@ -27,7 +27,7 @@
 	new         jobUsage
 }
 
-// jobUsage is what controllers used for their jobs.
+// jobUsage holds the resources that controllers used, and the number of jobs.
 type jobUsage struct {
 	jobs   float64
 	probes float64
@@ -44,7 +44,7 @@
 	}
 }
 
-// observe compares a sample of both versions.
+// observe compares one sample of each controller on both versions.
 func (g *guardrails) observe(oldSamples, newSamples []Sample) {
 	g.old.add(oldSamples)
 	g.new.add(newSamples)
@@ -62,7 +62,7 @@
 	}
 }
 
-// comparePerJob compares what was used per job, and begins anew.
+// comparePerJob compares the usage per job of both versions and resets it.
 func (g *guardrails) comparePerJob() {
 	maxProbes := g.old.probes/g.old.jobs*factorOf(g.limits.ProbesPercent) + probesPerJobTolerance
 	g.record(guardrailProbesPerJob, g.new.probes/g.new.jobs > maxProbes)
@@ -80,7 +80,7 @@
 	}
 }
 
-// violated returns the first guardrail, by name, that the new version is beyond for good, or "".
+// violated returns the first guardrail, by name, that the new version has exceeded for guardrailSamples samples, or "".
 func (g *guardrails) violated() string {
 	for _, name := range sortedKeys(g.consecutive) {
 		if g.consecutive[name] >= guardrailSamples {
@@ -90,7 +90,7 @@
 	return ""
 }
 
-// factorOf returns the factor that corresponds to "so many percent more".
+// factorOf returns the factor that corresponds to an increase in percent.
 func factorOf(percent int64) float64 {
 	return 1 + float64(percent)/100
 }
@@ -104,7 +104,7 @@
 	return memoryMB
 }
 
-// meanEjected returns the mean number of engines that a controller has ejected.
+// meanEjected returns the mean number of ejected engines over the samples.
 func meanEjected(samples []Sample) float64 {
 	mean := 0.0
 	for _, s := range samples {
--- a/internal/canary/measure.go
+++ b/internal/canary/measure.go
@@ -1,6 +1,6 @@
 package canary
 
-// measure is a property of jobs in which a version may be worse.
+// measure is a criterion by which a job counts as bad.
 type measure uint8
 
 const (
@@ -13,7 +13,7 @@
 	measureCount
 )
 
-// measureDescriptions stand in the reasons of verdicts.
+// measureDescriptions are the names of the measures in the reasons of verdicts.
 var measureDescriptions = [measureCount]string{
 	missedSLA:       "missed the SLA time",
 	throttled:       "throttled",
@@ -23,21 +23,21 @@
 	overNinthDecile: "slower than nine of ten old ones",
 }
 
-// proportion is the number of bad jobs (or dispatches) among all. The numbers may be fractions; see worsenedBy.
+// proportion is the number of bad jobs (or dispatches) and of all. The numbers may be fractions; see worsenedBy.
 type proportion struct {
 	bad   float64
 	total float64
 }
 
-// plus returns both proportions together.
+// plus returns the pooled proportion.
 func (p proportion) plus(other proportion) proportion {
 	return proportion{bad: p.bad + other.bad, total: p.total + other.total}
 }
 
-// worsenedBy returns the proportion with a part of its good jobs counted as bad: what it would be if it were worse by
-// a margin. An e-value is the exponential of a linear form of the counts, so replacing drawn counts by their mean
-// never raises its expectation (Jensen's inequality): the bound of logEValue holds for "worse by more than the
-// margin" as it does for "worse".
+// worsenedBy returns the proportion with a fraction of its good jobs counted as bad, as expected if it were worse by a
+// margin. An e-value is the exponential of a linear form of the counts, so replacing random counts by their mean never
+// raises its expectation (Jensen's inequality): the bound of logEValue holds for "worse by more than the margin" as it
+// does for "worse".
 func (p proportion) worsenedBy(margin float64) proportion {
 	return proportion{bad: p.bad + margin*(p.total-p.bad), total: p.total}
 }
@@ -95,7 +95,7 @@
 	return sum
 }
 
-// proportionOfGroup returns a measure's proportion of a group over all samples.
+// proportionOfGroup returns a measure's proportion of bad jobs of a group over all samples.
 func (m measure) proportionOfGroup(samples []Sample, g Group, thresholds latencyThresholds) proportion {
 	var sum proportion
 	for _, s := range samples {
--- a/internal/canary/recovery.go
+++ b/internal/canary/recovery.go
@@ -1,21 +1,21 @@
 package canary
 
 const (
-	// recoverySamples is the number of last samples that are compared with the baseline.
+	// recoverySamples is the number of most recent samples that are compared with the baseline.
 	recoverySamples = 5
-	// recoveryMinJobs is the number of jobs in them from which on they count.
+	// recoveryMinJobs is the minimum number of jobs in these samples.
 	recoveryMinJobs = 20
 )
 
-// RecoveryCheck checks whether all controllers do again as they did before the first stage. The zero value is ready
-// for use.
+// RecoveryCheck checks whether the whole fleet performs again as it did before the first stage. The zero value is ready
+// to use.
 type RecoveryCheck struct {
-	samples [recoverySamples]proportion // ring buffer of missed jobs
+	samples [recoverySamples]proportion // ring buffer of jobs over their SLA time
 	count   int                         // of samples observed
 }
 
-// Observe adds a sample of every controller and reports whether the last samples are as the baseline is, within half
-// of the margin for both versions.
+// Observe adds one sample of each controller and reports whether the rate of jobs over their SLA time in the most
+// recent samples exceeds the baseline's by at most half of SharedPerMille.
 func (r *RecoveryCheck) Observe(limits Limits, baseline *Baseline, samples []Sample) bool {
 	r.samples[r.count%recoverySamples] = missedBySamples(samples)
 	r.count++
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -9,40 +9,40 @@
 type Conclusion string
 
 const (
-	// Inconclusive means that no regression is shown, and that the stage may not pass yet.
+	// Inconclusive means that there is no regression so far, but that the stage may not pass yet.
 	Inconclusive Conclusion = "open"
-	// Regressed means that the new version is worse than the old one.
+	// Regressed means that the new version is worse than the old version.
 	Regressed Conclusion = "worse"
-	// AllRegressed means that both versions are worse than before the stage; the cause is the change, or something
+	// AllRegressed means that both versions are worse than before the stage; the cause may be the change or something
 	// else.
 	AllRegressed Conclusion = "shared"
-	// NoRegression means that there were enough jobs, and that there is no evidence of harm.
+	// NoRegression means that there were enough jobs and that there is no evidence of a regression.
 	NoRegression Conclusion = "even"
 )
 
 // maxLogEValue keeps the reported e-value finite.
 const maxLogEValue = 300
 
-// Verdict is a conclusion with what it rests on.
+// Verdict is a conclusion with its reason and evidence.
 type Verdict struct {
 	Conclusion Conclusion `json:"kind"`
 	Reason     string     `json:"why"`
-	EValue     float64    `json:"odds"`   // evidence of harm; about 1 without any
-	Threshold  float64    `json:"wanted"` // e-value from which on it is a regression
+	EValue     float64    `json:"odds"`   // evidence of a regression; about 1 without any
+	Threshold  float64    `json:"wanted"` // e-value at which the conclusion is a regression
 	NewJobs    uint64     `json:"new"`    // answered by the new version in the stage
-	OldJobs    uint64     `json:"old"`    // answered by the old version meanwhile
+	OldJobs    uint64     `json:"old"`    // answered by the old version in the stage
 	ScarceType string     `json:"scarce"` // a type of which there were too few jobs, or ""
 }
 
-// finding is the strongest evidence of harm.
+// finding is the evidence of a regression in one group and measure.
 type finding struct {
 	group     Group
 	measure   measure
 	logEValue float64
 }
 
-// Verdict returns the conclusion now. isBaked says that the stage has stood for its least time, before which it does
-// not pass.
+// Verdict returns the conclusion so far. isBaked states that the minimum bake time has elapsed; before that the stage
+// does not pass.
 func (a *Analysis) Verdict(isBaked bool) Verdict {
 	strongest, logEValue := a.evidence()
 	v := Verdict{
@@ -96,7 +96,7 @@
 	return strongest, logMean(logs)
 }
 
-// regression returns why the new version is worse than the old one, or "" if that is not shown.
+// regression returns why the new version is worse than the old version, or "" if there is no sufficient evidence.
 func (a *Analysis) regression(v Verdict, strongest finding) string {
 	if a.crashes >= uint64(max(1, a.limits.MaxCrashes)) {
 		return fmt.Sprintf("the new version ended or failed to start %d times, last at %s", a.crashes, a.lastCrashed)
@@ -121,7 +121,7 @@
 		candidate.percent(), candidate.total, reference.percent(), reference.total)
 }
 
-// percent returns the rate of bad jobs in percent; without any job it is 0.
+// percent returns the rate of bad jobs in percent, or 0 without jobs.
 func (p proportion) percent() float64 {
 	return 100 * p.bad / max(1, p.total)
 }
