--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/schema"
 )
 
-// Kind is what a change replaces.
+// Kind is the part of the fleet's spec that a change replaces.
 type Kind string
 
 // The kinds of change.
@@ -19,19 +19,19 @@
 	KindProgram  Kind = "program"  // the controllers' program
 )
 
-// perMilleOfAll is the share of a stage that holds every controller.
+// perMilleOfAll is the share of a stage that includes every controller.
 const perMilleOfAll = 1000
 
-// Target is what a change leads to. Exactly the field of the change's kind is set.
+// Target is the new value that a change sets. Exactly the field of the change's kind is set.
 type Target struct {
 	Topology json.RawMessage `json:"shape"`   // KindSettings; JSON null removes the setting
-	Plan     string          `json:"plan"`    // KindPlan: a file, relative to the change's file
-	Program  string          `json:"program"` // KindProgram: a file at the same path for every supervisor
+	Plan     string          `json:"plan"`    // KindPlan: a file, relative to the change file
+	Program  string          `json:"program"` // KindProgram: a file at the same path on every supervisor
 }
 
-// Change is one change of the fleet, as its file states it.
+// Change is one change of the fleet, as specified in its file.
 type Change struct {
-	Number int64         `json:"number"` // above that of every earlier change
+	Number int64         `json:"number"` // greater than that of every earlier change
 	Title  string        `json:"title"`
 	Kind   Kind          `json:"kind"`
 	Target Target        `json:"to"`
@@ -40,7 +40,8 @@
 	Limits canary.Limits `json:"limits"`
 }
 
-// Load reads a change file and fills in defaults. A *schema.ValidationError names every fault by its path in the file.
+// Load reads a change file and fills in defaults. A *schema.ValidationError lists every problem with its path in the
+// file.
 func Load(path string) (Change, error) {
 	change := Change{Limits: canary.DefaultLimits()}
 	if err := schema.Read(path, schema.Change, &change); err != nil {
@@ -53,31 +54,31 @@
 	if plan := change.Target.Plan; plan != "" && !filepath.IsAbs(plan) {
 		change.Target.Plan = filepath.Join(filepath.Dir(path), plan)
 	}
-	if faults := change.Validate(); len(faults) > 0 {
-		return Change{}, &schema.ValidationError{File: path, Problems: faults}
+	if problems := change.Validate(); len(problems) > 0 {
+		return Change{}, &schema.ValidationError{File: path, Problems: problems}
 	}
 	return change, nil
 }
 
-// defaultStages are those of a change that states none: one controller, a third, all.
+// defaultStages returns the stages of a change that specifies none: one controller, a third, all.
 func defaultStages() []Stage {
 	return []Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: perMilleOfAll}}
 }
 
-// Validate returns the contradictions that the schema of change files cannot express, each with its path.
+// Validate returns the problems that the schema of change files cannot express, each with its path.
 func (c Change) Validate() []string {
-	var faults []string
+	var problems []string
 	if !c.Target.matches(c.Kind) {
-		faults = append(faults, fmt.Sprintf("/to: kind %s and its part do not agree", c.Kind))
+		problems = append(problems, fmt.Sprintf("/to: kind %s and its part do not agree", c.Kind))
 	}
 	if len(c.Stages) == 0 || c.Number < 1 || c.Timing.PollIntervalMS < 1 {
-		return append(faults, "/: not complete") // a change that came over HTTP: in a file the schema excludes this
+		return append(problems, "/: not complete") // over HTTP only; the schema rejects such a file
 	}
-	faults = append(faults, validateStages(c.Stages)...)
+	problems = append(problems, validateStages(c.Stages)...)
 	if c.Timing.MaxBakeMS < c.Timing.BakeMS {
-		faults = append(faults, "/pace/most_ms: under bake_ms")
+		problems = append(problems, "/pace/most_ms: under bake_ms")
 	}
-	return faults
+	return problems
 }
 
 // matches reports whether exactly the field of the kind is set.
@@ -88,33 +89,34 @@
 }
 
 func validateStages(stages []Stage) []string {
-	var faults []string
+	var problems []string
 	reached := int64(0) // the largest share so far
 	for i, stage := range stages {
 		if (len(stage.Members) > 0) == (stage.PerMille > 0) {
-			faults = append(faults, fmt.Sprintf("/stages/%d: either members or per_mille", i))
+			problems = append(problems, fmt.Sprintf("/stages/%d: either members or per_mille", i))
 		}
 		if stage.PerMille > 0 && stage.PerMille <= reached {
-			faults = append(faults, fmt.Sprintf("/stages/%d/per_mille: %d does not grow", i, stage.PerMille))
+			problems = append(problems, fmt.Sprintf("/stages/%d/per_mille: %d does not grow", i, stage.PerMille))
 		}
 		reached = max(reached, stage.PerMille)
 	}
 	last := len(stages) - 1
 	if stages[last].PerMille != perMilleOfAll {
-		faults = append(faults, fmt.Sprintf("/stages/%d/per_mille: the last stage is all of them, %d", last, perMilleOfAll))
+		problems = append(problems,
+			fmt.Sprintf("/stages/%d/per_mille: the last stage is all of them, %d", last, perMilleOfAll))
 	}
-	return faults
+	return problems
 }
 
-// UnchangedError is returned for a change that leads to the spec that the fleet already has.
+// UnchangedError is returned for a change whose target is the spec that the fleet already has.
 type UnchangedError struct {
 	Spec Digest
 }
 
-// Error names the spec.
-func (e *UnchangedError) Error() string { return fmt.Sprintf("the fleet is there already: %s", e.Spec) }
+func (e *UnchangedError) Error() string { return fmt.Sprintf("the fleet already has spec %s", e.Spec) }
 
-// TargetSpec returns the spec that the change leads to from another. It reads the plan's or the program's file.
+// TargetSpec returns the spec that results from applying the change to another spec. It reads the plan's or the
+// program's file.
 func (c Change) TargetSpec(from Spec) (Spec, error) {
 	target := from
 	switch c.Kind {
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -21,7 +21,7 @@
 	for i, c := range []struct {
 		order   Order
 		changed bool
-		refusal error  // of that type
+		refusal error  // an error of the expected type
 		text    string // of the refusal
 	}{
 		{order(1, 1, 1, "x", "new"), true, nil, ""},
@@ -44,7 +44,7 @@
 			t.Errorf("%d: refused by a %T, not a %T", i, err, c.refusal)
 		}
 		if !changed && next.Fence != before.Fence {
-			t.Errorf("%d: refused, and accepted", i)
+			t.Errorf("%d: a refused order changed the fence", i)
 		}
 		accepted = next
 	}
@@ -103,10 +103,10 @@
 	)
 	b.Program.Path = "/elsewhere"
 	if a.Digest() != b.Digest() {
-		t.Error("blanks, order or place tell")
+		t.Error("white space, the order of keys or the program's path changes the digest")
 	}
 	if b.Topology = json.RawMessage(`{}`); a.Digest() == b.Digest() || spec("d").Digest() == b.Digest() {
-		t.Error("what differs is not told")
+		t.Error("different specs have the same digest")
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestStagesKeepRoomsApartAndTypesServed(t *testing.T) {
+func TestStagesKeepTheOldVersionInEachZoneAndType(t *testing.T) {
 	places := []Candidate{
 		{"a1", "a", nil, 500},
 		{"a2", "a", nil, 100},
@@ -163,7 +163,7 @@
 		t.Fatalf("%v %v", list, err)
 	}
 	if len(list[0]) != 1 || list[0][0] != "a2" {
-		t.Errorf("the first is not a usual one: %v", list[0])
+		t.Errorf("the first controller is not a typical one: %v", list[0])
 	}
 	for _, s := range list[:3] {
 		left := map[string]int{}
@@ -176,11 +176,11 @@
 			}
 		}
 		if left["a"] == 0 || left["b"] == 0 || left["load"] == 0 {
-			t.Errorf("%v leaves %v", s, left)
+			t.Errorf("stage %v leaves %v on the old version", s, left)
 		}
 	}
 	if len(list[3]) != 6 {
-		t.Errorf("the last is not all: %v", list[3])
+		t.Errorf("the last stage does not include all: %v", list[3])
 	}
 	if list, _ := PlanStages([]Stage{{PerMille: 1}, {PerMille: 330}, {PerMille: 1000}}, places[:2]); len(list) != 2 {
 		t.Errorf("two controllers: %v", list)
--- a/internal/change/digest.go
+++ b/internal/change/digest.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// Digest identifies a text or a file by its contents: the first digestBytes of its SHA-256, in hex.
+// Digest identifies a text or a file by its contents: the first digestBytes bytes of its SHA-256 hash, in hex.
 type Digest string
 
 const digestBytes = 16
@@ -29,10 +29,10 @@
 	return hexDigest(hash.Sum(nil)), nil
 }
 
-// JSONDigest returns the digest of a JSON value. Texts that differ in white space and in the order of object keys only,
-// and were decoded into the empty interface, have the same digest.
+// JSONDigest returns the digest of a JSON value. Texts that were decoded into the empty interface and differ only in
+// white space or the order of object keys have the same digest.
 func JSONDigest(value any) Digest {
-	text, _ := json.Marshal(value) // callers pass what JSON can hold; an error would give the digest of no text
+	text, _ := json.Marshal(value) // callers pass encodable values; after an error it is the digest of an empty text
 	sum := sha256.Sum256(text)
 	return hexDigest(sum[:])
 }
--- a/internal/change/format1.go
+++ b/internal/change/format1.go
@@ -2,5 +2,5 @@
 
 package change
 
-// Format is the version that this program wrote one release earlier, for tests of both releases side by side.
+// Format is the format version of the previous release, for tests that run both releases side by side.
 const Format = 1
--- a/internal/change/forms_test.go
+++ b/internal/change/forms_test.go
@@ -12,7 +12,8 @@
 	"swiftreel/internal/golden"
 )
 
-// Change files and what is read of them, orders and digests, as the program before had them: testdata.
+// The files in testdata hold change files, what is read from them, orders and digests, as the previous release wrote
+// them. The format must not change.
 
 func indented(t *testing.T, v any) []byte {
 	t.Helper()
@@ -45,7 +46,7 @@
 	}
 }
 
-func TestOrdersAndHeldAreWrittenAsTheyWere(t *testing.T) {
+func TestOrdersAndAcceptedOrdersAreWrittenAsTheyWere(t *testing.T) {
 	spec := Spec{
 		Program:  Program{Path: "/opt/swiftreel", Digest: "0123"},
 		Topology: json.RawMessage(`{"budget_free":5}`),
@@ -90,7 +91,7 @@
 	golden.Check(t, "digests.golden", indented(t, list))
 }
 
-// Each error text of an order that is refused, which supervisors answer with and operators search for.
+// The error texts of refused orders are part of supervisors' replies, and operators search for them.
 func TestRefusalsAreWordedAsTheyWere(t *testing.T) {
 	good := `{"format":2,"fence":{"number":1,"term":1,"turn":1},"by":"x","member":"c1",` +
 		`"want":{"program":{"path":"/p","digest":"d"}}}`
@@ -108,7 +109,7 @@
 	} {
 		_, err := ReadOrder(strings.NewReader(strings.Replace(good, c[0], c[1], 1)))
 		if err == nil {
-			t.Fatalf("%.40q is taken", c[1])
+			t.Fatalf("%.40q is accepted", c[1])
 		}
 		lines = append(lines, err.Error())
 	}
@@ -125,14 +126,14 @@
 	for _, o := range []Order{early, other, another} {
 		_, _, err := held.Accept(o)
 		if err == nil {
-			t.Fatalf("%+v is taken", o)
+			t.Fatalf("%+v is accepted", o)
 		}
 		lines = append(lines, err.Error())
 	}
 	golden.Check(t, "refusals.golden", indented(t, lines))
 }
 
-// Every field of what is written has a key of its own that does not follow the field's name.
+// Every exported field of an encoded type has a tag with its JSON key, so that renaming the field does not change it.
 func TestEveryFieldStatesItsKey(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type)
--- a/internal/change/order.go
+++ b/internal/change/order.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// Bounds of an order, in bytes.
+// Limits of an order, in bytes.
 const (
 	maxReasonBytes = 1000
 	maxOrderBytes  = 4 << 20
 )
 
-// Order tells one controller's supervisor which spec the controller has to run with. Orders state the goal, not the
-// steps to it, and may be repeated.
+// Order tells one controller's supervisor which spec the controller has to run with. An order states the desired state,
+// not the steps to reach it, and may be repeated.
 type Order struct {
 	Format        int    `json:"format"`
 	Fence         Fence  `json:"fence"`
-	CoordinatorID string `json:"by"`     // tells apart two coordinators under one change and term
-	Member        string `json:"member"` // the receiver, so that one that is reached by mistake notices
+	CoordinatorID string `json:"by"`     // distinguishes two coordinators with the same change and term
+	Member        string `json:"member"` // the recipient, which refuses an order for another member
 	Spec          Spec   `json:"want"`
 	Drain         bool   `json:"drain,omitempty"` // leave service once every accepted job is answered
-	Reason        string `json:"why,omitempty"`   // for the receiver's log; since format 2
+	Reason        string `json:"why,omitempty"`   // for the recipient's log; since format 2
 }
 
-// ForFormat returns the order in the form of a version, with its reason cut to the bound.
+// ForFormat returns the order in a format version, with its reason truncated to maxReasonBytes.
 func (o Order) ForFormat(format int) Order {
 	o.Format = format
 	if format < firstFormatWithReason {
@@ -38,8 +38,8 @@
 	return o
 }
 
-// ReadOrder reads and validates an order. An unknown field is an error: an order that is understood in part must not be
-// followed. Errors start with the path of what is wrong.
+// ReadOrder reads and validates an order. An unknown field is an error, as an order must not be followed in part.
+// Errors start with the path of the invalid field.
 func ReadOrder(from io.Reader) (Order, error) {
 	text, err := io.ReadAll(io.LimitReader(from, maxOrderBytes+1))
 	if err != nil {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// validateForm checks what depends on the version of the order's form.
+// validateForm checks what depends on the order's format version.
 func (o Order) validateForm() error {
 	switch {
 	case o.Format < oldestFormat || o.Format > Format:
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// AcceptedOrder is what a supervisor stores of the last order that it accepted. The zero value is that of a
-// supervisor that has accepted none.
+// AcceptedOrder is what a supervisor stores of the last order that it accepted. The zero value stands for a supervisor
+// that has not accepted any.
 type AcceptedOrder struct {
 	Fence         Fence  `json:"fence"`
 	CoordinatorID string `json:"by"`
@@ -97,8 +97,8 @@
 	Drain         bool   `json:"drain"`
 }
 
-// Accept decides on an order. It returns what is to be stored afterwards and whether that differs, or why the order is
-// refused: one of the types StaleOrderError, ForeignOrderError, ConflictingOrderError.
+// Accept accepts or refuses an order. It returns the value to be stored and whether that has changed, or the reason for
+// the refusal: a *StaleOrderError, *ForeignOrderError or *ConflictingOrderError.
 func (a AcceptedOrder) Accept(order Order) (next AcceptedOrder, changed bool, err error) {
 	position := order.Fence.Compare(a.Fence)
 	sameTerm := order.Fence.Number == a.Fence.Number && order.Fence.Term == a.Fence.Term
@@ -125,35 +125,32 @@
 	return accepted, true, nil
 }
 
-// StaleOrderError refuses an order that is below one accepted already.
+// StaleOrderError is returned for an order with a lower fence than that of the accepted one.
 type StaleOrderError struct {
 	Order    Fence
 	Accepted Fence
 }
 
-// Error names both fences.
 func (e *StaleOrderError) Error() string {
 	return fmt.Sprintf("order %v comes after %v was taken", e.Order, e.Accepted)
 }
 
-// ForeignOrderError refuses an order of a second coordinator under the change and term of the first.
+// ForeignOrderError is returned for an order of a second coordinator with the change and term of the first.
 type ForeignOrderError struct {
 	Order         Fence
 	CoordinatorID string
 	AcceptedID    string
 }
 
-// Error names the fence and both coordinators.
 func (e *ForeignOrderError) Error() string {
 	return fmt.Sprintf("order %v is by %s, and %s conducts under that term", e.Order, e.CoordinatorID, e.AcceptedID)
 }
 
-// ConflictingOrderError refuses an order with the fence of an accepted one, but with another goal.
+// ConflictingOrderError is returned for an order with the fence of the accepted one, but with different contents.
 type ConflictingOrderError struct {
 	Order Fence
 }
 
-// Error names the fence.
 func (e *ConflictingOrderError) Error() string {
 	return fmt.Sprintf("order %v wants what an order of that name did not", e.Order)
 }
--- a/internal/change/spec.go
+++ b/internal/change/spec.go
@@ -2,17 +2,17 @@
 
 import "encoding/json"
 
-// Program is a program's file, at the same path for every supervisor, and what it must contain.
+// Program is a program file, at the same path on every supervisor, with the digest of its contents.
 type Program struct {
 	Path   string `json:"path"`
 	Digest Digest `json:"digest"`
 }
 
-// Spec is everything that a controller runs with and that a change may replace. Each order carries a complete spec, so
-// that an order that is lost or repeated does no harm.
+// Spec is everything that a controller runs with and that a change may replace. Each order contains a complete spec, so
+// that lost and repeated orders do no harm.
 type Spec struct {
 	Program  Program         `json:"program"`
-	Topology json.RawMessage `json:"shape,omitempty"` // the operator's settings of that key
+	Topology json.RawMessage `json:"shape,omitempty"` // the operator's settings under this key
 	Plan     json.RawMessage `json:"plan,omitempty"`  // as swiftreel solve writes it
 }
 
@@ -21,8 +21,8 @@
 	return JSONDigest([]any{s.Program.Digest, decoded(s.Topology), decoded(s.Plan)})
 }
 
-// decoded returns a JSON text as a value, so that white space and the order of keys are not part of its digest. It is
-// nil for a text that is missing or is no JSON.
+// decoded returns the value of a JSON text, so that white space and the order of keys do not affect its digest. It
+// returns nil for a text that is missing or invalid.
 func decoded(text json.RawMessage) any {
 	if len(text) == 0 {
 		return nil
--- a/internal/change/stages.go
+++ b/internal/change/stages.go
@@ -6,28 +6,29 @@
 	"slices"
 )
 
-// Stage states which controllers run the new version once the stage is applied: either the members named, or a share of
-// the fleet. Each stage includes those before it.
+// Stage specifies which controllers run the new version once the stage is applied: either the named members or a share
+// of the fleet. Each stage includes the controllers of the previous ones.
 type Stage struct {
 	Members  []string `json:"members"`
 	PerMille int64    `json:"per_mille"`
 }
 
-// Candidate is a controller as far as it matters for the order in which controllers are changed.
+// Candidate holds the properties of a controller that determine when it is changed.
 type Candidate struct {
 	Name         string
 	Zone         string
 	Types        []string // the reservation types that it serves; empty: all
-	BaselineJobs uint64   // that it answered while the baseline was observed
+	BaselineJobs uint64   // jobs that it answered during the baseline
 }
 
-// PlanStages names the controllers of each stage. A stage that would equal the one before, in a small fleet, is left
-// out.
+// PlanStages returns the names of the controllers of each stage. A stage that would equal the previous one, in a small
+// fleet, is omitted.
 //
-// The first controller of a share is a typical one: the one with the median traffic in the largest zone. The
-// following come from the zone that has most controllers left on the old version, nearest to the median first, so
-// that zones stay comparable and a controller with unusually much or little traffic comes late. Until the last stage,
-// one controller of each zone that has two, and one that serves each reservation type, stays on the old version.
+// The first controller of a share is a typical one: that in the largest zone whose traffic is nearest to the median of
+// the fleet. Each further controller comes from the zone with the most controllers left on the old version, again
+// nearest to the median first, so that zones stay comparable and controllers with unusually high or low traffic are
+// changed late. Until the last stage, one controller of each zone with at least two, and one that serves each
+// reservation type, stay on the old version.
 func PlanStages(stages []Stage, candidates []Candidate) ([][]string, error) {
 	known := map[string]bool{}
 	for _, candidate := range candidates {
@@ -44,7 +45,7 @@
 				chosen = append(chosen, name)
 			}
 		}
-		chosen = extend(chosen, stage, candidates)
+		chosen = extendToShare(chosen, stage, candidates)
 		if len(plan) > 0 && len(plan[len(plan)-1]) == len(chosen) {
 			continue
 		}
@@ -53,8 +54,8 @@
 	return plan, nil
 }
 
-// extend adds candidates until the stage's share is reached, or no further one may leave the old version yet.
-func extend(chosen []string, stage Stage, candidates []Candidate) []string {
+// extendToShare adds candidates until the stage's share is reached or no further candidate may leave the old version.
+func extendToShare(chosen []string, stage Stage, candidates []Candidate) []string {
 	isLast := stage.PerMille == perMilleOfAll
 	for len(chosen) < stage.size(len(candidates)) {
 		name, found := nextCandidate(candidates, chosen, isLast)
@@ -66,7 +67,7 @@
 	return chosen
 }
 
-// size is how many of a fleet's controllers the stage's share holds: at least one, and all in the last stage only.
+// size returns the number of controllers in the stage's share of a fleet: at least one, and all in the last stage only.
 func (s Stage) size(fleet int) int {
 	switch s.PerMille {
 	case 0:
@@ -78,16 +79,16 @@
 	return min(roundedUp, fleet-1)
 }
 
-// census counts the controllers of a fleet in the course of a rollout.
-type census struct {
+// fleetCounts holds the numbers of a fleet's controllers on which the choice of the next one depends.
+type fleetCounts struct {
 	zoneSize    map[string]int
-	zoneOnOld   map[string]int // by zone: not chosen yet
-	typeOnOld   map[string]int // by reservation type
-	medianOfAll uint64         // of the baseline jobs
+	zoneOnOld   map[string]int // by zone: controllers that are not chosen yet
+	typeOnOld   map[string]int // by reservation type: controllers that are not chosen yet
+	medianOfAll uint64         // of the controllers' baseline jobs
 }
 
-func takeCensus(candidates []Candidate, chosen []string) census {
-	counts := census{zoneSize: map[string]int{}, zoneOnOld: map[string]int{}, typeOnOld: map[string]int{}}
+func countFleet(candidates []Candidate, chosen []string) fleetCounts {
+	counts := fleetCounts{zoneSize: map[string]int{}, zoneOnOld: map[string]int{}, typeOnOld: map[string]int{}}
 	jobs := make([]uint64, 0, len(candidates))
 	for _, candidate := range candidates {
 		jobs = append(jobs, candidate.BaselineJobs)
@@ -105,21 +106,22 @@
 	return counts
 }
 
-// isLastOnOld reports whether the old version would vanish from a zone or for a reservation type without the candidate.
-func (c census) isLastOnOld(candidate Candidate) bool {
+// isLastOnOld reports whether the candidate is the last controller on the old version in its zone or for one of its
+// reservation types.
+func (c fleetCounts) isLastOnOld(candidate Candidate) bool {
 	if c.zoneSize[candidate.Zone] > 1 && c.zoneOnOld[candidate.Zone] == 1 {
 		return true
 	}
 	return slices.ContainsFunc(candidate.Types, func(t string) bool { return c.typeOnOld[t] == 1 })
 }
 
-// distance is how far a candidate's traffic is from the median.
-func (c census) distance(candidate Candidate) uint64 {
+// distance returns the absolute difference between a candidate's traffic and the median.
+func (c fleetCounts) distance(candidate Candidate) uint64 {
 	return max(candidate.BaselineJobs, c.medianOfAll) - min(candidate.BaselineJobs, c.medianOfAll)
 }
 
-// compare orders candidates by who is to be changed first.
-func (c census) compare(a, b Candidate) int {
+// compare orders candidates so that the one to change first comes first.
+func (c fleetCounts) compare(a, b Candidate) int {
 	return cmp.Or(
 		cmp.Compare(c.zoneOnOld[b.Zone], c.zoneOnOld[a.Zone]),
 		cmp.Compare(c.distance(a), c.distance(b)),
@@ -127,12 +129,12 @@
 	)
 }
 
-// nextCandidate returns the controller to change next, or false where none may be changed before the last stage.
+// nextCandidate returns the controller to change next, or false if no further one may be changed before the last stage.
 func nextCandidate(candidates []Candidate, chosen []string, isLastStage bool) (string, bool) {
 	if len(candidates) == 0 {
 		return "", false
 	}
-	counts := takeCensus(candidates, chosen)
+	counts := countFleet(candidates, chosen)
 	var eligible []Candidate
 	for _, candidate := range candidates {
 		if slices.Contains(chosen, candidate.Name) {
--- a/internal/change/timing.go
+++ b/internal/change/timing.go
@@ -1,17 +1,17 @@
 package change
 
-// Timing states how long the steps of a rollout may take, in milliseconds of the coordinator's own clock. A field
-// that is zero takes its default when the change is loaded.
+// Timing specifies the durations of a rollout, in milliseconds of the coordinator's own clock. A field that is zero
+// gets its default value when the change is loaded.
 type Timing struct {
 	BaselineMS         int64 `json:"base_ms"`           // the fleet is observed for this long before the first stage
 	BakeMS             int64 `json:"bake_ms"`           // minimum time that a stage is observed
-	MaxBakeMS          int64 `json:"most_ms"`           // maximum; a stage still undecided then is rolled back
-	ApplyTimeoutMS     int64 `json:"apply_ms"`          // a controller that has not followed its order by then has failed
-	SettleMS           int64 `json:"steady_ms"`         // from following an order to a controller's jobs being counted
-	UnreachableAfterMS int64 `json:"unheard_ms"`        // a supervisor that has not answered for this long is unreachable
-	SharedRecoveryMS   int64 `json:"shared_ms"`         // what a stage did to all is over this long after its rollback
-	MaxSharedRetries   int64 `json:"shared_tries"`      // of a stage, after regressions of all controllers
-	MinHealthyPerMille int64 `json:"healthy_per_mille"` // of all controllers that a rollout leaves serving at any time
+	MaxBakeMS          int64 `json:"most_ms"`           // maximum; a stage that is inconclusive then is rolled back
+	ApplyTimeoutMS     int64 `json:"apply_ms"`          // time for a controller to follow an order; later it has failed
+	SettleMS           int64 `json:"steady_ms"`         // time on the new version before a controller's jobs are counted
+	UnreachableAfterMS int64 `json:"unheard_ms"`        // a supervisor is unreachable this long after its last reply
+	SharedRecoveryMS   int64 `json:"shared_ms"`         // time to recover from a shared regression that a stage caused
+	MaxSharedRetries   int64 `json:"shared_tries"`      // of a stage, after regressions of the whole fleet
+	MinHealthyPerMille int64 `json:"healthy_per_mille"` // share of the controllers that must keep serving
 	PollIntervalMS     int64 `json:"look_ms"`           // from one poll of the fleet to the next
 }
 
@@ -29,7 +29,7 @@
 	defaultPollIntervalMS     = 1000
 )
 
-// withDefaults returns the timing with a default in the place of each zero.
+// withDefaults returns the timing with each zero replaced by its default.
 func (t Timing) withDefaults() Timing {
 	setDefault(&t.BaselineMS, defaultBaselineMS)
 	setDefault(&t.BakeMS, defaultBakeMS)
