--- a/internal/coordinator/act.go
+++ b/internal/coordinator/act.go
@@ -10,9 +10,8 @@
 	"swiftreel/internal/rollout"
 )
 
-// recordState records the state machine's state. Where that fails, the coordinator goes on polling and acts on
-// nothing: the state is recorded before its orders are sent, so that a successor knows of all that may have been
-// ordered.
+// recordState records the state machine's state. If that fails, the coordinator continues to poll but sends no orders:
+// a state is recorded before its orders are sent, so that a successor knows of every order that may have been sent.
 func (c *Coordinator) recordState() {
 	state := c.machine.State
 	previous := c.record.State
@@ -35,7 +34,8 @@
 	}
 }
 
-// planStages names the members of each stage as the first one begins, and stores the baseline that it is compared with.
+// planStages determines the members of each stage when the first stage begins, and stores the baseline, with which the
+// stages are compared.
 func (c *Coordinator) planStages(state rollout.State) error {
 	if state.Phase != rollout.PhaseApplying || len(c.record.Stages) > 0 {
 		return nil
@@ -67,7 +67,7 @@
 	})
 }
 
-// sendOrders sends what the state machine wants. What does not arrive is wanted again after the next poll.
+// sendOrders sends the state machine's orders. An order that is lost is sent again after the next poll.
 func (c *Coordinator) sendOrders(ctx context.Context, wanted []rollout.Order) {
 	if len(wanted) == 0 {
 		return
@@ -87,7 +87,7 @@
 	}
 }
 
-// message is an order as its receiver reads it.
+// message returns an order in the form that is sent to its recipient.
 func (c *Coordinator) message(order rollout.Order) change.Order {
 	spec := c.record.FromSpec
 	if order.UseTarget {
@@ -105,7 +105,7 @@
 	}
 }
 
-// reportRejection logs an order that was refused or lost, once while it is repeated.
+// reportRejection logs an order that was refused or lost, unless the previous log entry was the same.
 func (c *Coordinator) reportRejection(member string, err error) {
 	text := member + ": " + err.Error()
 	if text == c.lastRejection {
--- a/internal/coordinator/backoff.go
+++ b/internal/coordinator/backoff.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Bounds of the delay before a supervisor that did not answer is polled again.
+// Limits of the delay before a supervisor that did not reply is polled again.
 const (
 	firstRetryDelay = 100 * time.Millisecond
 	maxRetryDelay   = 2 * time.Second
 	maxDoublings    = 10
 )
 
-// backoff decides when a supervisor that did not answer is polled again: with a delay that doubles, and with jitter,
-// so that many that were lost at once are not all polled at once. It has no clock; times are in nanoseconds since the
-// client's start.
+// backoff determines when a supervisor that did not reply is polled again: after an exponential delay with jitter, so
+// that supervisors that failed at the same time are not polled at the same time. It has no clock; times are in
+// nanoseconds since the client's start.
 type backoff struct {
-	failures int   // in a row
+	failures int   // consecutive
 	retryAt  int64 // ns
 }
 
--- a/internal/coordinator/backoff_test.go
+++ b/internal/coordinator/backoff_test.go
@@ -15,7 +15,7 @@
 	"swiftreel/internal/operator"
 )
 
-func TestOneThatDoesNotAnswerIsAskedLessAndLessOften(t *testing.T) {
+func TestBackoffPollsAFailingSupervisorLessOften(t *testing.T) {
 	var b backoff
 	r := rand.New(rand.NewPCG(1, 1))
 	asked := []int64{}
@@ -25,16 +25,16 @@
 			b.failed(now, r)
 		}
 	}
-	if len(asked) < 25 || len(asked) > 45 { // each look would be 6,000
-		t.Errorf("asked %d times in a minute", len(asked))
+	if len(asked) < 25 || len(asked) > 45 { // without backoff it would be polled 6000 times
+		t.Errorf("polled %d times in a minute", len(asked))
 	}
 	if b.succeeded(); !b.isDue(0) {
-		t.Error("it answers, and is not asked")
+		t.Error("it is not due after a success")
 	}
 }
 
-// A hundred members that take a connection and say nothing do not keep the others from being heard at each look.
-func TestSilentMembersCostThemselves(t *testing.T) {
+// A hundred members that accept connections but never reply must not delay the replies of the others.
+func TestSilentMembersDoNotDelayOthers(t *testing.T) {
 	silent, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	f := NewFleetClient(members, 300*time.Millisecond, 30*time.Millisecond)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	for len(f.Poll(ctx)) > 0 { // until all have failed once
+	for len(f.Poll(ctx)) > 0 { // until all silent members have failed once
 		f.mu.Lock()
 		all := !slices.ContainsFunc(f.peers[:100], func(p peer) bool { return p.backoff.failures == 0 })
 		f.mu.Unlock()
@@ -74,19 +74,19 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	for range 20 { // the good one is asked at each look, and answers while the others are waited for
+	for range 20 { // the good member replies while exchanges with the others are in progress
 		heard := false
 		for stop := time.Now().Add(10 * time.Second); !heard && time.Now().Before(stop); time.Sleep(time.Millisecond) {
 			heard = f.Poll(ctx)[100].Err == nil
 		}
 		if !heard {
-			t.Fatal("it is not heard")
+			t.Fatal("the good member's reply is not received")
 		}
 		if len(f.suspectExchanges) > maxSuspectExchanges || len(f.exchanges) > maxSuspectExchanges+1 {
-			t.Errorf("%d silent ones are spoken with at once, %d in all", len(f.suspectExchanges), len(f.exchanges))
+			t.Errorf("%d concurrent exchanges with silent members, %d in all", len(f.suspectExchanges), len(f.exchanges))
 		}
 	}
 	if n := dials.Load(); n < 100 || n > 400 {
-		t.Errorf("%d dials of silent ones", n)
+		t.Errorf("%d connections to silent members", n)
 	}
 }
--- a/internal/coordinator/begin.go
+++ b/internal/coordinator/begin.go
@@ -13,18 +13,19 @@
 	"swiftreel/internal/rollout"
 )
 
-// Begin records a change that the fleet is to go through; no order is sent yet. Every supervisor has to answer, and
-// all have to hold the same spec. replaceLost is whether the operator knows that an earlier coordinator of the
-// change's number is gone for good, so that its orders may be followed by later ones.
+// Begin records a change to be rolled out; it sends no orders. Every supervisor has to reply, and all must have the
+// same spec. replaceLost states that an earlier coordinator with the change's number is known to be gone permanently,
+// so that its orders may be superseded.
 func Begin(ctx context.Context, store *RecordStore, next change.Change, fleet *FleetClient, replaceLost bool) error {
 	last, found, err := store.Record()
 	if err != nil {
 		return err
 	}
 	if found && !last.State.Phase.IsTerminal() {
-		return fmt.Errorf("change %d is %s: resume it, or have it end first", last.Change.Number, last.State.Phase)
+		return fmt.Errorf("change %d is in progress (%s): resume it, or wait until it has ended",
+			last.Change.Number, last.State.Phase)
 	}
-	start, err := startOf(next, fleet, pollEveryone(ctx, fleet), replaceLost)
+	start, err := findStartingPoint(next, fleet, pollAll(ctx, fleet), replaceLost)
 	if err != nil {
 		return err
 	}
@@ -47,52 +48,53 @@
 	return store.write(recordFile, Record{ID: newID(), Change: next, FromSpec: start.spec, ToSpec: target, State: state})
 }
 
-// Bounds of the polls before a change begins.
+// Limits of the polls before a change begins.
 const (
-	// beginPollTime is how long every supervisor has to answer one and the same poll: one that does not is polled again
-	// after its longest delay.
+	// beginPollTime is the time within which all supervisors have to reply to the same poll. It is longer than the
+	// longest backoff delay, so that a supervisor that does not reply is polled again.
 	beginPollTime  = 3 * maxRetryDelay
 	beginPollDelay = 50 * time.Millisecond
 )
 
-// pollEveryone polls until all supervisors have answered one poll, for as long as beginPollTime or ctx: a request that
-// was lost is no reason to refuse a change. For one that has not answered, the reply says why it could not be asked.
-func pollEveryone(ctx context.Context, fleet *FleetClient) []StatusReply {
+// pollAll polls until all supervisors have replied to the same poll, at most until beginPollTime or ctx ends: a change
+// must not be refused because a single request was lost. The error of a supervisor that has not replied is its last
+// failure.
+func pollAll(ctx context.Context, fleet *FleetClient) []StatusReply {
 	ctx, cancel := context.WithTimeout(ctx, beginPollTime)
 	defer cancel()
 	failures := make([]error, len(fleet.Members))
 	for {
 		replies := fleet.Poll(ctx)
 		if ctx.Err() != nil {
-			return withReasons(replies, failures)
+			return withFailures(replies, failures)
 		}
-		if !hasFailed(replies, failures) {
+		if !recordFailures(replies, failures) {
 			return replies
 		}
 		select {
 		case <-ctx.Done():
-			return withReasons(replies, failures)
+			return withFailures(replies, failures)
 		case <-time.After(beginPollDelay):
 		}
 	}
 }
 
-// hasFailed reports whether a supervisor has not answered, and notes why.
-func hasFailed(replies []StatusReply, failures []error) (found bool) {
+// recordFailures stores the errors of failed requests and reports whether any supervisor has not replied.
+func recordFailures(replies []StatusReply, failures []error) (found bool) {
 	for i, reply := range replies {
 		if reply.Err == nil {
 			continue
 		}
 		found = true
-		if !errors.Is(reply.Err, errNoReply) { // else it was not asked again yet
+		if !errors.Is(reply.Err, errNoReply) { // otherwise its previous failure still applies
 			failures[i] = reply.Err
 		}
 	}
 	return found
 }
 
-// withReasons has replies that are only missing say why an earlier one failed.
-func withReasons(replies []StatusReply, failures []error) []StatusReply {
+// withFailures replaces the errors of missing replies by the supervisors' recorded failures.
+func withFailures(replies []StatusReply, failures []error) []StatusReply {
 	for i := range replies {
 		if replies[i].Err != nil && failures[i] != nil {
 			replies[i].Err = failures[i]
@@ -101,14 +103,15 @@
 	return replies
 }
 
-// startingPoint is where the fleet stands before a change.
+// startingPoint is the state of the fleet before a change.
 type startingPoint struct {
-	spec  change.Spec  // that all hold
-	fence change.Fence // above every one that was accepted
+	spec  change.Spec  // common to all members
+	fence change.Fence // greater than every accepted one
 }
 
-// startOf finds where the fleet stands, or why the change cannot begin there.
-func startOf(next change.Change, fleet *FleetClient, replies []StatusReply, replaceLost bool) (startingPoint, error) {
+// findStartingPoint determines the starting point from the replies, or why the change cannot begin.
+func findStartingPoint(next change.Change, fleet *FleetClient, replies []StatusReply,
+	replaceLost bool) (startingPoint, error) {
 	start := startingPoint{fence: change.Fence{Number: next.Number, Term: 1, Revision: 1}}
 	for i, reply := range replies {
 		name := fleet.Members[i].Name
@@ -134,7 +137,7 @@
 	return start, nil
 }
 
-// candidates describes the members for the choice of who is changed first.
+// candidates returns the members with the properties that determine in which order they are changed.
 func candidates(members []operator.Member, baseline *canary.Baseline) []change.Candidate {
 	var list []change.Candidate
 	for _, member := range members {
--- a/internal/coordinator/begin_test.go
+++ b/internal/coordinator/begin_test.go
@@ -11,14 +11,14 @@
 	"swiftreel/internal/coordinator"
 )
 
-// beginOn begins a change on a fleet of which some requests for a status are lost.
+// beginOn begins a change on a fleet that loses some status requests.
 func beginOn(t *testing.T, limit time.Duration, lostPolls map[string]int) error {
 	t.Helper()
 	next, err := change.Load(filepath.Join("testdata", "changes", "settings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	states := firstStates()
+	states := initialStates()
 	to, err := next.TargetSpec(states["c1"].Held.Spec)
 	if err != nil {
 		t.Fatal(err)
@@ -36,16 +36,16 @@
 	return coordinator.Begin(ctx, folder, next, fleet, false)
 }
 
-// A link that breaks in the moment in which a change begins does not end it: nothing was ordered yet, and the status
-// is asked for again. Seen in proof-rollout at a load of 32: the command ended with "EOF" or "connection reset" at its
-// first request, as the schedule's first cut came before it.
+// A connection that breaks as a change begins must not fail the command: nothing was ordered yet, and the status can be
+// requested again. In proof-rollout at a load of 32 the command failed with "EOF" or "connection reset" at its first
+// request, as the first connection loss of the schedule came before it.
 func TestAChangeBeginsThoughRequestsAreLost(t *testing.T) {
 	if err := beginOn(t, 20*time.Second, map[string]int{"c1": 1, "c2": 2, "c3": 5}); err != nil {
 		t.Error(err)
 	}
 }
 
-// A member that does not answer is named, with why, and nothing begins.
+// A change does not begin if a member does not reply; the error names the member and the failure.
 func TestAChangeDoesNotBeginWithoutAMember(t *testing.T) {
 	err := beginOn(t, 500*time.Millisecond, map[string]int{"c2": 1000})
 	if err == nil || !strings.HasPrefix(err.Error(), "c2: ") || !strings.Contains(err.Error(), "EOF") {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -11,35 +11,35 @@
 	"swiftreel/internal/rollout"
 )
 
-// ErrFenced is returned once a supervisor has accepted a later order, or this process leads no longer: another
-// coordinates, or a later change was begun.
+// ErrFenced is returned once a supervisor has accepted a later order, or this process is no longer the leader: another
+// coordinator is active, or a later change was begun.
 var ErrFenced = errors.New("a later order was taken: another coordinates")
 
-// Coordinator carries one change on, from the state in which it was recorded.
+// Coordinator continues one change from its recorded state.
 type Coordinator struct {
 	store   *RecordStore
 	record  Record
 	fleet   *FleetClient
 	machine *rollout.Machine
 	members []memberView // by the member's index
-	start   time.Time    // zero of the coordinator's own clock
+	start   time.Time    // origin of the coordinator's own clock
 
 	baseline  *canary.Baseline
-	evaluator *canary.Analysis     // of the stage; nil before the first
-	recovery  canary.RecoveryCheck // of the fleet, while a stage is rolled back
-	evaluated stageInPhase         // what evaluator and recovery were begun for
+	analysis  *canary.Analysis     // of the stage; nil before the first
+	recovery  canary.RecoveryCheck // of the fleet, after a stage was rolled back
+	evaluated stageInPhase         // the part that analysis and recovery belong to
 
-	recordPending bool   // the state has changed and could not be recorded yet
-	lastRejection string // of an order, as logged
+	recordPending bool   // the state has changed but could not be recorded yet
+	lastRejection string // of an order, as last logged
 }
 
-// stageInPhase identifies a part of a rollout for which an evaluation begins.
+// stageInPhase identifies the part of a rollout that an evaluation covers.
 type stageInPhase struct {
 	phase rollout.Phase
 	stage int
 }
 
-// TakeOver continues the recorded change under a term of its own, which is recorded before it returns.
+// TakeOver returns a coordinator that continues the recorded change under a new term, which is recorded already.
 func TakeOver(store *RecordStore, fleet *FleetClient) (*Coordinator, error) {
 	record, found, err := store.Record()
 	if err != nil {
@@ -59,7 +59,8 @@
 	if err := store.write(recordFile, record); err != nil {
 		return nil, err
 	}
-	fleet.patience = min(fleet.patience, milliseconds(record.Change.Timing.PollIntervalMS)) // silence holds up no poll
+	// An unresponsive supervisor must not delay polls.
+	fleet.maxWait = min(fleet.maxWait, milliseconds(record.Change.Timing.PollIntervalMS))
 	slog.Info("rollout_taken", "number", record.Change.Number, "fence", record.State.Fence.String(),
 		"phase", record.State.Phase)
 	return &Coordinator{
@@ -74,7 +75,7 @@
 	}, nil
 }
 
-// plan is what the state machine is told of the change.
+// plan returns the state machine's configuration for the change.
 func (r Record) plan() rollout.Plan {
 	return rollout.Plan{
 		Kind:     r.Change.Kind,
@@ -87,13 +88,13 @@
 
 func milliseconds(count int64) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// State returns the state of the change. It may be ahead of the record while that cannot be written.
+// State returns the state of the rollout. It is ahead of the record while that cannot be written.
 func (c *Coordinator) State() rollout.State { return c.machine.State }
 
-// elapsed is the coordinator's own clock, in nanoseconds.
+// elapsed returns the time of the coordinator's own clock, in nanoseconds.
 func (c *Coordinator) elapsed() int64 { return int64(time.Since(c.start)) }
 
-// Run coordinates until the change has ended and that is recorded, or an error, or the end of ctx.
+// Run coordinates the change until its end is recorded, an error occurs, or ctx ends.
 func (c *Coordinator) Run(ctx context.Context) error {
 	ticker := time.NewTicker(milliseconds(c.record.Change.Timing.PollIntervalMS))
 	defer ticker.Stop()
@@ -112,7 +113,7 @@
 	}
 }
 
-// Step polls the fleet once and does what follows from that.
+// Step polls the fleet once, advances the rollout and sends the orders that result.
 func (c *Coordinator) Step(ctx context.Context) error {
 	replies := c.fleet.Poll(ctx)
 	if err := ctx.Err(); err != nil {
@@ -122,7 +123,7 @@
 		return err
 	}
 	seen, counts := c.observe(replies)
-	if c.recordPending { // nothing further is decided until the last decision is recorded
+	if c.recordPending { // the previous state has to be recorded before the rollout may advance
 		c.recordState()
 		return nil
 	}
@@ -133,14 +134,14 @@
 			return nil
 		}
 	}
-	if !c.store.mayAct() { // it was so when the poll began; later orders are up to the supervisors' fences
+	if !c.store.maySendOrders() { // leadership may end at any time after this check; the supervisors' fences cover that
 		return ErrFenced
 	}
 	c.sendOrders(ctx, c.machine.Orders(seen))
 	return nil
 }
 
-// checkFences returns ErrFenced where a supervisor has accepted a later order than this coordinator's.
+// checkFences returns ErrFenced if a supervisor has accepted an order with a higher fence than this coordinator's.
 func (c *Coordinator) checkFences(replies []StatusReply) error {
 	own := c.machine.State.Fence
 	for _, reply := range replies {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// advance steps the state machine, with an operator's request that was not carried out yet. It reports whether there
+// advance steps the state machine, with the pending operator's request if there is a new one. It reports whether there
 // is a new state to record.
 func (c *Coordinator) advance(seen *rollout.Observation) bool {
 	request := c.store.PendingRequest()
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,8 +1,9 @@
-// Package coordinator carries a recorded change through a fleet of controllers: it polls their supervisors, has the
-// stage evaluated by package canary and the state machine of package rollout stepped, records the new state and only
-// then sends orders. It decides nothing itself.
+// Package coordinator rolls a recorded change out to a fleet of controllers: it polls their supervisors, evaluates the
+// stage with package canary, steps the state machine of package rollout, records the new state and only then sends
+// orders. All decisions are made by these two packages.
 //
-// A Coordinator belongs to one goroutine. At most one acts on a change at a time: orders carry a fencing token, whose
-// term is taken from a locked folder or from the leader's term, and supervisors refuse lower ones. A RecordStore
-// holds what outlives a coordinator. A FleetClient may be shared between goroutines as far as its methods say so.
+// A Coordinator may be used by one goroutine only. At most one coordinator acts on a change at a time: orders carry a
+// fencing token, whose term is taken from a locked folder or from the leader's term, and supervisors refuse lower
+// tokens. A RecordStore holds the state that survives a coordinator. A FleetClient may be shared between goroutines
+// only as its methods document.
 package coordinator
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -6,7 +6,7 @@
 	"swiftreel/internal/rollout"
 )
 
-// observe turns supervisors' replies into what the state machine and the evaluation take in. Only members that
+// observe converts supervisors' replies to the inputs of the state machine and of the evaluation. Only members that
 // replied have counts.
 func (c *Coordinator) observe(replies []StatusReply) (rollout.Observation, []canary.Sample) {
 	seen := rollout.Observation{Now: c.elapsed()}
@@ -27,7 +27,7 @@
 	return seen, counts
 }
 
-// evaluate has the counts evaluated as the phase needs it, and adds the result to the observation.
+// evaluate evaluates the counts as the phase requires, and adds the result to the observation.
 func (c *Coordinator) evaluate(seen *rollout.Observation, counts []canary.Sample) {
 	state := c.machine.State
 	c.beginEvaluation(state)
@@ -35,9 +35,9 @@
 	case rollout.PhaseBaseline:
 		c.baseline.Observe(counts)
 	case rollout.PhaseApplying, rollout.PhaseBaking:
-		c.evaluator.Observe(counts)
+		c.analysis.Observe(counts)
 		baked := state.Phase == rollout.PhaseBaking && c.machine.BakeElapsed(seen.Now)
-		seen.Verdict = c.evaluator.Verdict(baked)
+		seen.Verdict = c.analysis.Verdict(baked)
 	case rollout.PhaseAwaitingRecovery:
 		seen.Recovered = c.recovery.Observe(c.record.Change.Limits, c.baseline, counts)
 	}
@@ -55,8 +55,8 @@
 	})
 }
 
-// beginEvaluation starts the evaluation of a stage as the rollout reaches it. One that was started while the stage was
-// applied goes on while it is observed.
+// beginEvaluation starts a new analysis when a stage is applied; it continues while the stage bakes. A coordinator that
+// takes over a stage that bakes starts a new one.
 func (c *Coordinator) beginEvaluation(state rollout.State) {
 	current := stageInPhase{phase: state.Phase, stage: state.Stage}
 	if current == c.evaluated {
@@ -65,8 +65,8 @@
 	c.evaluated = current
 	c.recovery = canary.RecoveryCheck{}
 	applied := state.Phase == rollout.PhaseApplying
-	inherited := state.Phase == rollout.PhaseBaking && c.evaluator == nil
+	inherited := state.Phase == rollout.PhaseBaking && c.analysis == nil
 	if applied || inherited {
-		c.evaluator = canary.NewAnalysis(c.record.Change.Limits, c.baseline, c.machine.TargetMembers())
+		c.analysis = canary.NewAnalysis(c.record.Change.Limits, c.baseline, c.machine.TargetMembers())
 	}
 }
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -26,42 +26,42 @@
 	"swiftreel/internal/supervisor"
 )
 
-// testdata/folders holds the coordinator's folder as the program before wrote it, in each phase of a change, and what
-// the supervisors held at that moment (members.json). Each is opened and goes on; nothing of it is lost.
+// testdata/folders holds coordinator folders that the previous release wrote, one for each phase of a change, with the
+// state of the supervisors at that time (members.json). Each must be continued without any loss.
 //
-// The files are written by TestRecordFolders with -record, never by another run. They stand for what operators have
-// on their disks: they are not written anew when the program changes.
+// The files are written by TestRecordFolders with -record only. They represent the folders that operators have, and are
+// not regenerated when the program changes.
 
 var record = flag.Bool(
 	"record",
 	false,
-	"write testdata anew; only from a program whose files are to be read from now on",
+	"regenerate testdata; only with a release whose files later releases have to read",
 )
 
-// memberState is what a supervisor holds and its controller runs.
+// memberState is the state of a supervisor and its controller.
 type memberState struct {
 	Held    change.AcceptedOrder `json:"held"`
 	Running change.Digest        `json:"running"`
 	Failed  string               `json:"failed"`
 }
 
-// fakeFleet stands for supervisors over HTTP. Their controllers do ten jobs from one status to the next.
+// fakeFleet is a fleet of fake supervisors over HTTP. Each controller answers ten jobs between two statuses.
 type fakeFleet struct {
-	t       *testing.T
-	members []operator.Member
-	to      change.Digest // the new version
+	t          *testing.T
+	members    []operator.Member
+	targetSpec change.Digest // the new version
 
-	mu     sync.Mutex
-	states map[string]*memberState
-	work   map[string]canary.JobCounts
-	missed string // whose jobs miss their time: "new", "all" while any is on the new version, or none
-	stays  string // one that cannot go back once it is on the new version
-	orders []change.Order
+	mu             sync.Mutex
+	states         map[string]*memberState
+	counts         map[string]canary.JobCounts
+	missed         string // whose jobs miss their SLA time: "new" version, "all" while any runs the new version, or ""
+	cannotRollBack string // a member that cannot return from the new version, or ""
+	orders         []change.Order
 
-	lostPolls map[string]int // by member: how many more requests for its status end with the connection
+	lostPolls map[string]int // by member: number of further status requests whose connection is closed
 }
 
-// losesPoll reports whether a request for a member's status is lost.
+// losesPoll reports whether the current status request to a member is lost.
 func (f *fakeFleet) losesPoll(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +73,13 @@
 
 func newFakeFleet(t *testing.T, to change.Digest, states map[string]*memberState) *fakeFleet {
 	t.Helper()
-	f := &fakeFleet{t: t, to: to, states: states, work: map[string]canary.JobCounts{}, lostPolls: map[string]int{}}
+	f := &fakeFleet{
+		t:          t,
+		targetSpec: to,
+		states:     states,
+		counts:     map[string]canary.JobCounts{},
+		lostPolls:  map[string]int{},
+	}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +91,7 @@
 			}
 		})
 		mux.HandleFunc("POST /v1/order", func(w http.ResponseWriter, r *http.Request) {
-			if err := f.take(name, r); err != nil {
+			if err := f.acceptOrder(name, r); err != nil {
 				http.Error(w, err.Error(), http.StatusConflict)
 				return
 			}
@@ -105,19 +111,19 @@
 func (f *fakeFleet) status(name string) supervisor.Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s, w := f.states[name], f.work[name]
+	s, w := f.states[name], f.counts[name]
 	anyNew := false
 	for _, o := range f.states {
-		anyNew = anyNew || o.Running == f.to
+		anyNew = anyNew || o.Running == f.targetSpec
 	}
 	w.Jobs, w.Done, w.Dispatches = w.Jobs+10, w.Done+10, w.Dispatches+10
-	missed := f.missed == "new" && s.Running == f.to || f.missed == "all" && anyNew
+	missed := f.missed == "new" && s.Running == f.targetSpec || f.missed == "all" && anyNew
 	if !missed {
 		w.WithinSLA += 10
 	}
 	w.LatencyBuckets = make([]uint64, 21)
 	w.LatencyBuckets[20] = w.Done
-	f.work[name] = w
+	f.counts[name] = w
 	return supervisor.Status{
 		Format:         change.Format,
 		Name:           name,
@@ -138,10 +144,10 @@
 	}
 }
 
-func (f *fakeFleet) take(name string, r *http.Request) error {
+func (f *fakeFleet) acceptOrder(name string, r *http.Request) error {
 	o, err := change.ReadOrder(r.Body)
 	if err != nil {
-		f.t.Errorf("an order that cannot be read: %v", err)
+		f.t.Errorf("invalid order: %v", err)
 		return err
 	}
 	f.mu.Lock()
@@ -153,7 +159,7 @@
 		return err
 	}
 	s.Held = next
-	if s.Failed = ""; name == f.stays && s.Running == f.to && next.Spec.Digest() != f.to {
+	if s.Failed = ""; name == f.cannotRollBack && s.Running == f.targetSpec && next.Spec.Digest() != f.targetSpec {
 		s.Failed = "the program is gone"
 	} else if !next.Drain {
 		s.Running = next.Spec.Digest()
@@ -161,27 +167,28 @@
 	return nil
 }
 
-// set changes how the fleet does from now on.
-func (f *fakeFleet) set(missed, stays string) {
+// setBehavior sets whose jobs miss their SLA time and which member cannot return. Without such a member all are
+// repaired.
+func (f *fakeFleet) setBehavior(missed, cannotRollBack string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.missed, f.stays = missed, stays
-	if stays == "" {
-		for _, s := range f.states { // mended
+	f.missed, f.cannotRollBack = missed, cannotRollBack
+	if cannotRollBack == "" {
+		for _, s := range f.states { // repaired
 			s.Failed, s.Running = "", s.Held.Spec.Digest()
 		}
 	}
 }
 
-// folderScenario says when a folder is kept, and what becomes of the change after that.
+// folderScenario specifies in which state a folder is recorded, and the phase in which its change has to end.
 type folderScenario struct {
-	name    string
-	change  string // a file in testdata/changes
-	missed  string
-	stays   string
-	request rollout.Request // once the first stage bakes
-	when    func(rollout.State) bool
-	ends    rollout.Phase
+	name           string
+	change         string // a file in testdata/changes
+	missed         string
+	cannotRollBack string
+	request        rollout.Request // submitted once the first stage bakes
+	isReached      func(rollout.State) bool
+	finalPhase     rollout.Phase
 }
 
 func inPhase(p rollout.Phase, stage int) func(rollout.State) bool {
@@ -189,68 +196,68 @@
 }
 
 var folderScenarios = []folderScenario{
-	{name: "preparing", change: "settings", when: inPhase(rollout.PhasePreparing, 0), ends: rollout.PhaseDone},
-	{name: "watching", change: "settings", when: inPhase(rollout.PhaseBaseline, 0), ends: rollout.PhaseDone},
-	{name: "applying", change: "settings", when: inPhase(rollout.PhaseApplying, 0), ends: rollout.PhaseDone},
-	{name: "baking", change: "settings", when: inPhase(rollout.PhaseBaking, 0), ends: rollout.PhaseDone},
-	{name: "baking-later", change: "settings", when: inPhase(rollout.PhaseBaking, 1), ends: rollout.PhaseDone},
+	{name: "preparing", change: "settings", isReached: inPhase(rollout.PhasePreparing, 0), finalPhase: rollout.PhaseDone},
+	{name: "watching", change: "settings", isReached: inPhase(rollout.PhaseBaseline, 0), finalPhase: rollout.PhaseDone},
+	{name: "applying", change: "settings", isReached: inPhase(rollout.PhaseApplying, 0), finalPhase: rollout.PhaseDone},
+	{name: "baking", change: "settings", isReached: inPhase(rollout.PhaseBaking, 0), finalPhase: rollout.PhaseDone},
+	{name: "baking-later", change: "settings", isReached: inPhase(rollout.PhaseBaking, 1), finalPhase: rollout.PhaseDone},
 	{
-		name:    "paused",
-		change:  "settings",
-		request: rollout.RequestPause,
-		when:    func(s rollout.State) bool { return s.Paused },
-		ends:    rollout.PhaseDone,
+		name:       "paused",
+		change:     "settings",
+		request:    rollout.RequestPause,
+		isReached:  func(s rollout.State) bool { return s.Paused },
+		finalPhase: rollout.PhaseDone,
 	},
 	{
-		name:   "withdrawing",
-		change: "settings",
-		missed: "all",
-		when:   inPhase(rollout.PhaseStageRollback, 0),
-		ends:   rollout.PhaseDone,
+		name:       "withdrawing",
+		change:     "settings",
+		missed:     "all",
+		isReached:  inPhase(rollout.PhaseStageRollback, 0),
+		finalPhase: rollout.PhaseDone,
 	},
 	{
-		name:   "waiting",
-		change: "settings",
-		missed: "all",
-		when:   inPhase(rollout.PhaseAwaitingRecovery, 0),
-		ends:   rollout.PhaseDone,
+		name:       "waiting",
+		change:     "settings",
+		missed:     "all",
+		isReached:  inPhase(rollout.PhaseAwaitingRecovery, 0),
+		finalPhase: rollout.PhaseDone,
 	},
-	{name: "finishing", change: "program", when: inPhase(rollout.PhaseFinishing, 1), ends: rollout.PhaseDone},
-	{name: "done", change: "program", when: inPhase(rollout.PhaseDone, 1), ends: rollout.PhaseDone},
+	{name: "finishing", change: "program", isReached: inPhase(rollout.PhaseFinishing, 1), finalPhase: rollout.PhaseDone},
+	{name: "done", change: "program", isReached: inPhase(rollout.PhaseDone, 1), finalPhase: rollout.PhaseDone},
 	{
-		name:   "going-back",
-		change: "program",
-		missed: "new",
-		when:   inPhase(rollout.PhaseRollback, 0),
-		ends:   rollout.PhaseReverted,
+		name:       "going-back",
+		change:     "program",
+		missed:     "new",
+		isReached:  inPhase(rollout.PhaseRollback, 0),
+		finalPhase: rollout.PhaseReverted,
 	},
 	{
-		name:   "stuck",
-		change: "program",
-		missed: "new",
-		stays:  "c2",
-		when:   inPhase(rollout.PhaseDegraded, 0),
-		ends:   rollout.PhaseReverted,
+		name:           "stuck",
+		change:         "program",
+		missed:         "new",
+		cannotRollBack: "c2",
+		isReached:      inPhase(rollout.PhaseDegraded, 0),
+		finalPhase:     rollout.PhaseReverted,
 	},
 	{
-		name:   "back",
-		change: "program",
-		missed: "new",
-		when:   inPhase(rollout.PhaseReverted, 0),
-		ends:   rollout.PhaseReverted,
+		name:       "back",
+		change:     "program",
+		missed:     "new",
+		isReached:  inPhase(rollout.PhaseReverted, 0),
+		finalPhase: rollout.PhaseReverted,
 	},
 	{
-		name:    "stopped",
-		change:  "settings",
-		request: rollout.RequestStop,
-		when:    inPhase(rollout.PhaseStopped, 0),
-		ends:    rollout.PhaseStopped,
+		name:       "stopped",
+		change:     "settings",
+		request:    rollout.RequestStop,
+		isReached:  inPhase(rollout.PhaseStopped, 0),
+		finalPhase: rollout.PhaseStopped,
 	},
 }
 
 const requestTimeout = 2 * time.Second
 
-func firstStates() map[string]*memberState {
+func initialStates() map[string]*memberState {
 	states := map[string]*memberState{}
 	for _, name := range []string{"c1", "c2", "c3"} {
 		want := change.Spec{
@@ -273,13 +280,13 @@
 	return states
 }
 
-// stepUntil has a coordinator step until its state is as wanted; at most for a while, as a fault would have it go on
-// for ever.
-func stepUntil(t *testing.T, c *coordinator.Coordinator, is func(rollout.State) bool) {
+// stepUntil steps a coordinator until a predicate holds for its state. It fails after a time limit, as a defect could
+// make it loop forever.
+func stepUntil(t *testing.T, c *coordinator.Coordinator, reached func(rollout.State) bool) {
 	t.Helper()
-	for stop := time.Now().Add(40 * time.Second); !is(c.State()); time.Sleep(5 * time.Millisecond) {
+	for stop := time.Now().Add(40 * time.Second); !reached(c.State()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatalf("it is still %+v", c.State())
+			t.Fatalf("the state is still %+v", c.State())
 		}
 		if err := c.Step(context.Background()); err != nil {
 			t.Fatal(err)
@@ -289,7 +296,7 @@
 
 func TestRecordFolders(t *testing.T) {
 	if !*record {
-		return // the fixtures stand as they are
+		return // fixtures are recorded only with -record
 	}
 	for _, s := range folderScenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -297,13 +304,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			states := firstStates()
+			states := initialStates()
 			to, err := ch.TargetSpec(states["c1"].Held.Spec)
 			if err != nil {
 				t.Fatal(err)
 			}
 			fakes := newFakeFleet(t, to.Digest(), states)
-			fakes.missed, fakes.stays = s.missed, s.stays
+			fakes.missed, fakes.cannotRollBack = s.missed, s.cannotRollBack
 			dir := t.TempDir()
 			folder, err := coordinator.OpenFolder(dir)
 			if err != nil {
@@ -325,7 +332,7 @@
 						t.Fatal(err)
 					}
 				}
-				stepUntil(t, c, s.when)
+				stepUntil(t, c, s.isReached)
 			}
 			out := filepath.Join("testdata", "folders", s.name)
 			if err := os.RemoveAll(out); err != nil {
@@ -348,7 +355,7 @@
 	}
 }
 
-// openFolder copies a fixture and gives a fleet that stands as it stood.
+// openFolder copies a fixture and returns it with a fake fleet in the recorded state.
 func openFolder(t *testing.T, name string) (dir string, before coordinator.Record, fakes *fakeFleet) {
 	t.Helper()
 	from := filepath.Join("testdata", "folders", name)
@@ -356,9 +363,9 @@
 	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
 		t.Fatal(err)
 	}
-	before, is, err := coordinator.UnlockedFolder(dir).Record()
-	if err != nil || !is {
-		t.Fatal(is, err)
+	before, found, err := coordinator.UnlockedFolder(dir).Record()
+	if err != nil || !found {
+		t.Fatal(found, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "members.json"))
 	if err != nil {
@@ -371,12 +378,12 @@
 	return dir, before, newFakeFleet(t, before.ToSpec.Digest(), states)
 }
 
-func TestFoldersOfTheProgramBeforeGoOn(t *testing.T) {
+func TestFoldersOfThePreviousReleaseAreContinued(t *testing.T) {
 	for _, s := range folderScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			dir, before, fakes := openFolder(t, s.name)
-			if !s.when(before.State) {
-				t.Errorf("recorded is %+v", before.State)
+			if !s.isReached(before.State) {
+				t.Errorf("the recorded state is %+v", before.State)
 			}
 			oldSteps, err := coordinator.UnlockedFolder(dir).History()
 			if err != nil {
@@ -405,15 +412,15 @@
 			wantFence := before.State.Fence
 			wantFence.Term++
 			if got := c.State().Fence; got != wantFence {
-				t.Errorf("it goes on as %v after %v", got, before.State.Fence)
+				t.Errorf("it continues with fence %v after %v", got, before.State.Fence)
 			}
-			if s.name == "stuck" { // it stays so until the controller is mended
-				fakes.set("new", "c2")
+			if s.name == "stuck" { // it stays degraded until the controller is repaired
+				fakes.setBehavior("new", "c2")
 				if err := c.Step(context.Background()); err != nil || c.State().Phase != rollout.PhaseDegraded ||
 					c.State().Drained["c2"] == "" {
 					t.Errorf("%+v %v", c.State(), err)
 				}
-				fakes.set("", "")
+				fakes.setBehavior("", "")
 			}
 			if before.State.Paused {
 				for range 30 {
@@ -428,26 +435,26 @@
 			}
 			stepUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
 			after, _, err := coordinator.UnlockedFolder(dir).Record()
-			if err != nil || after.State.Phase != s.ends {
+			if err != nil || after.State.Phase != s.finalPhase {
 				t.Fatalf("%+v %v", after.State, err)
 			}
 			checkNothingLost(t, before, after)
 			steps, err := coordinator.UnlockedFolder(dir).History()
 			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
-				t.Errorf("of the history is left %v, was %v: %v", steps, oldSteps, err)
+				t.Errorf("the history is %v, was %v: %v", steps, oldSteps, err)
 			}
 			points, err := coordinator.UnlockedFolder(dir).Samples()
 			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
-				t.Errorf("%d looks, were %d: %v", len(points), len(oldPoints), err)
+				t.Errorf("%d samples, were %d: %v", len(points), len(oldPoints), err)
 			}
 			if base, err := os.ReadFile(filepath.Join(dir, "base.json")); oldBase != nil &&
 				(err != nil || !bytes.Equal(base, oldBase)) {
-				t.Errorf("the base is another: %v", err)
+				t.Errorf("the baseline has changed: %v", err)
 			}
 			want := map[rollout.Phase]change.Digest{
 				rollout.PhaseDone:     before.ToSpec.Digest(),
 				rollout.PhaseReverted: before.FromSpec.Digest(),
-			}[s.ends]
+			}[s.finalPhase]
 			for name, st := range fakes.states {
 				if want != "" && st.Running != want {
 					t.Errorf("%s runs %s, not %s", name, st.Running, want)
@@ -455,14 +462,14 @@
 			}
 			for _, o := range fakes.orders {
 				if o.Format != change.Format || o.CoordinatorID != before.ID || o.Reason == "" {
-					t.Errorf("an order %+v", o)
+					t.Errorf("unexpected order %+v", o)
 				}
 			}
 		})
 	}
 }
 
-// unchanged tells what of a record was lost.
+// checkNothingLost checks that a record still contains everything that it contained before.
 func checkNothingLost(t *testing.T, before, after coordinator.Record) {
 	t.Helper()
 	was, is := before, after
@@ -471,7 +478,7 @@
 	}
 	if n := len(was.State.Verdicts); len(is.State.Verdicts) < n ||
 		!slices.Equal(is.State.Verdicts[:n], was.State.Verdicts) {
-		t.Errorf("of the verdicts is left %v, was %v", is.State.Verdicts, was.State.Verdicts)
+		t.Errorf("the verdicts are %v, were %v", is.State.Verdicts, was.State.Verdicts)
 	}
 	if was.State.Outcome != "" && is.State.Outcome != was.State.Outcome {
 		t.Errorf("the outcome is %q, was %q", is.State.Outcome, was.State.Outcome)
@@ -493,7 +500,7 @@
 	}
 }
 
-// agreedItems is a record that voters agree on, in memory.
+// replicatedItems is an implementation of coordinator.ReplicatedItems in memory.
 type replicatedItems struct {
 	items map[string][]byte
 	term  int64
@@ -511,8 +518,8 @@
 func (a *replicatedItems) Term() int64        { return a.term }
 func (a *replicatedItems) LeaderName() string { return "c3" }
 
-// What a leader before left among the agreed items goes on under the next one's term.
-func TestAgreedItemsOfTheProgramBeforeGoOn(t *testing.T) {
+// A change that an earlier leader recorded in the replicated items continues under the next leader's term.
+func TestReplicatedItemsOfThePreviousReleaseAreContinued(t *testing.T) {
 	dir, before, fakes := openFolder(t, "baking-later")
 	a := &replicatedItems{items: map[string][]byte{}, term: before.State.Fence.Term + 5}
 	for _, name := range []string{"change.json", "base.json"} {
@@ -542,7 +549,7 @@
 		t.Errorf("%d items", len(a.items))
 	}
 	if len(fakes.orders) == 0 {
-		t.Error("nothing was ordered")
+		t.Error("no order was sent")
 	}
 	for _, o := range fakes.orders {
 		if o.CoordinatorID != before.ID+"@c3" {
@@ -553,6 +560,6 @@
 	fleet := coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)
 	if _, err := coordinator.TakeOver(earlier, fleet); err == nil ||
 		err.Error() != fmt.Sprintf("the leader's term %d comes before the recorded term %d", a.term-1, a.term) {
-		t.Errorf("an earlier one: %v", err)
+		t.Errorf("take over with an earlier term: %v", err)
 	}
 }
--- a/internal/coordinator/fleet_client.go
+++ b/internal/coordinator/fleet_client.go
@@ -15,20 +15,21 @@
 	"swiftreel/internal/supervisor"
 )
 
-// Bounds of a FleetClient.
+// Limits of a FleetClient.
 const (
-	// maxExchanges is how many supervisors are spoken with at once.
+	// maxExchanges is the maximum number of concurrent exchanges.
 	maxExchanges = 64
-	// maxSuspectExchanges is how many of these may be with supervisors that did not answer last time: each may take until
-	// the time limit, and must not hold up those that answer.
+	// maxSuspectExchanges is the maximum number of concurrent exchanges with supervisors that did not reply last time:
+	// each may last until the request timeout, and must not delay exchanges with supervisors that reply.
 	maxSuspectExchanges = 8
 
-	maxIdleConnections    = 2 // by supervisor
+	maxIdleConnections    = 2 // per supervisor
 	idleConnectionTimeout = 30 * time.Second
 )
 
-// FleetClient polls the supervisors of a fleet and sends them orders and assignments, over HTTP. A supervisor that is
-// slow holds up nobody: it is waited for as long as the client's patience, and its reply counts for the next poll.
+// FleetClient polls the supervisors of a fleet and sends them orders and assignments, over HTTP. A slow supervisor does
+// not delay the others: a call waits for at most the client's maximum wait, and a late reply is returned by the next
+// poll.
 //
 // Poll, SendOrders and SendAssignments are for one goroutine; Answered may be called by any. Members and
 // IncludeEngines must not be changed while another method runs.
@@ -36,25 +37,25 @@
 	Members        []operator.Member
 	IncludeEngines bool // statuses are polled with the names of the engines that are ready
 
-	patience         time.Duration
+	maxWait          time.Duration
 	http             http.Client
-	exchanges        chan struct{} // a place for each exchange in progress
+	exchanges        chan struct{} // semaphore; one element for each exchange in progress
 	suspectExchanges chan struct{}
 	start            time.Time
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the following fields
 	random   *rand.Rand
 	peers    []peer // by the member's index
-	answered int    // members that answered the last poll
-	polled   bool   // a poll has ended
+	answered int    // members that replied to the last poll
+	polled   bool   // the first poll has ended
 }
 
 // peer is the state of the exchanges with one supervisor: at most one poll and one message are in progress.
 type peer struct {
 	backoff  backoff
 	busy     [exchangeKinds]bool
-	reply    *StatusReply // not returned by Poll yet
-	rejected error        // of the last message, not returned yet
+	reply    *StatusReply // the last reply, until Poll returns it
+	rejected error        // error of the last message, until it is returned
 }
 
 type exchangeKind int
@@ -65,17 +66,17 @@
 	exchangeKinds
 )
 
-// NewFleetClient returns a client for the supervisors of the members. requestTimeout is for one exchange; patience is
-// for all of a poll together, and no longer than the timeout.
-func NewFleetClient(members []operator.Member, requestTimeout, patience time.Duration) *FleetClient {
+// NewFleetClient returns a client for the supervisors of the members. requestTimeout limits a single exchange; maxWait
+// limits how long a call waits for all its exchanges, and is at most requestTimeout.
+func NewFleetClient(members []operator.Member, requestTimeout, maxWait time.Duration) *FleetClient {
 	seed := fnv.New64a()
 	for _, member := range members {
-		_, _ = seed.Write([]byte(member.Name)) // a hash takes every write
+		_, _ = seed.Write([]byte(member.Name)) // a hash never returns an error
 	}
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleConnectionTimeout}
 	return &FleetClient{
 		Members:          members,
-		patience:         min(requestTimeout, patience),
+		maxWait:          min(requestTimeout, maxWait),
 		http:             http.Client{Timeout: requestTimeout, Transport: transport},
 		exchanges:        make(chan struct{}, maxExchanges),
 		suspectExchanges: make(chan struct{}, maxSuspectExchanges),
@@ -85,16 +86,16 @@
 	}
 }
 
-// StatusReply is a supervisor's status, or why there is none.
+// StatusReply is a supervisor's status, or the error of the request.
 type StatusReply struct {
 	Status supervisor.Status
 	Err    error
 }
 
-// errNoReply is the Err of a supervisor that has not answered yet.
-var errNoReply = errors.New("no answer yet")
+// errNoReply is the Err of a supervisor that has not replied yet.
+var errNoReply = errors.New("no reply yet")
 
-// Poll asks all supervisors for their status. The replies are in the order of Members.
+// Poll requests the status of all supervisors. The replies are in the order of Members.
 func (c *FleetClient) Poll(ctx context.Context) []StatusReply {
 	everyone := func(int) bool { return true }
 	c.exchange(pollExchange, everyone, func(i int) {
@@ -135,7 +136,8 @@
 	return reply
 }
 
-// Answered returns how many of the members answered the last poll; 0 of 0 before the first has ended.
+// Answered returns how many of the members replied to the last poll, and the number of members. Both are 0 until the
+// first poll has ended.
 func (c *FleetClient) Answered() (answered, members int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,9 +147,9 @@
 	return c.answered, len(c.Members)
 }
 
-// SendOrders sends orders by the member's index. It returns the errors of those that are known to be refused or lost by
-// now, also from earlier calls. A member whose last message is still on its way is left out: the caller repeats what is
-// still wanted after the next poll.
+// SendOrders sends orders by the member's index. It returns the errors, by index, of orders that are known to be
+// refused or lost, including those of earlier calls. A member with a message still in progress is skipped: the caller
+// sends orders that are still needed again after the next poll.
 func (c *FleetClient) SendOrders(ctx context.Context, orders map[int]change.Order) map[int]error {
 	return send(ctx, c, orderPath, orders)
 }
@@ -186,28 +188,29 @@
 	return rejections
 }
 
-// exchange does something with each wanted member that is due and with which no exchange of the kind is in progress. It
-// returns once all have ended, or its patience has; those that have not go on, bounded by the request timeout.
+// exchange calls do for each wanted member whose backoff has elapsed and that has no exchange of the kind in progress.
+// It returns once all exchanges have ended, or after maxWait; unfinished ones continue, limited by the request timeout.
 func (c *FleetClient) exchange(kind exchangeKind, wanted func(int) bool, do func(int)) {
 	var running sync.WaitGroup
 	for i := range c.Members {
 		if !wanted(i) {
 			continue
 		}
-		claimed, suspect := c.claim(kind, i)
+		claimed, suspect := c.beginExchange(kind, i)
 		if !claimed {
 			continue
 		}
 		running.Go(func() {
-			defer c.release(kind, i)
-			c.limited(suspect, func() { do(i) })
+			defer c.endExchange(kind, i)
+			c.runWithinLimits(suspect, func() { do(i) })
 		})
 	}
 	c.waitFor(&running)
 }
 
-// claim reserves an exchange with a member; suspect is whether the member did not answer last time.
-func (c *FleetClient) claim(kind exchangeKind, i int) (claimed, suspect bool) {
+// beginExchange marks an exchange with a member as in progress, if one may begin now. suspect reports whether the
+// member did not reply to the last poll.
+func (c *FleetClient) beginExchange(kind exchangeKind, i int) (claimed, suspect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	peer := &c.peers[i]
@@ -218,14 +221,14 @@
 	return true, peer.backoff.failures > 0
 }
 
-func (c *FleetClient) release(kind exchangeKind, i int) {
+func (c *FleetClient) endExchange(kind exchangeKind, i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peers[i].busy[kind] = false
 }
 
-// limited runs an exchange once there is a place for it.
-func (c *FleetClient) limited(suspect bool, run func()) {
+// runWithinLimits runs an exchange once the limits of concurrent exchanges permit it.
+func (c *FleetClient) runWithinLimits(suspect bool, run func()) {
 	if suspect {
 		c.suspectExchanges <- struct{}{}
 		defer func() { <-c.suspectExchanges }()
@@ -235,7 +238,7 @@
 	run()
 }
 
-// waitFor waits for exchanges, at most for the client's patience.
+// waitFor waits for exchanges to end, for at most maxWait.
 func (c *FleetClient) waitFor(running *sync.WaitGroup) {
 	ended := make(chan struct{})
 	go func() {
@@ -244,9 +247,9 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(c.patience):
+	case <-time.After(c.maxWait):
 	}
 }
 
-// elapsed is the time since the client's start, in nanoseconds.
+// elapsed returns the time since the client's start, in nanoseconds.
 func (c *FleetClient) elapsed() int64 { return int64(time.Since(c.start)) }
--- a/internal/coordinator/history.go
+++ b/internal/coordinator/history.go
@@ -8,8 +8,8 @@
 	"os"
 )
 
-// maxHistoryBytes bounds how much of a file of lines is read: its end. A file that has passed it is begun anew, and
-// the one before is retained under previousSuffix.
+// maxHistoryBytes limits how much of the end of a JSON lines file is read. A file that exceeds it is rotated: it is
+// kept under previousSuffix, and a new file is started.
 const maxHistoryBytes = 16 << 20
 
 const previousSuffix = ".before"
@@ -22,20 +22,20 @@
 // Samples returns the polls of the last change, oldest first.
 func (s *RecordStore) Samples() ([]Sample, error) { return readLines[Sample](s.path(samplesFile)) }
 
-// discardSamples begins the file of samples anew, as a change begins.
+// discardSamples removes the samples of the previous change.
 func (s *RecordStore) discardSamples() {
 	if s.replicated != nil {
 		return
 	}
-	_ = os.Remove(s.path(samplesFile)) // samples are for people: those of another change do no harm
+	_ = os.Remove(s.path(samplesFile)) // samples are informational: leftovers do no harm
 }
 
 func (s *RecordStore) addTransition(transition Transition) { s.appendLine(historyFile, transition) }
 
 func (s *RecordStore) addSample(sample Sample) { s.appendLine(samplesFile, sample) }
 
-// appendLine appends to a file of a folder. Lines are for people; a line that cannot be written is lost and holds up
-// nothing.
+// appendLine appends a line to a file of a folder. Lines are informational: one that cannot be written is lost and does
+// not fail the rollout.
 func (s *RecordStore) appendLine(name string, value any) {
 	if s.replicated != nil {
 		return
@@ -50,23 +50,23 @@
 	}
 	path := s.path(name)
 	if info, err := os.Stat(path); err == nil && info.Size() > maxHistoryBytes {
-		_ = os.Rename(path, path+previousSuffix) // the line is appended all the same
+		_ = os.Rename(path, path+previousSuffix) // if it fails, the line is appended to the old file
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_RDWR, fileMode)
 	if err != nil {
 		return err
 	}
 	line := append(text, '\n')
-	if endsTorn(file) {
+	if endsMidLine(file) {
 		line = append([]byte{'\n'}, line...)
 	}
 	_, err = file.Write(line)
 	return errors.Join(err, file.Close())
 }
 
-// endsTorn reports whether the last line of a file was written in part: a full disk or a kill has cut it off, and what
-// is appended to it could not be read either.
-func endsTorn(file *os.File) bool {
+// endsMidLine reports whether the last line of a file is incomplete, as after a full disk or a kill. A line appended to
+// it directly could not be decoded either.
+func endsMidLine(file *os.File) bool {
 	info, err := file.Stat()
 	if err != nil || info.Size() == 0 {
 		return false
@@ -76,8 +76,8 @@
 	return err == nil && last[0] != '\n'
 }
 
-// readLines decodes the end of a file of lines. Lines that cannot be decoded, as a torn one, are left out; a file
-// that is missing has no lines.
+// readLines decodes the end of a JSON lines file. Lines that cannot be decoded, such as incomplete ones, are skipped; a
+// missing file has no lines.
 func readLines[T any](path string) ([]T, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A full disk, or a kill, leaves a line half written: only that one is lost, not what is appended after it.
+// A full disk or a kill can leave an incomplete line. Only this line may be lost, not the ones appended after it.
 func TestATornLineCostsNoOther(t *testing.T) {
 	store := UnlockedFolder(t.TempDir())
 	store.addTransition(Transition{Reason: "first"})
--- a/internal/coordinator/member_view.go
+++ b/internal/coordinator/member_view.go
@@ -9,15 +9,16 @@
 	"swiftreel/internal/supervisor"
 )
 
-// memberView is what is remembered of a controller from poll to poll. Times are in nanoseconds of the coordinator's own
-// clock, from 1.
+// memberView is the last known state of a controller. Times are in nanoseconds of the coordinator's own clock, starting
+// at 1.
 type memberView struct {
 	status      supervisor.Status
 	repliedAt   int64 // of the last reply; 0: none yet
-	targetSince int64 // when it was first seen on the new version; 0: it is not
+	targetSince int64 // when it was first seen on the new version; 0: it runs another one
 }
 
-// unreachable returns the member as it was last seen.
+// unreachable returns a member that did not reply to the poll, in its last known state. It counts as reachable until
+// UnreachableAfterMS after its last reply.
 func (v *memberView) unreachable(name string, timing change.Timing, now int64) rollout.Member {
 	sinceReply := now - v.repliedAt
 	reachable := v.repliedAt != 0 && sinceReply < timing.UnreachableAfterMS*int64(time.Millisecond)
@@ -31,7 +32,7 @@
 	}
 }
 
-// update takes a reply in. It returns the member, and its counts since the reply before.
+// update stores a reply. It returns the member and its counts since the previous reply.
 func (v *memberView) update(name string, status supervisor.Status, target change.Digest, timing change.Timing,
 	now int64) (rollout.Member, canary.Sample) {
 	counts := v.countsSince(status)
@@ -54,8 +55,8 @@
 	}, counts
 }
 
-// countsSince returns the counts between the reply before and this one. A controller that has started in between counts
-// from zero.
+// countsSince returns the counts between the previous reply and this one. The counters of a controller that was
+// restarted in between started from zero.
 func (v *memberView) countsSince(status supervisor.Status) canary.Sample {
 	counts := canary.Sample{
 		Member:         status.Name,
@@ -67,7 +68,7 @@
 		return counts
 	}
 	previous := v.status
-	counts.Crashes = increase(status.Crashes, previous.Crashes) // counted by the supervisor, over starts
+	counts.Crashes = increase(status.Crashes, previous.Crashes) // by the supervisor, across restarts
 	if previous.StartedUnixNS != status.StartedUnixNS {
 		previous = supervisor.Status{}
 	}
@@ -81,5 +82,5 @@
 	return counts
 }
 
-// increase returns by how much a counter grew, or 0 where it was reset.
+// increase returns by how much a counter grew, or 0 if it was reset.
 func increase(now, before uint64) uint64 { return now - min(now, before) }
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -20,42 +20,43 @@
 	"swiftreel/internal/testcluster"
 )
 
-// leaderStatus is what a voter reports of the election; nothing where it does not answer.
-func leaderStatus(t *testing.T, w *testcluster.Cluster, m *testcluster.Member) leader.Status {
+// leaderStatus returns a voter's election status, or the zero value if it does not reply.
+func leaderStatus(t *testing.T, cluster *testcluster.Cluster, m *testcluster.Member) leader.Status {
 	t.Helper()
 	var status leader.Status
-	if err := w.GetJSON(m, "/v1/owner", &status); err != nil {
+	if err := cluster.GetJSON(m, "/v1/owner", &status); err != nil {
 		return leader.Status{}
 	}
 	return status
 }
 
-// runCommand runs a command as an operator does.
-func runCommand(t *testing.T, w *testcluster.Cluster, args ...string) string {
+// runCommand runs an operator's command and returns its output.
+func runCommand(t *testing.T, cluster *testcluster.Cluster, args ...string) string {
 	t.Helper()
-	text, err := w.Command(currentProgram, args...)
+	text, err := cluster.Command(currentProgram, args...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
-// An owner is stopped in the midst of a change: another takes it over where it stood; the one that wakes up finds
-// that it owns no more, and nothing that it does then is taken.
-func TestALeaderThatWakesUpLateDoesNoHarm(t *testing.T) {
+// A leader is suspended during a change: another leader continues the change from its recorded state. When the first
+// one is resumed it notices that its term has ended, and its orders are refused. Voters that lose their state are
+// replaced or recovered afterwards.
+func TestALeaderThatIsResumedLateDoesNoHarm(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Start()
+	cluster, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
-	runCommand(t, w, "fleet", "bootstrap")
-	acts := func(but *testcluster.Member) (m *testcluster.Member) {
+	t.Cleanup(cluster.Close)
+	load := cluster.StartLoad(1, 1, 10*time.Millisecond, false)
+	runCommand(t, cluster, "fleet", "bootstrap")
+	waitForLeader := func(except *testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
-		waitUntil(t, w, "somebody owns", func() bool {
-			for _, x := range w.Members {
-				if x != but && leaderStatus(t, w, x).Active {
+		waitUntil(t, cluster, "there is a leader", func() bool {
+			for _, x := range cluster.Members {
+				if x != except && leaderStatus(t, cluster, x).Active {
 					m = x
 					return true
 				}
@@ -64,25 +65,25 @@
 		})
 		return m
 	}
-	first := acts(nil)
-	reign := leaderStatus(t, w, first).Term
+	first := waitForLeader(nil)
+	term := leaderStatus(t, cluster, first).Term
 	runCommand(
 		t,
-		w,
+		cluster,
 		"rollout",
 		"start",
 		"--replicated",
-		writeFile(t, w, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)),
+		writeFile(t, cluster, "change.json", strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":2000`, 1)),
 	)
 	state := func(m *testcluster.Member) (r coordinator.Record) {
-		if err := w.GetJSON(m, "/v1/owner/item?name=change.json", &r); err != nil {
-			return coordinator.Record{} // there is none yet, or the member does not answer
+		if err := cluster.GetJSON(m, "/v1/owner/item?name=change.json", &r); err != nil {
+			return coordinator.Record{} // no change is recorded yet, or the member does not reply
 		}
 		return r
 	}
-	waitUntil(t, w, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.PhaseBaking })
+	waitUntil(t, cluster, "the first stage bakes", func() bool { return state(first).State.Phase == rollout.PhaseBaking })
 	t.Cleanup(func() {
-		for _, m := range w.Members {
+		for _, m := range cluster.Members {
 			for line := range strings.Lines(m.Supervisor.Log()) {
 				if t.Failed() &&
 					(strings.Contains(line, "leader_") || strings.Contains(line, "rollout_") || strings.Contains(line, "order_")) {
@@ -92,103 +93,106 @@
 		}
 	})
 	first.Supervisor.Signal(syscall.SIGSTOP)
-	second := acts(first)
-	if r := leaderStatus(t, w, second).Term; r <= reign {
-		t.Errorf("reign %d after %d", r, reign)
+	second := waitForLeader(first)
+	if r := leaderStatus(t, cluster, second).Term; r <= term {
+		t.Errorf("term %d after %d", r, term)
 	}
 	waitUntil(
 		t,
-		w,
-		"it is taken over where it stood",
-		func() bool { // the stage may hold the one that sleeps: then it waits for that
+		cluster,
+		"the second leader continues the change",
+		func() bool { // if the suspended member is in the stage, the stage waits for it
 			s := state(second).State
-			return s.Fence.Term > int64(reign) &&
+			return s.Fence.Term > int64(term) &&
 				(s.Phase == rollout.PhaseBaking || s.Stage > 0 || s.Phase.IsTerminal())
 		},
 	)
 	first.Supervisor.Signal(syscall.SIGCONT)
-	waitUntil(t, w, "the one that slept says once that it owns no more", func() bool {
-		return strings.Count(first.Supervisor.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(reign))) == 1
+	waitUntil(t, cluster, "the resumed leader logs once that its term has ended", func() bool {
+		return strings.Count(first.Supervisor.Log(), "msg=leader_term_ended term="+fmt.Sprint(int64(term))) == 1
 	})
-	waitUntil(t, w, "the change is through", func() bool { return state(acts(nil)).State.Phase == rollout.PhaseDone })
-	to := state(acts(nil)).ToSpec.Digest()
-	waitUntil(t, w, "all run it", func() bool {
+	waitUntil(t, cluster, "the change is done", func() bool {
+		return state(waitForLeader(nil)).State.Phase == rollout.PhaseDone
+	})
+	to := state(waitForLeader(nil)).ToSpec.Digest()
+	waitUntil(t, cluster, "all run it", func() bool {
 		return everyStatus(
 			t,
-			w,
-			func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(reign) },
+			cluster,
+			func(s supervisor.Status) bool { return s.RunningSpec == to && s.Fence.Term > int64(term) },
 		)
 	})
-	if text := runCommand(t, w, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
+	if text := runCommand(t, cluster, "rollout", "status", "--agreed"); !strings.Contains(text, "done") {
 		t.Error(text)
 	}
 
-	// A voter loses its memory: it is of no fleet until it is taken in under a new number.
-	lost := acts(nil)
-	number := leaderStatus(t, w, lost).ID
-	l.Stop() // a keeper's death takes its controller with it
+	// A voter loses its state: it belongs to no fleet until it is replaced by a voter with a new ID.
+	lost := waitForLeader(nil)
+	voterID := leaderStatus(t, cluster, lost).ID
+	load.Stop() // the controller ends with its supervisor
 	lost.Supervisor.Kill()
-	if err := os.Remove(filepath.Join(w.Dir, lost.Name, "owner.db")); err != nil {
+	if err := os.Remove(filepath.Join(cluster.Dir, lost.Name, "owner.db")); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.StartSupervisor(lost); err != nil {
+	if err := cluster.StartSupervisor(lost); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is back", func() bool {
-		s, err := w.Status(lost)
+	waitUntil(t, cluster, "its controller serves again", func() bool {
+		s, err := cluster.Status(lost)
 		return err == nil && s.Serving
 	})
-	if v := leaderStatus(t, w, lost); v.ID != 0 {
-		t.Errorf("it came back as %d", v.ID)
+	if v := leaderStatus(t, cluster, lost); v.ID != 0 {
+		t.Errorf("it has voter ID %d without its state", v.ID)
 	}
-	acts(lost)
-	runCommand(t, w, "fleet", "replace-voter", lost.Name)
-	if v := leaderStatus(t, w, lost); v.ID == 0 || v.ID == number || len(v.Voters) != 3 {
-		t.Errorf("%+v after %d", v, number)
+	waitForLeader(lost)
+	runCommand(t, cluster, "fleet", "replace-voter", lost.Name)
+	if v := leaderStatus(t, cluster, lost); v.ID == 0 || v.ID == voterID || len(v.Voters) != 3 {
+		t.Errorf("%+v after %d", v, voterID)
 	}
-	runCommand(t, w, "fleet", "step-down")
-	acts(nil)
+	runCommand(t, cluster, "fleet", "step-down")
+	waitForLeader(nil)
 
-	// A majority loses its memory: nobody owns until an operator says with whose memory to begin anew.
-	kept := w.Members[0]
-	reign = leaderStatus(t, w, acts(nil)).Term
-	for _, m := range w.Members[1:] {
+	// A majority loses its state: there is no leader until an operator recovers the fleet from a remaining voter.
+	survivor := cluster.Members[0]
+	term = leaderStatus(t, cluster, waitForLeader(nil)).Term
+	for _, m := range cluster.Members[1:] {
 		m.Supervisor.Kill()
-		if err := os.Remove(filepath.Join(w.Dir, m.Name, "owner.db")); err != nil {
+		if err := os.Remove(filepath.Join(cluster.Dir, m.Name, "owner.db")); err != nil {
 			t.Fatal(err)
 		}
-		if err := w.StartSupervisor(m); err != nil {
+		if err := cluster.StartSupervisor(m); err != nil {
 			t.Fatal(err)
 		}
-		waitUntil(t, w, "it is back", func() bool {
-			s, err := w.Status(m)
+		waitUntil(t, cluster, "its controller serves again", func() bool {
+			s, err := cluster.Status(m)
 			return err == nil && s.Serving
 		})
 	}
-	waitUntil(t, w, "nobody owns", func() bool { return !leaderStatus(t, w, kept).Active })
-	c := exec.Command(currentProgram, "fleet", "recover", kept.Name)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
-	if text, err := c.CombinedOutput(); err == nil ||
+	waitUntil(t, cluster, "there is no leader", func() bool { return !leaderStatus(t, cluster, survivor).Active })
+	command := exec.Command(currentProgram, "fleet", "recover", survivor.Name)
+	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+cluster.OperatorFile)
+	if text, err := command.CombinedOutput(); err == nil ||
 		!strings.Contains(string(text), "--the-others-lost-their-memory") {
-		t.Errorf("it recovers unasked: %s", text)
+		t.Errorf("it recovers without confirmation: %s", text)
 	}
-	runCommand(t, w, "fleet", "recover", "--the-others-lost-their-memory", kept.Name)
-	if m := acts(nil); leaderStatus(t, w, m).Term <= reign || state(m).State.Phase != rollout.PhaseDone {
-		t.Errorf("reign %d after %d, %+v", leaderStatus(t, w, m).Term, reign, state(m).State)
+	runCommand(t, cluster, "fleet", "recover", "--the-others-lost-their-memory", survivor.Name)
+	if m := waitForLeader(nil); leaderStatus(t, cluster, m).Term <= term || state(m).State.Phase != rollout.PhaseDone {
+		t.Errorf("term %d after %d, %+v", leaderStatus(t, cluster, m).Term, term, state(m).State)
 	}
-	if err := w.Stop(); err != nil {
+	if err := cluster.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		t.Error(v)
 	}
 }
 
-// The owner tells each controller what it carries and hands out a plan. It is lost, and the next one goes on, never
-// with more than the whole out; with no owner each goes on to the end of its part and plan, and then as without one.
+// The leader assigns shares and a plan to the controllers. After its loss the next leader continues, and the shares
+// never add up to more than the whole. Without a leader the controllers keep their shares and plan until these expire,
+// and then serve as without a leader.
 func TestSharesAndPlansOutliveTheirLeaderToTheirEnds(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{
+	cluster, err := testcluster.Config{
 		Program:            currentProgram,
 		Seed:               6,
 		Controllers:        4,
@@ -202,23 +206,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	l := w.StartLoad(1, 3, 10*time.Millisecond, true)
-	runCommand(t, w, "fleet", "bootstrap")
-	told := w.Members[:3] // the fourth one's keeper is of the format before: it takes no words
-	watch := w.WatchShares(50 * time.Millisecond)
-	statuses := func(of []*testcluster.Member) (list []supervisor.Status) {
-		for _, m := range of {
-			if s, err := w.Status(m); err == nil {
+	t.Cleanup(cluster.Close)
+	load := cluster.StartLoad(1, 3, 10*time.Millisecond, true)
+	runCommand(t, cluster, "fleet", "bootstrap")
+	assigned := cluster.Members[:3] // the fourth supervisor writes the previous format and accepts no assignments
+	watch := cluster.WatchShares(50 * time.Millisecond)
+	statuses := func(members []*testcluster.Member) (list []supervisor.Status) {
+		for _, m := range members {
+			if s, err := cluster.Status(m); err == nil {
 				list = append(list, s)
 			}
 		}
 		return list
 	}
-	settled := func(of []*testcluster.Member, reign int64) bool {
-		list := statuses(of)
+	settled := func(members []*testcluster.Member, term int64) bool {
+		list := statuses(members)
 		for _, s := range list {
-			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= reign ||
+			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= term ||
 				s.Assignment.Plan == "" ||
 				s.Assignment.Shares[quota.Fleet] == 0 ||
 				near < -1 ||
@@ -226,72 +230,73 @@
 				return false
 			}
 		}
-		return len(list) == len(of)
+		return len(list) == len(members)
 	}
-	waitUntil(t, w, "all go by their parts and a plan", func() bool {
-		list := statuses(told)
-		return settled(told, 0) &&
-			2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has double the clients
+	waitUntil(t, cluster, "all follow their shares and a plan", func() bool {
+		list := statuses(assigned)
+		return settled(assigned, 0) &&
+			2*list[0].SharePerMillion > 3*list[2].SharePerMillion // the first has twice as many clients
 	})
-	for _, m := range told {
-		waitUntil(t, w, "its controller follows it", func() bool {
+	for _, m := range assigned {
+		waitUntil(t, cluster, "its controller follows the plan", func() bool {
 			return strings.Contains(m.Supervisor.Log(), "msg=plan_taken")
 		})
 	}
 	var first *testcluster.Member
-	for _, m := range told {
-		if leaderStatus(t, w, m).Active {
+	for _, m := range assigned {
+		if leaderStatus(t, cluster, m).Active {
 			first = m
 		}
 	}
 	if first == nil {
-		t.Fatal("nobody owns any more")
+		t.Fatal("there is no leader any more")
 	}
-	reign := int64(leaderStatus(t, w, first).Term)
+	term := int64(leaderStatus(t, cluster, first).Term)
 	first.Supervisor.Signal(syscall.SIGSTOP)
-	others := slices.DeleteFunc(slices.Clone(told), func(m *testcluster.Member) bool { return m == first })
-	waitUntil(t, w, "the next owner goes on", func() bool { return settled(others, reign) })
+	others := slices.DeleteFunc(slices.Clone(assigned), func(m *testcluster.Member) bool { return m == first })
+	waitUntil(t, cluster, "the next leader continues", func() bool { return settled(others, term) })
 	first.Supervisor.Signal(syscall.SIGCONT)
-	waitUntil(t, w, "all go by it", func() bool { return settled(told, reign) })
+	waitUntil(t, cluster, "all follow the next leader", func() bool { return settled(assigned, term) })
 	if err := watch.Stop(); err != nil {
 		t.Error(err)
 	}
-	guess, err := w.Status(w.Members[3])
-	if err != nil || guess.SharePerMillion == 0 || guess.Assignment.Term != 0 {
-		t.Errorf("the one of the format before: %+v %v", guess.Assignment, err)
+	fourth, err := cluster.Status(cluster.Members[3])
+	if err != nil || fourth.SharePerMillion == 0 || fourth.Assignment.Term != 0 {
+		t.Errorf("the member with the previous format: %+v %v", fourth.Assignment, err)
 	}
 
-	// No owner: two of three keepers are stopped. Their controllers serve on, and end their plans by themselves.
-	for _, m := range told[1:] {
+	// Two of three voters are suspended, so there is no leader. Their controllers continue to serve, and end their
+	// plans themselves.
+	for _, m := range assigned[1:] {
 		m.Supervisor.Signal(syscall.SIGSTOP)
 	}
-	waitUntil(t, w, "part and plan end", func() bool {
-		s, err := w.Status(told[0])
+	waitUntil(t, cluster, "share and plan expire", func() bool {
+		s, err := cluster.Status(assigned[0])
 		return err == nil && s.Assignment.Plan == "" && len(s.Assignment.Shares) == 0
 	})
-	waitUntil(t, w, "its controller guesses again", func() bool {
-		s, err := w.Status(told[0])
+	waitUntil(t, cluster, "its controller estimates its share again", func() bool {
+		s, err := cluster.Status(assigned[0])
 		return err == nil && s.SharePerMillion >= quota.FullShare/4
 	})
-	done := l.Done.Load()
-	waitUntil(t, w, "jobs are served all the while", func() bool { return l.Done.Load() > done+50 })
-	for _, m := range told[1:] {
+	done := load.Done.Load()
+	waitUntil(t, cluster, "jobs are still served", func() bool { return load.Done.Load() > done+50 })
+	for _, m := range assigned[1:] {
 		m.Supervisor.Signal(syscall.SIGCONT)
 	}
-	for _, m := range told[1:] {
-		waitUntil(t, w, "its plan ended while its keeper slept", func() bool {
+	for _, m := range assigned[1:] {
+		waitUntil(t, cluster, "its plan ended while its supervisor was suspended", func() bool {
 			return strings.Contains(m.Supervisor.Log(), "msg=plan_ended")
 		})
 	}
-	stopAndCheckRules(t, w, l)
+	stopAndCheckRules(t, cluster, load)
 }
 
-// An owner whose controller stands still hands over in order; one whose disk is full falls silent, and the next is
-// told to lead at once. A voter that is gone for good is forgotten.
+// A leader whose controller hangs hands over in an orderly way. A leader whose disk is full halts, and another takes
+// over at once. A voter that is lost permanently can be removed.
 func TestALeaderThatIsUnfitHandsOver(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{
-		Program:       steeredProgram,
+	cluster, err := testcluster.Config{
+		Program:       faultProgram,
 		Seed:          8,
 		Controllers:   3,
 		Engines:       2,
@@ -301,13 +306,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	runCommand(t, w, "fleet", "bootstrap")
-	acts := func(but ...*testcluster.Member) (m *testcluster.Member) {
+	t.Cleanup(cluster.Close)
+	runCommand(t, cluster, "fleet", "bootstrap")
+	waitForLeader := func(except ...*testcluster.Member) (m *testcluster.Member) {
 		t.Helper()
-		waitUntil(t, w, "somebody owns", func() bool {
-			for _, x := range w.Members {
-				if !slices.Contains(but, x) && leaderStatus(t, w, x).Active {
+		waitUntil(t, cluster, "there is a leader", func() bool {
+			for _, x := range cluster.Members {
+				if !slices.Contains(except, x) && leaderStatus(t, cluster, x).Active {
 					m = x
 					return true
 				}
@@ -316,75 +321,77 @@
 		})
 		return m
 	}
-	first := acts()
-	c := exec.Command(currentProgram, "fleet", "found") // another fleet's operator, by mistake
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
-	if text, err := c.CombinedOutput(); err == nil || !strings.Contains(string(text), "is a member already") {
-		t.Errorf("a fleet is founded twice: %s", text)
+	first := waitForLeader()
+	command := exec.Command(currentProgram, "fleet", "found") // by mistake, on a fleet that exists already
+	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+cluster.OperatorFile)
+	if text, err := command.CombinedOutput(); err == nil || !strings.Contains(string(text), "is a member already") {
+		t.Errorf("a fleet is bootstrapped twice: %s", text)
 	}
-	s, err := w.Status(first)
+	s, err := cluster.Status(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	signalProcess(t, s.PID, syscall.SIGSTOP)
-	second := acts(first)
+	second := waitForLeader(first)
 	signalProcess(t, s.PID, syscall.SIGCONT)
-	l := w.StartLoad(1, 1, 10*time.Millisecond, false) // not before: what stands still answers late
+	load := cluster.StartLoad(1, 1, 10*time.Millisecond, false) // not earlier: a suspended controller answers late
 	if text := first.Supervisor.Log(); !strings.Contains(text, "msg=leader_handover") ||
 		!strings.Contains(text, `reason="its controller does not serve"`) {
 		t.Errorf("%s", text)
 	}
-	if err := w.SetDisk(second.Name, "full"); err != nil {
+	if err := cluster.SetDisk(second.Name, "full"); err != nil {
 		t.Fatal(err)
 	}
-	c = exec.Command(
+	command = exec.Command(
 		currentProgram,
 		"rollout",
 		"start",
 		"--agreed",
-		writeFile(t, w, "change.json", settingsChange(1)),
+		writeFile(t, cluster, "change.json", settingsChange(1)),
 	)
-	c.Env = append(os.Environ(), "ROUTER_OPERATOR="+w.OperatorFile)
-	_ = c.Run() // the change may be begun by the next leader, or not at all
-	third := acts(second)
-	waitUntil(t, w, "it says why", func() bool {
+	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+cluster.OperatorFile)
+	_ = command.Run() // the change may be begun by the next leader, or not at all
+	third := waitForLeader(second)
+	waitUntil(t, cluster, "the reason is logged", func() bool {
 		return strings.Contains(second.Supervisor.Log(), "msg=leader_member_halted")
 	})
-	if text := runCommand(t, w, "fleet", "leader"); !strings.Contains(text, "no space left") {
+	if text := runCommand(t, cluster, "fleet", "leader"); !strings.Contains(text, "no space left") {
 		t.Error(text)
 	}
-	if err := w.SetDisk(second.Name, ""); err != nil {
+	if err := cluster.SetDisk(second.Name, ""); err != nil {
 		t.Fatal(err)
 	}
-	l.Stop() // a keeper's death takes its controller with it
+	load.Stop() // the controller ends with its supervisor
 	second.Supervisor.Kill()
-	if err := w.StartSupervisor(second); err != nil {
+	if err := cluster.StartSupervisor(second); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it is back with its memory", func() bool { return leaderStatus(t, w, second).RaftLeader != "" })
-	acts()
-	gone := w.Members[0]
-	for _, m := range w.Members {
-		if m != third && m != acts() {
+	waitUntil(t, cluster, "it is back with its state", func() bool {
+		return leaderStatus(t, cluster, second).RaftLeader != ""
+	})
+	waitForLeader()
+	gone := cluster.Members[0]
+	for _, m := range cluster.Members {
+		if m != third && m != waitForLeader() {
 			gone = m
 		}
 	}
 	gone.Supervisor.Kill()
-	runCommand(t, w, "fleet", "remove-voter", gone.Name)
-	if v := leaderStatus(t, w, acts(gone)); len(v.Voters) != 2 || slices.Contains(v.Voters, gone.Name) {
+	runCommand(t, cluster, "fleet", "remove-voter", gone.Name)
+	if v := leaderStatus(t, cluster, waitForLeader(gone)); len(v.Voters) != 2 || slices.Contains(v.Voters, gone.Name) {
 		t.Errorf("%+v", v)
 	}
-	if err := w.StartSupervisor(gone); err != nil {
+	if err := cluster.StartSupervisor(gone); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "its controller is back", func() bool {
-		s, err := w.Status(gone)
+	waitUntil(t, cluster, "its controller is back", func() bool {
+		s, err := cluster.Status(gone)
 		return err == nil && s.Serving
 	})
-	if err := w.Stop(); err != nil {
+	if err := cluster.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		t.Error(v)
 	}
 }
--- a/internal/coordinator/process_plan_test.go
+++ b/internal/coordinator/process_plan_test.go
@@ -23,28 +23,28 @@
 "tenants":[{"name":"acme"}],"zones":[{"name":"east"}],"must":{},
 "demand":[{"type":"lookup","tenant":"acme","zone":"east","jobs_per_1000s":30000}]}`
 
-// A plan goes through a fleet as settings do, and a change after it takes it along; one with a lower number is refused.
+// A plan is rolled out like settings, and later changes keep it; a change with a lower number is refused.
 func TestAPlanGoesThroughAFleet(t *testing.T) {
 	t.Parallel()
-	w, l := newCluster(t, 2)
-	folder := filepath.Join(w.Dir, "record")
+	cluster, load := newCluster(t, 2)
+	folder := filepath.Join(cluster.Dir, "record")
 	runCommand(
 		t,
-		w,
+		cluster,
 		"solve",
-		writeFile(t, w, "problem.json", planningProblem),
+		writeFile(t, cluster, "problem.json", planningProblem),
 		"--out",
-		filepath.Join(w.Dir, "plan.json"),
+		filepath.Join(cluster.Dir, "plan.json"),
 		"--time",
 		"20s",
 	)
 	coordinated := func(file, text string) (string, error) {
-		p, err := w.StartCoordinator(currentProgram, folder, "start", writeFile(t, w, file, text))
+		process, err := cluster.StartCoordinator(currentProgram, folder, "start", writeFile(t, cluster, file, text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = p.WaitExit()
-		return p.Log(), err
+		err = process.WaitExit()
+		return process.Log(), err
 	}
 	planChange := fmt.Sprintf(`{"number":2,"kind":"plan","to":{"plan":"plan.json"},%s}`, timingAndLimits)
 	if text, err := coordinated("change.json", planChange); err != nil {
@@ -53,14 +53,14 @@
 	if text, err := coordinated("next.json", settingsChange(3)); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool {
+	if !everyStatus(t, cluster, func(s supervisor.Status) bool {
 		return len(s.Spec.Plan) > 0 && len(s.Spec.Topology) > 0 && s.RunningSpec == s.Spec.Digest() &&
 			s.Fence.Number == 3
 	}) {
 		t.Error("not all run both")
 	}
-	for _, m := range w.Members {
-		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 { // the same plan once more is no new one
+	for _, m := range cluster.Members {
+		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 { // a change that keeps the plan does not apply it again
 			t.Errorf("%s: %s", m.Name, m.Supervisor.Log())
 		}
 	}
@@ -68,10 +68,10 @@
 		!strings.Contains(text, "has taken order") {
 		t.Errorf("an earlier number: %v: %s", err, text)
 	}
-	stopAndCheckRules(t, w, l)
+	stopAndCheckRules(t, cluster, load)
 }
 
-// A plan that the operator's file gives an end ends while a change is under way; the change goes through all the same.
+// A plan from the operator's file expires during a change; the change completes nevertheless.
 func TestAPlanEndsInTheMidstOfAChange(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -84,7 +84,7 @@
 		t.Fatalf("%v: %s", err, text)
 	}
 	ends := monotonic.Now() + int64(6*time.Second)
-	w, err := testcluster.Config{
+	cluster, err := testcluster.Config{
 		Program:        currentProgram,
 		Seed:           9,
 		Controllers:    2,
@@ -94,27 +94,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
-	folder := filepath.Join(w.Dir, "record")
-	p := startRollout(t, w, currentProgram, folder,
+	t.Cleanup(cluster.Close)
+	load := cluster.StartLoad(1, 1, 10*time.Millisecond, false)
+	folder := filepath.Join(cluster.Dir, "record")
+	process := startRollout(t, cluster, currentProgram, folder,
 		strings.Replace(settingsChange(1), `"bake_ms":300`, `"bake_ms":4000`, 1))
-	waitUntil(t, w, "the first stage", func() bool {
-		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	waitUntil(t, cluster, "the first stage bakes", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
 	if monotonic.Now() > ends {
-		t.Log("the machine is slow: it ended before the first stage")
+		t.Log("the machine is slow: the plan ended before the first stage")
 	}
-	if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
-		t.Fatalf("%v: %s", err, p.Log())
+	if err := process.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+		t.Fatalf("%v: %s", err, process.Log())
 	}
-	for _, m := range w.Members {
-		waitUntil(t, w, "its plan has ended", func() bool {
+	for _, m := range cluster.Members {
+		waitUntil(t, cluster, "its plan has ended", func() bool {
 			return strings.Count(m.Supervisor.Log(), "msg=plan_ended") == 1
 		})
 		if strings.Count(m.Supervisor.Log(), "msg=plan_taken") != 1 {
 			t.Errorf("%s", m.Supervisor.Log())
 		}
 	}
-	stopAndCheckRules(t, w, l)
+	stopAndCheckRules(t, cluster, load)
 }
--- a/internal/coordinator/process_setup_test.go
+++ b/internal/coordinator/process_setup_test.go
@@ -19,13 +19,13 @@
 	"swiftreel/internal/testcluster"
 )
 
-// Real processes: controllers with supervisors, coordinators, and what goes wrong between them. Nothing is decided by
-// how long something took, but by what is seen.
+// The process_*_test.go files run real processes: controllers with supervisors, and coordinators, with faults between
+// them. Tests wait for observed states and do not depend on durations.
 
-var currentProgram, crashingProgram, otherProgram, steeredProgram, previousProgram string
+var currentProgram, crashingProgram, otherProgram, faultProgram, previousProgram string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "conduct")
+	dir, err := os.MkdirTemp("", "coordinator")
 	if err != nil {
 		panic(err)
 	}
@@ -39,7 +39,7 @@
 		dir,
 		"other",
 	)
-	steeredProgram, previousProgram = filepath.Join(
+	faultProgram, previousProgram = filepath.Join(
 		dir,
 		"steered",
 		"swiftreel",
@@ -73,7 +73,7 @@
 	)
 	for _, of := range []string{"swiftreel", fleet} {
 		build(
-			filepath.Join(filepath.Dir(steeredProgram), of),
+			filepath.Join(filepath.Dir(faultProgram), of),
 			of,
 			"-tags",
 			"fault",
@@ -92,13 +92,13 @@
 	os.Exit(code)
 }
 
-// Exit codes of swiftreel rollout, as operators' scripts know them.
+// Exit codes of swiftreel rollout, on which operators' scripts depend.
 const (
 	exitRolledBack = 4
 	exitFenced     = 6
 )
 
-// exitCode is that of a process that ended with an error, or -1.
+// exitCode returns the exit code of a process from the error of its end, or -1.
 func exitCode(err error) int {
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
@@ -120,31 +120,31 @@
 
 func newCluster(t *testing.T, n int) (*testcluster.Cluster, *testcluster.Load) {
 	t.Helper()
-	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: n, Engines: 2}.Start()
+	cluster, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: n, Engines: 2}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	return w, w.StartLoad(1, 1, 10*time.Millisecond, false)
+	t.Cleanup(cluster.Close)
+	return cluster, cluster.StartLoad(1, 1, 10*time.Millisecond, false)
 }
 
-func writeFile(t *testing.T, w *testcluster.Cluster, name, text string) string {
+func writeFile(t *testing.T, cluster *testcluster.Cluster, name, text string) string {
 	t.Helper()
-	path := filepath.Join(w.Dir, name)
+	path := filepath.Join(cluster.Dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// startRollout writes a change and starts a coordinator for it.
-func startRollout(t *testing.T, w *testcluster.Cluster, program, folder, change string) *testcluster.Process {
+// startRollout writes a change file and starts a coordinator for it.
+func startRollout(t *testing.T, cluster *testcluster.Cluster, program, folder, change string) *testcluster.Process {
 	t.Helper()
-	p, err := w.StartCoordinator(program, folder, "start", writeFile(t, w, "change.json", change))
+	process, err := cluster.StartCoordinator(program, folder, "start", writeFile(t, cluster, "change.json", change))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p
+	return process
 }
 
 func settingsChange(number int) string {
@@ -156,9 +156,9 @@
 	)
 }
 
-func waitUntil(t *testing.T, w *testcluster.Cluster, what string, is func() bool) {
+func waitUntil(t *testing.T, cluster *testcluster.Cluster, what string, condition func() bool) {
 	t.Helper()
-	if err := w.WaitUntil(40*time.Second, is); err != nil {
+	if err := cluster.WaitUntil(40*time.Second, condition); err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 }
@@ -168,25 +168,25 @@
 	return r.State
 }
 
-// finish holds all logs against the rules.
-func stopAndCheckRules(t *testing.T, w *testcluster.Cluster, l *testcluster.Load) {
+// stopAndCheckRules stops the load and the cluster, and checks the recorded events against the rules.
+func stopAndCheckRules(t *testing.T, cluster *testcluster.Cluster, load *testcluster.Load) {
 	t.Helper()
-	l.Stop()
-	if err := w.Stop(); err != nil {
+	load.Stop()
+	if err := cluster.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		t.Error(v)
 	}
-	if l.Done.Load() == 0 {
+	if load.Done.Load() == 0 {
 		t.Error("no job was done")
 	}
 }
 
-func everyStatus(t *testing.T, w *testcluster.Cluster, is func(supervisor.Status) bool) bool {
+func everyStatus(t *testing.T, cluster *testcluster.Cluster, condition func(supervisor.Status) bool) bool {
 	t.Helper()
-	for _, m := range w.Members {
-		if s, err := w.Status(m); err != nil || !is(s) {
+	for _, m := range cluster.Members {
+		if s, err := cluster.Status(m); err != nil || !condition(s) {
 			return false
 		}
 	}
--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -16,19 +16,19 @@
 	"swiftreel/internal/testcluster"
 )
 
-// A key whose job still runs under the older process of a controller goes on under the newer one only once that is
-// over.
+// While a job of a key still runs under the draining process of a controller, the new process does not start a further
+// job of that key.
 func TestAKeyWaitsForThePredecessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 1, Engines: 1}.Start()
+	cluster, err := testcluster.Config{Program: currentProgram, Seed: 1, Controllers: 1, Engines: 1}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	m := w.Members[0]
-	w.Faults.SetWorkDuration(6 * time.Second) // longer than a controller has to end that is not supervised
+	t.Cleanup(cluster.Close)
+	m := cluster.Members[0]
+	cluster.Faults.SetWorkDuration(6 * time.Second) // longer than the time that an unsupervised controller has to stop
 	began := func(job string) (n int) {
-		for _, e := range w.Events.Entries() {
+		for _, e := range cluster.Events.Entries() {
 			if e.Job == job && e.Event == rulecheck.Began {
 				n++
 			}
@@ -36,7 +36,7 @@
 		return n
 	}
 	ready := func() (c *fake.Client) {
-		waitUntil(t, w, "a process that is ready", func() bool {
+		waitUntil(t, cluster, "a process that is ready", func() bool {
 			c, err = fake.Dial(m.ClientAddress)
 			if err != nil {
 				return false
@@ -46,8 +46,8 @@
 		})
 		return c
 	}
-	ask := func(c *fake.Client, job string) {
-		w.Events.Add(
+	sendJob := func(c *fake.Client, job string) {
+		cluster.Events.Add(
 			rulecheck.Entry{
 				Event:      rulecheck.Accepted,
 				Job:        job,
@@ -68,47 +68,47 @@
 		if err != nil || a.Error != "" {
 			t.Errorf("%s: %+v %v", job, a, err)
 		}
-		w.Events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
+		cluster.Events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: job, Answer: rulecheck.Done})
 	}
 	first, second := "0000000000000001", "0000000000000002"
 	a := ready()
-	ask(a, first)
-	waitUntil(t, w, "the first begins", func() bool { return began(first) == 1 })
-	was, err := w.Status(m)
+	sendJob(a, first)
+	waitUntil(t, cluster, "the first begins", func() bool { return began(first) == 1 })
+	was, err := cluster.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sendOrder(t, m, was, otherProgram)
-	waitUntil(t, w, "the other program serves", func() bool {
-		s, err := w.Status(m)
+	waitUntil(t, cluster, "the other program serves", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && s.Version == "other" && s.Serving && len(s.DrainingPIDs) == 1
 	})
 	if !strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2") {
-		t.Error("the newer one is not taught")
+		t.Error("the new process has not received the predecessor's state")
 	}
-	w.Faults.SetWorkDuration(4 * time.Millisecond)
+	cluster.Faults.SetWorkDuration(4 * time.Millisecond)
 	b := ready()
-	ask(b, second)
+	sendJob(b, second)
 	answer(a, first)
 	answer(b, second)
-	waitUntil(t, w, "the older one has ended", func() bool {
-		s, err := w.Status(m)
+	waitUntil(t, cluster, "the old process has ended", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && len(s.DrainingPIDs) == 0
 	})
 	a.Conn.Close()
 	b.Conn.Close()
-	if err := w.Stop(); err != nil {
+	if err := cluster.Stop(); err != nil {
 		t.Error(err)
 	}
 	if began(second) != 1 {
 		t.Errorf("the second began %d times", began(second))
 	}
-	for _, v := range rulecheck.Check(testcluster.Rules, w.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.Rules, cluster.Events.Entries()) {
 		t.Error(v)
 	}
 }
 
-// sendOrder has a supervisor run another program, past any coordinator.
+// sendOrder orders a supervisor to run another program, without a coordinator.
 func sendOrder(t *testing.T, m *testcluster.Member, was supervisor.Status, path string) {
 	t.Helper()
 	want := was.Spec
@@ -129,38 +129,39 @@
 	}
 }
 
-// An engine just started while an older and a newer process of one controller live: together they keep rule 4.
+// An engine restarts while the old and the new process of a controller both run: together they keep rule 4, which
+// limits the work on an engine that warms up.
 func TestAStartingEngineIsSparedByBothProcesses(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{
+	cluster, err := testcluster.Config{
 		Program: currentProgram, Seed: 10, Controllers: 1, Engines: 2, EnginesWarmUp: true,
 	}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	w.Faults.SetWorkDuration(120 * time.Millisecond)
-	l := w.StartLoad(10, 60, 10*time.Millisecond, false)
-	m := w.Members[0]
-	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 200 })
-	s, err := w.Status(m)
+	t.Cleanup(cluster.Close)
+	cluster.Faults.SetWorkDuration(120 * time.Millisecond)
+	load := cluster.StartLoad(10, 60, 10*time.Millisecond, false)
+	m := cluster.Members[0]
+	waitUntil(t, cluster, "jobs are done", func() bool { return load.Done.Load() > 200 })
+	s, err := cluster.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.ListRestarted("e2")
+	cluster.ListRestarted("e2")
 	sendOrder(t, m, s, otherProgram)
-	waitUntil(t, w, "both live", func() bool {
-		s, err := w.Status(m)
+	waitUntil(t, cluster, "both processes run", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && s.Version == "other" && len(s.DrainingPIDs) == 1
 	})
-	w.ListRestarted("e2") // once more, while they do
-	waitUntil(t, w, "the older one has ended", func() bool {
-		s, err := w.Status(m)
+	cluster.ListRestarted("e2") // again, while both run
+	waitUntil(t, cluster, "the old process has ended", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && len(s.DrainingPIDs) == 0
 	})
-	cold := func() (n int) {
+	coldJobs := func() (n int) {
 		started := int64(0)
-		for _, e := range w.Events.Entries() {
+		for _, e := range cluster.Events.Entries() {
 			if e.Event == rulecheck.Listed && e.Engine == "e2" {
 				started = e.Started
 			}
@@ -171,65 +172,67 @@
 		}
 		return n
 	}
-	was := cold()
-	waitUntil(t, w, "the cold engine is given work by the newer one", func() bool { return cold() > was+5 })
-	l.Stop()
-	if err := w.Stop(); err != nil {
+	was := coldJobs()
+	waitUntil(t, cluster, "the new process sends work to the engine that warms up", func() bool {
+		return coldJobs() > was+5
+	})
+	load.Stop()
+	if err := cluster.Stop(); err != nil {
 		t.Error(err)
 	}
-	for _, v := range rulecheck.Check(testcluster.WarmUpRules(), w.Events.Entries()) {
+	for _, v := range rulecheck.Check(testcluster.WarmUpRules(), cluster.Events.Entries()) {
 		t.Error(v)
 	}
 	tight := testcluster.WarmUpRules()
 	tight.WarmUpWorkPerCore /= 100
 	if !slices.ContainsFunc(
-		rulecheck.Check(tight, w.Events.Entries()),
+		rulecheck.Check(tight, cluster.Events.Entries()),
 		func(v rulecheck.Violation) bool { return v.Rule == 4 },
 	) {
-		t.Error("so little was sent to it that nothing is shown")
+		t.Error("too little work was sent to the engine for the check to be meaningful")
 	}
 }
 
-// What the older process has learned of engines goes over: one that it set aside is aside for the newer one from its
-// start.
+// The state of engines is transferred between processes: an engine that the old process has ejected is ejected for the
+// new process from its start.
 func TestAnEjectedEngineIsEjectedForTheSuccessor(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{Program: currentProgram, Seed: 11, Controllers: 1, Engines: 3}.Start()
+	cluster, err := testcluster.Config{Program: currentProgram, Seed: 11, Controllers: 1, Engines: 3}.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	l := w.StartLoad(11, 10, 10*time.Millisecond, false)
-	m := w.Members[0]
-	w.Faults.SetFailing("e2", true)
+	t.Cleanup(cluster.Close)
+	load := cluster.StartLoad(11, 10, 10*time.Millisecond, false)
+	m := cluster.Members[0]
+	cluster.Faults.SetFailing("e2", true)
 	var was supervisor.Status
-	waitUntil(t, w, "it is set aside", func() bool {
-		was, err = w.Status(m)
+	waitUntil(t, cluster, "the engine is ejected", func() bool {
+		was, err = cluster.Status(m)
 		return err == nil && was.EjectedEngines == 1
 	})
 	broken := func() (n int) {
-		for _, e := range w.Events.Entries() {
+		for _, e := range cluster.Events.Entries() {
 			if e.Event == rulecheck.Began && e.Engine == "e2" {
 				n++
 			}
 		}
 		return n
 	}
-	l.Stop() // no job of the older one's is to count below
+	load.Stop() // so that no job of the old process counts below
 	sendOrder(t, m, was, otherProgram)
-	waitUntil(t, w, "the newer one serves", func() bool {
-		s, err := w.Status(m)
+	waitUntil(t, cluster, "the new process serves", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && s.Version == "other" && s.Serving
 	})
-	if s, err := w.Status(m); err != nil || s.EjectedEngines != 1 ||
+	if s, err := cluster.Status(m); err != nil || s.EjectedEngines != 1 ||
 		!strings.Contains(m.Supervisor.Log(), "msg=state_restored types=2 engines=3") {
-		t.Errorf("%d aside, %v: %s", s.EjectedEngines, err, m.Supervisor.Log())
+		t.Errorf("%d ejected, %v: %s", s.EjectedEngines, err, m.Supervisor.Log())
 	}
 	before := broken()
-	l = w.StartLoad(12, 10, 10*time.Millisecond, false)
-	waitUntil(t, w, "jobs are done", func() bool { return l.Done.Load() > 100 })
+	load = cluster.StartLoad(12, 10, 10*time.Millisecond, false)
+	waitUntil(t, cluster, "jobs are done", func() bool { return load.Done.Load() > 100 })
 	if n := broken() - before; n > 0 {
-		t.Errorf("%d jobs were sent to it", n)
+		t.Errorf("%d jobs were sent to the ejected engine", n)
 	}
-	stopAndCheckRules(t, w, l)
+	stopAndCheckRules(t, cluster, load)
 }
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -21,64 +21,65 @@
 
 func TestSettingsReachAllThoughACoordinatorDiesAndAnotherSleeps(t *testing.T) {
 	t.Parallel()
-	w, l := newCluster(t, 3)
-	folder, copied := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "copied")
-	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
-	waitUntil(t, w, "a first stage", func() bool {
-		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	cluster, load := newCluster(t, 3)
+	folder, copied := filepath.Join(cluster.Dir, "record"), filepath.Join(cluster.Dir, "copied")
+	process := startRollout(t, cluster, currentProgram, folder, settingsChange(1))
+	waitUntil(t, cluster, "a first stage", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
-	p.Signal(syscall.SIGSTOP) // it will wake up when all is over
+	process.Signal(syscall.SIGSTOP) // resumed after the change is done
 	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
-	second, err := w.StartCoordinator(currentProgram, folder, "resume", "--coordinate")
+	second, err := cluster.StartCoordinator(currentProgram, folder, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if second.WaitExit() == nil || !strings.Contains(second.Log(), "another process coordinates") {
-		t.Errorf("two conduct in one folder: %s", second.Log())
+		t.Errorf("two processes coordinate in one folder: %s", second.Log())
 	}
-	third, err := w.StartCoordinator(currentProgram, copied, "resume", "--coordinate")
+	third, err := cluster.StartCoordinator(currentProgram, copied, "resume", "--coordinate")
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "a later stage", func() bool { return recordedState(copied).Stage > 0 || third.Exited() })
-	third.Kill() // and is followed by one more
-	fourth, err := w.StartCoordinator(currentProgram, copied, "resume", "--conduct")
+	waitUntil(t, cluster, "a later stage", func() bool { return recordedState(copied).Stage > 0 || third.Exited() })
+	third.Kill() // another one takes over
+	fourth, err := cluster.StartCoordinator(currentProgram, copied, "resume", "--conduct")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := fourth.WaitExit(); err != nil || recordedState(copied).Phase != rollout.PhaseDone {
 		t.Fatalf("%v, %+v: %s", err, recordedState(copied), fourth.Log())
 	}
-	p.Signal(syscall.SIGCONT)
-	err = p.WaitExit()
-	if exitCode(err) != exitFenced || !strings.Contains(p.Log(), "rollout_fenced") {
-		t.Errorf("the one that slept: %v: %s", err, p.Log())
+	process.Signal(syscall.SIGCONT)
+	err = process.WaitExit()
+	if exitCode(err) != exitFenced || !strings.Contains(process.Log(), "rollout_fenced") {
+		t.Errorf("the resumed coordinator: %v: %s", err, process.Log())
 	}
-	if !everyStatus(t, w, func(s supervisor.Status) bool {
+	if !everyStatus(t, cluster, func(s supervisor.Status) bool {
 		return strings.Contains(string(s.Spec.Topology), `"budget_free":1`) && s.RunningSpec == s.Spec.Digest() &&
 			s.Crashes == 0
 	}) {
 		t.Error("not all run it")
 	}
-	broken := l.Broken.Load()
-	if stopAndCheckRules(t, w, l); broken != 0 {
+	broken := load.Broken.Load()
+	if stopAndCheckRules(t, cluster, load); broken != 0 {
 		t.Errorf("%d connections broke", broken)
 	}
 }
 
-// An order that was held up on the way comes after later ones, one by one and twice, also past a restart of the keeper.
+// A delayed order that arrives after later ones is refused, and a repeated order has no effect; both also after a
+// restart of the supervisor.
 func TestLateOrdersChangeNothingPastARestartOfTheSupervisor(t *testing.T) {
 	t.Parallel()
-	w, l := newCluster(t, 3)
-	folder := filepath.Join(w.Dir, "record")
-	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
-	if err := p.WaitExit(); err != nil {
-		t.Fatalf("%v: %s", err, p.Log())
-	}
-	m := w.Members[1]
-	before, err := w.Status(m)
+	cluster, load := newCluster(t, 3)
+	folder := filepath.Join(cluster.Dir, "record")
+	process := startRollout(t, cluster, currentProgram, folder, settingsChange(1))
+	if err := process.WaitExit(); err != nil {
+		t.Fatalf("%v: %s", err, process.Log())
+	}
+	m := cluster.Members[1]
+	before, err := cluster.Status(m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +97,7 @@
 	r, _, _ := coordinator.UnlockedFolder(folder).Record()
 	late := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	late.Fence.Revision--
-	try := func() {
+	resendOldOrders := func() {
 		t.Helper()
 		if code, text := send(late); code != http.StatusConflict || !strings.Contains(text, "comes after") {
 			t.Errorf("%d %s", code, text)
@@ -104,30 +105,30 @@
 		same := late
 		same.Fence, same.Spec = before.Fence, before.Spec
 		if code, text := send(same); code != http.StatusNoContent {
-			t.Errorf("an order once more: %d %s", code, text)
+			t.Errorf("a repeated order: %d %s", code, text)
 		}
 	}
-	try()
+	resendOldOrders()
 	forAnother := change.Order{Format: change.Format, CoordinatorID: "x", Member: "c9", Spec: r.FromSpec}
 	forAnother.Fence = change.Fence{Number: 9, Term: 1, Revision: 1}
 	if code, text := send(forAnother); code != http.StatusConflict || !strings.Contains(text, "c9") {
-		t.Errorf("an order for another: %d %s", code, text)
+		t.Errorf("an order for another member: %d %s", code, text)
 	}
-	l.Stop() // the keeper's death takes its controller with it
+	load.Stop() // the controller ends with its supervisor
 	m.Supervisor.Kill()
-	if err := w.StartSupervisor(m); err != nil {
+	if err := cluster.StartSupervisor(m); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, w, "it serves again", func() bool {
-		s, err := w.Status(m)
+	waitUntil(t, cluster, "it serves again", func() bool {
+		s, err := cluster.Status(m)
 		return err == nil && s.Serving
 	})
-	if s, err := w.Status(m); err != nil || s.Fence != before.Fence || s.RunningSpec != before.RunningSpec {
-		t.Errorf("after a restart it holds %+v %v", s.Fence, err)
+	if s, err := cluster.Status(m); err != nil || s.Fence != before.Fence || s.RunningSpec != before.RunningSpec {
+		t.Errorf("the fence after a restart is %+v %v", s.Fence, err)
 	}
-	try()
-	// A keeper that cannot record takes nothing.
-	if err := os.RemoveAll(filepath.Join(w.Dir, m.Name)); err != nil {
+	resendOldOrders()
+	// A supervisor that cannot record an order does not accept it.
+	if err := os.RemoveAll(filepath.Join(cluster.Dir, m.Name)); err != nil {
 		t.Fatal(err)
 	}
 	next := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
@@ -135,16 +136,16 @@
 	if code, text := send(next); code != http.StatusInsufficientStorage {
 		t.Errorf("%d %s", code, text)
 	}
-	if s, err := w.Status(m); err != nil || s.Fence != before.Fence {
-		t.Errorf("it counts what it could not record: %+v %v", s.Fence, err)
+	if s, err := cluster.Status(m); err != nil || s.Fence != before.Fence {
+		t.Errorf("it accepted an order that it could not record: %+v %v", s.Fence, err)
 	}
 }
 
-// A keeper of the format before takes orders of a newer conductor, and newer keepers those of a conductor of the
-// format before.
+// A supervisor of the previous format accepts orders of a newer coordinator, and newer supervisors accept those of a
+// coordinator of the previous format.
 func TestOldAndNewFormatsSideBySide(t *testing.T) {
 	t.Parallel()
-	w, err := testcluster.Config{
+	cluster, err := testcluster.Config{
 		Program:            currentProgram,
 		Seed:               4,
 		Controllers:        3,
@@ -154,48 +155,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(w.Close)
-	l := w.StartLoad(1, 1, 10*time.Millisecond, false)
+	t.Cleanup(cluster.Close)
+	load := cluster.StartLoad(1, 1, 10*time.Millisecond, false)
 	for i, of := range []string{currentProgram, previousProgram} {
-		folder := filepath.Join(w.Dir, fmt.Sprint("record", i))
-		p := startRollout(t, w, of, folder, settingsChange(i+1))
-		if err := p.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
-			t.Fatalf("%v: %s", err, p.Log())
+		folder := filepath.Join(cluster.Dir, fmt.Sprint("record", i))
+		process := startRollout(t, cluster, of, folder, settingsChange(i+1))
+		if err := process.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
+			t.Fatalf("%v: %s", err, process.Log())
 		}
-		if !everyStatus(t, w, func(s supervisor.Status) bool {
+		if !everyStatus(t, cluster, func(s supervisor.Status) bool {
 			return s.Fence.Number == int64(i)+1 && (s.Format == 1) == (s.Name == "c1")
 		}) {
-			t.Error("not all took it")
+			t.Error("not all accepted the order")
 		}
-		if newer := w.Members[1].Supervisor.Log(); strings.Contains(newer, `drain=false reason="stage`) != true ||
-			strings.Contains(p.Log(), "order_not_taken") {
+		if newer := cluster.Members[1].Supervisor.Log(); strings.Contains(newer, `drain=false reason="stage`) != true ||
+			strings.Contains(process.Log(), "order_not_taken") {
 			t.Errorf("%s", newer)
 		}
 	}
-	stopAndCheckRules(t, w, l)
+	stopAndCheckRules(t, cluster, load)
 }
 
-func TestAnotherFleetsMemberIsNotTaken(t *testing.T) {
+func TestASecondCoordinatorCannotBeginAChange(t *testing.T) {
 	t.Parallel()
-	w, l := newCluster(t, 2)
-	folder, other := filepath.Join(w.Dir, "record"), filepath.Join(w.Dir, "other")
-	p := startRollout(t, w, currentProgram, folder, settingsChange(1))
-	waitUntil(t, w, "it is under way", func() bool {
-		return recordedState(folder).Phase == rollout.PhaseBaking || p.Exited()
+	cluster, l := newCluster(t, 2)
+	folder, other := filepath.Join(cluster.Dir, "record"), filepath.Join(cluster.Dir, "other")
+	process := startRollout(t, cluster, currentProgram, folder, settingsChange(1))
+	waitUntil(t, cluster, "the first stage bakes", func() bool {
+		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
-	q, err := w.StartCoordinator(currentProgram, other, "start", writeFile(t, w, "same.json", settingsChange(1)))
+	second, err := cluster.StartCoordinator(currentProgram, other, "start",
+		writeFile(t, cluster, "same.json", settingsChange(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q.WaitExit() == nil || !strings.Contains(q.Log(), "has taken order") && !strings.Contains(q.Log(), "holds spec") {
-		t.Errorf("a second conductor began: %s", q.Log())
+	if second.WaitExit() == nil || !strings.Contains(second.Log(), "has taken order") &&
+		!strings.Contains(second.Log(), "holds spec") {
+		t.Errorf("a second coordinator began: %s", second.Log())
 	}
-	if err := p.WaitExit(); err != nil {
-		t.Fatalf("%v: %s", err, p.Log())
+	if err := process.WaitExit(); err != nil {
+		t.Fatalf("%v: %s", err, process.Log())
 	}
 	l.Stop()
-	if l, err := net.Listen("tcp4", w.Members[0].SupervisorAddress); err == nil {
+	if l, err := net.Listen("tcp4", cluster.Members[0].SupervisorAddress); err == nil {
 		l.Close()
-		t.Error("its keeper is gone")
+		t.Error("the supervisor does not run any more")
 	}
 }
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -9,7 +9,7 @@
 	"swiftreel/internal/rollout"
 )
 
-// Record is everything of a change that outlives its coordinator.
+// Record is the state of a change that is stored and survives its coordinator.
 type Record struct {
 	ID            string        `json:"by"` // identifies this record to supervisors
 	Change        change.Change `json:"change"`
@@ -20,9 +20,9 @@
 	LastRequestID string        `json:"asked"` // the last operator's request that was carried out
 }
 
-// Transition is a line of the history of all changes.
+// Transition is an entry of the history of all changes.
 type Transition struct {
-	Time    time.Time     `json:"at"` // wall clock of the coordinator's machine, for people
+	Time    time.Time     `json:"at"` // wall clock of the coordinator's machine; informational
 	Number  int64         `json:"number"`
 	Phase   rollout.Phase `json:"phase"`
 	Stage   int           `json:"stage"`
@@ -31,18 +31,18 @@
 	Outcome string        `json:"outcome,omitempty"`
 }
 
-// Sample is what one poll showed of both versions, for people.
+// Sample summarizes one poll by version, for reports.
 type Sample struct {
 	Time   time.Time     `json:"at"` // wall clock of the coordinator's machine
 	Number int64         `json:"number"`
 	Phase  rollout.Phase `json:"phase"`
 	Stage  int           `json:"stage"`
-	Odds   float64       `json:"odds"` // evidence of harm, against 1
+	Odds   float64       `json:"odds"` // e-value of the verdict: evidence of a regression; about 1 without any
 	Old    VersionSample `json:"old"`
 	New    VersionSample `json:"new"`
 }
 
-// VersionSample is one version's part of a Sample: counts of jobs since the poll before.
+// VersionSample is one version's part of a Sample: counts of jobs since the previous poll.
 type VersionSample struct {
 	Jobs      uint64 `json:"jobs"`
 	Missed    uint64 `json:"missed"` // not done within the SLA time
@@ -63,8 +63,8 @@
 	}
 }
 
-// OperatorRequest is what an operator asks of whoever coordinates the change. Its ID tells a new request from one
-// that was carried out already.
+// OperatorRequest is an operator's request to the coordinator of the change. Its ID distinguishes a new request from
+// one that was carried out already.
 type OperatorRequest struct {
 	ID      string          `json:"id"`
 	Request rollout.Request `json:"ask"`
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -18,49 +18,48 @@
 	"swiftreel/internal/rollout"
 )
 
-// Names of what is stored: files of a folder, or items of a replicated log.
+// Names of the stored values: files of a folder, or items of a replicated log.
 const (
 	recordFile   = "change.json"   // Record
 	baselineFile = "base.json"     // canary.Baseline
 	requestFile  = "ask.json"      // OperatorRequest
-	historyFile  = "history.jsonl" // Transition by line; of a folder only
-	samplesFile  = "looks.jsonl"   // Sample by line; of a folder only
+	historyFile  = "history.jsonl" // a Transition per line; in folders only
+	samplesFile  = "looks.jsonl"   // a Sample per line; in folders only
 	lockFile     = "lock"
 )
 
-// Permissions of what is stored: it names machines and programs, which concern the operator's account only.
+// Permissions of folders and files: these name machines and programs, so only the operator's account may read them.
 const (
 	folderMode = 0o700
 	fileMode   = 0o600
 )
 
-// ReplicatedItems is the state that the fleet's voters agree on, under one term of a leader. It is stored by more
-// than one machine, and written to under that term only. Its methods may be called by several goroutines.
+// ReplicatedItems is the state that is replicated between the fleet's voters, under one term of a leader. It can be
+// written only in that term. Its methods may be called concurrently.
 type ReplicatedItems interface {
 	Read(name string) (value []byte, found bool)
 	Write(name string, value []byte) error
-	// IsLeader reports whether this process leads under the term now. It is asked before each act.
+	// IsLeader reports whether this process is the leader of the term now. It is called before orders are sent.
 	IsLeader() bool
-	// Term is the leader's term, which orders carry.
+	// Term returns the leader's term, which is part of the fence of orders.
 	Term() int64
-	// LeaderName is the name of this process among the voters.
+	// LeaderName returns the name of this process among the voters.
 	LeaderName() string
 }
 
-// RecordStore holds a fleet's changes: the one in progress, the baseline that it is compared with, the history of
-// all. It is either a folder or the items that voters agree on; of the latter, transitions and samples stand in the
-// leader's log only. It has no lock of its own: one goroutine writes, and files are replaced atomically for those
-// that read.
+// RecordStore stores a fleet's changes: the one in progress with its baseline, and the history of all. It is either a
+// folder or a set of replicated items; with the latter, transitions appear in the leader's log only, and samples are
+// not kept. It has no mutex: only one goroutine may write, and files are replaced atomically for concurrent readers.
 type RecordStore struct {
 	folder     string
 	lock       *os.File // nil unless opened by OpenFolder
 	replicated ReplicatedItems
 }
 
-// ErrLocked is returned by OpenFolder while another process has the folder.
+// ErrLocked is returned by OpenFolder while another process has locked the folder.
 var ErrLocked = errors.New("another process coordinates a change in this folder")
 
-// OpenFolder locks a folder, which it creates if it is missing, until Close or the end of the process.
+// OpenFolder creates a folder if it is missing, and locks it until Close or the end of the process.
 func OpenFolder(path string) (*RecordStore, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
@@ -78,21 +77,23 @@
 	return store, nil
 }
 
-// UnlockedFolder is a folder to read from and to leave requests in, while another process may coordinate there.
+// UnlockedFolder returns a store that does not lock its folder, for reading and for submitting requests while another
+// process may coordinate a change there.
 func UnlockedFolder(path string) *RecordStore { return &RecordStore{folder: path} }
 
-// Replicated is a store of the items that voters agree on.
+// Replicated returns a store of replicated items.
 func Replicated(items ReplicatedItems) *RecordStore {
-	return &RecordStore{folder: "agreed", replicated: items} // the folder's name is for errors only
+	return &RecordStore{folder: "agreed", replicated: items} // the name of the folder is used in error texts only
 }
 
 // Close unlocks a folder that OpenFolder opened.
-func (s *RecordStore) Close() { _ = s.lock.Close() } // only the lock ends with it: nothing is written to the file
+func (s *RecordStore) Close() { _ = s.lock.Close() } // nothing is written to the lock file: an error would lose nothing
 
-// mayAct reports whether orders may be sent. A folder belongs to its process for as long as that holds the lock.
-func (s *RecordStore) mayAct() bool { return s.replicated == nil || s.replicated.IsLeader() }
+// maySendOrders reports whether this process may send orders: it holds the folder's lock, or is the leader.
+func (s *RecordStore) maySendOrders() bool { return s.replicated == nil || s.replicated.IsLeader() }
 
-// coordinatorID identifies who sends orders for a record: supervisors refuse a second one under the same term.
+// coordinatorID returns the identifier of the sender of a record's orders. Supervisors refuse a second sender with the
+// same term.
 func (s *RecordStore) coordinatorID(recordID string) string {
 	if s.replicated == nil {
 		return recordID
@@ -100,13 +101,13 @@
 	return recordID + "@" + s.replicated.LeaderName()
 }
 
-// nextTerm returns the term of a coordinator that takes over after one with the last term.
+// nextTerm returns the term of a coordinator that takes over from one with the given term.
 func (s *RecordStore) nextTerm(last int64) (int64, error) {
 	if s.replicated == nil {
 		return last + 1, nil
 	}
 	term := s.replicated.Term()
-	if term < last { // an equal one is this process's own: it has coordinated before and ended that
+	if term < last { // an equal term is this process's own, from an earlier coordinator
 		return 0, fmt.Errorf("the leader's term %d comes before the recorded term %d", term, last)
 	}
 	return term, nil
@@ -114,7 +115,7 @@
 
 func (s *RecordStore) path(name string) string { return filepath.Join(s.folder, name) }
 
-// write replaces what is stored under a name, durably and atomically.
+// write replaces the value stored under a name, durably and atomically.
 func (s *RecordStore) write(name string, value any) error {
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
@@ -129,7 +130,7 @@
 	return renameio.WriteFile(s.path(name), text, fileMode)
 }
 
-// read decodes what is stored under a name; found is false where there is nothing.
+// read decodes the value stored under a name; found is false if there is none.
 func (s *RecordStore) read(name string, into any) (found bool, err error) {
 	text, err := s.readText(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -144,7 +145,7 @@
 	return true, nil
 }
 
-// readText returns an error that wraps fs.ErrNotExist where nothing is stored under the name.
+// readText returns the text stored under a name, or an error that wraps fs.ErrNotExist if there is none.
 func (s *RecordStore) readText(name string) ([]byte, error) {
 	if s.replicated == nil {
 		return os.ReadFile(s.path(name))
@@ -156,7 +157,7 @@
 	return text, nil
 }
 
-// Record returns the change in progress, or the last one; found is false where no change was begun yet.
+// Record returns the record of the change in progress, or of the last one; found is false if no change was begun yet.
 func (s *RecordStore) Record() (record Record, found bool, err error) {
 	found, err = s.read(recordFile, &record)
 	return record, found, err
@@ -169,22 +170,22 @@
 	return baseline, err
 }
 
-// Submit leaves an operator's request for the coordinator. It replaces one that was not carried out yet.
+// Submit stores an operator's request for the coordinator. It replaces a request that was not carried out yet.
 func (s *RecordStore) Submit(request rollout.Request) error {
 	return s.write(requestFile, OperatorRequest{ID: newID(), Request: request})
 }
 
-// PendingRequest returns the request left last, whether or not it was carried out. One that cannot be read asks for
-// nothing.
+// PendingRequest returns the last request submitted, whether or not it was carried out. A request that cannot be read
+// is ignored.
 func (s *RecordStore) PendingRequest() OperatorRequest {
 	var request OperatorRequest
-	_, _ = s.read(requestFile, &request) // see above
+	_, _ = s.read(requestFile, &request) // ignored, see above
 	return request
 }
 
 const idBytes = 8
 
-// newID returns an identifier that no other record or request has.
+// newID returns a random identifier for a record or request.
 func newID() string {
 	id := make([]byte, idBytes)
 	_, _ = rand.Read(id) // it never fails: see crypto/rand
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -12,10 +12,10 @@
 	"swiftreel/internal/canary"
 )
 
-// Files as the program before wrote them, see fixtures_test.go: what is read of them and written again is the same to
+// The tests read files that the previous release wrote, see fixtures_test.go: written again they must be identical to
 // the byte.
 
-// storedFolders are the fixtures, each a folder of its own.
+// storedFolders returns the fixture folders.
 func storedFolders(t *testing.T) []string {
 	t.Helper()
 	list, err := filepath.Glob("testdata/folders/*")
@@ -25,7 +25,7 @@
 	return list
 }
 
-func sameFile(t *testing.T, want, got string) {
+func checkSameFile(t *testing.T, want, got string) {
 	t.Helper()
 	a, err := os.ReadFile(want)
 	if err != nil {
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(a, b) {
-		t.Errorf("%s is written as\n%s\nwas\n%s", want, b, a)
+		t.Errorf("%s is written as\n%s\ninstead of\n%s", want, b, a)
 	}
 	info, err := os.Stat(got)
 	if err != nil || info.Mode().Perm() != 0o600 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// strictly reads a file that must hold nothing but what the value knows.
-func strictly(t *testing.T, path string, into any) bool {
+// readStrictly decodes a file that must not contain unknown fields. It returns false if there is no file.
+func readStrictly(t *testing.T, path string, into any) bool {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -71,12 +71,12 @@
 				t.Fatal(is, err)
 			}
 			var strict Record
-			strictly(t, from.path(recordFile), &strict)
+			readStrictly(t, from.path(recordFile), &strict)
 			if err := to.write(recordFile, record); err != nil {
 				t.Fatal(err)
 			}
-			sameFile(t, from.path(recordFile), to.path(recordFile))
-			if strictly(t, from.path(baselineFile), canary.NewBaseline()) {
+			checkSameFile(t, from.path(recordFile), to.path(recordFile))
+			if readStrictly(t, from.path(baselineFile), canary.NewBaseline()) {
 				base, err := from.Baseline()
 				if err != nil {
 					t.Fatal(err)
@@ -84,13 +84,13 @@
 				if err := to.write(baselineFile, base); err != nil {
 					t.Fatal(err)
 				}
-				sameFile(t, from.path(baselineFile), to.path(baselineFile))
+				checkSameFile(t, from.path(baselineFile), to.path(baselineFile))
 			}
-			if strictly(t, from.path(requestFile), &OperatorRequest{}) {
+			if readStrictly(t, from.path(requestFile), &OperatorRequest{}) {
 				if err := to.write(requestFile, from.PendingRequest()); err != nil {
 					t.Fatal(err)
 				}
-				sameFile(t, from.path(requestFile), to.path(requestFile))
+				checkSameFile(t, from.path(requestFile), to.path(requestFile))
 			}
 			steps, err := from.History()
 			if err != nil || len(steps) == 0 {
@@ -99,7 +99,7 @@
 			for _, s := range steps {
 				to.addTransition(s)
 			}
-			sameFile(t, from.path(historyFile), to.path(historyFile))
+			checkSameFile(t, from.path(historyFile), to.path(historyFile))
 			points, err := from.Samples()
 			if err != nil {
 				t.Fatal(err)
@@ -108,7 +108,7 @@
 				for _, p := range points {
 					to.addSample(p)
 				}
-				sameFile(t, from.path(samplesFile), to.path(samplesFile))
+				checkSameFile(t, from.path(samplesFile), to.path(samplesFile))
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-// Every field of what is written has a key of its own that does not follow the field's name.
+// Every exported field of a stored type has a tag with its JSON key, so that renaming the field does not change it.
 func TestEveryStoredFieldStatesItsKey(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var walk func(reflect.Type)
--- a/internal/coordinator/supervisor_http.go
+++ b/internal/coordinator/supervisor_http.go
@@ -20,13 +20,13 @@
 	assignmentPath = "/v1/word"
 )
 
-// Bounds of what is read of a reply, in bytes.
+// Limits of what is read of a reply, in bytes.
 const (
 	maxReplyBytes = 16 << 20
 	maxErrorBytes = 500
 )
 
-// fetchStatus asks a member's supervisor for its status.
+// fetchStatus requests the status of a member's supervisor.
 func (c *FleetClient) fetchStatus(ctx context.Context, member operator.Member) (supervisor.Status, error) {
 	url := "http://" + member.Address() + statusPath
 	if c.IncludeEngines {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// do carries a request out. A reply with another status code than the one expected is an error with the reply's text.
+// do sends a request and reads the reply. An unexpected status code is returned as an error with the reply's text.
 func (c *FleetClient) do(request *http.Request, expected int) ([]byte, error) {
 	reply, err := c.http.Do(request)
 	if err != nil {
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -20,7 +20,8 @@
 	"swiftreel/internal/quota"
 )
 
-// What goes to supervisors, to the byte: testdata/wire/requests.txt is what the program before sent.
+// testdata/wire/requests.txt holds the requests to supervisors that the previous release sent; they must be identical
+// to the byte.
 
 func TestRequestsToSupervisorsAreAsTheyWere(t *testing.T) {
 	var mu sync.Mutex
@@ -103,12 +104,12 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(sent, ""); got != string(want) {
-		t.Errorf("sent is\n%s\nwas\n%s", got, want)
+		t.Errorf("the requests are\n%s\nwere\n%s", got, want)
 	}
 }
 
-// What a supervisor refuses reaches the log as it says it.
-func TestRefusalsAreToldAsTheyWere(t *testing.T) {
+// The texts of a supervisor's refusals are logged, so they must be returned unchanged.
+func TestRefusalTextsAreReturnedUnchanged(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			io.WriteString(w, `{"format":2,"name":"c9"}`)
