--- a/choice/admission.go
+++ b/choice/admission.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	maxBucketQueue, maxParkedPerType = 96, 400            // parked per bucket; per type, over all tenants
-	maxWork, maxMemoryMB             = 3600 * second, 1e9 // caps work estimates; larger memory is ignored
-	idleStateTTL                     = 10 * second        // idle buckets and tenants are deleted after this
-	offeredWindow                    = 10 * second        // time constant by which the offered load decays
-	demandSamples                    = 100.0              // jobs that the moving averages of demand cover
+	maxParkedPerBucket, maxParkedPerType = 96, 400            // parked per bucket; per type, over all tenants
+	maxWork, maxMemoryMB                 = 3600 * second, 1e9 // caps work estimates; larger memory is ignored
+	idleStateTTL                         = 10 * second        // idle buckets and tenants are deleted after this
+	offeredDecayTime                     = 10 * second        // time constant by which the offered load decays
+	demandSamples                        = 100.0              // jobs that the moving averages of demand cover
 
 	tenantBurstSeconds, tenantBurstJobs = 2.0, 4.0 // a tenant's burst: seconds of its quota, plus jobs
 )
@@ -30,9 +30,9 @@
 	}
 	j := c.newJob(ev)
 	c.addJob(j)
-	c.fundBudgets(c.arrivedAt(ev))
+	c.creditBudgets(c.earliestArrival(ev))
 	c.demand.observe(j, demandSamples)
-	if !c.withinTenantQuota(ev.Tenant) {
+	if !c.takeTenantToken(ev.Tenant) {
 		j.value *= c.settings.overQuotaValueFactor
 	}
 	j.bucket = c.bucketFor(j.jobType, ev.Tenant)
@@ -40,11 +40,11 @@
 	if reason == "" && len(j.bucket.queue) == 0 && c.tryDispatch(j) {
 		return
 	}
-	if len(j.bucket.queue) >= maxBucketQueue || j.jobType.parkedJobs >= maxParkedPerType {
+	if len(j.bucket.queue) >= maxParkedPerBucket || j.jobType.parkedJobs >= maxParkedPerType {
 		reason = cmp.Or(reason, QueueFull)
 	}
 	if reason != "" {
-		c.finishUnserved(j, reason)
+		c.finishWithoutResult(j, reason)
 		return
 	}
 	c.park(j, len(j.bucket.queue))
@@ -62,34 +62,34 @@
 	if ev.MemoryMB > 0 && ev.MemoryMB < maxMemoryMB {
 		j.memoryMB = ev.MemoryMB
 	}
-	c.offeredThreads += j.work / float64(offeredWindow)
+	c.offeredThreads += j.work / float64(offeredDecayTime)
 	objective := t.latencyObjective + Nanos(t.objectivePerWork*j.work/t.threads)
 	j.deadline = min(c.now+objective, j.expiresAt)
 	return j
 }
 
 // arrivedAt returns the earliest time at which a job may have arrived.
-func (c *Controller) arrivedAt(ev Event) Nanos {
+func (c *Controller) earliestArrival(ev Event) Nanos {
 	if ev.ArrivedAt == 0 {
 		return c.now
 	}
 	return min(ev.ArrivedAt, c.now)
 }
 
-// fundBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget
+// creditBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget
 // counts it at its arrival time even if it was read much later, as after a pause of the process.
-func (c *Controller) fundBudgets(arrivedAt Nanos) {
-	c.retryBudget.admit(arrivedAt)
+func (c *Controller) creditBudgets(arrivedAt Nanos) {
+	c.retryBudget.recordAdmission(arrivedAt)
 	c.retryBudget.tokens = min(maxRetryTokens, c.retryBudget.tokens+retryTokensPerJob)
-	c.gossip.messageTokens = min(maxMessageTokens, c.gossip.messageTokens+gossipPointsPerJob)
+	c.gossip.messagePoints = min(maxMessagePoints, c.gossip.messagePoints+gossipPointsPerJob)
 	c.gossip.unreportedJobs++
 	earnedProbes := min(maxProbesPerJob, probePointsPerJob/max(minPrice, c.settings.probePrice))
 	c.probeBudget.tokens = min(maxProbeTokens, c.probeBudget.tokens+earnedProbes)
 }
 
-// withinTenantQuota reports whether a job is within this controller's share of its tenant's quota, and takes
+// takeTenantToken reports whether a job is within this controller's share of its tenant's quota, and takes
 // a token if it is. The share may be less than one job per second, hence the fixed part of the burst.
-func (c *Controller) withinTenantQuota(id TenantID) bool {
+func (c *Controller) takeTenantToken(id TenantID) bool {
 	rate := c.settings.tenantQuota(id) * c.quota.tenantShare(id, c.now, c.fleet.share)
 	burst := tenantBurstSeconds*rate + tenantBurstJobs
 	return c.tenantTokens(id, burst).take(c.now, rate, burst)
--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -39,7 +39,7 @@
 func TestFullQueueThrottlesAndSweepEndsExpiredJobs(t *testing.T) {
 	s := newSimulation(t, testSettings(), 0)
 	short := s.arrive(0, 0, 1)
-	for range maxBucketQueue {
+	for range maxParkedPerBucket {
 		s.arrive(1, 0, 1)
 	}
 	id := s.arrive(1, 0, 1)
@@ -60,7 +60,7 @@
 // still use another controller.
 func TestJobThatOutlastsShutdownIsThrottledAtOnce(t *testing.T) {
 	s := newSimulation(t, testSettings(), 1)
-	s.c.engines[0].fullUntil = s.now + 100*second // nothing is dispatched for now
+	s.c.engines[0].cooldownUntil = s.now + 100*second // nothing is dispatched for now
 	long, short := s.arriveAs(Event{Type: 1, TimeLeft: 20 * second, Cost: 10 * second, CostKnown: true}), s.arrive(0, 0, 0)
 	s.advance(100 * ms)
 	require(t, !s.jobs[long].ended && !s.jobs[short].ended, "not both jobs are parked")
@@ -124,13 +124,13 @@
 	raw.list("classes")[1].(map[string]any)["kinds_only"] = []any{1.0}
 	s := newSimulation(t, raw.set("domain.cpu_of_kind", []any{8.0, 8.0}).set("domain.size_mb", []any{16000.0, 16000.0}), 2)
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, Kind: 1, Zone: 1})
-	s.c.engines[1].fullUntil = s.now + 100*second
+	s.c.engines[1].cooldownUntil = s.now + 100*second
 	id := s.arrive(1, 0, 1)
 	s.advance(2 * second)
 	require(t, len(s.enginesOf(id)) == 0 && s.c.types[1].price > 0, "restricted type: dispatched to %v, price %v",
 		s.enginesOf(id), s.c.types[1].price)
 	require(t, s.c.types[0].price == 0 && s.c.types[2].price == 0, "prices %v %v", s.c.types[0].price, s.c.types[2].price)
-	s.c.engines[0].fullUntil = s.now + 100*second
+	s.c.engines[0].cooldownUntil = s.now + 100*second
 	s.arrive(2, 0, 2)
 	s.advance(2 * second)
 	require(t, s.c.types[0].price > 0, "all engines are full: price %v", s.c.types[0].price)
--- a/choice/bucket.go
+++ b/choice/bucket.go
@@ -7,12 +7,12 @@
 
 // bucket holds the parked jobs of one type of one tenant, and counts the threads of those in flight.
 type bucket struct {
-	jobType      *jobType
-	tenant       TenantID
-	threadsInUse float64
-	headWait     float64 // how long its head has waited for capacity, in latency objectives
-	queue        []*job  // parked jobs
-	lastUsedAt   Nanos
+	jobType       *jobType
+	tenant        TenantID
+	threadsInUse  float64
+	headWaitRatio float64 // how long its head has waited for capacity, in latency objectives
+	queue         []*job  // parked jobs
+	lastUsedAt    Nanos
 }
 
 // keyOrder is the state of one ordering key.
@@ -63,8 +63,8 @@
 func (c *Controller) longestHeadWait(t *jobType) float64 {
 	longest := 0.0
 	for _, b := range c.buckets {
-		if t.allowedZones.within(b.jobType.allowedZones) && t.allowedKinds.within(b.jobType.allowedKinds) {
-			longest = max(longest, b.headWait)
+		if t.allowedZones.subsetOf(b.jobType.allowedZones) && t.allowedKinds.subsetOf(b.jobType.allowedKinds) {
+			longest = max(longest, b.headWaitRatio)
 		}
 	}
 	return longest
@@ -78,9 +78,9 @@
 	return c.tenants[id]
 }
 
-// dropIdle removes buckets and tenants that have not been used since a time, and orderings that have no jobs
+// pruneIdle removes buckets and tenants that have not been used since a time, and orderings that have no jobs
 // and are no longer paused.
-func (c *Controller) dropIdle(since Nanos) {
+func (c *Controller) pruneIdle(since Nanos) {
 	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
 		return len(b.queue) == 0 && b.threadsInUse == 0 && b.lastUsedAt < since
 	})
--- a/choice/budget.go
+++ b/choice/budget.go
@@ -28,9 +28,11 @@
 	retriedAt  []Nanos // times of the window's dispatches after a job's first
 }
 
-func (b *retryBudget) admit(arrivedAt Nanos) { b.admittedAt = append(b.admittedAt, arrivedAt) }
+func (b *retryBudget) recordAdmission(arrivedAt Nanos) {
+	b.admittedAt = append(b.admittedAt, arrivedAt)
+}
 
-func (b *retryBudget) retry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
+func (b *retryBudget) recordRetry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
 
 // trim removes all entries up to and including a time.
 func (b *retryBudget) trim(until Nanos) {
@@ -45,8 +47,8 @@
 	lastFundedAt Nanos // when a token was last available
 }
 
-// checkFunds records the time if there is a token for a probe.
-func (b *probeBudget) checkFunds(now Nanos) {
+// recordFunding records the time if there is a token for a probe.
+func (b *probeBudget) recordFunding(now Nanos) {
 	if b.tokens >= 1 {
 		b.lastFundedAt = now
 	}
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -7,7 +7,7 @@
 	e := s.c.engines[0]
 	require(t, e.concurrencyLimit == 4 && !e.underPressure, "the limit does not start at our share of the cores")
 	j := &job{jobType: s.c.types[1], work: float64(second), bucket: &bucket{}}
-	a := &attempt{job: j, engine: e, expectedNanos: 1e9}
+	a := &attempt{job: j, engine: e, expectedDuration: 1e9}
 	s.now += second
 	s.c.now = s.now
 	s.c.observeSuccess(a, Event{Latency: 450 * ms})
@@ -43,10 +43,10 @@
 func TestFirstJobRespectsSiblingLoad(t *testing.T) {
 	s := newSimulation(t, testSettings().set("balancers", 5.0), 1)
 	e := s.c.engines[0]
-	e.siblingThreads, e.loadKnownAt = 18, s.now
+	e.peerThreads, e.loadKnownAt = 18, s.now
 	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use 18 threads on 8 cores")
-	e.siblingThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
+	e.peerThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
 	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use all its memory")
 	s.advance(15 * second)
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "an expired report does not decay: %v", e.siblingThreads)
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "an expired report does not decay: %v", e.peerThreads)
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,7 @@
 package choice
 
 // handlers maps each kind of event to the function that handles it.
-var handlers = [...]func(*Controller, Event){
+var eventHandlers = [...]func(*Controller, Event){
 	Started:            (*Controller).start,
 	JobArrived:         (*Controller).admit,
 	StreamStarted:      (*Controller).markStreaming,
@@ -15,7 +15,7 @@
 	Stopping:           func(c *Controller, ev Event) { c.stopsAt = c.now + ev.TimeLeft },
 	PlanUpdated:        func(c *Controller, ev Event) { c.setPlan(ev.Plan) },
 	Reconfigured:       func(c *Controller, ev Event) { c.applySettings(ev.Settings) },
-	StateTransferred:   (*Controller).adoptState,
+	StateTransferred:   (*Controller).restoreState,
 	QuotaAssigned:      func(c *Controller, ev Event) { c.quota = ev.Quota },
 	PredecessorChanged: (*Controller).markPredecessor,
 	ClockStepped:       func(c *Controller, ev Event) { c.clockOffset = ev.ClockOffset },
@@ -27,8 +27,8 @@
 	c.now = now
 	c.actions = c.actions[:0]
 	c.freedBucket = nil
-	if int(ev.Kind) < len(handlers) && handlers[ev.Kind] != nil {
-		handlers[ev.Kind](c, ev)
+	if int(ev.Kind) < len(eventHandlers) && eventHandlers[ev.Kind] != nil {
+		eventHandlers[ev.Kind](c, ev)
 	}
 	c.dispatchParked(c.freedBucket)
 	return c.actions
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -21,7 +21,7 @@
 	overloadLogged     bool
 
 	types       []*jobType                // by TypeID
-	engines     []*engine                 // by ID; removed ones until dropEngines drops them
+	engines     []*engine                 // by ID; removed ones until pruneEngines drops them
 	jobs        map[JobID]*job            // until finished with no attempt in flight
 	liveJobs    []*job                    // in order of arrival; finished ones until the next sweep
 	buckets     []*bucket                 // dropped once idle
@@ -57,7 +57,7 @@
 }
 
 // outage is a period in which connections to engines fail.
-type outage struct{ startedAt, lastRefusalAt Nanos }
+type outage struct{ startedAt, lastFailedDialAt Nanos }
 
 func (c *Controller) start(ev Event) {
 	c.random = pcg(ev.Seed)
@@ -65,7 +65,7 @@
 	c.lastSweepAt = c.now
 	c.stopsAt = math.MaxInt64
 	c.predecessorEndedAt = math.MinInt64 / 2
-	c.outage.lastRefusalAt = c.now - outageDuration
+	c.outage.lastFailedDialAt = c.now - outageTimeout
 	c.gossip.lastMapReceivedAt = c.now
 	c.jobs = map[JobID]*job{}
 	c.orderings = map[Key]*keyOrder{}
@@ -87,10 +87,10 @@
 	c.emit(Action{Kind: SetTimer, Duration: sweepInterval, TimerID: c.timerID})
 }
 
-// dropExpired drops expired state, so that no table grows without limit.
-func (c *Controller) dropExpired() {
-	c.dropEngines(c.now - c.settings.overloadWindow)
-	c.dropIdle(c.now - idleStateTTL)
+// pruneState drops expired state, so that no table grows without limit.
+func (c *Controller) pruneState() {
+	c.pruneEngines(c.now - c.settings.slowStartBudgetWindow)
+	c.pruneIdle(c.now - idleStateTTL)
 	c.retryBudget.trim(c.now - c.settings.retryWindow)
 }
 
@@ -118,7 +118,7 @@
 func (c *Controller) handleDisconnect(ev Event) {
 	if j := c.jobs[ev.Job]; j != nil && !j.finished {
 		j.streaming = false
-		c.closeJob(j)
+		c.finishJob(j)
 	}
 }
 
--- a/choice/dispatch.go
+++ b/choice/dispatch.go
@@ -11,9 +11,9 @@
 	minGrantSafety, maxGrantSafety = 0.6, 2.2 // safety added to a memory estimate, in mean deviations
 	grantSafetySlope               = 2.5      // safety on an empty engine, less as it fills; fixed if it swaps
 
-	workSamples, estimateSamples       = 50.0, 100.0 // samples in the averages of work; of estimate errors
-	priorCosts, priorMemories          = 10.0, 5.0   // minimum divisor of the first errors of cost; of memory
-	maxCostStep, maxDurationStep       = 3.0, 2.0    // caps on one error of cost; of duration (natural log)
+	workSamples, estimateErrorSamples  = 50.0, 100.0 // samples in the averages of work; of estimate errors
+	minCostDivisor, minMemoryDivisor   = 10.0, 5.0   // minimum divisor of the first errors of cost; of memory
+	maxCostError, maxDurationError     = 3.0, 2.0    // caps on one error of cost; of duration (natural log)
 	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown: down; up
 	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent slowdown; cap on one sample
 
@@ -29,23 +29,23 @@
 	t := j.jobType
 	c.unpark(j)
 	grant, reserved := c.memoryGrant(j, e)
-	if c.settings.grantsHonored || c.settings.takesPriority {
+	if c.settings.grantsHonored || c.settings.priorityHonored {
 		c.emit(Action{Kind: SetDispatchOptions, Job: j.id, Priority: c.priority(t), MemoryMB: grant})
 	}
 	sendDeadline := c.now + c.settings.drainGrace // rule 3: later the engine may be past its drain grace
-	if j.mayHaveRun && !t.repeatable {
-		sendDeadline = min(sendDeadline, c.repeatDeadline(j)) // rule 2
+	if j.mayHaveRun && !t.restartable {
+		sendDeadline = min(sendDeadline, c.retrySafeUntil(j)) // rule 2
 	}
 	c.emit(Action{Kind: Dispatch, Job: j.id, Engine: e.Engine, SendDeadline: sendDeadline})
 	if j.attemptCount > 0 {
-		c.retryBudget.retry(c.now)
+		c.retryBudget.recordRetry(c.now)
 	}
 	if c.inSlowStart(e) {
-		e.slowStartWork = append(e.slowStartWork, timedWork{c.now, max(j.work, t.meanWork)})
+		e.slowStartDispatches = append(e.slowStartDispatches, timedWork{c.now, max(j.work, t.meanWork)})
 	}
 	attach(&attempt{job: j, engine: e, seq: AttemptSeq(j.attemptCount), dispatchedAt: c.now,
 		sendDeadline: sendDeadline, engineStartedAt: e.StartedAt, lastProgressAt: c.now, reservedMB: reserved,
-		expectedNanos: j.work / t.threads * t.slowdown})
+		expectedDuration: j.work / t.threads * t.slowdown})
 	return true
 }
 
@@ -62,7 +62,7 @@
 // grant uses free memory as a margin for low estimates. Where engines swap, only memory in use counts, so the
 // margin costs nothing.
 func (c *Controller) memoryGrant(j *job, e *engine) (grant, reserved float64) {
-	reserved = c.memoryNeed(j, e)
+	reserved = c.expectedMemoryMB(j, e)
 	if !c.settings.grantsHonored || j.memoryMB <= 0 {
 		return 0, reserved
 	}
@@ -95,10 +95,10 @@
 	j.finished = j.finished || ev.IsFinal
 	if j.finished {
 		c.removeFinished(j)
-	} else if c.mayRetry(a, ev.Result) {
+	} else if c.takeRetry(a, ev.Result) {
 		c.park(j, 0)
 	} else {
-		c.finishUnserved(j, cmp.Or(c.shedReason(j), NoRetryLeft))
+		c.finishWithoutResult(j, cmp.Or(c.shedReason(j), NoRetryLeft))
 	}
 }
 
@@ -108,10 +108,10 @@
 	if c.settings.usageReported && ev.Usage > 0 {
 		work = t.observeUsage(a.job, usage(ev.Usage))
 	}
-	if a.stalled > 0 {
+	if a.stallTime > 0 {
 		return // its latency includes a stall of this process
 	}
-	c.durationError.observe(a, ev.Latency, maxDurationStep, priorCosts, estimateSamples)
+	c.durationError.observe(a, ev.Latency, maxDurationError, minCostDivisor, estimateErrorSamples)
 	slowdown := float64(ev.Latency) / (work / t.threads)
 	t.observeSlowdown(slowdown, c.now)
 	ratio := min(slowdown/t.bestSlowdown, maxSlowdown)
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -13,17 +13,17 @@
 	cores    float64
 	memoryMB float64 // 0: not known
 
-	attempts       []*attempt // own attempts in flight
-	ownThreads     float64    // of these attempts
-	ownMemoryMB    float64    // of these attempts
-	siblingThreads float64    // of peers' attempts, as reported or estimated
-	loadKnownAt    Nanos      // when the engine or a peer last reported the peers' threads
-	lastReportAt   Nanos      // when the engine itself last reported its load
-	lastSeenAt     Nanos      // when it last answered or reported progress
+	attempts     []*attempt // own attempts in flight
+	ownThreads   float64    // of these attempts
+	ownMemoryMB  float64    // of these attempts
+	peerThreads  float64    // of peers' attempts, as reported or estimated
+	loadKnownAt  Nanos      // when the engine or a peer last reported the peers' threads
+	lastReportAt Nanos      // when the engine itself last reported its load
+	lastSeenAt   Nanos      // when it last answered or reported progress
 
 	concurrencyLimit float64 // of own threads; enforced under pressure
 	underPressure    bool
-	fullUntil        Nanos // no dispatch until then
+	cooldownUntil    Nanos // no dispatch until then
 	limitRaisedAt    Nanos
 	limitHalvedAt    Nanos
 	latencyRatio     float64 // recent slowdowns of its jobs over the best slowdown of their types
@@ -37,18 +37,18 @@
 	probePending        bool
 	lastProbeAt         Nanos
 
-	refusing           bool        // its last connection failed to come up, and it has not answered since
-	dialFailedAt       Nanos       // first failed dial since it was last seen; 0: none, or one was refused
-	suspectedRestartAt Nanos       // when it seems to have restarted; the engine list reports no restart
-	slowStartWork      []timedWork // dispatched during its slow start
-
-	gossipedThreads  float64 // own threads in the last message sent
-	newSuccesses     int     // outcomes since that message
-	newFailures      int     // outcomes since that message
-	siblingSuccesses float64 // reported by peers, decaying exponentially
-	siblingFailures  float64 // reported by peers, decaying exponentially
-	lockedTables     []byte  // hashes of the table groups that loads hold, from the map of lockedTablesAt
-	lockedTablesAt   Nanos
+	refusing            bool        // its last connection failed to come up, and it has not answered since
+	dialFailedAt        Nanos       // first failed dial since it was last seen; 0: none, or one was refused
+	suspectedRestartAt  Nanos       // when it seems to have restarted; the engine list reports no restart
+	slowStartDispatches []timedWork // dispatched during its slow start
+
+	gossipedThreads float64 // own threads in the last message sent
+	newSuccesses    int     // outcomes since that message
+	newFailures     int     // outcomes since that message
+	peerSuccesses   float64 // reported by peers, decaying exponentially
+	peerFailures    float64 // reported by peers, decaying exponentially
+	lockedTables    []byte  // hashes of the table groups that loads hold, from the map of lockedTablesAt
+	lockedTablesAt  Nanos
 }
 
 // timedWork is work dispatched at a time, in ns of one thread.
@@ -72,8 +72,8 @@
 	return c.engines[i]
 }
 
-// enterEngine applies an entry of an engine list. restarted is true for a new engine too.
-func (c *Controller) enterEngine(entry EngineEntry) (e *engine, restarted bool) {
+// upsertEngine applies an entry of an engine list. restarted is true for a new engine too.
+func (c *Controller) upsertEngine(entry EngineEntry) (e *engine, restarted bool) {
 	i, known := c.findEngine(entry.Engine)
 	if !known {
 		c.engines = slices.Insert(c.engines, i, &engine{})
@@ -86,8 +86,8 @@
 	return e, restarted
 }
 
-// removeEngines marks all engines as removed, until a list contains them again.
-func (c *Controller) removeEngines() {
+// markEnginesRemoved marks all engines as removed, until a list contains them again.
+func (c *Controller) markEnginesRemoved() {
 	for _, e := range c.engines {
 		e.State = Removed
 	}
@@ -104,14 +104,14 @@
 	return readyCores
 }
 
-// dropEngines deletes slow-start work older than a time, and removed engines that have neither attempts nor
+// pruneEngines deletes slow-start work older than a time, and removed engines that have neither attempts nor
 // such work left: an engine that leaves the list and returns keeps its slow-start budget.
-func (c *Controller) dropEngines(before Nanos) {
+func (c *Controller) pruneEngines(before Nanos) {
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
-		e.slowStartWork = slices.DeleteFunc(e.slowStartWork, func(w timedWork) bool {
+		e.slowStartDispatches = slices.DeleteFunc(e.slowStartDispatches, func(w timedWork) bool {
 			return w.dispatchedAt < before
 		})
-		return e.State == Removed && len(e.attempts) == 0 && len(e.slowStartWork) == 0
+		return e.State == Removed && len(e.attempts) == 0 && len(e.slowStartDispatches) == 0
 	})
 }
 
--- a/choice/engine_view.go
+++ b/choice/engine_view.go
@@ -5,7 +5,7 @@
 	Engine            EngineID
 	Jobs              int     // own jobs in flight there
 	Threads           float64 // of these jobs
-	SiblingThreads    float64 // of peers' jobs, estimated
+	PeerThreads       float64 // of peers' jobs, estimated
 	ReportAge         Nanos   // since the last load report; below 0: none yet
 	LastSeenAge       Nanos   // since the last answer or progress report; below 0: none yet
 	UnavailableReason string  // why no jobs are sent to it; empty: it is available
@@ -21,15 +21,15 @@
 	}
 	for _, e := range c.engines {
 		views = append(views, EngineView{
-			Engine: e.Engine, Jobs: len(e.attempts), Threads: e.ownThreads, SiblingThreads: e.siblingThreads,
-			ReportAge: age(e.loadKnownAt), LastSeenAge: age(e.lastSeenAt), UnavailableReason: e.unavailable(now),
+			Engine: e.Engine, Jobs: len(e.attempts), Threads: e.ownThreads, PeerThreads: e.peerThreads,
+			ReportAge: age(e.loadKnownAt), LastSeenAge: age(e.lastSeenAt), UnavailableReason: e.unavailableReason(now),
 		})
 	}
 	return views
 }
 
 // unavailable returns why no jobs are sent to an engine, or "" if it is available.
-func (e *engine) unavailable(now Nanos) string {
+func (e *engine) unavailableReason(now Nanos) string {
 	switch {
 	case e.State == Removed:
 		return "gone"
@@ -37,7 +37,7 @@
 		return "draining"
 	case e.ejected:
 		return "aside"
-	case now < e.fullUntil:
+	case now < e.cooldownUntil:
 		return "full"
 	}
 	return ""
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -17,7 +17,7 @@
 
 // demand holds moving means over the jobs that arrived.
 type demand struct {
-	jobs           float64 // number of jobs in the means, capped
+	sampleCount    float64 // number of jobs in the means, capped
 	meanValue      float64
 	meanWork       float64 // ns
 	meanDuration   float64 // ns, work over threads
@@ -27,11 +27,11 @@
 // observe adds a job to the means, which cover about the last samples jobs.
 func (d *demand) observe(j *job, samples float64) {
 	t := j.jobType
-	d.jobs = min(samples, d.jobs+1)
-	d.meanValue += (j.value - d.meanValue) / d.jobs
-	d.meanWork += (j.work - d.meanWork) / d.jobs
-	d.meanDuration += (j.work/t.threads - d.meanDuration) / d.jobs
-	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.jobs
+	d.sampleCount = min(samples, d.sampleCount+1)
+	d.meanValue += (j.value - d.meanValue) / d.sampleCount
+	d.meanWork += (j.work - d.meanWork) / d.sampleCount
+	d.meanDuration += (j.work/t.threads - d.meanDuration) / d.sampleCount
+	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.sampleCount
 }
 
 // meanThreadsPerJob returns the mean of this controller's jobs, which is assumed for peers' jobs too.
@@ -61,7 +61,7 @@
 // samples durations. Its first steps are divided by at least priorCount, so that they weigh less.
 func (d *durationError) observe(a *attempt, latency Nanos, maxError, priorCount, samples float64) {
 	d.count = min(d.count+1, samples)
-	logError := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedNanos)))
+	logError := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedDuration)))
 	d.mean += (logError - d.mean) / max(d.count, priorCount)
 }
 
@@ -79,7 +79,7 @@
 	active                    float64 // number of engines that are ready and not ejected
 	latencyRatio, failureRate float64 // of active engines
 	cores                     float64 // of active engines that are not in slow start
-	pressed                   int     // number of engines under pressure
+	enginesUnderPressure      int     // number of engines under pressure
 }
 
 func (t *fleetTotals) add(e *engine, warmCores float64) {
@@ -93,7 +93,7 @@
 		t.cores += warmCores
 	}
 	if e.underPressure {
-		t.pressed++
+		t.enginesUnderPressure++
 	}
 }
 
@@ -101,13 +101,13 @@
 // the work that the job used.
 func (t *jobType) observeUsage(j *job, u usage) float64 {
 	work := math.Max(u.work(), float64(ms))
-	t.costCount = min(t.costCount+1, estimateSamples)
-	t.costBias += min(maxCostStep, max(-maxCostStep, math.Log(work/j.work))) / max(t.costCount, priorCosts)
+	t.costCount = min(t.costCount+1, estimateErrorSamples)
+	t.costBias += min(maxCostError, max(-maxCostError, math.Log(work/j.work))) / max(t.costCount, minCostDivisor)
 	if used := u.memoryMB(); used > 0 && j.memoryMB > 0 {
-		t.memoryCount = min(t.memoryCount+1, estimateSamples)
+		t.memoryCount = min(t.memoryCount+1, estimateErrorSamples)
 		deviation := math.Log(used/j.memoryMB) - t.memoryBias
 		t.memoryBias += deviation / t.memoryCount
-		t.memoryDeviation += (math.Abs(deviation) - t.memoryDeviation) / max(t.memoryCount, priorMemories)
+		t.memoryDeviation += (math.Abs(deviation) - t.memoryDeviation) / max(t.memoryCount, minMemoryDivisor)
 	}
 	t.observeWork(work)
 	return work
@@ -134,10 +134,10 @@
 
 // knownMemoryMB returns the memory of an engine that the jobs of all controllers use, as far as it is known.
 func (c *Controller) knownMemoryMB(e *engine) float64 {
-	return e.ownMemoryMB + e.siblingThreads*c.meanMemoryPerThread()
+	return e.ownMemoryMB + e.peerThreads*c.meanMemoryPerThread()
 }
 
-// memoryNeed returns the memory in MB that a job is expected to use on an engine.
-func (c *Controller) memoryNeed(j *job, e *engine) float64 {
+// expectedMemoryMB returns the memory in MB that a job is expected to use on an engine.
+func (c *Controller) expectedMemoryMB(j *job, e *engine) float64 {
 	return min(j.memoryMB*math.Exp(j.jobType.memoryBias), e.memoryMB*c.settings.maxGrantShare)
 }
--- a/choice/event.go
+++ b/choice/event.go
@@ -29,20 +29,20 @@
 
 // The results of attempts and probes.
 const (
-	Done        Result = iota + 1
-	Failed             // the engine answered with an error
-	Full               // the engine refused it for lack of capacity
-	TimedOut           // no answer within the job timeout
-	Unreachable        // the engine refused the connection
-	Reset              // the connection broke
-	Canceled           // canceled at this controller's request
-	Superseded         // it was never sent
-	DialFailed         // no connection was made for another reason, such as a timeout
+	Done              Result = iota + 1
+	Failed                   // the engine answered with an error
+	Full                     // the engine refused it for lack of capacity
+	TimedOut                 // no answer within the job timeout
+	ConnectionRefused        // the engine refused the connection
+	Reset                    // the connection broke
+	Canceled                 // canceled at this controller's request
+	Superseded               // it was never sent
+	DialFailed               // no connection was made for another reason, such as a timeout
 )
 
 // NeverRan reports whether the result proves that the engine did not run the attempt.
 func (r Result) NeverRan() bool {
-	return r == Full || r == Unreachable || r == Superseded || r == DialFailed
+	return r == Full || r == ConnectionRefused || r == Superseded || r == DialFailed
 }
 
 // ProgressKind is the kind of a progress report.
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	latencyDecay       = 0.002      // step per sweep of slowdowns and latency ratios toward 1
-	latencyStaleAfter  = 5 * second // a type's slowdown decays after this long without an answer
-	failureDecay       = 0.999      // factor per sweep on an engine's failure rate
-	siblingDrift       = 0.02       // step per sweep of unreported sibling threads toward the fleet's mean
-	ownLoadStep        = 0.005      // step per sweep of the means of own load and of contention
-	shareStep          = 0.05       // step per sweep of the own share estimated from reports
-	minLatencyMean     = 0.1        // lower bound of the fleet's latency ratio
-	minContentionCores = 4.0        // lower bound of own cores: fewer say little about siblings
+	latencyDecay        = 0.002      // step per sweep of slowdowns and latency ratios toward 1
+	latencyStaleAfter   = 5 * second // a type's slowdown decays after this long without an answer
+	failureDecay        = 0.999      // factor per sweep on an engine's failure rate
+	peerThreadsStep     = 0.02       // step per sweep of unreported sibling threads toward the fleet's mean
+	ownLoadStep         = 0.005      // step per sweep of the means of own load and of contention
+	shareStep           = 0.05       // step per sweep of the own share estimated from reports
+	minMeanLatencyRatio = 0.1        // lower bound of the fleet's latency ratio
+	minContentionCores  = 4.0        // lower bound of own cores: fewer say little about siblings
 
 	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep is multiplied by own jobs / ownLoadJobs, capped
 )
@@ -26,14 +26,14 @@
 		return
 	}
 	if ev.List != ListDelta {
-		c.removeEngines()
+		c.markEnginesRemoved()
 	}
 	for _, entry := range ev.Engines {
-		if e, restarted := c.enterEngine(entry); restarted {
+		if e, restarted := c.upsertEngine(entry); restarted {
 			e.latencyRatio, e.failureRate = 1, 0
 			e.underPressure, e.ejected, e.consecutiveFailures = false, false, 0
 			e.concurrencyLimit = e.cores * c.fleet.share
-			e.siblingThreads = c.fleet.contention * c.warmCores(e)
+			e.peerThreads = c.fleet.contention * c.warmCores(e)
 		}
 	}
 	c.fleet.cores = c.indexEngines()
@@ -50,9 +50,9 @@
 	c.fleet.cores = cmp.Or(total.cores, c.fleet.cores) // kept if all engines are in slow start
 	speedup := min(maxOwnLoadSpeedup, max(1, c.ownLoad.jobs/ownLoadJobs))
 	c.ownLoad.approach(total.own, ownLoadStep*speedup)
-	c.fleet.meanLatencyRatio = max(minLatencyMean, total.latencyRatio/max(1, total.active))
+	c.fleet.meanLatencyRatio = max(minMeanLatencyRatio, total.latencyRatio/max(1, total.active))
 	c.fleet.meanFailureRate = total.failureRate / max(1, total.active)
-	c.logPressure(total.pressed)
+	c.logPressure(total.enginesUnderPressure)
 }
 
 // updateHealth decays an engine's statistics and restores it after an ejection. Without a fresh report,
@@ -60,7 +60,7 @@
 func (c *Controller) updateHealth(e *engine) {
 	if c.now-e.loadKnownAt >= reportTTL {
 		expectedThreads := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
-		e.siblingThreads += siblingDrift * (expectedThreads - e.siblingThreads)
+		e.peerThreads += peerThreadsStep * (expectedThreads - e.peerThreads)
 	}
 	e.latencyRatio += latencyDecay * (1 - e.latencyRatio)
 	e.failureRate *= failureDecay
--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -16,7 +16,7 @@
 	mapMarker = 255
 
 	// An entry of a map holds the failed part of an engine's reported outcomes, times maxFailures, or
-	// unknownFailures if fewer than minSiblingOutcomes were reported.
+	// unknownFailures if fewer than minPeerOutcomes were reported.
 	unknownFailures = 15
 	maxFailures     = 14
 
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -4,8 +4,8 @@
 // the messages of all; one of them sends maps, which aggregate these messages, to all controllers.
 type gossipState struct {
 	messages      []peerMessage // last received from each controller, by PeerID; nil: gossip is off
-	messageTokens float64       // points left for messages
-	mapTokens     float64       // points left for maps
+	messagePoints float64       // points left for messages
+	mapPoints     float64       // points left for maps
 
 	lastPayload    string // of the last message sent, without its header
 	lastMessageAt  Nanos  // when it was sent
@@ -24,15 +24,17 @@
 }
 
 // collectors returns the number of collectors.
-func (c *Controller) collectors() int { return min(gossipCollectors, c.settings.controllers) }
+func (c *Controller) collectorCount() int { return min(gossipCollectors, c.settings.controllers) }
 
 // collector returns the PeerID of the collector with an index among the collectors.
-func (c *Controller) collector(index int) int { return index * c.settings.controllers / c.collectors() }
+func (c *Controller) collectorID(index int) int {
+	return index * c.settings.controllers / c.collectorCount()
+}
 
-// collectorPlace returns this controller's index among the collectors, or -1 if it is none.
-func (c *Controller) collectorPlace() int {
-	for index := range c.collectors() {
-		if c.collector(index) == c.settings.ownIndex {
+// collectorIndex returns this controller's index among the collectors, or -1 if it is none.
+func (c *Controller) collectorIndex() int {
+	for index := range c.collectorCount() {
+		if c.collectorID(index) == c.settings.ownIndex {
 			return index
 		}
 	}
@@ -63,11 +65,11 @@
 	return message
 }
 
-// markReported records that a message was sent, with its payload and its cost in points.
-func (c *Controller) markReported(payload string, cost float64) {
+// recordMessageSent records that a message was sent, with its payload and its cost in points.
+func (c *Controller) recordMessageSent(payload string, cost float64) {
 	c.gossip.lastPayload = payload
 	c.gossip.lastMessageAt = c.now
-	c.gossip.messageTokens -= cost
+	c.gossip.messagePoints -= cost
 	c.gossip.unreportedJobs = 0
 	for _, e := range c.engines {
 		e.gossipedThreads = e.ownThreads
@@ -78,8 +80,8 @@
 
 // sendToCollectors sends a message to all collectors; this controller may be one of them.
 func (c *Controller) sendToCollectors(message string) {
-	for index := range c.collectors() {
-		to := c.collector(index)
+	for index := range c.collectorCount() {
+		to := c.collectorID(index)
 		if to == c.settings.ownIndex {
 			c.receiveGossip(to, []byte(message))
 			continue
@@ -107,8 +109,8 @@
 	for _, e := range c.engines[c.gossip.nextEngine:] {
 		hash := e.gossipHash()
 		entries = append(entries, gossipEntry{
-			engine: hash, threads: byte(min(threads[hash], 255)), outcomes: e.mapFailures(),
-			tables: tables[hash], hasTables: c.gossip.mapRound%tablesEveryRounds == 0,
+			engine: hash, threads: byte(min(threads[hash], 255)), outcomes: e.encodedFailureRate(),
+			tables: tables[hash], hasTables: c.gossip.mapRound%roundsPerTableMap == 0,
 		})
 	}
 	message, encoded := encodeGossip(mapMarker, entries)
@@ -120,11 +122,11 @@
 	return message
 }
 
-// mapFailures returns the failed part of an engine's reported outcomes, as encoded in a map.
-func (e *engine) mapFailures() byte {
-	total := e.siblingFailures + e.siblingSuccesses
-	if total < minSiblingOutcomes {
+// encodedFailureRate returns the failed part of an engine's reported outcomes, as encoded in a map.
+func (e *engine) encodedFailureRate() byte {
+	total := e.peerFailures + e.peerSuccesses
+	if total < minPeerOutcomes {
 		return unknownFailures
 	}
-	return byte(maxFailures * e.siblingFailures / total)
+	return byte(maxFailures * e.peerFailures / total)
 }
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -72,11 +72,11 @@
 	f.loadFirstEngine([]int{1, 3, 5})
 	f.advance(500 * ms)
 	idle := f.members[0].c.engines
-	require(t, idle[0].siblingThreads == 6 && idle[1].siblingThreads == 0, "sibling threads %v and %v, want 6 and 0",
-		idle[0].siblingThreads, idle[1].siblingThreads)
+	require(t, idle[0].peerThreads == 6 && idle[1].peerThreads == 0, "sibling threads %v and %v, want 6 and 0",
+		idle[0].peerThreads, idle[1].peerThreads)
 	own := f.members[1].c.engines[0]
-	require(t, own.siblingThreads == 4, "sibling threads %v, want 4 without the two of this controller",
-		own.siblingThreads)
+	require(t, own.peerThreads == 4, "sibling threads %v, want 4 without the two of this controller",
+		own.peerThreads)
 	for _, s := range f.members {
 		for id, j := range s.jobs {
 			if j.inFlight() {
@@ -86,8 +86,8 @@
 	}
 	f.loadFirstEngine([]int{0})
 	f.advance(500 * ms)
-	require(t, f.members[2].c.engines[0].siblingThreads == 2, "sibling threads %v, want 2 after three jobs ended",
-		f.members[2].c.engines[0].siblingThreads)
+	require(t, f.members[2].c.engines[0].peerThreads == 2, "sibling threads %v, want 2 after three jobs ended",
+		f.members[2].c.engines[0].peerThreads)
 }
 
 // Guards against losing all gossip when the first collector fails or is partitioned.
@@ -96,8 +96,8 @@
 	f.drops = func(from, to int) bool { return from == 0 || to == 0 } // collectors are 0, 2 and 4
 	f.loadFirstEngine([]int{1, 3, 5})
 	f.advance(collectorTakeoverDelay + 300*ms)
-	require(t, f.members[5].c.engines[0].siblingThreads == 4, "sibling threads %v, want 4",
-		f.members[5].c.engines[0].siblingThreads)
+	require(t, f.members[5].c.engines[0].peerThreads == 4, "sibling threads %v, want 4",
+		f.members[5].c.engines[0].peerThreads)
 	require(t, f.members[4].c.gossip.lastOwnMapAt == 0, "the third collector sends maps although the second does")
 	f.drops = func(int, int) bool { return true }
 	f.advance(gossipTTL + 5*second) // as without gossip: siblings are assumed to hold our load
@@ -121,14 +121,14 @@
 	require(t, slices.Contains(s.c.engines[0].lockedTables, TableGroup(7).hash()), "the map does not report the load: %v",
 		s.c.engines[0].lockedTables)
 	for range 5 {
-		s.c.engines[1].siblingThreads = 12 // more than the other engine, but within capacity
+		s.c.engines[1].peerThreads = 12 // more than the other engine, but within capacity
 		id := s.arrive(0, 0, 7)
 		require(t, s.enginesOf(id)[0] == 101, "dispatched to the engine where it blocks")
 		s.finish(id, Done)
 	}
 	f.members[1].finish(load, Done)
 	f.advance(reportTTL + 500*ms) // no map reports the load any more
-	s.c.engines[0].siblingThreads, s.c.engines[1].siblingThreads = 0, 12
+	s.c.engines[0].peerThreads, s.c.engines[1].peerThreads = 0, 12
 	id := s.arrive(0, 0, 7)
 	require(t, s.enginesOf(id)[0] == 100, "the engine is still avoided after the load ended: %+v", s.c.engines[0])
 }
@@ -148,7 +148,7 @@
 	}
 	for i, on := range []bool{true, false, true} {
 		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("limits.peer_messages", on))})
-		s.c.engines[0].siblingThreads, s.c.engines[0].loadKnownAt, messages = 0, 0, 0
+		s.c.engines[0].peerThreads, s.c.engines[0].loadKnownAt, messages = 0, 0, 0
 		f.loadFirstEngine([]int{0, 1, 2})
 		f.advance(300 * ms)
 		require(t, (messages > 0) == on, "step %d: %d messages sent", i, messages)
--- a/choice/job.go
+++ b/choice/job.go
@@ -47,8 +47,8 @@
 	sendDeadline     Nanos // no byte of it may be sent later
 	engineStartedAt  Nanos // StartedAt of the engine at that time
 	lastProgressAt   Nanos
-	stalled          Nanos   // time during which this process was stalled
-	expectedNanos    float64 // expected duration
+	stallTime        Nanos   // time during which this process was stalled
+	expectedDuration float64 // expected duration
 	reservedMB       float64 // memory that it is assumed to use
 	cancelRequested  bool
 	countedAsTimeout bool // it was recorded as a timeout of its engine
@@ -103,9 +103,9 @@
 	order.jobs = append(order.jobs, j)
 }
 
-// closeJob finishes a job that needs no further answer, and cancels its attempt. The job stays in c.jobs
+// finishJob finishes a job that needs no further answer, and cancels its attempt. The job stays in c.jobs
 // until its attempt has ended.
-func (c *Controller) closeJob(j *job) {
+func (c *Controller) finishJob(j *job) {
 	c.unpark(j)
 	j.finished = true
 	c.cancelAttempt(j.attempt)
@@ -123,12 +123,12 @@
 	}
 }
 
-// excuseStall excludes the time for which this process was stalled from the duration of attempts in flight
+// discountStall excludes the time for which this process was stalled from the duration of attempts in flight
 // and from the wait of queue heads, as answers may be queued behind the timer that reveals the stall.
-func (c *Controller) excuseStall(stalled Nanos) {
+func (c *Controller) discountStall(stalled Nanos) {
 	for _, j := range c.liveJobs {
 		if j.attempt != nil {
-			j.attempt.stalled += stalled
+			j.attempt.stallTime += stalled
 			j.attempt.lastProgressAt = c.now
 		} else if j.headSince > 0 {
 			j.headSince = min(c.now, j.headSince+stalled)
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -13,7 +13,7 @@
 	if jobs, reported := c.settings.jobCount(load); reported {
 		jobs = min(jobs, maxReportedJobs)
 		c.suspectRestartByJobs(e, jobs)
-		c.setSiblingThreads(e, (jobs-float64(len(e.attempts)))*c.meanThreadsPerJob())
+		c.setPeerThreads(e, (jobs-float64(len(e.attempts)))*c.meanThreadsPerJob())
 		e.lastReportAt = c.now
 		return
 	}
@@ -23,14 +23,14 @@
 		if !c.settings.grantsHonored {
 			grantedMB /= engineGrantFactor
 		}
-		c.setSiblingThreads(e, (grantedMB-e.ownMemoryMB)/memoryPerThread)
+		c.setPeerThreads(e, (grantedMB-e.ownMemoryMB)/memoryPerThread)
 		e.lastReportAt = c.now
 	}
 }
 
-// setSiblingThreads records siblings' threads on an engine, as reported by the engine or by siblings.
-func (c *Controller) setSiblingThreads(e *engine, threads float64) {
-	e.siblingThreads = max(0, threads)
+// setPeerThreads records siblings' threads on an engine, as reported by the engine or by siblings.
+func (c *Controller) setPeerThreads(e *engine, threads float64) {
+	e.peerThreads = max(0, threads)
 	e.loadKnownAt, c.fleet.lastReportAt = c.now, c.now
-	c.fleet.contention += contentionStep * ((e.ownThreads+e.siblingThreads)/e.cores - c.fleet.contention)
+	c.fleet.contention += contentionStep * ((e.ownThreads+e.peerThreads)/e.cores - c.fleet.contention)
 }
--- a/choice/load_report_test.go
+++ b/choice/load_report_test.go
@@ -48,7 +48,7 @@
 	s := newSimulation(t, raw, 24)
 	s.c.fleet.contention = 3
 	for _, e := range s.c.engines {
-		e.siblingThreads = 24
+		e.peerThreads = 24
 	}
 	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched to a fleet that was full by its last reports")
 	s.advance(16 * second)
@@ -70,10 +70,10 @@
 		}
 		// a job uses 200 MB and two threads
 		s.c.applyLoadReport(e, []float64{0.1, granted * (e.ownMemoryMB + 800) / e.memoryMB})
-		require(t, e.siblingThreads > 7.9 && e.siblingThreads < 8.1 && e.loadKnownAt == s.now, "sibling threads %v, want 8",
-			e.siblingThreads)
+		require(t, e.peerThreads > 7.9 && e.peerThreads < 8.1 && e.loadKnownAt == s.now, "sibling threads %v, want 8",
+			e.peerThreads)
 		s.c.applyLoadReport(e, []float64{1, granted * e.ownMemoryMB / e.memoryMB})
-		require(t, e.siblingThreads < 0.01, "sibling threads %v, want 0: all granted memory is ours", e.siblingThreads)
+		require(t, e.peerThreads < 0.01, "sibling threads %v, want 0: all granted memory is ours", e.peerThreads)
 		s.finish(id, Done)
 		s.c.applyLoadReport(e, []float64{0, 2 * granted})
 		require(t, len(s.enginesOf(s.arrive(1, 0, 2))) == 0, "dispatched though twice its memory is granted")
@@ -87,7 +87,7 @@
 		s.arrive(1, 0, 1)
 		s.c.applyLoadReport(s.c.engines[0], []float64{1, 1})
 		require(t, s.c.engines[0].loadKnownAt == 0, "used as a load report: sibling threads %v",
-			s.c.engines[0].siblingThreads)
+			s.c.engines[0].peerThreads)
 	}
 }
 
--- a/choice/log.go
+++ b/choice/log.go
@@ -58,9 +58,9 @@
 // restartReason is why an engine is suspected to have restarted. It may include key=value pairs.
 type restartReason string
 
-const reconnected restartReason = "reconnected"
+const reasonReconnected restartReason = "reconnected"
 
-func fewJobs(jobs, expected float64) restartReason {
+func reasonFewJobs(jobs, expected float64) restartReason {
 	return restartReason(fmt.Sprintf("few_jobs jobs=%.0f expected_jobs=%.0f", jobs, expected))
 }
 
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	failureRateStep     = 0.05  // step of an engine's failure rate per outcome
-	ejectAfterFailures  = 3.0   // consecutive failures that eject an engine
-	accidentProbability = 0.001 // of a run of failures at the fleet's failure rate: only rarer runs eject
-	maxMeanFailureRate  = 0.9   // cap on the fleet's failure rate in that
-	maxEjectedShare     = 3     // at most one in this many ready engines is ejected
-	restoreAfterProbes  = 2     // consecutive successful probes that restore an engine
+	failureRateStep      = 0.05  // step of an engine's failure rate per outcome
+	ejectAfterFailures   = 3.0   // consecutive failures that eject an engine
+	ejectionSignificance = 0.001 // of a run of failures at the fleet's failure rate: only rarer runs eject
+	maxMeanFailureRate   = 0.9   // cap on the fleet's failure rate in that
+	readyPerEjected      = 3     // at most one in this many ready engines is ejected
+	restoreAfterProbes   = 2     // consecutive successful probes that restore an engine
 
 	minEjectionTime, maxEjectionTime  = second, 8 * second // doubled by each further ejection
 	fullCooldown, failedProbeCooldown = second / 5, second // no dispatch after a Full result; a failed probe
@@ -29,17 +29,17 @@
 			e.consecutiveFailures, e.ejectionTime = 0, 0
 		}
 	case Full:
-		e.fullUntil = c.now + fullCooldown
+		e.cooldownUntil = c.now + fullCooldown
 		c.updatePressure(e)
-	case Failed, Reset, Unreachable, TimedOut, DialFailed:
-		if r == Unreachable || r == DialFailed {
-			c.recordRefusal(e, r)
+	case Failed, Reset, ConnectionRefused, TimedOut, DialFailed:
+		if r == ConnectionRefused || r == DialFailed {
+			c.recordConnectFailure(e, r)
 		}
 		e.failureRate += failureRateStep * (1 - e.failureRate)
 		e.newFailures++
 		e.consecutiveFailures++
 		if !e.ejected && float64(e.consecutiveFailures) >= c.ejectionThreshold() {
-			c.eject(e, r == Unreachable)
+			c.eject(e, r == ConnectionRefused)
 		}
 	}
 }
@@ -48,17 +48,17 @@
 // failure rate of the whole fleet, as on a faulty network, where short runs of failures occur by chance.
 func (c *Controller) ejectionThreshold() float64 {
 	rate := min(maxMeanFailureRate, c.fleet.meanFailureRate)
-	return max(ejectAfterFailures, math.Log(accidentProbability)/math.Log(rate))
+	return max(ejectAfterFailures, math.Log(ejectionSignificance)/math.Log(rate))
 }
 
-// recordRefusal records that a connection could not be established. The first time begins an outage.
-func (c *Controller) recordRefusal(e *engine, r Result) {
-	if c.now-c.outage.lastRefusalAt >= outageDuration {
+// recordConnectFailure records that a connection could not be established. The first time begins an outage.
+func (c *Controller) recordConnectFailure(e *engine, r Result) {
+	if c.now-c.outage.lastFailedDialAt >= outageTimeout {
 		c.outage.startedAt = c.now
 		c.logOutage(e)
 	}
-	c.outage.lastRefusalAt = c.now
-	if r == Unreachable {
+	c.outage.lastFailedDialAt = c.now
+	if r == ConnectionRefused {
 		e.dialFailedAt = 0
 	} else if !e.refusing {
 		e.dialFailedAt = c.now
@@ -71,7 +71,7 @@
 // looks idle.
 func (c *Controller) eject(e *engine, refusesConnections bool) {
 	ejected, ready := c.countEjected()
-	if !refusesConnections && ejected+1 > max(1, ready/maxEjectedShare) {
+	if !refusesConnections && ejected+1 > max(1, ready/readyPerEjected) {
 		return
 	}
 	e.ejectionTime = min(maxEjectionTime, max(minEjectionTime, 2*e.ejectionTime))
@@ -113,6 +113,6 @@
 		c.markSeen(e, ev.ConnectedAt)
 		return
 	}
-	e.probesPassed, e.fullUntil = 0, c.now+failedProbeCooldown
+	e.probesPassed, e.cooldownUntil = 0, c.now+failedProbeCooldown
 	c.recordOutcome(e, ev.Result, ev.ConnectedAt)
 }
--- a/choice/permission.go
+++ b/choice/permission.go
@@ -5,45 +5,45 @@
 
 // The refusals, each with the rule of the package comment that it enforces. Permitted is no refusal.
 const (
-	Permitted         Refusal = iota
-	JobOver                   // rule 1: the job has its final answer, or no time is left for one
-	AttemptOver               // rule 1: another attempt is in flight, or this one ended or is being canceled
-	ClientLeft                // rule 1: the client no longer waits for the answer
-	AttemptsUsedUp            // the job has had the maximum number of attempts
-	RepeatUnsafe              // rule 2: the job may have run, and another run may not be harmless
-	EngineUnavailable         // rule 3: the engine is draining, was removed, or changed its address
-	OrderTooOld               // rules 2 and 3: the send deadline passed, or more time than a dial may take
-	ListTooOld                // rule 3: recent updates of the list may be unread, as after a stall
-	EngineWarmingUp           // rule 4: this controller's part of the engine's slow-start budget is used up
-	EngineRestarted           // rule 4: it restarted after the dispatch, which its slow start does not count
-	OutOfOrder                // rule 5: an earlier job of the key has not ended, or the key is paused
-	PlaceNotAllowed           // rule 6: the job does not allow the engine's zone, kind or protocols
-	RetryBudgetSpent          // rule 7: the retry budget is used up
+	Permitted           Refusal = iota
+	JobOver                     // rule 1: the job has its final answer, or no time is left for one
+	AttemptOver                 // rule 1: another attempt is in flight, or this one ended or is being canceled
+	ClientLeft                  // rule 1: the client no longer waits for the answer
+	AttemptsUsedUp              // the job has had the maximum number of attempts
+	RetryUnsafe                 // rule 2: the job may have run, and another run may not be harmless
+	EngineUnavailable           // rule 3: the engine is draining, was removed, or changed its address
+	DispatchTooOld              // rules 2 and 3: the send deadline passed, or more time than a dial may take
+	EngineListStale             // rule 3: recent updates of the list may be unread, as after a stall
+	EngineInSlowStart           // rule 4: this controller's part of the engine's slow-start budget is used up
+	EngineRestarted             // rule 4: it restarted after the dispatch, which its slow start does not count
+	OutOfOrder                  // rule 5: an earlier job of the key has not ended, or the key is paused
+	PlacementNotAllowed         // rule 6: the job does not allow the engine's zone, kind or protocols
+	RetryBudgetSpent            // rule 7: the retry budget is used up
 )
 
 var refusalNames = [...]string{
-	Permitted:         "permitted",
-	JobOver:           "job_over",
-	AttemptOver:       "attempt_over",
-	ClientLeft:        "client_left",
-	AttemptsUsedUp:    "attempts_used_up",
-	RepeatUnsafe:      "repeat_unsafe",
-	EngineUnavailable: "engine_unavailable",
-	OrderTooOld:       "order_too_old",
-	ListTooOld:        "list_too_old",
-	EngineWarmingUp:   "engine_warming_up",
-	EngineRestarted:   "engine_restarted",
-	OutOfOrder:        "out_of_order",
-	PlaceNotAllowed:   "place_not_allowed",
-	RetryBudgetSpent:  "retry_budget_spent",
+	Permitted:           "permitted",
+	JobOver:             "job_over",
+	AttemptOver:         "attempt_over",
+	ClientLeft:          "client_left",
+	AttemptsUsedUp:      "attempts_used_up",
+	RetryUnsafe:         "repeat_unsafe",
+	EngineUnavailable:   "engine_unavailable",
+	DispatchTooOld:      "order_too_old",
+	EngineListStale:     "list_too_old",
+	EngineInSlowStart:   "engine_warming_up",
+	EngineRestarted:     "engine_restarted",
+	OutOfOrder:          "out_of_order",
+	PlacementNotAllowed: "place_not_allowed",
+	RetryBudgetSpent:    "retry_budget_spent",
 }
 
 // String returns the name used in logs and counters.
 func (r Refusal) String() string { return refusalNames[r] }
 
-// orderRefusal decides whether a job's next attempt may be dispatched to an engine now. Every dispatch
+// dispatchRefusal decides whether a job's next attempt may be dispatched to an engine now. Every dispatch
 // passes this check.
-func (c *Controller) orderRefusal(j *job, e *engine) Refusal {
+func (c *Controller) dispatchRefusal(j *job, e *engine) Refusal {
 	if refusal := c.attemptRefusal(j, e); refusal != Permitted {
 		return refusal
 	}
@@ -52,19 +52,19 @@
 	case e.State != Ready: // the drain grace is not for new dispatches
 		return EngineUnavailable
 	case c.inSlowStart(e) && !c.slowStartAllows(j, e):
-		return EngineWarmingUp
+		return EngineInSlowStart
 	case !c.orderingAllows(j):
 		return OutOfOrder
 	case j.requiredProtocols&e.Unsupported != 0,
 		!t.allowedZones.contains(float64(e.Zone)), !t.allowedKinds.contains(float64(e.Kind)):
-		return PlaceNotAllowed
+		return PlacementNotAllowed
 	case j.attemptCount > 0 && !c.retryBudgetAllows():
 		return RetryBudgetSpent
 	}
 	return Permitted
 }
 
-// attemptRefusal does the checks of orderRefusal that do not depend on the engine's state.
+// attemptRefusal does the checks of dispatchRefusal that do not depend on the engine's state.
 func (c *Controller) attemptRefusal(j *job, e *engine) Refusal {
 	switch {
 	case j.finished, c.now >= j.expiresAt:
@@ -73,22 +73,22 @@
 		return AttemptOver
 	case j.attemptCount >= c.settings.maxAttempts:
 		return AttemptsUsedUp
-	case j.mayHaveRun && !c.repeatAllowed(j, e):
-		return RepeatUnsafe
+	case j.mayHaveRun && !c.retrySafe(j, e):
+		return RetryUnsafe
 	}
 	return Permitted
 }
 
 // dispatchAllowed reports whether a job's next attempt may be dispatched to an engine now.
 func (c *Controller) dispatchAllowed(j *job, e *engine) bool {
-	return c.orderRefusal(j, e) == Permitted
+	return c.dispatchRefusal(j, e) == Permitted
 }
 
 // minTimeLeft is the shortest timeout that can be sent to an engine, which is given whole milliseconds.
 const minTimeLeft = ms
 
-// SendFacts are what the caller knows of a dispatched attempt just before its first byte is sent.
-type SendFacts struct {
+// SendConditions are what the caller knows of a dispatched attempt just before its first byte is sent.
+type SendConditions struct {
 	Job             JobID
 	Seq             AttemptSeq
 	ClientConnected bool  // the client's connection is not known to have closed
@@ -101,7 +101,7 @@
 // SendRefusal decides whether the first byte of a dispatched attempt may be sent now. It checks the
 // conditions of the dispatch again, as a dial, a move to another connection or a stall of the process may
 // have happened since. It changes no state. A refused attempt never ran: the caller reports it as Superseded.
-func (c *Controller) SendRefusal(now Nanos, conditions SendFacts) Refusal {
+func (c *Controller) SendRefusal(now Nanos, conditions SendConditions) Refusal {
 	j := c.jobs[conditions.Job]
 	switch {
 	case j == nil, j.finished, now >= j.expiresAt, conditions.TimeLeft < minTimeLeft:
@@ -111,9 +111,9 @@
 	case !conditions.ClientConnected:
 		return ClientLeft
 	case now > j.attempt.sendDeadline, now-j.attempt.dispatchedAt > conditions.MaxAge:
-		return OrderTooOld
+		return DispatchTooOld
 	case now-c.listCurrentAt(conditions) > c.settings.drainGrace:
-		return ListTooOld
+		return EngineListStale
 	case j.attempt.engine.State != Ready, !conditions.SameAddress:
 		return EngineUnavailable
 	case j.attempt.engine.StartedAt != j.attempt.engineStartedAt:
@@ -124,7 +124,7 @@
 
 // listCurrentAt returns when the engine list was last known to be complete. If the caller does not know, it
 // is the last sweep: later updates may be unread, as the process may have stalled since.
-func (c *Controller) listCurrentAt(conditions SendFacts) Nanos {
+func (c *Controller) listCurrentAt(conditions SendConditions) Nanos {
 	if conditions.ListCurrentAt != 0 {
 		return conditions.ListCurrentAt
 	}
--- a/choice/permission_test.go
+++ b/choice/permission_test.go
@@ -7,7 +7,7 @@
 	*simulation
 	job    JobID
 	engine EngineID
-	facts  SendFacts
+	facts  SendConditions
 }
 
 func newPermissionFixture(t *testing.T, jobType TypeID) *permissionFixture {
@@ -17,7 +17,7 @@
 	engines := s.enginesOf(p.job)
 	require(t, len(engines) == 1, "the job has %d attempts", len(engines))
 	p.engine = engines[0]
-	p.facts = SendFacts{Job: p.job, Seq: 0, ClientConnected: true, SameAddress: true, MaxAge: second / 4,
+	p.facts = SendConditions{Job: p.job, Seq: 0, ClientConnected: true, SameAddress: true, MaxAge: second / 4,
 		TimeLeft: second}
 	return p
 }
@@ -38,11 +38,11 @@
 	}{
 		"no change":                  {func(*permissionFixture) {}, Permitted},
 		"within the age of an order": {func(p *permissionFixture) { p.now += second / 4 }, Permitted},
-		"the dial took too long":     {func(p *permissionFixture) { p.now += second/4 + 1 }, OrderTooOld},
+		"the dial took too long":     {func(p *permissionFixture) { p.now += second/4 + 1 }, DispatchTooOld},
 		"the drain grace is over": {func(p *permissionFixture) {
 			p.facts.MaxAge = 10 * second
 			p.now += 250*ms + 1
-		}, OrderTooOld},
+		}, DispatchTooOld},
 		"a millisecond is left": {func(p *permissionFixture) { p.facts.TimeLeft = ms }, Permitted},
 		"less is left":          {func(p *permissionFixture) { p.facts.TimeLeft = ms - 1 }, JobOver},
 		"the job expired":       {func(p *permissionFixture) { p.now += 20 * second }, JobOver},
@@ -71,7 +71,7 @@
 		}, Permitted},
 		"the list is older": {func(p *permissionFixture) {
 			p.facts.ListCurrentAt = p.now - 250*ms - 1
-		}, ListTooOld},
+		}, EngineListStale},
 		"an unknown job": {func(p *permissionFixture) { p.facts.Job++ }, JobOver},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -96,15 +96,15 @@
 		"attempts are used up": {func(c *Controller, j *job, _ *engine) {
 			j.attemptCount = c.settings.maxAttempts
 		}, AttemptsUsedUp},
-		"may have run": {func(_ *Controller, j *job, _ *engine) { j.mayHaveRun = true }, RepeatUnsafe},
+		"may have run": {func(_ *Controller, j *job, _ *engine) { j.mayHaveRun = true }, RetryUnsafe},
 		"draining":     {func(_ *Controller, _ *job, e *engine) { e.State = Draining }, EngineUnavailable},
 		"just started": {func(c *Controller, _ *job, e *engine) {
 			e.StartedAt, e.cores = c.now, 0
-		}, EngineWarmingUp},
+		}, EngineInSlowStart},
 		"its key pauses": {func(c *Controller, j *job, _ *engine) {
 			c.orderings[j.key].pausedUntil = c.now + 1
 		}, OutOfOrder},
-		"unsupported protocol": {func(_ *Controller, _ *job, e *engine) { e.Unsupported = 1 }, PlaceNotAllowed},
+		"unsupported protocol": {func(_ *Controller, _ *job, e *engine) { e.Unsupported = 1 }, PlacementNotAllowed},
 		"no budget is left": {func(c *Controller, j *job, _ *engine) {
 			j.attemptCount, c.settings.retryRatio = 1, 0
 		}, RetryBudgetSpent},
@@ -115,7 +115,7 @@
 			j := s.c.jobs[s.arrive(2, 7, 1)]
 			j.requiredProtocols = 1
 			tc.change(&s.c, j, s.c.engines[0])
-			got := s.c.orderRefusal(j, s.c.engines[0])
+			got := s.c.dispatchRefusal(j, s.c.engines[0])
 			require(t, got == tc.want, "got %s, want %s", got, tc.want)
 		})
 	}
@@ -131,7 +131,7 @@
 	if len(s.enginesOf(job)) == 0 {
 		return // not even ordered
 	}
-	refusal := s.c.SendRefusal(s.now, SendFacts{Job: job, ClientConnected: true, SameAddress: true, MaxAge: second / 4,
-		TimeLeft: second})
+	refusal := s.c.SendRefusal(s.now, SendConditions{Job: job, ClientConnected: true, SameAddress: true,
+		MaxAge: second / 4, TimeLeft: second})
 	require(t, refusal != Permitted, "the send is permitted a second after the list was last read")
 }
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -12,18 +12,18 @@
 	probeInterval    = 400 * ms // minimum time between two probes of an engine
 	probeValueShare  = 0.05     // maximum part of a job's value spent on probes of its sample
 
-	probePointsPerJob, maxProbesPerJob = 0.008, 2.0 // points earned per admitted job; cap in probes
-	maxProbeTokens, longProbeReserve   = 12.0, 6.0  // cap on saved probes; probes reserved for long jobs
+	probePointsPerJob, maxProbesPerJob   = 0.008, 2.0 // points earned per admitted job; cap in probes
+	maxProbeTokens, longTypeProbeReserve = 12.0, 6.0  // cap on saved probes; probes reserved for long jobs
 
 	minPrice       = 1e-9 // points; avoids a division by zero
 	shortTypeRatio = 4    // minimum ratio of the longest type's mean work to that of a short type
 
 	// Weights and terms of the placement load; terms are in threads per core.
-	minLatencyWeight, maxLatencyWeight = 0.5, 3.0  // bounds of the weight for latency relative to the fleet
-	failureLoad, repeatLoad            = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
-	maxCrossZoneLoad, crossZoneFactor  = 2.0, 10.0 // for another zone: maximum; per price over job value
-	minCrossZoneValue                  = 0.01      // lower bound of the job value in that
-	foreignTablesLoad, tieBreakLoad    = 3.0, 0.02 // table loads on siblings' engines; largest tie-break
+	minLatencyWeight, maxLatencyWeight   = 0.5, 3.0  // bounds of the weight for latency relative to the fleet
+	failurePenalty, sameEnginePenalty    = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
+	maxCrossZonePenalty, crossZoneFactor = 2.0, 10.0 // for another zone: maximum; per price over job value
+	minCrossZoneValue                    = 0.01      // lower bound of the job value in that
+	peerTablesPenalty, maxTieBreak       = 3.0, 0.02 // table loads on siblings' engines; largest tie-break
 )
 
 // tryDispatch dispatches a job if its ordering key and an engine allow it. It waits up to probeWait for
@@ -57,7 +57,7 @@
 		}
 	}
 	for tries := 2 * c.sampleSize; tries > 0 && len(j.candidates) < min(c.sampleSize, len(c.engines)); tries-- {
-		j.addCandidate(c.engines[int(c.random.unit()*float64(len(c.engines)))])
+		j.addCandidate(c.engines[int(c.random.float64()*float64(len(c.engines)))])
 	}
 	c.probeCandidates(j)
 }
@@ -71,11 +71,11 @@
 // probeCandidates probes candidates without a recent report, as far as the job's value and the budget allow.
 func (c *Controller) probeCandidates(j *job) {
 	affordable, minTokens := 0.0, 1.0
-	if c.settings.probesAllowed && c.settings.reportsLoad() {
+	if c.settings.probesAllowed && c.settings.showsPeerLoad() {
 		affordable = probeValueShare * j.jobType.value / max(minPrice, c.settings.probePrice*c.demand.meanValue)
 	}
 	if c.isShortType(j.jobType) {
-		minTokens = longProbeReserve
+		minTokens = longTypeProbeReserve
 	}
 	for _, e := range j.candidates {
 		stale := c.now-max(e.loadKnownAt, e.lastProbeAt) >= probeInterval
@@ -100,7 +100,7 @@
 		if !c.dispatchAllowed(j, e) || !c.hasCapacity(j, e) || c.tablesLocked(j, e) {
 			continue
 		}
-		if load := c.placementLoad(j, e); load < lowestLoad {
+		if load := c.placementCost(j, e); load < lowestLoad {
 			best, lowestLoad = e, load
 		}
 	}
@@ -118,25 +118,25 @@
 	})
 }
 
-// placementLoad returns the load of an engine with the job added, weighted by its relative latency, plus
+// placementCost returns the load of an engine with the job added, weighted by its relative latency, plus
 // penalties and minus the plan's preference. Each call draws a random number.
-func (c *Controller) placementLoad(j *job, e *engine) float64 {
+func (c *Controller) placementCost(j *job, e *engine) float64 {
 	t := j.jobType
-	load := (e.ownThreads + e.siblingThreads + t.threads) / (e.cores * c.slowStartFraction(e))
+	load := (e.ownThreads + e.peerThreads + t.threads) / (e.cores * c.slowStartFraction(e))
 	latency := e.latencyRatio / c.fleet.meanLatencyRatio
-	load = load*min(maxLatencyWeight, max(minLatencyWeight, latency)) + failureLoad*e.failureRate
+	load = load*min(maxLatencyWeight, max(minLatencyWeight, latency)) + failurePenalty*e.failureRate
 	if e.Zone != c.settings.zone { // the price is per job, so low-value jobs stay in the zone
 		price := crossZoneFactor * c.settings.crossZonePrice * c.demand.meanValue
-		load += min(maxCrossZoneLoad, price/max(minCrossZoneValue, t.value))
+		load += min(maxCrossZonePenalty, price/max(minCrossZoneValue, t.value))
 	}
 	if e == j.lastEngine {
-		load += repeatLoad
+		load += sameEnginePenalty
 	}
 	if t.locksTables && (e.index+int(j.tables))%c.settings.controllers != c.settings.ownIndex {
-		load += foreignTablesLoad // loads of a group block each other: controllers use different engines
+		load += peerTablesPenalty // loads of a group block each other: controllers use different engines
 	}
-	if weights := c.plan.engine(e.Engine).weights; c.planWeight > 0 && int(t.id) < len(weights) {
+	if weights := c.plan.forEngine(e.Engine).weights; c.planWeight > 0 && int(t.id) < len(weights) {
 		load -= c.planWeight * planPreference * weights[t.id]
 	}
-	return load + tieBreakLoad*c.random.unit()
+	return load + maxTieBreak*c.random.float64()
 }
--- a/choice/placement_test.go
+++ b/choice/placement_test.go
@@ -81,8 +81,8 @@
 			s.handle(Event{Kind: ProbeCompleted, Engine: s.probes[0], Result: Done, Load: []float64{20}})
 		}
 		for _, e := range s.c.engines {
-			if e.siblingThreads = 1.45 * e.cores; s.now-e.loadKnownAt < reportTTL {
-				e.siblingThreads = 2 * e.cores
+			if e.peerThreads = 1.45 * e.cores; s.now-e.loadKnownAt < reportTTL {
+				e.peerThreads = 2 * e.cores
 			}
 		}
 		s.c.fleet.contention = 1.45
@@ -123,6 +123,6 @@
 		lastSendDeadline()-first)
 	s.now += 200 * ms
 	s.finish(id, Reset)
-	require(t, lastSendDeadline() == first+500*ms-2*s.c.settings.batchStep,
+	require(t, lastSendDeadline() == first+500*ms-2*s.c.settings.maxEventDelay,
 		"the next send deadline is %v after the first order", lastSendDeadline()-first)
 }
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -43,7 +43,7 @@
 }
 
 // engine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
-func (p *Plan) engine(id EngineID) plannedEngine {
+func (p *Plan) forEngine(id EngineID) plannedEngine {
 	if p == nil {
 		return plannedEngine{known: true}
 	}
@@ -51,7 +51,7 @@
 }
 
 // indexed builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for nil.
-func (p *Plan) indexed(now Nanos) *Plan {
+func (p *Plan) buildIndex(now Nanos) *Plan {
 	if p == nil {
 		return nil
 	}
@@ -86,11 +86,11 @@
 	p.plannedEngines[w.Engine] = planned
 }
 
-// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready
+// availablePlanThreads returns the planned threads of engines that are ready and not ejected, and the cores of ready
 // engines that are not in the plan.
-func (c *Controller) planPresence() (threads, unknownCores float64) {
+func (c *Controller) availablePlanThreads() (threads, unknownCores float64) {
 	for _, e := range c.engines {
-		planned := c.plan.engine(e.Engine)
+		planned := c.plan.forEngine(e.Engine)
 		if e.State == Ready && !planned.known {
 			unknownCores += e.cores
 		} else if e.State == Ready && !e.ejected {
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-const threadsPerCore = 2 // threads that all buckets together may use before they borrow
+const bucketThreadsPerCore = 2 // threads that all buckets together may use before they borrow
 
 // bucketLimit returns the threads that a bucket may use before it borrows: the same for all tenants, or their
 // shares in the plan as far as it is followed. It is computed at each use.
 func (c *Controller) bucketLimit(b *bucket) float64 {
-	limit := c.fleet.cores * threadsPerCore * c.fleet.share / float64(max(1, len(c.tenants)))
+	limit := c.fleet.cores * bucketThreadsPerCore * c.fleet.share / float64(max(1, len(c.tenants)))
 	if c.planWeight > 0 {
-		planned := c.fleet.cores * threadsPerCore * c.fleet.share * c.plan.tenantShares[b.tenant]
+		planned := c.fleet.cores * bucketThreadsPerCore * c.fleet.share * c.plan.tenantShares[b.tenant]
 		limit += c.planWeight * (planned - limit)
 	}
 	return limit
@@ -72,10 +72,10 @@
 func (c *Controller) measureHeadWaits() {
 	for _, b := range c.buckets {
 		j := c.bucketHead(b)
-		if b.headWait = 0; j != nil && !slices.ContainsFunc(j.candidates, func(e *engine) bool {
+		if b.headWaitRatio = 0; j != nil && !slices.ContainsFunc(j.candidates, func(e *engine) bool {
 			return c.dispatchAllowed(j, e) && c.hasCapacity(j, e)
 		}) {
-			b.headWait = float64(c.now-j.headSince) / float64(max(b.jobType.latencyObjective, ms))
+			b.headWaitRatio = float64(c.now-j.headSince) / float64(max(b.jobType.latencyObjective, ms))
 		}
 	}
 }
--- a/choice/quota_test.go
+++ b/choice/quota_test.go
@@ -25,7 +25,7 @@
 		return c.fleet.share
 	}
 	admittedJobs := func(c *Controller) (n int) {
-		for c.withinTenantQuota(0) {
+		for c.takeTenantToken(0) {
 			n++
 		}
 		return n
--- a/choice/random.go
+++ b/choice/random.go
@@ -12,4 +12,4 @@
 }
 
 // unit returns a random number in [0, 1).
-func (p *pcg) unit() float64 { return float64(p.next()) / (1 << 32) }
+func (p *pcg) float64() float64 { return float64(p.next()) / (1 << 32) }
--- a/choice/recording_convert_test.go
+++ b/choice/recording_convert_test.go
@@ -52,16 +52,16 @@
 		ClockStepped:       "clock_stepped",
 	}
 	resultNames = nameTable[Result]{
-		0:           "",
-		Done:        "done",
-		Failed:      "failed",
-		Full:        "full",
-		TimedOut:    "timed_out",
-		Unreachable: "unreachable",
-		Reset:       "reset",
-		Canceled:    "retracted",
-		Superseded:  "moot",
-		DialFailed:  "dial_failed",
+		0:                 "",
+		Done:              "done",
+		Failed:            "failed",
+		Full:              "full",
+		TimedOut:          "timed_out",
+		ConnectionRefused: "unreachable",
+		Reset:             "reset",
+		Canceled:          "retracted",
+		Superseded:        "moot",
+		DialFailed:        "dial_failed",
 	}
 	listNames = nameTable[ListKind]{
 		0:          "",
--- a/choice/recording_coverage_test.go
+++ b/choice/recording_coverage_test.go
@@ -51,7 +51,7 @@
 		}
 		if v.Type() == reflect.TypeFor[TypeStats]() {
 			stats := v.Addr().Interface().(*TypeStats)
-			for i, figure := range stats.figures() {
+			for i, figure := range stats.fields() {
 				*figure = float64(i) + 0.1
 			}
 			return
@@ -94,7 +94,7 @@
 	}
 	for i := range 9 {
 		var stats TypeStats
-		*stats.figures()[i] = math.E
+		*stats.fields()[i] = math.E
 		if got := recorded(Event{TypeStats: []TypeStats{stats}}, nil).event(t).TypeStats[0]; got != stats {
 			t.Errorf("type statistic %d: %+v is decoded as %+v", i, stats, got)
 		}
--- a/choice/recording_digest_test.go
+++ b/choice/recording_digest_test.go
@@ -52,27 +52,27 @@
 		len(c.retryBudget.admittedAt), len(c.retryBudget.retriedAt))
 	put(c.fleet.cores, c.fleet.contention, c.fleet.share, c.fleet.estimatedShare, c.sampleSize, c.ownLoad.jobs,
 		c.ownLoad.threads, c.ownLoad.memoryMB, c.durationError.mean, c.durationError.count)
-	put(c.fleet.meanLatencyRatio, c.fleet.meanFailureRate, c.demand.jobs, c.demand.meanValue, c.demand.meanWork,
+	put(c.fleet.meanLatencyRatio, c.fleet.meanFailureRate, c.demand.sampleCount, c.demand.meanValue, c.demand.meanWork,
 		c.demand.meanDuration, c.demand.meanMemoryTime)
-	put(c.probeBudget.tokens, c.retryBudget.tokens, c.planWeight, c.offeredThreads, c.gossip.messageTokens,
-		c.gossip.mapTokens, c.gossip.mapRound, c.gossip.unreportedJobs, c.gossip.nextEngine)
+	put(c.probeBudget.tokens, c.retryBudget.tokens, c.planWeight, c.offeredThreads, c.gossip.messagePoints,
+		c.gossip.mapPoints, c.gossip.mapRound, c.gossip.unreportedJobs, c.gossip.nextEngine)
 	put(c.overloadLogged, c.fleet.underPressure, c.watchingEngines)
 	for _, t := range c.types {
 		put(t.parkedJobs, int64(t.lastLatencyAt), t.price)
-		for _, v := range t.figures() {
+		for _, v := range t.fields() {
 			put(*v)
 		}
 	}
 	for _, e := range c.engines {
-		put(uint32(e.Engine), len(e.attempts), e.ownThreads, e.ownMemoryMB, e.siblingThreads, e.gossipedThreads,
-			e.newFailures, e.newSuccesses, e.siblingFailures, e.siblingSuccesses)
+		put(uint32(e.Engine), len(e.attempts), e.ownThreads, e.ownMemoryMB, e.peerThreads, e.gossipedThreads,
+			e.newFailures, e.newSuccesses, e.peerFailures, e.peerSuccesses)
 		put(e.concurrencyLimit, e.latencyRatio, e.failureRate, int64(e.ejectionTime), e.consecutiveFailures, e.probesPassed,
-			e.index, len(e.slowStartWork), fmt.Sprintf("%d", e.lockedTables))
-		put(e.refusing, e.underPressure, e.ejected, e.probePending, int64(e.fullUntil), int64(e.suspectedRestartAt),
+			e.index, len(e.slowStartDispatches), fmt.Sprintf("%d", e.lockedTables))
+		put(e.refusing, e.underPressure, e.ejected, e.probePending, int64(e.cooldownUntil), int64(e.suspectedRestartAt),
 			int64(e.lastSeenAt), int64(e.loadKnownAt))
 	}
 	for _, s := range c.EngineViews(now) {
-		put(uint32(s.Engine), s.Jobs, s.Threads, s.SiblingThreads, int64(s.ReportAge), int64(s.LastSeenAge),
+		put(uint32(s.Engine), s.Jobs, s.Threads, s.PeerThreads, int64(s.ReportAge), int64(s.LastSeenAge),
 			s.UnavailableReason)
 	}
 	for _, s := range c.EngineHealth() {
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -12,22 +12,22 @@
 	minProgress          = 0.01   // lower bound of reported fractions
 	durationErrorFactor  = 2.5    // normal spread of durations, in mean errors
 	initialDurationError = 0.4    // mean error (natural log) assumed before the first answers
-	missedHalfPeriods    = 5      // half report periods without a report, after which reports have stopped
-	cancelMargin         = second // a keyed job is not canceled this close to the end of its repeat window
+	maxMissedHalfPeriods = 5      // half report periods without a report, after which reports have stopped
+	keyedCancelMargin    = second // a keyed job is not canceled this close to the end of its repeat window
 )
 
-// repeatAllowed implements rule 2 for a job that may have run: it is restartable, or it is keyed and engines
+// retrySafe implements rule 2 for a job that may have run: it is restartable, or it is keyed and engines
 // still drop repeats of its key.
-func (c *Controller) repeatAllowed(j *job, e *engine) bool {
+func (c *Controller) retrySafe(j *job, e *engine) bool {
 	t := j.jobType
 	inScope := t.keyScope == "all" || (t.keyScope == "zone" && e.Zone == j.firstEngine.Zone) ||
 		(t.keyScope == "cell" && e.Cell == j.firstEngine.Cell)
-	return t.repeatable || (t.repeatableByKey && inScope && c.now < c.repeatDeadline(j))
+	return t.restartable || (t.keyed && inScope && c.now < c.retrySafeUntil(j))
 }
 
-// repeatDeadline returns when engines may stop dropping repeats of a job's key, less the delay of events.
-func (c *Controller) repeatDeadline(j *job) Nanos {
-	return j.firstAttemptAt + j.jobType.repeatWindow - 2*c.settings.batchStep
+// retrySafeUntil returns when engines may stop dropping repeats of a job's key, less the delay of events.
+func (c *Controller) retrySafeUntil(j *job) Nanos {
+	return j.firstAttemptAt + j.jobType.repeatWindow - 2*c.settings.maxEventDelay
 }
 
 // mayCancel reports whether an attempt may be canceled: only once, and only if the settings allow it.
@@ -46,11 +46,11 @@
 	return math.IsInf(ratio, 1) || retries <= freeRetries+ratio*admitted
 }
 
-// mayRetry reports whether a job whose attempt ended gets another one. If the attempt may have run and was
+// takeRetry reports whether a job whose attempt ended gets another one. If the attempt may have run and was
 // not canceled, it takes a retry token.
-func (c *Controller) mayRetry(a *attempt, r Result) bool {
+func (c *Controller) takeRetry(a *attempt, r Result) bool {
 	j := a.job
-	allowed := !j.mayHaveRun || j.jobType.repeatable || j.jobType.repeatableByKey
+	allowed := !j.mayHaveRun || j.jobType.restartable || j.jobType.keyed
 	if !a.cancelRequested && !r.NeverRan() {
 		allowed = allowed && c.retryBudget.tokens >= 1
 		c.retryBudget.tokens = max(0, c.retryBudget.tokens-1)
@@ -63,13 +63,13 @@
 func (c *Controller) mayCancelToRetry(j *job) bool {
 	t := j.jobType
 	return !j.finished && !j.streaming && j.attemptCount < c.settings.maxAttempts && c.settings.cancelAllowed &&
-		(t.repeatable || (t.repeatableByKey && c.now+cancelMargin < j.firstAttemptAt+t.repeatWindow))
+		(t.restartable || (t.keyed && c.now+keyedCancelMargin < j.firstAttemptAt+t.repeatWindow))
 }
 
 // cancelToRetry cancels an attempt so that its job is retried, within the retry budget.
 func (c *Controller) cancelToRetry(a *attempt) {
-	j, expectedEnd := a.job, c.now+Nanos(a.expectedNanos)
-	if j.jobType.repeatable && !a.cancelRequested && c.mayCancelToRetry(j) && c.retryBudget.tokens >= 1 &&
+	j, expectedEnd := a.job, c.now+Nanos(a.expectedDuration)
+	if j.jobType.restartable && !a.cancelRequested && c.mayCancelToRetry(j) && c.retryBudget.tokens >= 1 &&
 		expectedEnd <= j.expiresAt && c.retryBudgetAllows() {
 		c.retryBudget.tokens--
 		c.cancelAttempt(a)
@@ -83,10 +83,10 @@
 		return
 	}
 	a.lastProgressAt, a.engine.lastSeenAt = c.now, c.now
-	elapsed := float64(c.now - a.dispatchedAt - a.stalled)
+	elapsed := float64(c.now - a.dispatchedAt - a.stallTime)
 	projected := elapsed / max(ev.Amount, minProgress)
-	badPlan := projected > badPlanFactor*c.durationSpread()*a.expectedNanos
-	if ev.Progress == ProgressFraction && badPlan && projected-elapsed > minBadPlanRemainder*a.expectedNanos {
+	badPlan := projected > badPlanFactor*c.durationSpread()*a.expectedDuration
+	if ev.Progress == ProgressFraction && badPlan && projected-elapsed > minBadPlanRemainder*a.expectedDuration {
 		c.cancelToRetry(a)
 	}
 }
@@ -100,7 +100,7 @@
 // progressStopped reports whether progress reports of an attempt are expected but have stopped.
 func (c *Controller) progressStopped(a *attempt) bool {
 	period := c.settings.progressPeriod
-	return period > 0 && c.now-a.lastProgressAt > missedHalfPeriods*period/2
+	return period > 0 && c.now-a.lastProgressAt > maxMissedHalfPeriods*period/2
 }
 
 // checkAttempt handles an attempt that is overdue or whose progress reports stopped: it counts as a timeout
@@ -108,13 +108,13 @@
 func (c *Controller) checkAttempt(a *attempt) {
 	t, stopped := a.job.jobType, c.progressStopped(a)
 	if t.locksTables { // a load may wait without progress, which is no fault
-		if stopped && !t.repeatableByKey && !t.repeatable {
-			c.finishUnserved(a.job, ProgressStopped) // no answer will come, and its key's next jobs wait
+		if stopped && !t.keyed && !t.restartable {
+			c.finishWithoutResult(a.job, ProgressStopped) // no answer will come, and its key's next jobs wait
 		}
 		return
 	}
-	limit := max(overdueFactor*c.durationSpread()*a.expectedNanos, float64(t.latencyObjective)/2)
-	overdue := float64(c.now-a.dispatchedAt-a.stalled) > limit
+	limit := max(overdueFactor*c.durationSpread()*a.expectedDuration, float64(t.latencyObjective)/2)
+	overdue := float64(c.now-a.dispatchedAt-a.stallTime) > limit
 	if a.cancelRequested || (!stopped && !overdue) {
 		return
 	}
--- a/choice/retry_test.go
+++ b/choice/retry_test.go
@@ -33,7 +33,7 @@
 			s.finish(id, Done)
 		}
 		id := s.arrive(1, 0, 1)
-		s.now += Nanos(2 * s.c.jobs[id].attempt.expectedNanos)
+		s.now += Nanos(2 * s.c.jobs[id].attempt.expectedDuration)
 		// projects four times the expected duration
 		s.handle(Event{Kind: ProgressReported, Job: id, Progress: ProgressFraction, Amount: 0.5})
 		require(t, s.jobs[id].attempts[0].cancelRequested != rough, "rough=%v: canceled=%v, duration spread %v", rough,
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -14,7 +14,7 @@
 	ownIndex      int     // of this controller among them, from 0
 	evenShare     float64 // 1 / controllers
 	zone          ZoneID  // of this controller
-	batchStep     Nanos   // maximum delay of an event
+	maxEventDelay Nanos   // maximum delay of an event
 	gossipAllowed bool
 
 	maxAttempts   int // per job, at least 1
@@ -26,19 +26,19 @@
 	gossipPrice    float64 // points per 256 bytes
 	crossZonePrice float64 // points per job
 
-	slowStartWindow      Nanos   // from an engine's start until it has its full capacity
-	startCapacity        float64 // part of its capacity that an engine has at its start; default: 1
-	overloadWindow       Nanos   // over which the work sent to an engine in slow start is limited
-	slowStartWork        float64 // limit of that work, in parts of the engine's capacity in the window
-	drainGrace           Nanos   // after which nothing is sent to a draining engine; default: unlimited
-	orderPause           Nanos   // of an ordering key after an unknown outcome
-	retryWindow          Nanos   // over which retries are limited
-	freeRetries          float64 // per retryWindow
-	retryRatio           float64 // further retries per job admitted in the window; default: unlimited
-	overQuotaValueFactor float64 // on the value of a job over its tenant's quota; default: 1
+	slowStartWindow       Nanos   // from an engine's start until it has its full capacity
+	startCapacity         float64 // part of its capacity that an engine has at its start; default: 1
+	slowStartBudgetWindow Nanos   // over which the work sent to an engine in slow start is limited
+	slowStartWorkLimit    float64 // limit of that work, in parts of the engine's capacity in the window
+	drainGrace            Nanos   // after which nothing is sent to a draining engine; default: unlimited
+	orderPause            Nanos   // of an ordering key after an unknown outcome
+	retryWindow           Nanos   // over which retries are limited
+	freeRetries           float64 // per retryWindow
+	retryRatio            float64 // further retries per job admitted in the window; default: unlimited
+	overQuotaValueFactor  float64 // on the value of a job over its tenant's quota; default: 1
 
 	grantsHonored      bool    // engines honor our memory grants
-	takesPriority      bool    // engines honor priorities
+	priorityHonored    bool    // engines honor priorities
 	usageReported      bool    // engines report the usage of attempts
 	memorySwaps        bool    // engines swap when memory is short
 	maxGrantShare      float64 // largest part of an engine's memory that a job is granted; default: 1
@@ -61,24 +61,24 @@
 	objectivePerWork float64 // times a job's work over its threads, added to the objective
 	value            float64 // of a job that meets its objective
 	lateValueFactor  float64 // on the value of a job that misses its objective
-	repeatable       bool    // a job may run any number of times
-	repeatableByKey  bool    // engines drop repeats of a job with the same key
+	restartable      bool    // a job may run any number of times
+	keyed            bool    // engines drop repeats of a job with the same key
 	keyScope         string  // which engines drop them: "all", those of the same "zone" or "cell"
 	repeatWindow     Nanos   // for how long they drop them
 	orderedByKey     bool    // jobs with the same key run one after the other
 	locksTables      bool    // a job locks its group of tables, and blocks while another job holds the lock
 	waitsForTables   bool    // a job blocks while another job locks its group of tables
-	allowedZones     placeSet
-	allowedKinds     placeSet
+	allowedZones     indexSet
+	allowedKinds     indexSet
 }
 
-// placeSet is a set of zones or of engine kinds by index, as decoded from the settings; nil contains all.
-type placeSet []any
+// indexSet is a set of zones or of engine kinds by index, as decoded from the settings; nil contains all.
+type indexSet []any
 
-func (s placeSet) contains(index float64) bool { return s == nil || slices.Contains(s, any(index)) }
+func (s indexSet) contains(index float64) bool { return s == nil || slices.Contains(s, any(index)) }
 
 // within reports whether s is a subset of other.
-func (s placeSet) within(other placeSet) bool {
+func (s indexSet) subsetOf(other indexSet) bool {
 	if other == nil {
 		return true
 	}
@@ -92,10 +92,10 @@
 // settings are not retained.
 func ParseSettings(r RawSettings) *Settings {
 	s := &Settings{
-		controllers: max(1, int(r.number("balancers", 1))),
-		ownIndex:    int(r.number("me", 0)),
-		zone:        ZoneID(r.number("locality", 0)),
-		batchStep:   r.nanos("step_ns"),
+		controllers:   max(1, int(r.number("balancers", 1))),
+		ownIndex:      int(r.number("me", 0)),
+		zone:          ZoneID(r.number("locality", 0)),
+		maxEventDelay: r.nanos("step_ns"),
 
 		probePrice:           r.number("tariffs.probe", 0),
 		gossipPrice:          r.number("tariffs.peer", 0),
@@ -132,8 +132,8 @@
 func (s *Settings) parseRules(r RawSettings) {
 	s.slowStartWindow = r.nanos("invariants.warm_within_ns")
 	s.startCapacity = r.number("invariants.start_capacity", 1)
-	s.overloadWindow = r.nanos("invariants.fall_ns")
-	s.slowStartWork = r.number("invariants.fall_multiple", 1) * r.number("invariants.start_capacity", 0)
+	s.slowStartBudgetWindow = r.nanos("invariants.fall_ns")
+	s.slowStartWorkLimit = r.number("invariants.fall_multiple", 1) * r.number("invariants.start_capacity", 0)
 	s.drainGrace = Nanos(r.number("invariants.drain_grace_ns", drainGraceUnlimited))
 	s.orderPause = r.nanos("invariants.order_pause_ns")
 	s.retryWindow = r.nanos("invariants.extra_window_ns")
@@ -144,7 +144,7 @@
 // parseEngines parses the properties of engines: their capacity, what they honor and what they report.
 func (s *Settings) parseEngines(r RawSettings) {
 	s.grantsHonored = r.flag("domain.grants_count")
-	s.takesPriority = r.flag("domain.takes_priority")
+	s.priorityHonored = r.flag("domain.takes_priority")
 	s.usageReported = r.flag("domain.says_cost")
 	s.memorySwaps = r.text("domain.memory_short") == "swap"
 	s.maxGrantShare = r.number("domain.max_grant_share", 1)
@@ -163,8 +163,8 @@
 		objectivePerWork: r.number(class("aim_stretch"), 0),
 		value:            r.number(class("gain"), 1),
 		lateValueFactor:  r.number(class("late_worth"), 0),
-		repeatable:       r.text(class("idempotency")) == "repeatable",
-		repeatableByKey:  r.text(class("idempotency")) == "by_key",
+		restartable:      r.text(class("idempotency")) == "repeatable",
+		keyed:            r.text(class("idempotency")) == "by_key",
 		keyScope:         r.text(class("key_scope")),
 		repeatWindow:     r.nanos(class("repeat_window_ns")),
 		orderedByKey:     r.flag(class("fifo_by_key")),
@@ -199,8 +199,8 @@
 	return quota
 }
 
-// reportsLoad reports whether load reports show the jobs of other controllers.
-func (s *Settings) reportsLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
+// showsPeerLoad reports whether load reports show the jobs of other controllers.
+func (s *Settings) showsPeerLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
 
 // jobCount returns the number of jobs on an engine from its load report, if reported.
 func (s *Settings) jobCount(load []float64) (jobs float64, reported bool) {
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -67,30 +67,30 @@
 				s.retryAfter != 0 {
 				t.Errorf("a setting is not false or 0: %+v", s)
 			}
-			if s.startCapacity != 1 || s.slowStartWork != 0 || s.drainGrace != 1e18 || !math.IsInf(s.retryRatio, 1) {
-				t.Errorf("capacity %v, work %v, grace %v, ratio %v", s.startCapacity, s.slowStartWork, s.drainGrace, s.retryRatio)
+			if s.startCapacity != 1 || s.slowStartWorkLimit != 0 || s.drainGrace != 1e18 || !math.IsInf(s.retryRatio, 1) {
+				t.Errorf("capacity %v, work %v, grace %v, ratio %v", s.startCapacity, s.slowStartWorkLimit, s.drainGrace, s.retryRatio)
 			}
-			if s.maxGrantShare != 1 || s.overQuotaValueFactor != 1 || s.reportsLoad() {
-				t.Errorf("grant %v, value %v, reports %v", s.maxGrantShare, s.overQuotaValueFactor, s.reportsLoad())
+			if s.maxGrantShare != 1 || s.overQuotaValueFactor != 1 || s.showsPeerLoad() {
+				t.Errorf("grant %v, value %v, reports %v", s.maxGrantShare, s.overQuotaValueFactor, s.showsPeerLoad())
 			}
 		})
 	}
 }
 
 func TestPlaceSets(t *testing.T) {
-	all, none, some := placeSet(nil), placeSet{}, placeSet{1.0, "x"}
+	all, none, some := indexSet(nil), indexSet{}, indexSet{1.0, "x"}
 	if !all.contains(7) || none.contains(7) || !some.contains(1) || some.contains(7) {
 		t.Error("contains gives a wrong result")
 	}
 	for _, c := range []struct {
-		set, other placeSet
+		set, other indexSet
 		want       bool
 	}{
 		{all, all, true}, {all, none, false}, {all, some, false},
 		{none, all, true}, {none, none, true}, {none, some, true},
-		{some, all, true}, {some, none, false}, {some, some, true}, {placeSet{1.0}, some, true}, {some, placeSet{1.0}, false},
+		{some, all, true}, {some, none, false}, {some, some, true}, {indexSet{1.0}, some, true}, {some, indexSet{1.0}, false},
 	} {
-		if got := c.set.within(c.other); got != c.want {
+		if got := c.set.subsetOf(c.other); got != c.want {
 			t.Errorf("%v within %v: got %v", c.set, c.other, got)
 		}
 	}
--- a/choice/shedding.go
+++ b/choice/shedding.go
@@ -4,7 +4,7 @@
 	maxShedSlowdown = 2.0 // cap on the slowdown that predicts when a job ends
 
 	// Waits of queue heads, in latency objectives, above which the price rises and below which it falls.
-	overloadWait, overloadEndWait  = 0.15, 0.05
+	priceRiseWait, priceFallWait   = 0.15, 0.05
 	priceChangePerSecond, maxPrice = 0.5, 2.0 // price of a second of work, in units of its mean value
 )
 
@@ -30,43 +30,43 @@
 
 // nearExpiry reports whether a job needs its final answer now, as it may expire before the next sweep.
 func (c *Controller) nearExpiry(j *job) bool {
-	return c.now+sweepInterval+2*c.settings.batchStep >= j.expiresAt
+	return c.now+sweepInterval+2*c.settings.maxEventDelay >= j.expiresAt
 }
 
 // nearStop reports whether all jobs need their final answers now: the process may be killed after stopsAt,
 // even while jobs with later timeouts are on hung engines.
 func (c *Controller) nearStop() bool {
-	return c.now+sweepInterval+2*c.settings.batchStep >= c.stopsAt
+	return c.now+sweepInterval+2*c.settings.maxEventDelay >= c.stopsAt
 }
 
-// finishUnserved gives a job its final answer without a result: Throttle if the client can safely
+// finishWithoutResult gives a job its final answer without a result: Throttle if the client can safely
 // repeat it, CancelPermanently otherwise.
-func (c *Controller) finishUnserved(j *job, reason Reason) {
+func (c *Controller) finishWithoutResult(j *job, reason Reason) {
 	if j.finished || j.streaming {
 		return
 	}
 	t := j.jobType
 	neverRan := !j.mayHaveRun && j.attempt == nil
-	enginesDropRepeats := t.repeatableByKey && t.keyScope == "all" && c.now < j.firstAttemptAt+t.repeatWindow
-	if neverRan || t.repeatable || enginesDropRepeats {
+	enginesDropRepeats := t.keyed && t.keyScope == "all" && c.now < j.firstAttemptAt+t.repeatWindow
+	if neverRan || t.restartable || enginesDropRepeats {
 		c.emit(Action{Kind: Throttle, Job: j.id, Reason: reason, Duration: c.settings.retryAfter})
 	} else {
 		c.emit(Action{Kind: CancelPermanently, Job: j.id, Reason: reason})
 	}
-	c.closeJob(j)
+	c.finishJob(j)
 }
 
-// updatePrices adjusts each type's overload price to how long queue heads wait. A type's price
+// updateOverloadPrices adjusts each type's overload price to how long queue heads wait. A type's price
 // depends only on the heads of types that may use all of its own zones and kinds: full engines raise
 // it only for types that are restricted to them.
-func (c *Controller) updatePrices() {
+func (c *Controller) updateOverloadPrices() {
 	step := float64(sweepInterval) / float64(second)
 	highestPrice, longestWait := 0.0, 0.0
 	for _, t := range c.types {
 		wait := c.longestHeadWait(t)
-		if wait > overloadWait {
+		if wait > priceRiseWait {
 			t.price = min(maxPrice, t.price+priceChangePerSecond*step)
-		} else if wait < overloadEndWait {
+		} else if wait < priceFallWait {
 			t.price = max(0, t.price-priceChangePerSecond*step)
 		}
 		if c.now-t.lastLatencyAt >= latencyStaleAfter {
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -3,7 +3,7 @@
 const (
 	slowStartSafety     = 0.51       // used part of the work that an engine in slow start withstands
 	slowStartTurnShare  = 0.75       // of that when controllers take turns, as two turns may overlap in a window
-	outageDuration      = 5 * second // an outage lasts this long after the last refused connection
+	outageTimeout       = 5 * second // an outage lasts this long after the last refused connection
 	restartSuspectShare = 0.15       // part of the expected jobs below which a restart is suspected
 )
 
@@ -13,7 +13,7 @@
 	if e.refusing { // not seen since it refused: it starts now at the earliest
 		return c.now
 	}
-	if c.now-c.outage.lastRefusalAt < outageDuration && e.lastSeenAt < c.outage.startedAt {
+	if c.now-c.outage.lastFailedDialAt < outageTimeout && e.lastSeenAt < c.outage.startedAt {
 		return max(e.StartedAt, e.suspectedRestartAt, c.outage.startedAt)
 	}
 	return max(e.StartedAt, e.suspectedRestartAt)
@@ -37,8 +37,8 @@
 // start withstands per window. If that is too small for a long job, fewer controllers share the work, in
 // turns. A new process first waits for a window, as it does not know earlier dispatches.
 func (c *Controller) slowStartAllows(j *job, e *engine) bool {
-	window := c.settings.overloadWindow
-	budget := slowStartSafety * c.settings.slowStartWork * e.cores * float64(window)
+	window := c.settings.slowStartBudgetWindow
+	budget := slowStartSafety * c.settings.slowStartWorkLimit * e.cores * float64(window)
 	turns, ownTurn := max(1, int(budget/max(1, c.longestMeanWork()))), true
 	if turns < c.settings.controllers {
 		// Turns follow the wall clock, which all share: one that counts more turns adds few senders at a time.
@@ -47,7 +47,7 @@
 		budget *= slowStartTurnShare
 	}
 	committedWork := max(j.work, j.jobType.meanWork)
-	for _, sent := range e.slowStartWork {
+	for _, sent := range e.slowStartDispatches {
 		committedWork += max(sent.work, slowStartSafety*c.demand.meanWork) // bounds the calls of short jobs, too
 	}
 	return ownTurn && c.now-max(c.startedAt, c.predecessorEndedAt) >= window &&
@@ -71,7 +71,7 @@
 	expected, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
 	settled := started == 0 || c.now-started >= 2*c.settings.slowStartWindow
 	if jobs < restartSuspectShare*expected && expected > e.cores/4 && !e.ejected && settled {
-		c.suspectRestart(e, fewJobs(jobs, expected))
+		c.suspectRestart(e, reasonFewJobs(jobs, expected))
 	}
 }
 
@@ -87,5 +87,5 @@
 		c.logSurvivedDials(e)
 		return
 	}
-	c.suspectRestart(e, reconnected)
+	c.suspectRestart(e, reasonReconnected)
 }
--- a/choice/slow_start_fleet_test.go
+++ b/choice/slow_start_fleet_test.go
@@ -86,7 +86,7 @@
 	s.advance(2 * second)
 	first := s.arriveAs(Event{Type: 1, TimeLeft: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
 	require(t, len(s.enginesOf(first)) == 1, "not dispatched to a warm engine")
-	s.finish(first, Unreachable)
+	s.finish(first, ConnectionRefused)
 	s.advance(20 * second)
 	large := s.arriveAs(Event{Type: 1, TimeLeft: 60 * second, Cost: 8 * second, CostKnown: true, MemoryMB: 200})
 	require(t, len(s.enginesOf(first))+len(s.enginesOf(large)) == 1,
@@ -129,8 +129,8 @@
 	s.advance(100 * ms)
 	for _, e := range s.c.engines {
 		inSlowStart := s.c.slowStartFraction(e) < 1
-		require(t, inSlowStart == (e.siblingThreads < 0.1), "sibling threads %v at an engine, in slow start: %v",
-			e.siblingThreads, inSlowStart)
+		require(t, inSlowStart == (e.peerThreads < 0.1), "sibling threads %v at an engine, in slow start: %v",
+			e.peerThreads, inSlowStart)
 	}
 	s.advance(12 * second)
 	require(t, s.c.fleet.cores == 32, "%v cores after the slow start", s.c.fleet.cores)
--- a/choice/slow_start_scenario_test.go
+++ b/choice/slow_start_scenario_test.go
@@ -225,7 +225,7 @@
 	case SendProbe:
 		ev := Event{Kind: ProbeCompleted, Engine: a.Engine, Result: Done, Load: []float64{float64(run.inFlightAt[a.Engine])}}
 		if run.refuses(a.Engine) {
-			ev.Result, ev.Load = Unreachable, nil
+			ev.Result, ev.Load = ConnectionRefused, nil
 		}
 		run.handle(i, ev)
 	case Dispatch:
@@ -254,7 +254,7 @@
 	end := pendingEnd{at: run.now + took, controller: i, job: a.Job, seq: j.seq, engine: a.Engine, dispatchedAt: run.now,
 		result: Done}
 	if run.refuses(a.Engine) {
-		end.at, end.result = run.now+ms, Unreachable
+		end.at, end.result = run.now+ms, ConnectionRefused
 	} else {
 		run.inFlightAt[a.Engine]++
 		if a.Engine == startedEngine && o.c.engineByID(startedEngine).knownStart() {
@@ -279,7 +279,7 @@
 func (run *scenarioRun) endAttempts() {
 	for len(run.pending) > 0 && run.pending[0].at <= run.now {
 		end := heap.Pop(&run.pending).(pendingEnd)
-		if end.result != Unreachable {
+		if end.result != ConnectionRefused {
 			run.inFlightAt[end.engine]--
 		}
 		if end.controller < 0 {
@@ -297,7 +297,7 @@
 			delete(o.jobs, end.job)
 			ev.Usage = uint32(min(j.work/1e6, 1<<20-1)) << 12
 		}
-		if end.result != Unreachable {
+		if end.result != ConnectionRefused {
 			ev.Load = []float64{float64(run.inFlightAt[end.engine])}
 		}
 		run.handle(end.controller, ev)
--- a/choice/slow_start_test.go
+++ b/choice/slow_start_test.go
@@ -12,22 +12,22 @@
 	s.now += 2 * second
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready, StartedAt: s.now})
 	e := s.c.engines[len(s.c.engines)-1]
-	e.slowStartWork = append(e.slowStartWork, timedWork{s.now, 1})
+	e.slowStartDispatches = append(e.slowStartDispatches, timedWork{s.now, 1})
 	s.list(ListDelta, EngineEntry{Engine: 101, State: Ready}) // a flapping list must not reset the slow-start budget
-	require(t, len(e.slowStartWork) > 0, "a flapping list reset the slow-start budget")
+	require(t, len(e.slowStartDispatches) > 0, "a flapping list reset the slow-start budget")
 }
 
 // Guards against overloading engines that restart while the list is unreachable and then look idle.
 func TestUnreportedRestartBeginsSlowStart(t *testing.T) {
 	s := newSimulation(t, testSettings(), 2)
 	refused, empty := s.c.engines[0], s.c.engines[1]
-	s.c.recordOutcome(refused, Unreachable, 0)
+	s.c.recordOutcome(refused, ConnectionRefused, 0)
 	require(t, s.c.slowStartFraction(empty) < 1, "an engine not seen since the outage began is not in slow start")
 	s.handle(Event{Kind: ProbeCompleted, Engine: empty.Engine, Result: Done})
 	require(t, s.c.slowStartFraction(empty) == 1, "an engine that answered a probe is still in slow start")
 	s.handle(Event{Kind: ProbeCompleted, Engine: refused.Engine, Result: Done})
 	require(t, s.c.slowStartFraction(refused) < 1, "an engine that refused and answers again is not in slow start")
-	s.advance(outageDuration)
+	s.advance(outageTimeout)
 	s.c.fleet.contention = 1
 	s.c.applyLoadReport(empty, []float64{2})
 	require(t, s.c.slowStartFraction(empty) == 1, "two of eight expected jobs suggest a restart")
@@ -86,9 +86,9 @@
 		"newer":                  {[]Result{DialFailed}, func(at Nanos) Nanos { return at + 1 }, true},
 		"between two dials":      {[]Result{DialFailed, DialFailed}, func(at Nanos) Nanos { return at + 1 }, true},
 		"of unknown age":         {[]Result{DialFailed}, func(Nanos) Nanos { return 0 }, true},
-		"refused":                {[]Result{Unreachable}, func(at Nanos) Nanos { return at - 1 }, true},
-		"refused after a dial":   {[]Result{DialFailed, Unreachable}, func(at Nanos) Nanos { return at - 1 }, true},
-		"dialled after refusal":  {[]Result{Unreachable, DialFailed}, func(at Nanos) Nanos { return at - 1 }, true},
+		"refused":                {[]Result{ConnectionRefused}, func(at Nanos) Nanos { return at - 1 }, true},
+		"refused after a dial":   {[]Result{DialFailed, ConnectionRefused}, func(at Nanos) Nanos { return at - 1 }, true},
+		"dialled after refusal":  {[]Result{ConnectionRefused, DialFailed}, func(at Nanos) Nanos { return at - 1 }, true},
 	} {
 		s := newSimulation(t, testSettings(), 3)
 		s.advance(20 * second)
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -40,9 +40,9 @@
 	return health
 }
 
-// adoptState replaces this process's statistics by those of its predecessor, which has seen more jobs.
+// restoreState replaces this process's statistics by those of its predecessor, which has seen more jobs.
 // Implausible ones are ignored.
-func (c *Controller) adoptState(ev Event) {
+func (c *Controller) restoreState(ev Event) {
 	for i := range min(len(ev.TypeStats), len(c.types)) {
 		if ev.TypeStats[i].plausible() {
 			c.types[i].TypeStats = ev.TypeStats[i]
@@ -74,14 +74,14 @@
 }
 
 // figures returns pointers to all values, in the order of their JSON encoding.
-func (s *TypeStats) figures() [9]*float64 {
+func (s *TypeStats) fields() [9]*float64 {
 	return [9]*float64{&s.meanWork, &s.workCount, &s.costBias, &s.costCount, &s.memoryBias, &s.memoryDeviation,
 		&s.memoryCount, &s.bestSlowdown, &s.slowdown}
 }
 
 // plausible reports whether the values are within the bounds that a working process keeps.
 func (s TypeStats) plausible() bool {
-	for _, v := range s.figures() {
+	for _, v := range s.fields() {
 		if math.IsNaN(*v) || math.Abs(*v) > float64(maxPlausible) {
 			return false
 		}
@@ -96,7 +96,7 @@
 // MarshalJSON encodes the values as an array.
 func (s TypeStats) MarshalJSON() ([]byte, error) {
 	var list [9]float64
-	for i, v := range s.figures() {
+	for i, v := range s.fields() {
 		list[i] = *v
 	}
 	return json.Marshal(list)
@@ -108,7 +108,7 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	figures := s.figures()
+	figures := s.fields()
 	if len(list) != len(figures) {
 		return fmt.Errorf("type statistics have %d values, want %d", len(list), len(figures))
 	}
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -238,7 +238,7 @@
 			case j.attempts[last].cancelRequested:
 				s.finish(j.ev.Job, Canceled)
 			case roll == 0:
-				s.finish(j.ev.Job, Unreachable)
+				s.finish(j.ev.Job, ConnectionRefused)
 			case roll < 12:
 				s.finish(j.ev.Job, Done)
 			case roll < 36:
--- a/choice/sweep.go
+++ b/choice/sweep.go
@@ -11,10 +11,10 @@
 // sweep runs every sweepInterval. It ends expiring jobs, cancels overdue attempts and updates all estimates.
 func (c *Controller) sweep() {
 	c.armTimer()
-	c.probeBudget.checkFunds(c.now)
+	c.probeBudget.recordFunding(c.now)
 	c.liveJobs = slices.DeleteFunc(c.liveJobs, func(j *job) bool { return j.finished && j.attempt == nil })
 	if stalled := c.now - c.lastSweepAt - sweepInterval; stalled >= stallThreshold {
-		c.excuseStall(stalled)
+		c.discountStall(stalled)
 	}
 	c.lastSweepAt = c.now
 	for _, j := range c.liveJobs {
@@ -26,12 +26,12 @@
 	}
 	c.updateFleet()
 	c.updateShare()
-	c.updatePrices()
-	c.offeredThreads -= c.offeredThreads * float64(sweepInterval) / float64(offeredWindow)
+	c.updateOverloadPrices()
+	c.offeredThreads -= c.offeredThreads * float64(sweepInterval) / float64(offeredDecayTime)
 	if c.plan != nil {
 		c.updatePlanWeight()
 	}
-	c.dropExpired()
+	c.pruneState()
 	c.requestWatch()
 }
 
@@ -41,14 +41,14 @@
 	switch {
 	case j.finished || j.streaming:
 	case c.nearExpiry(j):
-		c.finishUnserved(j, TooLateToServe)
+		c.finishWithoutResult(j, TooLateToServe)
 	case c.nearStop():
-		c.finishUnserved(j, WouldNotFinish)
+		c.finishWithoutResult(j, WouldNotFinish)
 	case j.attempt != nil:
 		c.checkAttempt(j.attempt)
 	default:
 		if reason := c.shedReason(j); reason != "" {
-			c.finishUnserved(j, reason)
+			c.finishWithoutResult(j, reason)
 		}
 	}
 }
--- a/internal/gateway/load_report.go
+++ b/internal/gateway/load_report.go
@@ -16,7 +16,7 @@
 	backend.Failed:       choice.Failed,
 	backend.Full:         choice.Full,
 	backend.Superseded:   choice.Superseded,
-	backend.NotConnected: choice.Unreachable,
+	backend.NotConnected: choice.ConnectionRefused,
 	backend.Reset:        choice.Reset,
 	backend.TimedOut:     choice.TimedOut,
 	backend.DialFailed:   choice.DialFailed,
@@ -24,15 +24,15 @@
 
 // resultNames are the names of results in counter names.
 var resultNames = map[choice.Result]string{
-	choice.Done:        "done",
-	choice.Failed:      "failed",
-	choice.Full:        "full",
-	choice.TimedOut:    "timed_out",
-	choice.Unreachable: "refused_connection",
-	choice.Reset:       "reset",
-	choice.Canceled:    "canceled",
-	choice.Superseded:  "superseded",
-	choice.DialFailed:  "dial_failed",
+	choice.Done:              "done",
+	choice.Failed:            "failed",
+	choice.Full:              "full",
+	choice.TimedOut:          "timed_out",
+	choice.ConnectionRefused: "refused_connection",
+	choice.Reset:             "reset",
+	choice.Canceled:          "canceled",
+	choice.Superseded:        "superseded",
+	choice.DialFailed:        "dial_failed",
 }
 
 // notices maps the progress notices that engines send for a running dispatch to the module's kinds.
--- a/internal/gateway/reconcile.go
+++ b/internal/gateway/reconcile.go
@@ -97,7 +97,7 @@
 
 func logView(name string, view choice.EngineView, open, cancelled int) {
 	slog.Info("engine_view", "engine", name, "module_jobs", view.Jobs, "open", open, "cancelled", cancelled,
-		"threads", view.Threads, "others", view.SiblingThreads,
+		"threads", view.Threads, "others", view.PeerThreads,
 		"report_age_ms", milliseconds(view.ReportAge), "last_seen_ms", milliseconds(view.LastSeenAge),
 		"unavailable", view.UnavailableReason)
 }
--- a/internal/gateway/send_gate.go
+++ b/internal/gateway/send_gate.go
@@ -112,7 +112,7 @@
 	entry := g.table.byID[s.attempt.engine]
 	sameAddress := entry != nil && g.table.hostBy(entry, s.job.Protocol).Address == s.host.Address
 	now := max(g.lastTime, g.clock.now())
-	refusal = g.module.SendRefusal(now, choice.SendFacts{
+	refusal = g.module.SendRefusal(now, choice.SendConditions{
 		Job:             s.job.id,
 		Seq:             s.attempt.sequence,
 		ClientConnected: connected,
--- a/internal/wire/record.go
+++ b/internal/wire/record.go
@@ -32,7 +32,7 @@
 
 var resultCodes = map[uint16]choice.Result{
 	100: choice.Done, 301: choice.Failed, 302: choice.Full, 303: choice.TimedOut,
-	304: choice.Unreachable, 305: choice.Reset, 306: choice.Canceled, 307: choice.Superseded,
+	304: choice.ConnectionRefused, 305: choice.Reset, 306: choice.Canceled, 307: choice.Superseded,
 }
 
 var listCodes = map[byte]choice.ListKind{
