--- a/choice/action.go
+++ b/choice/action.go
@@ -14,7 +14,7 @@
 	SendProbe                                // Engine
 	CloseIdle                                // close idle connections: Engine
 	SendGossip                               // Peer, Payload
-	WatchEngines                             // subscribe to changes of the engine list, or not: Enabled
+	WatchEngines                             // start or stop watching the engine list: Enabled
 	ListEngines                              // request the full engine list from discovery
 	Log                                      // Text
 	Fault                                    // report an internal error of this program: Text
@@ -48,7 +48,7 @@
 	ValueTooLow     Reason = "value_too_low"     // its value is below the overload price of its work
 	QueueFull       Reason = "queue_full"
 	NoRetryLeft     Reason = "no_retry_left"    // its attempt failed, and no other is allowed
-	ProgressStopped Reason = "progress_stopped" // no progress reports any more, and it cannot be repeated
+	ProgressStopped Reason = "progress_stopped" // progress reports stopped, and a retry is unsafe
 )
 
 func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
--- a/choice/admission.go
+++ b/choice/admission.go
@@ -10,7 +10,7 @@
 	maxWork, maxMemoryMB                 = 3600 * second, 1e9 // caps work estimates; larger memory is ignored
 	idleStateTTL                         = 10 * second        // idle buckets and tenants are deleted after this
 	offeredDecayTime                     = 10 * second        // time constant by which the offered load decays
-	demandSamples                        = 100.0              // jobs that the moving averages of demand cover
+	demandSamples                        = 100.0              // jobs that the moving means of demand cover
 
 	tenantBurstSeconds, tenantBurstJobs = 2.0, 4.0 // a tenant's burst: seconds of its quota, plus jobs
 )
@@ -68,7 +68,7 @@
 	return j
 }
 
-// arrivedAt returns the earliest time at which a job may have arrived.
+// earliestArrival returns the earliest time at which a job may have arrived.
 func (c *Controller) earliestArrival(ev Event) Nanos {
 	if ev.ArrivedAt == 0 {
 		return c.now
@@ -76,8 +76,8 @@
 	return min(ev.ArrivedAt, c.now)
 }
 
-// creditBudgets credits an admitted job to the budgets for retries, gossip and probes. The retry budget
-// counts it at its arrival time even if it was read much later, as after a pause of the process.
+// creditBudgets credits a job to the budgets for retries, gossip and probes. The retry budget counts the job
+// at its arrival time even if it was read much later, as after a pause of the process.
 func (c *Controller) creditBudgets(arrivedAt Nanos) {
 	c.retryBudget.recordAdmission(arrivedAt)
 	c.retryBudget.tokens = min(maxRetryTokens, c.retryBudget.tokens+retryTokensPerJob)
@@ -87,8 +87,8 @@
 	c.probeBudget.tokens = min(maxProbeTokens, c.probeBudget.tokens+earnedProbes)
 }
 
-// takeTenantToken reports whether a job is within this controller's share of its tenant's quota, and takes
-// a token if it is. The share may be less than one job per second, hence the fixed part of the burst.
+// takeTenantToken reports whether a job is within this controller's share of its tenant's quota, and takes a
+// token if it is. The burst has a fixed part because the share may be less than one job per second.
 func (c *Controller) takeTenantToken(id TenantID) bool {
 	rate := c.settings.tenantQuota(id) * c.quota.tenantShare(id, c.now, c.fleet.share)
 	burst := tenantBurstSeconds*rate + tenantBurstJobs
--- a/choice/admission_test.go
+++ b/choice/admission_test.go
@@ -73,8 +73,8 @@
 		s.jobs[long])
 }
 
-// Guards against jobs on hung engines that get no answer when their controller stops before their own timeouts. They
-// are answered in time, and their attempts are canceled.
+// Guards against jobs on hung engines that get no answer when their controller stops before their own timeouts. The
+// jobs are answered in time, and their attempts are canceled.
 func TestJobThatIsOutAtTheEndOfAShutdownIsAnswered(t *testing.T) {
 	s := newSimulation(t, testSettings(), 1)
 	repeatable := s.arriveAs(Event{Type: 0, TimeLeft: 20 * second, Cost: ms, CostKnown: true})
@@ -119,7 +119,7 @@
 
 // Guards against heads of a type that is restricted to full engines raising the price of types for which other engines
 // have capacity.
-func TestHeadWaitPricesOnlyTypesWithTheSamePlaces(t *testing.T) {
+func TestHeadWaitPricesOnlyTypesWithTheSamePlacement(t *testing.T) {
 	raw := testSettings()
 	raw.list("classes")[1].(map[string]any)["kinds_only"] = []any{1.0}
 	s := newSimulation(t, raw.set("domain.cpu_of_kind", []any{8.0, 8.0}).set("domain.size_mb", []any{16000.0, 16000.0}), 2)
--- a/choice/bucket.go
+++ b/choice/bucket.go
@@ -10,7 +10,7 @@
 	jobType       *jobType
 	tenant        TenantID
 	threadsInUse  float64
-	headWaitRatio float64 // how long its head has waited for capacity, in latency objectives
+	headWaitRatio float64 // time that its head has waited for capacity, over the latency objective
 	queue         []*job  // parked jobs
 	lastUsedAt    Nanos
 }
@@ -58,8 +58,8 @@
 	j.bucket.queue = slices.DeleteFunc(j.bucket.queue, func(o *job) bool { return o == j })
 }
 
-// longestHeadWait is the longest wait, in latency objectives, of the heads whose types may use all zones and
-// kinds of engine that t may use.
+// longestHeadWait returns the highest headWaitRatio of the buckets whose types may use all zones and kinds of
+// engine that t may use.
 func (c *Controller) longestHeadWait(t *jobType) float64 {
 	longest := 0.0
 	for _, b := range c.buckets {
@@ -78,8 +78,8 @@
 	return c.tenants[id]
 }
 
-// pruneIdle removes buckets and tenants that have not been used since a time, and orderings that have no jobs
-// and are no longer paused.
+// pruneIdle removes buckets and tenants that have not been used since a time, and ordering keys that have no
+// jobs and are no longer paused.
 func (c *Controller) pruneIdle(since Nanos) {
 	c.buckets = slices.DeleteFunc(c.buckets, func(b *bucket) bool {
 		return len(b.queue) == 0 && b.threadsInUse == 0 && b.lastUsedAt < since
--- a/choice/budget.go
+++ b/choice/budget.go
@@ -8,8 +8,8 @@
 	updatedAt Nanos
 }
 
-// take refills the bucket and takes a token if there is one. The rate is in tokens per second, and the burst
-// is the capacity of the bucket.
+// take refills the token bucket and takes a token if there is one. The rate is in tokens per second, and the
+// burst is the capacity.
 func (b *tokenBucket) take(now Nanos, rate, burst float64) bool {
 	b.tokens = min(b.tokens+rate*float64(now-b.updatedAt)/float64(second), burst)
 	b.updatedAt = now
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -40,13 +40,13 @@
 }
 
 // Guards against five controllers that each place one long job on every engine in a burst, beyond its memory and cores.
-func TestFirstJobRespectsSiblingLoad(t *testing.T) {
+func TestFirstJobRespectsPeerLoad(t *testing.T) {
 	s := newSimulation(t, testSettings().set("balancers", 5.0), 1)
 	e := s.c.engines[0]
 	e.peerThreads, e.loadKnownAt = 18, s.now
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use 18 threads on 8 cores")
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though peers use 18 threads on 8 cores")
 	e.peerThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use all its memory")
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though peers use all its memory")
 	s.advance(15 * second)
 	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "an expired report does not decay: %v", e.peerThreads)
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,6 +1,6 @@
 package choice
 
-// handlers maps each kind of event to the function that handles it.
+// eventHandlers maps each kind of event to the function that handles it.
 var eventHandlers = [...]func(*Controller, Event){
 	Started:            (*Controller).start,
 	JobArrived:         (*Controller).admit,
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -21,12 +21,12 @@
 	overloadLogged     bool
 
 	types       []*jobType                // by TypeID
-	engines     []*engine                 // by ID; removed ones until pruneEngines drops them
+	engines     []*engine                 // by ID; removed ones until pruneEngines deletes them
 	jobs        map[JobID]*job            // until finished with no attempt in flight
 	liveJobs    []*job                    // in order of arrival; finished ones until the next sweep
-	buckets     []*bucket                 // dropped once idle
-	orderings   map[Key]*keyOrder         // by ordering key; dropped when empty and no longer paused
-	tenants     map[TenantID]*tokenBucket // for their quotas; dropped once idle
+	buckets     []*bucket                 // deleted once idle
+	orderings   map[Key]*keyOrder         // by ordering key; deleted when empty and no longer paused
+	tenants     map[TenantID]*tokenBucket // for their quotas; deleted once idle
 	freedBucket *bucket                   // of the attempt that the current event ended; nil: none
 
 	fleet          fleetState
@@ -56,7 +56,7 @@
 	lastReportAt     Nanos   // when the load of any engine was last reported
 }
 
-// outage is a period in which connections to engines fail.
+// outage is a period in which dials to engines fail or are refused.
 type outage struct{ startedAt, lastFailedDialAt Nanos }
 
 func (c *Controller) start(ev Event) {
@@ -87,14 +87,15 @@
 	c.emit(Action{Kind: SetTimer, Duration: sweepInterval, TimerID: c.timerID})
 }
 
-// pruneState drops expired state, so that no table grows without limit.
+// pruneState deletes expired state, so that memory use stays bounded.
 func (c *Controller) pruneState() {
 	c.pruneEngines(c.now - c.settings.slowStartBudgetWindow)
 	c.pruneIdle(c.now - idleStateTTL)
 	c.retryBudget.trim(c.now - c.settings.retryWindow)
 }
 
-// requestWatch subscribes to changes of the engine list where that is needed and not confirmed yet.
+// requestWatch subscribes to changes of the engine list if discovery requires it, until a current list
+// arrives.
 func (c *Controller) requestWatch() {
 	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
 		c.watchRequestedAt = c.now
@@ -102,7 +103,7 @@
 	}
 }
 
-// handleTimer ignores a timer that is not the last one set, as it would start a second series of sweeps.
+// handleTimer ignores a timer that is not the last one set: that timer would start a second series of sweeps.
 func (c *Controller) handleTimer(ev Event) {
 	if ev.TimerID == c.timerID {
 		c.sweep()
@@ -122,8 +123,8 @@
 	}
 }
 
-// markPredecessor records whether the predecessor still runs. Until it has ended, this process does not know
-// what it dispatches.
+// markPredecessor records whether the predecessor still runs. Until the predecessor has ended, this process
+// does not know what else is dispatched.
 func (c *Controller) markPredecessor(ev Event) {
 	c.predecessorEndedAt = c.now
 	if ev.PredecessorRunning {
--- a/choice/dispatch.go
+++ b/choice/dispatch.go
@@ -11,9 +11,9 @@
 	minGrantSafety, maxGrantSafety = 0.6, 2.2 // safety added to a memory estimate, in mean deviations
 	grantSafetySlope               = 2.5      // safety on an empty engine, less as it fills; fixed if it swaps
 
-	workSamples, estimateErrorSamples  = 50.0, 100.0 // samples in the averages of work; of estimate errors
-	minCostDivisor, minMemoryDivisor   = 10.0, 5.0   // minimum divisor of the first errors of cost; of memory
-	maxCostError, maxDurationError     = 3.0, 2.0    // caps on one error of cost; of duration (natural log)
+	workSamples, estimateErrorSamples  = 50.0, 100.0 // samples in the moving means of work; of estimate errors
+	minCostDivisor, minMemoryDivisor   = 10.0, 5.0   // minimum divisor of the first errors of cost; memory
+	maxCostError, maxDurationError     = 3.0, 2.0    // caps on one error of cost; duration (natural log)
 	bestSlowdownFall, bestSlowdownRise = 0.1, 0.0005 // step of a type's best slowdown: down; up
 	slowdownStep, maxSlowdown          = 0.05, 10.0  // step of its recent slowdown; cap on one sample
 
@@ -32,7 +32,7 @@
 	if c.settings.grantsHonored || c.settings.priorityHonored {
 		c.emit(Action{Kind: SetDispatchOptions, Job: j.id, Priority: c.priority(t), MemoryMB: grant})
 	}
-	sendDeadline := c.now + c.settings.drainGrace // rule 3: later the engine may be past its drain grace
+	sendDeadline := c.now + c.settings.drainGrace // rule 3: the drain grace may be over later
 	if j.mayHaveRun && !t.restartable {
 		sendDeadline = min(sendDeadline, c.retrySafeUntil(j)) // rule 2
 	}
@@ -58,7 +58,7 @@
 	return normalPriority
 }
 
-// memoryGrant returns the MB granted to a job (0: unspecified) and the MB that it is assumed to use. The
+// memoryGrant returns the MB granted to a job (0: unspecified) and the MB that the job is assumed to use. The
 // grant uses free memory as a margin for low estimates. Where engines swap, only memory in use counts, so the
 // margin costs nothing.
 func (c *Controller) memoryGrant(j *job, e *engine) (grant, reserved float64) {
--- a/choice/doc.go
+++ b/choice/doc.go
@@ -19,7 +19,8 @@
 //
 // Short names are used throughout: c is the Controller, j a job, t its type, e an engine, a an attempt and b
 // a bucket. Work is in nanoseconds of one thread and memory in MB. The prices and budgets of messages and
-// probes are in the points of the settings.
+// probes are in the points of the settings. A load, or data load, is a job that locks its group of tables;
+// the load of an engine is what its jobs use.
 //
 // Comments refer to the rules that no action may break:
 //
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -23,7 +23,7 @@
 
 	concurrencyLimit float64 // of own threads; enforced under pressure
 	underPressure    bool
-	cooldownUntil    Nanos // no dispatch until then
+	cooldownUntil    Nanos // no dispatch until then, after a Full result or a failed probe
 	limitRaisedAt    Nanos
 	limitHalvedAt    Nanos
 	latencyRatio     float64 // recent slowdowns of its jobs over the best slowdown of their types
@@ -37,18 +37,18 @@
 	probePending        bool
 	lastProbeAt         Nanos
 
-	refusing            bool        // its last connection failed to come up, and it has not answered since
-	dialFailedAt        Nanos       // first failed dial since it was last seen; 0: none, or one was refused
+	refusing            bool        // a dial failed or was refused, and it has not answered since
+	dialFailedAt        Nanos       // first failed dial since it last answered; 0: none, or one was refused
 	suspectedRestartAt  Nanos       // when it seems to have restarted; the engine list reports no restart
-	slowStartDispatches []timedWork // dispatched during its slow start
+	slowStartDispatches []timedWork // dispatches during its slow start
 
 	gossipedThreads float64 // own threads in the last message sent
 	newSuccesses    int     // outcomes since that message
 	newFailures     int     // outcomes since that message
 	peerSuccesses   float64 // reported by peers, decaying exponentially
 	peerFailures    float64 // reported by peers, decaying exponentially
-	lockedTables    []byte  // hashes of the table groups that loads hold, from the map of lockedTablesAt
-	lockedTablesAt  Nanos
+	lockedTables    []byte  // hashes of the table groups that loads lock, by the last map with tables
+	lockedTablesAt  Nanos   // when that map arrived
 }
 
 // timedWork is work dispatched at a time, in ns of one thread.
@@ -72,7 +72,7 @@
 	return c.engines[i]
 }
 
-// upsertEngine applies an entry of an engine list. restarted is true for a new engine too.
+// upsertEngine adds or updates an engine from an entry of an engine list. A new engine counts as restarted.
 func (c *Controller) upsertEngine(entry EngineEntry) (e *engine, restarted bool) {
 	i, known := c.findEngine(entry.Engine)
 	if !known {
@@ -86,7 +86,7 @@
 	return e, restarted
 }
 
-// markEnginesRemoved marks all engines as removed, until a list contains them again.
+// markEnginesRemoved marks all engines as removed, before the entries of a complete list set their states.
 func (c *Controller) markEnginesRemoved() {
 	for _, e := range c.engines {
 		e.State = Removed
@@ -105,7 +105,7 @@
 }
 
 // pruneEngines deletes slow-start work older than a time, and removed engines that have neither attempts nor
-// such work left: an engine that leaves the list and returns keeps its slow-start budget.
+// such work left. An engine that leaves the list and returns must keep its slow-start budget.
 func (c *Controller) pruneEngines(before Nanos) {
 	c.engines = slices.DeleteFunc(c.engines, func(e *engine) bool {
 		e.slowStartDispatches = slices.DeleteFunc(e.slowStartDispatches, func(w timedWork) bool {
--- a/choice/engine_view.go
+++ b/choice/engine_view.go
@@ -5,7 +5,7 @@
 	Engine            EngineID
 	Jobs              int     // own jobs in flight there
 	Threads           float64 // of these jobs
-	PeerThreads       float64 // of peers' jobs, estimated
+	PeerThreads       float64 // of peers' jobs, as reported or estimated
 	ReportAge         Nanos   // since the last load report; below 0: none yet
 	LastSeenAge       Nanos   // since the last answer or progress report; below 0: none yet
 	UnavailableReason string  // why no jobs are sent to it; empty: it is available
@@ -28,7 +28,7 @@
 	return views
 }
 
-// unavailable returns why no jobs are sent to an engine, or "" if it is available.
+// unavailableReason returns why no jobs are sent to an engine, or "" if it is available.
 func (e *engine) unavailableReason(now Nanos) string {
 	switch {
 	case e.State == Removed:
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -58,11 +58,11 @@
 type durationError struct{ mean, count float64 }
 
 // observe adds the duration of an attempt, with its error capped at maxError. The mean covers about the last
-// samples durations. Its first steps are divided by at least priorCount, so that they weigh less.
-func (d *durationError) observe(a *attempt, latency Nanos, maxError, priorCount, samples float64) {
+// samples durations. The first errors are divided by at least minDivisor, so that they weigh less.
+func (d *durationError) observe(a *attempt, latency Nanos, maxError, minDivisor, samples float64) {
 	d.count = min(d.count+1, samples)
 	logError := min(maxError, math.Abs(math.Log(max(1, float64(latency))/a.expectedDuration)))
-	d.mean += (logError - d.mean) / max(d.count, priorCount)
+	d.mean += (logError - d.mean) / max(d.count, minDivisor)
 }
 
 // usage is what an attempt used, packed as in Event.Usage.
--- a/choice/event.go
+++ b/choice/event.go
@@ -7,14 +7,14 @@
 const (
 	Started            EventKind = iota + 1 // the first event: Seed, Settings
 	JobArrived                              // a client sent a job: Job to RequiredProtocols
-	StreamStarted                           // an attempt's answer is being sent to the client: Job
+	StreamStarted                           // a job's answer is being sent to the client: Job
 	ProgressReported                        // an attempt reported progress: Job, Seq, Engine, Progress, Amount
 	AttemptEnded                            // an attempt ended: Job, Seq, Engine, Result to ConnectedAt
 	ClientDisconnected                      // the client left before the final answer: Job
 	TimerFired                              // TimerID
-	EnginesListed                           // discovery reported engines: List, Engines
+	EnginesListed                           // discovery reported an engine list: List, Engines
 	ProbeCompleted                          // a probe ended: Engine, Result, Latency, Load, ConnectedAt
-	GossipReceived                          // another controller sent a gossip message: Peer, Payload
+	GossipReceived                          // a peer sent a gossip message: Peer, Payload
 	Stopping                                // this process will end; answers are still sent within TimeLeft
 	PlanUpdated                             // from now on a plan is followed, or none: Plan
 	Reconfigured                            // the settings changed, and all other state stays: Settings
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -9,11 +9,11 @@
 	latencyDecay        = 0.002      // step per sweep of slowdowns and latency ratios toward 1
 	latencyStaleAfter   = 5 * second // a type's slowdown decays after this long without an answer
 	failureDecay        = 0.999      // factor per sweep on an engine's failure rate
-	peerThreadsStep     = 0.02       // step per sweep of unreported sibling threads toward the fleet's mean
+	peerThreadsStep     = 0.02       // step per sweep of unreported peer threads toward the fleet's mean
 	ownLoadStep         = 0.005      // step per sweep of the means of own load and of contention
 	shareStep           = 0.05       // step per sweep of the own share estimated from reports
 	minMeanLatencyRatio = 0.1        // lower bound of the fleet's latency ratio
-	minContentionCores  = 4.0        // lower bound of own cores: fewer say little about siblings
+	minContentionCores  = 4.0        // lower bound of own cores: fewer say little about peers
 
 	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep is multiplied by own jobs / ownLoadJobs, capped
 )
@@ -56,7 +56,7 @@
 }
 
 // updateHealth decays an engine's statistics and restores it after an ejection. Without a fresh report,
-// siblings are assumed to load it like the rest of the fleet.
+// peers are assumed to load it like the rest of the fleet.
 func (c *Controller) updateHealth(e *engine) {
 	if c.now-e.loadKnownAt >= reportTTL {
 		expectedThreads := max(0, c.fleet.contention*c.warmCores(e)-e.ownThreads)
@@ -69,7 +69,7 @@
 }
 
 // updateShare estimates this controller's share of the fleet's load from reports, unless a share is assigned.
-// Without reports, siblings are assumed to have the same load as this controller.
+// Without reports, peers are assumed to have the same load as this controller.
 func (c *Controller) updateShare() {
 	if c.now-c.fleet.lastReportAt >= reportTTL {
 		ownContention := c.ownLoad.threads / max(minContentionCores, c.settings.evenShare*c.fleet.cores)
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -9,10 +9,10 @@
 	gossipPriceUnitBytes = 256  // bytes per unit of the gossip price
 	roundsPerTableMap    = 3    // one in this many rounds of maps includes locked tables, which cost most
 
-	maxMessagePoints, maxSavedMaps      = 0.1, 20.0               // caps on points for messages; on maps
-	gossipRepeatInterval, gossipTTL     = 4 * second, 10 * second // message is repeated after; expires after
-	mapInterval, collectorTakeoverDelay = 100 * ms, second        // between maps; until the next takes over
-	peerOutcomeDecay, minPeerOutcomes   = 0.95, 4                 // factor per map; fewer are not reported
+	maxMessagePoints, maxSavedMaps      = 0.1, 20.0               // cap on points for messages; on saved maps
+	gossipRepeatInterval, gossipTTL     = 4 * second, 10 * second // a message is repeated after; expires after
+	mapInterval, collectorTakeoverDelay = 100 * ms, second        // between maps; until the next one takes over
+	peerOutcomeDecay, minPeerOutcomes   = 0.95, 4                 // decay factor per map; fewer are not reported
 )
 
 // sendGossip sends this controller's load and outcomes to the collectors when they change. One collector
@@ -41,13 +41,13 @@
 
 // isMapDue reports whether this controller is a collector and no collector before it sends maps.
 func (c *Controller) isMapDue() bool {
-	place := c.collectorIndex()
-	return place >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(place)*collectorTakeoverDelay &&
+	index := c.collectorIndex()
+	return index >= 0 && c.now-c.gossip.lastMapReceivedAt >= Nanos(index)*collectorTakeoverDelay &&
 		c.now-c.gossip.lastOwnMapAt >= mapInterval
 }
 
-// receiveGossip handles a message or a map. A map replaces missing load reports and carries siblings'
-// outcomes.
+// receiveGossip handles a message or a map. A map replaces missing load reports and carries the outcomes of
+// peers.
 func (c *Controller) receiveGossip(peer int, message []byte) {
 	header, entries, ok := decodeGossip(message)
 	if !ok || peer >= len(c.gossip.messages) {
--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// The encoding of gossip between controllers: a header byte, then one entry per engine. A message reports the
-// attempts of one controller; a map aggregates the messages of all. gossip.go decides when they are sent and
+// The encoding of gossip: a header byte, then one entry per engine. A message reports the attempts of one
+// controller; a map aggregates the messages of all. gossip.go decides when messages and maps are sent and
 // what they change.
 
 const (
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -1,7 +1,7 @@
 package choice
 
-// gossipState is the state of the gossip with other controllers. Collectors are the controllers that receive
-// the messages of all; one of them sends maps, which aggregate these messages, to all controllers.
+// gossipState is the state of the gossip with peers. Collectors are the controllers that receive the messages
+// of all; one of them sends maps, which aggregate these messages, to all controllers.
 type gossipState struct {
 	messages      []peerMessage // last received from each controller, by PeerID; nil: gossip is off
 	messagePoints float64       // points left for messages
@@ -23,10 +23,10 @@
 	receivedAt Nanos
 }
 
-// collectors returns the number of collectors.
+// collectorCount returns the number of collectors.
 func (c *Controller) collectorCount() int { return min(gossipCollectors, c.settings.controllers) }
 
-// collector returns the PeerID of the collector with an index among the collectors.
+// collectorID returns the PeerID of the collector with an index among the collectors.
 func (c *Controller) collectorID(index int) int {
 	return index * c.settings.controllers / c.collectorCount()
 }
--- a/choice/gossip_test.go
+++ b/choice/gossip_test.go
@@ -65,17 +65,17 @@
 	}
 }
 
-// Guards against assuming that siblings hold the same load as this controller where engines report no load, or each
+// Guards against assuming that peers hold the same load as this controller where engines report no load, or each
 // controller sees few reports.
-func TestGossipShowsSiblingLoad(t *testing.T) {
+func TestGossipShowsPeerLoad(t *testing.T) {
 	f := newFleet(t, 6, 2)
 	f.loadFirstEngine([]int{1, 3, 5})
 	f.advance(500 * ms)
 	idle := f.members[0].c.engines
-	require(t, idle[0].peerThreads == 6 && idle[1].peerThreads == 0, "sibling threads %v and %v, want 6 and 0",
+	require(t, idle[0].peerThreads == 6 && idle[1].peerThreads == 0, "peer threads %v and %v, want 6 and 0",
 		idle[0].peerThreads, idle[1].peerThreads)
 	own := f.members[1].c.engines[0]
-	require(t, own.peerThreads == 4, "sibling threads %v, want 4 without the two of this controller",
+	require(t, own.peerThreads == 4, "peer threads %v, want 4 without the two of this controller",
 		own.peerThreads)
 	for _, s := range f.members {
 		for id, j := range s.jobs {
@@ -86,7 +86,7 @@
 	}
 	f.loadFirstEngine([]int{0})
 	f.advance(500 * ms)
-	require(t, f.members[2].c.engines[0].peerThreads == 2, "sibling threads %v, want 2 after three jobs ended",
+	require(t, f.members[2].c.engines[0].peerThreads == 2, "peer threads %v, want 2 after three jobs ended",
 		f.members[2].c.engines[0].peerThreads)
 }
 
@@ -96,17 +96,17 @@
 	f.drops = func(from, to int) bool { return from == 0 || to == 0 } // collectors are 0, 2 and 4
 	f.loadFirstEngine([]int{1, 3, 5})
 	f.advance(collectorTakeoverDelay + 300*ms)
-	require(t, f.members[5].c.engines[0].peerThreads == 4, "sibling threads %v, want 4",
+	require(t, f.members[5].c.engines[0].peerThreads == 4, "peer threads %v, want 4",
 		f.members[5].c.engines[0].peerThreads)
 	require(t, f.members[4].c.gossip.lastOwnMapAt == 0, "the third collector sends maps although the second does")
 	f.drops = func(int, int) bool { return true }
-	f.advance(gossipTTL + 5*second) // as without gossip: siblings are assumed to hold our load
+	f.advance(gossipTTL + 5*second) // as without gossip: peers are assumed to hold our load
 	s := f.members[5]
 	require(t, len(s.enginesOf(s.arrive(1, 0, 2))) == 1, "nothing is dispatched without gossip")
 }
 
-// Guards against jobs that block behind a load that only the sibling that dispatched it knows of; one job in nine did.
-func TestTableWaitersAvoidSiblingLoads(t *testing.T) {
+// Guards against jobs that block behind a load that only the peer that dispatched it knows of. One job in nine did so.
+func TestTableWaitersAvoidPeerLoads(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for _, s := range f.members { // type 0 blocks behind loads of type 2
 		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(s.settings.set("domain.waits_for_loads",
@@ -157,8 +157,8 @@
 	}
 }
 
-// Guards against each controller losing three jobs at an engine before it avoids one that already failed for siblings.
-func TestSiblingFailuresLowerPreference(t *testing.T) {
+// Guards against each controller losing three jobs at an engine that already failed for its peers.
+func TestPeerFailuresLowerPreference(t *testing.T) {
 	f := newFleet(t, 4, 2)
 	for range 2 {
 		f.loadFirstEngine([]int{1, 2, 3})
--- a/choice/job.go
+++ b/choice/job.go
@@ -47,11 +47,11 @@
 	sendDeadline     Nanos // no byte of it may be sent later
 	engineStartedAt  Nanos // StartedAt of the engine at that time
 	lastProgressAt   Nanos
-	stallTime        Nanos   // time during which this process was stalled
-	expectedDuration float64 // expected duration
+	stallTime        Nanos   // time for which this process was stalled
+	expectedDuration float64 // ns
 	reservedMB       float64 // memory that it is assumed to use
 	cancelRequested  bool
-	countedAsTimeout bool // it was recorded as a timeout of its engine
+	countedAsTimeout bool // it was counted as a timeout of its engine
 }
 
 // attach adds an attempt to its job, bucket and engine.
@@ -103,8 +103,8 @@
 	order.jobs = append(order.jobs, j)
 }
 
-// finishJob finishes a job that needs no further answer, and cancels its attempt. The job stays in c.jobs
-// until its attempt has ended.
+// finishJob marks a job that needs no further answer as finished, and cancels its attempt. The job stays in
+// c.jobs until the attempt has ended.
 func (c *Controller) finishJob(j *job) {
 	c.unpark(j)
 	j.finished = true
@@ -124,7 +124,7 @@
 }
 
 // discountStall excludes the time for which this process was stalled from the duration of attempts in flight
-// and from the wait of queue heads, as answers may be queued behind the timer that reveals the stall.
+// and from the wait of bucket heads. Answers may be queued behind the timer that reveals the stall.
 func (c *Controller) discountStall(stalled Nanos) {
 	for _, j := range c.liveJobs {
 		if j.attempt != nil {
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -7,7 +7,7 @@
 	contentionStep                     = 0.2       // step of the fleet's contention per report
 )
 
-// applyLoadReport estimates siblings' threads on an engine from its load report: from the jobs other than
+// applyLoadReport estimates peers' threads on an engine from its load report: from the jobs other than
 // this controller's, or else from the memory granted to others, which includes that of blocked jobs.
 func (c *Controller) applyLoadReport(e *engine, load []float64) {
 	if jobs, reported := c.settings.jobCount(load); reported {
@@ -28,7 +28,7 @@
 	}
 }
 
-// setPeerThreads records siblings' threads on an engine, as reported by the engine or by siblings.
+// setPeerThreads records peers' threads on an engine, as reported by the engine or by peers.
 func (c *Controller) setPeerThreads(e *engine, threads float64) {
 	e.peerThreads = max(0, threads)
 	e.loadKnownAt, c.fleet.lastReportAt = c.now, c.now
--- a/choice/outlier.go
+++ b/choice/outlier.go
@@ -8,8 +8,8 @@
 const (
 	failureRateStep      = 0.05  // step of an engine's failure rate per outcome
 	ejectAfterFailures   = 3.0   // consecutive failures that eject an engine
-	ejectionSignificance = 0.001 // of a run of failures at the fleet's failure rate: only rarer runs eject
-	maxMeanFailureRate   = 0.9   // cap on the fleet's failure rate in that
+	ejectionSignificance = 0.001 // a run of failures less likely than this at the fleet's failure rate ejects
+	maxMeanFailureRate   = 0.9   // cap on that failure rate
 	readyPerEjected      = 3     // at most one in this many ready engines is ejected
 	restoreAfterProbes   = 2     // consecutive successful probes that restore an engine
 
@@ -66,9 +66,9 @@
 	e.refusing = true
 }
 
-// eject stops using an engine. At most a third of the ready engines is ejected, as a fault of most engines
-// has its cause elsewhere. An engine that refuses connections is always ejected, as it fails so fast that it
-// looks idle.
+// eject stops using an engine. At most a third of the ready engines is ejected: a fault of most engines has
+// its cause elsewhere. An engine that refuses connections is always ejected: it fails so fast that it looks
+// idle.
 func (c *Controller) eject(e *engine, refusesConnections bool) {
 	ejected, ready := c.countEjected()
 	if !refusesConnections && ejected+1 > max(1, ready/readyPerEjected) {
--- a/choice/permission.go
+++ b/choice/permission.go
@@ -87,7 +87,7 @@
 // minTimeLeft is the shortest timeout that can be sent to an engine, which is given whole milliseconds.
 const minTimeLeft = ms
 
-// SendConditions are what the caller knows of a dispatched attempt just before its first byte is sent.
+// SendConditions hold what the caller knows of a dispatched attempt just before its first byte is sent.
 type SendConditions struct {
 	Job             JobID
 	Seq             AttemptSeq
@@ -99,7 +99,7 @@
 }
 
 // SendRefusal decides whether the first byte of a dispatched attempt may be sent now. It checks the
-// conditions of the dispatch again, as a dial, a move to another connection or a stall of the process may
+// conditions of the dispatch again: a dial, a move to another connection or a stall of the process may
 // have happened since. It changes no state. A refused attempt never ran: the caller reports it as Superseded.
 func (c *Controller) SendRefusal(now Nanos, conditions SendConditions) Refusal {
 	j := c.jobs[conditions.Job]
@@ -123,7 +123,7 @@
 }
 
 // listCurrentAt returns when the engine list was last known to be complete. If the caller does not know, it
-// is the last sweep: later updates may be unread, as the process may have stalled since.
+// is the last sweep: the process may have stalled since, and later updates may be unread.
 func (c *Controller) listCurrentAt(conditions SendConditions) Nanos {
 	if conditions.ListCurrentAt != 0 {
 		return conditions.ListCurrentAt
--- a/choice/permission_test.go
+++ b/choice/permission_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// permissionFixture has one job with an attempt at an engine, and the facts of an immediate send.
+// permissionFixture has one job with an attempt at an engine, and the conditions of an immediate send.
 type permissionFixture struct {
 	*simulation
-	job    JobID
-	engine EngineID
-	facts  SendConditions
+	job        JobID
+	engine     EngineID
+	conditions SendConditions
 }
 
 func newPermissionFixture(t *testing.T, jobType TypeID) *permissionFixture {
@@ -17,7 +17,7 @@
 	engines := s.enginesOf(p.job)
 	require(t, len(engines) == 1, "the job has %d attempts", len(engines))
 	p.engine = engines[0]
-	p.facts = SendConditions{Job: p.job, Seq: 0, ClientConnected: true, SameAddress: true, MaxAge: second / 4,
+	p.conditions = SendConditions{Job: p.job, Seq: 0, ClientConnected: true, SameAddress: true, MaxAge: second / 4,
 		TimeLeft: second}
 	return p
 }
@@ -29,27 +29,27 @@
 	p.handle(Event{Kind: EnginesListed, List: ListDelta, Engines: []EngineEntry{entry}})
 }
 
-// A send is refused, with the reason of the rule, if something that the order relied on changed before its first byte.
-// Without a change it is permitted.
+// A send is refused, with the reason of the rule, if something that the dispatch relied on changed before its first
+// byte. Without a change the send is permitted.
 func TestASendIsRefusedOnceItsOrderNoLongerHolds(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*permissionFixture)
 		want   Refusal
 	}{
-		"no change":                  {func(*permissionFixture) {}, Permitted},
-		"within the age of an order": {func(p *permissionFixture) { p.now += second / 4 }, Permitted},
-		"the dial took too long":     {func(p *permissionFixture) { p.now += second/4 + 1 }, DispatchTooOld},
+		"no change":              {func(*permissionFixture) {}, Permitted},
+		"within the maximum age": {func(p *permissionFixture) { p.now += second / 4 }, Permitted},
+		"the dial took too long": {func(p *permissionFixture) { p.now += second/4 + 1 }, DispatchTooOld},
 		"the drain grace is over": {func(p *permissionFixture) {
-			p.facts.MaxAge = 10 * second
+			p.conditions.MaxAge = 10 * second
 			p.now += 250*ms + 1
 		}, DispatchTooOld},
-		"a millisecond is left": {func(p *permissionFixture) { p.facts.TimeLeft = ms }, Permitted},
-		"less is left":          {func(p *permissionFixture) { p.facts.TimeLeft = ms - 1 }, JobOver},
+		"a millisecond is left": {func(p *permissionFixture) { p.conditions.TimeLeft = ms }, Permitted},
+		"less is left":          {func(p *permissionFixture) { p.conditions.TimeLeft = ms - 1 }, JobOver},
 		"the job expired":       {func(p *permissionFixture) { p.now += 20 * second }, JobOver},
 		"the client left": {func(p *permissionFixture) {
 			p.handle(Event{Kind: ClientDisconnected, Job: p.job})
 		}, JobOver},
-		"its connection shows an end": {func(p *permissionFixture) { p.facts.ClientConnected = false }, ClientLeft},
+		"its connection shows an end": {func(p *permissionFixture) { p.conditions.ClientConnected = false }, ClientLeft},
 		"the attempt is being canceled": {func(p *permissionFixture) {
 			p.c.cancelAttempt(p.c.jobs[p.job].attempt)
 		}, AttemptOver},
@@ -62,29 +62,29 @@
 		"the engine is removed": {func(p *permissionFixture) {
 			p.relist(func(e *EngineEntry) { e.State = Removed })
 		}, EngineUnavailable},
-		"its address changed": {func(p *permissionFixture) { p.facts.SameAddress = false }, EngineUnavailable},
+		"its address changed": {func(p *permissionFixture) { p.conditions.SameAddress = false }, EngineUnavailable},
 		"the engine restarted": {func(p *permissionFixture) {
 			p.relist(func(e *EngineEntry) { e.StartedAt = p.now })
 		}, EngineRestarted},
 		"the list is as old as the grace": {func(p *permissionFixture) {
-			p.facts.ListCurrentAt = p.now - 250*ms
+			p.conditions.ListCurrentAt = p.now - 250*ms
 		}, Permitted},
 		"the list is older": {func(p *permissionFixture) {
-			p.facts.ListCurrentAt = p.now - 250*ms - 1
+			p.conditions.ListCurrentAt = p.now - 250*ms - 1
 		}, EngineListStale},
-		"an unknown job": {func(p *permissionFixture) { p.facts.Job++ }, JobOver},
+		"an unknown job": {func(p *permissionFixture) { p.conditions.Job++ }, JobOver},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPermissionFixture(t, 1)
 			tc.change(p)
-			got := p.c.SendRefusal(p.now, p.facts)
+			got := p.c.SendRefusal(p.now, p.conditions)
 			require(t, got == tc.want, "got %s, want %s", got, tc.want)
 		})
 	}
 }
 
-// An order is refused with the reason of the rule that it would break.
-func TestAnOrderIsRefusedForTheRuleThatItWouldBreak(t *testing.T) {
+// A dispatch is refused with the reason of the rule that it would break.
+func TestADispatchIsRefusedForTheRuleThatItWouldBreak(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Controller, *job, *engine)
 		want   Refusal
@@ -121,7 +121,7 @@
 	}
 }
 
-// During a stall of one second a job arrives and the list reports that the engine drains. The job is read first: it
+// During a stall of one second a job arrives and the list reports that the engine drains. The job is read first, and
 // must not be sent before the pending list update can have been read.
 func TestNothingIsSentOnAListFromBeforeAStall(t *testing.T) {
 	s := newSimulation(t, testSettings(), 1)
@@ -129,7 +129,7 @@
 	s.now += second // no timer has fired
 	job := s.arrive(0, 0, 1)
 	if len(s.enginesOf(job)) == 0 {
-		return // not even ordered
+		return // not even dispatched
 	}
 	refusal := s.c.SendRefusal(s.now, SendConditions{Job: job, ClientConnected: true, SameAddress: true,
 		MaxAge: second / 4, TimeLeft: second})
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -7,27 +7,27 @@
 
 const (
 	minSampleSize    = 4        // minimum number of engines sampled per job
-	resampleInterval = 300 * ms // engines are sampled again for a queue head after this
+	resampleInterval = 300 * ms // engines are sampled again for a bucket head after this
 	probeWait        = 60 * ms  // maximum wait of a job for the probes of its sample
 	probeInterval    = 400 * ms // minimum time between two probes of an engine
 	probeValueShare  = 0.05     // maximum part of a job's value spent on probes of its sample
 
 	probePointsPerJob, maxProbesPerJob   = 0.008, 2.0 // points earned per admitted job; cap in probes
-	maxProbeTokens, longTypeProbeReserve = 12.0, 6.0  // cap on saved probes; probes reserved for long jobs
+	maxProbeTokens, longTypeProbeReserve = 12.0, 6.0  // cap on saved probes; probes reserved for long types
 
 	minPrice       = 1e-9 // points; avoids a division by zero
 	shortTypeRatio = 4    // minimum ratio of the longest type's mean work to that of a short type
 
-	// Weights and terms of the placement load; terms are in threads per core.
+	// Weights and terms of the placement cost; terms are in threads per core.
 	minLatencyWeight, maxLatencyWeight   = 0.5, 3.0  // bounds of the weight for latency relative to the fleet
 	failurePenalty, sameEnginePenalty    = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
 	maxCrossZonePenalty, crossZoneFactor = 2.0, 10.0 // for another zone: maximum; per price over job value
 	minCrossZoneValue                    = 0.01      // lower bound of the job value in that
-	peerTablesPenalty, maxTieBreak       = 3.0, 0.02 // table loads on siblings' engines; largest tie-break
+	peerTablesPenalty, maxTieBreak       = 3.0, 0.02 // table loads on peers' engines; largest tie-break
 )
 
-// tryDispatch dispatches a job if its ordering key and an engine allow it. It waits up to probeWait for
-// pending probes of the job's sample.
+// tryDispatch dispatches a job if its ordering key and an engine allow it. The job waits up to probeWait
+// for pending probes of its sample.
 func (c *Controller) tryDispatch(j *job) bool {
 	if !c.orderingAllows(j) {
 		return false
@@ -87,21 +87,22 @@
 	}
 }
 
-// isShortType reports whether a type's jobs are short. They get priority and a higher concurrency limit.
+// isShortType reports whether a type's jobs are short. Short jobs have priority and a higher concurrency
+// limit.
 func (c *Controller) isShortType(t *jobType) bool {
 	return t.meanWork*shortTypeRatio <= c.longestMeanWork()
 }
 
-// pickEngine returns the allowed candidate with the lowest placement load, or nil.
+// pickEngine returns the allowed candidate with the lowest placement cost, or nil.
 func (c *Controller) pickEngine(j *job) *engine {
 	var best *engine
-	lowestLoad := math.Inf(1)
+	lowestCost := math.Inf(1)
 	for _, e := range j.candidates {
 		if !c.dispatchAllowed(j, e) || !c.hasCapacity(j, e) || c.tablesLocked(j, e) {
 			continue
 		}
-		if load := c.placementCost(j, e); load < lowestLoad {
-			best, lowestLoad = e, load
+		if cost := c.placementCost(j, e); cost < lowestCost {
+			best, lowestCost = e, cost
 		}
 	}
 	return best
@@ -112,31 +113,31 @@
 	if !j.jobType.locksTables && !j.jobType.waitsForTables {
 		return false
 	}
-	lockedBySibling := c.now-e.lockedTablesAt < reportTTL && slices.Contains(e.lockedTables, j.tables.hash())
-	return lockedBySibling || slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+	lockedByPeer := c.now-e.lockedTablesAt < reportTTL && slices.Contains(e.lockedTables, j.tables.hash())
+	return lockedByPeer || slices.ContainsFunc(e.attempts, func(a *attempt) bool {
 		return a.job.jobType.locksTables && a.job.tables == j.tables
 	})
 }
 
-// placementCost returns the load of an engine with the job added, weighted by its relative latency, plus
-// penalties and minus the plan's preference. Each call draws a random number.
+// placementCost returns the load of an engine with the job added, weighted by the engine's relative latency,
+// plus penalties and minus the plan's preference. Each call draws a random number.
 func (c *Controller) placementCost(j *job, e *engine) float64 {
 	t := j.jobType
-	load := (e.ownThreads + e.peerThreads + t.threads) / (e.cores * c.slowStartFraction(e))
+	cost := (e.ownThreads + e.peerThreads + t.threads) / (e.cores * c.slowStartFraction(e))
 	latency := e.latencyRatio / c.fleet.meanLatencyRatio
-	load = load*min(maxLatencyWeight, max(minLatencyWeight, latency)) + failurePenalty*e.failureRate
+	cost = cost*min(maxLatencyWeight, max(minLatencyWeight, latency)) + failurePenalty*e.failureRate
 	if e.Zone != c.settings.zone { // the price is per job, so low-value jobs stay in the zone
 		price := crossZoneFactor * c.settings.crossZonePrice * c.demand.meanValue
-		load += min(maxCrossZonePenalty, price/max(minCrossZoneValue, t.value))
+		cost += min(maxCrossZonePenalty, price/max(minCrossZoneValue, t.value))
 	}
 	if e == j.lastEngine {
-		load += sameEnginePenalty
+		cost += sameEnginePenalty
 	}
 	if t.locksTables && (e.index+int(j.tables))%c.settings.controllers != c.settings.ownIndex {
-		load += peerTablesPenalty // loads of a group block each other: controllers use different engines
+		cost += peerTablesPenalty // loads of a group block each other: controllers use different engines
 	}
 	if weights := c.plan.forEngine(e.Engine).weights; c.planWeight > 0 && int(t.id) < len(weights) {
-		load -= c.planWeight * planPreference * weights[t.id]
+		cost -= c.planWeight * planPreference * weights[t.id]
 	}
-	return load + maxTieBreak*c.random.float64()
+	return cost + maxTieBreak*c.random.float64()
 }
--- a/choice/placement_test.go
+++ b/choice/placement_test.go
@@ -119,10 +119,10 @@
 	}
 	id := s.arrive(1, 7, 1)
 	first := s.now
-	require(t, lastSendDeadline() == first+400*ms, "the first send deadline is %v after its order",
+	require(t, lastSendDeadline() == first+400*ms, "the first send deadline is %v after its dispatch",
 		lastSendDeadline()-first)
 	s.now += 200 * ms
 	s.finish(id, Reset)
 	require(t, lastSendDeadline() == first+500*ms-2*s.c.settings.maxEventDelay,
-		"the next send deadline is %v after the first order", lastSendDeadline()-first)
+		"the next send deadline is %v after the first dispatch", lastSendDeadline()-first)
 }
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -42,7 +42,7 @@
 	known   bool // the engine is in the plan
 }
 
-// engine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
+// forEngine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
 func (p *Plan) forEngine(id EngineID) plannedEngine {
 	if p == nil {
 		return plannedEngine{known: true}
@@ -50,7 +50,8 @@
 	return p.plannedEngines[id]
 }
 
-// indexed builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for nil.
+// buildIndex builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for
+// nil.
 func (p *Plan) buildIndex(now Nanos) *Plan {
 	if p == nil {
 		return nil
@@ -86,8 +87,8 @@
 	p.plannedEngines[w.Engine] = planned
 }
 
-// availablePlanThreads returns the planned threads of engines that are ready and not ejected, and the cores of ready
-// engines that are not in the plan.
+// availablePlanThreads returns the planned threads of engines that are ready and not ejected, and the cores
+// of ready engines that are not in the plan.
 func (c *Controller) availablePlanThreads() (threads, unknownCores float64) {
 	for _, e := range c.engines {
 		planned := c.plan.forEngine(e.Engine)
--- a/choice/predecessor_test.go
+++ b/choice/predecessor_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// A successor adopts what its predecessor learned, and ignores implausible values.
+// A successor restores what its predecessor learned, and ignores implausible values.
 func TestStateTransfer(t *testing.T) {
 	raw := RawSettings{"classes": []any{map[string]any{"name": "lookup", "aim_ns": 1e9},
 		map[string]any{"name": "report", "aim_ns": 4e9}}}
--- a/choice/queue.go
+++ b/choice/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-const bucketThreadsPerCore = 2 // threads that all buckets together may use before they borrow
+const bucketThreadsPerCore = 2 // threads per core that all buckets together may use before they borrow
 
 // bucketLimit returns the threads that a bucket may use before it borrows: the same for all tenants, or their
 // shares in the plan as far as it is followed. It is computed at each use.
@@ -35,7 +35,7 @@
 	}
 }
 
-// bucketHead returns the first parked job of a bucket that its ordering key allows to run, or nil. It notes
+// bucketHead returns the first parked job of a bucket that its ordering key allows to run, or nil. It records
 // when that job became the head.
 func (c *Controller) bucketHead(b *bucket) *job {
 	i := slices.IndexFunc(b.queue, c.orderingAllows)
@@ -49,7 +49,7 @@
 }
 
 // orderingAllows implements rule 5: all earlier jobs of the key have ended, and the pause after an unknown
-// outcome is over. Keys also pause after the end of a predecessor, which may have served them.
+// outcome is over. All keys also pause after the end of a predecessor, which may have served them.
 func (c *Controller) orderingAllows(j *job) bool {
 	order := c.orderings[j.key]
 	if !j.jobType.orderedByKey || j.key == 0 || order == nil {
@@ -59,7 +59,7 @@
 	return order.jobs[0] == j && c.now >= pausedUntil
 }
 
-// pauseOrdering pauses an ordering key after an unknown outcome, as the attempt may still be running.
+// pauseOrdering pauses an ordering key after an unknown outcome: the attempt may still be running.
 func (c *Controller) pauseOrdering(j *job, r Result) {
 	order := c.orderings[j.key]
 	if order != nil && j.jobType.orderedByKey && (r == TimedOut || r == Reset || r == Canceled) {
--- a/choice/random.go
+++ b/choice/random.go
@@ -11,5 +11,5 @@
 	return shifted>>rotation | shifted<<(-rotation&31)
 }
 
-// unit returns a random number in [0, 1).
+// float64 returns a random number in [0, 1).
 func (p *pcg) float64() float64 { return float64(p.next()) / (1 << 32) }
--- a/choice/recording_coverage_test.go
+++ b/choice/recording_coverage_test.go
@@ -51,8 +51,8 @@
 		}
 		if v.Type() == reflect.TypeFor[TypeStats]() {
 			stats := v.Addr().Interface().(*TypeStats)
-			for i, figure := range stats.fields() {
-				*figure = float64(i) + 0.1
+			for i, field := range stats.fields() {
+				*field = float64(i) + 0.1
 			}
 			return
 		}
--- a/choice/replay_test.go
+++ b/choice/replay_test.go
@@ -9,7 +9,7 @@
 )
 
 // The streams in testdata record events and the resulting decisions, which must stay the same, with exact floats. After
-// an intended change of decisions they are recorded anew, before the next subsystem is changed:
+// an intended change of decisions the streams are recorded anew, before the next subsystem is changed:
 // go test ./choice -run Recorded -record.
 var record = flag.Bool("record", false, "record the streams in testdata anew")
 
--- a/choice/retry.go
+++ b/choice/retry.go
@@ -13,10 +13,10 @@
 	durationErrorFactor  = 2.5    // normal spread of durations, in mean errors
 	initialDurationError = 0.4    // mean error (natural log) assumed before the first answers
 	maxMissedHalfPeriods = 5      // half report periods without a report, after which reports have stopped
-	keyedCancelMargin    = second // a keyed job is not canceled this close to the end of its repeat window
+	keyedCancelMargin    = second // no keyed job is canceled this close to the end of its repeat window
 )
 
-// retrySafe implements rule 2 for a job that may have run: it is restartable, or it is keyed and engines
+// retrySafe implements rule 2 for a job that may have run: the job is restartable, or it is keyed and engines
 // still drop repeats of its key.
 func (c *Controller) retrySafe(j *job, e *engine) bool {
 	t := j.jobType
@@ -46,8 +46,8 @@
 	return math.IsInf(ratio, 1) || retries <= freeRetries+ratio*admitted
 }
 
-// takeRetry reports whether a job whose attempt ended gets another one. If the attempt may have run and was
-// not canceled, it takes a retry token.
+// takeRetry decides whether a job whose attempt ended gets another one. An attempt that may have run and was
+// not canceled takes a retry token, also if no retry follows.
 func (c *Controller) takeRetry(a *attempt, r Result) bool {
 	j := a.job
 	allowed := !j.mayHaveRun || j.jobType.restartable || j.jobType.keyed
@@ -103,13 +103,13 @@
 	return period > 0 && c.now-a.lastProgressAt > maxMissedHalfPeriods*period/2
 }
 
-// checkAttempt handles an attempt that is overdue or whose progress reports stopped: it counts as a timeout
-// of its engine, and is canceled to retry its job.
+// checkAttempt handles an attempt that is overdue or whose progress reports stopped: the attempt counts as a
+// timeout of its engine, and is canceled to retry its job.
 func (c *Controller) checkAttempt(a *attempt) {
 	t, stopped := a.job.jobType, c.progressStopped(a)
 	if t.locksTables { // a load may wait without progress, which is no fault
 		if stopped && !t.keyed && !t.restartable {
-			c.finishWithoutResult(a.job, ProgressStopped) // no answer will come, and its key's next jobs wait
+			c.finishWithoutResult(a.job, ProgressStopped) // no answer will come, and the next jobs of its key wait
 		}
 		return
 	}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -71,10 +71,10 @@
 		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(memory)})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done,
 			Load: []float64{0, (e.ownMemoryMB + 800) / e.memoryMB}})
-		require(t, e.peerThreads > 6 && e.peerThreads < 10, "sibling threads %v by granted memory, want 8",
+		require(t, e.peerThreads > 6 && e.peerThreads < 10, "peer threads %v by granted memory, want 8",
 			e.peerThreads)
 		s.handle(Event{Kind: Reconfigured, Settings: ParseSettings(testSettings())})
 		s.handle(Event{Kind: ProbeCompleted, Engine: e.Engine, Result: Done, Load: []float64{float64(len(e.attempts))}})
-		require(t, e.peerThreads == 0, "sibling threads %v by job count, want 0", e.peerThreads)
+		require(t, e.peerThreads == 0, "peer threads %v by job count, want 0", e.peerThreads)
 	}
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -61,13 +61,13 @@
 	objectivePerWork float64 // times a job's work over its threads, added to the objective
 	value            float64 // of a job that meets its objective
 	lateValueFactor  float64 // on the value of a job that misses its objective
-	restartable      bool    // a job may run any number of times
-	keyed            bool    // engines drop repeats of a job with the same key
-	keyScope         string  // which engines drop them: "all", those of the same "zone" or "cell"
-	repeatWindow     Nanos   // for how long they drop them
+	restartable      bool    // jobs may run any number of times
+	keyed            bool    // engines drop repeats: jobs with a key that they have seen
+	keyScope         string  // engines that drop repeats: "all", or those of the same "zone" or "cell"
+	repeatWindow     Nanos   // for how long engines drop repeats
 	orderedByKey     bool    // jobs with the same key run one after the other
-	locksTables      bool    // a job locks its group of tables, and blocks while another job holds the lock
-	waitsForTables   bool    // a job blocks while another job locks its group of tables
+	locksTables      bool    // a load: locks its group of tables, and blocks while another load holds the lock
+	waitsForTables   bool    // a job blocks while a load locks its group of tables
 	allowedZones     indexSet
 	allowedKinds     indexSet
 }
@@ -77,7 +77,7 @@
 
 func (s indexSet) contains(index float64) bool { return s == nil || slices.Contains(s, any(index)) }
 
-// within reports whether s is a subset of other.
+// subsetOf reports whether s is a subset of other.
 func (s indexSet) subsetOf(other indexSet) bool {
 	if other == nil {
 		return true
@@ -199,7 +199,7 @@
 	return quota
 }
 
-// showsPeerLoad reports whether load reports show the jobs of other controllers.
+// showsPeerLoad reports whether load reports show the jobs of peers.
 func (s *Settings) showsPeerLoad() bool { return max(s.jobCountField, s.grantedMemoryField) >= 0 }
 
 // jobCount returns the number of jobs on an engine from its load report, if reported.
--- a/choice/settings_test.go
+++ b/choice/settings_test.go
@@ -18,7 +18,7 @@
 	return raw
 }
 
-func TestSettingsByPlaceAreThoseOfTheirPaths(t *testing.T) {
+func TestSettingsByIndexAreThoseOfTheirPaths(t *testing.T) {
 	for name, text := range map[string]string{
 		"none": `{}`,
 		"lists": `{"domain": {"cpu_of_kind": [8, 0.5, 16], "size_mb": [1000, 2000]},
@@ -33,18 +33,18 @@
 		t.Run(name, func(t *testing.T) {
 			raw := parseJSON(t, text)
 			s := ParseSettings(raw)
-			for place := range 5 {
-				cores := math.Max(1, raw.number(fmt.Sprintf("domain.cpu_of_kind.%d", place), 1))
-				if got := s.cores(KindID(place)); got != cores {
-					t.Errorf("cores of kind %d: got %v, want %v", place, got, cores)
+			for i := range 5 {
+				cores := math.Max(1, raw.number(fmt.Sprintf("domain.cpu_of_kind.%d", i), 1))
+				if got := s.cores(KindID(i)); got != cores {
+					t.Errorf("cores of kind %d: got %v, want %v", i, got, cores)
 				}
-				memory := raw.number(fmt.Sprintf("domain.size_mb.%d", place), 0)
-				if got := s.memoryMB(KindID(place)); got != memory {
-					t.Errorf("memory of kind %d: got %v, want %v", place, got, memory)
+				memory := raw.number(fmt.Sprintf("domain.size_mb.%d", i), 0)
+				if got := s.memoryMB(KindID(i)); got != memory {
+					t.Errorf("memory of kind %d: got %v, want %v", i, got, memory)
 				}
-				quota := raw.number(fmt.Sprintf("tenants.%d.quota_per_s", place), 1e9)
-				if got := s.tenantQuota(TenantID(place)); got != quota {
-					t.Errorf("quota of tenant %d: got %v, want %v", place, got, quota)
+				quota := raw.number(fmt.Sprintf("tenants.%d.quota_per_s", i), 1e9)
+				if got := s.tenantQuota(TenantID(i)); got != quota {
+					t.Errorf("quota of tenant %d: got %v, want %v", i, got, quota)
 				}
 			}
 		})
@@ -68,16 +68,17 @@
 				t.Errorf("a setting is not false or 0: %+v", s)
 			}
 			if s.startCapacity != 1 || s.slowStartWorkLimit != 0 || s.drainGrace != 1e18 || !math.IsInf(s.retryRatio, 1) {
-				t.Errorf("capacity %v, work %v, grace %v, ratio %v", s.startCapacity, s.slowStartWorkLimit, s.drainGrace, s.retryRatio)
+				t.Errorf("capacity %v, work %v, grace %v, ratio %v", s.startCapacity, s.slowStartWorkLimit, s.drainGrace,
+					s.retryRatio)
 			}
 			if s.maxGrantShare != 1 || s.overQuotaValueFactor != 1 || s.showsPeerLoad() {
-				t.Errorf("grant %v, value %v, reports %v", s.maxGrantShare, s.overQuotaValueFactor, s.showsPeerLoad())
+				t.Errorf("grant %v, value %v, peer load shown %v", s.maxGrantShare, s.overQuotaValueFactor, s.showsPeerLoad())
 			}
 		})
 	}
 }
 
-func TestPlaceSets(t *testing.T) {
+func TestIndexSets(t *testing.T) {
 	all, none, some := indexSet(nil), indexSet{}, indexSet{1.0, "x"}
 	if !all.contains(7) || none.contains(7) || !some.contains(1) || some.contains(7) {
 		t.Error("contains gives a wrong result")
@@ -91,7 +92,7 @@
 		{some, all, true}, {some, none, false}, {some, some, true}, {indexSet{1.0}, some, true}, {some, indexSet{1.0}, false},
 	} {
 		if got := c.set.subsetOf(c.other); got != c.want {
-			t.Errorf("%v within %v: got %v", c.set, c.other, got)
+			t.Errorf("%v is a subset of %v: got %v", c.set, c.other, got)
 		}
 	}
 }
--- a/choice/shedding.go
+++ b/choice/shedding.go
@@ -3,7 +3,7 @@
 const (
 	maxShedSlowdown = 2.0 // cap on the slowdown that predicts when a job ends
 
-	// Waits of queue heads, in latency objectives, above which the price rises and below which it falls.
+	// headWaitRatio of buckets above which the price rises and below which it falls.
 	priceRiseWait, priceFallWait   = 0.15, 0.05
 	priceChangePerSecond, maxPrice = 0.5, 2.0 // price of a second of work, in units of its mean value
 )
@@ -28,19 +28,19 @@
 	return ""
 }
 
-// nearExpiry reports whether a job needs its final answer now, as it may expire before the next sweep.
+// nearExpiry reports whether a job needs its final answer now: it may expire before the next sweep.
 func (c *Controller) nearExpiry(j *job) bool {
 	return c.now+sweepInterval+2*c.settings.maxEventDelay >= j.expiresAt
 }
 
 // nearStop reports whether all jobs need their final answers now: the process may be killed after stopsAt,
-// even while jobs with later timeouts are on hung engines.
+// even while jobs with later timeouts run on hung engines.
 func (c *Controller) nearStop() bool {
 	return c.now+sweepInterval+2*c.settings.maxEventDelay >= c.stopsAt
 }
 
 // finishWithoutResult gives a job its final answer without a result: Throttle if the client can safely
-// repeat it, CancelPermanently otherwise.
+// repeat the job, CancelPermanently otherwise.
 func (c *Controller) finishWithoutResult(j *job, reason Reason) {
 	if j.finished || j.streaming {
 		return
@@ -56,9 +56,9 @@
 	c.finishJob(j)
 }
 
-// updateOverloadPrices adjusts each type's overload price to how long queue heads wait. A type's price
-// depends only on the heads of types that may use all of its own zones and kinds: full engines raise
-// it only for types that are restricted to them.
+// updateOverloadPrices adjusts each type's overload price to how long bucket heads wait. A type's price
+// depends only on the heads of types that may use all of its own zones and kinds. So full engines raise the
+// price only of types that are restricted to them.
 func (c *Controller) updateOverloadPrices() {
 	step := float64(sweepInterval) / float64(second)
 	highestPrice, longestWait := 0.0, 0.0
--- a/choice/simulation_chaos_test.go
+++ b/choice/simulation_chaos_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// settle lets all attempts succeed: every job must end, and all tables must become empty.
+// settle lets all attempts succeed. Then every job must have ended, and the controller must hold no state of jobs.
 func (s *simulation) settle() {
 	for range 1000 {
 		for _, j := range slices.Clone(s.admitted) {
@@ -105,7 +105,7 @@
 		s.advance(20 * ms)
 	}
 	if n := len(s.c.jobs) + len(s.c.orderings) + len(s.c.buckets) + len(s.c.tenants); n != 0 {
-		s.t.Fatalf("%d entries remain in tables after all jobs ended", n)
+		s.t.Fatalf("%d entries remain after all jobs ended", n)
 	}
 }
 
@@ -116,11 +116,11 @@
 	return s.loadReport(id)
 }
 
-// playSteadyLoad submits a job each 100 ms, every fourth one long, and completes it once its work is done. Siblings
+// playSteadyLoad submits a job each 100 ms, every fourth one long, and completes it once its work is done. Peers
 // hold a share of each engine's memory, and load reports contain only memory. It returns the number of throttled jobs.
-func (s *simulation) playSteadyLoad(duration Nanos, siblingMemory float64) (throttled int) {
+func (s *simulation) playSteadyLoad(duration Nanos, peerMemory float64) (throttled int) {
 	s.loadReport = func(id EngineID) []float64 {
-		granted := siblingMemory * s.settings.number("domain.size_mb.0", 1)
+		granted := peerMemory * s.settings.number("domain.size_mb.0", 1)
 		for _, j := range s.admitted {
 			if j.inFlight() && j.attempts[len(j.attempts)-1].engine == id {
 				granted += j.ev.MemoryMB
--- a/choice/simulation_rules_test.go
+++ b/choice/simulation_rules_test.go
@@ -66,7 +66,7 @@
 	}
 	s.checkRepeat(j, entry)
 	s.checkOrder(j)
-	s.checkPlace(j, entry)
+	s.checkPlacement(j, entry)
 	s.checkRetryBudget(j)
 	s.checkSlowStart(j, entry)
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkPlace checks rule 6 for zones and kinds.
-func (s *simulation) checkPlace(j *simulatedJob, entry EngineEntry) {
+// checkPlacement checks rule 6 for zones and kinds.
+func (s *simulation) checkPlacement(j *simulatedJob, entry EngineEntry) {
 	zones, kinds := s.settings.list(classPath(j, "allowed_in")), s.settings.list(classPath(j, "kinds_only"))
 	if (zones != nil && !slices.Contains(zones, any(float64(entry.Zone)))) ||
 		(kinds != nil && !slices.Contains(kinds, any(float64(entry.Kind)))) {
@@ -141,9 +141,9 @@
 		return
 	}
 	work := timedWork{s.now, float64(min(j.ev.Cost, 10*second))}
-	s.slowStartWork[entry.Engine] = append(s.slowStartWork[entry.Engine], work)
+	s.slowStartDispatches[entry.Engine] = append(s.slowStartDispatches[entry.Engine], work)
 	sum := 0.0
-	for _, w := range s.slowStartWork[entry.Engine] {
+	for _, w := range s.slowStartDispatches[entry.Engine] {
 		if w.dispatchedAt >= s.now-s.settings.nanos("invariants.fall_ns") {
 			sum += w.work
 		}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -12,24 +12,24 @@
 // simulation simulates the clients, engines and discovery of one controller in virtual time, and checks the rules of
 // the package comment after every action.
 type simulation struct {
-	t                testing.TB
-	c                Controller
-	now              Nanos
-	settings         RawSettings
-	jobs             map[JobID]*simulatedJob
-	admitted         []*simulatedJob          // by arrival, until they have ended and their keys no longer pause
-	entries          map[EngineID]EngineEntry // as last listed
-	unavailableSince map[EngineID]Nanos       // when the engine was listed as draining or removed
-	timers           map[TimerID]Nanos
-	probes           []EngineID // sent
-	manualProbes     bool       // probes are answered by the test, not at once
-	slowStartWork    map[EngineID][]timedWork
-	lastID           JobID
-	retriedAt        []Nanos
-	actions          []Action // of the last event
-	logText          string
-	onDecide         func(Event, []Action)
-	loadReport       func(EngineID) []float64 // content of load reports; nil: none are sent
+	t                   testing.TB
+	c                   Controller
+	now                 Nanos
+	settings            RawSettings
+	jobs                map[JobID]*simulatedJob
+	admitted            []*simulatedJob          // by arrival, until they have ended and their keys no longer pause
+	entries             map[EngineID]EngineEntry // as last listed
+	unavailableSince    map[EngineID]Nanos       // when the engine was listed as draining or removed
+	timers              map[TimerID]Nanos
+	probes              []EngineID // sent
+	manualProbes        bool       // probes are answered by the test, not at once
+	slowStartDispatches map[EngineID][]timedWork
+	lastID              JobID
+	retriedAt           []Nanos
+	actions             []Action // of the last event
+	logText             string
+	onDecide            func(Event, []Action)
+	loadReport          func(EngineID) []float64 // content of load reports; nil: none are sent
 }
 
 type simulatedJob struct {
@@ -103,7 +103,7 @@
 	tb.Helper()
 	s := &simulation{t: tb, now: Nanos(1e12), settings: raw, jobs: map[JobID]*simulatedJob{},
 		entries: map[EngineID]EngineEntry{}, unavailableSince: map[EngineID]Nanos{}, timers: map[TimerID]Nanos{},
-		slowStartWork: map[EngineID][]timedWork{}}
+		slowStartDispatches: map[EngineID][]timedWork{}}
 	s.handle(Event{Kind: Started, Seed: 7, Settings: ParseSettings(raw)})
 	var initial []EngineEntry
 	for i := range engines {
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -2,15 +2,15 @@
 
 const (
 	slowStartSafety     = 0.51       // used part of the work that an engine in slow start withstands
-	slowStartTurnShare  = 0.75       // of that when controllers take turns, as two turns may overlap in a window
-	outageTimeout       = 5 * second // an outage lasts this long after the last refused connection
+	slowStartTurnShare  = 0.75       // of that when controllers take turns, as two may overlap in a window
+	outageTimeout       = 5 * second // an outage lasts this long after the last failed dial
 	restartSuspectShare = 0.15       // part of the expected jobs below which a restart is suspected
 )
 
 // effectiveStart returns when an engine last started or may have started. In an outage, any engine not seen
 // since its beginning may have restarted then.
 func (c *Controller) effectiveStart(e *engine) Nanos {
-	if e.refusing { // not seen since it refused: it starts now at the earliest
+	if e.refusing { // not seen since the dial failed: it may have started just now
 		return c.now
 	}
 	if c.now-c.outage.lastFailedDialAt < outageTimeout && e.lastSeenAt < c.outage.startedAt {
@@ -34,29 +34,29 @@
 func (c *Controller) inSlowStart(e *engine) bool { return c.slowStartFraction(e) < 1 }
 
 // slowStartAllows implements rule 4: a job fits this controller's part of the work that an engine in slow
-// start withstands per window. If that is too small for a long job, fewer controllers share the work, in
-// turns. A new process first waits for a window, as it does not know earlier dispatches.
+// start withstands per window. If that part is too small for a long job, fewer controllers share the work, in
+// turns. A new process first waits for a window, because it does not know earlier dispatches.
 func (c *Controller) slowStartAllows(j *job, e *engine) bool {
 	window := c.settings.slowStartBudgetWindow
 	budget := slowStartSafety * c.settings.slowStartWorkLimit * e.cores * float64(window)
 	turns, ownTurn := max(1, int(budget/max(1, c.longestMeanWork()))), true
 	if turns < c.settings.controllers {
-		// Turns follow the wall clock, which all share: one that counts more turns adds few senders at a time.
+		// Turns follow the wall clock, which all share: a controller that counts more turns adds few senders.
 		slot := c.settings.ownIndex + int((c.now+c.clockOffset)/max(window, 1)) + int(e.Engine)
 		ownTurn = slot%c.settings.controllers < turns
 		budget *= slowStartTurnShare
 	}
 	committedWork := max(j.work, j.jobType.meanWork)
 	for _, sent := range e.slowStartDispatches {
-		committedWork += max(sent.work, slowStartSafety*c.demand.meanWork) // bounds the calls of short jobs, too
+		committedWork += max(sent.work, slowStartSafety*c.demand.meanWork) // bounds the number of short jobs, too
 	}
 	return ownTurn && c.now-max(c.startedAt, c.predecessorEndedAt) >= window &&
 		committedWork <= budget/float64(min(turns, c.settings.controllers))
 }
 
-// suspectRestart begins a slow start for a restart that the list does not report: the engine refused
-// connections and answers again, or is almost empty in a busy fleet. A false suspicion limits its use for one
-// window.
+// suspectRestart begins a slow start for a restart that the list does not report: the engine answers again
+// after failed dials, or is almost empty in a busy fleet. A false suspicion limits the use of the engine for
+// one slow start.
 func (c *Controller) suspectRestart(e *engine, reason restartReason) {
 	e.refusing = false
 	if !c.inSlowStart(e) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// suspectRestartByJobs suspects a restart of an engine with far fewer jobs than expected, unless its slow
-// start just ended: then the controllers themselves kept it empty.
+// suspectRestartByJobs suspects a restart of an engine with far fewer jobs than expected. An engine whose
+// slow start just ended is exempt: the controllers themselves kept it empty.
 func (c *Controller) suspectRestartByJobs(e *engine, jobs float64) {
 	expected, started := c.fleet.contention*e.cores/c.meanThreadsPerJob(), c.effectiveStart(e)
 	settled := started == 0 || c.now-started >= 2*c.settings.slowStartWindow
--- a/choice/slow_start_fleet_test.go
+++ b/choice/slow_start_fleet_test.go
@@ -42,7 +42,7 @@
 }
 
 // Controllers see the engine's restart at different times and may differ in the mean work of their longest type. At no
-// time do more of them have a turn than the largest number of turns that one of them counts.
+// time do more controllers have a turn than the largest number of turns that one of them counts.
 func TestSlowStartTurnsFollowSharedClock(t *testing.T) {
 	const n = 30
 	scenario := slowStartScenario{controllers: n, multiple: 2.5}
@@ -58,7 +58,7 @@
 			c.Decide(start, Event{Kind: Started, Seed: uint64(i), Settings: ParseSettings(scenario.settings(i))})
 			c.Decide(start, Event{Kind: EnginesListed, List: FullList, Engines: []EngineEntry{{Engine: startedEngine,
 				State: Ready}}})
-			c.engines[0].suspectedRestartAt = start + 3*second + Nanos(random.Float64()*4*float64(overloadWindow))
+			c.engines[0].suspectedRestartAt = start + 3*second + Nanos(random.Float64()*4*float64(slowStartBudgetWindow))
 			c.types[1].meanWork, c.types[2].meanWork = float64(second), longest(random.Float64())
 			fleet = append(fleet, c)
 		}
@@ -115,7 +115,7 @@
 	}
 }
 
-// Sibling load is estimated over engines that take jobs: if half are in slow start, the other half holds all of it.
+// Peer load is estimated over engines that take jobs: if half are in slow start, the other half holds all of it.
 func TestContentionCountsEnginesThatTakeJobs(t *testing.T) {
 	raw := testSettings().set("limits.probes", false).set("telemetry", map[string]any{}).set("balancers", 40.0)
 	s := newSimulation(t, raw, 4)
@@ -129,7 +129,7 @@
 	s.advance(100 * ms)
 	for _, e := range s.c.engines {
 		inSlowStart := s.c.slowStartFraction(e) < 1
-		require(t, inSlowStart == (e.peerThreads < 0.1), "sibling threads %v at an engine, in slow start: %v",
+		require(t, inSlowStart == (e.peerThreads < 0.1), "peer threads %v at an engine, in slow start: %v",
 			e.peerThreads, inSlowStart)
 	}
 	s.advance(12 * second)
--- a/choice/slow_start_scenario_test.go
+++ b/choice/slow_start_scenario_test.go
@@ -12,20 +12,20 @@
 // with a tolerance of 2*sqrt(n) + 2 for chance.
 
 const (
-	startedEngine       = EngineID(900)
-	firstWarmEngine     = EngineID(100)
-	warmEngines         = 7
-	coresPerEngine      = 16.0
-	startCapacity       = 0.36
-	overloadWindow      = 2 * second
-	slowStartWindow     = 14 * second
-	scenarioBegin       = Nanos(1e15)
-	scenarioStartAt     = scenarioBegin + 12*second // of the started engine
-	scenarioStep        = 5 * ms
-	scenarioUtilization = 0.85 // of the warm engines' cores, by the jobs that arrive
+	startedEngine         = EngineID(900)
+	firstWarmEngine       = EngineID(100)
+	warmEngines           = 7
+	coresPerEngine        = 16.0
+	startCapacity         = 0.36
+	slowStartBudgetWindow = 2 * second
+	slowStartWindow       = 14 * second
+	scenarioBegin         = Nanos(1e15)
+	scenarioStartAt       = scenarioBegin + 12*second // of the started engine
+	scenarioStep          = 5 * ms
+	scenarioUtilization   = 0.85 // of the warm engines' cores, by the jobs that arrive
 )
 
-// scenarioType is a reservation type of the scenario.
+// scenarioType is a job type of the scenario.
 type scenarioType struct {
 	meanWork float64 // ns
 	share    float64 // of jobs
@@ -56,7 +56,7 @@
 		set("tariffs", map[string]any{"probe": 0.01}).
 		set("invariants.start_capacity", startCapacity).
 		set("invariants.fall_multiple", scenario.multiple).
-		set("invariants.fall_ns", float64(overloadWindow)).
+		set("invariants.fall_ns", float64(slowStartBudgetWindow)).
 		set("invariants.warm_within_ns", float64(slowStartWindow))
 }
 
@@ -74,7 +74,7 @@
 }
 
 // knownStart reports whether a controller knows that an engine started, or may have started: by a list, by a suspicion
-// or by a refusal.
+// or by a failed dial.
 func (e *engine) knownStart() bool { return e.StartedAt > 0 || e.suspectedRestartAt > 0 || e.refusing }
 
 // slowStartCall is a dispatch to the started engine.
@@ -350,19 +350,19 @@
 
 // budget returns the number of calls that the settings allow in the first window.
 func (run *scenarioRun) budget() float64 {
-	return run.multiple * startCapacity * coresPerEngine * float64(overloadWindow) / meanScenarioWork()
+	return run.multiple * startCapacity * coresPerEngine * float64(slowStartBudgetWindow) / meanScenarioWork()
 }
 
 func (run *scenarioRun) result() scenarioResult {
 	r := scenarioResult{budget: run.budget()}
 	allowedCalls := 0.0
-	for at := scenarioStartAt; at < scenarioStartAt+slowStartWindow; at += overloadWindow {
+	for at := scenarioStartAt; at < scenarioStartAt+slowStartWindow; at += slowStartBudgetWindow {
 		allowedCalls += run.allowed(at)
 	}
 	for i, first := range run.calls {
 		count, sum := 0.0, 0.0
 		for _, call := range run.calls[i:] {
-			if call.at >= first.at+overloadWindow {
+			if call.at >= first.at+slowStartBudgetWindow {
 				break
 			}
 			count++
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -41,7 +41,7 @@
 }
 
 // restoreState replaces this process's statistics by those of its predecessor, which has seen more jobs.
-// Implausible ones are ignored.
+// Implausible statistics are ignored.
 func (c *Controller) restoreState(ev Event) {
 	for i := range min(len(ev.TypeStats), len(c.types)) {
 		if ev.TypeStats[i].plausible() {
@@ -73,7 +73,7 @@
 	return h.LatencyRatio > 0 && h.LatencyRatio <= maxPlausibleRatio && h.FailureRate >= 0 && h.FailureRate <= 1
 }
 
-// figures returns pointers to all values, in the order of their JSON encoding.
+// fields returns pointers to all values, in the order of their JSON encoding.
 func (s *TypeStats) fields() [9]*float64 {
 	return [9]*float64{&s.meanWork, &s.workCount, &s.costBias, &s.costCount, &s.memoryBias, &s.memoryDeviation,
 		&s.memoryCount, &s.bestSlowdown, &s.slowdown}
@@ -108,11 +108,11 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	figures := s.fields()
-	if len(list) != len(figures) {
-		return fmt.Errorf("type statistics have %d values, want %d", len(list), len(figures))
+	fields := s.fields()
+	if len(list) != len(fields) {
+		return fmt.Errorf("type statistics have %d values, want %d", len(list), len(fields))
 	}
-	for i, v := range figures {
+	for i, v := range fields {
 		*v = list[i]
 	}
 	return nil
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -53,7 +53,7 @@
 	"turns":     playTurns,
 }
 
-// strictRules restricts repeats, places, retries and tenant quotas.
+// strictRules restricts repeats, placement, retries and tenant quotas.
 func strictRules(raw RawSettings) {
 	keyed := func(scope string, ordered bool) map[string]any {
 		return map[string]any{"idempotency": "by_key", "key_scope": scope, "repeat_window_ns": 1e9, "aim_ns": 1e9,
@@ -179,7 +179,7 @@
 	f.advance(2 * second)
 }
 
-// playFleet records one of forty controllers, which samples a few of thirty engines, at low load, in a burst of sibling
+// playFleet records one of forty controllers, which samples a few of thirty engines, at low load, in a burst of peer
 // load and after it, while engines restart.
 func playFleet(t *testing.T, observe func(*simulation)) {
 	t.Helper()
--- a/choice/transfer_test.go
+++ b/choice/transfer_test.go
@@ -25,8 +25,8 @@
 	return canceled
 }
 
-// A successor that adopted its predecessor's statistics knows how long jobs take, and cancels none as overdue. Without
-// them it cancels and retries some. `make proof-rollout` shows the same with real processes.
+// A successor that restored its predecessor's statistics knows how long jobs take, and cancels none as overdue. A
+// process without statistics cancels and retries some. `make proof-rollout` shows the same with real processes.
 func TestAProcessThatKnowsItsPredecessorsStateRetriesLess(t *testing.T) {
 	predecessor := newSimulation(t, testSettings(), 2)
 	if withoutState := playSlowJobs(predecessor); withoutState == 0 {
@@ -36,6 +36,6 @@
 	successor.handle(Event{Kind: StateTransferred, TypeStats: predecessor.c.TypeStats(),
 		EngineHealth: predecessor.c.EngineHealth()})
 	if withState := playSlowJobs(successor); withState > 0 {
-		t.Errorf("%d attempts are canceled by a process that adopted statistics", withState)
+		t.Errorf("%d attempts are canceled by a process that restored statistics", withState)
 	}
 }
