--- a/choice/budget.go
+++ b/choice/budget.go
@@ -8,8 +8,8 @@
 	updatedAt Nanos
 }
 
-// take refills the bucket and takes a token if there is one. The rate is in tokens per second, and the burst
-// is the capacity of the bucket.
+// take refills the token bucket and takes a token if there is one. The rate is in tokens per second, and the
+// burst is the capacity.
 func (b *tokenBucket) take(now Nanos, rate, burst float64) bool {
 	b.tokens = min(b.tokens+rate*float64(now-b.updatedAt)/float64(second), burst)
 	b.updatedAt = now
@@ -28,9 +28,11 @@
 	retriedAt  []Nanos // times of the window's dispatches after a job's first
 }
 
-func (b *retryBudget) admit(arrivedAt Nanos) { b.admittedAt = append(b.admittedAt, arrivedAt) }
+func (b *retryBudget) recordAdmission(arrivedAt Nanos) {
+	b.admittedAt = append(b.admittedAt, arrivedAt)
+}
 
-func (b *retryBudget) retry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
+func (b *retryBudget) recordRetry(now Nanos) { b.retriedAt = append(b.retriedAt, now) }
 
 // trim removes all entries up to and including a time.
 func (b *retryBudget) trim(until Nanos) {
@@ -45,8 +47,8 @@
 	lastFundedAt Nanos // when a token was last available
 }
 
-// checkFunds records the time if there is a token for a probe.
-func (b *probeBudget) checkFunds(now Nanos) {
+// recordFunding records the time if there is a token for a probe.
+func (b *probeBudget) recordFunding(now Nanos) {
 	if b.tokens >= 1 {
 		b.lastFundedAt = now
 	}
--- a/choice/capacity_test.go
+++ b/choice/capacity_test.go
@@ -7,7 +7,7 @@
 	e := s.c.engines[0]
 	require(t, e.concurrencyLimit == 4 && !e.underPressure, "the limit does not start at our share of the cores")
 	j := &job{jobType: s.c.types[1], work: float64(second), bucket: &bucket{}}
-	a := &attempt{job: j, engine: e, expectedNanos: 1e9}
+	a := &attempt{job: j, engine: e, expectedDuration: 1e9}
 	s.now += second
 	s.c.now = s.now
 	s.c.observeSuccess(a, Event{Latency: 450 * ms})
@@ -40,13 +40,13 @@
 }
 
 // Guards against five controllers that each place one long job on every engine in a burst, beyond its memory and cores.
-func TestFirstJobRespectsSiblingLoad(t *testing.T) {
+func TestFirstJobRespectsPeerLoad(t *testing.T) {
 	s := newSimulation(t, testSettings().set("balancers", 5.0), 1)
 	e := s.c.engines[0]
-	e.siblingThreads, e.loadKnownAt = 18, s.now
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use 18 threads on 8 cores")
-	e.siblingThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though siblings use all its memory")
+	e.peerThreads, e.loadKnownAt = 18, s.now
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though peers use 18 threads on 8 cores")
+	e.peerThreads, e.loadKnownAt, s.c.ownLoad.threads, s.c.ownLoad.memoryMB = 8, s.now, 1, 3000
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 0, "dispatched though peers use all its memory")
 	s.advance(15 * second)
-	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "an expired report does not decay: %v", e.siblingThreads)
+	require(t, len(s.enginesOf(s.arrive(1, 0, 1))) == 1, "an expired report does not decay: %v", e.peerThreads)
 }
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -21,12 +21,12 @@
 	overloadLogged     bool
 
 	types       []*jobType                // by TypeID
-	engines     []*engine                 // by ID; removed ones until dropEngines drops them
+	engines     []*engine                 // by ID; removed ones until pruneEngines deletes them
 	jobs        map[JobID]*job            // until finished with no attempt in flight
 	liveJobs    []*job                    // in order of arrival; finished ones until the next sweep
-	buckets     []*bucket                 // dropped once idle
-	orderings   map[Key]*keyOrder         // by ordering key; dropped when empty and no longer paused
-	tenants     map[TenantID]*tokenBucket // for their quotas; dropped once idle
+	buckets     []*bucket                 // deleted once idle
+	orderings   map[Key]*keyOrder         // by ordering key; deleted when empty and no longer paused
+	tenants     map[TenantID]*tokenBucket // for their quotas; deleted once idle
 	freedBucket *bucket                   // of the attempt that the current event ended; nil: none
 
 	fleet          fleetState
@@ -56,8 +56,8 @@
 	lastReportAt     Nanos   // when the load of any engine was last reported
 }
 
-// outage is a period in which connections to engines fail.
-type outage struct{ startedAt, lastRefusalAt Nanos }
+// outage is a period in which dials to engines fail or are refused.
+type outage struct{ startedAt, lastFailedDialAt Nanos }
 
 func (c *Controller) start(ev Event) {
 	c.random = pcg(ev.Seed)
@@ -65,7 +65,7 @@
 	c.lastSweepAt = c.now
 	c.stopsAt = math.MaxInt64
 	c.predecessorEndedAt = math.MinInt64 / 2
-	c.outage.lastRefusalAt = c.now - outageDuration
+	c.outage.lastFailedDialAt = c.now - outageTimeout
 	c.gossip.lastMapReceivedAt = c.now
 	c.jobs = map[JobID]*job{}
 	c.orderings = map[Key]*keyOrder{}
@@ -87,14 +87,15 @@
 	c.emit(Action{Kind: SetTimer, Duration: sweepInterval, TimerID: c.timerID})
 }
 
-// dropExpired drops expired state, so that no table grows without limit.
-func (c *Controller) dropExpired() {
-	c.dropEngines(c.now - c.settings.overloadWindow)
-	c.dropIdle(c.now - idleStateTTL)
+// pruneState deletes expired state, so that memory use stays bounded.
+func (c *Controller) pruneState() {
+	c.pruneEngines(c.now - c.settings.slowStartBudgetWindow)
+	c.pruneIdle(c.now - idleStateTTL)
 	c.retryBudget.trim(c.now - c.settings.retryWindow)
 }
 
-// requestWatch subscribes to changes of the engine list where that is needed and not confirmed yet.
+// requestWatch subscribes to changes of the engine list if discovery requires it, until a current list
+// arrives.
 func (c *Controller) requestWatch() {
 	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
 		c.watchRequestedAt = c.now
@@ -102,7 +103,7 @@
 	}
 }
 
-// handleTimer ignores a timer that is not the last one set, as it would start a second series of sweeps.
+// handleTimer ignores a timer that is not the last one set: that timer would start a second series of sweeps.
 func (c *Controller) handleTimer(ev Event) {
 	if ev.TimerID == c.timerID {
 		c.sweep()
@@ -118,12 +119,12 @@
 func (c *Controller) handleDisconnect(ev Event) {
 	if j := c.jobs[ev.Job]; j != nil && !j.finished {
 		j.streaming = false
-		c.closeJob(j)
+		c.finishJob(j)
 	}
 }
 
-// markPredecessor records whether the predecessor still runs. Until it has ended, this process does not know
-// what it dispatches.
+// markPredecessor records whether the predecessor still runs. Until the predecessor has ended, this process
+// does not know what else is dispatched.
 func (c *Controller) markPredecessor(ev Event) {
 	c.predecessorEndedAt = c.now
 	if ev.PredecessorRunning {
--- a/choice/event.go
+++ b/choice/event.go
@@ -7,14 +7,14 @@
 const (
 	Started            EventKind = iota + 1 // the first event: Seed, Settings
 	JobArrived                              // a client sent a job: Job to RequiredProtocols
-	StreamStarted                           // an attempt's answer is being sent to the client: Job
+	StreamStarted                           // a job's answer is being sent to the client: Job
 	ProgressReported                        // an attempt reported progress: Job, Seq, Engine, Progress, Amount
 	AttemptEnded                            // an attempt ended: Job, Seq, Engine, Result to ConnectedAt
 	ClientDisconnected                      // the client left before the final answer: Job
 	TimerFired                              // TimerID
-	EnginesListed                           // discovery reported engines: List, Engines
+	EnginesListed                           // discovery reported an engine list: List, Engines
 	ProbeCompleted                          // a probe ended: Engine, Result, Latency, Load, ConnectedAt
-	GossipReceived                          // another controller sent a gossip message: Peer, Payload
+	GossipReceived                          // a peer sent a gossip message: Peer, Payload
 	Stopping                                // this process will end; answers are still sent within TimeLeft
 	PlanUpdated                             // from now on a plan is followed, or none: Plan
 	Reconfigured                            // the settings changed, and all other state stays: Settings
@@ -29,20 +29,20 @@
 
 // The results of attempts and probes.
 const (
-	Done        Result = iota + 1
-	Failed             // the engine answered with an error
-	Full               // the engine refused it for lack of capacity
-	TimedOut           // no answer within the job timeout
-	Unreachable        // the engine refused the connection
-	Reset              // the connection broke
-	Canceled           // canceled at this controller's request
-	Superseded         // it was never sent
-	DialFailed         // no connection was made for another reason, such as a timeout
+	Done              Result = iota + 1
+	Failed                   // the engine answered with an error
+	Full                     // the engine refused it for lack of capacity
+	TimedOut                 // no answer within the job timeout
+	ConnectionRefused        // the engine refused the connection
+	Reset                    // the connection broke
+	Canceled                 // canceled at this controller's request
+	Superseded               // it was never sent
+	DialFailed               // no connection was made for another reason, such as a timeout
 )
 
 // NeverRan reports whether the result proves that the engine did not run the attempt.
 func (r Result) NeverRan() bool {
-	return r == Full || r == Unreachable || r == Superseded || r == DialFailed
+	return r == Full || r == ConnectionRefused || r == Superseded || r == DialFailed
 }
 
 // ProgressKind is the kind of a progress report.
--- a/choice/gossip_codec.go
+++ b/choice/gossip_codec.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// The encoding of gossip between controllers: a header byte, then one entry per engine. A message reports the
-// attempts of one controller; a map aggregates the messages of all. gossip.go decides when they are sent and
+// The encoding of gossip: a header byte, then one entry per engine. A message reports the attempts of one
+// controller; a map aggregates the messages of all. gossip.go decides when messages and maps are sent and
 // what they change.
 
 const (
@@ -16,7 +16,7 @@
 	mapMarker = 255
 
 	// An entry of a map holds the failed part of an engine's reported outcomes, times maxFailures, or
-	// unknownFailures if fewer than minSiblingOutcomes were reported.
+	// unknownFailures if fewer than minPeerOutcomes were reported.
 	unknownFailures = 15
 	maxFailures     = 14
 
--- a/choice/plan_index.go
+++ b/choice/plan_index.go
@@ -42,16 +42,17 @@
 	known   bool // the engine is in the plan
 }
 
-// engine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
-func (p *Plan) engine(id EngineID) plannedEngine {
+// forEngine returns the plan for an engine. Without a plan every engine is known and has no planned threads.
+func (p *Plan) forEngine(id EngineID) plannedEngine {
 	if p == nil {
 		return plannedEngine{known: true}
 	}
 	return p.plannedEngines[id]
 }
 
-// indexed builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for nil.
-func (p *Plan) indexed(now Nanos) *Plan {
+// buildIndex builds the lookup tables of a plan that is followed from now on, and returns the plan; nil for
+// nil.
+func (p *Plan) buildIndex(now Nanos) *Plan {
 	if p == nil {
 		return nil
 	}
@@ -86,11 +87,11 @@
 	p.plannedEngines[w.Engine] = planned
 }
 
-// planPresence returns the planned threads of engines that are ready and not ejected, and the cores of ready
-// engines that are not in the plan.
-func (c *Controller) planPresence() (threads, unknownCores float64) {
+// availablePlanThreads returns the planned threads of engines that are ready and not ejected, and the cores
+// of ready engines that are not in the plan.
+func (c *Controller) availablePlanThreads() (threads, unknownCores float64) {
 	for _, e := range c.engines {
-		planned := c.plan.engine(e.Engine)
+		planned := c.plan.forEngine(e.Engine)
 		if e.State == Ready && !planned.known {
 			unknownCores += e.cores
 		} else if e.State == Ready && !e.ejected {
