--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what a test got with a file of testdata. It is imported by tests only.
+// Package golden compares the output of a test with a file in testdata. Only tests import it.
 package golden
 
 import (
@@ -12,13 +12,14 @@
 
 var record = flag.Bool("record", false, "write golden files that do not exist yet; existing ones are never overwritten")
 
-// Missing reports whether the file at path is absent and shall be recorded by this run.
+// Missing reports whether the file at path does not exist and the test is to write it, because -record is set. Without
+// -record it returns false.
 func Missing(path string) bool {
 	_, err := os.Stat(path)
 	return *record && errors.Is(err, fs.ErrNotExist)
 }
 
-// Check fails the test unless got equals the contents of testdata/name to the byte. With -record an absent file is
+// Check fails the test unless got equals the contents of testdata/name byte for byte. With -record, a missing file is
 // written first.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
