--- a/internal/faultdisk/disk.go
+++ b/internal/faultdisk/disk.go
@@ -1,5 +1,5 @@
-// Package faultdisk is an in-memory store.Disk for tests. A crash can strike at any call; what was not synced by then
-// may be lost, torn or applied out of order. Single calls can be made to fail.
+// Package faultdisk is an in-memory store.Disk for tests. It can simulate a crash at any call, which may lose, tear or
+// reorder changes that were not synced before, and can make single calls fail.
 package faultdisk
 
 import (
@@ -13,9 +13,9 @@
 )
 
 var (
-	// ErrCrashed is returned by every call after the crash.
+	// ErrCrashed is the error of every call after a crash.
 	ErrCrashed = errors.New("crashed")
-	// ErrDiskFull is what a full disk returns, for Disk.Fail.
+	// ErrDiskFull is the error of a full disk, for use by Disk.Fail.
 	ErrDiskFull = error(syscall.ENOSPC)
 )
 
@@ -29,28 +29,28 @@
 	OpCreate   Operation = "create"
 	OpRename   Operation = "rename"
 	OpRemove   Operation = "remove"
-	OpSyncDir  Operation = "sync names"
+	OpSyncDir  Operation = "sync directory"
 	OpWrite    Operation = "write"
 	OpSyncFile Operation = "sync"
 )
 
 // Disk is a directory of files in memory. It is for one goroutine at a time.
 type Disk struct {
-	Calls   int                                // made so far
-	CrashAt int                                // the call in which the process dies; 0: none
-	Fail    func(call int, op Operation) error // if set, returns the error with which a call fails, or nil
-	current map[string]*file                   // by name, as the process sees them
-	durable map[string]*file                   // by name, as they survive a crash
-	pending []directoryChange                  // made and not durable, in order
+	Calls           int                                // number made so far
+	CrashAfterCalls int                                // number of calls before the process crashes; 0: no crash
+	Fail            func(call int, op Operation) error // if set, returns the error with which a call fails, or nil
+	current         map[string]*file                   // by name, as the process sees them before a crash
+	durable         map[string]*file                   // by name, as a crash leaves them for certain
+	pending         []directoryChange                  // not durable yet, in order
 }
 
-// directoryChange is a change of names.
+// directoryChange creates, renames or removes a name in a directory.
 type directoryChange func(files map[string]*file)
 
 // New returns an empty disk.
 func New() *Disk { return &Disk{current: map[string]*file{}, durable: map[string]*file{}} }
 
-// FromFiles returns a disk with files that are durable.
+// FromFiles returns a disk that holds the given files, all durable.
 func FromFiles(files map[string][]byte) *Disk {
 	d := New()
 	for name, content := range files {
@@ -70,8 +70,8 @@
 	return all
 }
 
-// Crash returns the disk as it is found after the process and the machine died: with some of the changes of names
-// that were not durable, in their order, and some of the writes, perhaps torn.
+// Crash returns the disk as a crash of the machine may leave it. Of the changes of names that were not durable, a
+// random number of the first ones is applied. Each write that was not synced is lost, torn or complete.
 func (d *Disk) Crash(random *rand.Rand) *Disk {
 	survivors := map[string]*file{}
 	for name, f := range d.durable {
@@ -87,9 +87,9 @@
 	return FromFiles(files)
 }
 
-func (d *Disk) isCrashed() bool { return d.CrashAt > 0 && d.Calls >= d.CrashAt }
+func (d *Disk) isCrashed() bool { return d.CrashAfterCalls > 0 && d.Calls >= d.CrashAfterCalls }
 
-// begin counts a call and returns the error with which it fails.
+// begin counts a call and returns the error with which it is to fail, if any.
 func (d *Disk) begin(op Operation) error {
 	if d.isCrashed() {
 		return ErrCrashed
--- a/internal/faultdisk/file.go
+++ b/internal/faultdisk/file.go
@@ -6,31 +6,31 @@
 	"slices"
 )
 
-// file is the contents of one file. It may have several names while changes of names are not durable.
+// file is the contents of one file. It may have several names while changes to the directory are not durable.
 type file struct {
 	content []byte // as the process reads it
-	durable []byte // as it survives a crash for certain
+	durable []byte // as a crash leaves it for certain
 	pending []write
 }
 
-// write is a change of a file's contents.
+// write is a change of a file's contents: bytes written at an offset, or a truncation.
 type write struct {
 	offset int
-	text   []byte // nil: the file is cut at the offset
+	data   []byte // nil: the file is truncated at the offset
 }
 
 func truncation() write { return write{} }
 
-// applyTo returns contents with the write applied; a gap before it is filled with zeros.
+// applyTo returns a copy of content with the write applied; a gap before the offset is filled with zeros.
 func (w write) applyTo(content []byte) []byte {
-	if w.text == nil {
+	if w.data == nil {
 		return slices.Clone(content[:min(len(content), w.offset)])
 	}
 	content = slices.Clone(content)
-	for len(content) < w.offset+len(w.text) {
+	for len(content) < w.offset+len(w.data) {
 		content = append(content, 0)
 	}
-	copy(content[w.offset:], w.text)
+	copy(content[w.offset:], w.data)
 	return content
 }
 
@@ -39,8 +39,8 @@
 	f.pending = append(f.pending, w)
 }
 
-func (f *file) append(text []byte) {
-	f.apply(write{offset: len(f.content), text: slices.Clone(text)})
+func (f *file) append(data []byte) {
+	f.apply(write{offset: len(f.content), data: slices.Clone(data)})
 }
 
 func (f *file) sync() {
@@ -50,16 +50,15 @@
 	f.pending = nil
 }
 
-// afterCrash returns contents that a crash may leave: of the writes that were not synced each is lost, torn or
-// complete.
+// afterCrash returns contents that a crash may leave: each write that was not synced is lost, torn or complete.
 func (f *file) afterCrash(random *rand.Rand) []byte {
 	content := f.durable
 	for _, w := range f.pending {
 		switch random.IntN(4) {
-		case 0: // lost; later ones may not be
+		case 0: // lost; later ones may survive
 		case 1:
-			if len(w.text) > 0 {
-				w.text = w.text[:random.IntN(len(w.text))]
+			if len(w.data) > 0 {
+				w.data = w.data[:random.IntN(len(w.data))]
 			}
 			content = w.applyTo(content)
 		default:
@@ -75,28 +74,29 @@
 	file *file
 }
 
-// Write implements store.File. A write that fails, and the one in which the process dies, write their first half.
-func (h *handle) Write(text []byte) (int, error) {
+// Write implements store.File. A write that fails writes the first half of the data, and so does the first write that a
+// crash makes fail.
+func (h *handle) Write(data []byte) (int, error) {
 	err := h.disk.begin(OpWrite)
-	half := len(text) / 2
+	half := len(data) / 2
 	switch {
 	case err == nil:
-		h.file.append(text)
-		return len(text), nil
+		h.file.append(data)
+		return len(data), nil
 	case !errors.Is(err, ErrCrashed):
-		h.file.append(text[:half])
+		h.file.append(data[:half])
 		return half, err
 	}
-	diesInThisCall := h.disk.Calls == h.disk.CrashAt
-	if diesInThisCall && len(text) > 1 {
+	isCrashingWrite := h.disk.Calls == h.disk.CrashAfterCalls
+	if isCrashingWrite && len(data) > 1 {
 		h.disk.Calls++
-		h.file.append(text[:half])
+		h.file.append(data[:half])
 	}
 	return 0, err
 }
 
-// Sync implements store.File. After a failure the data that it was for is lost for good, though it can still be read:
-// later syncs do not write it.
+// Sync implements store.File. After a failure, the data that was to be synced can still be read, but does not survive a
+// crash: later syncs do not write it.
 func (h *handle) Sync() error {
 	err := h.disk.begin(OpSyncFile)
 	if errors.Is(err, ErrCrashed) {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -19,7 +19,7 @@
 			r := rand.New(rand.NewPCG(seed, uint64(at)))
 			work := rand.New(rand.NewPCG(seed, 1)) // the same work, cut at each of its calls
 			d, h := faultdisk.New(), &history{}
-			d.CrashAt = at
+			d.CrashAfterCalls = at
 			log, err := h.open(d)
 			if err == nil {
 				err = h.write(log, work, 25)
@@ -33,7 +33,7 @@
 			}
 			d = d.Crash(r)
 			if r.IntN(2) == 0 { // a second one while it recovers
-				d.CrashAt = 1 + r.IntN(8)
+				d.CrashAfterCalls = 1 + r.IntN(8)
 				if _, err = h.open(d); err != nil && !errors.Is(err, faultdisk.ErrCrashed) {
 					t.Fatalf("seed %d, call %d, recovering: %v", seed, at, err)
 				}
