--- a/internal/store/checkpoint.go
+++ b/internal/store/checkpoint.go
@@ -2,12 +2,12 @@
 
 import "errors"
 
-// checkpointFlushBytes is the size of the encoded records that are written at once.
+// checkpointFlushBytes is the size of the buffered records from which on they are written to the file.
 const checkpointFlushBytes = 64 << 10
 
 // Checkpoint writes a snapshot that replaces all records so far, and removes them. The snapshot function passes its
-// records to put, in the order in which they are to be replayed. A crash at any moment leaves either the old records
-// or the checkpoint. An error of the snapshot function ends the log like one of the disk.
+// records to put, in the order in which they are to be replayed. A crash at any time leaves either the old records or
+// the checkpoint. After an error of the snapshot function, the log fails as after one of the disk.
 func (l *Log) Checkpoint(snapshot func(put func(Kind, []byte) error) error) error {
 	if l.failure != nil {
 		return l.failure
@@ -19,7 +19,7 @@
 	if err := l.writeCheckpoint(snapshot); err != nil {
 		return l.fail(err)
 	}
-	// The next segment must exist before the checkpoint has its name.
+	// The next segment must exist before the checkpoint gets its final name.
 	if err := l.startSegment(); err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// writeCheckpoint writes the snapshot to a file that does not count yet.
+// writeCheckpoint writes and syncs the snapshot under a temporary name. Open removes a file of that name.
 func (l *Log) writeCheckpoint(snapshot func(put func(Kind, []byte) error) error) error {
 	file, err := l.disk.Create(partialCheckpoint)
 	if err != nil {
@@ -39,7 +39,7 @@
 		file:   file,
 		id:     l.id,
 		tail:   chainPosition{checksum: l.tail.checksum},
-		buffer: header{store: l.id, seq: l.tail.seq, previous: l.tail.checksum}.encode(checkpointMagic),
+		buffer: header{store: l.id, seq: l.tail.seq, previousChecksum: l.tail.checksum}.encode(checkpointMagic),
 	}
 	err = snapshot(writer.put)
 	if err == nil {
@@ -48,7 +48,7 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// publishCheckpoint gives the checkpoint its name and removes the files that it replaces.
+// publishCheckpoint renames the checkpoint to its final name and removes the files that it replaces.
 func (l *Log) publishCheckpoint(upTo uint64) error {
 	err := errors.Join(l.disk.Rename(partialCheckpoint, checkpointName(upTo)), l.disk.Sync())
 	if err != nil {
@@ -70,12 +70,12 @@
 	return l.disk.Sync()
 }
 
-// checkpointWriter encodes the records of a checkpoint, which has a chain and count of its own.
+// checkpointWriter encodes the records of a checkpoint, which have sequence numbers of their own from 1.
 type checkpointWriter struct {
 	file   File
 	id     storeID
 	tail   chainPosition
-	buffer []byte // not written yet
+	buffer []byte // encoded and not written yet
 }
 
 // put adds a record of the snapshot.
@@ -90,7 +90,7 @@
 	return w.flush()
 }
 
-// finish adds the record that ends a checkpoint and writes all that is not written yet.
+// finish adds the record that ends a checkpoint and flushes the buffer.
 func (w *checkpointWriter) finish() error {
 	w.add(checkpointEnd, nil)
 	return w.flush()
--- a/internal/store/committer.go
+++ b/internal/store/committer.go
@@ -10,24 +10,23 @@
 
 // Bounds of a committer.
 const (
-	maxBatchBytes     = 1 << 20 // of the encoded records behind the first commit of a batch
-	maxQueuedCommits  = 4096    // more are refused with ErrBusy
-	histogramDigits   = 2       // significant figures
-	maxRecordedCommit = time.Hour
+	maxBatchBytes         = 1 << 20 // of encoded records, without those of the first commit of a batch
+	maxQueuedCommits      = 4096    // further ones fail with ErrBusy
+	histogramDigits       = 2       // significant figures
+	maxRecordedCommitTime = time.Hour
 )
 
-// Committer makes records of many goroutines durable with few syncs (group commit): commits that arrive during a sync
-// wait and share the next one. Nothing waits for a timer. One goroutine, started by NewCommitter and ended by Close,
-// owns the log.
+// Committer implements group commit: commits of many goroutines that arrive during a sync wait and share the next one.
+// No timer delays a commit. One goroutine, started by NewCommitter and ended by Close, owns the log.
 type Committer struct {
 	log     *Log // only used by run, and by Close after run has ended
 	queue   chan commitRequest
 	closing chan struct{} // closed by Close
-	ended   chan struct{} // closed by run
+	done    chan struct{} // closed by run
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	isClosed    bool
-	batchSizes  *hdrhistogram.Histogram // commits a sync
+	batchSizes  *hdrhistogram.Histogram // commits per sync
 	commitTimes *hdrhistogram.Histogram // microseconds
 }
 
@@ -36,22 +35,22 @@
 	result  chan error // buffered
 }
 
-// NewCommitter starts a committer. It owns the log from now on.
+// NewCommitter starts a committer, which takes over the log.
 func NewCommitter(log *Log) *Committer {
 	c := &Committer{
 		log:         log,
 		queue:       make(chan commitRequest, maxQueuedCommits),
 		closing:     make(chan struct{}),
-		ended:       make(chan struct{}),
+		done:        make(chan struct{}),
 		batchSizes:  hdrhistogram.New(1, maxQueuedCommits, histogramDigits),
-		commitTimes: hdrhistogram.New(1, maxRecordedCommit.Microseconds(), histogramDigits),
+		commitTimes: hdrhistogram.New(1, maxRecordedCommitTime.Microseconds(), histogramDigits),
 	}
 	go c.run()
 	return c
 }
 
-// Commit returns nil once the records are durable. After an error of the disk they may or may not be found when the
-// store is opened next. ErrBusy and ErrClosed mean that nothing was written.
+// Commit returns nil once the records are durable. After an error of the disk, the next Open may or may not replay
+// them. ErrBusy and ErrClosed mean that nothing was written.
 func (c *Committer) Commit(records ...Record) error {
 	request := commitRequest{records: records, result: make(chan error, 1)}
 	if err := c.enqueue(request); err != nil {
@@ -60,7 +59,7 @@
 	return <-request.result
 }
 
-// enqueue never blocks. It holds the lock so that nothing is queued after Close.
+// enqueue never blocks. It holds the mutex so that no request is queued after Close.
 func (c *Committer) enqueue(request commitRequest) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +76,7 @@
 
 // run commits batches until the committer is closed and the queue is empty.
 func (c *Committer) run() {
-	defer close(c.ended)
+	defer close(c.done)
 	for {
 		select {
 		case request := <-c.queue:
@@ -100,9 +99,9 @@
 	}
 }
 
-// commitBatch commits a request and those that wait behind it, with one sync.
+// commitBatch commits a request and those queued behind it with one sync.
 func (c *Committer) commitBatch(first commitRequest) {
-	batch := c.collect(first)
+	batch := c.collectBatch(first)
 	records := slices.Clone(first.records)
 	for _, request := range batch[1:] {
 		records = append(records, request.records...)
@@ -115,8 +114,8 @@
 	}
 }
 
-// collect returns a request and those that wait behind it, up to the bound of a batch.
-func (c *Committer) collect(first commitRequest) []commitRequest {
+// collectBatch returns a request and those queued behind it, up to maxBatchBytes.
+func (c *Committer) collectBatch(first commitRequest) []commitRequest {
 	batch := []commitRequest{first}
 	for size := 0; size < maxBatchBytes; {
 		select {
@@ -137,18 +136,18 @@
 	return size
 }
 
-func (c *Committer) measure(commits int, took time.Duration) {
+func (c *Committer) measure(commits int, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Values out of range are left out; the bounds allow all that can occur in service.
+	// Values out of range are ignored; the bounds cover all that can occur in production.
 	_ = c.batchSizes.RecordValue(int64(commits))
-	_ = c.commitTimes.RecordValue(max(1, took.Microseconds()))
+	_ = c.commitTimes.RecordValue(max(1, duration.Microseconds()))
 }
 
-// QueueLength returns how many commits wait for the next sync.
+// QueueLength returns the number of commits that wait for the next sync.
 func (c *Committer) QueueLength() int { return len(c.queue) }
 
-// CommitStats is a percentile over all syncs so far.
+// CommitStats holds one percentile of the batch size and of the duration over all syncs so far.
 type CommitStats struct {
 	BatchSize int64         // commits made durable by one sync
 	Duration  time.Duration // of writing and syncing a batch
@@ -164,7 +163,7 @@
 	}
 }
 
-// Close commits what waits, ends the goroutine and closes the log. A second call returns ErrClosed.
+// Close commits the queued requests, ends the goroutine and closes the log. A second call returns ErrClosed.
 func (c *Committer) Close() error {
 	c.mu.Lock()
 	wasClosed := c.isClosed
@@ -174,6 +173,6 @@
 		return ErrClosed
 	}
 	close(c.closing)
-	<-c.ended
+	<-c.done
 	return c.log.Close()
 }
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -10,43 +10,43 @@
 	"swiftreel/internal/store"
 )
 
-var seeds = flag.Int("seeds", 6, "of work that is cut at each of its calls")
+var seeds = flag.Int("seeds", 6, "number of workloads, each of which is crashed at every disk call")
 
 func TestACrashAtAnyCallLosesNothingThatWasAcknowledged(t *testing.T) {
 	crashes := 0
 	for seed := range uint64(*seeds) {
-		for at := 1; ; at++ {
-			r := rand.New(rand.NewPCG(seed, uint64(at)))
-			work := rand.New(rand.NewPCG(seed, 1)) // the same work, cut at each of its calls
+		for crashCall := 1; ; crashCall++ {
+			r := rand.New(rand.NewPCG(seed, uint64(crashCall)))
+			workload := rand.New(rand.NewPCG(seed, 1)) // the same for each crash point
 			d, h := faultdisk.New(), &history{}
-			d.CrashAfterCalls = at
+			d.CrashAfterCalls = crashCall
 			log, err := h.open(d)
 			if err == nil {
-				err = h.write(log, work, 25)
+				err = h.write(log, workload, 25)
 			}
 			if err == nil {
-				break // it lived to its end
+				break // completed without a crash
 			}
 			crashes++
 			if !errors.Is(err, faultdisk.ErrCrashed) {
-				t.Fatalf("seed %d, call %d: %v", seed, at, err)
+				t.Fatalf("seed %d, call %d: %v", seed, crashCall, err)
 			}
 			d = d.Crash(r)
-			if r.IntN(2) == 0 { // a second one while it recovers
+			if r.IntN(2) == 0 { // crash again during recovery
 				d.CrashAfterCalls = 1 + r.IntN(8)
 				if _, err = h.open(d); err != nil && !errors.Is(err, faultdisk.ErrCrashed) {
-					t.Fatalf("seed %d, call %d, recovering: %v", seed, at, err)
+					t.Fatalf("seed %d, call %d, during recovery: %v", seed, crashCall, err)
 				}
 				d = d.Crash(r)
 			}
 			if log, err = h.open(d); err != nil {
-				t.Fatalf("seed %d, call %d: %v", seed, at, err)
+				t.Fatalf("seed %d, call %d: %v", seed, crashCall, err)
 			}
 			if err := h.write(log, r, 3); err != nil {
-				t.Fatalf("seed %d, call %d, afterwards: %v", seed, at, err)
+				t.Fatalf("seed %d, call %d, writing after recovery: %v", seed, crashCall, err)
 			}
 			if _, err := h.open(d.Crash(r)); err != nil {
-				t.Fatalf("seed %d, call %d, at the end: %v", seed, at, err)
+				t.Fatalf("seed %d, call %d, after the last crash: %v", seed, crashCall, err)
 			}
 		}
 	}
@@ -56,9 +56,10 @@
 	t.Logf("%d crashes", crashes)
 }
 
-// Calls that fail: the log ends at once, and is opened again from what the disk holds.
-func TestADiskThatFailsIsNotTrustedAgain(t *testing.T) {
-	fails := 0
+// A failed disk call may have lost data, so the log must accept nothing after it. Reopened from what the disk holds, it
+// must replay all acknowledged entries.
+func TestLogRefusesCallsAfterADiskError(t *testing.T) {
+	failures := 0
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		d, h := faultdisk.New(), &history{}
@@ -66,9 +67,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := d.Calls + 1 + r.IntN(60)
+		failingCall := d.Calls + 1 + r.IntN(60)
 		d.Fail = func(call int, op faultdisk.Operation) error {
-			if call == at {
+			if call == failingCall {
 				return []error{faultdisk.ErrDiskFull, errors.New("input/output error")}[r.IntN(2)]
 			}
 			return nil
@@ -77,9 +78,9 @@
 		if err == nil {
 			continue
 		}
-		fails++
+		failures++
 		if _, again := log.Append([]store.Record{{Kind: 1}}); again == nil {
-			t.Fatalf("seed %d: it goes on after %v", seed, err)
+			t.Fatalf("seed %d: Append succeeds after %v", seed, err)
 		}
 		d.Fail = nil
 		if r.IntN(2) == 0 {
@@ -95,7 +96,7 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
-	if fails < 150 {
-		t.Errorf("only %d failures", fails)
+	if failures < 150 {
+		t.Errorf("only %d workloads failed", failures)
 	}
 }
--- a/internal/store/directory.go
+++ b/internal/store/directory.go
@@ -15,14 +15,14 @@
 	fileMode      = 0o600
 )
 
-// Directory is a Disk on a directory of the machine.
+// Directory is a Disk in a directory of the file system.
 type Directory struct {
 	path string
-	lock *os.File // nil: read only
+	lock *os.File // nil if the directory was opened read-only
 }
 
-// OpenDirectory opens a directory for this process alone; it is created if it does not exist. ErrLocked means that
-// another process has it open.
+// OpenDirectory opens a directory for exclusive use by this process and creates it if it does not exist. It returns
+// ErrLocked if another process has the directory open.
 func OpenDirectory(path string) (*Directory, error) {
 	if err := os.MkdirAll(path, directoryMode); err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	return &Directory{path: path, lock: lock}, nil
 }
 
-// ReadOnlyDirectory returns a directory for Inspect. It takes no lock: another process may have it open.
+// ReadOnlyDirectory returns a directory for Inspect. It takes no lock, so another process may have the directory open.
 func ReadOnlyDirectory(path string) *Directory { return &Directory{path: path} }
 
 // Close releases the lock.
@@ -64,7 +64,8 @@
 	return names, err
 }
 
-// Read implements Disk. It reads the file as one piece: segments and checkpoints are bounded when they are written.
+// Read implements Disk. It reads the whole file into memory: the sizes of segments and checkpoints are bounded when
+// they are written.
 func (d *Directory) Read(name string) ([]byte, error) { return os.ReadFile(d.pathOf(name)) }
 
 // Create implements Disk.
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,6 +1,6 @@
 // Package store is an append-only log that survives a crash of the process and of the machine. Records are written to
-// segments, each chained to the record before it by a checksum, made durable in groups with one sync, and compacted
-// into checkpoints. Open replays every record whose write was acknowledged, drops an unacknowledged tail as a unit,
+// segments, made durable in groups with one sync, and compacted into checkpoints. Each record holds the checksum of the
+// one before it. Open replays every record whose write was acknowledged, drops a torn tail (it was never acknowledged),
 // and reports the file and offset of durable data that can no longer be read (CorruptError).
 //
 // # Files
@@ -8,7 +8,7 @@
 // A store is a directory that one process has open at a time (file "lock"). All numbers are little endian.
 //
 //	log-<seq, 16 hex digits>  a segment; its first record has that sequence number
-//	ckp-<seq, 16 hex digits>  a checkpoint; it stands for all records up to that sequence number
+//	ckp-<seq, 16 hex digits>  a checkpoint; it replaces all records up to that sequence number
 //	new-checkpoint            a checkpoint while it is written
 //	new-segment               the last segment while it is rewritten after a crash
 //
@@ -18,9 +18,9 @@
 //	0       8     magic: "SWRLOG\x00\x01" (segment) or "SWRCKP\x00\x01" (checkpoint)
 //	8       2     format version, 1
 //	10      2     zero
-//	12      16    store identity, drawn at random when the store is created
-//	28      8     segment: sequence number of its first record; checkpoint: of the last record that it stands for
-//	36      8     checksum of the record before the first one; checkpoint: of the last record that it stands for
+//	12      16    store identity, chosen at random when the store is created
+//	28      8     segment: sequence number of its first record; checkpoint: of the last record that it replaces
+//	36      8     segment: checksum of the record before the first one; checkpoint: of the last record that it replaces
 //	44      8     checksum of the 44 bytes above
 //
 // Records follow without gaps:
@@ -41,8 +41,8 @@
 // # Recovery
 //
 // The chain separates a torn tail from stale bytes that look like a record, and a segment of another store or
-// position from the one that is expected. A single flipped bit in a record or header is repaired. A tail that cannot
-// be read is dropped unless a later record proves that it was durable.
+// position from the expected one. A single flipped bit in a record or header is repaired. A tail that cannot be read is
+// dropped unless a later record proves that it was durable.
 //
 // # Concurrency
 //
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,13 +9,13 @@
 var (
 	// ErrCorrupt means that data which was durable can no longer be read. Every CorruptError wraps it.
 	ErrCorrupt = errors.New("the store is corrupt")
-	// ErrUnsupportedVersion means that a file was written by a later program.
+	// ErrUnsupportedVersion means that a file was written by a later version of the program.
 	ErrUnsupportedVersion = errors.New("unsupported format version")
 	// ErrPayloadTooLarge means that a payload has more than MaxPayload bytes.
 	ErrPayloadTooLarge = fmt.Errorf("the payload is larger than %d bytes", MaxPayload)
 	// ErrLocked means that another process has the directory open.
 	ErrLocked = errors.New("the store is locked by another process")
-	// ErrBusy means that too many commits are waiting; nothing of the refused one was written.
+	// ErrBusy means that too many commits are waiting; nothing of the rejected one was written.
 	ErrBusy = errors.New("too many commits are waiting")
 	// ErrClosed means that the log or committer was closed.
 	ErrClosed = errors.New("the store is closed")
@@ -31,10 +31,10 @@
 	errOtherStore    = errors.New("segment belongs to another store")
 )
 
-// CorruptError names the place at which durable data cannot be read. It wraps ErrCorrupt and the reason.
+// CorruptError gives the file and offset at which durable data cannot be read. It wraps ErrCorrupt and the reason.
 type CorruptError struct {
 	File   string // the segment or checkpoint
-	Offset int64  // bytes from its start; 0 also where the file is wrong as a whole
+	Offset int64  // in bytes; 0 also if the file as a whole is invalid
 	Err    error  // the reason
 }
 
--- a/internal/store/filenames.go
+++ b/internal/store/filenames.go
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("%s%0*x", checkpointPrefix, seqDigits, upTo)
 }
 
-func isSegment(name string) bool    { return hasForm(name, segmentPrefix) }
-func isCheckpoint(name string) bool { return hasForm(name, checkpointPrefix) }
+func isSegment(name string) bool    { return hasPrefixAndSeq(name, segmentPrefix) }
+func isCheckpoint(name string) bool { return hasPrefixAndSeq(name, checkpointPrefix) }
 
-func hasForm(name, prefix string) bool {
+func hasPrefixAndSeq(name, prefix string) bool {
 	return strings.HasPrefix(name, prefix) && len(name) == len(prefix)+seqDigits
 }
 
-// seqOf returns the sequence number in the name of a segment or checkpoint; 0 if it has none.
+// seqOf returns the sequence number in the name of a segment or checkpoint; 0 if it is not hexadecimal.
 func seqOf(name string) uint64 {
 	seq, err := strconv.ParseUint(name[len(segmentPrefix):], 16, 64)
 	if err != nil {
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -14,23 +14,23 @@
 	"swiftreel/internal/store"
 )
 
-// The stores under testdata/stores were written by the program at 70e2e4b. Each has
+// The stores under testdata/stores were written by the program at commit 70e2e4b. Each has
 //
 //	before/        the files as that program left them
-//	appended/      the files after that program opened them once more, appended and closed
-//	checkpointed/  the files after it opened those, wrote a checkpoint, appended and closed
-//	transcript.txt what it replayed and found at each step
+//	appended/      the files after it reopened the store, appended records and closed it
+//	checkpointed/  the files after it reopened that, wrote a checkpoint, appended records and closed it
+//	transcript.txt the records that it replayed and its report at each step
 //
-// The identity of a store is drawn when it is made and kept in its files, so all that is written to an old store is
-// the same to the byte, whatever program does it.
+// The random identity of a store is kept in its files, so any compatible version of the program continues an old store
+// with the same bytes.
 
-const storesFolder = "testdata/stores"
+const storesDir = "testdata/stores"
 
-// fixtureLimits are small, so that a few records fill more than one segment.
-var fixtureLimits = store.Options{SegmentBytes: 300}
+// fixtureOptions make segments so small that a few records fill more than one.
+var fixtureOptions = store.Options{SegmentBytes: 300}
 
-// oldStores says how each store came to be.
-var oldStores = map[string]func(t *testing.T, dir string){
+// fixtureWriters holds, for each store under testdata/stores, the function that wrote it.
+var fixtureWriters = map[string]func(t *testing.T, dir string){
 	"rotated": func(t *testing.T, dir string) {
 		t.Helper()
 		writeBatches(t, dir, 9)
@@ -39,7 +39,7 @@
 		t.Helper()
 		writeBatches(t, dir, 9)
 		last := segmentsIn(t, dir)
-		cutFile(t, filepath.Join(dir, last[len(last)-1]), 11)
+		truncateFile(t, filepath.Join(dir, last[len(last)-1]), 11)
 	},
 	"head-torn": func(t *testing.T, dir string) {
 		t.Helper()
@@ -47,7 +47,7 @@
 		last := segmentsIn(t, dir)
 		name := filepath.Join(dir, last[len(last)-1])
 		text := readFile(t, name)
-		cutFile(t, name, len(text)-20)
+		truncateFile(t, name, len(text)-20)
 	},
 	"one-bit-wrong": func(t *testing.T, dir string) {
 		t.Helper()
@@ -63,7 +63,7 @@
 		writeCheckpoint(t, dir)
 		writeBatches(t, dir, 6)
 	},
-	// The process died before it removed what the checkpoint stands for.
+	// A crash between the rename of the checkpoint and the removal of the files that it replaces.
 	"checkpoint-cut-off": func(t *testing.T, dir string) {
 		t.Helper()
 		writeBatches(t, dir, 7)
@@ -80,61 +80,61 @@
 	},
 }
 
-// entryAt is a record that differs from all others in kind, length or contents.
-func entryAt(n int) store.Record {
+// numberedRecord returns the record with number n, which differs from all others in kind, length or contents.
+func numberedRecord(n int) store.Record {
 	return store.Record{Kind: store.Kind(1 + n%4), Payload: []byte(strings.Repeat(fmt.Sprint(n, ";"), n%23))}
 }
 
-// openStore opens a folder and adds to a transcript what it replays and finds.
+// openStore opens a store and adds the records that it replays and its report to a transcript.
 func openStore(
 	t *testing.T, dir string, transcript *bytes.Buffer,
 ) (log *store.Log, replayed []store.Record, done func()) {
 	t.Helper()
-	folder, err := store.OpenDirectory(dir)
+	directory, err := store.OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, found, err := store.Open(folder, fixtureLimits, func(r store.Record) error {
+	log, report, err := store.Open(directory, fixtureOptions, func(r store.Record) error {
 		replayed = append(replayed, r)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	describe(transcript, "open", found, replayed)
+	writeTranscript(transcript, "open", report, replayed)
 	return log, replayed, func() {
 		t.Helper()
 		if err := log.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if err := folder.Close(); err != nil {
+		if err := directory.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func lookAtStore(t *testing.T, dir string, transcript *bytes.Buffer) (replayed []store.Record) {
+func inspectStore(t *testing.T, dir string, transcript *bytes.Buffer) (replayed []store.Record) {
 	t.Helper()
-	found, err := store.Inspect(store.ReadOnlyDirectory(dir), func(r store.Record) error {
+	report, err := store.Inspect(store.ReadOnlyDirectory(dir), func(r store.Record) error {
 		replayed = append(replayed, r)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	describe(transcript, "look", found, replayed)
+	writeTranscript(transcript, "look", report, replayed)
 	return replayed
 }
 
-func describe(to *bytes.Buffer, step string, found store.Report, replayed []store.Record) {
+func writeTranscript(to *bytes.Buffer, step string, report store.Report, replayed []store.Record) {
 	fmt.Fprintf(to, "%s: records %d, torn %d, mended %q, removed %q\n",
-		step, found.Records, found.TornBytes, found.RepairedBits, found.RemovedFiles)
+		step, report.Records, report.TornBytes, report.RepairedBits, report.RemovedFiles)
 	for _, r := range replayed {
 		fmt.Fprintf(to, "  seq %d, kind %d: %s\n", r.Seq, r.Kind, r.Payload)
 	}
 }
 
-// writeBatches opens a store and appends batches of one to three records, which go on from those that are there.
+// writeBatches opens a store and appends batches of one to three records, numbered on from those in the store.
 func writeBatches(t *testing.T, dir string, batches int) {
 	t.Helper()
 	log, replayed, done := openStore(t, dir, new(bytes.Buffer))
@@ -147,7 +147,7 @@
 	for i := range batches {
 		var batch []store.Record
 		for range 1 + i%3 {
-			batch = append(batch, entryAt(n))
+			batch = append(batch, numberedRecord(n))
 			n++
 		}
 		if _, err := log.Append(batch); err != nil {
@@ -158,7 +158,7 @@
 	return written
 }
 
-// writeCheckpoint opens a store and writes a checkpoint that holds all of its records.
+// writeCheckpoint opens a store and writes a checkpoint of all of its records.
 func writeCheckpoint(t *testing.T, dir string) {
 	t.Helper()
 	log, replayed, done := openStore(t, dir, new(bytes.Buffer))
@@ -181,15 +181,15 @@
 	}
 }
 
-// goOn plays what comes after an old store was found, and tells the files after each step. It fails where a record is
-// lost.
-func goOn(t *testing.T, dir string) (transcript []byte, files map[string]map[string][]byte) {
+// continueStore inspects an old store, appends to it, and writes a checkpoint. It returns the files after the last two
+// steps, and fails the test if a record is lost.
+func continueStore(t *testing.T, dir string) (transcript []byte, files map[string]map[string][]byte) {
 	t.Helper()
 	var text bytes.Buffer
 	files = map[string]map[string][]byte{}
 	before := filesIn(t, dir)
-	all := lookAtStore(t, dir, &text)
-	compareFiles(t, "after a look", filesIn(t, dir), before)
+	all := inspectStore(t, dir, &text)
+	compareFiles(t, "after Inspect", filesIn(t, dir), before)
 
 	log, replayed, done := openStore(t, dir, &text)
 	compareRecords(t, "opened", replayed, all)
@@ -198,13 +198,13 @@
 	files["appended"] = filesIn(t, dir)
 
 	log, replayed, done = openStore(t, dir, &text)
-	compareRecords(t, "opened again", replayed, all)
+	compareRecords(t, "reopened", replayed, all)
 	checkpointOf(t, log, all)
 	all = append(all, appendBatches(t, log, len(all), 5)...)
 	done()
 	files["checkpointed"] = filesIn(t, dir)
 
-	compareRecords(t, "at the end", lookAtStore(t, dir, &text), all)
+	compareRecords(t, "at the end", inspectStore(t, dir, &text), all)
 	return text.Bytes(), files
 }
 
@@ -212,33 +212,33 @@
 	t.Helper()
 	same := func(a, b store.Record) bool { return a.Kind == b.Kind && bytes.Equal(a.Payload, b.Payload) }
 	if !slices.EqualFunc(got, want, same) {
-		t.Fatalf("%s: %d records, %d were written: %v, %v", step, len(got), len(want), got, want)
+		t.Fatalf("%s: got %d records, want %d: %v, %v", step, len(got), len(want), got, want)
 	}
 }
 
 func compareFiles(t *testing.T, step string, got, want map[string][]byte) {
 	t.Helper()
 	if g, w := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(g, w) {
-		t.Errorf("%s: files %v, not %v", step, g, w)
+		t.Errorf("%s: got files %v, want %v", step, g, w)
 	}
 	for name, text := range want {
 		if !bytes.Equal(got[name], text) {
-			t.Errorf("%s: %s holds\n%x\nnot\n%x", step, name, got[name], text)
+			t.Errorf("%s: %s: got\n%x\nwant\n%x", step, name, got[name], text)
 		}
 	}
 }
 
-func TestOldStoresAreOpenedAndGoOnToTheByte(t *testing.T) {
-	recordStores(t)
-	names, err := os.ReadDir(storesFolder)
-	if err != nil || len(names) != len(oldStores) {
-		t.Fatalf("%d stores of %d: %v", len(names), len(oldStores), err)
+func TestOldStoresAreReadAndContinuedByteForByte(t *testing.T) {
+	recordFixtures(t)
+	names, err := os.ReadDir(storesDir)
+	if err != nil || len(names) != len(fixtureWriters) {
+		t.Fatalf("got %d stores, want %d: %v", len(names), len(fixtureWriters), err)
 	}
-	for name := range oldStores {
+	for name := range fixtureWriters {
 		t.Run(name, func(t *testing.T) {
-			old, dir := filepath.Join(storesFolder, name), t.TempDir()
+			old, dir := filepath.Join(storesDir, name), t.TempDir()
 			copyFiles(t, filepath.Join(old, "before"), dir)
-			transcript, files := goOn(t, dir)
+			transcript, files := continueStore(t, dir)
 			golden.Check(t, filepath.Join("stores", name, "transcript.txt"), transcript)
 			for step, got := range files {
 				compareFiles(t, step, got, filesIn(t, filepath.Join(old, step)))
@@ -247,18 +247,18 @@
 	}
 }
 
-// recordStores writes the stores that are not there, if the tests are run with -record.
-func recordStores(t *testing.T) {
+// recordFixtures writes the missing stores if the tests are run with -record.
+func recordFixtures(t *testing.T) {
 	t.Helper()
-	for name, write := range oldStores {
-		old := filepath.Join(storesFolder, name)
+	for name, write := range fixtureWriters {
+		old := filepath.Join(storesDir, name)
 		if !golden.Missing(old) {
 			continue
 		}
 		dir := t.TempDir()
 		write(t, dir)
 		writeFiles(t, filepath.Join(old, "before"), filesIn(t, dir))
-		_, files := goOn(t, dir)
+		_, files := continueStore(t, dir)
 		for step, written := range files {
 			writeFiles(t, filepath.Join(old, step), written)
 		}
@@ -275,7 +275,7 @@
 	return names
 }
 
-// filesIn reads all files of a folder but its lock.
+// filesIn reads all files of a directory except the lock file.
 func filesIn(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	list, err := os.ReadDir(dir)
@@ -322,7 +322,7 @@
 	}
 }
 
-func cutFile(t *testing.T, name string, bytes int) {
+func truncateFile(t *testing.T, name string, bytes int) {
 	t.Helper()
 	text := readFile(t, name)
 	writeFile(t, name, text[:len(text)-bytes])
--- a/internal/store/header.go
+++ b/internal/store/header.go
@@ -12,58 +12,58 @@
 	checkpointMagic = "SWRCKP\x00\x01"
 	formatVersion   = 1
 
-	versionOffset        = 8
-	storeIDOffset        = 12
-	headerSeqOffset      = 28
-	headerPreviousOffset = 36
-	headerChecksumOffset = 44
-	headerSize           = headerChecksumOffset + checksumSize
+	versionOffset                = 8
+	storeIDOffset                = 12
+	headerSeqOffset              = 28
+	headerPreviousChecksumOffset = 36
+	headerChecksumOffset         = 44
+	headerSize                   = headerChecksumOffset + checksumSize
 )
 
 // header is the start of a segment or checkpoint.
 type header struct {
-	store    storeID
-	seq      uint64 // segment: of its first record; checkpoint: of the last record that it stands for
-	previous uint64 // segment: checksum of the record before its first; checkpoint: of the last that it stands for
+	store            storeID
+	seq              uint64 // segment: of its first record; checkpoint: of the last record that it replaces
+	previousChecksum uint64 // segment: of the record before its first; checkpoint: of the last that it replaces
 }
 
 func (h header) encode(magic string) []byte {
-	text := make([]byte, 0, headerSize)
-	text = append(text, magic...)
-	text = binary.LittleEndian.AppendUint16(text, formatVersion)
-	text = append(text, 0, 0)
-	text = append(text, h.store[:]...)
-	text = binary.LittleEndian.AppendUint64(text, h.seq)
-	text = binary.LittleEndian.AppendUint64(text, h.previous)
-	return binary.LittleEndian.AppendUint64(text, checksumOf(storeID{}, text))
+	data := make([]byte, 0, headerSize)
+	data = append(data, magic...)
+	data = binary.LittleEndian.AppendUint16(data, formatVersion)
+	data = append(data, 0, 0)
+	data = append(data, h.store[:]...)
+	data = binary.LittleEndian.AppendUint64(data, h.seq)
+	data = binary.LittleEndian.AppendUint64(data, h.previousChecksum)
+	return binary.LittleEndian.AppendUint64(data, checksumOf(storeID{}, data))
 }
 
 // decodeHeader decodes the header at the start of a file. A single flipped bit in it is repaired, in a copy.
-func decodeHeader(text []byte, magic string) (h header, isRepaired bool, err error) {
-	if len(text) < headerSize {
+func decodeHeader(data []byte, magic string) (h header, isRepaired bool, err error) {
+	if len(data) < headerSize {
 		return header{}, false, errTruncated
 	}
-	text = slices.Clone(text[:headerSize])
+	data = slices.Clone(data[:headerSize])
 	isValid := func() bool {
-		stored := binary.LittleEndian.Uint64(text[headerChecksumOffset:])
-		return stored == checksumOf(storeID{}, text[:headerChecksumOffset])
+		stored := binary.LittleEndian.Uint64(data[headerChecksumOffset:])
+		return stored == checksumOf(storeID{}, data[:headerChecksumOffset])
 	}
 	if !isValid() {
-		bit, found := searchBit(text, 0, headerSize, isValid)
+		bit, found := searchBit(data, 0, headerSize, isValid)
 		if !found {
 			return header{}, false, errBadHeader
 		}
-		bit.invert(text)
+		bit.invert(data)
 		isRepaired = true
 	}
-	if string(text[:versionOffset]) != magic {
+	if string(data[:versionOffset]) != magic {
 		return header{}, false, errBadHeader
 	}
-	if version := binary.LittleEndian.Uint16(text[versionOffset:]); version != formatVersion {
+	if version := binary.LittleEndian.Uint16(data[versionOffset:]); version != formatVersion {
 		return header{}, false, fmt.Errorf("version %d: %w", version, ErrUnsupportedVersion)
 	}
-	copy(h.store[:], text[storeIDOffset:])
-	h.seq = binary.LittleEndian.Uint64(text[headerSeqOffset:])
-	h.previous = binary.LittleEndian.Uint64(text[headerPreviousOffset:])
+	copy(h.store[:], data[storeIDOffset:])
+	h.seq = binary.LittleEndian.Uint64(data[headerSeqOffset:])
+	h.previousChecksum = binary.LittleEndian.Uint64(data[headerPreviousChecksumOffset:])
 	return h, isRepaired, nil
 }
--- a/internal/store/history_test.go
+++ b/internal/store/history_test.go
@@ -10,8 +10,8 @@
 	"swiftreel/internal/store"
 )
 
-// A small map is kept in the log. What was acknowledged must be there after any crash; what was not may be there, in
-// the order in which it was written; and nothing else.
+// The tests keep a small map in the log. After any crash, all acknowledged entries must be replayed, then possibly some
+// of the pending ones in the order in which they were written, and nothing else.
 
 // mapKind is the kind of all records of the map.
 const mapKind = 1
@@ -53,15 +53,15 @@
 	return state
 }
 
-// history is what was written to a map in the log.
+// history is the sequence of entries that were written to a log.
 type history struct {
 	acknowledged       []mapEntry // in order
-	pending            []mapEntry // written behind these, not acknowledged
+	pending            []mapEntry // written after these, not acknowledged
 	withoutCheckpoints bool
 }
 
-// matchingPending returns how many of the pending entries a state holds behind the acknowledged ones; false if it is
-// the state after no number of them.
+// matchingPending returns how many of the pending entries, after the acknowledged ones, result in a state; false if no
+// number of them does.
 func (h *history) matchingPending(state map[string]string) (int, bool) {
 	for n := len(h.pending); n >= 0; n-- {
 		if maps.Equal(state, stateAfter(slices.Concat(h.acknowledged, h.pending[:n]))) {
@@ -71,7 +71,7 @@
 	return 0, false
 }
 
-// write appends batches and writes checkpoints until the disk fails or it is done.
+// write appends batches, and now and then writes a checkpoint. It returns the first error of the log.
 func (h *history) write(log *store.Log, random *rand.Rand, batches int) error {
 	for i := range batches {
 		if random.IntN(6) == 0 && !h.withoutCheckpoints {
@@ -108,7 +108,8 @@
 	})
 }
 
-// open opens the log and compares what it replays with the history, which goes on from there.
+// open opens the log and compares the replayed state with the history. Replayed pending entries count as acknowledged
+// from then on.
 func (h *history) open(disk store.Disk) (*store.Log, error) {
 	state := map[string]string{}
 	log, _, err := store.Open(disk, testOptions, replayInto(state))
@@ -117,7 +118,7 @@
 	}
 	n, found := h.matchingPending(state)
 	if !found {
-		return log, fmt.Errorf("found %v, acknowledged was %v, then pending %v",
+		return log, fmt.Errorf("replayed %v, want %v, then any of the pending %v",
 			state, stateAfter(h.acknowledged), h.pending)
 	}
 	h.acknowledged = append(h.acknowledged, h.pending[:n]...)
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// Report says what Open or Inspect found.
+// Report is what Open or Inspect found in a store.
 type Report struct {
 	Records      int      // replayed
-	TornBytes    int64    // dropped behind the last complete record; they were never acknowledged
-	RepairedBits []string // single flipped bits: file and offset
+	TornBytes    int64    // dropped after the last complete record; never acknowledged
+	RepairedBits []string // file and offset of each single flipped bit
 	RemovedFiles []string // left behind by a crash
 }
 
@@ -25,7 +25,7 @@
 	report Report
 }
 
-// fileList is what a store's directory holds, each in the order of names, which is that of sequence numbers.
+// fileList is the files of a store in lexical order, which is also that of their sequence numbers.
 type fileList struct {
 	all        []string
 	segments   []string
@@ -49,7 +49,7 @@
 	return files, nil
 }
 
-// load replays the newest checkpoint and the segments behind it, and removes what a crash left behind.
+// load replays the newest checkpoint and the segments after it, and removes files that a crash left behind.
 func (l *loader) load() error {
 	files, err := listFiles(l.disk)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// isObsolete reports whether a file is one that a crash left behind: partially written, or replaced by a checkpoint.
+// isObsolete reports whether a file is partially written or replaced by a checkpoint. A crash can leave such files.
 func (l *loader) isObsolete(name, checkpoint string) bool {
 	switch {
 	case isCheckpoint(name):
@@ -99,23 +99,23 @@
 	return l.disk.Remove(name)
 }
 
-// loadCheckpoint replays a checkpoint. It was complete and durable before it got its name, so all of it must be
-// readable.
+// loadCheckpoint replays a checkpoint. All of it must be readable, as it is renamed to its final name only once it is
+// complete and durable.
 func (l *loader) loadCheckpoint(name string) error {
-	text, err := l.disk.Read(name)
+	data, err := l.disk.Read(name)
 	if err != nil {
 		return err
 	}
-	h, isRepaired, err := decodeHeader(text, checkpointMagic)
+	h, isRepaired, err := decodeHeader(data, checkpointMagic)
 	if err != nil {
 		return &CorruptError{File: name, Err: err}
 	}
 	if h.seq != seqOf(name) {
 		return &CorruptError{File: name, Err: fmt.Errorf("checkpoint of record %d", h.seq)}
 	}
-	l.noteHeader(name, isRepaired)
-	scan := scanRecords(text, h.store, chainPosition{checksum: h.previous})
-	l.noteRepairs(name, scan.repairedAt)
+	l.reportHeaderRepair(name, isRepaired)
+	scan := scanRecords(data, h.store, chainPosition{checksum: h.previousChecksum})
+	l.reportRecordRepairs(name, scan.repairedOffsets)
 	if scan.stopReason != nil {
 		return &CorruptError{File: name, Offset: scan.validBytes, Err: scan.stopReason}
 	}
@@ -127,30 +127,30 @@
 		return err
 	}
 	l.id = h.store
-	l.tail = chainPosition{seq: h.seq, checksum: h.previous}
+	l.tail = chainPosition{seq: h.seq, checksum: h.previousChecksum}
 	return nil
 }
 
 // loadSegment replays a segment. Only the last one may end in a tail that cannot be read.
 func (l *loader) loadSegment(name string, isLast bool) error {
-	text, err := l.disk.Read(name)
+	data, err := l.disk.Read(name)
 	if err != nil {
 		return err
 	}
-	h, isRepaired, err := decodeHeader(text, segmentMagic)
-	if isLast && isUnfinishedHeader(text, err) {
-		l.report.TornBytes += int64(len(text))
+	h, isRepaired, err := decodeHeader(data, segmentMagic)
+	if isLast && isUnfinishedHeader(data, err) {
+		l.report.TornBytes += int64(len(data))
 		return l.remove(name)
 	}
 	if err != nil {
 		return &CorruptError{File: name, Err: err}
 	}
-	l.noteHeader(name, isRepaired)
-	if err := l.checkPlace(name, h); err != nil {
+	l.reportHeaderRepair(name, isRepaired)
+	if err := l.checkSegmentHeader(name, h); err != nil {
 		return err
 	}
-	scan := scanRecords(text, l.id, l.tail)
-	l.noteRepairs(name, scan.repairedAt)
+	scan := scanRecords(data, l.id, l.tail)
+	l.reportRecordRepairs(name, scan.repairedOffsets)
 	if err := l.replayAll(name, scan.records); err != nil {
 		return err
 	}
@@ -162,14 +162,14 @@
 		return nil
 	}
 	l.report.TornBytes += int64(len(scan.invalidTail()))
-	if l.isReadOnly || len(scan.records) == 0 { // an empty one is created once more under the same name
+	if l.isReadOnly || len(scan.records) == 0 { // startSegment recreates a segment without records under the same name
 		return nil
 	}
-	return rewriteSegment(l.disk, name, text[:scan.validBytes])
+	return rewriteSegment(l.disk, name, data[:scan.validBytes])
 }
 
-// checkTail checks that a segment was read to its end, or that what could not be read of the last one was never
-// durable.
+// checkTail checks that a segment was read to its end or, for the last one, that no later record proves that the
+// unreadable rest was durable.
 func (l *loader) checkTail(name string, isLast bool, scan scanResult) error {
 	if scan.stopReason == nil {
 		return nil
@@ -182,31 +182,31 @@
 	return &CorruptError{File: name, Offset: scan.validBytes, Err: reason}
 }
 
-// isUnfinishedHeader reports whether a segment was cut off while it was created. Its header is durable before any
-// record is written to it, so there is nothing behind such a header.
-func isUnfinishedHeader(text []byte, err error) bool {
+// isUnfinishedHeader reports whether a crash interrupted the creation of a segment; data and err are its contents and
+// the error of decodeHeader. The header is durable before any record is written, so no record follows such a header.
+func isUnfinishedHeader(data []byte, err error) bool {
 	if errors.Is(err, errTruncated) {
 		return true
 	}
-	return errors.Is(err, errBadHeader) && isAllZero(text[headerSize:])
+	return errors.Is(err, errBadHeader) && isAllZero(data[headerSize:])
 }
 
-func isAllZero(text []byte) bool {
-	return !slices.ContainsFunc(text, func(b byte) bool { return b != 0 })
+func isAllZero(data []byte) bool {
+	return !slices.ContainsFunc(data, func(b byte) bool { return b != 0 })
 }
 
-// checkPlace checks that a segment belongs to the store and follows the records replayed so far. The first segment of
-// a store without a checkpoint says which store it is.
-func (l *loader) checkPlace(name string, h header) error {
+// checkSegmentHeader checks that a segment belongs to the store and follows the records replayed so far. In a store
+// without a checkpoint, the identity of the store is taken from the first segment.
+func (l *loader) checkSegmentHeader(name string, h header) error {
 	if l.tail.seq == 0 && l.id == (storeID{}) {
 		l.id = h.store
-		l.tail.checksum = h.previous
+		l.tail.checksum = h.previousChecksum
 	}
 	if h.store != l.id {
 		return &CorruptError{File: name, Err: errOtherStore}
 	}
 	next := l.tail.seq + 1
-	if h.seq != seqOf(name) || h.seq != next || h.previous != l.tail.checksum {
+	if h.seq != seqOf(name) || h.seq != next || h.previousChecksum != l.tail.checksum {
 		reason := fmt.Errorf("segment starts at record %d, expected record %d: %w", h.seq, next, errOutOfSequence)
 		return &CorruptError{File: name, Err: reason}
 	}
@@ -223,26 +223,26 @@
 	return nil
 }
 
-func (l *loader) noteHeader(name string, isRepaired bool) {
+func (l *loader) reportHeaderRepair(name string, isRepaired bool) {
 	if isRepaired {
 		l.report.RepairedBits = append(l.report.RepairedBits, name+", head")
 	}
 }
 
-func (l *loader) noteRepairs(name string, offsets []int64) {
+func (l *loader) reportRecordRepairs(name string, offsets []int64) {
 	for _, offset := range offsets {
 		l.report.RepairedBits = append(l.report.RepairedBits, fmt.Sprintf("%s, offset %d", name, offset))
 	}
 }
 
-// rewriteSegment writes the last segment once more. What can be read of it need not be durable: where a sync has
-// failed before, it would be gone after the next crash, while records written from now on would not.
-func rewriteSegment(disk Disk, name string, text []byte) error {
+// rewriteSegment replaces the last segment by a durable copy of its readable part. After a failed sync, data that can
+// still be read need not be durable: the next crash could lose it, but not the records that are written after it.
+func rewriteSegment(disk Disk, name string, data []byte) error {
 	file, err := disk.Create(partialSegment)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(writeAll(file, text), file.Sync(), file.Close()); err != nil {
+	if err := errors.Join(writeAll(file, data), file.Sync(), file.Close()); err != nil {
 		return err
 	}
 	return errors.Join(disk.Rename(partialSegment, name), disk.Sync())
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -8,15 +8,15 @@
 
 // Options are the settings of a log.
 type Options struct {
-	SegmentBytes int64 // a segment of this size or more is closed and the next one started
+	SegmentBytes int64 // size from which on a segment is closed and the next one started
 }
 
-// DefaultOptions returns the settings for use on a disk.
+// DefaultOptions returns the settings for production use.
 func DefaultOptions() Options { return Options{SegmentBytes: 16 << 20} }
 
-// Log is an open store. It is for one goroutine at a time; see Committer for many. After an error of the disk every
-// call fails with that error: a failed sync may have lost data, and a later one would not report it. Open the store
-// anew to go on from what the disk holds.
+// Log is an open store. It is for one goroutine at a time; use a Committer for many. After an error of the disk, Append
+// and Checkpoint fail with that error: a failed sync may have lost data, which a later sync would not report. Reopen
+// the store to continue from what the disk holds.
 type Log struct {
 	disk    Disk
 	options Options
@@ -26,11 +26,11 @@
 	segment     File          // nil once closed
 	segmentSize int64         // bytes
 	buffer      []byte        // reused by Append
-	failure     error         // of the disk; no call succeeds after it
+	failure     error         // first error, or ErrClosed; returned by every later Append and Checkpoint
 }
 
-// Open replays all records of a store in order, those of the checkpoint first, and starts a segment for new ones. An
-// empty disk becomes a new store. An error of replay is returned as a CorruptError of the file.
+// Open replays all records of a store in order, those of the checkpoint first, and starts a segment for new ones. On an
+// empty disk it creates a store. An error of replay is returned as a CorruptError for the file.
 func Open(disk Disk, options Options, replay func(Record) error) (*Log, Report, error) {
 	l := loader{disk: disk, replay: replay}
 	err := l.load()
@@ -44,14 +44,14 @@
 	return log, l.report, log.startSegment()
 }
 
-// Inspect replays the records of a store as Open does and changes nothing.
+// Inspect replays the records of a store as Open does, but does not modify the store.
 func Inspect(disk Disk, replay func(Record) error) (Report, error) {
 	l := loader{disk: disk, replay: replay, isReadOnly: true}
 	err := l.load()
 	return l.report, err
 }
 
-// startSegment closes the segment in use and creates the next one, whose header is durable afterwards.
+// startSegment closes the current segment and creates the next one, whose header is durable when it returns.
 func (l *Log) startSegment() error {
 	if l.segment != nil {
 		if err := l.segment.Close(); err != nil {
@@ -65,18 +65,18 @@
 		return l.fail(err)
 	}
 	l.segment = segment
-	text := header{store: l.id, seq: first, previous: l.tail.checksum}.encode(segmentMagic)
-	if err := writeAll(segment, text); err != nil {
+	data := header{store: l.id, seq: first, previousChecksum: l.tail.checksum}.encode(segmentMagic)
+	if err := writeAll(segment, data); err != nil {
 		return l.fail(err)
 	}
 	if err := errors.Join(segment.Sync(), l.disk.Sync()); err != nil {
 		return l.fail(err)
 	}
-	l.segmentSize = int64(len(text))
+	l.segmentSize = int64(len(data))
 	return nil
 }
 
-// fail remembers the first error of the disk and returns the given one.
+// fail returns err, and keeps it as the failure of the log unless there was an earlier one.
 func (l *Log) fail(err error) error {
 	if l.failure == nil {
 		l.failure = err
@@ -84,8 +84,8 @@
 	return err
 }
 
-// Append writes records and makes them durable with one sync. It returns the sequence number of the first; the others
-// follow it. Nothing is written if a payload is too large (ErrPayloadTooLarge).
+// Append writes records and makes them durable with one sync. It returns the sequence number of the first; those of the
+// others follow without gaps. Nothing is written if a payload is too large (ErrPayloadTooLarge).
 func (l *Log) Append(records []Record) (first uint64, err error) {
 	if l.failure != nil {
 		return 0, l.failure
@@ -117,10 +117,10 @@
 	return first, nil
 }
 
-// Seq returns the sequence number of the last durable record; 0 if there is none.
-func (l *Log) Seq() uint64 { return l.tail.seq }
+// LastSeq returns the sequence number of the last durable record; 0 if there is none.
+func (l *Log) LastSeq() uint64 { return l.tail.seq }
 
-// Close closes the segment in use. Every call after it fails with ErrClosed.
+// Close closes the current segment. Append and Checkpoint fail with ErrClosed afterwards.
 func (l *Log) Close() error {
 	if l.segment == nil {
 		return nil
@@ -131,9 +131,9 @@
 	return err
 }
 
-func writeAll(file File, text []byte) error {
-	n, err := file.Write(text)
-	if err == nil && n < len(text) {
+func writeAll(file File, data []byte) error {
+	n, err := file.Write(data)
+	if err == nil && n < len(data) {
 		return io.ErrShortWrite
 	}
 	return err
