--- a/internal/recovery/crash_model_test.go
+++ b/internal/recovery/crash_model_test.go
@@ -8,47 +8,47 @@
 	"swiftreel/internal/store"
 )
 
-// A model of all that can become of two jobs of one ordering key, with two crashes anywhere: each act towards an
-// engine or a client, and each record before it, is a step of its own. The ledger is the real one; around it stands
-// the order in which a controller has to write and act.
+// An exhaustive model of two jobs of one ordering key, with up to two crashes of the controller. Each message to an
+// engine or a client, and each record, is a step of its own, and a crash can come between any two steps. The ledger is
+// the real one; the model adds the order in which a controller has to write records and send messages.
 
-// protocolFault is a wrong order of records and acts that the model must find.
+// protocolFault selects a defect of the controller that the model must detect.
 type protocolFault struct {
 	dispatchesBeforeRecord bool
 	answersBeforeRecord    bool
 	skipsCooldown          bool
-	assumesNeverRan        bool // of attempts that were out at a crash
+	assumesNeverRan        bool // of attempts that were in flight at a crash
 }
 
 const (
 	modelJobs        = 2
 	maxModelCrashes  = 2
-	maxModelAttempts = 2 // of one job
+	maxModelAttempts = 2 // per job
 	minModelStates   = 1000
 )
 
 var modelCalls = [modelJobs]CallID{"a", "b"}
 
-// modelState is one state of the model. The first group outlasts a crash.
+// modelState is one state of the model. The fields of the first group survive a crash.
 type modelState struct {
 	log          []store.Record
-	clientAnswer [modelJobs]string // what the client received; several different answers are joined
+	clientAnswer [modelJobs]string // what the client received; different answers are joined by " and "
 	executions   [modelJobs]int
 	atEngine     [modelJobs]bool
 	crashes      int
-	requests     [modelJobs]int // by the client
+	requests     [modelJobs]int // that the client sent
 	attempts     [modelJobs]int
 
-	isUp       bool
-	keyCools   bool                   // no job of the key may be dispatched
-	isLinked   [modelJobs]bool        // the outcome of the attempt is received here
-	toDispatch [modelJobs]bool        // recorded, not dispatched yet
-	outcome    [modelJobs]Outcome     // on its way here
-	toAnswer   [modelJobs]FinalAnswer // recorded, not answered yet
-	unrecorded [modelJobs]bool        // dispatched without a record (dispatchesBeforeRecord)
+	isUp                 bool
+	isKeyInCooldown      bool                   // no job of the ordering key may be dispatched
+	awaitsOutcome        [modelJobs]bool        // the controller will receive the outcome of the attempt
+	toDispatch           [modelJobs]bool        // dispatch recorded, message not sent yet
+	outcome              [modelJobs]Outcome     // received, not recorded yet
+	toAnswer             [modelJobs]FinalAnswer // recorded, not sent yet
+	dispatchedUnrecorded [modelJobs]bool        // only with dispatchesBeforeRecord
 }
 
-func (s modelState) key() string {
+func (s modelState) fingerprint() string {
 	var text strings.Builder
 	for _, r := range s.log {
 		fmt.Fprintf(&text, "%d%s", r.Kind, r.Payload)
@@ -75,7 +75,7 @@
 	s.log = append(s.log[:len(s.log):len(s.log)], r)
 }
 
-// explorer collects the states that can follow one.
+// explorer collects the successors of a state.
 type explorer struct {
 	from  modelState
 	fault protocolFault
@@ -88,7 +88,7 @@
 	e.next = append(e.next, state)
 }
 
-// successors returns all states that can follow one.
+// successors returns all states that can follow a state.
 func (s modelState) successors(fault protocolFault) []modelState {
 	e := &explorer{from: s, fault: fault}
 	e.addEngineSteps()
@@ -105,16 +105,16 @@
 	}
 	for i, call := range modelCalls {
 		e.addRequest(ledger, i)
-		e.addAct(i)
+		e.addRecordedAction(i)
 		e.addOutcome(i)
-		if open, isOpen := openJobs[call]; isOpen && !e.isBusy(i) {
+		if open, isOpen := openJobs[call]; isOpen && !e.isRecoveryDelayed(i) {
 			e.addRecovery(ledger, i, open)
 		}
 	}
 	return e.next
 }
 
-// addEngineSteps ends attempts: engines go on whatever happens to the controller.
+// addEngineSteps ends attempts. Engines continue even while the controller is down.
 func (e *explorer) addEngineSteps() {
 	for i := range modelJobs {
 		if !e.from.atEngine[i] {
@@ -134,12 +134,12 @@
 	e.add(func(s *modelState) {
 		s.crashes++
 		s.isUp = false
-		s.keyCools = false
-		s.isLinked = [modelJobs]bool{}
+		s.isKeyInCooldown = false
+		s.awaitsOutcome = [modelJobs]bool{}
 		s.toDispatch = [modelJobs]bool{}
 		s.outcome = [modelJobs]Outcome{}
 		s.toAnswer = [modelJobs]FinalAnswer{}
-		s.unrecorded = [modelJobs]bool{}
+		s.dispatchedUnrecorded = [modelJobs]bool{}
 	})
 }
 
@@ -147,7 +147,7 @@
 	e.add(func(s *modelState) {
 		ledger := s.ledger()
 		for _, open := range ledger.OpenJobs(1) {
-			s.keyCools = s.keyCools || open.NeedsKeyCooldown && !e.fault.skipsCooldown
+			s.isKeyInCooldown = s.isKeyInCooldown || open.NeedsKeyCooldown && !e.fault.skipsCooldown
 		}
 		for _, ended := range ledger.InterruptedAttempts() {
 			if e.fault.assumesNeverRan {
@@ -159,23 +159,23 @@
 	})
 }
 
-// addCooldownEnd ends the cooldown, which is longer than an engine works at anything.
+// addCooldownEnd ends the cooldown, which is longer than any attempt runs.
 func (e *explorer) addCooldownEnd() {
-	if e.from.keyCools && e.from.atEngine == [modelJobs]bool{} {
-		e.add(func(s *modelState) { s.keyCools = false })
+	if e.from.isKeyInCooldown && e.from.atEngine == [modelJobs]bool{} {
+		e.add(func(s *modelState) { s.isKeyInCooldown = false })
 	}
 }
 
-// addRequest has the client ask, once more after each crash.
+// addRequest sends a request of the client, which repeats it after each crash.
 func (e *explorer) addRequest(ledger *Ledger, i int) {
 	call := modelCalls[i]
 	if e.from.requests[i] > e.from.crashes {
 		return
 	}
 	answer, isAnswered := ledger.Answer(call)
-	isNext := i == 0 || ledger.Contains(modelCalls[0])
+	isInOrder := i == 0 || ledger.Contains(modelCalls[0])
 	switch {
-	case !ledger.Contains(call) && isNext:
+	case !ledger.Contains(call) && isInOrder:
 		e.add(func(s *modelState) {
 			s.requests[i]++
 			s.record(KindAccepted, Accepted{Call: call, Type: "import", Key: "k", Effect: EffectRunOnce})
@@ -188,8 +188,8 @@
 	}
 }
 
-// addAct performs what was recorded before.
-func (e *explorer) addAct(i int) {
+// addRecordedAction sends an answer or a dispatch that was recorded before.
+func (e *explorer) addRecordedAction(i int) {
 	if e.from.toAnswer[i] != "" {
 		e.add(func(s *modelState) {
 			s.answer(i, s.toAnswer[i])
@@ -200,12 +200,12 @@
 		e.add(func(s *modelState) {
 			s.toDispatch[i] = false
 			s.atEngine[i] = true
-			s.isLinked[i] = true
+			s.awaitsOutcome[i] = true
 		})
 	}
 }
 
-// addOutcome records an outcome that was received.
+// addOutcome records a received outcome.
 func (e *explorer) addOutcome(i int) {
 	if e.from.outcome[i] == "" {
 		return
@@ -215,43 +215,43 @@
 	}
 	call := modelCalls[i]
 	e.add(func(s *modelState) {
-		if s.unrecorded[i] {
+		if s.dispatchedUnrecorded[i] {
 			s.record(KindDispatched, Dispatched{Call: call, Engine: "e", AtNS: 1})
-			s.unrecorded[i] = false
+			s.dispatchedUnrecorded[i] = false
 		}
 		s.record(KindAttemptEnded, AttemptEnded{Call: call, Outcome: s.outcome[i]})
 		s.outcome[i] = ""
 	})
 }
 
-// isBusy reports whether an act or outcome of a job is to come first.
-func (e *explorer) isBusy(i int) bool {
+// isRecoveryDelayed reports whether a recorded dispatch, an attempt or an outcome of a job must be completed first.
+func (e *explorer) isRecoveryDelayed(i int) bool {
 	waitsForEngine := e.from.atEngine[i] && !e.fault.skipsCooldown && !e.fault.assumesNeverRan
 	return e.from.toDispatch[i] || waitsForEngine || e.from.outcome[i] != ""
 }
 
-// addRecovery goes on with an open job as its action says.
+// addRecovery continues an open job according to its action.
 func (e *explorer) addRecovery(ledger *Ledger, i int, open OpenJob) {
 	call := open.Call
-	isDelayed := e.from.keyCools || e.from.unrecorded[i] || e.from.attempts[i] >= maxModelAttempts
+	isDelayed := e.from.isKeyInCooldown || e.from.dispatchedUnrecorded[i] || e.from.attempts[i] >= maxModelAttempts
 	canDispatch := ledger.CanDispatch(call) && !isDelayed
 	switch {
-	case open.Action == ActionRepeatAnswer:
+	case open.Action == ActionSendAnswer:
 		e.add(func(s *modelState) {
 			s.record(KindAnswered, Answered{call, AnswerDone})
 			s.toAnswer[i] = AnswerDone
 		})
-	case open.Action == ActionCancel && !ledger.jobs[call].IsOut:
+	case open.Action == ActionCancel && !ledger.jobs[call].InFlight:
 		e.add(func(s *modelState) {
 			s.record(KindAnswered, Answered{call, AnswerCancelled})
 			s.toAnswer[i] = AnswerCancelled
-			s.keyCools = s.keyCools || !e.fault.skipsCooldown
+			s.isKeyInCooldown = s.isKeyInCooldown || !e.fault.skipsCooldown
 		})
 	case open.Action == ActionRetry && canDispatch && e.fault.dispatchesBeforeRecord:
 		e.add(func(s *modelState) {
 			s.atEngine[i] = true
-			s.unrecorded[i] = true
-			s.isLinked[i] = true
+			s.dispatchedUnrecorded[i] = true
+			s.awaitsOutcome[i] = true
 			s.attempts[i]++
 		})
 	case open.Action == ActionRetry && canDispatch:
@@ -263,13 +263,13 @@
 	}
 }
 
-// endAttempt is an engine's end with an attempt.
+// endAttempt ends an attempt at its engine.
 func (s *modelState) endAttempt(i, executions int, outcome Outcome) {
 	s.atEngine[i] = false
 	s.executions[i] += executions
-	if s.isLinked[i] {
+	if s.awaitsOutcome[i] {
 		s.outcome[i] = outcome
-		s.isLinked[i] = false
+		s.awaitsOutcome[i] = false
 	}
 }
 
@@ -281,7 +281,7 @@
 	}
 }
 
-// violation describes a rule that is broken in a state, or by the step to it.
+// violation describes a rule that is broken by a state or by the step to it; empty if there is none.
 func (s modelState) violation(before modelState) string {
 	for i := range modelJobs {
 		switch {
@@ -290,19 +290,19 @@
 		case strings.Contains(s.clientAnswer[i], "and"):
 			return fmt.Sprintf("%s was answered %s", modelCalls[i], s.clientAnswer[i])
 		case s.clientAnswer[i] == string(AnswerDone) && s.executions[i] == 0:
-			return fmt.Sprintf("%s is done, and has not run", modelCalls[i])
+			return fmt.Sprintf("%s was answered as done but has not run", modelCalls[i])
 		}
 	}
 	if s.atEngine[1] && !before.atEngine[1] && s.atEngine[0] {
-		return "b begins while a is at an engine"
+		return "b is dispatched while a is at an engine"
 	}
 	return ""
 }
 
-// explore visits all states and returns the first violation, if any, and the number of states.
+// explore visits all reachable states and returns the first violation, if any, and the number of states visited.
 func explore(fault protocolFault) (violation string, states int) {
 	start := modelState{isUp: true}
-	visited := map[string]bool{start.key(): true}
+	visited := map[string]bool{start.fingerprint(): true}
 	stack := []modelState{start}
 	for len(stack) > 0 {
 		state := stack[len(stack)-1]
@@ -311,7 +311,7 @@
 			if violation := next.violation(state); violation != "" {
 				return violation, len(visited)
 			}
-			if key := next.key(); !visited[key] {
+			if key := next.fingerprint(); !visited[key] {
 				visited[key] = true
 				stack = append(stack, next)
 			}
@@ -327,14 +327,14 @@
 	}
 	t.Logf("%d states", states)
 	for name, fault := range map[string]protocolFault{
-		"a dispatch before it is recorded":         {dispatchesBeforeRecord: true},
-		"an answer before its outcome is recorded": {answersBeforeRecord: true},
-		"a key that does not rest":                 {skipsCooldown: true},
-		"what was out counts as never run":         {assumesNeverRan: true},
+		"dispatch before its record":              {dispatchesBeforeRecord: true},
+		"answer before the record of the outcome": {answersBeforeRecord: true},
+		"no cooldown of the key":                  {skipsCooldown: true},
+		"interrupted attempts taken as never run": {assumesNeverRan: true},
 	} {
 		violation, states := explore(fault)
 		if violation == "" {
-			t.Errorf("%s: not found in %d states", name, states)
+			t.Errorf("%s: no violation found in %d states", name, states)
 		} else {
 			t.Logf("%s: %s", name, violation)
 		}
--- a/internal/recovery/errors.go
+++ b/internal/recovery/errors.go
@@ -7,7 +7,7 @@
 	"swiftreel/internal/store"
 )
 
-// Errors of a log that cannot be the record of any run.
+// Errors of a log that no correct run can have written.
 var (
 	// ErrDuplicateCall means that a call was admitted twice.
 	ErrDuplicateCall = errors.New("the call was accepted before")
@@ -18,8 +18,8 @@
 // TransitionError means that a record does not fit the state of its job.
 type TransitionError struct {
 	Call  CallID
-	Event string // what was recorded
-	State string // the state of the job before it
+	Event string // the event that was recorded
+	State string // the state of the job before the event
 }
 
 // Error implements error.
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("call %s is recorded as %s while it is %s", e.Call, e.Event, e.State)
 }
 
-// UnknownKindError means that a record has a kind that this program does not know.
+// UnknownKindError means that a record has a kind that this version of the program does not know.
 type UnknownKindError struct{ Kind store.Kind }
 
 // Error implements error.
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -12,49 +12,51 @@
 	"swiftreel/internal/store"
 )
 
-// The store under testdata/jobs/store was written by the program at 70e2e4b: a checkpoint and segments behind it,
-// with records of each kind. testdata/jobs/decisions.json is what that program made of it, and went on with.
+// The store under testdata/jobs/store was written by the program at commit 70e2e4b. It has a checkpoint and segments
+// after it, with records of each kind. testdata/jobs/decisions.json holds the decisions of that program
+// at each start of decisionsAcrossCrashes.
 
 const (
-	jobsFolder      = "testdata/jobs"
+	jobsDir         = "testdata/jobs"
 	retainedAnswers = 3
-	windowOfKeyed   = 1000
+	dedupeWindowNS  = 1000
 )
 
-// step is a record of a job's way.
-type step struct {
+// event is the kind and body of a record.
+type event struct {
 	kind store.Kind
 	body any
 }
 
-func accepted(c CallID, key string, e Effect) step {
+func accepted(c CallID, key string, e Effect) event {
 	job := Accepted{Call: c, Type: "import", Key: key, Effect: e}
 	if e == EffectKeyed {
-		job.WindowNS, job.Tenant = windowOfKeyed, "acme"
+		job.DedupeWindowNS, job.Tenant = dedupeWindowNS, "acme"
 	}
-	return step{KindAccepted, job}
+	return event{KindAccepted, job}
 }
 
-func dispatched(c CallID, at int64) step {
-	return step{KindDispatched, Dispatched{Call: c, Engine: "e17", AtNS: at}}
+func dispatched(c CallID, at int64) event {
+	return event{KindDispatched, Dispatched{Call: c, Engine: "e17", AtNS: at}}
 }
 
-func ended(c CallID, outcome Outcome, answer string) step {
+func ended(c CallID, outcome Outcome, answer string) event {
 	e := AttemptEnded{Call: c, Outcome: outcome}
 	if answer != "" {
 		e.Answer = []byte(answer)
 	}
-	return step{KindAttemptEnded, e}
+	return event{KindAttemptEnded, e}
 }
 
-func answered(c CallID, how FinalAnswer) step {
-	return step{KindAnswered, Answered{Call: c, Answer: how}}
+func answered(c CallID, how FinalAnswer) event {
+	return event{KindAnswered, Answered{Call: c, Answer: how}}
 }
 
-// beforeCheckpoint and behindCheckpoint are all ways that a job can have gone, cut off by a crash.
+// eventsBeforeCheckpoint and eventsAfterCheckpoint leave a job in each state in which a crash can interrupt it.
 var (
-	beforeCheckpoint = []step{
-		accepted("c-dropped", "", EffectRunOnce), answered("c-dropped", AnswerDone), // the oldest answer, not kept to the end
+	eventsBeforeCheckpoint = []event{
+		// The oldest answer, which is not retained at the end.
+		accepted("c-dropped", "", EffectRunOnce), answered("c-dropped", AnswerDone),
 		accepted("c-done", "k1", EffectRunOnce), dispatched("c-done", 10), ended("c-done", OutcomeRan, "a\tb\tc\n"),
 		answered("c-done", AnswerDone),
 		accepted("c-fresh", "k2", EffectRunOnce),
@@ -63,7 +65,7 @@
 		accepted("c-keyed-out", "k4", EffectKeyed), dispatched("c-keyed-out", 500),
 		accepted("c-ran", "k5", EffectRunOnce), dispatched("c-ran", 30), ended("c-ran", OutcomeRan, "d\te\tf\n"),
 	}
-	behindCheckpoint = []step{
+	eventsAfterCheckpoint = []event{
 		accepted("c-keyed-stale", "k6", EffectKeyed), dispatched("c-keyed-stale", 5),
 		ended("c-keyed-stale", OutcomeUnknown, ""),
 		accepted("c-refused", "k7", EffectRunOnce), dispatched("c-refused", 40), ended("c-refused", OutcomeNeverRan, ""),
@@ -80,7 +82,7 @@
 		"c-keyed-stale", "c-refused", "c-unsure", "c-large", "c-throttled", "c-cancelled", "c-nobody"}
 )
 
-// decision is what is known of one call.
+// decision is what a ledger returns for one call.
 type decision struct {
 	Call        CallID `json:"call"`
 	IsKnown     bool   `json:"known"`
@@ -90,23 +92,23 @@
 	Result      string `json:"answer,omitempty"`
 }
 
-// decisions are all that a ledger tells.
+// decisions are everything that a ledger returns.
 type decisions struct {
-	Open       map[string]json.RawMessage `json:"open"` // by the time
-	AfterCrash json.RawMessage            `json:"after_crash"`
-	Calls      []decision                 `json:"calls"`
-	Live       []string                   `json:"live"`
-	OpenJobs   int                        `json:"open_jobs"`
-	Answers    int                        `json:"answers"`
+	Open            map[string]json.RawMessage `json:"open"` // by the current Unix time in ns
+	Interrupted     json.RawMessage            `json:"after_crash"`
+	Calls           []decision                 `json:"calls"`
+	SnapshotRecords []string                   `json:"live"`
+	OpenJobs        int                        `json:"open_jobs"`
+	Answers         int                        `json:"answers"`
 }
 
 func decisionsOf(t *testing.T, ledger *Ledger) (d decisions) {
 	t.Helper()
 	d.Open = map[string]json.RawMessage{}
 	for _, now := range []int64{0, 100, 1001, 1499, 1500, 1 << 62} {
-		d.Open[fmt.Sprint(now)] = marshalled(t, ledger.OpenJobs(now))
+		d.Open[fmt.Sprint(now)] = mustMarshal(t, ledger.OpenJobs(now))
 	}
-	d.AfterCrash = marshalled(t, ledger.InterruptedAttempts())
+	d.Interrupted = mustMarshal(t, ledger.InterruptedAttempts())
 	for _, call := range allCalls {
 		answer, isAnswered := ledger.Answer(call)
 		d.Calls = append(d.Calls, decision{
@@ -119,7 +121,7 @@
 		})
 	}
 	err := ledger.Snapshot(func(k store.Kind, payload []byte) error {
-		d.Live = append(d.Live, fmt.Sprintf("%d %s", k, payload))
+		d.SnapshotRecords = append(d.SnapshotRecords, fmt.Sprintf("%d %s", k, payload))
 		return nil
 	})
 	if err != nil {
@@ -129,7 +131,7 @@
 	return d
 }
 
-func marshalled(t *testing.T, v any) json.RawMessage {
+func mustMarshal(t *testing.T, v any) json.RawMessage {
 	t.Helper()
 	text, err := json.Marshal(v)
 	if err != nil {
@@ -138,30 +140,30 @@
 	return text
 }
 
-// jobStore is a store of jobs and the ledger that it was replayed into.
+// jobStore is a store of jobs and the ledger into which it was replayed.
 type jobStore struct {
-	t      *testing.T
-	folder *store.Directory
-	log    *store.Log
-	ledger *Ledger
+	t         *testing.T
+	directory *store.Directory
+	log       *store.Log
+	ledger    *Ledger
 }
 
-func openJobs(t *testing.T, dir string) *jobStore {
+func openJobStore(t *testing.T, dir string) *jobStore {
 	t.Helper()
-	folder, err := store.OpenDirectory(dir)
+	directory, err := store.OpenDirectory(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &jobStore{t: t, folder: folder, ledger: NewLedger(retainedAnswers)}
-	if s.log, _, err = store.Open(folder, store.Options{SegmentBytes: 600}, s.ledger.Apply); err != nil {
+	s := &jobStore{t: t, directory: directory, ledger: NewLedger(retainedAnswers)}
+	if s.log, _, err = store.Open(directory, store.Options{SegmentBytes: 600}, s.ledger.Apply); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func (s *jobStore) write(steps ...step) {
+func (s *jobStore) write(events ...event) {
 	s.t.Helper()
-	for _, each := range steps {
+	for _, each := range events {
 		r, err := NewRecord(each.kind, each.body)
 		if err == nil {
 			err = s.ledger.Apply(r)
@@ -187,21 +189,22 @@
 	if err := s.log.Close(); err != nil {
 		s.t.Fatal(err)
 	}
-	if err := s.folder.Close(); err != nil {
+	if err := s.directory.Close(); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// goOnFrom plays a start after a crash from a folder, another crash at once, and the end of two jobs.
-func goOnFrom(t *testing.T, dir string) (list []decisions) {
+// decisionsAcrossCrashes recovers a store, crashes and recovers again, ends two jobs, writes a checkpoint and restarts.
+// It returns the decisions after each of these three starts.
+func decisionsAcrossCrashes(t *testing.T, dir string) (list []decisions) {
 	t.Helper()
-	s := openJobs(t, dir)
+	s := openJobStore(t, dir)
 	list = append(list, decisionsOf(t, s.ledger))
 	for _, e := range s.ledger.InterruptedAttempts() {
-		s.write(step{KindAttemptEnded, e})
+		s.write(event{KindAttemptEnded, e})
 	}
 	s.close()
-	s = openJobs(t, dir)
+	s = openJobStore(t, dir)
 	list = append(list, decisionsOf(t, s.ledger))
 	s.write(dispatched("c-keyed-out", 1200), ended("c-keyed-out", OutcomeRan, "g\th\ti\n"),
 		answered("c-keyed-out", AnswerDone), answered("c-ran", AnswerDone))
@@ -209,40 +212,40 @@
 	s.write(accepted("c-new", "k2", EffectRunOnce), answered("c-fresh", AnswerCancelled))
 	before := decisionsOf(t, s.ledger)
 	s.close()
-	s = openJobs(t, dir)
+	s = openJobStore(t, dir)
 	after := decisionsOf(t, s.ledger)
 	s.close()
-	if got, want := marshalled(t, after), marshalled(t, before); !bytes.Equal(got, want) {
-		t.Errorf("after a restart\n%s\nnot\n%s", got, want)
+	if got, want := mustMarshal(t, after), mustMarshal(t, before); !bytes.Equal(got, want) {
+		t.Errorf("after a restart: got\n%s\nwant\n%s", got, want)
 	}
 	return append(list, after)
 }
 
-func TestOldJobsComeToTheSameDecisionsAndGoOn(t *testing.T) {
-	from := filepath.Join(jobsFolder, "store")
+func TestOldStoreYieldsTheSameDecisions(t *testing.T) {
+	from := filepath.Join(jobsDir, "store")
 	if golden.Missing(from) {
-		recordJobs(t, from)
+		recordFixture(t, from)
 	}
 	dir := t.TempDir()
-	copyFolder(t, from, dir)
-	golden.Check(t, "jobs/decisions.json", indented(t, goOnFrom(t, dir)))
+	copyFiles(t, from, dir)
+	golden.Check(t, "jobs/decisions.json", mustMarshalIndent(t, decisionsAcrossCrashes(t, dir)))
 }
 
-func recordJobs(t *testing.T, to string) {
+func recordFixture(t *testing.T, to string) {
 	t.Helper()
 	dir := t.TempDir()
-	s := openJobs(t, dir)
-	s.write(beforeCheckpoint...)
+	s := openJobStore(t, dir)
+	s.write(eventsBeforeCheckpoint...)
 	s.checkpoint()
-	s.write(behindCheckpoint...)
+	s.write(eventsAfterCheckpoint...)
 	s.close()
 	if err := os.Remove(filepath.Join(dir, "lock")); err != nil {
 		t.Fatal(err)
 	}
-	copyFolder(t, dir, to)
+	copyFiles(t, dir, to)
 }
 
-func indented(t *testing.T, list []decisions) []byte {
+func mustMarshalIndent(t *testing.T, list []decisions) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(list, "", "  ")
 	if err != nil {
@@ -251,7 +254,7 @@
 	return append(text, '\n')
 }
 
-func copyFolder(t *testing.T, from, to string) {
+func copyFiles(t *testing.T, from, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o755); err != nil {
 		t.Fatal(err)
@@ -271,9 +274,9 @@
 	}
 }
 
-func TestEachKindOfRecordHasItsBytes(t *testing.T) {
+func TestRecordEncoding(t *testing.T) {
 	for _, c := range []struct {
-		step
+		event
 		kind store.Kind
 		want string
 	}{
@@ -288,9 +291,9 @@
 		{answered("c1", AnswerThrottled), 4, `{"call":"c1","how":"throttled"}`},
 		{answered("c1", AnswerCancelled), 4, `{"call":"c1","how":"cancelled"}`},
 	} {
-		r, err := NewRecord(c.step.kind, c.body)
+		r, err := NewRecord(c.event.kind, c.body)
 		if err != nil || r.Kind != c.kind || string(r.Payload) != c.want {
-			t.Errorf("kind %d, %s, %v; not kind %d, %s", r.Kind, r.Payload, err, c.kind, c.want)
+			t.Errorf("got kind %d, %s, %v; want kind %d, %s", r.Kind, r.Payload, err, c.kind, c.want)
 		}
 	}
 }
--- a/internal/recovery/job.go
+++ b/internal/recovery/job.go
@@ -1,36 +1,37 @@
 package recovery
 
-// jobState is where a job stands. It follows from the fields of a job, which are what a checkpoint holds.
+// jobState is the state of a job in its life cycle. It is derived from the fields of the job, as a checkpoint stores
+// only those.
 type jobState uint8
 
 const (
-	statePending    jobState = iota // admitted; no attempt is out and none has run for certain
-	stateDispatched                 // an attempt is out: its outcome is not recorded
-	stateRan                        // an attempt has run; the client's answer is not recorded
-	stateAnswered                   // the client's answer is recorded: the job is over
+	statePending    jobState = iota // admitted; no attempt is in flight, and none is known to have run
+	stateDispatched                 // an attempt is in flight: its outcome is not recorded
+	stateRan                        // an attempt has run; the final answer is not recorded
+	stateAnswered                   // the final answer is recorded: the job is over
 )
 
-// String implements fmt.Stringer, for errors.
+// String implements fmt.Stringer, for error messages.
 func (s jobState) String() string {
 	return [...]string{"pending", "dispatched", "ran", "answered"}[s]
 }
 
-// job is what is known of one job. A checkpoint holds it in this form.
+// job is the recorded state of one job, which a checkpoint stores in this form.
 type job struct {
 	Accepted
-	IsOut          bool        `json:"out"` // an attempt has no recorded outcome
-	HasRun         bool        `json:"ran"` // an attempt ran for certain
+	InFlight       bool        `json:"out"` // the outcome of the last attempt is not recorded
+	HasRun         bool        `json:"ran"` // an attempt is known to have run
 	MayHaveRun     bool        `json:"may"` // an attempt ended with OutcomeUnknown
 	FirstAttemptNS int64       `json:"first,omitempty"`
 	Result         []byte      `json:"answer,omitempty"`
-	FinalAnswered  FinalAnswer `json:"answered,omitempty"` // empty: not answered
+	FinalAnswer    FinalAnswer `json:"answered,omitempty"` // empty until the job is answered
 }
 
 func (j *job) state() jobState {
 	switch {
-	case j.FinalAnswered != "":
+	case j.FinalAnswer != "":
 		return stateAnswered
-	case j.IsOut:
+	case j.InFlight:
 		return stateDispatched
 	case j.HasRun:
 		return stateRan
@@ -40,55 +41,55 @@
 
 func (j *job) isOpen() bool { return j.state() != stateAnswered }
 
-// dispatch is the transition from pending to dispatched.
+// dispatch makes the transition from pending to dispatched.
 func (j *job) dispatch(r Dispatched) error {
 	if state := j.state(); state != statePending {
 		return &TransitionError{Call: r.Call, Event: "dispatched", State: state.String()}
 	}
-	j.IsOut = true
+	j.InFlight = true
 	if j.FirstAttemptNS == 0 {
 		j.FirstAttemptNS = r.AtNS
 	}
 	return nil
 }
 
-// endAttempt is the transition from dispatched to pending or ran. A job that was answered while an attempt was out
-// stays answered.
+// endAttempt makes the transition from dispatched to pending or ran. A job that was answered while an attempt was in
+// flight stays answered.
 func (j *job) endAttempt(r AttemptEnded) error {
-	if !j.IsOut {
+	if !j.InFlight {
 		return &TransitionError{Call: r.Call, Event: "ended", State: j.state().String()}
 	}
-	j.IsOut = false
+	j.InFlight = false
 	j.HasRun = j.HasRun || r.Outcome == OutcomeRan
 	j.MayHaveRun = j.MayHaveRun || r.Outcome == OutcomeUnknown
 	j.Result = r.Answer
 	return nil
 }
 
-// answer is the transition from any other state to answered.
+// answer makes the transition from any other state to answered.
 func (j *job) answer(r Answered) error {
 	if state := j.state(); state == stateAnswered {
 		return &TransitionError{Call: r.Call, Event: "answered", State: state.String()}
 	}
-	j.FinalAnswered = r.Answer
+	j.FinalAnswer = r.Answer
 	return nil
 }
 
-// mayStillRun reports whether an engine may have run the job, or still run it, without the outcome being known.
-func (j *job) mayStillRun() bool { return j.IsOut || j.MayHaveRun }
+// mayStillRun reports whether an engine may have run the job, or may still be running it, with an unknown outcome.
+func (j *job) mayStillRun() bool { return j.InFlight || j.MayHaveRun }
 
-// isRepeatSafe reports whether engines still drop a repeat of the job. A clock that was set back, or far ahead, makes
-// it unsafe: the job is then given up rather than run twice.
-func (j *job) isRepeatSafe(nowNS int64) bool {
-	return j.Effect == EffectKeyed && nowNS >= j.FirstAttemptNS && nowNS < j.FirstAttemptNS+j.WindowNS
+// engineDropsDuplicate reports whether engines would still drop a duplicate of the job. It is false if the clock was
+// set back, or far ahead, since the first attempt: the job is then cancelled rather than possibly run twice.
+func (j *job) engineDropsDuplicate(nowNS int64) bool {
+	return j.Effect == EffectKeyed && nowNS >= j.FirstAttemptNS && nowNS < j.FirstAttemptNS+j.DedupeWindowNS
 }
 
-// recoveryAction decides what is done with an open job after a crash.
+// recoveryAction decides what to do with an open job after a crash.
 func (j *job) recoveryAction(nowNS int64) Action {
 	switch {
 	case j.HasRun:
-		return ActionRepeatAnswer
-	case j.mayStillRun() && !j.isRepeatSafe(nowNS):
+		return ActionSendAnswer
+	case j.mayStillRun() && !j.engineDropsDuplicate(nowNS):
 		return ActionCancel
 	}
 	return ActionRetry
--- a/internal/recovery/job_test.go
+++ b/internal/recovery/job_test.go
@@ -13,20 +13,20 @@
 		isCancelled  = answered(call, AnswerCancelled)
 	)
 	for name, c := range map[string]struct {
-		records []step
+		records []event
 		want    jobState
 	}{
 		"accepted":                          {nil, statePending},
-		"dispatched":                        {[]step{isDispatched}, stateDispatched},
-		"an attempt never ran":              {[]step{isDispatched, neverRan}, statePending},
-		"an attempt may have run":           {[]step{isDispatched, isUnknown}, statePending},
-		"dispatched again":                  {[]step{isDispatched, isUnknown, isDispatched}, stateDispatched},
-		"an attempt ran":                    {[]step{isDispatched, hasRun}, stateRan},
-		"answered after it ran":             {[]step{isDispatched, hasRun, isDone}, stateAnswered},
-		"cancelled while pending":           {[]step{isCancelled}, stateAnswered},
-		"cancelled while dispatched":        {[]step{isDispatched, isCancelled}, stateAnswered},
-		"an attempt ends after the cancel":  {[]step{isDispatched, isCancelled, neverRan}, stateAnswered},
-		"an attempt ran although cancelled": {[]step{isDispatched, isCancelled, hasRun}, stateAnswered},
+		"dispatched":                        {[]event{isDispatched}, stateDispatched},
+		"an attempt never ran":              {[]event{isDispatched, neverRan}, statePending},
+		"an attempt may have run":           {[]event{isDispatched, isUnknown}, statePending},
+		"dispatched again":                  {[]event{isDispatched, isUnknown, isDispatched}, stateDispatched},
+		"an attempt ran":                    {[]event{isDispatched, hasRun}, stateRan},
+		"answered after it ran":             {[]event{isDispatched, hasRun, isDone}, stateAnswered},
+		"cancelled while pending":           {[]event{isCancelled}, stateAnswered},
+		"cancelled while dispatched":        {[]event{isDispatched, isCancelled}, stateAnswered},
+		"an attempt ends after the cancel":  {[]event{isDispatched, isCancelled, neverRan}, stateAnswered},
+		"an attempt ran although cancelled": {[]event{isDispatched, isCancelled, hasRun}, stateAnswered},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := NewLedger(1)
--- a/internal/recovery/ledger.go
+++ b/internal/recovery/ledger.go
@@ -8,27 +8,27 @@
 	"swiftreel/internal/store"
 )
 
-// compactSlack is how many answered calls the order of admission may hold beyond twice the open ones before it is
-// compacted.
+// compactSlack is the number of entries that Ledger.admitted may hold in excess of twice the open jobs before answered
+// ones are removed from it.
 const compactSlack = 64
 
-// Ledger is the state of all jobs in a log: the open ones, and the last answered ones. It is for one goroutine at a
+// Ledger is the state of the jobs in a log: all open ones, and the last answered ones. It is for one goroutine at a
 // time.
 type Ledger struct {
 	jobs        map[CallID]*job
-	admitted    []CallID // open jobs in the order of admission; answered ones are removed now and then
+	admitted    []CallID // in the order of admission: all open jobs, and answered ones until the next compaction
 	openJobs    int
-	answered    []CallID // the oldest first, at most maxAnswered
+	answered    []CallID // in the order of their answers, at most maxAnswered
 	maxAnswered int
 }
 
-// NewLedger returns an empty ledger that remembers the last maxAnswered final answers.
+// NewLedger returns an empty ledger that retains the last maxAnswered final answers.
 func NewLedger(maxAnswered int) *Ledger {
 	return &Ledger{jobs: map[CallID]*job{}, maxAnswered: maxAnswered}
 }
 
-// Apply adds a record, in the order of the log. An error means that the log cannot be the record of any run; the
-// ledger is unchanged then.
+// Apply applies the next record of the log. An error means that no correct run can have written the log; the ledger is
+// then unchanged.
 func (l *Ledger) Apply(r store.Record) error {
 	switch r.Kind {
 	case KindAccepted:
@@ -44,7 +44,7 @@
 }
 
 func (l *Ledger) applyAccepted(r store.Record) error {
-	j := new(job) // a checkpoint holds all that is known of it
+	j := new(job) // in a checkpoint, the record holds all fields of a job
 	if err := json.Unmarshal(r.Payload, j); err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 func (l *Ledger) openCalls() []CallID {
 	var calls []CallID
 	for _, call := range l.admitted {
-		j := l.jobs[call] // nil: answered, and forgotten since
+		j := l.jobs[call] // nil: answered, and the answer is no longer retained
 		if j != nil && j.isOpen() {
 			calls = append(calls, call)
 		}
@@ -120,7 +120,7 @@
 	return calls
 }
 
-// retainAnswer keeps a final answer to be repeated; the oldest ones are removed.
+// retainAnswer retains the answer of a call for a client that asks again, and drops the oldest ones beyond maxAnswered.
 func (l *Ledger) retainAnswer(call CallID) {
 	l.answered = append(l.answered, call)
 	for len(l.answered) > l.maxAnswered {
@@ -132,7 +132,7 @@
 // StoredAnswer is the final answer of a job.
 type StoredAnswer struct {
 	Answer FinalAnswer
-	Result []byte // of AnswerDone, if it was kept
+	Result []byte // of AnswerDone; empty if it was not stored
 }
 
 // Answer returns the final answer of a call, for a client that asks again. It is false for open and unknown calls.
@@ -141,14 +141,14 @@
 	if j == nil || j.isOpen() {
 		return StoredAnswer{}, false
 	}
-	return StoredAnswer{Answer: j.FinalAnswered, Result: j.Result}, true
+	return StoredAnswer{Answer: j.FinalAnswer, Result: j.Result}, true
 }
 
-// Contains reports whether a call was admitted. Such a call must not be admitted as a new one.
+// Contains reports whether a call is open or its answer is retained. Such a call must not be admitted again.
 func (l *Ledger) Contains(call CallID) bool { return l.jobs[call] != nil }
 
-// CanDispatch reports whether an open job may be dispatched now: it is pending, and all jobs of its type and key that
-// were admitted before it are over.
+// CanDispatch reports whether a job may be dispatched now: it is pending, and all jobs of its type and ordering key
+// that were admitted before it are over.
 func (l *Ledger) CanDispatch(call CallID) bool {
 	j := l.jobs[call]
 	if j == nil || j.state() != statePending {
@@ -158,20 +158,20 @@
 		if earlier == call {
 			return true
 		}
-		if l.blocks(earlier, j) {
+		if l.blocksDispatch(earlier, j) {
 			return false
 		}
 	}
 	return false
 }
 
-// blocks reports whether a call is open and has the type and key of a job.
-func (l *Ledger) blocks(call CallID, j *job) bool {
+// blocksDispatch reports whether a call is open and has the type and ordering key of a job.
+func (l *Ledger) blocksDispatch(call CallID, j *job) bool {
 	other := l.jobs[call]
 	return other != nil && other.isOpen() && j.Key != "" && other.Key == j.Key && other.Type == j.Type
 }
 
-// Snapshot passes what a checkpoint has to hold to put: the retained answers, then the open jobs in the order of
+// Snapshot passes the records of a checkpoint to put: the retained answers, then the open jobs in the order of
 // admission.
 func (l *Ledger) Snapshot(put func(store.Kind, []byte) error) error {
 	for _, call := range slices.Concat(l.answered, l.openCalls()) {
--- a/internal/recovery/ledger_test.go
+++ b/internal/recovery/ledger_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// ledgerOfAllStates has an open job for each way in which a crash can cut one off, and an answered one.
+// ledgerOfAllStates returns a ledger with an open job in each state in which a crash can interrupt it, and an answered
+// one.
 func ledgerOfAllStates(t *testing.T) *Ledger {
 	t.Helper()
 	outcomes := map[CallID]Outcome{
@@ -38,7 +39,7 @@
 		accepted := Accepted{Call: call, Type: "import", Key: string(call), Effect: EffectRunOnce}
 		if call == "keyed" || call == "stale" {
 			accepted.Effect = EffectKeyed
-			accepted.WindowNS = 100
+			accepted.DedupeWindowNS = 100
 		}
 		mustApply(t, ledger, KindAccepted, accepted)
 		if call == "fresh" {
@@ -72,7 +73,8 @@
 	if got := describeOpenJobs(ledger, 120); got != allActions {
 		t.Errorf("%s", got)
 	}
-	if got := describeOpenJobs(ledger, 10); got == allActions { // a clock that was set back: the window cannot be trusted
+	// After the clock was set back, it is unknown whether engines still drop duplicates.
+	if got := describeOpenJobs(ledger, 10); got == allActions {
 		t.Errorf("%s", got)
 	}
 	answer, found := ledger.Answer("over")
@@ -107,8 +109,8 @@
 		isErr func(error) bool
 	}{
 		{"accepted twice", KindAccepted, Accepted{Call: "out"}, isDuplicate},
-		{"dispatched, unknown", KindDispatched, Dispatched{Call: "nobody"}, isUnknownCall},
-		{"dispatched while out", KindDispatched, Dispatched{Call: "out"}, isTransition},
+		{"dispatched, unknown call", KindDispatched, Dispatched{Call: "nobody"}, isUnknownCall},
+		{"dispatched while in flight", KindDispatched, Dispatched{Call: "out"}, isTransition},
 		{"dispatched after it ran", KindDispatched, Dispatched{Call: "ran"}, isTransition},
 		{"ended while pending", KindAttemptEnded, AttemptEnded{Call: "fresh"}, isTransition},
 		{"answered twice", KindAnswered, Answered{Call: "over"}, isTransition},
@@ -129,6 +131,6 @@
 	}
 	open, answered := ledger.Size()
 	if open != 7 || answered != 2 || ledger.Contains("over") || len(ledger.jobs) != 9 {
-		t.Errorf("%d open, %d answered, %d in all", open, answered, len(ledger.jobs))
+		t.Errorf("%d open, %d answered, %d in total", open, answered, len(ledger.jobs))
 	}
 }
