--- a/internal/supervisor/backoff.go
+++ b/internal/supervisor/backoff.go
@@ -5,20 +5,20 @@
 const (
 	minRestartDelay = 50 * time.Millisecond
 	maxRestartDelay = 5 * time.Second
-	// stableRun is the run time after which a crash counts as the first one again.
+	// stableRun is the run time after which a crash resets the delay to minRestartDelay.
 	stableRun = 10 * time.Second
-	// maxDoublings bounds the shift of minRestartDelay; maxRestartDelay is reached before.
+	// maxDoublings prevents overflow when minRestartDelay is shifted; maxRestartDelay is reached first.
 	maxDoublings = 10
 )
 
-// restartBackoff delays the restart of a controller that crashes: the delay doubles with each crash that follows a
-// short run. It has no clock.
+// restartBackoff computes the restart delay of a crashing controller: an exponential backoff that doubles with each
+// crash after a run shorter than stableRun. It does not read the clock.
 type restartBackoff struct {
 	crashes            uint64 // since the supervisor's start
 	consecutiveCrashes int
 }
 
-// recordCrash counts a crash, or a start that failed (runTime 0), and returns how long to wait before the next start.
+// recordCrash counts a crash or a failed start (runTime 0) and returns the delay before the next start.
 func (b *restartBackoff) recordCrash(runTime time.Duration) time.Duration {
 	b.crashes++
 	if runTime >= stableRun {
--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -5,15 +5,15 @@
 	"swiftreel/internal/change"
 )
 
-// controllerConfig is what a controller's operator file says.
+// controllerConfig identifies the contents of a controller's operator file, so that changes can be detected.
 type controllerConfig struct {
 	spec             change.Digest
-	hasPredecessor   bool          // an older process of the same controller still drains
+	hasPredecessor   bool          // an older process of this fleet member is still draining
 	leaderPlan       change.Digest // assigned by the leader; empty if the spec has a plan, which takes precedence
 	leaderPlanExpiry int64         // in nanoseconds of the monotonic clock
 }
 
-// wantedConfig returns what an operator file shall say under an order and an assignment.
+// wantedConfig returns the configuration that an order and an assignment call for.
 func wantedConfig(order change.AcceptedOrder, assigned assignment.Accepted, hasPredecessor bool) controllerConfig {
 	config := controllerConfig{spec: order.Spec.Digest(), hasPredecessor: hasPredecessor}
 	if len(order.Spec.Plan) == 0 && assigned.Plan != "" {
@@ -23,9 +23,9 @@
 	return config
 }
 
-// covers reports whether a controller with this configuration may go on with it. Each change is a reload, so a later
-// expiry of the same plan is written only once half of the time to it is over. now is in nanoseconds of the monotonic
-// clock.
+// covers reports whether a controller with this configuration needs no reload to satisfy the wanted one. Every rewrite
+// of the operator file costs a reload, so a later expiry of the same plan is written only once the remaining time has
+// dropped below half of the new one. now is in nanoseconds of the monotonic clock.
 func (c controllerConfig) covers(wanted controllerConfig, now int64) bool {
 	remaining := c.leaderPlanExpiry - now
 	wantedRemaining := wanted.leaderPlanExpiry - now
--- a/internal/supervisor/controller.go
+++ b/internal/supervisor/controller.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// operatorFileVariable tells a controller its operator file.
+	// operatorFileVariable is the environment variable that holds the path of a controller's operator file.
 	operatorFileVariable = "ROUTER_OPERATOR"
 	logBufferBytes       = 64 << 10
 )
 
-// reportAddressLine is the log line by which a controller says where it serves its report.
+// reportAddressLine matches the log line in which a controller announces the address of its report.
 var reportAddressLine = regexp.MustCompile(`msg=serving_tally address=(\S+)`)
 
-// controller is a process of the controller program. Run's goroutine owns it; fields under the supervisor's lock say
-// so.
+// controller is a process of the controller program. It is owned by the goroutine of Run, except for the fields that
+// are marked as guarded by the supervisor's lock.
 type controller struct {
 	command        *exec.Cmd
 	program        change.Program
 	operatorFile   string
-	config         controllerConfig // what operatorFile says
+	config         controllerConfig // the contents of operatorFile
 	startedAt      time.Time
 	drainStartedAt time.Time     // when SIGTERM was sent
 	exited         chan struct{} // closed once the process has exited
 	exitErr        error         // set before exited is closed
 
-	report    jobstats.Report // the last one; under the supervisor's lock
-	shareFrom assignmentID    // whose share the process has taken over; under the supervisor's lock
+	report            jobstats.Report // the last one received; guarded by the supervisor's lock
+	appliedAssignment assignmentID    // the assignment whose share the process applies; guarded by the supervisor's lock
 
 	mu      sync.Mutex
-	address string // of its report; empty until it has logged it
+	address string // of its report; empty until the process has logged it
 }
 
-// start starts the process. What it logs is copied to logOutput until it exits.
+// start starts the process and copies its log to logOutput until it exits.
 func (c *controller) start(environment []string, logOutput io.Writer) error {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -53,7 +53,7 @@
 	c.command.Stdout = logOutput
 	c.command.Stderr = writer
 	err = c.command.Start()
-	_ = writer.Close() // the process has a copy of its own
+	_ = writer.Close() // the process has its own copy
 	if err != nil {
 		_ = reader.Close() // nothing was written to it
 		return err
@@ -62,10 +62,10 @@
 	return nil
 }
 
-// awaitExit copies the log until the process closes it, then waits for its exit.
+// awaitExit copies the log until the process closes it, then waits for the process to exit.
 func (c *controller) awaitExit(log io.ReadCloser, logOutput io.Writer) {
 	c.copyLog(log, logOutput)
-	_ = log.Close() // all of it has been read
+	_ = log.Close() // it was read to the end
 	c.exitErr = c.command.Wait()
 	close(c.exited)
 }
@@ -79,14 +79,13 @@
 			c.address = match[1]
 			c.mu.Unlock()
 		}
-		_, _ = io.WriteString(logOutput, line) // a log that cannot be written must not stop the controller
+		_, _ = io.WriteString(logOutput, line) // a failing log writer must not stop the controller
 		if err != nil {
 			return
 		}
 	}
 }
 
-// hasExited reports whether the process has exited.
 func (c *controller) hasExited() bool {
 	select {
 	case <-c.exited:
@@ -96,18 +95,18 @@
 	}
 }
 
-// reload has the process read its operator file again.
+// reload makes the process read its operator file again.
 func (c *controller) reload() {
-	_ = c.command.Process.Signal(syscall.SIGHUP) // fails only once the process has exited, which is noticed elsewhere
+	_ = c.command.Process.Signal(syscall.SIGHUP) // fails only after the process has exited, which reapExited detects
 }
 
-// terminate has the process finish what it owes and exit.
+// terminate makes the process finish its outstanding jobs and exit.
 func (c *controller) terminate() {
-	_ = c.command.Process.Signal(syscall.SIGTERM) // fails only once the process has exited
+	_ = c.command.Process.Signal(syscall.SIGTERM) // fails only after the process has exited
 }
 
-// kill ends the process and waits for its exit.
+// kill kills the process and waits for it to exit.
 func (c *controller) kill() {
-	_ = c.command.Process.Kill() // fails only once the process has exited
+	_ = c.command.Process.Kill() // fails only after the process has exited
 	<-c.exited
 }
--- a/internal/supervisor/controller_client.go
+++ b/internal/supervisor/controller_client.go
@@ -14,13 +14,13 @@
 	"swiftreel/internal/quota"
 )
 
-// maxReportBytes bounds the text of a controller's report.
+// maxReportBytes limits the size of a controller's report.
 const maxReportBytes = 16 << 20
 
-// errNoAddress is returned for a controller that has not logged yet where it serves its report.
-var errNoAddress = errors.New("the controller has not said yet where it serves its report")
+// errNoAddress is returned for a controller that has not logged the address of its report yet.
+var errNoAddress = errors.New("the controller has not logged the address of its report yet")
 
-// assignmentID tells the leader's assignments apart.
+// assignmentID identifies an assignment of the leader.
 type assignmentID struct {
 	term     int64
 	sequence int64
@@ -30,7 +30,7 @@
 	return assignmentID{term: assigned.Term, sequence: assigned.Sequence}
 }
 
-// url returns a URL of the controller's HTTP server.
+// url returns the URL of a path on the controller's HTTP server.
 func (c *controller) url(path string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +40,7 @@
 	return "http://" + c.address + path, nil
 }
 
-// fetchReport asks the controller for its report.
+// fetchReport requests the controller's report.
 func (c *controller) fetchReport(ctx context.Context, client *http.Client) (jobstats.Report, error) {
 	url, err := c.url("/tally")
 	if err != nil {
@@ -54,13 +54,13 @@
 	if err != nil {
 		return jobstats.Report{}, err
 	}
-	defer func() { _ = response.Body.Close() }() // it was only read
+	defer func() { _ = response.Body.Close() }() // the response was only read
 	var report jobstats.Report
 	err = json.NewDecoder(io.LimitReader(response.Body, maxReportBytes)).Decode(&report)
 	return report, err
 }
 
-// shareOf returns an assignment's share in the form that controllers read.
+// shareOf converts the shares of an assignment to the form that controllers read.
 func shareOf(assigned assignment.Accepted) jobstats.Share {
 	share := jobstats.Share{
 		PerMillion:   assigned.Shares[quota.Fleet],
@@ -75,7 +75,7 @@
 	return share
 }
 
-// postShare hands a share to the controller; nil: it has accepted it.
+// postShare sends a share to the controller. It returns nil if the controller has accepted it.
 func (c *controller) postShare(ctx context.Context, client *http.Client, share jobstats.Share) error {
 	url, err := c.url("/part")
 	if err != nil {
@@ -97,7 +97,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("share refused: %s", response.Status)
+		return fmt.Errorf("controller rejected the share: %s", response.Status)
 	}
 	return nil
 }
--- a/internal/supervisor/decision.go
+++ b/internal/supervisor/decision.go
@@ -1,38 +1,38 @@
 package supervisor
 
-// situation is what the next action is decided from. At most two controllers run at once: the current one with either
-// the next one or one that drains.
+// situation is the input of the decision on the next action. At most two controllers run at once: the current one, and
+// either the next one or one that is draining.
 type situation struct {
-	outOfService      bool // the order says that no controller shall run
+	drainOrdered      bool // the order is to run no controller
 	hasCurrent        bool
 	currentMatches    bool // it runs the ordered program
-	currentConfigured bool // its operator file says what it shall
+	currentConfigured bool // its operator file is up to date
 	hasNext           bool
 	nextMatches       bool // it runs the ordered program
-	nextReady         bool // it runs as ordered and is ready for jobs
+	nextReady         bool // it runs the ordered spec and is ready for jobs
 	drainingCount     int
-	backingOff        bool // after a crash
+	backingOff        bool // the restart delay after a crash has not elapsed
 }
 
-// action is what the supervisor does next.
+// action is a transition of the supervisor.
 type action uint8
 
 const (
 	noAction         action = iota
-	startController         // as the current one, or as the next one beside it
-	promoteNext             // the next controller serves from now on, the current one drains
+	startController         // as the current one, or as the next one if there is a current one
+	promoteNext             // the next controller becomes the current one, the former one drains
 	discardNext             // the next controller drains
-	configureCurrent        // the current controller gets a new operator file
-	stopControllers         // all drain
+	configureCurrent        // rewrite the current controller's operator file and reload
+	stopControllers         // drain all controllers
 )
 
-// decide returns the next action. A program that cannot run never replaces one that does: it is started beside it and
-// serves only once it reports that it is ready.
+// decide returns the next action. A program that fails to run never replaces one that works: it is started alongside
+// the current one and takes over only once it reports that it is ready.
 func (s situation) decide() action {
 	switch {
-	case s.outOfService && (s.hasCurrent || s.hasNext):
+	case s.drainOrdered && (s.hasCurrent || s.hasNext):
 		return stopControllers
-	case s.outOfService:
+	case s.drainOrdered:
 		return noAction
 	case s.hasNext:
 		return s.decideOnNext()
@@ -44,7 +44,7 @@
 	return noAction
 }
 
-// decideOnNext decides while there is a next controller.
+// decideOnNext returns the next action while there is a next controller.
 func (s situation) decideOnNext() action {
 	switch {
 	case !s.hasCurrent:
@@ -54,10 +54,10 @@
 	case s.nextReady:
 		return promoteNext
 	}
-	return noAction // it is starting
+	return noAction // the next controller is still starting
 }
 
-// mayStart reports whether one more controller is wanted and may run.
+// mayStart reports whether another controller is needed and the limit on concurrent controllers permits it.
 func (s situation) mayStart() bool {
 	if s.backingOff || s.hasNext {
 		return false
--- a/internal/supervisor/failure.go
+++ b/internal/supervisor/failure.go
@@ -9,22 +9,22 @@
 	"swiftreel/internal/change"
 )
 
-// errFileRefused is the failure of an order whose operator file the running controller does not accept.
-var errFileRefused = errors.New("the controller refuses the file: its log says why (reload_failed)")
+// errFileRefused is the failure of an order whose operator file the running controller has rejected.
+var errFileRefused = errors.New("the controller rejected its operator file: its log has the reason (reload_failed)")
 
-// ProgramMismatchError says that a program's file does not have the ordered contents.
+// ProgramMismatchError means that the digest of a program file is not the ordered one.
 type ProgramMismatchError struct {
 	Path    string
 	Found   change.Digest
 	Ordered change.Digest
 }
 
-// Error names both digests.
+// Error returns a message with both digests.
 func (e *ProgramMismatchError) Error() string {
-	return fmt.Sprintf("%s is %s, ordered was %s", e.Path, e.Found, e.Ordered)
+	return fmt.Sprintf("%s has digest %s, but the order names %s", e.Path, e.Found, e.Ordered)
 }
 
-// verifyProgram reports whether a program's file is the ordered one; if not, the order has failed.
+// verifyProgram reports whether a program file has the ordered digest. If not, it records the failure of the order.
 func (s *Supervisor) verifyProgram(program change.Program) bool {
 	digest, err := change.FileDigest(program.Path)
 	if err == nil && digest != program.Digest {
@@ -33,7 +33,7 @@
 	return s.recordFailure(err)
 }
 
-// recheckFailure clears the failure of an order once the ordered program is in place.
+// recheckFailure clears the failure of an order once the program file has the ordered digest.
 func (s *Supervisor) recheckFailure(program change.Program) {
 	verified := s.verifyProgram(program)
 	s.mu.Lock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// recordFailure stores why an order cannot be carried out, unless a reason is stored already, and reports whether err
-// is nil.
+// recordFailure stores err as the reason why the order cannot be carried out, unless a reason is stored already. It
+// reports whether err is nil.
 func (s *Supervisor) recordFailure(err error) bool {
 	if err == nil {
 		return true
--- a/internal/supervisor/stand_in_test.go
+++ b/internal/supervisor/fake_controller_test.go
@@ -16,12 +16,13 @@
 	"swiftreel/internal/operator"
 )
 
-// standInVariable names the test binary in the environment of a stand-in controller (testdata/controller runs it).
-const standInVariable = "STAND_IN_CONTROLLER"
+// fakeControllerVariable is the environment variable with the path of the test binary, which testdata/controller
+// executes as a fake controller.
+const fakeControllerVariable = "STAND_IN_CONTROLLER"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standInVariable) != "" {
-		if err := standIn(os.Getenv("ROUTER_OPERATOR")); err != nil {
+	if os.Getenv(fakeControllerVariable) != "" {
+		if err := runFakeController(os.Getenv("ROUTER_OPERATOR")); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -30,40 +31,40 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a controller that serves nothing: it reports as its operator's file says, reads that again at SIGHUP and
-// ends at SIGTERM.
-func standIn(file string) error {
+// runFakeController runs a controller that accepts no jobs: it serves its report as its operator file says, reloads the
+// file on SIGHUP and exits on SIGTERM.
+func runFakeController(file string) error {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM)
 	read := func() (operator.Stats, error) {
-		var parts struct {
+		var sections struct {
 			Tally operator.Stats `json:"tally"`
 		}
 		text, err := os.ReadFile(file)
 		if err == nil {
-			err = json.Unmarshal(text, &parts)
+			err = json.Unmarshal(text, &sections)
 		}
-		return parts.Tally, err
+		return sections.Tally, err
 	}
-	now, err := read()
+	stats, err := read()
 	if err != nil {
 		return err
 	}
 	var mu sync.Mutex
-	carries := int64(1_000_000)
+	sharePerMillion := int64(1_000_000)
 	started := time.Now().UnixNano()
 	learned := json.RawMessage(`{"lookup":{"mean":12.5}}`)
-	if len(now.TypeStats) > 0 {
-		learned = now.TypeStats
+	if len(stats.TypeStats) > 0 {
+		learned = stats.TypeStats
 	}
-	server, err := jobstats.Serve(now.Listen, func() jobstats.Report {
+	server, err := jobstats.Serve(stats.Listen, func() jobstats.Report {
 		mu.Lock()
 		defer mu.Unlock()
 		return jobstats.Report{
 			Format:           change.Format,
 			StartedUnixNS:    started,
 			Version:          "stand-in",
-			SpecDigest:       now.Spec,
+			SpecDigest:       stats.Spec,
 			SettingsDigest:   "5e77",
 			Ready:            true,
 			Probes:           3,
@@ -71,7 +72,7 @@
 			LearnedEstimates: learned,
 			EngineHealth:     json.RawMessage(`{"e1":{"ok":true}}`),
 			ReadyEngines:     []string{"e1", "e2"},
-			SharePerMillion:  carries,
+			SharePerMillion:  sharePerMillion,
 			JobCounts: map[canary.Group]canary.JobCounts{
 				{Type: "lookup", Tenant: "acme"}: {
 					Jobs:           5,
@@ -86,7 +87,7 @@
 	}, func(p jobstats.Share) {
 		mu.Lock()
 		defer mu.Unlock()
-		carries = p.PerMillion
+		sharePerMillion = p.PerMillion
 	})
 	if err != nil {
 		return err
@@ -102,7 +103,7 @@
 			return err
 		}
 		mu.Lock()
-		now = next
+		stats = next
 		mu.Unlock()
 	}
 	return nil
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -22,11 +22,11 @@
 	"swiftreel/internal/quota"
 )
 
-// TestFilesOfAControllerAreAsRecorded holds the order's record and the operators' files that controllers get, to the
-// byte.
-func TestFilesOfAControllerAreAsRecorded(t *testing.T) {
+// TestStateFilesMatchGoldenFiles compares the stored order and the operator files of controllers byte for byte with
+// golden files.
+func TestStateFilesMatchGoldenFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, err := New(options(t, dir))
+	s, err := New(testOptions(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	}
 	spec := change.Spec{
 		Program:  change.Program{Path: "/opt/controller", Digest: "d1"},
-		Topology: json.RawMessage(shapeFirst),
+		Topology: json.RawMessage(firstTopology),
 	}
 	order := change.Order{
 		Format:        change.Format,
@@ -64,9 +64,9 @@
 		Term:      1,
 		Sequence:  2,
 		Leader:    "c2",
-		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
+		Plan:      change.JSONDigest(json.RawMessage(leaderPlan)),
 		PlanUntil: 123456789,
-		PlanText:  json.RawMessage(planOfOwner),
+		PlanText:  json.RawMessage(leaderPlan),
 	}
 	s.current = &controller{}
 	s.current.report.LearnedEstimates, s.current.report.EngineHealth = json.RawMessage(
@@ -77,20 +77,20 @@
 	if !s.writeOperatorFile(c, s.order, assigned, true) {
 		t.Fatal(s.failure)
 	}
-	check("operator-1.json", "files/operator-plan-of-owner.json")
-	held := s.order
-	held.Spec.Plan = json.RawMessage(planOrdered)
-	held.Spec.Topology = nil
+	check("operator-1.json", "files/operator-leader-plan.json")
+	withPlan := s.order
+	withPlan.Spec.Plan = json.RawMessage(orderedPlan)
+	withPlan.Spec.Topology = nil
 	s.current.operatorFile = s.statePath("operator-2.json")
-	if !s.writeOperatorFile(s.current, held, assigned, false) {
+	if !s.writeOperatorFile(s.current, withPlan, assigned, false) {
 		t.Fatal(s.failure)
 	}
 	check("operator-2.json", "files/operator-ordered-plan.json")
 }
 
-// TestOldestPlansAreRemoved holds which plans' files are kept.
+// TestOldestPlansAreRemoved checks that prunePlanFiles keeps the newest plan files and the one that it is told to keep.
 func TestOldestPlansAreRemoved(t *testing.T) {
-	s, err := New(options(t, filepath.Join(t.TempDir(), "state")))
+	s, err := New(testOptions(t, filepath.Join(t.TempDir(), "state")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,11 +113,11 @@
 		left[i] = filepath.Base(left[i])
 	}
 	if got := strings.Join(left, " "); got != "plan-a.json plan-b.json plan-c.json plan-d.json" {
-		t.Errorf("left: %s", got)
+		t.Errorf("remaining files: %s", got)
 	}
 }
 
-func TestStatusBodyIsAsRecorded(t *testing.T) {
+func TestStatusEncodingMatchesGoldenFile(t *testing.T) {
 	s := Status{
 		Format: 2,
 		Name:   "c1",
@@ -175,7 +175,7 @@
 	}
 	for i, v := 0, reflect.ValueOf(s); i < v.NumField(); i++ {
 		if f := v.Type().Field(i); v.Field(i).IsZero() && f.Tag.Get("json") != "-" {
-			t.Errorf("%s is not filled: the golden file does not hold its key", f.Name)
+			t.Errorf("%s is zero, so the golden file does not cover its key", f.Name)
 		}
 	}
 	text, err := json.MarshalIndent(s, "", " ")
@@ -184,34 +184,35 @@
 	}
 	golden.Check(t, "status.json", text)
 	read, err := ReadStatus(text)
-	// engines is left out of an empty status, by which ReadStatus knows its own keys: it stands in Others too.
+	// ReadStatus takes the known keys from the encoding of an empty status, which omits engines: it is also in
+	// UnknownFields.
 	if err != nil || len(read.UnknownFields) != 1 || read.UnknownFields["engines"] == nil {
-		t.Fatalf("%v: others %v", err, read.UnknownFields)
+		t.Fatalf("%v: unknown fields %v", err, read.UnknownFields)
 	}
 	again, err := json.MarshalIndent(read, "", " ")
 	if err != nil || !bytes.Equal(again, text) {
-		t.Errorf("%v: read back it is written as\n%s", err, again)
+		t.Errorf("%v: decoded and encoded again:\n%s", err, again)
 	}
 }
 
-// volatile are the figures of a status that differ from run to run.
-var volatile = regexp.MustCompile(`"(life|boot_ns|pid|order_ms|asked_ms|memory_mb|cpu_ns|started|` +
+// varyingFields matches the fields of a status that differ from run to run.
+var varyingFields = regexp.MustCompile(`"(life|boot_ns|pid|order_ms|asked_ms|memory_mb|cpu_ns|started|` +
 	`part_until_boot_ns|plan_until_boot_ns)":("[^"]*"|[-0-9.e+]+)`)
 
-// TestBodiesOverHTTPAreAsRecorded asks a supervisor that runs a controller.
-func TestBodiesOverHTTPAreAsRecorded(t *testing.T) {
-	idle, err := New(options(t, filepath.Join(t.TempDir(), "idle")))
+// TestHTTPResponsesMatchGoldenFiles sends requests to an idle supervisor and to one that runs a controller.
+func TestHTTPResponsesMatchGoldenFiles(t *testing.T) {
+	idle, err := New(testOptions(t, filepath.Join(t.TempDir(), "idle")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(idle.Handler())
 	defer server.Close()
-	steady := func(body []byte) []byte { return volatile.ReplaceAll(body, []byte(`"$1":0`)) }
-	golden.Check(t, "http/status-idle.json", steady((&running{url: server.URL}).get(t, "/v1/status")))
+	normalize := func(body []byte) []byte { return varyingFields.ReplaceAll(body, []byte(`"$1":0`)) }
+	golden.Check(t, "http/status-idle.json", normalize((&testSupervisor{url: server.URL}).get(t, "/v1/status")))
 
-	r := run(t, filepath.Join(t.TempDir(), "state"))
-	s := r.await(t, "its controller", func(s Status) bool { return s.Serving && s.ReadyEngineCount == 2 })
-	o := orderOf(9, programAt(t, "controller"), shapeSecond, planOrdered)
+	r := startSupervisor(t, filepath.Join(t.TempDir(), "state"))
+	s := r.await(t, "controller not serving", func(s Status) bool { return s.Serving && s.ReadyEngineCount == 2 })
+	o := newOrder(9, testProgram(t, "controller"), secondTopology, orderedPlan)
 	o.Reason = "a test"
 	if code, body := r.post(t, "/v1/order", o); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
@@ -225,35 +226,35 @@
 		Incarnation: s.Incarnation,
 		Shares:      quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
 		SharesUntil: monotonic.Now() + int64(10*time.Minute),
-		Plan:        change.JSONDigest(json.RawMessage(planOfOwner)),
+		Plan:        change.JSONDigest(json.RawMessage(leaderPlan)),
 		PlanUntil:   monotonic.Now() + int64(10*time.Minute),
-		PlanText:    json.RawMessage(planOfOwner),
+		PlanText:    json.RawMessage(leaderPlan),
 	}
 	if code, body := r.post(t, "/v1/word", assigned); code != http.StatusNoContent || body != "" {
 		t.Errorf("%d %q", code, body)
 	}
-	r.await(t, "order and word", func(s Status) bool {
+	r.await(t, "order and assignment not in effect", func(s Status) bool {
 		return s.RunningSpec == o.Spec.Digest() && s.AppliedAssignment == 1 && s.SharePerMillion == 400_000
 	})
-	golden.Check(t, "http/status.json", steady(r.get(t, "/v1/status")))
-	golden.Check(t, "http/status-engines.json", steady(r.get(t, "/v1/status?engines=1")))
+	golden.Check(t, "http/status.json", normalize(r.get(t, "/v1/status")))
+	golden.Check(t, "http/status-engines.json", normalize(r.get(t, "/v1/status?engines=1")))
 
-	elsewhere := o
-	elsewhere.Member = "c9"
-	late := assigned
-	late.Incarnation = "another"
+	wrongMember := o
+	wrongMember.Member = "c9"
+	wrongIncarnation := assigned
+	wrongIncarnation.Incarnation = "another"
 	for what, c := range map[string]struct {
 		path     string
 		send     any
 		code     int
 		contains string
 	}{
-		"an order cut off":                  {"/v1/order", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
-		"an order with a field more":        {"/v1/order", `{"hurry":true}`, http.StatusUnprocessableEntity, "hurry"},
-		"an order for another member":       {"/v1/order", elsewhere, http.StatusConflict, "c9"},
-		"an assignment cut off":             {"/v1/word", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
-		"an assignment once more":           {"/v1/word", assigned, http.StatusConflict, "3"},
-		"an assignment for an earlier life": {"/v1/word", late, http.StatusConflict, ""},
+		"a truncated order":                {"/v1/order", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
+		"an order with an unknown field":   {"/v1/order", `{"hurry":true}`, http.StatusUnprocessableEntity, "hurry"},
+		"an order for another member":      {"/v1/order", wrongMember, http.StatusConflict, "c9"},
+		"a truncated assignment":           {"/v1/word", `{"format":2`, http.StatusUnprocessableEntity, "/:"},
+		"a repeated assignment":            {"/v1/word", assigned, http.StatusConflict, "3"},
+		"another incarnation's assignment": {"/v1/word", wrongIncarnation, http.StatusConflict, ""},
 	} {
 		if code, body := r.post(t, c.path, c.send); code != c.code || body == "" || !strings.Contains(body, c.contains) {
 			t.Errorf("%s: %d %q", what, code, body)
@@ -261,19 +262,20 @@
 	}
 }
 
-// TestPartsOfAStandInsFile holds that what stand-ins read of an operator's file is the tally's part.
-func TestPartsOfAStandInsFile(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("testdata", "files", "operator-plan-of-owner.json"))
+// The fake controller reads only the section tally. The golden operator file must have that section with the listen
+// address, the predecessor flag and the state of the current controller.
+func TestGoldenOperatorFileHoldsStatsSection(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "files", "operator-leader-plan.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var parts struct {
+	var sections struct {
 		Tally operator.Stats `json:"tally"`
 	}
-	if err := json.Unmarshal(text, &parts); err != nil {
+	if err := json.Unmarshal(text, &sections); err != nil {
 		t.Fatal(err)
 	}
-	stats := parts.Tally
+	stats := sections.Tally
 	hasState := len(stats.TypeStats) > 0 && len(stats.EngineHealth) > 0
 	if stats.Listen != "127.0.0.1:0" || !stats.Predecessor || !hasState {
 		t.Errorf("%+v", stats)
--- a/internal/supervisor/harness_test.go
+++ b/internal/supervisor/harness_test.go
@@ -15,7 +15,7 @@
 	"swiftreel/internal/change"
 )
 
-func options(t *testing.T, state string) Options {
+func testOptions(t *testing.T, state string) Options {
 	t.Helper()
 	return Options{
 		Name:         "c1",
@@ -23,12 +23,12 @@
 		OperatorFile: filepath.Join("testdata", "operator.json"),
 		ProgramPath:  filepath.Join("testdata", "controller"),
 		DrainTimeout: 10 * time.Second,
-		Environment:  append(os.Environ(), standInVariable+"="+os.Args[0]),
+		Environment:  append(os.Environ(), fakeControllerVariable+"="+os.Args[0]),
 		LogOutput:    io.Discard,
 	}
 }
 
-func programAt(t *testing.T, name string) change.Program {
+func testProgram(t *testing.T, name string) change.Program {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	digest, err := change.FileDigest(path)
@@ -38,23 +38,23 @@
 	return change.Program{Path: path, Digest: digest}
 }
 
-// running is a supervisor that runs until the test ends, with its HTTP side.
-type running struct {
+// testSupervisor is a supervisor that runs until the test ends, with an HTTP server for its API.
+type testSupervisor struct {
 	supervisor *Supervisor
 	url        string
 	stop       func()
 }
 
-func run(t *testing.T, state string) *running {
+func startSupervisor(t *testing.T, state string) *testSupervisor {
 	t.Helper()
-	supervisor, err := New(options(t, state))
+	supervisor, err := New(testOptions(t, state))
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := httptest.NewServer(supervisor.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- supervisor.Run(ctx) }()
+	done := make(chan error, 1)
+	go func() { done <- supervisor.Run(ctx) }()
 	stopped := false
 	stop := func() {
 		if stopped {
@@ -62,53 +62,53 @@
 		}
 		stopped = true
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-done; err != nil {
 			t.Error(err)
 		}
 		server.Close()
 	}
 	t.Cleanup(stop)
-	return &running{supervisor, server.URL, stop}
+	return &testSupervisor{supervisor, server.URL, stop}
 }
 
-func (r *running) get(t *testing.T, path string) []byte {
+func (r *testSupervisor) get(t *testing.T, path string) []byte {
 	t.Helper()
-	answer, err := http.Get(r.url + path)
+	response, err := http.Get(r.url + path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK || answer.Header.Get("Content-Type") != "application/json" {
-		t.Fatalf("%s: %s %v %v", path, answer.Status, answer.Header, err)
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK || response.Header.Get("Content-Type") != "application/json" {
+		t.Fatalf("%s: %s %v %v", path, response.Status, response.Header, err)
 	}
 	return body
 }
 
-func (r *running) post(t *testing.T, path string, v any) (code int, body string) {
+func (r *testSupervisor) post(t *testing.T, path string, v any) (code int, body string) {
 	t.Helper()
-	text, is := v.(string)
-	if !is {
+	text, isText := v.(string)
+	if !isText {
 		marshalled, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		text = string(marshalled)
 	}
-	answer, err := http.Post(r.url+path, "application/json", strings.NewReader(text))
+	response, err := http.Post(r.url+path, "application/json", strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return answer.StatusCode, string(raw)
+	return response.StatusCode, string(raw)
 }
 
-// await waits until the status is as wanted.
-func (r *running) await(t *testing.T, what string, is func(Status) bool) Status {
+// await polls the status until it satisfies a condition. failure describes the timeout.
+func (r *testSupervisor) await(t *testing.T, failure string, condition func(Status) bool) Status {
 	t.Helper()
 	var s Status
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -116,18 +116,18 @@
 		if s, err = ReadStatus(r.get(t, "/v1/status")); err != nil {
 			t.Fatal(err)
 		}
-		if is(s) {
+		if condition(s) {
 			return s
 		}
 	}
-	t.Fatalf("%s: not within 30 s: %+v", what, s)
+	t.Fatalf("%s after 30 s: %+v", failure, s)
 	return s
 }
 
-func orderOf(turn int64, program change.Program, shape, plan string) change.Order {
+func newOrder(revision int64, program change.Program, shape, plan string) change.Order {
 	o := change.Order{
 		Format:        change.Format,
-		Fence:         change.Fence{Number: 4, Term: 2, Revision: turn},
+		Fence:         change.Fence{Number: 4, Term: 2, Revision: revision},
 		CoordinatorID: "conductor-a",
 		Member:        "c1",
 		Spec:          change.Spec{Program: program},
@@ -142,8 +142,8 @@
 }
 
 const (
-	shapeFirst  = `{"budget_free":5}`
-	shapeSecond = `{"budget_free":6,"cancel":true}`
-	planOrdered = `{"method":"exact","value":11}`
-	planOfOwner = `{"method":"exact","value":12}`
+	firstTopology  = `{"budget_free":5}`
+	secondTopology = `{"budget_free":6,"cancel":true}`
+	orderedPlan    = `{"method":"exact","value":11}`
+	leaderPlan     = `{"method":"exact","value":12}`
 )
--- a/internal/supervisor/http.go
+++ b/internal/supervisor/http.go
@@ -9,14 +9,14 @@
 	"swiftreel/internal/change"
 )
 
-// Handler serves the rollout coordinator and the fleet's leader:
+// Handler returns the HTTP API for the rollout coordinator and the fleet's leader:
 //
-//	GET  /v1/status             the status; with ?engines=1 also the names of the ready engines
-//	POST /v1/order              an order of the coordinator
-//	POST /v1/word               an assignment of the leader
+//	GET  /v1/status             returns the status; with ?engines=1 also the names of the ready engines
+//	POST /v1/order              accepts an order from the coordinator
+//	POST /v1/word               accepts an assignment from the leader
 //
-// What was accepted is answered by 204, what cannot be read by 422, what is refused by 409, and an order that cannot
-// be recorded by 507.
+// POST requests are answered with 204 if accepted, 422 if malformed, 409 if refused, and 507 if an order cannot be
+// stored.
 func (s *Supervisor) Handler() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", s.serveStatus)
@@ -27,11 +27,11 @@
 
 func (s *Supervisor) serveStatus(w http.ResponseWriter, r *http.Request) {
 	status := s.Status()
-	if r.URL.Query().Get("engines") == "" { // hundreds of names, which only the planner needs
+	if r.URL.Query().Get("engines") == "" { // up to hundreds of names, which only the planner needs
 		status.ReadyEngines = nil
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // fails only if the client is gone
+	_ = json.NewEncoder(w).Encode(status) // fails only if the client has disconnected
 }
 
 func (s *Supervisor) serveOrder(w http.ResponseWriter, r *http.Request) {
--- a/internal/supervisor/lifecycle.go
+++ b/internal/supervisor/lifecycle.go
@@ -11,11 +11,12 @@
 	"swiftreel/internal/operator"
 )
 
-// startController starts a controller as ordered: as the current one, or as the next one if there is a current one.
+// startController starts a controller with the ordered spec: as the next one if there is a current one, otherwise as
+// the current one.
 func (s *Supervisor) startController(order change.AcceptedOrder, assigned assignment.Accepted) {
 	c := &controller{
 		program:      order.Spec.Program,
-		operatorFile: s.operatorFilePath(),
+		operatorFile: s.nextOperatorFilePath(),
 		startedAt:    time.Now(),
 		exited:       make(chan struct{}),
 	}
@@ -41,7 +42,7 @@
 	}
 }
 
-// reapExited removes controllers that have exited, and kills those that drain for too long.
+// reapExited removes controllers that have exited and kills those that exceed the drain timeout.
 func (s *Supervisor) reapExited() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +61,7 @@
 	})
 }
 
-// recordCrash notes an exit that was not ordered, or a start that failed. The lock must be held.
+// recordCrash records an unexpected exit or a failed start and schedules the restart. The lock must be held.
 func (s *Supervisor) recordCrash(runTime time.Duration, reason error) {
 	delay := s.backoff.recordCrash(runTime)
 	s.startNotBefore = time.Now().Add(delay)
@@ -68,7 +69,7 @@
 		"restart_delay_ms", delay.Milliseconds())
 }
 
-// drain has a controller finish what it owes and exit; nil: nothing is done.
+// drain makes a controller finish its outstanding jobs and exit. It does nothing if c is nil.
 func (s *Supervisor) drain(c *controller) {
 	if c == nil {
 		return
@@ -80,7 +81,7 @@
 	s.draining = append(s.draining, c)
 }
 
-// stopAll has all controllers drain.
+// stopAll drains all controllers.
 func (s *Supervisor) stopAll() {
 	s.mu.Lock()
 	current, next := s.current, s.next
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -20,36 +20,36 @@
 	fleetKey    = "fleet"
 	topologyKey = "shape"
 	planKey     = "plan"
-	tallyKey    = "tally"
+	statsKey    = "tally"
 )
 
 const (
-	// operatorFileCount is the number of operator files that are written in turn: two controllers may run at once,
+	// operatorFileCount is the number of operator files that are reused in rotation: two controllers may run at once,
 	// and one more may be exiting.
 	operatorFileCount = 4
-	// retainedPlanFiles is the number of plan files that are kept: a controller may read its own again.
+	// retainedPlanFiles is the number of plan files that are kept, as a controller may read its plan file again.
 	retainedPlanFiles = 3
-	// anyLoopbackPort has a controller serve its report on a free port.
+	// anyLoopbackPort makes a controller serve its report on a free loopback port.
 	anyLoopbackPort = "127.0.0.1:0"
 )
 
-// readOperatorFile returns the parts of the operator's file by key; no path: none.
+// readOperatorFile returns the sections of the operator's file by key. An empty path yields no sections.
 func readOperatorFile(path string) (map[string]json.RawMessage, error) {
-	parts := map[string]json.RawMessage{}
+	sections := map[string]json.RawMessage{}
 	if path == "" {
-		return parts, nil
+		return sections, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(text, &parts); err != nil {
+	if err := json.Unmarshal(text, &sections); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return parts, nil
+	return sections, nil
 }
 
-// operatorPlan returns the text of the plan that the operator's file names, or nil if it names none.
+// operatorPlan returns the contents of the plan file that the operator's file names, or nil if it names none.
 func (s *Supervisor) operatorPlan() (json.RawMessage, error) {
 	if s.operatorFile[planKey] == nil {
 		return nil, nil
@@ -66,21 +66,21 @@
 	return os.ReadFile(plan.File)
 }
 
-// operatorFilePath returns the file of the next controller to be started.
-func (s *Supervisor) operatorFilePath() string {
+// nextOperatorFilePath returns the path of the operator file for the next controller to start.
+func (s *Supervisor) nextOperatorFilePath() string {
 	s.startCount++
 	return s.statePath(fmt.Sprintf("operator-%d.json", s.startCount%operatorFileCount))
 }
 
-// writeOperatorFile writes a controller's operator file, and reports whether that succeeded; if not, the order has
-// failed.
+// writeOperatorFile writes a controller's operator file and reports whether that succeeded. If not, it records the
+// failure of the order.
 func (s *Supervisor) writeOperatorFile(
 	target *controller, order change.AcceptedOrder, assigned assignment.Accepted, hasPredecessor bool,
 ) bool {
 	config := wantedConfig(order, assigned, hasPredecessor)
-	parts, err := s.operatorParts(target, order, assigned, config)
+	sections, err := s.operatorSections(target, order, assigned, config)
 	if err == nil {
-		err = writeJSON(target.operatorFile, parts)
+		err = writeJSON(target.operatorFile, sections)
 	}
 	if err == nil {
 		target.config = config
@@ -88,84 +88,86 @@
 	return s.recordFailure(err)
 }
 
-// operatorParts returns the contents of a controller's operator file by key, and writes the plan that it names.
-func (s *Supervisor) operatorParts(
+// operatorSections returns the sections of a controller's operator file by key, and writes the plan file that they
+// name.
+func (s *Supervisor) operatorSections(
 	target *controller, order change.AcceptedOrder, assigned assignment.Accepted, config controllerConfig,
 ) (map[string]json.RawMessage, error) {
-	parts := map[string]json.RawMessage{}
+	sections := map[string]json.RawMessage{}
 	for key, text := range s.operatorFile {
 		if key != fleetKey && key != topologyKey && key != planKey {
-			parts[key] = text
+			sections[key] = text
 		}
 	}
-	tally, err := s.tallyPart(target, config)
+	stats, err := s.statsSection(target, config)
 	if err != nil {
 		return nil, err
 	}
-	parts[tallyKey] = tally
+	sections[statsKey] = stats
 	if len(order.Spec.Topology) > 0 {
-		parts[topologyKey] = order.Spec.Topology
+		sections[topologyKey] = order.Spec.Topology
 	}
 	plan := order.Spec.Plan
 	if config.leaderPlan != "" {
 		plan = assigned.PlanText
 	}
 	if len(plan) == 0 {
-		return parts, nil
+		return sections, nil
 	}
-	parts[planKey], err = s.planPart(plan, config)
-	return parts, err
+	sections[planKey], err = s.planSection(plan, config)
+	return sections, err
 }
 
-// tallyPart has a controller report. A controller that shall replace the current one also gets what that has learned.
-func (s *Supervisor) tallyPart(target *controller, config controllerConfig) (json.RawMessage, error) {
-	tally := operator.Stats{Listen: anyLoopbackPort, Spec: config.spec, Predecessor: config.hasPredecessor}
+// statsSection returns the section that makes a controller serve its report. A controller that replaces the current one
+// also gets the learned estimates and engine health of that one.
+func (s *Supervisor) statsSection(target *controller, config controllerConfig) (json.RawMessage, error) {
+	stats := operator.Stats{Listen: anyLoopbackPort, Spec: config.spec, Predecessor: config.hasPredecessor}
 	s.mu.Lock()
 	if s.current != nil && target != s.current {
-		tally.TypeStats = s.current.report.LearnedEstimates
-		tally.EngineHealth = s.current.report.EngineHealth
+		stats.TypeStats = s.current.report.LearnedEstimates
+		stats.EngineHealth = s.current.report.EngineHealth
 	}
 	s.mu.Unlock()
-	return json.Marshal(tally)
+	return json.Marshal(stats)
 }
 
-// planPart writes a plan's file and returns the part of the operator file that names it.
-func (s *Supervisor) planPart(plan json.RawMessage, config controllerConfig) (json.RawMessage, error) {
+// planSection writes a plan file and returns the section of the operator file that names it.
+func (s *Supervisor) planSection(plan json.RawMessage, config controllerConfig) (json.RawMessage, error) {
 	name := fmt.Sprintf("plan-%s.json", change.JSONDigest(plan))
 	err := renameio.WriteFile(s.statePath(name), plan, stateFileMode)
 	s.prunePlanFiles(name)
 	if err != nil {
 		return nil, err
 	}
-	part := map[string]json.RawMessage{}
+	section := map[string]json.RawMessage{}
 	if text := s.operatorFile[planKey]; text != nil {
-		_ = json.Unmarshal(text, &part) // a part that cannot be read sets nothing beside the plan's file
+		_ = json.Unmarshal(text, &section) // a malformed section only loses its settings other than the file
 	}
-	if part == nil { // the part was null
-		part = map[string]json.RawMessage{}
+	if section == nil { // the section was null
+		section = map[string]json.RawMessage{}
 	}
-	part["file"] = fmt.Appendf(nil, "%q", name)
+	section["file"] = fmt.Appendf(nil, "%q", name)
 	if config.leaderPlan != "" {
-		part["until_boot_ns"] = fmt.Appendf(nil, "%d", config.leaderPlanExpiry)
+		section["until_boot_ns"] = fmt.Appendf(nil, "%d", config.leaderPlanExpiry)
 	}
-	return json.Marshal(part)
+	return json.Marshal(section)
 }
 
-// prunePlanFiles removes the oldest plan files, but not the one of the given name.
-func (s *Supervisor) prunePlanFiles(inUse string) {
+// prunePlanFiles removes the oldest plan files, except for the one named keep.
+func (s *Supervisor) prunePlanFiles(keep string) {
 	paths, err := filepath.Glob(s.statePath("plan-*.json"))
 	if err != nil {
-		return // the pattern is malformed because of the directory's name: nothing is removed
+		return // the directory's name makes the pattern malformed: nothing is removed
 	}
 	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modifiedUnixNS(a), modifiedUnixNS(b)) })
 	for i := 0; i < len(paths)-retainedPlanFiles; i++ {
-		if filepath.Base(paths[i]) != inUse {
-			_ = os.Remove(paths[i]) // tried again with the next plan
+		if filepath.Base(paths[i]) != keep {
+			_ = os.Remove(paths[i]) // retried when the next plan is written
 		}
 	}
 }
 
-// modifiedUnixNS returns when a file was last modified, or 0 if that cannot be found out.
+// modifiedUnixNS returns the modification time of a file, or 0 if it cannot be read.
 func modifiedUnixNS(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -24,21 +24,22 @@
 	stateFileMode = 0o600
 )
 
-// ErrOrderNotRecorded is returned for an order that could not be written to the state directory. It is not in force.
-var ErrOrderNotRecorded = errors.New("the order cannot be recorded")
+// ErrOrderNotRecorded is returned for an order that could not be written to the state directory. The previous order
+// stays in force.
+var ErrOrderNotRecorded = errors.New("the order could not be stored")
 
-// WrongMemberError says that an order for one member has reached another.
+// WrongMemberError means that an order for one member was sent to another.
 type WrongMemberError struct {
 	Addressed string
 	Reached   string
 }
 
-// Error names both members.
+// Error returns a message with both members.
 func (e *WrongMemberError) Error() string {
-	return fmt.Sprintf("an order for %s has reached %s", e.Addressed, e.Reached)
+	return fmt.Sprintf("order for member %s was sent to member %s", e.Addressed, e.Reached)
 }
 
-// AcceptOrder makes an order of the rollout coordinator the one in force, or says why it is refused:
+// AcceptOrder puts an order of the rollout coordinator into force. If it refuses the order, it returns a
 // WrongMemberError, ErrOrderNotRecorded or an error of change.AcceptedOrder.Accept. An order that is in force already
 // is accepted without effect.
 func (s *Supervisor) AcceptOrder(order change.Order) error {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// AcceptAssignment takes an assignment of the fleet's leader over, or returns an error of assignment.Accepted.Accept.
-// It is kept in memory alone, as it is for this incarnation.
+// AcceptAssignment puts an assignment of the fleet's leader into force, or returns an error of
+// assignment.Accepted.Accept. The assignment is kept only in memory, as it is valid only for this incarnation.
 func (s *Supervisor) AcceptAssignment(incoming assignment.Assignment) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// loadOrder reads the stored order. If there is none, it is what the operator's file and the options say.
+// loadOrder reads the stored order. If there is none, it returns the initial order.
 func (s *Supervisor) loadOrder() (change.AcceptedOrder, error) {
 	if err := os.MkdirAll(s.options.StateDir, stateDirMode); err != nil {
 		return change.AcceptedOrder{}, err
@@ -116,7 +117,8 @@
 	return order, nil
 }
 
-// initialOrder is in force before the first order.
+// initialOrder returns the order that is in force until the first one is accepted. It is derived from the operator's
+// file and the options.
 func (s *Supervisor) initialOrder() (change.AcceptedOrder, error) {
 	digest, err := change.FileDigest(s.options.ProgramPath)
 	if err != nil {
@@ -137,8 +139,8 @@
 	return filepath.Join(s.options.StateDir, name)
 }
 
-// writeJSON replaces a file by a value's JSON text. After a crash of the machine the file holds the old or the new
-// text.
+// writeJSON atomically replaces a file by the JSON encoding of value: after a crash of the machine the file holds
+// either the old or the new contents.
 func writeJSON(path string, value any) error {
 	text, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
--- a/internal/supervisor/procstat.go
+++ b/internal/supervisor/procstat.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ticksPerSecond is the unit of the kernel's CPU accounting in /proc, the same on every Linux that this program runs
-// on.
+// ticksPerSecond is USER_HZ, the unit of CPU times in /proc. It is the same on every Linux platform that this program
+// supports.
 const ticksPerSecond = 100
 
 // Fields of /proc/PID/stat after the command name, counted from 0.
@@ -19,19 +19,19 @@
 	statResidentPages = 21
 )
 
-// resourceUsage is what a process occupies and has used.
+// resourceUsage is the resident memory and the consumed CPU time of a process.
 type resourceUsage struct {
 	memoryMB float64
 	cpuNS    int64
 }
 
-// usageOf reads a process's usage from /proc. It is zero for a process that has exited.
+// usageOf reads the resource usage of a process from /proc. It is zero for a process that has exited.
 func usageOf(pid int) resourceUsage {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return resourceUsage{}
 	}
-	_, afterName, _ := strings.Cut(string(text), ") ") // the command name may contain anything
+	_, afterName, _ := strings.Cut(string(text), ") ") // the command name may contain spaces
 	fields := strings.Fields(afterName)
 	if len(fields) <= statResidentPages {
 		return resourceUsage{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// parseCount returns a number of /proc, which holds nothing else in these fields.
+// parseCount parses an integer field. These fields of /proc are always numeric, so errors are ignored.
 func parseCount(text string) int64 {
 	count, _ := strconv.ParseInt(text, 10, 64)
 	return count
--- a/internal/supervisor/folder_test.go
+++ b/internal/supervisor/state_dir_test.go
@@ -18,18 +18,20 @@
 	"swiftreel/internal/quota"
 )
 
-// recordState writes testdata/state: a supervisor carries out an order without a plan and follows the owner's, then
-// another program with a plan of its own.
-func recordState(t *testing.T, to string) {
+// generateStateDir writes testdata/state: a supervisor carries out an order without a plan, to which the leader assigns
+// one, and then an order for another program that has its own plan.
+func generateStateDir(t *testing.T, to string) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "state")
-	r := run(t, dir)
-	r.await(t, "its controller", func(s Status) bool { return s.Serving })
-	first := orderOf(8, programAt(t, "controller"), shapeFirst, "")
+	r := startSupervisor(t, dir)
+	r.await(t, "controller not serving", func(s Status) bool { return s.Serving })
+	first := newOrder(8, testProgram(t, "controller"), firstTopology, "")
 	if code, body := r.post(t, "/v1/order", first); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s := r.await(t, "the first order", func(s Status) bool { return s.Serving && s.RunningSpec == first.Spec.Digest() })
+	s := r.await(t, "first order not in effect", func(s Status) bool {
+		return s.Serving && s.RunningSpec == first.Spec.Digest()
+	})
 	assigned := assignment.Assignment{
 		Format:      change.Format,
 		Term:        3,
@@ -41,24 +43,24 @@
 		SharesUntil: monotonic.Now() + int64(
 			time.Minute,
 		),
-		Plan:      change.JSONDigest(json.RawMessage(planOfOwner)),
+		Plan:      change.JSONDigest(json.RawMessage(leaderPlan)),
 		PlanUntil: monotonic.Now() + int64(10*time.Minute),
-		PlanText:  json.RawMessage(planOfOwner),
+		PlanText:  json.RawMessage(leaderPlan),
 	}
 	if code, body := r.post(t, "/v1/word", assigned); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	r.await(t, "the owner's plan", func(Status) bool {
+	r.await(t, "leader's plan not written", func(Status) bool {
 		text, err := os.ReadFile(filepath.Join(dir, "operator-1.json"))
 		return err == nil && strings.Contains(string(text), "until_boot_ns")
 	})
-	second := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
+	second := newOrder(9, testProgram(t, "controller-next"), secondTopology, orderedPlan)
 	if code, body := r.post(t, "/v1/order", second); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
 	r.await(
 		t,
-		"the second order",
+		"second order not in effect",
 		func(s Status) bool { return s.RunningSpec == second.Spec.Digest() && len(s.DrainingPIDs) == 0 },
 	)
 	r.stop()
@@ -67,52 +69,52 @@
 	}
 }
 
-// TestFolderOfAnEarlierBuildIsOpenedAndGoesOn opens the folder that the recorded program left and goes on with it:
-// nothing of the order is lost, what was refused before still is, and the next order is carried out.
-func TestFolderOfAnEarlierBuildIsOpenedAndGoesOn(t *testing.T) {
+// An upgraded supervisor must load the state directory of an earlier build (testdata/state): the order is complete,
+// orders that were refused before are still refused, and the next order is carried out.
+func TestStateDirOfEarlierBuildIsLoaded(t *testing.T) {
 	recorded := filepath.Join("testdata", "state")
 	if golden.Missing(recorded) {
-		recordState(t, recorded)
+		generateStateDir(t, recorded)
 	}
 	dir := filepath.Join(t.TempDir(), "state")
 	if err := os.CopyFS(dir, os.DirFS(recorded)); err != nil {
 		t.Fatal(err)
 	}
-	held := orderOf(9, programAt(t, "controller-next"), shapeSecond, planOrdered)
-	r := run(t, dir)
+	stored := newOrder(9, testProgram(t, "controller-next"), secondTopology, orderedPlan)
+	r := startSupervisor(t, dir)
 	s := r.await(
 		t,
-		"the recorded order",
-		func(s Status) bool { return s.Serving && s.RunningSpec == held.Spec.Digest() },
+		"stored order not in effect",
+		func(s Status) bool { return s.Serving && s.RunningSpec == stored.Spec.Digest() },
 	)
-	if s.Fence != held.Fence || s.OrderedBy != held.CoordinatorID || s.Spec.Program != held.Spec.Program ||
-		s.Spec.Digest() != held.Spec.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
+	if s.Fence != stored.Fence || s.OrderedBy != stored.CoordinatorID || s.Spec.Program != stored.Spec.Program ||
+		s.Spec.Digest() != stored.Spec.Digest() || s.Drained || s.Failure != "" || s.Crashes != 0 {
 		t.Errorf("%+v", s)
 	}
 	before, err := os.ReadFile(filepath.Join(dir, "held.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := held
+	other := stored
 	other.CoordinatorID = "conductor-b"
 	for what, o := range map[string]change.Order{
-		"earlier":                              orderOf(8, held.Spec.Program, shapeFirst, ""),
-		"of another conductor":                 other,
-		"with the same fence and another spec": orderOf(9, held.Spec.Program, shapeFirst, ""),
+		"with a lower fence":                   newOrder(8, stored.Spec.Program, firstTopology, ""),
+		"of another coordinator":               other,
+		"with the same fence and another spec": newOrder(9, stored.Spec.Program, firstTopology, ""),
 	} {
 		if code, _ := r.post(t, "/v1/order", o); code != http.StatusConflict {
-			t.Errorf("an order %s: %d", what, code)
+			t.Errorf("order %s: status %d", what, code)
 		}
 	}
-	if code, _ := r.post(t, "/v1/order", held); code != http.StatusNoContent {
-		t.Errorf("the same order again: %d", code)
+	if code, _ := r.post(t, "/v1/order", stored); code != http.StatusNoContent {
+		t.Errorf("repeated order: status %d", code)
 	}
 	after, err := os.ReadFile(filepath.Join(dir, "held.json"))
 	if err != nil || !bytes.Equal(before, after) {
-		t.Errorf("%v: the record was written anew:\n%s", err, after)
+		t.Errorf("%v: held.json was rewritten:\n%s", err, after)
 	}
-	for _, plan := range []string{planOrdered, planOfOwner} {
-		// The text of a plan read back from held.json has other blanks: its digest is that of its value.
+	for _, plan := range []string{orderedPlan, leaderPlan} {
+		// A plan that is read back from held.json differs in white space; its digest is of the JSON value.
 		digest := change.JSONDigest(json.RawMessage(plan))
 		name := "plan-" + string(digest) + ".json"
 		text := readFile(t, filepath.Join(dir, name))
@@ -120,27 +122,27 @@
 			t.Errorf("%s: %s", name, text)
 		}
 	}
-	next := orderOf(10, programAt(t, "controller"), shapeFirst, planOrdered)
+	next := newOrder(10, testProgram(t, "controller"), firstTopology, orderedPlan)
 	if code, body := r.post(t, "/v1/order", next); code != http.StatusNoContent {
 		t.Fatal(code, body)
 	}
-	s = r.await(t, "the next order", func(s Status) bool {
+	s = r.await(t, "next order not in effect", func(s Status) bool {
 		return s.Serving && s.RunningSpec == next.Spec.Digest() && len(s.DrainingPIDs) == 0
 	})
 	if s.Fence != next.Fence {
 		t.Errorf("%+v", s)
 	}
 	r.stop()
-	again, err := New(options(t, dir))
+	again, err := New(testOptions(t, dir))
 	if err != nil || again.Status().Fence != next.Fence || again.Status().Spec.Digest() != next.Spec.Digest() {
 		t.Errorf("%v: %+v", err, again)
 	}
 }
 
-// TestRecordThatCannotBeWrittenRefusesTheOrder: what is held is on disk before it counts.
-func TestRecordThatCannotBeWrittenRefusesTheOrder(t *testing.T) {
+// An order must be on disk before it takes effect.
+func TestOrderThatCannotBeStoredIsRefused(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, err := New(options(t, dir))
+	s, err := New(testOptions(t, dir))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +151,9 @@
 	}
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
-	code, _ := (&running{url: server.URL}).post(t, "/v1/order", orderOf(9, programAt(t, "controller"), shapeFirst, ""))
+	code, _ := (&testSupervisor{url: server.URL}).post(
+		t, "/v1/order", newOrder(9, testProgram(t, "controller"), firstTopology, ""),
+	)
 	if code != http.StatusInsufficientStorage || s.Status().Fence != (change.Fence{}) {
 		t.Errorf("%d: %+v", code, s.Status())
 	}
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -13,13 +13,13 @@
 // noOrderYet is Status.SinceOrderMS before the first order.
 const noOrderYet = -1
 
-// Status is the state of a supervisor and its controller, as GET /v1/status serves it. Figures of the controller are
+// Status is the state of a supervisor and its controller, as GET /v1/status returns it. The controller's values are
 // those of its last report; they are zero while there is none.
 type Status struct {
-	Format      int           `json:"format"` // version of this document
+	Format      int           `json:"format"` // version of this format
 	Name        string        `json:"name"`
 	Spec        change.Spec   `json:"spec"`    // ordered
-	RunningSpec change.Digest `json:"running"` // in force at the controller; empty while it does not answer
+	RunningSpec change.Digest `json:"running"` // in force at the controller; empty if it has not reported
 	// Version and SettingsDigest are those of the controller.
 	Version        string        `json:"version"`
 	SettingsDigest change.Digest `json:"settings"`
@@ -27,40 +27,40 @@
 	Fence     change.Fence `json:"fence"`
 	OrderedBy string       `json:"by"`
 	Serving   bool         `json:"serves"`  // the controller is ready for jobs
-	Drained   bool         `json:"drained"` // no controller runs, as ordered
+	Drained   bool         `json:"drained"` // no controller runs, as the order demands
 	Failure   string       `json:"failed"`  // why the order cannot be carried out
-	// Crashes counts exits of controllers that were not ordered, and starts that failed.
+	// Crashes counts unexpected exits of controllers and failed starts.
 	Crashes      uint64 `json:"crashes"`
 	PID          int    `json:"pid"`    // of the serving process
-	DrainingPIDs []int  `json:"drains"` // of older processes that finish what they owe
+	DrainingPIDs []int  `json:"drains"` // of older processes that finish their outstanding jobs
 	OwedAnswers  int64  `json:"owed"`
-	// SinceOrderMS is the time since the last order, accepted or not; -1 if there was none.
+	// SinceOrderMS is the time since the last order was received, accepted or not; -1 if there was none.
 	SinceOrderMS   int64   `json:"order_ms"`
-	SinceRequestMS int64   `json:"asked_ms"` // since the status was last requested
+	SinceRequestMS int64   `json:"asked_ms"` // since the previous status request
 	MemoryMB       float64 `json:"memory_mb"`
 	CPUNS          int64   `json:"cpu_ns"` // used by the controller since its start
-	// StartedUnixNS tells the controller's processes apart; it is by the controller's clock.
+	// StartedUnixNS identifies the controller process; it is read from the controller's clock.
 	StartedUnixNS  int64  `json:"started"`
 	Probes         uint64 `json:"probes"`
 	EjectedEngines int    `json:"aside"`
 	// JobCounts are since the controller's start.
 	JobCounts map[canary.Group]canary.JobCounts `json:"work"`
-	// Incarnation names this process of the supervisor; from format 2 on.
+	// Incarnation identifies this process of the supervisor; since format 2.
 	Incarnation string              `json:"life"`
-	MonotonicNS int64               `json:"boot_ns"` // the machine's monotonic clock
-	Assignment  assignment.Accepted `json:"word"`    // of the leader, in force
-	// SharePerMillion is the share of the fleet that the controller goes by.
+	MonotonicNS int64               `json:"boot_ns"` // reading of the machine's monotonic clock
+	Assignment  assignment.Accepted `json:"word"`    // the leader's, in force
+	// SharePerMillion is the share of the fleet that the controller applies.
 	SharePerMillion int64 `json:"carries_per_million"`
-	// AppliedAssignment is the sequence number of the assignment whose share all processes go by; 0 if that is not
+	// AppliedAssignment is the sequence number of the assignment whose share all processes apply; 0 if that is not
 	// known.
 	AppliedAssignment int64    `json:"carried_word"`
 	ReadyEngineCount  int      `json:"engine_count"`
-	ReadyEngines      []string `json:"engines,omitempty"` // served on request only
-	// UnknownFields are those that a supervisor of another version has served.
+	ReadyEngines      []string `json:"engines,omitempty"` // only on request
+	// UnknownFields are fields of this document that only another version knows.
 	UnknownFields map[string]json.RawMessage `json:"-"`
 }
 
-// ReadStatus reads a status of this version or another one.
+// ReadStatus decodes a status of this version or another one.
 func ReadStatus(text []byte) (Status, error) {
 	var status Status
 	if err := json.Unmarshal(text, &status); err != nil {
@@ -83,7 +83,7 @@
 	return status, nil
 }
 
-// Status returns the current state. It also resets the time since the last request.
+// Status returns the current state and resets the time since the last request.
 func (s *Supervisor) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +117,7 @@
 	return status
 }
 
-// addController fills in the figures of the serving controller. The supervisor's lock must be held.
+// addController fills in the values of the current controller. The supervisor's lock must be held.
 func (s *Status) addController(source *controller) {
 	report := &source.report
 	s.PID = source.command.Process.Pid
@@ -138,16 +138,16 @@
 	s.CPUNS = usage.cpuNS
 }
 
-// appliedAssignment returns the sequence number of the assignment whose share every process goes by. It is 0 while
-// one of them may go by an earlier one: it has not been notified, or it drains, and its share cannot be withdrawn.
-// The lock must be held.
+// appliedAssignment returns the sequence number of the assignment whose share every process applies. It is 0 while any
+// process may apply an earlier share: one that has not accepted the new share yet, or one that is draining, whose share
+// cannot be withdrawn. The lock must be held.
 func (s *Supervisor) appliedAssignment() int64 {
 	if len(s.draining) > 0 {
 		return 0
 	}
 	inForce := idOf(s.assignment)
 	for _, c := range []*controller{s.current, s.next} {
-		if c != nil && c.shareFrom != inForce {
+		if c != nil && c.appliedAssignment != inForce {
 			return 0
 		}
 	}
--- a/internal/supervisor/step.go
+++ b/internal/supervisor/step.go
@@ -11,19 +11,19 @@
 	"swiftreel/internal/quota"
 )
 
-// snapshot is the state that one step works on, copied under the lock.
+// snapshot is the state that one step works on, copied while the lock is held.
 type snapshot struct {
 	order          change.AcceptedOrder
 	assigned       assignment.Accepted
 	current        *controller
 	next           *controller
-	hasPredecessor bool          // an older process still drains
-	ready          []*controller // those that answered the last poll and are ready
+	hasPredecessor bool          // an older process is still draining
+	ready          []*controller // those that responded to the last poll and are ready
 	situation      situation
-	recheckDue     bool // the cause of a failed order shall be looked at again
+	recheckDue     bool // it is time to check whether the cause of a failed order is gone
 }
 
-// step samples the controllers and takes the next action.
+// step polls the controllers and performs the next action.
 func (s *Supervisor) step(ctx context.Context) {
 	s.reapExited()
 	s.pollControllers(ctx)
@@ -35,7 +35,7 @@
 	s.perform(state)
 }
 
-// pollControllers asks the running controllers for their reports.
+// pollControllers requests the reports of the current and the next controller.
 func (s *Supervisor) pollControllers(ctx context.Context) {
 	for _, c := range []*controller{s.current, s.next} {
 		if c != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// poll asks a controller for its report. A controller that has refused its operator file will not run with it: the
-// order has failed.
+// poll requests a controller's report. If the controller has rejected its operator file, it keeps the former
+// configuration, so the failure of the order is recorded.
 func (s *Supervisor) poll(ctx context.Context, target *controller) {
 	report, err := target.fetchReport(ctx, &s.httpClient)
 	s.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// observe takes a consistent snapshot of the state.
+// observe returns a consistent snapshot of the state.
 func (s *Supervisor) observe() snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 // assess compares the current and the next controller with the order. now is in nanoseconds of the monotonic clock.
 func (state *snapshot) assess(now int64) situation {
 	at := situation{
-		outOfService: state.order.Drain,
+		drainOrdered: state.order.Drain,
 		hasCurrent:   state.current != nil,
 		hasNext:      state.next != nil,
 	}
@@ -114,8 +114,8 @@
 	return at
 }
 
-// deliverShare passes the assigned share on to the controllers that do not have it yet. Only ready ones are asked, as
-// one that hangs must not hold up orders.
+// deliverShare sends the assigned share to the controllers that have not accepted it yet. Only ready ones are
+// contacted, so that one that hangs does not delay orders.
 func (s *Supervisor) deliverShare(ctx context.Context, state snapshot) {
 	if state.assigned.Shares[quota.Fleet] <= 0 {
 		return
@@ -123,19 +123,19 @@
 	id := idOf(state.assigned)
 	share := shareOf(state.assigned)
 	for _, c := range state.ready {
-		if c.shareFrom == id {
+		if c.appliedAssignment == id {
 			continue
 		}
 		if err := c.postShare(ctx, &s.httpClient, share); err != nil {
-			continue // tried again with the next step
+			continue // retried in the next step
 		}
 		s.mu.Lock()
-		c.shareFrom = id
+		c.appliedAssignment = id
 		s.mu.Unlock()
 	}
 }
 
-// perform takes the action that the snapshot calls for.
+// perform carries out the action that the snapshot calls for.
 func (s *Supervisor) perform(state snapshot) {
 	switch state.situation.decide() {
 	case startController:
@@ -154,7 +154,7 @@
 	}
 }
 
-// promoteNext has the next controller serve and the current one drain.
+// promoteNext makes the next controller the current one and drains the former one.
 func (s *Supervisor) promoteNext(state snapshot) {
 	slog.Info("controller_promoted", "program", state.next.program.Path, "digest", state.next.program.Digest)
 	s.mu.Lock()
@@ -164,7 +164,7 @@
 	s.drain(state.current)
 }
 
-// discardNext lets the next controller drain, which has never served.
+// discardNext drains the next controller, which has never served.
 func (s *Supervisor) discardNext(state snapshot) {
 	s.mu.Lock()
 	s.next = nil
@@ -172,7 +172,7 @@
 	s.drain(state.next)
 }
 
-// reconfigure writes the current controller's operator file anew and has it reload.
+// reconfigure rewrites the current controller's operator file and reloads it.
 func (s *Supervisor) reconfigure(state snapshot) {
 	if s.writeOperatorFile(state.current, state.order, state.assigned, state.hasPredecessor) {
 		state.current.reload()
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,11 +1,11 @@
-// Package supervisor runs one controller process. It starts the process, restarts it after a crash with backoff,
-// replaces it by another program or reconfigures it as the rollout coordinator orders, passes on the fleet leader's
-// assignments and reports the controller's state over HTTP.
+// Package supervisor runs one controller process. It starts the process, restarts it with exponential backoff after a
+// crash, replaces its program or reconfigures it on orders of the rollout coordinator, forwards the fleet leader's
+// assignments to it and reports its state over HTTP.
 //
-// The supervisor outlives the controller's program, so that a program that cannot run can be rolled back. It owns a
+// The supervisor is a separate process, so that a controller program that fails to run can be rolled back. It owns a
 // state directory with the accepted order (held.json), the operator files that it writes for its controllers
-// (operator-N.json) and the plans that these name (plan-DIGEST.json). An order is on disk before it takes effect;
-// assignments of the leader are bound to one incarnation of the supervisor and are never stored.
+// (operator-N.json) and the plans that these files name (plan-DIGEST.json). An order is stored on disk before it takes
+// effect. Assignments of the leader are valid for one incarnation of the supervisor only and are never stored.
 //
 // Run drives the controllers from a single goroutine. All other exported methods may be called concurrently with it.
 package supervisor
@@ -24,60 +24,61 @@
 )
 
 const (
-	// pollInterval is the time between two samples of the controllers' state.
+	// pollInterval is the time between two polls of the controllers.
 	pollInterval = 50 * time.Millisecond
-	// controllerTimeout bounds a request to a controller.
+	// controllerTimeout is the timeout of a request to a controller.
 	controllerTimeout = 2 * time.Second
-	// failureCheckInterval is the time between two checks of whether the cause of a failed order is gone, while no
-	// controller runs.
+	// failureCheckInterval is the time between two checks of whether the cause of a failed order is gone. They are made
+	// only while no controller runs.
 	failureCheckInterval = 2 * time.Second
 )
 
 // Options configure a Supervisor.
 type Options struct {
-	// Name is the fleet member that the supervisor stands for.
+	// Name is the name of the fleet member whose controller is supervised.
 	Name string
-	// StateDir is a directory of the supervisor's own; it is created if absent.
+	// StateDir is a directory for exclusive use by this supervisor; it is created if absent.
 	StateDir string
-	// OperatorFile is the operator's file; its shape and plan hold until the first order. Empty: none.
+	// OperatorFile is the path of the operator's file, or empty. Its sections shape and plan apply until the first
+	// order.
 	OperatorFile string
-	// ProgramPath is the controller program until the first order.
+	// ProgramPath is the path of the controller program that runs until the first order.
 	ProgramPath string
-	// DrainTimeout is the time after SIGTERM at which a controller is killed.
+	// DrainTimeout is the time between SIGTERM and the kill of a controller that is still running.
 	DrainTimeout time.Duration
-	// Environment is that of the controllers.
+	// Environment is the environment of the controllers.
 	Environment []string
-	// LogOutput receives what the controllers log.
+	// LogOutput receives the logs of the controllers.
 	LogOutput io.Writer
 }
 
 // Supervisor runs one controller; see the package's documentation.
 type Supervisor struct {
 	options      Options
-	operatorFile map[string]json.RawMessage // by top-level key; read only
+	operatorFile map[string]json.RawMessage // sections by top-level key; read-only
 	httpClient   http.Client
-	wake         chan struct{} // signalled when an order or an assignment was accepted
-	incarnation  string        // of this process: assignments name it
-	startCount   int           // of controllers; used by Run alone
+	wake         chan struct{} // signalled when an order or an assignment is accepted
+	incarnation  string        // identifies this process; assignments name it
+	startCount   int           // controllers started; used only by the goroutine of Run
 
 	mu               sync.Mutex // guards the fields below
 	order            change.AcceptedOrder
 	assignment       assignment.Accepted
-	current          *controller   // serves; nil: none
-	next             *controller   // shall replace current; nil: none
+	current          *controller   // the controller in service, or nil
+	next             *controller   // the replacement of current while it starts, or nil
 	draining         []*controller // removed once they have exited
-	failure          string        // why the order cannot be carried out; empty: it can
+	failure          string        // why the order cannot be carried out, or empty
 	failureCheckedAt time.Time
 	backoff          restartBackoff
 	startNotBefore   time.Time
-	outOfService     bool // as ordered, and no controller runs
+	outOfService     bool // the order is to run no controller, and none runs
 	lastOrderAt      time.Time
 	lastRequestAt    time.Time
 }
 
-// New returns a supervisor that goes on from the order in its state directory, or from the operator's file if there
-// is none. A stored order that cannot be read is an error: a supervisor that has lost its fence must not accept an
-// order that it refused before.
+// New returns a supervisor that continues with the order in its state directory, or with the initial order if there is
+// none. A stored order that cannot be read is an error: a supervisor that has lost its fence could accept an order that
+// it has already refused.
 func New(options Options) (*Supervisor, error) {
 	s := &Supervisor{
 		options:       options,
@@ -96,7 +97,7 @@
 	return s, nil
 }
 
-// Run supervises the controller until ctx ends, then lets every process drain and returns nil. It must be called
+// Run supervises the controller until ctx is done, then drains all processes and returns nil. It must be called only
 // once.
 func (s *Supervisor) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
@@ -114,7 +115,7 @@
 	}
 }
 
-// awaitDrained returns once no process is left.
+// awaitDrained waits until all draining controllers have exited.
 func (s *Supervisor) awaitDrained(tick <-chan time.Time) {
 	for len(s.draining) > 0 {
 		<-tick
@@ -122,10 +123,10 @@
 	}
 }
 
-// wakeUp has Run take a step at once.
+// wakeUp makes Run take the next step immediately.
 func (s *Supervisor) wakeUp() {
 	select {
 	case s.wake <- struct{}{}:
-	default: // a wake-up is pending already
+	default: // a wake-up is already pending
 	}
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("%v", delays)
 	}
 	if delay := backoff.recordCrash(time.Minute); delay != minRestartDelay {
-		t.Errorf("after a long run: %v", delay)
+		t.Errorf("delay after a long run: %v", delay)
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 	}
 	if _, err := ReadStatus([]byte(`{"work":{"lookup":{}}}`)); err == nil {
-		t.Error("a group without its form is read")
+		t.Error("a malformed group key was accepted")
 	}
 }
 
@@ -91,12 +91,12 @@
 	if !s.writeOperatorFile(c, s.order, assignment.Accepted{}, true) || c.config != wanted {
 		t.Fatal(s.failure)
 	}
-	var parts map[string]json.RawMessage
-	if err := json.Unmarshal(readFile(t, c.operatorFile), &parts); err != nil {
+	var sections map[string]json.RawMessage
+	if err := json.Unmarshal(readFile(t, c.operatorFile), &sections); err != nil {
 		t.Fatal(err)
 	}
-	if parts["fleet"] != nil || !strings.Contains(string(parts["tally"]), string(s.order.Spec.Digest())) {
-		t.Errorf("%s", parts)
+	if sections["fleet"] != nil || !strings.Contains(string(sections["tally"]), string(s.order.Spec.Digest())) {
+		t.Errorf("%s", sections)
 	}
 	if s, err = New(o); err != nil || s.order.Fence != order.Fence || s.order.CoordinatorID != "x" {
 		t.Errorf("read back as %+v, %v", s.order, err)
@@ -104,7 +104,7 @@
 	text := readFile(t, s.statePath("held.json"))
 	writeFile(t, s.statePath("held.json"), string(text[:len(text)/2]))
 	if _, err := New(o); err == nil || !strings.Contains(err.Error(), "held.json") {
-		t.Errorf("a torn record: %v", err)
+		t.Errorf("truncated held.json: %v", err)
 	}
 }
 
@@ -127,18 +127,19 @@
 		{situation{hasCurrent: true, hasNext: true, nextReady: true}, discardNext},
 		{situation{hasCurrent: true, currentMatches: true, hasNext: true, nextMatches: true}, discardNext},
 		{situation{hasNext: true}, promoteNext},
-		{situation{outOfService: true, hasCurrent: true, hasNext: true}, stopControllers},
-		{situation{outOfService: true}, noAction},
+		{situation{drainOrdered: true, hasCurrent: true, hasNext: true}, stopControllers},
+		{situation{drainOrdered: true}, noAction},
 	} {
 		if got := c.situation.decide(); got != c.want {
 			t.Errorf("%d: %+v: %d, not %d", i, c.situation, got, c.want)
 		}
 	}
-	// All situations: a second program never starts beside two, and serves only when it is ready or alone.
+	// For all situations: no third controller is started, and the next controller is promoted only if it is ready or
+	// there is no current one.
 	for n := range 1 << 8 {
 		bit := func(i int) bool { return n>>i&1 == 1 }
 		s := situation{
-			outOfService:   bit(0),
+			drainOrdered:   bit(0),
 			hasCurrent:     bit(1),
 			currentMatches: bit(2),
 			hasNext:        bit(3),
@@ -148,10 +149,10 @@
 			backingOff:     bit(7),
 		}
 		switch got := s.decide(); {
-		case got == startController && (s.hasNext || s.hasCurrent && s.drainingCount > 0 || s.outOfService || s.backingOff):
-			t.Errorf("%+v starts one more", s)
+		case got == startController && (s.hasNext || s.hasCurrent && s.drainingCount > 0 || s.drainOrdered || s.backingOff):
+			t.Errorf("%+v starts another controller", s)
 		case got == promoteNext && s.hasCurrent && (!s.nextReady || !s.nextMatches):
-			t.Errorf("%+v has the next serve", s)
+			t.Errorf("%+v promotes the next controller", s)
 		}
 	}
 }
@@ -173,10 +174,10 @@
 	if status := s.Status(); status.Failure == "" || !status.Drained {
 		t.Fatalf("%+v", status)
 	}
-	writeFile(t, program, "y") // another program does not count
+	writeFile(t, program, "y") // a program with another digest
 	s.failureCheckedAt = time.Time{}
 	if s.step(t.Context()); s.Status().Failure == "" {
-		t.Error("another program mends it")
+		t.Error("a program with another digest cleared the failure")
 	}
 	writeFile(t, program, "x")
 	s.failureCheckedAt = time.Time{}
@@ -185,8 +186,8 @@
 	}
 }
 
-// A smaller share counts as applied once the controller goes by it: that its supervisor has accepted it is not
-// enough.
+// A share counts as applied only once the controller has accepted it. If acceptance by the supervisor were enough, a
+// reduced share would be reported as applied while the controller still uses the larger one.
 func TestShareIsAppliedOnceTheControllerHasAcceptedIt(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "program")
@@ -216,9 +217,9 @@
 	c.command = exec.Command("true")
 	c.command.Process = &os.Process{Pid: os.Getpid()}
 	s.current = c
-	accept := func(count, share int64) {
+	accept := func(sequence, share int64) {
 		t.Helper()
-		assigned := assignment.Assignment{Term: 1, Sequence: count, Leader: "a", Member: "c1", Incarnation: s.incarnation,
+		assigned := assignment.Assignment{Term: 1, Sequence: sequence, Leader: "a", Member: "c1", Incarnation: s.incarnation,
 			Shares: quota.Shares{quota.Fleet: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}
 		if err := s.AcceptAssignment(assigned); err != nil {
 			t.Fatal(err)
@@ -226,7 +227,7 @@
 	}
 	accept(3, 500_000)
 	if c.postShare(t.Context(), &s.httpClient, shareOf(s.assignment)) == nil || s.Status().AppliedAssignment != 0 {
-		t.Error("it counts as taken, and was not")
+		t.Error("a share that the controller did not accept counts as applied")
 	}
 	healthy = true
 	if c.postShare(t.Context(), &s.httpClient, shareOf(s.assignment)) != nil || len(got) != 1 ||
@@ -234,17 +235,17 @@
 		got[0].TenantQuotas["acme"] != 7 {
 		t.Fatalf("%+v", got)
 	}
-	c.shareFrom = assignmentID{term: 1, sequence: 3}
+	c.appliedAssignment = assignmentID{term: 1, sequence: 3}
 	if s.Status().AppliedAssignment != 3 {
-		t.Error("it was taken, and does not count")
+		t.Error("a share that the controller accepted does not count as applied")
 	}
 	if accept(4, 100_000); s.Status().AppliedAssignment != 0 {
-		t.Error("the next counts before it is taken")
+		t.Error("the next share counts as applied before the controller has accepted it")
 	}
 	s.draining = append(s.draining, &controller{command: c.command})
-	c.shareFrom = assignmentID{term: 1, sequence: 4}
+	c.appliedAssignment = assignmentID{term: 1, sequence: 4}
 	if s.Status().AppliedAssignment != 0 {
-		t.Error("an older process goes by an earlier part, and it counts")
+		t.Error("a share counts as applied while a draining process applies an earlier one")
 	}
 }
 
@@ -259,18 +260,18 @@
 	var wrongMember *WrongMemberError
 	err = s.AcceptOrder(change.Order{Member: "c2"})
 	if !errors.As(err, &wrongMember) || wrongMember.Addressed != "c2" || wrongMember.Reached != "c1" {
-		t.Errorf("an order for another member: %v", err)
+		t.Errorf("order for another member: %v", err)
 	}
 	ordered := s.order.Spec.Program
 	writeFile(t, program, "y")
 	if s.verifyProgram(ordered) || !strings.Contains(s.failure, string(ordered.Digest)) {
-		t.Errorf("another program: %q", s.failure)
+		t.Errorf("program with another digest: %q", s.failure)
 	}
 	if err := os.RemoveAll(filepath.Join(dir, "state")); err != nil {
 		t.Fatal(err)
 	}
-	order := orderOf(1, ordered, shapeFirst, "")
+	order := newOrder(1, ordered, firstTopology, "")
 	if err := s.AcceptOrder(order); !errors.Is(err, ErrOrderNotRecorded) {
-		t.Errorf("without a state directory: %v", err)
+		t.Errorf("missing state directory: %v", err)
 	}
 }
