--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -14,14 +14,14 @@
 	"swiftreel/internal/schema"
 )
 
-// checkReport is the output of check for scripts.
+// checkReport is the JSON output of the command check.
 type checkReport struct {
 	File     string   `json:"file"`
 	Kind     string   `json:"kind"`
 	Problems []string `json:"faults"`
 }
 
-// checkers read a file of a kind as the program does, and report what is wrong with it.
+// checkers maps each kind of file to the function with which the program itself loads and validates it.
 var checkers = map[string]func(path string) error{
 	string(schema.Operator): func(path string) error { _, err := operator.Load(path); return err },
 	string(schema.Plan):     func(path string) error { _, err := plan.Load(path); return err },
@@ -46,23 +46,24 @@
 
 func checkCommand() *cobra.Command {
 	var kind string
-	var forScripts bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a file whole: every fault is named with its path",
 		Long:  checkHelp,
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return check(c.OutOrStdout(), args[0], kind, forScripts)
+			return check(c.OutOrStdout(), args[0], kind, asJSON)
 		},
 	}
 	c.Flags().StringVar(&kind, "kind", string(schema.Operator), "operator, problem, plan, change or config")
-	addJSONFlag(c, &forScripts)
+	addJSONFlag(c, &asJSON)
 	return c
 }
 
-// check prints the problems of a file. Its error has the exit code, and is printed here if the problems are.
-func check(out io.Writer, path, kind string, forScripts bool) error {
+// check prints the problems of a file. It returns an error with the exit code. If there are problems, that error is
+// silent, as they are printed already.
+func check(out io.Writer, path, kind string, asJSON bool) error {
 	checker, known := checkers[kind]
 	if !known {
 		return BadInput(fmt.Errorf("--kind %q is none of operator, problem, plan, change, config", kind))
@@ -73,7 +74,7 @@
 		return BadInput(err)
 	}
 	report := checkReport{File: path, Kind: kind, Problems: []string{}}
-	if err := printCheck(out, report, invalid, forScripts); err != nil {
+	if err := printCheck(out, report, invalid, asJSON); err != nil {
 		return err
 	}
 	if err != nil {
@@ -82,12 +83,12 @@
 	return nil
 }
 
-// printCheck prints the report for scripts, or a line a problem; invalid is nil if there are none.
-func printCheck(out io.Writer, report checkReport, invalid *schema.ValidationError, forScripts bool) error {
+// printCheck prints the report as JSON, or one line for each problem. invalid is nil if there are none.
+func printCheck(out io.Writer, report checkReport, invalid *schema.ValidationError, asJSON bool) error {
 	if invalid != nil {
 		report.Problems = invalid.Problems
 	}
-	if forScripts {
+	if asJSON {
 		return WriteJSON(out, report)
 	}
 	for _, problem := range report.Problems {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line of swiftreel: what people and scripts ask of it besides serving. Commands for
-// fleets are in a program of their own (package command/fleet).
+// Package command is the command line of swiftreel: the commands for operators and scripts besides serving. Commands
+// for fleets are in a separate program (package command/fleet).
 package command
 
 import (
@@ -12,10 +12,10 @@
 	"swiftreel/internal/version"
 )
 
-// ServeOptions is what the flags say of serving.
+// ServeOptions are the flags of the root command, which serves.
 type ServeOptions struct {
 	Trace    bool   // log every event and action of the module
-	Operator string // path of the operator's file; empty: ROUTER_OPERATOR names it, if there is one
+	Operator string // path of the operator's file; if empty, the value of ROUTER_OPERATOR
 }
 
 const rootHelp = `Without a command swiftreel serves: one controller, configured by ROUTER_CONFIG, ROUTER_NAME and
@@ -23,7 +23,7 @@
 
 Exit codes: 0 done, 1 serving failed, 2 bad input, 3 no answer fits; rollout has more.`
 
-// Run carries out a command line and returns the exit code. Without a command it calls serve.
+// Run executes a command line and returns the exit code. Without a command it calls serve.
 func Run(args []string, out, errOut io.Writer, serve func(ServeOptions) error) int {
 	var options ServeOptions
 	root := &cobra.Command{
@@ -45,12 +45,12 @@
 	root.Flags().BoolVar(&options.Trace, "trace", false, "log every event and action of the module")
 	root.Flags().StringVar(&options.Operator, "operator", "", "the operator's file; replaces ROUTER_OPERATOR")
 	root.AddCommand(solveCommand(), planCommand(), checkCommand(), versionCommand())
-	root.AddCommand(fleetCommands()...)
-	return Execute(root, withDoubleDashes(args), out, errOut)
+	root.AddCommand(forwardedCommands()...)
+	return Execute(root, replaceFormerTraceFlag(args), out, errOut)
 }
 
-// withDoubleDashes replaces the form that the trace flag had before there were commands.
-func withDoubleDashes(args []string) []string {
+// replaceFormerTraceFlag replaces -trace, the spelling of the flag before commands were introduced.
+func replaceFormerTraceFlag(args []string) []string {
 	replaced := make([]string, len(args))
 	for i, arg := range args {
 		if arg == "-trace" {
@@ -61,7 +61,7 @@
 	return replaced
 }
 
-// Execute carries out a command line by its root command and returns the exit code.
+// Execute executes a command line with a root command and returns the exit code.
 func Execute(root *cobra.Command, args []string, out, errOut io.Writer) int {
 	root.SetArgs(args)
 	root.SetOut(out)
@@ -72,12 +72,12 @@
 	}
 	exit := asExitError(err)
 	if !exit.printed {
-		_, _ = fmt.Fprintln(errOut, root.Name()+":", err) // the exit code tells it, too
+		_, _ = fmt.Fprintln(errOut, root.Name()+":", err) // if this fails, the exit code still reports the error
 	}
 	return exit.code
 }
 
-// WriteJSON writes a value for scripts.
+// WriteJSON writes a value as indented JSON.
 func WriteJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
@@ -85,6 +85,6 @@
 }
 
 // addJSONFlag adds the flag --json to a command.
-func addJSONFlag(c *cobra.Command, forScripts *bool) {
-	c.Flags().BoolVar(forScripts, "json", false, "for scripts")
+func addJSONFlag(c *cobra.Command, asJSON *bool) {
+	c.Flags().BoolVar(asJSON, "json", false, "for scripts")
 }
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -2,36 +2,37 @@
 
 import "errors"
 
-// The exit codes. Code 0 means that the command has done what it says.
+// Exit codes. 0 means success.
 const (
-	ExitFailed   = 1 // serving failed, or could not begin
-	ExitBadInput = 2 // a file or a flag cannot be used; every problem is printed
-	ExitNoFit    = 3 // no answer fits, or none was found in time
+	ExitFailed      = 1 // serving failed or could not start
+	ExitBadInput    = 2 // a file, flag or argument is invalid; every problem is printed
+	ExitUnsatisfied = 3 // no answer fits or was found in time, or not all controllers serve
 )
 
-// exitError is an error with the exit code that it leads to.
+// exitError is an error with an exit code.
 type exitError struct {
 	code    int
 	err     error
-	printed bool // its text is on the output already
+	printed bool // its message has already been printed
 }
 
-// Error returns the text of the error itself.
+// Error returns the message of the wrapped error.
 func (e exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the error without its exit code.
+// Unwrap returns the wrapped error.
 func (e exitError) Unwrap() error { return e.err }
 
 // Failure returns an error with an exit code.
 func Failure(code int, err error) error { return exitError{code: code, err: err} }
 
-// SilentFailure returns an error with an exit code whose text is on the output already.
+// SilentFailure returns an error with an exit code whose message has already been printed.
 func SilentFailure(code int, err error) error { return exitError{code: code, err: err, printed: true} }
 
-// BadInput returns an error of a file or a flag.
+// BadInput returns an error with the exit code for an invalid file, flag or argument.
 func BadInput(err error) error { return Failure(ExitBadInput, err) }
 
-// asExitError adds the code of bad input to an error without one: cobra's own, of a flag or an argument.
+// asExitError returns err with its exit code. Errors without one come from cobra's parsing of flags and arguments, so
+// they get the code for bad input.
 func asExitError(err error) exitError {
 	var withCode exitError
 	if errors.As(err, &withCode) {
--- a/internal/command/fleet/fleet_status.go
+++ b/internal/command/fleet/fleet_status.go
@@ -15,11 +15,11 @@
 	"swiftreel/internal/supervisor"
 )
 
-// controllerStatus is a controller's line in the status of a fleet.
+// controllerStatus is the entry of one controller in the status of a fleet.
 type controllerStatus struct {
 	supervisor.Status
 	Error         string   `json:"error,omitempty"`
-	UnknownFields []string `json:"unknown_fields,omitempty"` // that a supervisor of another version reports
+	UnknownFields []string `json:"unknown_fields,omitempty"` // reported by a supervisor of another version
 }
 
 var errNotAllServe = errors.New("not all controllers answer and serve")
@@ -48,7 +48,7 @@
 				return err
 			}
 			if !allServe(statuses) {
-				return command.SilentFailure(command.ExitNoFit, errNotAllServe)
+				return command.SilentFailure(command.ExitUnsatisfied, errNotAllServe)
 			}
 			return nil
 		},
@@ -98,7 +98,7 @@
 	return table.Flush()
 }
 
-// newTable aligns cells that are separated by tabs, once it is flushed.
+// newTable returns a writer that aligns tab-separated cells when it is flushed.
 func newTable(out io.Writer) *tabwriter.Writer {
 	const padding = 2
 	return tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
--- a/internal/command/fleet_program.go
+++ b/internal/command/fleet_program.go
@@ -9,25 +9,25 @@
 	"github.com/spf13/cobra"
 )
 
-// fleetProgram has the commands for fleets and stores. It is a program of its own, since hundreds of controllers would
-// each carry what it needs: consensus, storage, messages.
+// fleetProgram is the program with the commands for fleets and stores. It is separate from swiftreel, so that hundreds
+// of controllers do not each link the libraries that it needs: consensus, storage, messaging.
 const fleetProgram = "swiftreel-fleet"
 
-// fleetCommands are the commands of that program.
-func fleetCommands() []*cobra.Command {
-	formerSupervise := fleetCommand("keep", "")
+// forwardedCommands returns the commands that fleetProgram executes.
+func forwardedCommands() []*cobra.Command {
+	formerSupervise := forwardedCommand("keep", "")
 	formerSupervise.Hidden = true
 	return []*cobra.Command{
-		fleetCommand("supervise", "Supervise one controller: start it, restart it, take orders for it"),
+		forwardedCommand("supervise", "Supervise one controller: start it, restart it, take orders for it"),
 		formerSupervise,
-		fleetCommand("rollout", "Take a change through a fleet in stages"),
-		fleetCommand("fleet", "What the fleet's controllers report, and who leads it"),
-		fleetCommand("store", "Look at what a store holds"),
+		forwardedCommand("rollout", "Take a change through a fleet in stages"),
+		forwardedCommand("fleet", "What the fleet's controllers report, and who leads it"),
+		forwardedCommand("store", "Look at what a store holds"),
 	}
 }
 
-// fleetCommand passes a command on: the other program, beside this one, takes over the process.
-func fleetCommand(name, short string) *cobra.Command {
+// forwardedCommand returns a command that replaces this process by fleetProgram, which is in the same directory.
+func forwardedCommand(name, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:                name,
 		Short:              short,
--- a/internal/command/golden_test.go
+++ b/internal/command/golden_test.go
@@ -11,13 +11,14 @@
 	"swiftreel/internal/golden"
 )
 
-// testdata holds a problem, two plans for it and a faulty operator's file; the golden files hold what the commands say.
-func at(name string) string { return filepath.Join("testdata", name) }
+// testdata returns the path of a file in testdata, which has a problem, two plans for it, an invalid operator file
+// and the golden files with the output of the commands.
+func testdata(name string) string { return filepath.Join("testdata", name) }
 
-// varying is what depends on the build, the machine or the moment.
-var varying = []struct {
-	text *regexp.Regexp
-	put  string
+// replacements remove what depends on the build, the machine or the time from the output.
+var replacements = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`by (\w+) in [0-9.µmns]+`), "by $1 in TIME"},
 	{regexp.MustCompile(`"version": "[^"]*"`), `"version": "V"`},
@@ -29,53 +30,55 @@
 		`swiftreel V commit=C dirty=D digest=X $1 G`},
 }
 
-// What scripts and people read of the commands.
-func TestWhatTheCommandsSay(t *testing.T) {
+// The output and the exit codes of the commands are read by scripts and operators.
+func TestCommandOutputMatchesGoldenFiles(t *testing.T) {
 	for _, c := range []struct {
 		golden string
 		code   int
 		args   []string
 	}{
-		{"check-good.json", 0, []string{"check", "--json", "--kind", "plan", at("plan.json")}},
-		{"check-bad.json", ExitBadInput, []string{"check", "--json", at("operator-bad.json")}},
-		{"check-bad.txt", ExitBadInput, []string{"check", at("operator-bad.json")}},
-		{"check-kind.txt", ExitBadInput, []string{"check", "--kind", "none", at("plan.json")}},
-		{"check-missing.txt", ExitBadInput, []string{"check", at("none.json")}},
-		{"plan-show.json", 0, []string{"plan", "show", "--json", at("plan.json")}},
-		{"plan-show.txt", 0, []string{"plan", "show", at("plan.json")}},
-		{"plan-check.txt", 0, []string{"plan", "check", at("plan.json"), at("problem.json")}},
-		{"plan-check-other.txt", ExitBadInput, []string{"plan", "check", at("plan.json"), at("problem-none-fits.json")}},
-		{"plan-diff.json", 0, []string{"plan", "diff", "--json", at("plan.json"), at("plan-other.json")}},
-		{"plan-diff-none.json", 0, []string{"plan", "diff", "--json", at("plan.json"), at("plan.json")}},
-		{"plan-diff.txt", 0, []string{"plan", "diff", at("plan.json"), at("plan-other.json")}},
-		{"solve.json", 0, []string{"solve", "--json", "--method", "proportional", at("problem.json")}},
-		{"solve.txt", 0, []string{"solve", "--time", "20s", "--explain", at("problem.json")}},
-		{"solve-none-fits.json", ExitNoFit, []string{"solve", "--json", "--time", "20s", at("problem-none-fits.json")}},
-		{"solve-none-fits.txt", ExitNoFit, []string{"solve", "--time", "20s", at("problem-none-fits.json")}},
+		{"check-good.json", 0, []string{"check", "--json", "--kind", "plan", testdata("plan.json")}},
+		{"check-bad.json", ExitBadInput, []string{"check", "--json", testdata("operator-bad.json")}},
+		{"check-bad.txt", ExitBadInput, []string{"check", testdata("operator-bad.json")}},
+		{"check-kind.txt", ExitBadInput, []string{"check", "--kind", "none", testdata("plan.json")}},
+		{"check-missing.txt", ExitBadInput, []string{"check", testdata("none.json")}},
+		{"plan-show.json", 0, []string{"plan", "show", "--json", testdata("plan.json")}},
+		{"plan-show.txt", 0, []string{"plan", "show", testdata("plan.json")}},
+		{"plan-check.txt", 0, []string{"plan", "check", testdata("plan.json"), testdata("problem.json")}},
+		{"plan-check-other.txt", ExitBadInput,
+			[]string{"plan", "check", testdata("plan.json"), testdata("problem-none-fits.json")}},
+		{"plan-diff.json", 0, []string{"plan", "diff", "--json", testdata("plan.json"), testdata("plan-other.json")}},
+		{"plan-diff-none.json", 0, []string{"plan", "diff", "--json", testdata("plan.json"), testdata("plan.json")}},
+		{"plan-diff.txt", 0, []string{"plan", "diff", testdata("plan.json"), testdata("plan-other.json")}},
+		{"solve.json", 0, []string{"solve", "--json", "--method", "proportional", testdata("problem.json")}},
+		{"solve.txt", 0, []string{"solve", "--time", "20s", "--explain", testdata("problem.json")}},
+		{"solve-none-fits.json", ExitUnsatisfied,
+			[]string{"solve", "--json", "--time", "20s", testdata("problem-none-fits.json")}},
+		{"solve-none-fits.txt", ExitUnsatisfied, []string{"solve", "--time", "20s", testdata("problem-none-fits.json")}},
 		{"version.json", 0, []string{"version", "--json"}},
 		{"version.txt", 0, []string{"version"}},
 	} {
 		t.Run(c.golden, func(t *testing.T) {
 			var out bytes.Buffer
-			code := Run(c.args, &out, &out, func(ServeOptions) error { t.Error("it serves"); return nil })
+			code := Run(c.args, &out, &out, func(ServeOptions) error { t.Error("serve was called"); return nil })
 			if code != c.code {
 				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 			text := out.String()
-			for _, v := range varying {
-				text = v.text.ReplaceAllString(text, v.put)
+			for _, v := range replacements {
+				text = v.pattern.ReplaceAllString(text, v.replacement)
 			}
 			golden.Check(t, c.golden, []byte(text))
 		})
 	}
 }
 
-// A plan that solve writes is the one that --json tells, to the byte.
-func TestAPlanWrittenIsThePlanTold(t *testing.T) {
+// The plan file that solve writes is byte for byte the output of --json.
+func TestWrittenPlanEqualsPrintedPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.json")
 	var out bytes.Buffer
 	if code := Run(
-		[]string{"solve", "--json", "--method", "proportional", "--out", path, at("problem.json")},
+		[]string{"solve", "--json", "--method", "proportional", "--out", path, testdata("problem.json")},
 		&out,
 		&out,
 		nil,
@@ -84,15 +87,15 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil || string(text) != out.String() || !strings.HasSuffix(out.String(), "\n}\n") {
-		t.Errorf("%v: written\n%s\ntold\n%s", err, text, out.String())
+		t.Errorf("%v: plan file\n%s\noutput\n%s", err, text, out.String())
 	}
 	if left, err := filepath.Glob(path + "*"); err != nil || len(left) != 1 {
-		t.Errorf("left beside it: %v %v", left, err)
+		t.Errorf("files left behind: %v %v", left, err)
 	}
 }
 
-// The flags of serving, in the form of before there were commands as well.
-func TestTheFlagsOfServing(t *testing.T) {
+// The flags of serving, including the former spelling -trace.
+func TestServeFlags(t *testing.T) {
 	for _, c := range []struct {
 		args []string
 		want ServeOptions
--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -23,7 +23,7 @@
 }
 
 func planShowCommand() *cobra.Command {
-	var forScripts bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use:   "show PLAN.json",
 		Short: "Show a plan as a table",
@@ -34,17 +34,17 @@
 			if err != nil {
 				return BadInput(err)
 			}
-			if forScripts {
+			if asJSON {
 				return WriteJSON(c.OutOrStdout(), answer)
 			}
 			return renderAnswer(c.OutOrStdout(), typeNames(answer), answer, 0)
 		},
 	}
-	addJSONFlag(c, &forScripts)
+	addJSONFlag(c, &asJSON)
 	return c
 }
 
-// typeNames returns the job types of a plan.
+// typeNames returns the names of the job types of a plan.
 func typeNames(answer solve.Answer) []string {
 	var names []string
 	for _, served := range answer.Steps[0].Served {
@@ -88,7 +88,7 @@
 engine; nothing where nothing does. Exit codes: 0 told, 2 not usable.`
 
 func planDiffCommand() *cobra.Command {
-	var forScripts bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use:   "diff BEFORE.json AFTER.json",
 		Short: "Tell what changes from one plan to another",
@@ -104,13 +104,13 @@
 				return BadInput(err)
 			}
 			changes := plan.Diff(before, after)
-			if forScripts {
-				return WriteJSON(c.OutOrStdout(), append([]plan.Change{}, changes...)) // [] instead of null
+			if asJSON {
+				return WriteJSON(c.OutOrStdout(), append([]plan.Change{}, changes...)) // an empty list is encoded as [], not null
 			}
 			return renderChanges(c.OutOrStdout(), changes)
 		},
 	}
-	addJSONFlag(c, &forScripts)
+	addJSONFlag(c, &asJSON)
 	return c
 }
 
--- a/internal/command/render.go
+++ b/internal/command/render.go
@@ -11,18 +11,18 @@
 	"swiftreel/internal/solve"
 )
 
-// barLength is the length of the bar of an engine that is fully used.
+// barLength is the number of characters of the usage bar of an engine.
 const barLength = 30
 
-// Denominators of values and shares in plans.
+// Units of values and shares in plans.
 const (
 	perMillion        = 1e6
-	perMillionPercent = perMillion / 100 // of shares in percent
+	perMillionPercent = perMillion / 100 // converts shares to percent
 )
 
-// renderAnswer writes an answer as tables; types are the columns.
+// renderAnswer writes an answer as tables. types are the names of the job types, one column each.
 func renderAnswer(out io.Writer, types []string, answer solve.Answer, took time.Duration) error {
-	var text bytes.Buffer // whose writes cannot fail
+	var text bytes.Buffer // writes to it cannot fail
 	table := tabwriter.NewWriter(&text, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintf(table, "%s by %s in %v\n", answer.Status, answer.Method, took.Round(time.Millisecond))
 	if len(answer.Steps) == 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-// renderObjective writes the three parts of the objective with their bounds.
+// renderObjective writes the three components of the objective with their bounds.
 func renderObjective(table io.Writer, a solve.Answer) {
 	_, _ = fmt.Fprintf(table, "billed value a second\t%.6f\tat most %.6f\tgap %.4f%%\tproved %v\n",
 		float64(a.Value)/perMillion, float64(a.Bound)/perMillion, 100*a.Gap, a.Proved.Value)
@@ -73,7 +73,7 @@
 	}
 }
 
-// renderEngines writes a line an engine, a column a type, and a bar of how far the engine is used.
+// renderEngines writes a table with one row for each engine: the threads of each job type and a usage bar.
 func renderEngines(table io.Writer, types []string, step solve.Step) {
 	type cell struct{ engine, jobType string }
 	threads := map[cell]int64{}
@@ -96,7 +96,7 @@
 	}
 }
 
-// renderTotals writes what each type and each tenant gets.
+// renderTotals writes the threads of each job type and each tenant.
 func renderTotals(table io.Writer, step solve.Step) {
 	_, _ = fmt.Fprintln(table, "\ntype\tthreads given\tasked for")
 	for _, served := range step.Served {
@@ -109,7 +109,7 @@
 	}
 }
 
-// renderBinding writes which limits bind, and what one more unit of each would bring.
+// renderBinding writes the binding limits, and the gain from one more unit of each.
 func renderBinding(table io.Writer, list []solve.Binding) {
 	if len(list) == 0 {
 		return
--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -23,11 +23,11 @@
 
 // solveOptions are the flags of solve.
 type solveOptions struct {
-	method     string
-	timeLimit  time.Duration
-	explain    bool
-	forScripts bool
-	outPath    string // empty: the plan is not written
+	method    string
+	timeLimit time.Duration
+	explain   bool
+	asJSON    bool
+	outPath   string // if empty, the plan is not written
 }
 
 func solveCommand() *cobra.Command {
@@ -47,7 +47,7 @@
 	flags.DurationVar(&options.timeLimit, "time", time.Second, "when it ends with what it has")
 	flags.BoolVar(&options.explain, "explain", false, "also what binds, and what one more unit of it would bring")
 	flags.StringVar(&options.outPath, "out", "", "write the plan here")
-	addJSONFlag(c, &options.forScripts)
+	addJSONFlag(c, &options.asJSON)
 	return c
 }
 
@@ -76,7 +76,7 @@
 			return BadInput(err)
 		}
 	}
-	if options.forScripts {
+	if options.asJSON {
 		err = WriteJSON(out, answer)
 	} else {
 		err = renderAnswer(out, problemTypes(problem), answer, time.Since(startedAt))
@@ -85,7 +85,7 @@
 		return err
 	}
 	if answer.Status == solve.Infeasible || answer.Status == solve.Unknown {
-		return SilentFailure(ExitNoFit, errors.New(answer.Status))
+		return SilentFailure(ExitUnsatisfied, errors.New(answer.Status))
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 	return names
 }
 
-// writePlan writes a plan beside its place and then moves it there, so that nobody reads half of it.
+// writePlan writes a plan to a temporary file and renames that to path, so that readers never see a partial plan.
 func writePlan(path string, answer solve.Answer) error {
 	text, err := json.MarshalIndent(answer, "", " ")
 	if err != nil {
--- a/internal/command/version.go
+++ b/internal/command/version.go
@@ -9,7 +9,7 @@
 )
 
 func versionCommand() *cobra.Command {
-	var forScripts bool
+	var asJSON bool
 	c := &cobra.Command{
 		Use:   "version",
 		Short: "Version, commit and digest of this build, and what it reads",
@@ -19,7 +19,7 @@
 			if err != nil {
 				return Failure(ExitFailed, err)
 			}
-			if forScripts {
+			if asJSON {
 				return WriteJSON(c.OutOrStdout(), build)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "swiftreel %s commit=%s dirty=%v digest=%s formats=%v schemas=%v %s\n",
@@ -27,6 +27,6 @@
 			return err
 		},
 	}
-	addJSONFlag(c, &forScripts)
+	addJSONFlag(c, &asJSON)
 	return c
 }
