--- a/internal/command/fleet/coordinate.go
+++ b/internal/command/fleet/coordinate.go
@@ -14,18 +14,18 @@
 	"swiftreel/internal/rollout"
 )
 
-// The exit codes of a rollout, beside those of package command.
+// Exit codes of a rollout, in addition to those of package command.
 const (
-	ExitReverted = 4 // the change did worse, or was to be rolled back, and all are on the old version
-	ExitStopped  = 5 // by an operator, or before anything changed
-	ExitFenced   = 6 // another process coordinates
+	ExitReverted = 4 // the change regressed or its rollback was requested, and all controllers run the old version
+	ExitStopped  = 5 // stopped by an operator, or before anything changed
+	ExitFenced   = 6 // another process is the coordinator
 )
 
 // beginFunc records a new change in a store.
 type beginFunc func(context.Context, *coordinator.RecordStore, *coordinator.FleetClient) error
 
-// coordinate carries the change in a folder on until it ends, or a signal ends the process. Where begin is not nil, it
-// begins a new change first.
+// coordinate takes over the change that is recorded in a folder and runs it until it ends or a signal arrives. If begin
+// is not nil, it first records a new change.
 func coordinate(operatorFile, folder string, begin beginFunc) error {
 	defer logging.Setup(os.Stderr)()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -62,7 +62,7 @@
 	return outcome(coordinating.State())
 }
 
-// outcome maps the state of a change that has ended to an exit code.
+// outcome returns the error, with its exit code, of a change that has ended; nil if the change was completed.
 func outcome(state rollout.State) error {
 	switch state.Phase {
 	case rollout.PhaseReverted:
--- a/internal/command/fleet/deprecated.go
+++ b/internal/command/fleet/deprecated.go
@@ -7,35 +7,35 @@
 	"github.com/spf13/pflag"
 )
 
-// replacedBy is the annotation of a command or flag under its former name; its value is the present name.
-const replacedBy = "replaced-by"
+// replacedByAnnotation marks a command or flag that is a deprecated alias. Its value is the present name.
+const replacedByAnnotation = "replaced-by"
 
-// formerName makes a command a hidden one under its former name, so that operators' scripts go on. use is the former
+// formerName turns cmd into a hidden alias under its former name, for the sake of operators' scripts. use is the former
 // name with its arguments.
 func formerName(use, presentName string, cmd *cobra.Command) *cobra.Command {
 	cmd.Use = use
 	cmd.Hidden = true
-	cmd.Annotations = map[string]string{replacedBy: presentName}
+	cmd.Annotations = map[string]string{replacedByAnnotation: presentName}
 	return cmd
 }
 
-// formerBoolFlag adds a hidden flag under its former name, which sets the same variable.
+// formerBoolFlag adds a hidden alias of a flag under its former name, which sets the same variable.
 func formerBoolFlag(flags *pflag.FlagSet, variable *bool, former, presentName string) {
 	flags.BoolVar(variable, former, false, "former name of --"+presentName)
 	flag := flags.Lookup(former)
 	flag.Hidden = true
-	flag.Annotations = map[string][]string{replacedBy: {"--" + presentName}}
+	flag.Annotations = map[string][]string{replacedByAnnotation: {"--" + presentName}}
 }
 
-// warnDeprecated prints a line on the error stream for each former name that a command line uses. The output stream
-// is left alone: scripts read it.
+// warnDeprecated prints a warning to stderr for each former name on the command line. Nothing is written to stdout, as
+// scripts parse it.
 func warnDeprecated(cmd *cobra.Command, _ []string) {
 	errs := cmd.ErrOrStderr()
-	if present := cmd.Annotations[replacedBy]; present != "" {
+	if present := cmd.Annotations[replacedByAnnotation]; present != "" {
 		fmt.Fprintf(errs, "%s is deprecated, use %s\n", cmd.CommandPath(), present)
 	}
 	cmd.Flags().Visit(func(flag *pflag.Flag) {
-		for _, present := range flag.Annotations[replacedBy] {
+		for _, present := range flag.Annotations[replacedByAnnotation] {
 			fmt.Fprintf(errs, "--%s is deprecated, use %s\n", flag.Name, present)
 		}
 	})
--- a/internal/command/fleet/fleet.go
+++ b/internal/command/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet is the command line for fleets of controllers: supervisors, rollouts, the fleet's leader and the
-// stores of controllers. It parses arguments, prints results and maps errors to exit codes; the work is done by the
-// packages that it calls. A command line belongs to one goroutine.
+// stores of controllers. It parses arguments, prints results and maps errors to exit codes; the packages that it calls
+// do the work. A command line must be used by one goroutine only.
 package fleet
 
 import (
--- a/internal/command/fleet/leader.go
+++ b/internal/command/fleet/leader.go
@@ -10,7 +10,7 @@
 	"swiftreel/internal/command"
 )
 
-// votersCommand makes a command that speaks with the fleet's voters.
+// votersCommand completes a command that sends requests to the fleet's voters.
 func votersCommand(cmd *cobra.Command, run func(*cobra.Command, *voters, []string) error) *cobra.Command {
 	var file string
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -38,13 +38,13 @@
 	return votersCommand(cmd, func(cmd *cobra.Command, voters *voters, _ []string) error {
 		polled := voters.poll(cmd.Context())
 		if asJSON {
-			return command.WriteJSON(cmd.OutOrStdout(), polled.views)
+			return command.WriteJSON(cmd.OutOrStdout(), polled.statuses)
 		}
 		return voters.print(cmd.OutOrStdout(), polled)
 	})
 }
 
-func (v *voters) print(out io.Writer, polled voterViews) error {
+func (v *voters) print(out io.Writer, polled pollResult) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "VOTER\tOWNER\tREIGN\tACTS\tVOTERS\tNOTE")
 	for _, name := range v.fleet.Voters {
@@ -52,12 +52,12 @@
 			fmt.Fprintf(table, "%s\t?\t\t\t\t%v\n", name, err)
 			continue
 		}
-		view := polled.views[name]
-		note := view.Halted
-		if view.ID == 0 {
+		status := polled.statuses[name]
+		note := status.Halted
+		if status.ID == 0 {
 			note = "of no fleet yet: swiftreel fleet bootstrap, or replace-voter"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\t%s\n", name, view.Leader, view.Term, view.Active, view.Voters, note)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\t%s\n", name, status.Leader, status.Term, status.Active, status.Voters, note)
 	}
 	return table.Flush()
 }
@@ -75,13 +75,13 @@
 			if err := polled.errors[name]; err != nil {
 				return err
 			}
-			if id := polled.views[name].ID; id != 0 {
+			if id := polled.statuses[name].ID; id != 0 {
 				return fmt.Errorf("%s is a member already, number %d", name, id)
 			}
 		}
-		members := voters.newMembers()
+		ids := voters.newMemberIDs()
 		for _, name := range voters.fleet.Voters {
-			request := bootstrapRequest{ID: members.ids[name], Names: members.names}
+			request := bootstrapRequest{ID: ids.idByName[name], Names: ids.nameByID}
 			if err := voters.post(cmd.Context(), name, bootstrapPath, request); err != nil {
 				return err
 			}
@@ -99,7 +99,7 @@
 			if err == nil {
 				err = voters.post(cmd.Context(), name, stepDownPath, struct{}{})
 			}
-			// A leader that was just elected refuses: it knows of nobody yet who could take over.
+			// A leader that was just elected refuses, as it does not know yet which voter could take over.
 			if err == nil || time.Now().After(deadline) {
 				return err
 			}
--- a/internal/command/fleet/membership.go
+++ b/internal/command/fleet/membership.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// remove has the leader remove a voter, until it is seen to be removed.
+// remove asks the leader to remove a voter, and retries until the leader's status no longer lists it.
 func (v *voters) remove(ctx context.Context, voter string) error {
 	var lastError error
 	for deadline := time.Now().Add(leaderTimeout); time.Now().Before(deadline); time.Sleep(memberRetryDelay) {
@@ -33,8 +33,8 @@
 		if err != nil {
 			return err
 		}
-		view := v.poll(ctx).views[name]
-		if len(view.Voters) > 0 && !slices.Contains(view.Voters, voter) {
+		status := v.poll(ctx).statuses[name]
+		if len(status.Voters) > 0 && !slices.Contains(status.Voters, voter) {
 			return nil // by this request or an earlier one
 		}
 		lastError = v.post(ctx, name, removePath, voter)
@@ -56,7 +56,8 @@
 	})
 }
 
-// replace has a voter start as a new member and the leader take it in, until it is seen to vote.
+// replace starts a voter as a new member, asks the leader to add it, and retries until the voter's status shows that it
+// votes.
 func (v *voters) replace(ctx context.Context, voter string) error {
 	id := newMemberID()
 	if err := v.post(ctx, voter, bootstrapPath, bootstrapRequest{ID: id}); err != nil {
@@ -69,17 +70,17 @@
 		}
 		request := joinRequest{Names: map[uint64]string{id: voter}}
 		if err := v.post(ctx, name, joinPath, request); err != nil {
-			continue // another member is being changed, or this one catches up
+			continue // another membership change is in progress, or this voter is still catching up
 		}
-		if v.votesAs(v.poll(ctx).views[voter], voter, id) {
+		if v.votesAs(v.poll(ctx).statuses[voter], voter, id) {
 			return nil
 		}
 	}
 	return fmt.Errorf("%s has not caught up in its time: try replace-voter again", voter)
 }
 
-// votesAs reports whether a voter's view shows that it votes under a number, in a complete group with a leader.
-func (v *voters) votesAs(view leader.Status, voter string, id uint64) bool {
-	isComplete := len(view.Voters) == len(v.fleet.Voters) && slices.Contains(view.Voters, voter)
-	return view.ID == id && isComplete && view.RaftLeader != ""
+// votesAs reports whether a voter's status shows that it votes with a member ID, in a complete group with a leader.
+func (v *voters) votesAs(status leader.Status, voter string, id uint64) bool {
+	isComplete := len(status.Voters) == len(v.fleet.Voters) && slices.Contains(status.Voters, voter)
+	return status.ID == id && isComplete && status.RaftLeader != ""
 }
--- a/internal/command/fleet/operator_file.go
+++ b/internal/command/fleet/operator_file.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	operatorVariable  = "ROUTER_OPERATOR" // names the operator's file where no flag does
+	operatorVariable  = "ROUTER_OPERATOR" // environment variable; --operator takes precedence
 	operatorFlagUsage = "the operator's file; above ROUTER_OPERATOR"
 	jsonFlagUsage     = "for scripts"
 )
 
-// supervisorTimeout is how long a supervisor may take for an answer.
+// supervisorTimeout is the timeout of a request to a supervisor.
 const supervisorTimeout = 2 * time.Second
 
-// loadFleet reads the fleet of an operator's file; an empty path stands for the one that ROUTER_OPERATOR names.
+// loadFleet reads the section fleet of an operator's file. If path is empty, ROUTER_OPERATOR names the file.
 func loadFleet(path string) (*operator.Fleet, error) {
 	if path == "" {
 		path = os.Getenv(operatorVariable)
@@ -38,7 +38,7 @@
 	return file.Fleet, nil
 }
 
-// newFleetClient returns a client that waits for each supervisor until its timeout.
+// newFleetClient returns a client whose polls wait for every supervisor until its timeout.
 func newFleetClient(fleet *operator.Fleet) *coordinator.FleetClient {
 	return coordinator.NewFleetClient(fleet.Members, supervisorTimeout, supervisorTimeout)
 }
--- a/internal/command/fleet/recover.go
+++ b/internal/command/fleet/recover.go
@@ -30,7 +30,8 @@
 
 var errNotConfirmed = errors.New("what this loses stands in --help; say --the-others-lost-their-memory")
 
-// recover has all voters begin anew with what one has retained, under a term above every one that was in force.
+// recover restarts the voters as a new group with the state that one of them has retained. The new term is above every
+// term that the voters or supervisors know, so that supervisors accept the new leader's orders.
 func (v *voters) recover(ctx context.Context, source string, confirmed bool) error {
 	latestTerm, err := v.checkRecoverable(ctx, source)
 	if err != nil {
@@ -44,7 +45,7 @@
 			latestTerm = max(latestTerm, uint64(reply.Status.Fence.Term))
 		}
 	}
-	text, err := v.get(ctx, source, replicaPath)
+	text, err := v.get(ctx, source, replicatedStatePath)
 	if err != nil {
 		return err
 	}
@@ -52,13 +53,13 @@
 	if err := json.Unmarshal(text, &retained); err != nil {
 		return err
 	}
-	members := v.newMembers()
+	ids := v.newMemberIDs()
 	for _, name := range v.fleet.Voters {
 		request := bootstrapRequest{
 			Recover:  true,
-			ID:       members.ids[name],
+			ID:       ids.idByName[name],
 			Retained: &retained,
-			Names:    members.names,
+			Names:    ids.nameByID,
 			Term:     latestTerm + 1,
 		}
 		if err := v.post(ctx, name, bootstrapPath, request); err != nil {
@@ -68,30 +69,31 @@
 	return nil
 }
 
-// checkRecoverable returns the latest term that a voter knows, or why the fleet must not begin anew from the source.
+// checkRecoverable returns the latest term that any voter knows, or an error if the fleet must not be recovered from
+// the state of source.
 func (v *voters) checkRecoverable(ctx context.Context, source string) (uint64, error) {
 	polled := v.poll(ctx)
-	sourceView := polled.views[source]
+	sourceStatus := polled.statuses[source]
 	withState := 0
 	latestTerm := uint64(0)
 	for _, name := range v.fleet.Voters {
 		if err := polled.errors[name]; err != nil {
 			return 0, fmt.Errorf("%s does not answer: %w", name, err)
 		}
-		view := polled.views[name]
-		latestTerm = max(latestTerm, view.RaftTerm, uint64(view.Term))
-		if view.ID != 0 {
+		status := polled.statuses[name]
+		latestTerm = max(latestTerm, status.RaftTerm, uint64(status.Term))
+		if status.ID != 0 {
 			withState++
 		}
-		if view.Term > sourceView.Term {
-			return 0, fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, view.Term, source, sourceView.Term)
+		if status.Term > sourceStatus.Term {
+			return 0, fmt.Errorf("%s knows reign %d, %s %d: recover from that", name, status.Term, source, sourceStatus.Term)
 		}
 	}
 	if 2*withState > len(v.fleet.Voters) {
 		return 0, fmt.Errorf("%d of %d voters have their memory: they agree by themselves; "+
 			"take the others in by replace-voter", withState, len(v.fleet.Voters))
 	}
-	if sourceView.ID == 0 {
+	if sourceStatus.ID == 0 {
 		return 0, fmt.Errorf("%s has no memory", source)
 	}
 	return latestTerm, nil
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -14,11 +14,11 @@
 	"swiftreel/internal/schema"
 )
 
-// rolloutOptions are the flags of the command rollout that its subcommands share.
+// rolloutOptions are the persistent flags of the command rollout.
 type rolloutOptions struct {
 	folder       string
 	operatorFile string
-	replicated   bool // the fleet's leader coordinates
+	replicated   bool // the fleet's leader is the coordinator
 }
 
 func rolloutCommand() *cobra.Command {
@@ -110,7 +110,7 @@
 	}
 }
 
-// submit leaves an operator's request for whoever coordinates.
+// submit passes an operator's request to the coordinator.
 func (o *rolloutOptions) submit(ctx context.Context, request rollout.Request) error {
 	if o.replicated {
 		return postToLeader(ctx, o.operatorFile, requestPath, coordinator.OperatorRequest{Request: request})
--- a/internal/command/fleet/rollout_status.go
+++ b/internal/command/fleet/rollout_status.go
@@ -15,7 +15,7 @@
 	"swiftreel/internal/rollout"
 )
 
-// changeStatus is where a change stands, for scripts.
+// changeStatus is the JSON output of rollout status.
 type changeStatus struct {
 	Number   int64         `json:"number"`
 	Kind     change.Kind   `json:"kind"`
@@ -63,7 +63,7 @@
 	return status
 }
 
-// readRecord returns the change in the folder, or the one that the fleet's leader coordinates.
+// readRecord returns the record of the change in the folder, or of the one that the fleet's leader coordinates.
 func (o *rolloutOptions) readRecord(ctx context.Context) (record coordinator.Record, found bool, err error) {
 	if !o.replicated {
 		return coordinator.UnlockedFolder(o.folder).Record()
--- a/internal/command/fleet/store.go
+++ b/internal/command/fleet/store.go
@@ -13,14 +13,14 @@
 	"swiftreel/internal/store"
 )
 
-// maxRetainedAnswers bounds the answers that are held in memory while a store is inspected.
+// maxRetainedAnswers limits the answers that are held in memory while a store is inspected.
 const maxRetainedAnswers = 10_000
 
-// storeContents is what a store holds.
+// storeContents is the result of reading a store.
 type storeContents struct {
-	found  store.Report
-	jobs   *recovery.Ledger
-	byKind map[store.Kind]int // records
+	report        store.Report
+	jobs          *recovery.Ledger
+	recordsByKind map[store.Kind]int
 }
 
 func storeCommand() *cobra.Command {
@@ -29,7 +29,7 @@
 	return root
 }
 
-// readStoreCommand makes a command that reads a store and prints something of it.
+// readStoreCommand returns a command that reads a store and prints its contents with show.
 func readStoreCommand(name, short string, show func(io.Writer, storeContents) error) *cobra.Command {
 	return &cobra.Command{
 		Use:   name + " FOLDER",
@@ -48,12 +48,12 @@
 }
 
 func readStore(folder string) (storeContents, error) {
-	contents := storeContents{jobs: recovery.NewLedger(maxRetainedAnswers), byKind: map[store.Kind]int{}}
-	found, err := store.Inspect(store.ReadOnlyDirectory(folder), func(record store.Record) error {
-		contents.byKind[record.Kind]++
+	contents := storeContents{jobs: recovery.NewLedger(maxRetainedAnswers), recordsByKind: map[store.Kind]int{}}
+	report, err := store.Inspect(store.ReadOnlyDirectory(folder), func(record store.Record) error {
+		contents.recordsByKind[record.Kind]++
 		return contents.jobs.Apply(record)
 	})
-	contents.found = found
+	contents.report = report
 	return contents, err
 }
 
@@ -82,14 +82,14 @@
 
 func printVerified(out io.Writer, contents storeContents) error {
 	open, answered := contents.jobs.Size()
-	found := contents.found
+	report := contents.report
 	fmt.Fprintf(out, "%d records, %d jobs open, %d answers kept; %d bytes of a torn tail; %d bits to mend; "+
 		"%d files left behind\n",
-		found.Records, open, answered, found.TornBytes, len(found.RepairedBits), len(found.RemovedFiles))
-	for _, kind := range slices.Sorted(maps.Keys(contents.byKind)) {
-		fmt.Fprintf(out, "  kind %d: %d\n", kind, contents.byKind[kind])
+		report.Records, open, answered, report.TornBytes, len(report.RepairedBits), len(report.RemovedFiles))
+	for _, kind := range slices.Sorted(maps.Keys(contents.recordsByKind)) {
+		fmt.Fprintf(out, "  kind %d: %d\n", kind, contents.recordsByKind[kind])
 	}
-	for _, bit := range found.RepairedBits {
+	for _, bit := range report.RepairedBits {
 		fmt.Fprintln(out, "  a wrong bit:", bit)
 	}
 	return nil
--- a/internal/command/fleet/store_test.go
+++ b/internal/command/fleet/store_test.go
@@ -11,7 +11,7 @@
 	"swiftreel/internal/store"
 )
 
-func TestAStoreIsLookedAtAndNotChanged(t *testing.T) {
+func TestStoreCommandsDoNotModifyTheStore(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	f, err := store.OpenDirectory(dir)
 	if err != nil {
@@ -43,7 +43,7 @@
 		code := Run(append([]string{"store"}, args...), &out, &errs)
 		return out.String() + errs.String(), code
 	}
-	// Another process has it: it can be looked at all the same.
+	// The store can be inspected while another process has it open.
 	if text, code := run("verify", dir); code != 0 ||
 		!strings.Contains(text, "3 records, 2 jobs open, 0 answers kept") {
 		t.Errorf("%d %s", code, text)
@@ -58,19 +58,19 @@
 	if err != nil || len(names) != 1 {
 		t.Fatal(names, err)
 	}
-	text2, err := os.ReadFile(names[0])
+	damaged, err := os.ReadFile(names[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	text2[70] ^= 0xff
-	text2[80] ^= 0xff
-	if err := os.WriteFile(names[0], text2, 0o600); err != nil {
+	damaged[70] ^= 0xff
+	damaged[80] ^= 0xff
+	if err := os.WriteFile(names[0], damaged, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if text, code := run("verify", dir); code != 2 || !strings.Contains(text, filepath.Base(names[0])+", offset") {
 		t.Errorf("%d %s", code, text)
 	}
-	if now, err := os.ReadFile(names[0]); err != nil || !bytes.Equal(now, text2) {
-		t.Error("looking at it changes it")
+	if now, err := os.ReadFile(names[0]); err != nil || !bytes.Equal(now, damaged) {
+		t.Error("verify modified the file")
 	}
 }
--- a/internal/command/fleet/supervise.go
+++ b/internal/command/fleet/supervise.go
@@ -22,7 +22,7 @@
 	"swiftreel/internal/supervisor"
 )
 
-// Bounds of the HTTP server of a supervisor.
+// Limits of a supervisor's HTTP server.
 const (
 	readTimeout    = 5 * time.Second
 	writeTimeout   = 10 * time.Second
@@ -33,7 +33,7 @@
 // superviseOptions are the flags of the command supervise.
 type superviseOptions struct {
 	operatorFile string
-	stateFolder  string
+	stateDir     string
 	name         string
 }
 
@@ -52,13 +52,13 @@
 	}
 	flags := supervise.Flags()
 	addOperatorFlag(supervise, &options.operatorFile)
-	flags.StringVar(&options.stateFolder, "state", "keep",
+	flags.StringVar(&options.stateDir, "state", "keep",
 		"a folder of this supervisor's own that outlives it: the order that it holds")
 	flags.StringVar(&options.name, "name", "", "above ROUTER_NAME")
 	return supervise
 }
 
-// withEnvironment fills in what no flag states.
+// withEnvironment replaces empty options by the values of environment variables.
 func (o superviseOptions) withEnvironment() superviseOptions {
 	if o.name == "" {
 		o.name = os.Getenv("ROUTER_NAME")
@@ -69,7 +69,7 @@
 	return o
 }
 
-// run supervises until a signal ends it.
+// run supervises a controller until SIGTERM or SIGINT arrives.
 func (o superviseOptions) run() error {
 	fleet, err := loadFleet(o.operatorFile)
 	if err != nil {
@@ -79,8 +79,8 @@
 	if !found {
 		return command.BadInput(fmt.Errorf("%s: /fleet/members: no %q", o.operatorFile, o.name))
 	}
-	// Controllers inherit it: one that has just been started may be told to reload before it catches signals, and must
-	// not end by that. It reads the files after it has begun to catch them.
+	// Controllers inherit this disposition. Otherwise a reload would terminate a controller that has just been started
+	// and does not catch SIGHUP yet. No reload is lost: it reads its files after it has begun to catch signals.
 	signal.Ignore(syscall.SIGHUP)
 	supervised, err := o.newSupervisor(fleet)
 	if err != nil {
@@ -101,7 +101,7 @@
 		defer node.Close()
 	}
 	server := newServer(mux)
-	go func() { _ = server.Serve(listener) }() // it ends as the server is closed below
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed below
 	defer server.Close()
 	slog.Info("supervising", "name", o.name, "address", listener.Addr(), "spec", supervised.Status().Spec.Digest())
 	if err := supervised.Run(ctx); err != nil {
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// newServer returns the HTTP server of a supervisor, with its bounds.
+// newServer returns a supervisor's HTTP server with its limits.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:        handler,
@@ -132,7 +132,7 @@
 	}
 	return supervisor.New(supervisor.Options{
 		Name:         o.name,
-		StateDir:     o.stateFolder,
+		StateDir:     o.stateDir,
 		OperatorFile: o.operatorFile,
 		ProgramPath:  program,
 		DrainTimeout: time.Duration(fleet.DrainMS) * time.Millisecond,
@@ -141,15 +141,15 @@
 	})
 }
 
-// startVoter has the process take part in the election of the fleet's leader, and do the leader's duties while it
-// leads. The duties end with ctx.
+// startVoter makes the process a voter in the election of the fleet's leader. While it is the leader, it performs the
+// leader's duties, until ctx is done.
 func (o superviseOptions) startVoter(ctx context.Context, fleet *operator.Fleet,
 	mux *http.ServeMux) (*leader.Node, error) {
 	addresses := map[string]string{}
 	for _, member := range fleet.Members {
 		addresses[member.Name] = member.Address()
 	}
-	node, err := leader.Open(o.name, filepath.Join(o.stateFolder, "owner.db"), addresses, leader.DefaultTiming())
+	node, err := leader.Open(o.name, filepath.Join(o.stateDir, "owner.db"), addresses, leader.DefaultTiming())
 	if err != nil {
 		return nil, command.Failure(command.ExitFailed, err)
 	}
--- a/internal/command/fleet/voters.go
+++ b/internal/command/fleet/voters.go
@@ -16,23 +16,24 @@
 	"swiftreel/internal/operator"
 )
 
-// Paths that voters serve.
+// Paths of the HTTP API of voters.
 const (
-	viewPath      = "/v1/owner"
-	replicaPath   = "/v1/owner/agreed"
-	recordPath    = "/v1/owner/item?name=change.json"
-	changePath    = "/v1/owner/change"
-	requestPath   = "/v1/owner/wish"
-	bootstrapPath = "/v1/owner/found"
-	joinPath      = "/v1/owner/join"
-	removePath    = "/v1/owner/forget"
-	stepDownPath  = "/v1/owner/step-down"
+	voterStatusPath     = "/v1/owner"
+	replicatedStatePath = "/v1/owner/agreed"
+	recordPath          = "/v1/owner/item?name=change.json"
+	changePath          = "/v1/owner/change"
+	requestPath         = "/v1/owner/wish"
+	bootstrapPath       = "/v1/owner/found"
+	joinPath            = "/v1/owner/join"
+	removePath          = "/v1/owner/forget"
+	stepDownPath        = "/v1/owner/step-down"
 )
 
-// Times of requests to voters. The log changes one member at a time, so what it refuses is retried.
+// Timeouts and limits of requests to voters. The replicated log changes one member at a time, so refused changes are
+// retried.
 const (
 	voterTimeout       = 2 * supervisorTimeout
-	leaderTimeout      = 10 * time.Second // an election, and more
+	leaderTimeout      = 10 * time.Second // longer than an election takes
 	catchUpTimeout     = 3 * leaderTimeout
 	leaderRetryDelay   = 100 * time.Millisecond
 	memberRetryDelay   = 200 * time.Millisecond
@@ -40,7 +41,7 @@
 	maxVoterErrorBytes = 500
 )
 
-// voters are the members of a fleet that elect its leader.
+// voters is a client of the fleet members that elect the leader.
 type voters struct {
 	fleet *operator.Fleet
 	http  http.Client
@@ -73,7 +74,7 @@
 }
 
 func (v *voters) do(ctx context.Context, name, method, path string, body []byte) ([]byte, error) {
-	member, _ := v.fleet.Member(name) // an unknown name has no address, and the request fails
+	member, _ := v.fleet.Member(name) // an unknown name has no address, so the request fails
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+member.Address()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -93,36 +94,36 @@
 	return text, nil
 }
 
-// voterViews is what the voters report of the election, or why they do not, by name.
-type voterViews struct {
-	views  map[string]leader.Status
-	errors map[string]error
+// pollResult has the status of each voter, or the error of its request, by name.
+type pollResult struct {
+	statuses map[string]leader.Status
+	errors   map[string]error
 }
 
-func (v *voters) poll(ctx context.Context) voterViews {
-	polled := voterViews{views: map[string]leader.Status{}, errors: map[string]error{}}
+func (v *voters) poll(ctx context.Context) pollResult {
+	polled := pollResult{statuses: map[string]leader.Status{}, errors: map[string]error{}}
 	for _, name := range v.fleet.Voters {
-		var view leader.Status
-		text, err := v.get(ctx, name, viewPath)
+		var status leader.Status
+		text, err := v.get(ctx, name, voterStatusPath)
 		if err == nil {
-			err = json.Unmarshal(text, &view)
+			err = json.Unmarshal(text, &status)
 		}
 		if err != nil {
 			polled.errors[name] = err
 			continue
 		}
-		polled.views[name] = view
+		polled.statuses[name] = status
 	}
 	return polled
 }
 
-// awaitLeader returns the name of the leader. There may be none for a while after one is lost.
+// awaitLeader returns the name of the leader. It retries, as there is no leader for a while after one is lost.
 func (v *voters) awaitLeader(ctx context.Context) (string, error) {
 	deadline := time.Now().Add(leaderTimeout)
 	for {
 		polled := v.poll(ctx)
 		for _, name := range v.fleet.Voters {
-			if polled.views[name].Active {
+			if polled.statuses[name].Active {
 				return name, nil
 			}
 		}
@@ -134,7 +135,7 @@
 	}
 }
 
-// postToLeader sends the leader a request.
+// postToLeader sends a request to the fleet's leader.
 func postToLeader(ctx context.Context, operatorFile, path string, body any) error {
 	voters, err := loadVoters(operatorFile)
 	if err != nil {
@@ -150,37 +151,38 @@
 	return nil
 }
 
-// newMemberID returns a number for a new member of the replicated log. It is never 0, which stands for none, and fits
+// newMemberID returns a random ID for a new member of the replicated log. It is never 0, which means none, and fits
 // into 63 bits.
 func newMemberID() uint64 { return rand.Uint64()>>1 + 1 }
 
-// newMembers draws a number for each voter.
-func (v *voters) newMembers() memberNumbers {
-	numbers := memberNumbers{names: map[uint64]string{}, ids: map[string]uint64{}}
+// newMemberIDs assigns a new member ID to each voter.
+func (v *voters) newMemberIDs() memberIDs {
+	ids := memberIDs{nameByID: map[uint64]string{}, idByName: map[string]uint64{}}
 	for _, name := range v.fleet.Voters {
 		id := newMemberID()
-		numbers.ids[name] = id
-		numbers.names[id] = name
+		ids.idByName[name] = id
+		ids.nameByID[id] = name
 	}
-	return numbers
+	return ids
 }
 
-// memberNumbers are the numbers of the members of the replicated log, by name, and back.
-type memberNumbers struct {
-	names map[uint64]string
-	ids   map[string]uint64
+// memberIDs maps the names of the members of the replicated log to their IDs, and back.
+type memberIDs struct {
+	nameByID map[uint64]string
+	idByName map[string]uint64
 }
 
-// bootstrapRequest has a voter begin to take part. Names, and what follows it, are left out for one that joins others.
+// bootstrapRequest makes a voter start as a member of the replicated log. Names and Term are omitted for a voter that
+// joins an existing group.
 type bootstrapRequest struct {
-	Recover  bool              `json:"again,omitempty"` // from the state that one voter has retained
+	Recover  bool              `json:"again,omitempty"` // start from the state in Retained
 	ID       uint64            `json:"id"`
 	Retained *leader.State     `json:"kept,omitempty"`
 	Names    map[uint64]string `json:"names,omitempty"`
 	Term     uint64            `json:"term,omitempty"`
 }
 
-// joinRequest has the leader take members in.
+// joinRequest asks the leader to add members.
 type joinRequest struct {
 	Names map[uint64]string `json:"names"`
 }
