--- a/cmd/rollout-view/chart.go
+++ b/cmd/rollout-view/chart.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	maxChartPoints = 150 // of a line; more samples are merged
+	maxChartPoints = 150 // of a line; if there are more samples, they are averaged
 	chartWidth     = 16 * vg.Centimeter
 	chartHeight    = 7 * vg.Centimeter
-	minAxisTop     = 0.001 // height of a stage's line where every value is zero
+	minAxisTop     = 0.001 // height of the transition lines if all values are zero
 	nsPerMS        = 1e6
 	percent        = 100
 )
 
-// weighted is a value of one sample, summed over its jobs, and the number of jobs.
-type weighted struct {
+// weightedSum is the sum of a metric over jobs, and the number of those jobs.
+type weightedSum struct {
 	sum    float64
 	weight float64
 }
 
-// chart is one figure of both versions over the course of a change.
+// chart plots one metric of both versions over the course of a change.
 type chart struct {
 	title string
-	value func(coordinator.VersionSample) weighted
+	value func(coordinator.VersionSample) weightedSum
 }
 
 var charts = []chart{
-	{"jobs that missed their SLA time, %", share(func(v coordinator.VersionSample) uint64 { return v.Missed })},
-	{"throttled, %", share(func(v coordinator.VersionSample) uint64 { return v.Throttled })},
-	{"cancelled for good, %", share(func(v coordinator.VersionSample) uint64 { return v.Cancelled })},
-	{"median latency, ms", latency(func(v coordinator.VersionSample) int64 { return v.MedianNS })},
-	{"99th percentile of latency, ms", latency(func(v coordinator.VersionSample) int64 { return v.P99NS })},
+	{"jobs that missed their SLA time, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Missed })},
+	{"throttled, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Throttled })},
+	{"cancelled for good, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Cancelled })},
+	{"median latency, ms", latencyMS(func(v coordinator.VersionSample) int64 { return v.MedianNS })},
+	{"99th percentile of latency, ms", latencyMS(func(v coordinator.VersionSample) int64 { return v.P99NS })},
 }
 
-// share is the part of the jobs that are counted, in percent.
-func share(count func(coordinator.VersionSample) uint64) func(coordinator.VersionSample) weighted {
-	return func(sample coordinator.VersionSample) weighted {
-		return weighted{sum: percent * float64(count(sample)), weight: float64(sample.Jobs)}
+// percentOfJobs returns the percentage of jobs that count selects, weighted by the number of jobs.
+func percentOfJobs(count func(coordinator.VersionSample) uint64) func(coordinator.VersionSample) weightedSum {
+	return func(sample coordinator.VersionSample) weightedSum {
+		return weightedSum{sum: percent * float64(count(sample)), weight: float64(sample.Jobs)}
 	}
 }
 
-// latency is a time in milliseconds, weighted by the jobs that it was measured on.
-func latency(nanoseconds func(coordinator.VersionSample) int64) func(coordinator.VersionSample) weighted {
-	return func(sample coordinator.VersionSample) weighted {
+// latencyMS returns a latency in milliseconds, weighted by the number of jobs.
+func latencyMS(nanoseconds func(coordinator.VersionSample) int64) func(coordinator.VersionSample) weightedSum {
+	return func(sample coordinator.VersionSample) weightedSum {
 		jobs := float64(sample.Jobs)
-		return weighted{sum: float64(nanoseconds(sample)) / nsPerMS * jobs, weight: jobs}
+		return weightedSum{sum: float64(nanoseconds(sample)) / nsPerMS * jobs, weight: jobs}
 	}
 }
 
-// version is one of the two lines of a chart.
+// version is one of the two versions that a chart compares.
 type version struct {
-	name  string
-	color color.Color
-	part  func(coordinator.Sample) coordinator.VersionSample
+	name     string
+	color    color.Color
+	sampleOf func(coordinator.Sample) coordinator.VersionSample
 }
 
 func oldVersion(sample coordinator.Sample) coordinator.VersionSample { return sample.Old }
@@ -73,7 +73,7 @@
 	{"new", color.RGBA{R: 20, G: 90, B: 200, A: 255}, newVersion},
 }
 
-// draw draws the chart of at least one sample as SVG. Vertical lines mark where a phase or a stage begins.
+// draw returns the chart as SVG. It needs at least one sample. Vertical lines mark where a phase or a stage begins.
 func (c chart) draw(samples []coordinator.Sample) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = c.title
@@ -88,7 +88,7 @@
 	return renderSVG(p)
 }
 
-// addLine adds a version's line, where it has jobs.
+// addLine adds the line of a version, unless it has no jobs.
 func (c chart) addLine(p *plot.Plot, version version, samples []coordinator.Sample) error {
 	points := c.points(version, samples)
 	if len(points) == 0 {
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// points merges samples, so that a line has maxChartPoints at most.
+// points averages consecutive samples, weighted by their jobs, so that a line has at most maxChartPoints points.
 func (c chart) points(version version, samples []coordinator.Sample) plotter.XYs {
 	perPoint := (len(samples) + maxChartPoints - 1) / maxChartPoints
 	var points plotter.XYs
 	for first := 0; first < len(samples); first += perPoint {
-		var total weighted
+		var total weightedSum
 		for _, sample := range samples[first:min(len(samples), first+perPoint)] {
-			value := c.value(version.part(sample))
+			value := c.value(version.sampleOf(sample))
 			total.sum += value.sum
 			total.weight += value.weight
 		}
@@ -126,7 +126,7 @@
 	return samples[i].Time.Sub(samples[0].Time).Seconds()
 }
 
-// addTransitions marks where a phase or a stage begins.
+// addTransitions draws a vertical line where a phase or a stage begins.
 func addTransitions(p *plot.Plot, samples []coordinator.Sample) {
 	top := max(p.Y.Max, minAxisTop)
 	for i := 1; i < len(samples); i++ {
@@ -136,7 +136,7 @@
 		x := secondsSinceFirst(samples, i)
 		line, err := plotter.NewLine(plotter.XYs{{X: x, Y: 0}, {X: x, Y: top}})
 		if err != nil {
-			continue // a time that cannot be drawn is left out
+			continue // skip a time that cannot be plotted
 		}
 		line.Dashes = []vg.Length{2, 2}
 		line.Color = color.Gray{Y: 190}
@@ -144,7 +144,7 @@
 	}
 }
 
-// renderSVG returns a plot as it stands in a page, without the head of an XML file.
+// renderSVG returns a plot as an SVG element for embedding in HTML, without the XML declaration.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(canvas))
--- a/cmd/rollout-view/main.go
+++ b/cmd/rollout-view/main.go
@@ -1,6 +1,6 @@
-// Command rollout-view shows a rollout to people: in a terminal while it is in progress, and as a page with charts. It
-// reads the coordinator's record and polls supervisors; it sends no orders. It is a program apart from swiftreel, whose
-// processes are many and small, for the libraries that it needs.
+// Command rollout-view shows a rollout in a terminal while it is in progress, and writes an HTML report with charts. It
+// reads the coordinator's record and polls supervisors; it sends no orders. It is separate from swiftreel, so that the
+// many small swiftreel processes do not link its user interface and plotting libraries.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"swiftreel/internal/coordinator"
 )
 
-// pageMode is the permissions of a report, which people pass on.
+// pageMode is the mode of the report file. Everybody may read it, as reports are shared.
 const pageMode = 0o644
 
 func main() {
--- a/cmd/rollout-view/page_test.go
+++ b/cmd/rollout-view/page_test.go
@@ -10,26 +10,26 @@
 	"swiftreel/internal/golden"
 )
 
-// The page and the table of a folder as the program before wrote them: testdata.
+// The golden files in testdata hold the page and the table of testdata/folder, and digests of the charts.
 
-var svg = regexp.MustCompile(`(?s)<svg.*?</svg>`)
+var svgElement = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
-func TestThePageOfAFolderIsAsItWas(t *testing.T) {
-	f := coordinator.UnlockedFolder("testdata/folder")
-	r, is, err := f.Record()
-	if err != nil || !is {
-		t.Fatal(is, err)
+func TestReportPageMatchesGoldenFiles(t *testing.T) {
+	store := coordinator.UnlockedFolder("testdata/folder")
+	record, found, err := store.Record()
+	if err != nil || !found {
+		t.Fatal(found, err)
 	}
-	text, err := report(f, r)
+	text, err := report(store, record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Check(t, "page.golden", svg.ReplaceAll(text, []byte("<svg/>")))
-	golden.Check(t, "table.golden", []byte(table(f, nil)))
+	golden.Check(t, "page.golden", svgElement.ReplaceAll(text, []byte("<svg/>")))
+	golden.Check(t, "table.golden", []byte(table(store, nil)))
 
-	drawn := svg.FindAll(text, -1)
+	drawn := svgElement.FindAll(text, -1)
 	if len(drawn) != len(charts) {
-		t.Fatalf("%d charts", len(drawn))
+		t.Fatalf("the page has %d charts", len(drawn))
 	}
 	var digests []byte
 	for i, chart := range drawn {
--- a/cmd/rollout-view/report.go
+++ b/cmd/rollout-view/report.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // for the page's template
+	_ "embed" // for page.html
 	"fmt"
 	"html/template"
 	"time"
@@ -19,17 +19,17 @@
 	"pc":    func(value float64) string { return fmt.Sprintf("%.3g", value) },
 }).Parse(pageText))
 
-// pageData is what the page's template shows.
+// pageData is the input of the page's template.
 type pageData struct {
 	Record      coordinator.Record
 	Charts      []template.HTML
 	Transitions []coordinator.Transition
 }
 
-// minSamples is how many samples a chart needs.
+// minSamples is the number of samples that charts need.
 const minSamples = 2
 
-// report returns the page of a store's last change.
+// report returns the HTML page of the last change in a store. record is its record.
 func report(store *coordinator.RecordStore, record coordinator.Record) ([]byte, error) {
 	samples, err := store.Samples()
 	if err != nil {
--- a/cmd/rollout-view/report_test.go
+++ b/cmd/rollout-view/report_test.go
@@ -13,7 +13,9 @@
 	"swiftreel/internal/rollout"
 )
 
-func TestTheReportStandsByItself(t *testing.T) {
+// The report must be readable as a single file, without scripts and external resources, and must escape the text of the
+// change.
+func TestReportIsSelfContained(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name string, values ...any) {
 		var text []byte
@@ -67,16 +69,16 @@
 	}
 	text := string(page)
 	if n := strings.Count(text, "<svg"); n != len(charts) {
-		t.Errorf("%d charts of %d", n, len(charts))
+		t.Errorf("the page has %d of %d charts", n, len(charts))
 	}
-	for _, is := range []string{"Change 7: back", "stage 1 does worse", "c1 c2", "going back", "a &lt;b&gt;change"} {
-		if !strings.Contains(text, is) {
-			t.Errorf("it lacks %q", is)
+	for _, wanted := range []string{"Change 7: back", "stage 1 does worse", "c1 c2", "going back", "a &lt;b&gt;change"} {
+		if !strings.Contains(text, wanted) {
+			t.Errorf("the page lacks %q", wanted)
 		}
 	}
-	for _, not := range []string{"<script", "src=", "another change", "<b>change"} {
-		if strings.Contains(text, not) {
-			t.Errorf("it has %q", not)
+	for _, unwanted := range []string{"<script", "src=", "another change", "<b>change"} {
+		if strings.Contains(text, unwanted) {
+			t.Errorf("the page contains %q", unwanted)
 		}
 	}
 	if shown := table(f, nil); !strings.Contains(shown, "change 7") ||
--- a/cmd/rollout-view/watch.go
+++ b/cmd/rollout-view/watch.go
@@ -20,15 +20,15 @@
 	supervisorTimeout = 2 * time.Second
 )
 
-// watchModel is the state of the terminal.
+// watchModel is the state of the terminal user interface.
 type watchModel struct {
 	store *coordinator.RecordStore
-	fleet *coordinator.FleetClient // nil: the record alone is shown
+	fleet *coordinator.FleetClient // if nil, only the record is shown
 	text  string
 }
 
-// refreshed is the message with a new table.
-type refreshed string
+// refreshedMsg is the message that carries a new table.
+type refreshedMsg string
 
 func watch(folder, operatorFile string) error {
 	model := watchModel{store: coordinator.UnlockedFolder(folder)}
@@ -45,34 +45,34 @@
 	return err
 }
 
-// Init begins with a first table at once.
+// Init requests the first table without delay.
 func (m watchModel) Init() tea.Cmd { return m.refreshAfter(0) }
 
-// Update takes in a key or a new table.
+// Update handles a key or a new table.
 func (m watchModel) Update(message tea.Msg) (tea.Model, tea.Cmd) {
 	switch message := message.(type) {
 	case tea.KeyPressMsg:
 		if key := message.String(); key == "q" || key == "ctrl+c" {
 			return m, tea.Quit
 		}
-	case refreshed:
+	case refreshedMsg:
 		m.text = string(message)
 		return m, m.refreshAfter(refreshInterval)
 	}
 	return m, nil
 }
 
-// View returns the screen.
+// View returns the contents of the screen.
 func (m watchModel) View() tea.View { return tea.NewView(m.text) }
 
 func (m watchModel) refreshAfter(delay time.Duration) tea.Cmd {
 	return func() tea.Msg {
 		time.Sleep(delay)
-		return refreshed(table(m.store, m.fleet))
+		return refreshedMsg(table(m.store, m.fleet))
 	}
 }
 
-// table returns the change and its controllers as text; without a fleet, the change alone.
+// table returns the state of the change and the controllers as text, without the controllers if fleet is nil.
 func table(store *coordinator.RecordStore, fleet *coordinator.FleetClient) string {
 	var text strings.Builder
 	record, found, err := store.Record()
@@ -100,14 +100,15 @@
 func printLastSample(out io.Writer, store *coordinator.RecordStore) {
 	samples, err := store.Samples()
 	if err != nil || len(samples) == 0 {
-		return // the table goes without
+		return // the line is omitted
 	}
 	last := samples[len(samples)-1]
 	fmt.Fprintf(out, "last look: odds of harm %.3g; new %d jobs, %d missed; old %d jobs, %d missed\n\n",
 		last.Odds, last.New.Jobs, last.New.Missed, last.Old.Jobs, last.Old.Missed)
 }
 
-// printControllers polls the fleet and prints a line for each controller. versions names the specs of the change.
+// printControllers polls the fleet and prints a line for each controller. versions maps the specs of the change to
+// their names.
 func printControllers(out io.Writer, fleet *coordinator.FleetClient, versions map[change.Digest]string) {
 	const padding = 2
 	w := tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)
@@ -126,5 +127,5 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, status.Version, runs, status.Serving,
 			status.OwedAnswers, status.Fence, status.Crashes, note)
 	}
-	_ = w.Flush() // into memory
+	_ = w.Flush() // writes to memory
 }
