--- a/cmd/fleetview/main.go
+++ b/cmd/fleetview/main.go
@@ -1,5 +1,5 @@
-// Command fleetview is the former name of rollout-view, which takes the process over. It is left for operators'
-// scripts.
+// Command fleetview is the former name of rollout-view. It prints a deprecation warning and executes rollout-view. It
+// is kept for operators' scripts.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// successor stands beside this program.
+// successor is the name of the program that replaces this one. It is in the same directory.
 const successor = "rollout-view"
 
 func main() {
@@ -20,7 +20,7 @@
 	}
 }
 
-// replaceProcess returns only where the successor cannot be run.
+// replaceProcess executes the successor in this process. It returns only if that fails.
 func replaceProcess() error {
 	own, err := os.Executable()
 	if err != nil {
--- a/cmd/fleetview/main_test.go
+++ b/cmd/fleetview/main_test.go
@@ -9,9 +9,8 @@
 	"testing"
 )
 
-// Operators' scripts call fleetview: it does what rollout-view does, and says on the error stream that it is its former
-// name.
-func TestTheSuccessorDoesTheWork(t *testing.T) {
+// Operators' scripts call fleetview: it must do the same as rollout-view, and print a deprecation warning to stderr.
+func TestFormerNameRunsRolloutView(t *testing.T) {
 	dir := t.TempDir()
 	build := exec.Command("go", "build", "-o", dir, "swiftreel/cmd/fleetview", "swiftreel/cmd/rollout-view")
 	if text, err := build.CombinedOutput(); err != nil {
@@ -32,14 +31,14 @@
 		}
 		isFormer := name == "fleetview"
 		if out.Len() > 0 || strings.Contains(errs.String(), "fleetview is deprecated, use rollout-view") != isFormer {
-			t.Errorf("%s prints %q, and %q on the error stream", name, out.String(), errs.String())
+			t.Errorf("%s: stdout %q, stderr %q", name, out.String(), errs.String())
 		}
 		if pages[name], err = os.ReadFile(page); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(pages["fleetview"]) == 0 || !bytes.Equal(pages["fleetview"], pages["rollout-view"]) {
-		t.Error("the pages differ")
+		t.Error("fleetview and rollout-view wrote different pages")
 	}
 	failing := exec.Command(filepath.Join(dir, "fleetview"), "report", "--record", dir)
 	if text, err := failing.CombinedOutput(); err == nil || !strings.Contains(string(text), "no change is recorded") {
