--- a/internal/supervisor/controller_client.go
+++ b/internal/supervisor/controller_client.go
@@ -18,7 +18,7 @@
 const maxReportBytes = 16 << 20
 
 // errNoAddress is returned for a controller that has not logged the address of its report yet.
-var errNoAddress = errors.New("the controller has not logged the address of its report yet")
+var errNoAddress = errors.New("the controller has not said yet where it serves its report")
 
 // assignmentID identifies an assignment of the leader.
 type assignmentID struct {
@@ -97,7 +97,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("controller rejected the share: %s", response.Status)
+		return fmt.Errorf("share refused: %s", response.Status)
 	}
 	return nil
 }
--- a/internal/supervisor/failure.go
+++ b/internal/supervisor/failure.go
@@ -10,7 +10,7 @@
 )
 
 // errFileRefused is the failure of an order whose operator file the running controller has rejected.
-var errFileRefused = errors.New("the controller rejected its operator file: its log has the reason (reload_failed)")
+var errFileRefused = errors.New("the controller refuses the file: its log says why (reload_failed)")
 
 // ProgramMismatchError means that the digest of a program file is not the ordered one.
 type ProgramMismatchError struct {
@@ -21,7 +21,7 @@
 
 // Error returns a message with both digests.
 func (e *ProgramMismatchError) Error() string {
-	return fmt.Sprintf("%s has digest %s, but the order names %s", e.Path, e.Found, e.Ordered)
+	return fmt.Sprintf("%s is %s, ordered was %s", e.Path, e.Found, e.Ordered)
 }
 
 // verifyProgram reports whether a program file has the ordered digest. If not, it records the failure of the order.
--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -26,7 +26,7 @@
 
 // ErrOrderNotRecorded is returned for an order that could not be written to the state directory. The previous order
 // stays in force.
-var ErrOrderNotRecorded = errors.New("the order could not be stored")
+var ErrOrderNotRecorded = errors.New("the order cannot be recorded")
 
 // WrongMemberError means that an order for one member was sent to another.
 type WrongMemberError struct {
