--- a/internal/supervisor/order.go
+++ b/internal/supervisor/order.go
@@ -36,7 +36,7 @@
 
 // Error returns a message with both members.
 func (e *WrongMemberError) Error() string {
-	return fmt.Sprintf("order for member %s was sent to member %s", e.Addressed, e.Reached)
+	return fmt.Sprintf("an order for %s has reached %s", e.Addressed, e.Reached)
 }
 
 // AcceptOrder puts an order of the rollout coordinator into force. If it refuses the order, it returns a
