--- a/internal/ilp/arithmetic.go
+++ b/internal/ilp/arithmetic.go
@@ -5,26 +5,27 @@
 	"math/bits"
 )
 
-// MaxMagnitude bounds the figures of a program and the sums of their products; what exceeds it is refused.
+// MaxMagnitude is the largest absolute value of a coefficient, a bound or a sum of products. Whatever exceeds it is
+// reported as overflow.
 const MaxMagnitude = 1 << 62
 
-// sum adds products, and remembers whether it ever exceeded MaxMagnitude.
-type sum struct {
+// checkedSum accumulates products and records whether a product or a partial sum exceeded MaxMagnitude.
+type checkedSum struct {
 	total       int64
 	hasOverflow bool
 }
 
-func (s *sum) add(a, b int64) {
+func (s *checkedSum) add(a, b int64) {
 	product, isExact := multiply(a, b)
 	total := s.total + product
 	s.hasOverflow = s.hasOverflow || !isExact || total > MaxMagnitude || total < -MaxMagnitude
 	s.total = total
 }
 
-// result returns the sum; false: it exceeded MaxMagnitude.
-func (s *sum) result() (int64, bool) { return s.total, !s.hasOverflow }
+// result returns the sum, and false if it overflowed.
+func (s *checkedSum) result() (int64, bool) { return s.total, !s.hasOverflow }
 
-// multiply returns the product; false: it exceeds MaxMagnitude.
+// multiply returns a*b, and false if the product exceeds MaxMagnitude.
 func multiply(a, b int64) (int64, bool) {
 	high, low := bits.Mul64(magnitude(a), magnitude(b))
 	if high != 0 || low > MaxMagnitude {
@@ -43,7 +44,7 @@
 	return uint64(a)
 }
 
-// roundDown rounds to the next lower multiple of divisor; math.MaxInt64 stays as it is.
+// roundDown returns the largest multiple of divisor that is at most value; math.MaxInt64 is returned unchanged.
 func roundDown(value, divisor int64) int64 {
 	if value == math.MaxInt64 {
 		return value
--- a/internal/ilp/basis.go
+++ b/internal/ilp/basis.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// computeBasicValues computes the values of the basic variables from those that are not basic.
+// computeBasicValues computes the values of the basic variables from those of the nonbasic ones.
 func (l *LP) computeBasicValues() {
-	remaining := make([]float64, l.rowCount) // of the rows' bounds
+	residuals := make([]float64, l.rowCount) // right-hand sides without the nonbasic variables
 	for i, row := range l.program.Rows {
-		remaining[i] = float64(row.Bound) / l.rowScale[i]
+		residuals[i] = float64(row.Bound) / l.rowScale[i]
 		if l.status[i] != basic {
-			remaining[i] -= l.nonBasicValue(i)
+			residuals[i] -= l.nonbasicValue(i)
 		}
 	}
 	for j, column := range l.program.Columns {
@@ -16,36 +16,36 @@
 		if l.status[v] == basic {
 			continue
 		}
-		value := l.nonBasicValue(v)
+		value := l.nonbasicValue(v)
 		if value == 0 {
 			continue
 		}
 		for k, row := range column.Rows {
-			remaining[row] -= value * float64(column.Coefficients[k]) / l.rowScale[row]
+			residuals[row] -= value * float64(column.Coefficients[k]) / l.rowScale[row]
 		}
 	}
 	clear(l.basicValues)
-	for row, amount := range remaining {
+	for row, amount := range residuals {
 		if amount != 0 {
 			addScaled(l.basicValues, l.inverseColumn(row), amount)
 		}
 	}
 }
 
-// inverseColumn returns a column of the inverse.
+// inverseColumn returns a column of the basis inverse.
 func (l *LP) inverseColumn(column int) []float64 {
 	return l.inverse[column*l.rowCount : (column+1)*l.rowCount]
 }
 
-// addScaled adds a multiple of a vector.
+// addScaled adds factor times vector to the vector to.
 func addScaled(to, vector []float64, factor float64) {
 	for i := range to {
 		to[i] += factor * vector[i]
 	}
 }
 
-// computeInverse computes the inverse from the basis, by Gauss-Jordan elimination with partial pivoting. It sets
-// isSingular if there is none.
+// computeInverse inverts the basis matrix by Gauss-Jordan elimination with partial pivoting. It sets isSingular if the
+// matrix is singular.
 func (l *LP) computeInverse() {
 	matrix := l.basisMatrix()
 	result := newSquareMatrix(l.rowCount)
@@ -72,10 +72,10 @@
 			l.inverse[row*l.rowCount+i] = result.row(i)[row]
 		}
 	}
-	l.pivotsSinceRefresh = 0
+	l.pivotsSinceRefactorization = 0
 }
 
-// basisMatrix returns the basic variables' columns.
+// basisMatrix returns the matrix of the scaled columns of the basic variables.
 func (l *LP) basisMatrix() squareMatrix {
 	matrix := newSquareMatrix(l.rowCount)
 	for i, v := range l.basis {
@@ -91,7 +91,8 @@
 	return matrix
 }
 
-// eliminate clears a column of the matrix in all rows but one, and does the same to the result.
+// eliminate clears a column of the matrix in all rows but the pivot row, and applies the same row operations to the
+// result.
 func eliminate(matrix, result squareMatrix, column int) {
 	for row := range matrix.size {
 		factor := matrix.row(row)[column]
@@ -103,7 +104,7 @@
 	}
 }
 
-// squareMatrix is a square matrix, row by row.
+// squareMatrix is a dense square matrix in row-major order.
 type squareMatrix struct {
 	size   int
 	values []float64
@@ -115,7 +116,7 @@
 
 func (m squareMatrix) row(i int) []float64 { return m.values[i*m.size : (i+1)*m.size] }
 
-// largestBelow returns the row, from the diagonal downwards, with the largest element of a column.
+// largestBelow returns the row at or below the diagonal with the largest absolute value in a column.
 func (m squareMatrix) largestBelow(column int) int {
 	best := column
 	for row := column + 1; row < m.size; row++ {
--- a/internal/ilp/bound.go
+++ b/internal/ilp/bound.go
@@ -2,19 +2,19 @@
 
 import "math"
 
-// Multipliers are integers, one per row: the LP's multipliers times Scale, rounded. Any multipliers give a valid
-// bound, if not a good one.
+// Multipliers are integer dual values, one per row: the dual values of the LP times Scale, rounded. Any multipliers
+// with the sign that their row needs yield a valid bound, though not necessarily a tight one.
 type Multipliers struct {
-	Scale  int64   // of the objective; 0: they are to prove that no solution exists
+	Scale  int64   // of the objective; 0: the multipliers are an infeasibility certificate
 	Values []int64 // by row
 }
 
-// targetMagnitude is about how large the objective's largest coefficient is scaled, so that rounding the multipliers
-// costs little.
+// targetMagnitude is the magnitude to which the largest objective coefficient is scaled, so that rounding the
+// multipliers weakens the bound only slightly.
 const targetMagnitude = 1 << 36
 
-// Multipliers returns those of the last solve. After Infeasible they prove, if their bound is below 0, that no
-// solution exists.
+// Multipliers returns the dual values of the last solve. After Infeasible they prove that no solution exists if the
+// bound computed from them is negative.
 func (l *LP) Multipliers(outcome Outcome) Multipliers {
 	multipliers := Multipliers{Scale: 1, Values: make([]int64, l.rowCount)}
 	factor := float64(targetMagnitude)
@@ -36,10 +36,10 @@
 	return multipliers
 }
 
-// ReducedObjective returns by how much a column's objective exceeds what it uses at the multipliers, times Scale;
-// false: a sum exceeds MaxMagnitude.
+// ReducedObjective returns the reduced cost of a column, times Scale: its objective minus the value of its row
+// coefficients at the multipliers. It returns false if a sum exceeds MaxMagnitude.
 func (m Multipliers) ReducedObjective(column *Column) (int64, bool) {
-	var s sum
+	var s checkedSum
 	s.add(m.Scale, column.Objective)
 	for k, row := range column.Rows {
 		s.add(-m.Values[row], column.Coefficients[k])
@@ -47,10 +47,10 @@
 	return s.result()
 }
 
-// Bound returns an upper bound of the objective of every integer solution, computed in integers: the sum over rows of
-// multiplier times bound, and over columns of the best that the reduced objective and the column's bounds allow.
-// False: a sum exceeds MaxMagnitude, and nothing is known. With Scale 0 a bound below 0 proves that no solution
-// exists.
+// Bound returns an upper bound on the objective of every integer solution, computed in exact integer arithmetic: the
+// sum of each row's multiplier times its bound, plus the largest contribution of each column within its bounds at its
+// reduced cost. It returns false if a sum exceeds MaxMagnitude; there is no bound then. With Scale 0 a negative bound
+// proves that no solution exists.
 func (p *Program) Bound(multipliers Multipliers) (int64, bool) {
 	reduced := make([]int64, len(p.Columns))
 	for j := range p.Columns {
@@ -60,13 +60,13 @@
 		}
 		reduced[j] = value
 	}
-	raises := p.convexRaises(reduced)
-	var total sum
+	raises := p.convexityRaises(reduced)
+	var total checkedSum
 	for i, row := range p.Rows {
 		total.add(multipliers.Values[i]+raises[int32(i)], row.Bound)
 	}
 	for j := range p.Columns {
-		total.add(p.bestOf(j, reduced[j], raises))
+		total.add(p.bestTerm(j, reduced[j], raises))
 	}
 	bound, isExact := total.result()
 	if !isExact || multipliers.Scale <= 1 {
@@ -75,17 +75,17 @@
 	return roundDown(bound, multipliers.Scale) / multipliers.Scale, true
 }
 
-// convexRaises returns by how much the multipliers of convex rows are raised, so that they cover what their columns
-// are still worth, where that costs less.
-func (p *Program) convexRaises(reduced []int64) map[int32]int64 {
+// convexityRaises returns increases of the multipliers of convexity rows that bring the positive reduced costs of their
+// columns down to zero or below, for the rows where this tightens the bound.
+func (p *Program) convexityRaises(reduced []int64) map[int32]int64 {
 	raises := map[int32]int64{}
-	uncovered := map[int32]float64{} // the cost without a raise
+	uncovered := map[int32]float64{} // contribution of the columns to the bound without a raise
 	for j := range p.Columns {
 		if reduced[j] <= 0 {
 			continue
 		}
 		for _, row := range p.Columns[j].Rows {
-			if p.Rows[row].Convex {
+			if p.Rows[row].Convexity {
 				raises[row] = max(raises[row], reduced[j])
 				uncovered[row] += float64(reduced[j]) * float64(p.Columns[j].Upper)
 			}
@@ -99,9 +99,8 @@
 	return raises
 }
 
-// bestOf returns a column's reduced objective after the raises, and the bound of the column at which that is worth
-// most.
-func (p *Program) bestOf(j int, reduced int64, raises map[int32]int64) (objective, value int64) {
+// bestTerm returns a column's reduced cost after the raises, and the column bound that maximizes its contribution.
+func (p *Program) bestTerm(j int, reduced int64, raises map[int32]int64) (objective, value int64) {
 	column := &p.Columns[j]
 	for _, row := range column.Rows {
 		reduced -= raises[row]
--- a/internal/ilp/golden_test.go
+++ b/internal/ilp/golden_test.go
@@ -9,14 +9,13 @@
 	"swiftreel/internal/golden"
 )
 
-// The file in testdata was written by the program as it stood at commit 70e2e4b. With -record it is written if missing.
-
-// Each search takes the same nodes to the same answer as before, also where it is stopped.
-func TestSearchesAreThoseOfAnEarlierProgram(t *testing.T) {
+// The search is deterministic: each search visits as many nodes and gives the same result as recorded, also when
+// stopped early. testdata/searches.txt was recorded at commit 70e2e4b; -record writes it if it is missing.
+func TestSearchesMatchRecordedResults(t *testing.T) {
 	var lines bytes.Buffer
 	random := rand.New(rand.NewPCG(11, 12))
 	for n := range 600 {
-		p := drawProgram(random)
+		p := randomProgram(random)
 		lp := NewLP(p)
 		outcome := lp.Solve(func() bool { return false })
 		bound, isExact := p.Bound(lp.Multipliers(outcome))
--- a/internal/ilp/lp.go
+++ b/internal/ilp/lp.go
@@ -2,37 +2,37 @@
 
 import "math"
 
-// LP is the linear relaxation of a program. It is kept while the program's bounds, objective and columns change, so
-// that each solve starts where the last one ended. It is a primal simplex with bounds on variables; the inverse of
-// the basis is held dense, as there are some hundred rows at most.
+// LP is the linear relaxation of a program, solved by a bounded-variable primal simplex. It remains valid while bounds,
+// objective and columns of the program change, so that each solve is warm-started from the last basis. The basis
+// inverse is dense, as programs have at most a few hundred rows.
 //
-// Variables are numbered: first one slack for each row, then the columns.
+// Variables are numbered: one slack per row first, then the columns.
 type LP struct {
-	Pivots int // in all solves
+	Pivots int // over all solves
 
 	program        *Program
 	rowCount       int
-	rowScale       []float64 // what a row's coefficients are divided by
-	objectiveScale float64   // what the objective is divided by
+	rowScale       []float64 // divisor of a row's coefficients
+	objectiveScale float64   // divisor of the objective
 
-	// By variable.
+	// Indexed by variable.
 	lower  []float64
 	upper  []float64
 	cost   []float64
 	status []variableStatus
 
-	// By row.
-	basis       []int     // the variable that is basic there
-	basicValues []float64 // its value
+	// Indexed by row.
+	basis       []int     // basic variable of the row
+	basicValues []float64 // value of the basic variable
 	multipliers []float64
-	entering    []float64 // the entering column in terms of the basis
+	pivotColumn []float64 // entering column in terms of the basis
 
-	inverse            []float64 // of the basis, column by column
-	pivotsSinceRefresh int       // since the inverse was computed from the basis
-	isSingular         bool      // the inverse could not be computed: start from the slacks
+	inverse                    []float64 // of the basis, in column-major order
+	pivotsSinceRefactorization int       // since the inverse was last computed from the basis
+	isSingular                 bool      // the inverse could not be computed; the next solve starts from the slacks
 }
 
-// variableStatus is where a variable stands.
+// variableStatus says whether a variable is basic or at which bound a nonbasic one is.
 type variableStatus uint8
 
 const (
@@ -41,10 +41,10 @@
 	basic
 )
 
-// Outcome is how a solve ended.
+// Outcome is the result of a solve.
 type Outcome uint8
 
-// The outcomes. At Infeasible the multipliers are those that show why; at Stopped nothing is known.
+// The outcomes. After Infeasible the multipliers are those of phase one; after Stopped nothing is known.
 const (
 	Optimal Outcome = iota
 	Infeasible
@@ -53,18 +53,18 @@
 
 // Tolerances and limits of the simplex.
 const (
-	feasibilityTolerance = 1e-7  // by which a value may exceed its bound
-	optimalityTolerance  = 1e-9  // a reduced cost below it does not improve
-	pivotTolerance       = 1e-8  // a smaller element is not divided by
-	singularTolerance    = 1e-11 // the same while the inverse is computed
-	minProgress          = 1e-12 // a shorter step counts as none
-	refreshInterval      = 120   // pivots after which the inverse is computed anew
-	maxFlatPivots        = 60    // pivots without progress, after which Bland's rule prevents cycles
-	maxPivots            = 50_000
-	stopInterval         = 16 // pivots between two calls of stop
+	feasibilityTolerance    = 1e-7  // largest accepted violation of a bound
+	optimalityTolerance     = 1e-9  // a reduced cost up to this does not improve
+	pivotTolerance          = 1e-8  // smallest absolute value of a pivot element
+	singularTolerance       = 1e-11 // smallest pivot element while the basis is inverted
+	minStep                 = 1e-12 // a pivot with a shorter step is degenerate
+	refactorizationInterval = 120   // pivots after which the inverse is recomputed
+	maxDegeneratePivots     = 60    // consecutive degenerate pivots before Bland's rule is used to prevent cycling
+	maxPivots               = 50_000
+	stopCheckInterval       = 16 // pivots between two calls of stop
 )
 
-// NewLP returns the relaxation of a program, with all slacks basic.
+// NewLP returns the relaxation of a program, starting from the slack basis.
 func NewLP(program *Program) *LP {
 	rowCount := len(program.Rows)
 	l := &LP{
@@ -78,7 +78,7 @@
 		basis:       make([]int, rowCount),
 		basicValues: make([]float64, rowCount),
 		multipliers: make([]float64, rowCount),
-		entering:    make([]float64, rowCount),
+		pivotColumn: make([]float64, rowCount),
 		inverse:     make([]float64, rowCount*rowCount),
 	}
 	for i, row := range program.Rows {
@@ -100,7 +100,7 @@
 	return l
 }
 
-// resetBasis makes all slacks basic.
+// resetBasis restarts from the basis of all slacks.
 func (l *LP) resetBasis() {
 	clear(l.inverse)
 	for v := range l.status {
@@ -113,11 +113,11 @@
 		l.inverse[i*l.rowCount+i] = 1
 		l.status[i] = basic
 	}
-	l.pivotsSinceRefresh = 0
+	l.pivotsSinceRefactorization = 0
 	l.isSingular = false
 }
 
-// Refresh takes in columns that were added to the program, and all changed bounds and objectives.
+// Refresh takes over columns that were added to the program, and changed bounds and objective coefficients.
 func (l *LP) Refresh() {
 	for len(l.lower) < l.rowCount+len(l.program.Columns) {
 		l.lower = append(l.lower, 0)
@@ -140,25 +140,25 @@
 	}
 }
 
-// Solve pivots until nothing improves or stop returns true.
+// Solve runs the simplex until the basis is optimal, the program is found infeasible or stop returns true.
 func (l *LP) Solve(stop func() bool) Outcome {
 	if l.isSingular {
 		l.resetBasis()
 	}
 	l.computeBasicValues()
-	flatPivots := 0 // in a row
+	degeneratePivots := 0 // consecutive
 	for pivots := 0; ; pivots++ {
-		if pivots > maxPivots || (pivots%stopInterval == stopInterval-1 && stop()) {
+		if pivots > maxPivots || (pivots%stopCheckInterval == stopCheckInterval-1 && stop()) {
 			return Stopped
 		}
-		if l.pivotsSinceRefresh >= refreshInterval {
-			l.refreshInverse()
+		if l.pivotsSinceRefactorization >= refactorizationInterval {
+			l.refactorize()
 		}
 		isFeasible := l.computeMultipliers()
-		entering := l.chooseEntering(isFeasible, flatPivots > maxFlatPivots)
+		entering := l.chooseEntering(isFeasible, degeneratePivots > maxDegeneratePivots)
 		if entering < 0 {
-			if l.pivotsSinceRefresh > 0 { // only a fresh inverse may end the solve
-				l.pivotsSinceRefresh = refreshInterval
+			if l.pivotsSinceRefactorization > 0 { // confirm the result with a fresh inverse
+				l.pivotsSinceRefactorization = refactorizationInterval
 				continue
 			}
 			if isFeasible {
@@ -166,17 +166,16 @@
 			}
 			return Infeasible
 		}
-		flatPivots++
-		if l.pivot(entering) > minProgress {
-			flatPivots = 0
+		degeneratePivots++
+		if l.pivot(entering) > minStep {
+			degeneratePivots = 0
 		}
 		l.Pivots++
 	}
 }
 
-// refreshInverse computes the inverse and the basic variables' values anew, against the accumulation of rounding
-// errors.
-func (l *LP) refreshInverse() {
+// refactorize recomputes the inverse and the basic variables' values to remove accumulated rounding errors.
+func (l *LP) refactorize() {
 	l.computeInverse()
 	if l.isSingular {
 		l.resetBasis()
@@ -184,20 +183,20 @@
 	l.computeBasicValues()
 }
 
-// nonBasicValue returns the bound at which a variable that is not basic stands.
-func (l *LP) nonBasicValue(v int) float64 {
+// nonbasicValue returns the bound at which a nonbasic variable is.
+func (l *LP) nonbasicValue(v int) float64 {
 	if l.status[v] == atUpper {
 		return l.upper[v]
 	}
 	return l.lower[v]
 }
 
-// Values returns the columns' values in the solution.
+// Values returns the columns' values in the current basic solution.
 func (l *LP) Values() []float64 {
 	values := make([]float64, len(l.program.Columns))
 	for j := range values {
 		if v := l.rowCount + j; l.status[v] != basic {
-			values[j] = l.nonBasicValue(v)
+			values[j] = l.nonbasicValue(v)
 		}
 	}
 	for i, v := range l.basis {
--- a/internal/ilp/pivot.go
+++ b/internal/ilp/pivot.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// computeMultipliers computes the rows' multipliers: of the objective if all basic variables are within their bounds,
-// else of the sum by which they are not. It reports which.
+// computeMultipliers computes the dual values: of the objective if the basis is feasible, else of the phase-one
+// objective, which minimizes the sum of infeasibilities. It reports whether the basis is feasible.
 func (l *LP) computeMultipliers() (isFeasible bool) {
-	costs := make([]float64, l.rowCount) // of the basic variables
+	costs := make([]float64, l.rowCount) // objective of the basic variables
 	isFeasible = true
 	for i, v := range l.basis {
 		if l.basicValues[i] < l.lower[v]-feasibilityTolerance {
@@ -35,9 +35,9 @@
 	return total
 }
 
-// chooseEntering returns the variable that improves most, or with takeFirst the first one that improves, which ends
-// every cycle; -1: none improves.
-func (l *LP) chooseEntering(isFeasible, takeFirst bool) int {
+// chooseEntering returns the variable with the largest improvement per unit (Dantzig's rule), or with useBlandRule the
+// first that improves, which prevents cycling; -1 if none improves.
+func (l *LP) chooseEntering(isFeasible, useBlandRule bool) int {
 	best, bestImprovement := -1, float64(optimalityTolerance)
 	for v := range l.status {
 		if l.status[v] == basic || l.lower[v] == l.upper[v] {
@@ -50,7 +50,7 @@
 		if improvement > bestImprovement {
 			best = v
 			bestImprovement = improvement
-			if takeFirst {
+			if useBlandRule {
 				return best
 			}
 		}
@@ -58,8 +58,8 @@
 	return best
 }
 
-// reducedCost returns what raising a variable improves, per unit. While the basis is not feasible the objective does
-// not count.
+// reducedCost returns the improvement of the objective per unit by which a variable increases. While the basis is
+// infeasible, the phase-one objective counts instead of the program's.
 func (l *LP) reducedCost(v int, isFeasible bool) float64 {
 	if v < l.rowCount {
 		return -l.multipliers[v]
@@ -75,55 +75,55 @@
 	return cost
 }
 
-// pivot moves a variable from its bound as far as the others allow, and returns how far.
+// pivot moves the entering variable off its bound as far as the ratio test allows, and returns the step length.
 func (l *LP) pivot(entering int) float64 {
-	l.computeEntering(entering)
+	l.computePivotColumn(entering)
 	direction := 1.0
 	if l.status[entering] == atUpper {
 		direction = -1
 	}
 	leavingRow, step := l.chooseLeaving(entering, direction)
-	if math.IsInf(step, 1) { // all columns are bounded, so only rounding can cause it
+	if math.IsInf(step, 1) { // all columns are bounded, so only rounding errors can cause it
 		l.isSingular = true
-		l.pivotsSinceRefresh = refreshInterval
+		l.pivotsSinceRefactorization = refactorizationInterval
 		return 0
 	}
 	for i := range l.basicValues {
-		l.basicValues[i] -= direction * step * l.entering[i]
+		l.basicValues[i] -= direction * step * l.pivotColumn[i]
 	}
 	if leavingRow < 0 {
-		l.status[entering] = atUpper - l.status[entering] // it has reached its other bound
+		l.status[entering] = atUpper - l.status[entering] // bound flip
 		return step
 	}
-	l.leaveBasis(leavingRow, direction)
-	value := l.nonBasicValue(entering) + direction*step
+	l.removeFromBasis(leavingRow, direction)
+	value := l.nonbasicValue(entering) + direction*step
 	l.basis[leavingRow] = entering
 	l.status[entering] = basic
 	l.basicValues[leavingRow] = value
 	l.updateInverse(leavingRow)
-	l.pivotsSinceRefresh++
+	l.pivotsSinceRefactorization++
 	return step
 }
 
-// computeEntering expresses the entering variable's column in terms of the basis.
-func (l *LP) computeEntering(entering int) {
-	clear(l.entering)
+// computePivotColumn expresses the entering variable's column in terms of the basis.
+func (l *LP) computePivotColumn(entering int) {
+	clear(l.pivotColumn)
 	if entering < l.rowCount {
-		addScaled(l.entering, l.inverseColumn(entering), 1)
+		addScaled(l.pivotColumn, l.inverseColumn(entering), 1)
 		return
 	}
 	column := &l.program.Columns[entering-l.rowCount]
 	for k, row := range column.Rows {
-		addScaled(l.entering, l.inverseColumn(int(row)), float64(column.Coefficients[k])/l.rowScale[row])
+		addScaled(l.pivotColumn, l.inverseColumn(int(row)), float64(column.Coefficients[k])/l.rowScale[row])
 	}
 }
 
-// chooseLeaving returns the row whose basic variable meets a bound first, and the step until then. Of rows that are
-// equally close within the tolerance it takes the one with the largest element. -1: the entering variable meets its
-// own other bound before that.
+// chooseLeaving returns the row of the leaving variable and the step length, by a two-pass ratio test (Harris): among
+// the rows that block within the feasibility tolerance it takes the one with the largest pivot element. Row -1 means
+// that the entering variable reaches its other bound first.
 func (l *LP) chooseLeaving(entering int, direction float64) (row int, step float64) {
 	shortest := math.Inf(1)
-	for i, element := range l.entering {
+	for i, element := range l.pivotColumn {
 		if math.Abs(element) >= pivotTolerance {
 			shortest = min(shortest, l.stepToBound(i, direction, feasibilityTolerance))
 		}
@@ -133,11 +133,11 @@
 	if shortest >= step {
 		return row, step
 	}
-	for i, element := range l.entering {
+	for i, element := range l.pivotColumn {
 		if math.Abs(element) < pivotTolerance || l.stepToBound(i, direction, 0) > shortest {
 			continue
 		}
-		if row < 0 || math.Abs(element) > math.Abs(l.entering[row]) {
+		if row < 0 || math.Abs(element) > math.Abs(l.pivotColumn[row]) {
 			row = i
 		}
 	}
@@ -147,10 +147,10 @@
 	return row, step
 }
 
-// stepToBound returns the step until the basic variable of a row meets a bound, which is relaxed by a tolerance. The
-// row's element must not be below pivotTolerance.
+// stepToBound returns the step length at which the basic variable of a row reaches its bound, relaxed by a tolerance.
+// The absolute value of the row's pivot element must be at least pivotTolerance.
 func (l *LP) stepToBound(row int, direction, tolerance float64) float64 {
-	rate := -direction * l.entering[row]
+	rate := -direction * l.pivotColumn[row]
 	value := l.basicValues[row]
 	lower, upper := l.lower[l.basis[row]], l.upper[l.basis[row]]
 	switch {
@@ -163,13 +163,13 @@
 	case rate < 0 && value >= lower-feasibilityTolerance:
 		return (lower - value - tolerance) / rate
 	}
-	return math.Inf(1) // outside of its bounds and moving away from them
+	return math.Inf(1) // infeasible and moving away from its bounds
 }
 
-// leaveBasis puts a row's basic variable at the bound that it has met.
-func (l *LP) leaveBasis(row int, direction float64) {
+// removeFromBasis marks a row's basic variable as nonbasic at the bound that it has reached.
+func (l *LP) removeFromBasis(row int, direction float64) {
 	leaving := l.basis[row]
-	rate := -direction * l.entering[row]
+	rate := -direction * l.pivotColumn[row]
 	value := l.basicValues[row]
 	isNearUpper := math.Abs(value-l.upper[leaving]) < math.Abs(value-l.lower[leaving])
 	l.status[leaving] = atLower
@@ -178,16 +178,16 @@
 	}
 }
 
-// updateInverse updates the inverse for a row whose basic variable was replaced by the entering one.
+// updateInverse updates the inverse after the entering variable has replaced the basic variable of a row.
 func (l *LP) updateInverse(row int) {
-	factor := 1 / l.entering[row]
+	factor := 1 / l.pivotColumn[row]
 	for i := range l.rowCount {
 		column := l.inverseColumn(i)
 		amount := column[row] * factor
 		if amount == 0 {
 			continue
 		}
-		subtractScaled(column, l.entering, amount)
+		subtractScaled(column, l.pivotColumn, amount)
 		column[row] = amount
 	}
 }
--- a/internal/ilp/program.go
+++ b/internal/ilp/program.go
@@ -1,12 +1,12 @@
-// Package ilp solves integer linear programs exactly. A floating-point simplex guides a branch and bound search;
-// every bound that it suggests is computed again in integers, so rounding can cost time but never makes an answer
-// wrong.
+// Package ilp solves integer linear programs exactly. A floating-point simplex guides a branch and bound search; every
+// bound is recomputed from the simplex multipliers in integer arithmetic, so rounding errors can slow the search down
+// but never make a result wrong.
 //
-// The package is free of I/O and clock: callers decide when to stop. The same program always gives the same search.
-// Its types are not safe for concurrent use.
+// The package uses no I/O and no clock: callers decide when to stop. The search is deterministic. Types are not safe
+// for concurrent use.
 package ilp
 
-// Sense is how a row's sum is compared with its bound.
+// Sense is the direction of a row's inequality.
 type Sense uint8
 
 // The senses.
@@ -15,36 +15,39 @@
 	GreaterOrEqual
 )
 
-// Row is a constraint on the sum of its columns' coefficients times their values.
+// Row is a linear constraint: the sum of its columns' coefficients times their values, compared with Bound.
 type Row struct {
-	Sense  Sense
-	Bound  int64
-	Convex bool // its columns have coefficient 1 here and are in no other such row, so its multiplier may cover them
+	Sense Sense
+	Bound int64
+	// Convexity marks a row whose coefficients are all 1 and whose columns are in no other such row. Program.Bound may
+	// raise its multiplier.
+	Convexity bool
 }
 
-// Column is an integer variable with the bounds Lower and Upper, both included.
+// Column is an integer variable between Lower and Upper, both inclusive.
 type Column struct {
 	Objective    int64 // per unit
 	Lower        int64
 	Upper        int64
-	Rows         []int32 // in which it has a coefficient, each once
-	Coefficients []int64 // by the index in Rows
-	BranchFirst  bool    // branched on before other columns
+	Rows         []int32 // distinct rows in which it has a coefficient
+	Coefficients []int64 // parallel to Rows
+	BranchFirst  bool    // has branching priority
 }
 
-// Program is to maximize the sum of the columns' objectives subject to all rows.
+// Program maximizes the sum of the columns' objectives times their values, subject to all rows.
 type Program struct {
 	Rows    []Row
 	Columns []Column
 }
 
-// Value returns the objective of a solution; false: it violates a row or a bound, or a sum exceeds MaxMagnitude.
+// Value returns the objective of a solution, and false if it violates a row or a bound or if a sum exceeds
+// MaxMagnitude.
 func (p *Program) Value(solution []int64) (int64, bool) {
 	if len(solution) != len(p.Columns) {
 		return 0, false
 	}
-	sums := make([]sum, len(p.Rows))
-	var objective sum
+	sums := make([]checkedSum, len(p.Rows))
+	var objective checkedSum
 	for j, column := range p.Columns {
 		value := solution[j]
 		if value < column.Lower || value > column.Upper {
@@ -66,7 +69,7 @@
 	return objective.result()
 }
 
-func (r Row) isSatisfied(rowSum sum) bool {
+func (r Row) isSatisfied(rowSum checkedSum) bool {
 	value, isExact := rowSum.result()
 	if !isExact {
 		return false
@@ -77,8 +80,8 @@
 	return value >= r.Bound
 }
 
-// granularity returns the greatest common divisor of the objective's coefficients, at least 1: every value of the
-// objective is a multiple of it.
+// granularity returns the greatest common divisor of the objective coefficients, at least 1. Every objective value is a
+// multiple of it.
 func (p *Program) granularity() int64 {
 	var divisor int64
 	for _, column := range p.Columns {
--- a/internal/ilp/search.go
+++ b/internal/ilp/search.go
@@ -5,36 +5,36 @@
 	"slices"
 )
 
-// Search is a branch and bound search, depth first. The branch nearest to the LP's solution comes first, so that
-// solutions are found early; open nodes keep their bounds.
+// Search is a depth-first branch and bound search. It visits the child nearest to the LP solution first, to find
+// incumbents early. Open nodes keep the bound of their parent's relaxation.
 type Search struct {
 	Program    *Program
-	Stop       func() bool // nil: never; called often
+	Stop       func() bool // nil: never; polled often
 	MaxNodes   int         // 0: no limit
-	Start      []int64     // an initial solution, or nil
-	Cutoff     int64       // only solutions above it are searched for; math.MinInt64: all
-	Target     int64       // a solution of this value ends the search; math.MaxInt64: none does
-	KnownBound int64       // an upper bound known beforehand; math.MaxInt64: none
+	Start      []int64     // initial incumbent, or nil
+	Cutoff     int64       // only solutions with a larger objective are searched for; math.MinInt64: all
+	Target     int64       // the search ends at a solution of at least this objective; math.MaxInt64: at none
+	KnownBound int64       // upper bound known beforehand; math.MaxInt64: none
 }
 
-// NewSearch returns a search for the best solution.
+// NewSearch returns a search for an optimal solution without limits.
 func NewSearch(program *Program) *Search {
 	return &Search{Program: program, Cutoff: math.MinInt64, Target: math.MaxInt64, KnownBound: math.MaxInt64}
 }
 
-// Result is how far a search came.
+// Result is the outcome of a search.
 type Result struct {
-	Values   []int64 // the best solution found, or nil
-	Value    int64   // its objective
-	Bound    int64   // no solution has a greater one; not above Cutoff: there is none above it
-	Complete bool    // no node is open: Values is optimal, or there is no solution above Cutoff
+	Values   []int64 // incumbent, or nil
+	Value    int64   // objective of the incumbent
+	Bound    int64   // upper bound on the objective; at most Cutoff: no solution above Cutoff exists
+	Complete bool    // the search space is exhausted: Values is optimal, or no solution above Cutoff exists
 	Nodes    int
 }
 
-// node is a part of the search space: that of its parent, with a column's bounds tightened.
+// node is a subproblem: its parent with tightened bounds of one column.
 type node struct {
 	parent *node
-	column int // -1: the root
+	column int // -1: root
 	lower  int64
 	upper  int64
 	bound  int64
@@ -43,37 +43,38 @@
 // searchRun is the state of a running search.
 type searchRun struct {
 	Search
-	relaxation  *LP
-	granularity int64 // of the objective
-	result      Result
-	unsettled   int64 // the best bound of nodes that could not be solved
-	threshold   int64 // solutions that are not above it are of no use
+	relaxation    *LP
+	granularity   int64 // of the objective
+	result        Result
+	unsolvedBound int64 // largest bound of the nodes whose relaxation could not be solved
+	pruneBound    int64 // nodes whose bound is at most this are pruned: the objective of the incumbent, or Cutoff
 }
 
-// Run runs the search. A node whose LP was stopped stays open.
+// Run runs the search. A node whose relaxation was stopped stays open.
 func (s Search) Run() Result {
-	r := searchRun{Search: s, granularity: s.Program.granularity(), unsettled: math.MinInt64, threshold: s.Cutoff}
+	r := searchRun{Search: s, granularity: s.Program.granularity(), unsolvedBound: math.MinInt64, pruneBound: s.Cutoff}
 	if r.Stop == nil {
 		r.Stop = func() bool { return false }
 	}
 	r.result.Value = math.MinInt64
 	if s.Start != nil {
-		r.offer(s.Start)
+		r.updateIncumbent(s.Start)
 	}
 	original := slices.Clone(s.Program.Columns)
 	r.relaxation = NewLP(s.Program)
 	open := r.explore(original)
 	copyBounds(s.Program.Columns, original)
-	r.conclude(open)
+	r.setBound(open)
 	return r.result
 }
 
-// explore visits nodes until none is open or the search is to end, and returns the open ones.
+// explore processes nodes until none is open, the target is reached or a limit stops the search. It returns the open
+// nodes.
 func (r *searchRun) explore(original []Column) []*node {
 	open := []*node{{column: -1, bound: r.KnownBound}}
 	for len(open) > 0 && r.result.Value < r.Target {
 		next := open[len(open)-1]
-		if next.bound <= r.threshold {
+		if next.bound <= r.pruneBound {
 			open = open[:len(open)-1]
 			continue
 		}
@@ -82,8 +83,8 @@
 		}
 		r.result.Nodes++
 		r.applyBounds(next, original)
-		children, isSettled := r.visit(next)
-		if !isSettled {
+		children, isProcessed := r.processNode(next)
+		if !isProcessed {
 			break
 		}
 		open = append(open[:len(open)-1], children...)
@@ -109,52 +110,53 @@
 	}
 }
 
-// conclude works out the result's bound from the nodes that are open.
-func (r *searchRun) conclude(open []*node) {
-	bound := max(r.unsettled, r.threshold)
+// setBound computes the bound of the result from the open nodes.
+func (r *searchRun) setBound(open []*node) {
+	bound := max(r.unsolvedBound, r.pruneBound)
 	for _, n := range open {
 		bound = max(bound, n.bound)
 	}
 	r.result.Bound = min(bound, r.KnownBound)
-	r.result.Complete = r.result.Bound <= r.threshold
+	r.result.Complete = r.result.Bound <= r.pruneBound
 }
 
-// offer takes a solution if it is feasible and better than the best known. It reports whether it is feasible.
-func (r *searchRun) offer(solution []int64) bool {
+// updateIncumbent makes a solution the incumbent if it is feasible and improves on it. It reports whether the solution
+// is feasible.
+func (r *searchRun) updateIncumbent(solution []int64) bool {
 	value, isFeasible := r.Program.Value(solution)
-	if isFeasible && value > r.threshold {
+	if isFeasible && value > r.pruneBound {
 		r.result.Values = slices.Clone(solution)
 		r.result.Value = value
-		r.threshold = value
+		r.pruneBound = value
 	}
 	return isFeasible
 }
 
-// visit solves a node and returns its children; none: the node is settled. False: the search was stopped before that
-// was known.
-func (r *searchRun) visit(current *node) ([]*node, bool) {
+// processNode solves the relaxation of a node and returns the node's children; none if the node is fathomed or skipped.
+// It returns false if the search was stopped during the solve, so that the node stays open.
+func (r *searchRun) processNode(current *node) ([]*node, bool) {
 	outcome := r.relaxation.Solve(r.Stop)
 	if outcome == Stopped {
-		return nil, r.giveUp(current)
+		return nil, r.skipUnsolved(current)
 	}
-	bound, isPruned := r.boundOf(current, outcome)
+	bound, isPruned := r.nodeBound(current, outcome)
 	if isPruned {
 		return nil, true
 	}
 	values := r.relaxation.Values()
-	rounded := r.round(values)
+	rounded := r.roundValues(values)
 	fractional := r.branchingColumn(values, outcome)
 	if fractional >= 0 {
-		return r.branchAt(current, fractional, values[fractional], bound), true
+		return r.branch(current, fractional, values[fractional], bound), true
 	}
-	if outcome == Optimal && r.offer(rounded) && r.threshold >= bound {
+	if outcome == Optimal && r.updateIncumbent(rounded) && r.pruneBound >= bound {
 		return nil, true
 	}
 	return r.bisect(current, rounded, bound), true
 }
 
-// boundOf returns a node's bound, and whether the node cannot hold a solution of use.
-func (r *searchRun) boundOf(n *node, outcome Outcome) (bound int64, isPruned bool) {
+// nodeBound returns a node's bound, and whether the node can be pruned.
+func (r *searchRun) nodeBound(n *node, outcome Outcome) (bound int64, isPruned bool) {
 	bound = n.bound
 	exact, isKnown := r.Program.Bound(r.relaxation.Multipliers(outcome))
 	if isKnown && outcome == Infeasible && exact < 0 {
@@ -163,11 +165,11 @@
 	if isKnown && outcome == Optimal {
 		bound = min(bound, roundDown(exact, r.granularity))
 	}
-	return bound, bound <= r.threshold
+	return bound, bound <= r.pruneBound
 }
 
-// round rounds the LP's solution to integers within the columns' bounds.
-func (r *searchRun) round(values []float64) []int64 {
+// roundValues rounds the LP solution to integers within the columns' bounds.
+func (r *searchRun) roundValues(values []float64) []int64 {
 	rounded := make([]int64, len(values))
 	for j, value := range values {
 		column := &r.Program.Columns[j]
@@ -177,18 +179,18 @@
 }
 
 const (
-	integralTolerance = 1e-6 // a value this close to an integer counts as one
-	branchFirstBonus  = 2    // ranks BranchFirst columns above all others
-	upperFirstBelow   = 0.3  // a fractional part below it has the upper branch visited first
+	integralityTolerance = 1e-6 // largest distance from an integer at which a value counts as integral
+	branchFirstBonus     = 2    // exceeds any fractional part, so that BranchFirst columns rank first
+	lowerFirstBelow      = 0.3  // fractional part below which the lower child is visited first
 )
 
-// branchingColumn returns the column to branch on: the one with the largest fractional part, BranchFirst columns
-// before others; -1: all values are integers.
+// branchingColumn returns the column to branch on: the one with the largest fractional part, with BranchFirst columns
+// before others; -1 if all values are integral.
 func (r *searchRun) branchingColumn(values []float64, outcome Outcome) int {
 	best, bestRank := -1, -1.0
 	for j, value := range values {
 		column := &r.Program.Columns[j]
-		isIntegral := math.Abs(value-math.Round(value)) < integralTolerance
+		isIntegral := math.Abs(value-math.Round(value)) < integralityTolerance
 		isOutside := value < float64(column.Lower) || value > float64(column.Upper)
 		if isIntegral || isOutside || outcome == Infeasible {
 			continue
@@ -205,20 +207,20 @@
 	return best
 }
 
-// branchAt splits a node at a fractional value. The child that is visited first comes last.
-func (r *searchRun) branchAt(n *node, column int, value float64, bound int64) []*node {
+// branch splits a node at a fractional value. The last child returned is visited first.
+func (r *searchRun) branch(n *node, column int, value float64, bound int64) []*node {
 	floor := math.Floor(value)
 	bounds := r.Program.Columns[column]
 	lower := &node{parent: n, column: column, lower: bounds.Lower, upper: int64(floor), bound: bound}
 	upper := &node{parent: n, column: column, lower: int64(floor) + 1, upper: bounds.Upper, bound: bound}
-	if value-floor < upperFirstBelow {
+	if value-floor < lowerFirstBelow {
 		return []*node{upper, lower}
 	}
 	return []*node{lower, upper}
 }
 
-// bisect splits a node whose LP solution is integral, but not exact because of rounding, in the middle of the first
-// column that is not fixed. With all columns fixed the rounded solution is the only one.
+// bisect splits a node whose LP solution is integral, but whose bound is not attained because of rounding errors, in
+// the middle of the first column that is not fixed. If all columns are fixed, the rounded solution is the only one.
 func (r *searchRun) bisect(n *node, rounded []int64, bound int64) []*node {
 	for j := range r.Program.Columns {
 		column := &r.Program.Columns[j]
@@ -230,17 +232,17 @@
 		lower := &node{parent: n, column: j, lower: column.Lower, upper: middle, bound: bound}
 		return []*node{upper, lower}
 	}
-	r.offer(rounded)
+	r.updateIncumbent(rounded)
 	return nil
 }
 
-// giveUp settles a node whose LP did not end although the search goes on, and keeps its bound. False: the search was
-// stopped.
-func (r *searchRun) giveUp(n *node) bool {
+// skipUnsolved closes a node whose relaxation hit the pivot limit, and keeps its bound in unsolvedBound. It returns
+// false if the search was stopped instead.
+func (r *searchRun) skipUnsolved(n *node) bool {
 	if r.Stop() {
 		return false
 	}
 	r.relaxation.resetBasis()
-	r.unsettled = max(r.unsettled, n.bound)
+	r.unsolvedBound = max(r.unsolvedBound, n.bound)
 	return true
 }
--- a/internal/ilp/search_test.go
+++ b/internal/ilp/search_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// exhaustiveBest tries every integer solution.
+// exhaustiveBest returns the best objective by enumerating all integer solutions.
 func exhaustiveBest(p *Program) (best int64, isFeasible bool) {
 	solution := make([]int64, len(p.Columns))
 	var try func(j int)
@@ -25,8 +25,8 @@
 	return best, isFeasible
 }
 
-// drawProgram returns a small random program, some of them with large figures.
-func drawProgram(random *rand.Rand) *Program {
+// randomProgram returns a small random program; about a quarter of them have scaled, large coefficients.
+func randomProgram(random *rand.Rand) *Program {
 	p := &Program{}
 	factor := int64(1)
 	if random.IntN(4) == 0 {
@@ -62,7 +62,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	infeasible := 0
 	for n := range 4000 {
-		p := drawProgram(random)
+		p := randomProgram(random)
 		want, isFeasible := exhaustiveBest(p)
 		got := NewSearch(p).Run()
 		isBest := !isFeasible || got.Value == want && got.Bound == want
@@ -74,14 +74,14 @@
 		}
 	}
 	if infeasible < 400 || infeasible > 3600 {
-		t.Errorf("%d of 4000 are infeasible: the draw is one-sided", infeasible)
+		t.Errorf("%d of 4000 are infeasible: the sample is unbalanced", infeasible)
 	}
 }
 
 func TestABoundHoldsForAnyMultipliers(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 3000 {
-		p := drawProgram(random)
+		p := randomProgram(random)
 		multipliers := Multipliers{Scale: int64(random.IntN(3)), Values: make([]int64, len(p.Rows))}
 		for i, row := range p.Rows {
 			multipliers.Values[i] = int64(random.IntN(20))
@@ -93,18 +93,18 @@
 		bound, isExact := p.Bound(multipliers)
 		switch {
 		case !isExact:
-			t.Fatal("small figures exceed the largest magnitude")
+			t.Fatal("sums of small coefficients exceed MaxMagnitude")
 		case isFeasible && multipliers.Scale > 0 && bound < best, isFeasible && multipliers.Scale == 0 && bound < 0:
 			t.Fatalf("bound %d below %d at %+v of %+v", bound, best, multipliers, p)
 		}
 	}
 }
 
-// A search that is stopped at any time has a feasible solution, or none, and a valid bound.
+// A search that is stopped at any point returns a feasible solution or none, and a valid bound.
 func TestStoppedAtAnyTimeTheBoundHolds(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 300 {
-		p := drawProgram(random)
+		p := randomProgram(random)
 		want, isFeasible := exhaustiveBest(p)
 		for stopAfter := 0; ; stopAfter++ {
 			calls := 0
@@ -129,16 +129,16 @@
 	}
 }
 
-func TestFiguresBeyondTheLargestMagnitudeAreRefused(t *testing.T) {
+func TestSumsBeyondMaxMagnitudeAreRefused(t *testing.T) {
 	p := &Program{
 		Rows:    []Row{{Bound: MaxMagnitude}},
 		Columns: []Column{{Objective: MaxMagnitude, Upper: 4, Rows: []int32{0}, Coefficients: []int64{1}}},
 	}
 	if _, ok := p.Value([]int64{2}); ok {
-		t.Error("a sum beyond the largest magnitude has a value")
+		t.Error("a sum beyond MaxMagnitude is not refused")
 	}
 	if value, ok := p.Value([]int64{1}); !ok || value != MaxMagnitude {
-		t.Error("the largest magnitude has none")
+		t.Error("MaxMagnitude itself is refused")
 	}
 	if got := NewSearch(p).Run(); got.Value > MaxMagnitude || got.Complete && got.Values == nil {
 		t.Errorf("found %+v", got)
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -161,7 +161,7 @@
 	if s.isCompact {
 		return ilp.Row{Bound: s.clusters[cluster].threads}
 	}
-	return ilp.Row{Bound: int64(len(s.clusters[cluster].engines)), Convex: true}
+	return ilp.Row{Bound: int64(len(s.clusters[cluster].engines)), Convexity: true}
 }
 
 // limitOr returns a limit, or another number where there is none.
