--- a/internal/solve/answer.go
+++ b/internal/solve/answer.go
@@ -2,40 +2,40 @@
 
 // Values of Answer.Status and Step.Status.
 const (
-	Optimal    = "optimal"        // all three parts of the objective are proved
-	Feasible   = "feasible"       // fits; how far it may be from the best is in the bounds
+	Optimal    = "optimal"        // all three objectives are proved optimal
+	Feasible   = "feasible"       // satisfies all constraints; the bounds limit the distance from the optimum
 	Infeasible = "no answer fits" // proved
-	Unknown    = "unknown"        // time ended before anything was found
+	Unknown    = "unknown"        // time ran out before a plan or a proof was found
 )
 
-// Answer is what a method worked out. Value is the billed value of a second, in millionths; Cost that of a second, in
-// millionths of the unit of money; Evenness the greatest utilization of an engine, in parts of ten thousand of the
-// threads that it may run. The figures on top are those of the last step, when all engines are warm.
+// Answer is the result of a method. Value is the billed value per second, in millionths; Cost the cost per second, in
+// millionths of the currency unit; Evenness the maximum utilization of an engine, in ten-thousandths of its usable
+// threads. The top-level figures are those of the last step, when all engines are warm.
 type Answer struct {
 	Method        string     `json:"method"`
 	Status        string     `json:"status"`
 	Value         int64      `json:"value"`
 	Cost          int64      `json:"cost"`
 	Evenness      int64      `json:"evenness"`
-	Bound         int64      `json:"bound"` // no plan's value is greater
+	Bound         int64      `json:"bound"` // upper bound on the value of any plan
 	Gap           float64    `json:"gap"`   // (bound - value) / bound
 	CostBound     int64      `json:"cost_bound"`
 	EvennessBound int64      `json:"evenness_bound"`
 	Proved        Proved     `json:"proved"`
-	Steps         []Step     `json:"steps,omitempty"` // by the time from now at which they begin
+	Steps         []Step     `json:"steps,omitempty"` // in order of their start times
 	Binding       []Binding  `json:"binding,omitempty"`
 	Conflicts     []Conflict `json:"conflicts,omitempty"`
 }
 
-// Proved says which parts of the objective are proved to be the best.
+// Proved says which objectives are proved optimal.
 type Proved struct {
 	Value    bool `json:"value"`
 	Cost     bool `json:"cost"`
 	Evenness bool `json:"evenness"`
 }
 
-// Step is a plan from a moment on, until the next step begins. Engines that warm up count with what they may run at
-// its beginning, which is the least in it.
+// Step is the plan from FromMS until the next step begins. Engines that warm up count with their capacity at its
+// beginning, which is the lowest during the step.
 type Step struct {
 	FromMS   int64     `json:"from_ms"`
 	Status   string    `json:"status"`
@@ -50,7 +50,7 @@
 	Served   []Served  `json:"served"`
 }
 
-// Threads are threads of an engine for a type's jobs of a tenant from a zone.
+// Threads is the number of an engine's threads assigned to a type's jobs for a tenant from a zone.
 type Threads struct {
 	Type    string `json:"type"`
 	Tenant  string `json:"tenant"`
@@ -59,7 +59,7 @@
 	Threads int64  `json:"threads"`
 }
 
-// Use is the utilization of an engine: threads granted, of those that it may run now, and of all once it is warm.
+// Use is the utilization of an engine: the threads in use, the threads usable now, and all threads once it is warm.
 type Use struct {
 	Engine  string `json:"engine"`
 	Threads int64  `json:"threads"`
@@ -67,14 +67,14 @@
 	Total   int64  `json:"has"`
 }
 
-// Share is a tenant's part of all granted threads.
+// Share is a tenant's fraction of all granted threads.
 type Share struct {
 	Tenant     string `json:"tenant"`
 	Threads    int64  `json:"threads"`
 	PerMillion int64  `json:"per_million"`
 }
 
-// Weight is an engine's part of the threads of a type's jobs from a zone.
+// Weight is an engine's fraction of the threads granted to a type's jobs from a zone.
 type Weight struct {
 	Type       string `json:"type"`
 	Zone       string `json:"zone"`
@@ -82,7 +82,7 @@
 	PerMillion int64  `json:"per_million"`
 }
 
-// Served is the threads that a type is granted of those requested.
+// Served is the threads requested by and granted to a type.
 type Served struct {
 	Type      string `json:"type"`
 	Requested int64  `json:"asked"`
--- a/internal/solve/binding.go
+++ b/internal/solve/binding.go
@@ -7,35 +7,35 @@
 	"slices"
 )
 
-// Binding is something that holds the value down, and what one more unit of it would bring a second.
+// Binding is a binding constraint, and the value per second that relaxing it by one unit would add.
 type Binding struct {
 	What  string `json:"what"`
 	Unit  string `json:"unit"`
 	Gain  int64  `json:"gain"`
-	Exact bool   `json:"exact"` // solved again with one more unit; else an estimate by the LP's multiplier
+	Exact bool   `json:"exact"` // computed by solving the relaxed problem; else estimated from the LP's multiplier
 }
 
-// scarcity is something that may hold the value down.
-type scarcity struct {
-	what string
-	unit string
-	row  int32                           // of the master program; none: it has no row
-	add  func(set *constraintSet) *model // adds a unit, to the set or to the model that it returns
+// bindingCandidate is a constraint that may be binding.
+type bindingCandidate struct {
+	what  string
+	unit  string
+	row   int32                           // of the master program; none: it has no row
+	relax func(set *constraintSet) *model // relaxes it by one unit, in the set or in the returned model
 }
 
-// bindings looks at everything that may be in short supply. If all patterns are written out the problem is solved
-// again with one more unit of each; else the multipliers tell.
+// bindings returns the constraints that limit the value, by decreasing gain. If all patterns are enumerated, the
+// problem is solved again with each constraint relaxed by one unit; else the gains are estimated from the multipliers.
 func (m *model) bindings(constraints *constraintSet, out outcome, stop func() bool) []Binding {
-	var candidates []scarcity
-	candidates = append(candidates, m.engineScarcities(out.master)...)
-	candidates = append(candidates, m.limitScarcities(out.master, constraints)...)
-	candidates = append(candidates, m.fleetScarcities(out.master, constraints)...)
-	candidates = append(candidates, m.minimumScarcities(out.master, constraints)...)
+	var candidates []bindingCandidate
+	candidates = append(candidates, m.engineCandidates(out.master)...)
+	candidates = append(candidates, m.limitCandidates(out.master, constraints)...)
+	candidates = append(candidates, m.utilizationCandidates(out.master, constraints)...)
+	candidates = append(candidates, m.minimumCandidates(out.master, constraints)...)
 	var list []Binding
 	for _, c := range candidates {
 		gain := c.estimateGain(out)
 		if out.master.isComplete {
-			gain = c.solveWithUnit(constraints, out, stop)
+			gain = c.solveRelaxed(constraints, out, stop)
 		}
 		if gain.value > 0 {
 			list = append(list, Binding{What: c.what, Unit: c.unit, Gain: gain.value, Exact: gain.isExact})
@@ -45,31 +45,31 @@
 	return list
 }
 
-// gain is what a unit would bring a second; 0: nothing.
+// gain is the value per second that relaxing a constraint by one unit adds; 0: it is not binding.
 type gain struct {
 	value   int64
 	isExact bool
 }
 
-// solveWithUnit solves the problem with one more unit.
-func (c scarcity) solveWithUnit(constraints *constraintSet, out outcome, stop func() bool) gain {
-	more := constraints.clone()
-	other := c.add(&more)
-	result := newMaster(other, &more).finish(stage{
+// solveRelaxed solves the problem with the constraint relaxed by one unit.
+func (c bindingCandidate) solveRelaxed(constraints *constraintSet, out outcome, stop func() bool) gain {
+	relaxed := constraints.clone()
+	relaxedModel := c.relax(&relaxed)
+	result := newMaster(relaxedModel, &relaxed).solveStage(stage{
 		goal:    maxValue,
 		start:   out.solution,
 		above:   math.MinInt64,
-		maxCost: more.maxCost,
+		maxCost: relaxed.maxCost,
 		stop:    stop,
 	})
-	if result.solution == nil || result.value <= out.measure.value {
+	if result.solution == nil || result.value <= out.objective.value {
 		return gain{}
 	}
-	return gain{value: result.value - out.measure.value, isExact: result.bound <= result.value && out.proved.Value}
+	return gain{value: result.value - out.objective.value, isExact: result.bound <= result.value && out.proved.Value}
 }
 
-// estimateGain reads the gain off the multipliers.
-func (c scarcity) estimateGain(out outcome) gain {
+// estimateGain derives the gain from the multiplier of the constraint's row.
+func (c bindingCandidate) estimateGain(out outcome) gain {
 	multipliers := out.multipliers
 	if c.row < 0 || int(c.row) >= len(multipliers.Values) || multipliers.Scale <= 0 {
 		return gain{}
@@ -78,7 +78,7 @@
 	return gain{value: max(multiplier, -multiplier) / multipliers.Scale}
 }
 
-// clone returns a copy whose limits may be changed.
+// clone returns a copy whose limits can be changed independently.
 func (set *constraintSet) clone() constraintSet {
 	c := *set
 	c.quotas = slices.Clone(set.quotas)
@@ -88,9 +88,10 @@
 	return c
 }
 
-// engineScarcities are threads and memory of engines, and engines where they cannot be told apart.
-func (m *model) engineScarcities(master *master) []scarcity {
-	var list []scarcity
+// engineCandidates returns the threads and memory of each cluster's engines, and the number of engines if patterns are
+// generated.
+func (m *model) engineCandidates(master *master) []bindingCandidate {
+	var list []bindingCandidate
 	for i, c := range master.clusters {
 		engine := c.engines[0]
 		name := m.problem.Engines[engine].Name
@@ -98,29 +99,29 @@
 			name = fmt.Sprintf("%s or one of %d like it", name, len(c.engines)-1)
 		}
 		list = append(list,
-			scarcity{what: "threads of engine " + name, unit: "one more thread", row: none,
-				add: func(*constraintSet) *model { return m.withExtra(engine, 1, 0) }},
-			scarcity{what: "memory of engine " + name, unit: "one more MB", row: none,
-				add: func(*constraintSet) *model { return m.withExtra(engine, 0, 1) }})
+			bindingCandidate{what: "threads of engine " + name, unit: "one more thread", row: none,
+				relax: func(*constraintSet) *model { return m.withExtraCapacity(engine, 1, 0) }},
+			bindingCandidate{what: "memory of engine " + name, unit: "one more MB", row: none,
+				relax: func(*constraintSet) *model { return m.withExtraCapacity(engine, 0, 1) }})
 		if !master.isComplete {
-			list = append(list, scarcity{
+			list = append(list, bindingCandidate{
 				what: "engine " + name,
 				unit: "one more such engine",
-				row:  master.rows.convex + int32(i),
+				row:  master.rows.convexity + int32(i),
 			})
 		}
 	}
 	return list
 }
 
-// limitScarcities are those of tenants, zones and types.
-func (m *model) limitScarcities(master *master, constraints *constraintSet) []scarcity {
-	var list []scarcity
+// limitCandidates returns the limits of tenants, zones and types, and the maximum cost.
+func (m *model) limitCandidates(master *master, constraints *constraintSet) []bindingCandidate {
+	var list []bindingCandidate
 	add := func(what, unit string, row int32, limitOf func(set *constraintSet) *int64) {
 		if *limitOf(constraints) < 0 {
 			return
 		}
-		list = append(list, scarcity{what: what, unit: unit, row: row, add: func(set *constraintSet) *model {
+		list = append(list, bindingCandidate{what: what, unit: unit, row: row, relax: func(set *constraintSet) *model {
 			*limitOf(set)++
 			return m
 		}})
@@ -142,31 +143,31 @@
 	return list
 }
 
-// fleetScarcities is the use of engines, unless they may be used completely.
-func (m *model) fleetScarcities(_ *master, constraints *constraintSet) []scarcity {
+// utilizationCandidates returns the limit on engine utilization, unless it allows full use.
+func (m *model) utilizationCandidates(_ *master, constraints *constraintSet) []bindingCandidate {
 	if constraints.maxUsePerMille < 0 || constraints.maxUsePerMille >= perMille {
 		return nil
 	}
-	return []scarcity{{what: "greatest use of an engine", unit: "one more per mille", row: none,
-		add: func(set *constraintSet) *model {
+	return []bindingCandidate{{what: "greatest use of an engine", unit: "one more per mille", row: none,
+		relax: func(set *constraintSet) *model {
 			set.maxUsePerMille++
 			return m
 		}}}
 }
 
-// minimumScarcities are the threads that must be given to types and tenants.
-func (m *model) minimumScarcities(master *master, constraints *constraintSet) []scarcity {
-	var list []scarcity
+// minimumCandidates returns the minimums of types and tenants.
+func (m *model) minimumCandidates(master *master, constraints *constraintSet) []bindingCandidate {
+	var list []bindingCandidate
 	for k, f := range constraints.minimums {
 		if f.threads <= 0 {
 			continue
 		}
-		name := m.nameOf(f)
-		list = append(list, scarcity{
+		name := m.minimumName(f)
+		list = append(list, bindingCandidate{
 			what: "threads that must be given to " + name,
 			unit: "one thread less",
 			row:  master.rows.minimum + int32(k),
-			add: func(set *constraintSet) *model {
+			relax: func(set *constraintSet) *model {
 				set.minimums[k].threads--
 				return m
 			},
@@ -175,19 +176,20 @@
 	return list
 }
 
-// nameOf names what a minimum is for.
-func (m *model) nameOf(f minimum) string {
+// minimumName names the type or tenant of a minimum.
+func (m *model) minimumName(f minimum) string {
 	if f.typ >= 0 {
 		return "type " + m.problem.Types[f.typ].Name
 	}
 	return "tenant " + m.problem.Tenants[f.tenant].Name
 }
 
-// withExtra returns the model with more threads and memory at one engine, which then is a group of its own.
-func (m *model) withExtra(engine int, threads, memoryMB int64) *model {
-	more := *m
-	more.groups = slices.Clone(m.groups)
-	more.groupOf = slices.Clone(m.groupOf)
+// withExtraCapacity returns a copy of the model with more threads and memory on one engine, which forms a group of its
+// own.
+func (m *model) withExtraCapacity(engine int, threads, memoryMB int64) *model {
+	extended := *m
+	extended.groups = slices.Clone(m.groups)
+	extended.groupOf = slices.Clone(m.groupOf)
 	from := m.groupOf[engine]
 	g := m.groups[from]
 	g.engines = []int{engine}
@@ -199,8 +201,8 @@
 		g.canRun[k] = m.canRunOn(class, g.threads, g.memoryMB)
 	}
 	others := slices.DeleteFunc(slices.Clone(m.groups[from].engines), func(i int) bool { return i == engine })
-	more.groups[from].engines = others
-	more.groupOf[engine] = len(more.groups)
-	more.groups = append(more.groups, g)
-	return &more
+	extended.groups[from].engines = others
+	extended.groupOf[engine] = len(extended.groups)
+	extended.groups = append(extended.groups, g)
+	return &extended
 }
--- a/internal/solve/check.go
+++ b/internal/solve/check.go
@@ -5,16 +5,15 @@
 	"strings"
 )
 
-// Fault says what is wrong with a problem, and where.
+// Fault is a validation error of a problem.
 type Fault struct {
 	Path string // JSON pointer
 	Text string
 }
 
-// String returns the path and the text.
 func (f Fault) String() string { return f.Path + ": " + f.Text }
 
-// The greatest sizes and figures. Within them no sum that the solver makes leaves 62 bits, which Check makes sure of.
+// Limits on sizes and figures. Check also makes sure that no sum within the solver exceeds 62 bits.
 const (
 	MaxEngines = 2000
 	MaxTypes   = 32
@@ -23,45 +22,45 @@
 	MaxFigure  = 1_000_000_000_000
 	MaxCores   = 4096
 
-	maxSum              = 1 << 60
-	maxThreadsPerCore   = 64
-	maxThreadsOfJob     = 1024
-	maxMemoryMB         = 1 << 30
-	maxWorkMS           = 1_000_000_000
-	maxWarmMS           = 86_400_000 // a day
-	maxCrossingPerGB    = 1_000_000_000
-	perMille            = 1000
-	maxNameBytes        = 200
-	bytesPerGB          = 1_000_000_000
-	maxFaults           = 50 // that are named
-	defaultPerCore      = 2
-	millionthsOfJobByMS = 1_000_000_000 // what a thread does of a job of one millisecond, in a second
+	maxSum               = 1 << 60
+	maxThreadsPerCore    = 64
+	maxThreadsOfJob      = 1024
+	maxMemoryMB          = 1 << 30
+	maxWorkMS            = 1_000_000_000
+	maxWarmMS            = 86_400_000 // 24 hours
+	maxCrossingCostPerGB = 1_000_000_000
+	perMille             = 1000
+	maxNameBytes         = 200
+	bytesPerGB           = 1_000_000_000
+	maxFaults            = 50 // returned by Check
+	defaultPerCore       = 2
+	jobRateOfOneMS       = 1_000_000_000 // per second and thread, in millionths, of jobs with a WorkMS of 1
 )
 
-// Values of Constraints.FitsWithout: any engine, or a prefix before the name of an engine or a zone.
+// Entries of Constraints.FitsWithout: any engine, or a prefix of an engine's or a zone's name.
 const (
 	anyEngine     = "any engine"
 	withoutEngine = "engine "
 	withoutZone   = "zone "
 )
 
-// Check names all faults, up to a maximum. A problem without any is safe to solve.
+// Check returns the faults of a problem, at most maxFaults of them. Solve accepts only problems without faults.
 func (problem *Problem) Check() []Fault {
 	c := checker{problem: problem}
 	if problem.ThreadsPerCore != 0 {
-		c.within("/threads_per_core", problem.ThreadsPerCore, 1, maxThreadsPerCore)
+		c.checkRange("/threads_per_core", problem.ThreadsPerCore, 1, maxThreadsPerCore)
 	}
-	c.count("/engines", len(problem.Engines), MaxEngines)
-	c.count("/types", len(problem.Types), MaxTypes)
-	c.count("/tenants", len(problem.Tenants), MaxTenants)
-	c.count("/zones", len(problem.Zones), MaxZones)
+	c.checkCount("/engines", len(problem.Engines), MaxEngines)
+	c.checkCount("/types", len(problem.Types), MaxTypes)
+	c.checkCount("/tenants", len(problem.Tenants), MaxTenants)
+	c.checkCount("/zones", len(problem.Zones), MaxZones)
 	if len(c.faults) > 0 {
 		return c.faults
 	}
-	c.zones = c.names("/zones", len(problem.Zones), func(i int) string { return problem.Zones[i].Name })
-	c.engines = c.names("/engines", len(problem.Engines), func(i int) string { return problem.Engines[i].Name })
-	c.types = c.names("/types", len(problem.Types), func(i int) string { return problem.Types[i].Name })
-	c.tenants = c.names("/tenants", len(problem.Tenants), func(i int) string { return problem.Tenants[i].Name })
+	c.zones = c.checkNames("/zones", len(problem.Zones), func(i int) string { return problem.Zones[i].Name })
+	c.engines = c.checkNames("/engines", len(problem.Engines), func(i int) string { return problem.Engines[i].Name })
+	c.types = c.checkNames("/types", len(problem.Types), func(i int) string { return problem.Types[i].Name })
+	c.tenants = c.checkNames("/tenants", len(problem.Tenants), func(i int) string { return problem.Tenants[i].Name })
 	c.checkZones()
 	c.checkEngines()
 	c.checkTypes()
@@ -75,7 +74,7 @@
 	return c.faults
 }
 
-// nameSet holds the names of one list of the problem.
+// nameSet is the names in one list of the problem.
 type nameSet map[string]bool
 
 // checker collects the faults of a problem.
@@ -94,29 +93,29 @@
 	}
 }
 
-// within checks a figure's range.
-func (c *checker) within(path string, value, low, high int64) {
+// checkRange checks that a figure is within a range, both ends inclusive.
+func (c *checker) checkRange(path string, value, low, high int64) {
 	if value < low || value > high {
 		c.fault(path, "%d is not from %d to %d", value, low, high)
 	}
 }
 
-// count checks the length of a list.
-func (c *checker) count(path string, length, limit int) {
+// checkCount checks the length of a list.
+func (c *checker) checkCount(path string, length, limit int) {
 	if length < 1 || length > limit {
 		c.fault(path, "%d entries, where 1 to %d are taken", length, limit)
 	}
 }
 
-// names checks the names of a list and returns them.
-func (c *checker) names(path string, length int, nameOf func(int) string) nameSet {
+// checkNames checks that the names of a list are well-formed and unique, and returns them.
+func (c *checker) checkNames(path string, length int, nameOf func(int) string) nameSet {
 	names := nameSet{}
 	for i := range length {
 		name := nameOf(i)
 		at := fmt.Sprintf("%s/%d/name", path, i)
-		isName := name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "\n\r\t")
+		isValid := name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, "\n\r\t")
 		switch {
-		case !isName:
+		case !isValid:
 			c.fault(at, "%q is no name", name)
 		case names[name]:
 			c.fault(at, "%q stands twice", name)
@@ -126,8 +125,8 @@
 	return names
 }
 
-// known checks that a name is in a list of the problem.
-func (c *checker) known(path string, names nameSet, name string) {
+// checkKnown checks that a name is in a list of the problem.
+func (c *checker) checkKnown(path string, names nameSet, name string) {
 	if !names[name] {
 		c.fault(path, "%q is not named in the problem", name)
 	}
@@ -136,9 +135,9 @@
 func (c *checker) checkZones() {
 	for i, z := range c.problem.Zones {
 		at := fmt.Sprintf("/zones/%d", i)
-		c.within(at+"/crossing_cost_per_gb", z.CrossingCostPerGB, 0, maxCrossingPerGB)
+		c.checkRange(at+"/crossing_cost_per_gb", z.CrossingCostPerGB, 0, maxCrossingCostPerGB)
 		if z.CrossingBytesPerS != nil {
-			c.within(at+"/crossing_bytes_per_s", *z.CrossingBytesPerS, 0, MaxFigure)
+			c.checkRange(at+"/crossing_bytes_per_s", *z.CrossingBytesPerS, 0, MaxFigure)
 		}
 	}
 }
@@ -146,18 +145,18 @@
 func (c *checker) checkEngines() {
 	for i, e := range c.problem.Engines {
 		at := fmt.Sprintf("/engines/%d", i)
-		c.known(at+"/zone", c.zones, e.Zone)
-		c.within(at+"/cores", e.Cores, 1, MaxCores)
-		c.within(at+"/memory_mb", e.MemoryMB, 0, maxMemoryMB)
-		c.within(at+"/cost", e.Cost, 0, MaxFigure)
+		c.checkKnown(at+"/zone", c.zones, e.Zone)
+		c.checkRange(at+"/cores", e.Cores, 1, MaxCores)
+		c.checkRange(at+"/memory_mb", e.MemoryMB, 0, maxMemoryMB)
+		c.checkRange(at+"/cost", e.Cost, 0, MaxFigure)
 		switch e.State {
 		case "", Ready, Draining:
 			if e.CapacityPerMille != 0 || e.WarmInMS != 0 {
 				c.fault(at, "part_per_mille and warm_in_ms are for state %q", Started)
 			}
 		case Started:
-			c.within(at+"/part_per_mille", e.CapacityPerMille, 0, perMille)
-			c.within(at+"/warm_in_ms", e.WarmInMS, 0, maxWarmMS)
+			c.checkRange(at+"/part_per_mille", e.CapacityPerMille, 0, perMille)
+			c.checkRange(at+"/warm_in_ms", e.WarmInMS, 0, maxWarmMS)
 		default:
 			c.fault(at+"/state", "%q is none of ready, draining, started", e.State)
 		}
@@ -167,17 +166,17 @@
 func (c *checker) checkTypes() {
 	for i, t := range c.problem.Types {
 		at := fmt.Sprintf("/types/%d", i)
-		c.within(at+"/threads", t.Threads, 1, maxThreadsOfJob)
-		c.within(at+"/memory_mb", t.MemoryMB, 0, maxMemoryMB)
-		c.within(at+"/work_ms", t.WorkMS, 1, maxWorkMS)
-		c.within(at+"/value", t.Value, 0, MaxFigure)
-		c.within(at+"/answer_bytes", t.AnswerBytes, 0, MaxFigure)
-		c.within(at+"/sla_time_ms", t.SLATimeMS, 0, MaxFigure)
+		c.checkRange(at+"/threads", t.Threads, 1, maxThreadsOfJob)
+		c.checkRange(at+"/memory_mb", t.MemoryMB, 0, maxMemoryMB)
+		c.checkRange(at+"/work_ms", t.WorkMS, 1, maxWorkMS)
+		c.checkRange(at+"/value", t.Value, 0, MaxFigure)
+		c.checkRange(at+"/answer_bytes", t.AnswerBytes, 0, MaxFigure)
+		c.checkRange(at+"/sla_time_ms", t.SLATimeMS, 0, MaxFigure)
 		if t.SLATimeMS > 0 && t.Threads > 0 && t.WorkMS/t.Threads > t.SLATimeMS {
 			c.fault(at+"/sla_time_ms", "%d ms: a job takes %d ms at least", t.SLATimeMS, t.WorkMS/t.Threads)
 		}
 		for k, zone := range t.Zones {
-			c.known(fmt.Sprintf("%s/zones/%d", at, k), c.zones, zone)
+			c.checkKnown(fmt.Sprintf("%s/zones/%d", at, k), c.zones, zone)
 		}
 	}
 }
@@ -185,9 +184,9 @@
 func (c *checker) checkTenants() {
 	for i, t := range c.problem.Tenants {
 		at := fmt.Sprintf("/tenants/%d", i)
-		c.within(at+"/share_per_mille", t.SharePerMille, 0, perMille)
+		c.checkRange(at+"/share_per_mille", t.SharePerMille, 0, perMille)
 		if t.QuotaThreads != nil {
-			c.within(at+"/quota_threads", *t.QuotaThreads, 0, MaxFigure)
+			c.checkRange(at+"/quota_threads", *t.QuotaThreads, 0, MaxFigure)
 		}
 	}
 }
@@ -197,10 +196,10 @@
 	seen := map[key]bool{}
 	for i, d := range c.problem.Demand {
 		at := fmt.Sprintf("/demand/%d", i)
-		c.known(at+"/type", c.types, d.Type)
-		c.known(at+"/tenant", c.tenants, d.Tenant)
-		c.known(at+"/zone", c.zones, d.Zone)
-		c.within(at+"/jobs_per_1000s", d.JobsPer1000S, 0, MaxFigure)
+		c.checkKnown(at+"/type", c.types, d.Type)
+		c.checkKnown(at+"/tenant", c.tenants, d.Tenant)
+		c.checkKnown(at+"/zone", c.zones, d.Zone)
+		c.checkRange(at+"/jobs_per_1000s", d.JobsPer1000S, 0, MaxFigure)
 		k := key{typ: d.Type, tenant: d.Tenant, zone: d.Zone}
 		if seen[k] {
 			c.fault(at, "the demand of %q for %q from %q stands twice", d.Type, d.Tenant, d.Zone)
@@ -214,14 +213,14 @@
 	seen := map[key]bool{}
 	for i, m := range c.problem.Constraints.MinServed {
 		at := fmt.Sprintf("/must/least_served/%d", i)
-		c.within(at+"/per_mille", m.PerMille, 0, perMille)
+		c.checkRange(at+"/per_mille", m.PerMille, 0, perMille)
 		switch {
 		case (m.Type == "") == (m.Tenant == ""):
 			c.fault(at, "names one of type and tenant")
 		case m.Type != "":
-			c.known(at+"/type", c.types, m.Type)
+			c.checkKnown(at+"/type", c.types, m.Type)
 		default:
-			c.known(at+"/tenant", c.tenants, m.Tenant)
+			c.checkKnown(at+"/tenant", c.tenants, m.Tenant)
 		}
 		k := key{typ: m.Type, tenant: m.Tenant}
 		if seen[k] {
@@ -234,27 +233,27 @@
 func (c *checker) checkConstraints() {
 	constraints := c.problem.Constraints
 	if constraints.MaxCost != nil {
-		c.within("/must/greatest_cost", *constraints.MaxCost, 0, maxSum)
+		c.checkRange("/must/greatest_cost", *constraints.MaxCost, 0, maxSum)
 	}
 	if constraints.MaxUsePerMille != nil {
-		c.within("/must/greatest_use_per_mille", *constraints.MaxUsePerMille, 0, perMille)
+		c.checkRange("/must/greatest_use_per_mille", *constraints.MaxUsePerMille, 0, perMille)
 	}
 	for i, without := range constraints.FitsWithout {
 		at := fmt.Sprintf("/must/fits_without/%d", i)
-		sort, name, _ := strings.Cut(without, " ")
+		scope, name, _ := strings.Cut(without, " ")
 		switch {
 		case without == anyEngine:
-		case sort == "engine":
-			c.known(at, c.engines, name)
-		case sort == "zone":
-			c.known(at, c.zones, name)
+		case scope == "engine":
+			c.checkKnown(at, c.engines, name)
+		case scope == "zone":
+			c.checkKnown(at, c.zones, name)
 		default:
 			c.fault(at, "%q is none of \"any engine\", \"engine NAME\", \"zone NAME\"", without)
 		}
 	}
 }
 
-// threadsPerCore returns the threads of an engine's core.
+// threadsPerCore returns ThreadsPerCore, or its default.
 func (problem *Problem) threadsPerCore() int64 {
 	if problem.ThreadsPerCore == 0 {
 		return defaultPerCore
@@ -262,7 +261,7 @@
 	return problem.ThreadsPerCore
 }
 
-// jobsPerThread returns how many jobs a thread does, in millionths a second, rounded down, but at least 1.
+// jobsPerThread returns the jobs that a thread completes per second, in millionths, rounded down, but at least 1.
 func jobsPerThread(t Type) int64 {
-	return max(1, millionthsOfJobByMS/max(1, t.WorkMS))
+	return max(1, jobRateOfOneMS/max(1, t.WorkMS))
 }
--- a/internal/solve/check_sums.go
+++ b/internal/solve/check_sums.go
@@ -5,11 +5,11 @@
 	"math/big"
 )
 
-// checkSums makes sure that value, cost and crossing bytes of the complete fleet, fully used, stay within maxSum.
+// checkSums checks that value, cost and crossing bytes per second of the fully used fleet do not exceed maxSum.
 func (c *checker) checkSums() {
 	limit := big.NewInt(maxSum)
 	threads, cost := c.fleetTotals()
-	crossingCost := int64(0) // the greatest of a zone, for a GB
+	crossingCost := int64(0) // per GB, of the most expensive zone
 	for _, z := range c.problem.Zones {
 		crossingCost = max(crossingCost, z.CrossingCostPerGB)
 	}
@@ -43,7 +43,7 @@
 	c.checkDemandSums(limit)
 }
 
-// fleetTotals returns the threads of all engines, and their cost a second.
+// fleetTotals returns the threads of all engines, and their cost per second.
 func (c *checker) fleetTotals() (threads, cost *big.Int) {
 	threads = new(big.Int)
 	cost = new(big.Int)
@@ -55,7 +55,7 @@
 	return threads, cost
 }
 
-// checkDemandSums makes sure that the value of each demand stays within the limit.
+// checkDemandSums checks that the value of each demand does not exceed the limit.
 func (c *checker) checkDemandSums(limit *big.Int) {
 	for i, d := range c.problem.Demand {
 		for _, t := range c.problem.Types {
@@ -71,7 +71,7 @@
 	}
 }
 
-// product returns a new number.
+// product returns the product of the factors as a new number.
 func product(factors ...*big.Int) *big.Int {
 	result := big.NewInt(1)
 	for _, f := range factors {
--- a/internal/solve/columns.go
+++ b/internal/solve/columns.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// solutionOf turns columns' values into a solution, without what no workload is granted.
+// solutionOf converts columns' values to a solution. Threads that no workload is granted are removed.
 func (s *master) solutionOf(values []int64) *solution {
 	out := s.model.emptySolution()
-	surplus := make([]int64, len(s.model.classes)) // threads that engines run and no workload is granted
+	surplus := make([]int64, len(s.model.classes)) // threads run less threads granted, by class
 	nextEngine := make([]int, len(s.clusters))
 	for column, value := range values {
 		meaning := &s.columns[column]
@@ -33,7 +33,7 @@
 	return out
 }
 
-// addThreads adds a number of times some threads by class to an engine.
+// addThreads adds a multiple of threads by class to an engine.
 func addThreads(out *solution, engine int, threads []int64, times int64) {
 	if times <= 0 {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// removeSurplus takes threads off the engines, by class; the dearest engines give first.
+// removeSurplus removes threads from engines, by class, the most expensive engines first.
 func (m *model) removeSurplus(out *solution, surplus []int64) {
 	for class := range surplus {
 		for surplus[class] > 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// dearestEngine returns the first of the engines that run a class at the greatest cost.
+// dearestEngine returns the most expensive engine that runs a class; the first one if several are.
 func (m *model) dearestEngine(out *solution, class int) int {
 	dearest := none
 	for engine, threads := range out.threads {
@@ -72,12 +72,12 @@
 	return dearest
 }
 
-// costOn returns the cost of a class's thread on an engine for a second.
+// costOn returns the cost per second of a class's thread on an engine.
 func (m *model) costOn(engine, class int) int64 {
 	return m.groups[m.groupOf[engine]].cost[class]
 }
 
-// valuesOf turns a solution into columns' values; patterns that it needs are added.
+// valuesOf converts a solution to columns' values. Missing patterns are added to the program.
 func (s *master) valuesOf(from *solution) []int64 {
 	values := make([]int64, len(s.columns))
 	for column := range s.columns {
@@ -106,7 +106,7 @@
 	return s.padded(values)
 }
 
-// workloadValue returns the threads of a workload's column.
+// workloadValue returns the value of a workload's column.
 func (s *master) workloadValue(from *solution, meaning *columnMeaning) int64 {
 	fullThreads := s.model.workloads[meaning.workload].fullThreads
 	granted := from.granted[meaning.workload]
@@ -116,7 +116,7 @@
 	return min(granted, fullThreads)
 }
 
-// shortfallValue returns the threads that a solution is short of a minimum.
+// shortfallValue returns the threads that a solution lacks for a minimum.
 func (s *master) shortfallValue(from *solution, f minimum) int64 {
 	short := f.threads
 	for i, w := range s.model.workloads {
@@ -127,7 +127,7 @@
 	return max(0, short)
 }
 
-// setCompactValues sets the threads by engine and class.
+// setCompactValues sets the values of the compact form's columns.
 func (s *master) setCompactValues(from *solution, values []int64) {
 	for column := range s.columns {
 		meaning := &s.columns[column]
--- a/internal/solve/conflict.go
+++ b/internal/solve/conflict.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// Conflict is demands that cannot be met together, though without any one of them the others can.
+// Conflict is an irreducible infeasible subset of the requirements: they cannot be met together, but without any one of
+// them the others can.
 type Conflict struct {
-	FromMS  int64    `json:"from_ms"`
-	Demands []Member `json:"demands"`
-	Proved  bool     `json:"proved"` // each one needed, all together impossible
+	FromMS  int64               `json:"from_ms"`
+	Demands []RequirementChange `json:"demands"`
+	Proved  bool                `json:"proved"` // that each one is needed and all together are infeasible
 }
 
-// Member is a demand of a conflict and the least change of it alone that ends the conflict.
-type Member struct {
+// RequirementChange is a requirement of a conflict and the smallest change of it alone that resolves the conflict.
+type RequirementChange struct {
 	Demand string `json:"demand"`
 	Change string `json:"change"`
 }
 
-// feasibility says whether constraints can be met.
+// feasibility says whether constraints can be satisfied.
 type feasibility uint8
 
 const (
@@ -28,30 +29,29 @@
 	infeasible
 )
 
-// maxConflicts bounds the number of conflicts that are reported.
-const maxConflicts = 5
+const maxConflicts = 5 // reported per step
 
-// feasibilityOf reports whether requirements can be met together, each at its level: by the fleet as it is, and without
-// each loss that is among them.
+// feasibilityOf reports whether requirements can be met together at the given levels, with the complete fleet and in
+// each of the outages among them.
 func (m *model) feasibilityOf(list []requirement, levels []int64, stop func() bool) feasibility {
-	constraints := m.unconstrained()
-	var losses []loss
+	constraints := m.noConstraints()
+	var outages []outage
 	for i, r := range list {
-		r.apply(&constraints, &losses, levels[i])
+		r.apply(&constraints, &outages, levels[i])
 	}
 	fit := m.minimumsFeasibility(&constraints, stop)
-	for _, remaining := range losses {
+	for _, remaining := range outages {
 		if fit != feasible {
 			break
 		}
 		without := constraints
-		without.remaining = remaining
+		without.outage = remaining
 		fit = m.minimumsFeasibility(&without, stop)
 	}
 	return fit
 }
 
-// strictestLevels returns the level of each requirement at which it asks for everything.
+// strictestLevels returns the strictest level of each requirement.
 func strictestLevels(list []requirement) []int64 {
 	levels := make([]int64, len(list))
 	for i, r := range list {
@@ -60,8 +60,8 @@
 	return levels
 }
 
-// minimumsFeasibility reports whether all minimums can be met within the other constraints. Nothing else can stand in
-// the way, as a solution that grants nothing keeps every other constraint.
+// minimumsFeasibility reports whether all minimums can be met within the other constraints. Only minimums can make a
+// problem infeasible, as a solution that grants nothing satisfies all other constraints.
 func (m *model) minimumsFeasibility(constraints *constraintSet, stop func() bool) feasibility {
 	if len(constraints.minimums) == 0 {
 		return feasible
@@ -69,7 +69,7 @@
 	result := newMaster(
 		m,
 		constraints,
-	).finish(stage{goal: minShortfall, above: math.MinInt64, maxCost: none, stop: stop})
+	).solveStage(stage{goal: minShortfall, above: math.MinInt64, maxCost: none, stop: stop})
 	switch {
 	case result.solution != nil && result.value == 0:
 		return feasible
@@ -79,15 +79,15 @@
 	return undecided
 }
 
-// conflicts finds sets of requirements in conflict that share no requirement, as long as one is left.
+// conflicts returns disjoint conflicts, at most maxConflicts, until the remaining requirements can be met.
 func (m *model) conflicts(atMS int64, stop func() bool) []Conflict {
 	var list []Conflict
 	candidates := m.requirements()
 	for len(list) < maxConflicts && m.feasibilityOf(candidates, strictestLevels(candidates), stop) == infeasible {
-		found := m.irreducibleConflict(candidates, stop)
+		found := m.findIrreducibleSubset(candidates, stop)
 		conflict := Conflict{FromMS: atMS, Proved: found.isProved}
 		for i, r := range found.needed {
-			member := Member{Demand: r.name, Change: m.smallestChange(found.needed, i, stop)}
+			member := RequirementChange{Demand: r.name, Change: m.smallestChange(found.needed, i, stop)}
 			conflict.Demands = append(conflict.Demands, member)
 		}
 		list = append(list, conflict)
@@ -96,17 +96,16 @@
 	return list
 }
 
-// irreducible is a conflict in which every requirement is needed.
-type irreducible struct {
+// irreducibleSubset is an infeasible subset of requirements, each of which is needed, and the other requirements.
+type irreducibleSubset struct {
 	needed   []requirement
 	others   []requirement
 	isProved bool // that each one is needed
 }
 
-// irreducibleConflict takes requirements away one by one: what still conflicts without a requirement does not need
-// it.
-func (m *model) irreducibleConflict(list []requirement, stop func() bool) irreducible {
-	found := irreducible{needed: slices.Clone(list), isProved: true}
+// findIrreducibleSubset is a deletion filter: it removes each requirement without which the rest is still infeasible.
+func (m *model) findIrreducibleSubset(list []requirement, stop func() bool) irreducibleSubset {
+	found := irreducibleSubset{needed: slices.Clone(list), isProved: true}
 	for i := 0; i < len(found.needed); {
 		without := slices.Delete(slices.Clone(found.needed), i, i+1)
 		switch m.feasibilityOf(without, strictestLevels(without), stop) {
@@ -123,8 +122,7 @@
 	return found
 }
 
-// smallestChange returns the least change of one requirement that ends the conflict: its lowest level that fits, by
-// bisection.
+// smallestChange finds the lowest level of one requirement that resolves the conflict, by bisection, and describes it.
 func (m *model) smallestChange(conflict []requirement, index int, stop func() bool) string {
 	changed := conflict[index]
 	levels := strictestLevels(conflict)
--- a/internal/solve/constraints.go
+++ b/internal/solve/constraints.go
@@ -1,37 +1,37 @@
 package solve
 
-// none stands for no index, and for no limit.
+// none marks an absent index or limit.
 const none = -1
 
-// minimum is the least threads of a type or a tenant; the other index is none.
+// minimum is a lower limit on the threads granted to a type or to a tenant; the other index is none.
 type minimum struct {
 	typ     int
 	tenant  int
 	threads int64
 }
 
-// covers reports whether a workload's threads count for the minimum.
+// covers reports whether a workload's threads count towards the minimum.
 func (f minimum) covers(m *model, w workload) bool {
 	return m.classes[w.class].typ == f.typ || w.tenant == f.tenant
 }
 
-// constraintSet is what a solution must keep, in numbers. A limit of none is not there.
+// constraintSet is the constraints in numeric form, each at a given level. A limit of none does not apply.
 type constraintSet struct {
 	minimums        []minimum
 	quotas          []int64 // by tenant: threads
-	crossingBudgets []int64 // by zone: bytes a second
-	outsideLimits   []int64 // by type: threads outside its placement bound; 0: the bound holds
-	maxCost         int64   // of a second
-	maxUsePerMille  int64   // of each engine's threads
-	remaining       loss
+	crossingBudgets []int64 // by zone: bytes per second
+	outsideLimits   []int64 // by type: threads outside its placement bound; 0: the bound is strict
+	maxCost         int64   // per second
+	maxUsePerMille  int64   // of the usable threads of each engine
+	outage          outage
 
-	// What an earlier stage reached and must be kept:
+	// Results of earlier stages that later stages must not worsen:
 	minValue       int64
-	maxUtilization int64 // the greatest use of an engine, in parts of ten thousand of its usable threads
+	maxUtilization int64 // of each engine, in parts of utilizationScale
 }
 
-// unconstrained returns a set that asks for nothing.
-func (m *model) unconstrained() constraintSet {
+// noConstraints returns a set in which no limit applies.
+func (m *model) noConstraints() constraintSet {
 	return constraintSet{
 		quotas:          noLimits(len(m.problem.Tenants)),
 		crossingBudgets: noLimits(len(m.problem.Zones)),
@@ -50,7 +50,7 @@
 	return limits
 }
 
-// requestedThreads returns the threads that a type or a tenant asks for; the other index is none.
+// requestedThreads returns the threads requested for a type or for a tenant; the other index is none.
 func (m *model) requestedThreads(typ, tenant int) int64 {
 	threads := int64(0)
 	for _, w := range m.workloads {
@@ -61,7 +61,7 @@
 	return threads
 }
 
-// requestedOfClass returns the threads that a class of jobs asks for.
+// requestedOfClass returns the threads requested for a class of jobs.
 func (m *model) requestedOfClass(class int) int64 {
 	threads := int64(0)
 	for _, w := range m.workloads {
@@ -72,12 +72,12 @@
 	return threads
 }
 
-// perMilleRoundedUp returns a part of threads in thousandths.
+// perMilleRoundedUp returns threads*part/1000, rounded up.
 func perMilleRoundedUp(threads, part int64) int64 {
 	return threads/perMille*part + (threads%perMille*part+perMille-1)/perMille
 }
 
-// maxBytes returns crossing bytes a second that the fleet cannot exceed.
+// maxBytes returns an upper bound on the crossing bytes per second of any plan.
 func (m *model) maxBytes() int64 {
 	greatest := int64(0)
 	for _, bytes := range m.answerBytes {
@@ -86,7 +86,7 @@
 	return greatest
 }
 
-// maxCost returns a cost of a second that the fleet cannot exceed.
+// maxCost returns an upper bound on the cost per second of any plan.
 func (m *model) maxCost() int64 {
 	sum := int64(0)
 	for i := range m.groups {
@@ -100,17 +100,17 @@
 	return sum
 }
 
-// maxThreadsOf returns the threads that an engine may run within the constraints.
-func (m *model) maxThreadsOf(engine int, set *constraintSet) int64 {
+// maxEngineThreads returns the threads that an engine may run within the constraints.
+func (m *model) maxEngineThreads(engine int, set *constraintSet) int64 {
 	usable := m.groups[m.groupOf[engine]].threads
 	limit := usable
 	if set.maxUsePerMille >= 0 {
 		limit = min(limit, usable*set.maxUsePerMille/perMille)
 	}
-	if set.maxUtilization >= 0 { // the most threads whose utilization, rounded down, is no higher
+	if set.maxUtilization >= 0 { // the most threads whose utilization, rounded down, does not exceed the limit
 		limit = min(limit, ((set.maxUtilization+1)*usable-1)/utilizationScale)
 	}
-	if remaining, isLost := set.remaining[engine]; isLost {
+	if remaining, isLimited := set.outage[engine]; isLimited {
 		limit = min(limit, remaining)
 	}
 	return limit
--- a/internal/solve/diving.go
+++ b/internal/solve/diving.go
@@ -10,120 +10,121 @@
 )
 
 const (
-	divingSteps    = 1500 // of packing, where a good pattern does as well as the best
-	divingRounds   = 12   // of new patterns before engines are settled
-	maxLastNodes   = 50   // of dividing what engines run among the workloads
-	maxIdleRounds  = 200  // in a row that engines are released and settled again for nothing
-	roundTolerance = 1e-6
+	divingKnapsackSteps = 1500 // of the knapsack search; a good pattern serves as well as the best one
+	divingPricingRounds = 12   // of column generation before engines are fixed
+	maxFinalNodes       = 50   // of the search that distributes threads among workloads at the end of a dive
+	maxIdleRounds       = 200  // consecutive release rounds without an improvement
+	roundTolerance      = 1e-6
 
-	// costShare is the part of the value that the complete cost weighs while the value is raised, so that of values
-	// nearly alike the cheaper is found; shortfallFactor is the price of a thread short of a minimum, in values of a
-	// thread.
-	costShare       = 20_000
+	// costWeightDivisor is the ratio of the total value to the weight of the total cost in a dive for value, so that
+	// the cheaper of solutions with nearly equal values is found.
+	costWeightDivisor = 20_000
+	// shortfallFactor is the penalty of a thread short of a minimum, in multiples of the greatest thread value.
 	shortfallFactor = 20
-	// releaseParts is the number of different parts of engines that are released: from one half down.
-	releaseParts = 6
+	// releaseFractions is the number of different fractions of engines that are released: 1/2, 1/3 and so on.
+	releaseFractions = 6
 )
 
-// roundingThresholds are the parts from which the diving heuristic takes a pattern for settled, one run after the
-// other.
+// roundingThresholds are the values from which a dive rounds a pattern up, used in turn.
 var roundingThresholds = [...]float64{0.9, 0.98, 0.8, 0.7}
 
-// diver improves a plan by the diving heuristic.
+// diver improves a solution by diving, and by local search with repeated dives.
 type diver struct {
-	master       *master
-	stage        stage
-	enough       int64   // a value at which it ends
-	defaultPrice int64   // price of cost outside a dive
-	price        int64   // and in a dive
-	best         []int64 // may be short of some minimums, at a price
-	bestValue    int64
-	complete     []int64 // the best that meets all minimums
+	master            *master
+	stage             stage
+	targetValue       int64   // ends the heuristic
+	defaultCostWeight int64   // outside dives
+	diveCostWeight    int64   // during dives
+	best              []int64 // may fall short of minimums, at a penalty
+	bestValue         int64
+	bestFeasible      []int64 // meets all minimums
 }
 
-// improveByDiving dives in several ways, then releases a part of the best plan's engines again and again and settles
-// them anew, until it is worth enough. It returns the best plan that meets all minimums, or nil.
-func (s *master) improveByDiving(target stage, start []int64, enough int64) []int64 {
-	d := diver{master: s, stage: target, enough: enough, complete: start, bestValue: math.MinInt64}
-	d.defaultPrice = s.costPrice
-	d.price = s.costPrice
+// improveByDiving dives with each rounding threshold, then runs a large neighborhood search: it repeatedly releases a
+// random part of the best solution's engines and fixes them anew, until the target value is reached. It returns the
+// best solution that meets all minimums, or nil.
+func (s *master) improveByDiving(target stage, start []int64, targetValue int64) []int64 {
+	d := diver{master: s, stage: target, targetValue: targetValue, bestFeasible: start, bestValue: math.MinInt64}
+	d.defaultCostWeight = s.costWeight
+	d.diveCostWeight = s.costWeight
 	if target.goal == maxValue {
-		d.price = s.maxTotalValue() / max(1, s.model.maxCost()) / costShare
+		d.diveCostWeight = s.maxTotalValue() / max(1, s.model.maxCost()) / costWeightDivisor
 	}
 	if start != nil {
 		d.best = s.padded(start)
 		d.bestValue, _ = s.program.Value(d.best)
 	}
 	for i := 0; i < len(roundingThresholds) && !d.isDone(); i++ {
-		d.try(nil, roundingThresholds[i])
+		d.dive(nil, roundingThresholds[i])
 	}
-	random := rand.New(rand.NewPCG(1, 1)) // the same at every run
+	random := rand.New(rand.NewPCG(1, 1)) // fixed seed, for reproducible results
 	for idle := 0; d.best != nil && idle < maxIdleRounds && !d.isDone(); idle++ {
-		settled := s.releaseEngines(d.best, 2+idle%releaseParts, random)
-		if d.try(settled, roundingThresholds[idle%len(roundingThresholds)]) {
+		fixed := s.releaseEngines(d.best, 2+idle%releaseFractions, random)
+		if d.dive(fixed, roundingThresholds[idle%len(roundingThresholds)]) {
 			idle = -1
 		}
 	}
-	return d.complete
+	return d.bestFeasible
 }
 
 func (d *diver) isDone() bool {
-	return d.stage.stop() || (d.complete != nil && d.bestValue >= d.enough)
+	return d.stage.stop() || (d.bestFeasible != nil && d.bestValue >= d.targetValue)
 }
 
-// try dives from settled engines, and reports whether that gave a better plan.
-func (d *diver) try(settled []int64, threshold float64) bool {
+// dive runs the diving heuristic from fixed engines, and reports whether it improved the best solution.
+func (d *diver) dive(fixed []int64, threshold float64) bool {
 	s := d.master
 	s.allowShortfall(true)
-	s.setCostPrice(d.price)
-	values := s.padded(s.runDivingHeuristic(settled, threshold, d.stage.stop))
-	s.setCostPrice(d.defaultPrice)
+	s.setCostWeight(d.diveCostWeight)
+	values := s.padded(s.runDivingHeuristic(fixed, threshold, d.stage.stop))
+	s.setCostWeight(d.defaultCostWeight)
 	value, isFeasible := s.program.Value(values)
 	s.allowShortfall(false)
-	s.setCostPrice(d.defaultPrice)
+	s.setCostWeight(d.defaultCostWeight)
 	if !isFeasible || value <= d.bestValue {
 		return false
 	}
 	d.best = values
 	d.bestValue = value
 	if s.shortfall(values) == 0 {
-		d.complete = values
+		d.bestFeasible = values
 	}
 	return true
 }
 
-// releaseEngines returns the settled engines that are left, by column, when some of a plan are released: each with a
-// probability of one in parts.
-func (s *master) releaseEngines(values []int64, parts int, random *rand.Rand) []int64 {
-	left := slices.Clone(values)
+// releaseEngines releases each engine of a solution with a probability of 1/divisor, and returns the engines that stay
+// fixed, by column.
+func (s *master) releaseEngines(values []int64, divisor int, random *rand.Rand) []int64 {
+	kept := slices.Clone(values)
 	for column, engines := range values {
 		if !s.columns[column].isPattern() {
-			left[column] = 0
+			kept[column] = 0
 			continue
 		}
 		for range engines {
-			if random.IntN(parts) == 0 {
-				left[column]--
+			if random.IntN(divisor) == 0 {
+				kept[column]--
 			}
 		}
 	}
-	return left
+	return kept
 }
 
-// bounds are columns' bounds as they were before a dive.
+// bounds are the saved bounds of a column.
 type bounds struct {
 	lower int64
 	upper int64
 }
 
-// runDivingHeuristic settles engines' patterns one after the other where the LP has them nearly whole, and has new
-// patterns made for what is left to serve, so that the last engines are not filled with what nobody requests. What it
-// settles stands in the columns' lower bounds, which are restored. settled are the engines with each pattern from the
-// outset, by column; from the threshold on a pattern counts as whole. It returns the columns' values, or nil.
-func (s *master) runDivingHeuristic(settled []int64, threshold float64, stop func() bool) []int64 {
+// runDivingHeuristic repeatedly rounds up the patterns that are nearly integral in the LP solution, fixes their
+// engines, and generates patterns for the remaining threads, so that the last engines are not filled with threads that
+// nobody requests. Fixed engines are lower bounds of their columns; all bounds are restored in the end. fixed is the
+// engines fixed at the start, by column; threshold is the fractional value from which a pattern is rounded up. It
+// returns the columns' values, or nil.
+func (s *master) runDivingHeuristic(fixed []int64, threshold float64, stop func() bool) []int64 {
 	saved := s.saveBounds()
 	defer s.restoreBounds(saved)
-	for column, engines := range settled {
+	for column, engines := range fixed {
 		if s.columns[column].isPattern() {
 			s.program.Columns[column].Lower = engines
 		}
@@ -139,7 +140,7 @@
 		if !s.addPatternsFor(lp, remaining, stop) {
 			return nil
 		}
-		if isOpen = s.settleEngines(lp.Values(), threshold); isOpen {
+		if isOpen = s.fixEngines(lp.Values(), threshold); isOpen {
 			lp.Refresh()
 		}
 	}
@@ -150,7 +151,7 @@
 	}
 	search := ilp.NewSearch(s.program)
 	search.Stop = stop
-	search.MaxNodes = maxLastNodes
+	search.MaxNodes = maxFinalNodes
 	return search.Run().Values
 }
 
@@ -162,7 +163,7 @@
 	return saved
 }
 
-// restoreBounds restores the bounds of columns, and gives those that came later their own.
+// restoreBounds restores the saved bounds, and resets those of columns that were added since.
 func (s *master) restoreBounds(saved []bounds) {
 	for column := range s.columns {
 		c := &s.program.Columns[column]
@@ -176,23 +177,23 @@
 	}
 }
 
-// engineCount returns the engines of a pattern's cluster.
+// engineCount returns the number of engines in a pattern's cluster.
 func (s *master) engineCount(column int) int64 {
 	return int64(len(s.clusters[s.columns[column].cluster].engines))
 }
 
-// addPatternsFor solves the LP and adds patterns for what remains, for some rounds. It reports whether the LP is
-// solved.
+// addPatternsFor solves the LP and generates patterns for the remaining threads, in a limited number of rounds. It
+// reports whether the LP was solved to optimality.
 func (s *master) addPatternsFor(lp *ilp.LP, remaining []int64, stop func() bool) bool {
 	for round := 0; ; round++ {
 		ended := lp.Solve(stop)
-		if ended != ilp.Optimal || round >= divingRounds {
+		if ended != ilp.Optimal || round >= divingPricingRounds {
 			return ended == ilp.Optimal
 		}
 		multipliers := lp.Multipliers(ended)
 		added := 0
 		for i := range s.clusters {
-			if s.settledEngines(i) < int64(len(s.clusters[i].engines)) {
+			if s.fixedEngines(i) < int64(len(s.clusters[i].engines)) {
 				added += s.addIfValuable(i, s.fillRemaining(i, multipliers, remaining), multipliers)
 			}
 		}
@@ -203,8 +204,8 @@
 	}
 }
 
-// settledEngines counts the engines of a cluster that have their pattern.
-func (s *master) settledEngines(clusterIndex int) int64 {
+// fixedEngines counts the engines of a cluster whose pattern is fixed.
+func (s *master) fixedEngines(clusterIndex int) int64 {
 	count := int64(0)
 	for column := range s.columns {
 		if s.columns[column].cluster == clusterIndex {
@@ -214,12 +215,12 @@
 	return count
 }
 
-// settleEngines raises lower bounds: of all patterns that the LP has whole, or nearly; if there is none, of the one
-// that is nearest. It reports whether there was anything to settle.
-func (s *master) settleEngines(values []float64, threshold float64) bool {
+// fixEngines raises the lower bounds of all patterns that the threshold rounds up, or else of the one with the largest
+// fractional value. It reports whether there was any.
+func (s *master) fixEngines(values []float64, threshold float64) bool {
 	nearest := none
 	greatest := roundTolerance
-	isSettled := false
+	hasFixed := false
 	for column := range s.columns {
 		if !s.columns[column].isPattern() {
 			continue
@@ -228,21 +229,21 @@
 		excess := values[column] - float64(c.Lower)
 		if engines := int64(math.Floor(excess + 1 - threshold)); engines > 0 {
 			c.Lower += engines
-			isSettled = true
+			hasFixed = true
 		} else if excess > greatest {
 			nearest = column
 			greatest = excess
 		}
 	}
-	if isSettled || nearest < 0 {
-		return isSettled
+	if hasFixed || nearest < 0 {
+		return hasFixed
 	}
 	s.program.Columns[nearest].Lower++
 	return true
 }
 
-// remainingThreads returns what the LP grants of each class beyond what settled engines run, rounded up. No more than
-// that is of use, whatever is requested, as quotas and the like stand in the way of the rest.
+// remainingThreads returns the threads of each class that the LP grants, rounded up, less those that fixed engines run.
+// Quotas and other limits may keep the LP from granting all that is requested, so more threads would be of no use.
 func (s *master) remainingThreads(values []float64) []int64 {
 	granted := make([]float64, len(s.model.classes))
 	for column := range s.columns {
@@ -262,8 +263,7 @@
 	return remaining
 }
 
-// excludeOversized keeps engines that are not settled from patterns with more threads than remain, which would run
-// nothing.
+// excludeOversized keeps patterns with more threads than remain from being used for further engines.
 func (s *master) excludeOversized(remaining []int64) {
 	for column := range s.columns {
 		meaning := &s.columns[column]
@@ -287,8 +287,8 @@
 	return true
 }
 
-// fillRemaining fills an engine with classes of which so much remains, well rather than best.
-func (s *master) fillRemaining(clusterIndex int, multipliers ilp.Multipliers, remaining []int64) packed {
+// fillRemaining returns a good pattern within the remaining threads, by a knapsack search with few steps.
+func (s *master) fillRemaining(clusterIndex int, multipliers ilp.Multipliers, remaining []int64) packing {
 	c := &s.clusters[clusterIndex]
 	var items []item
 	for k, class := range s.model.classes {
@@ -305,8 +305,8 @@
 		counts:     make([]int64, len(s.model.classes)),
 		bestCounts: make([]int64, len(s.model.classes)),
 		maxCounts:  remaining,
-		maxSteps:   divingSteps,
+		maxSteps:   divingKnapsackSteps,
 	}
-	k.fill(0, c.threads, c.group.memoryMB, 0)
-	return packed{counts: k.bestCounts, value: k.bestValue}
+	k.search(0, c.threads, c.group.memoryMB, 0)
+	return packing{counts: k.bestCounts, value: k.bestValue}
 }
--- a/internal/solve/generation.go
+++ b/internal/solve/generation.go
@@ -6,9 +6,9 @@
 	"swiftreel/internal/ilp"
 )
 
-// generatePatterns adds the patterns that the multipliers call for (column generation), until none does. It returns a
-// bound that holds over all patterns there are, written out or not: in whole numbers, whatever the LP's rounding;
-// math.MaxInt64 if none is known. The multipliers are those of the last round.
+// generatePatterns adds patterns with a positive reduced cost until there is none (column generation). It returns a
+// bound that holds for all patterns, in the program or not, and is computed in integers so that rounding errors of the
+// LP cannot invalidate it; math.MaxInt64 if none is known. The multipliers are those of the last round.
 func (s *master) generatePatterns(stop func() bool) (int64, ilp.Multipliers) {
 	bound := int64(math.MaxInt64)
 	var multipliers ilp.Multipliers
@@ -26,10 +26,10 @@
 		for i := range s.clusters {
 			best := s.bestPattern(i, multipliers)
 			added += s.addIfValuable(i, best, multipliers)
-			multipliers.Values[s.rows.convex+int32(i)] = best.bound
+			multipliers.Values[s.rows.convexity+int32(i)] = best.bound
 		}
 		found, isKnown := s.program.Bound(multipliers)
-		if isKnown && (ended == ilp.Optimal || found < 0) { // an infeasible LP: nothing at all fits, as the bound tells
+		if isKnown && (ended == ilp.Optimal || found < 0) { // after an infeasible LP only a negative bound counts
 			bound = min(bound, found)
 		}
 		if added == 0 {
@@ -40,10 +40,10 @@
 	return bound, multipliers
 }
 
-// addIfValuable adds a pattern that is worth more than its cluster's multiplier, and returns how many columns that
-// added.
-func (s *master) addIfValuable(clusterIndex int, pattern packed, multipliers ilp.Multipliers) int {
-	if pattern.value <= multipliers.Values[s.rows.convex+int32(clusterIndex)] {
+// addIfValuable adds a pattern if its value exceeds the multiplier of its cluster's convexity row, and returns the
+// number of columns added.
+func (s *master) addIfValuable(clusterIndex int, pattern packing, multipliers ilp.Multipliers) int {
+	if pattern.value <= multipliers.Values[s.rows.convexity+int32(clusterIndex)] {
 		return 0
 	}
 	before := len(s.columns)
@@ -51,9 +51,10 @@
 	return len(s.columns) - before
 }
 
-// bestPattern returns the pattern of a cluster with the greatest value at the multipliers. Of a type's classes the
-// best counts alone, as a pattern may hold any number of it: that can only raise the bound.
-func (s *master) bestPattern(clusterIndex int, multipliers ilp.Multipliers) packed {
+// bestPattern solves the pricing problem of a cluster: it returns the pattern with the greatest value at the
+// multipliers. Only the most valuable class of each type is considered, in any number; ignoring how much of it is
+// requested can only weaken the bound.
+func (s *master) bestPattern(clusterIndex int, multipliers ilp.Multipliers) packing {
 	m := s.model
 	c := &s.clusters[clusterIndex]
 	items := make([]item, len(m.problem.Types))
@@ -67,7 +68,7 @@
 		}
 		value, isKnown := s.reducedValue(clusterIndex, k, multipliers)
 		if !isKnown {
-			return packed{bound: math.MaxInt64}
+			return packing{bound: math.MaxInt64}
 		}
 		if value > items[class.typ].value {
 			items[class.typ].value = value
@@ -85,8 +86,8 @@
 	return best
 }
 
-// reducedValue returns what a thread of a class on a cluster's engine is worth at the multipliers; false: it is not
-// known.
+// reducedValue returns the value of one thread of a class on an engine of a cluster at the multipliers, and false if it
+// is not known.
 func (s *master) reducedValue(clusterIndex, classIndex int, multipliers ilp.Multipliers) (int64, bool) {
 	c := &s.clusters[clusterIndex]
 	g := c.group
@@ -97,7 +98,7 @@
 	column := ilp.Column{
 		Rows:         []int32{s.rows.link + int32(classIndex), s.rows.budget + int32(class.zone), s.rows.cost},
 		Coefficients: []int64{-1, g.bytes[classIndex], g.cost[classIndex]},
-		Objective:    -s.costPrice * g.cost[classIndex],
+		Objective:    -s.costWeight * g.cost[classIndex],
 	}
 	if !s.model.isPlacementAllowed(class.typ, g) {
 		addCoefficient(&column, s.rows.outside+int32(class.typ), 1)
--- a/internal/solve/golden_test.go
+++ b/internal/solve/golden_test.go
@@ -13,8 +13,8 @@
 	"swiftreel/internal/solve/draw"
 )
 
-// TestAnswersAreThoseRecorded holds answers to drawn problems, as JSON to the byte, against those that the program
-// gave when they were recorded; one of each method stands there whole.
+// TestAnswersAreThoseRecorded compares the answers to random problems, by the digest of their JSON text, with those
+// recorded in testdata/answers.txt.
 func TestAnswersAreThoseRecorded(t *testing.T) {
 	var text bytes.Buffer
 	r := rand.New(rand.NewPCG(29, 4))
@@ -49,9 +49,9 @@
 	golden.Check(t, "answers.txt", text.Bytes())
 }
 
-// TestJSONOfProblemAndAnswer holds the keys of both documents.
+// TestJSONOfProblemAndAnswer compares a problem and two answers, as JSON, with golden files.
 func TestJSONOfProblemAndAnswer(t *testing.T) {
-	problem := plain()
+	problem := baseProblem()
 	quota, budget := int64(3), int64(9000)
 	problem.Tenants[0].QuotaThreads = &quota
 	problem.Zones[1].CrossingBytesPerS = &budget
--- a/internal/solve/knapsack.go
+++ b/internal/solve/knapsack.go
@@ -5,55 +5,55 @@
 	"slices"
 )
 
-// maxKnapsackSteps bounds the search of a knapsack.
+// maxKnapsackSteps bounds the search steps of a pricing problem.
 const maxKnapsackSteps = 20_000
 
-// item is a sort of thread to pack.
+// item is a kind of thread that can be packed, in any number.
 type item struct {
-	id       int // its place in the counts
+	id       int // index in the counts
 	value    int64
 	memoryMB int64
 }
 
-// packed is what a knapsack holds.
-type packed struct {
+// packing is a solution of a knapsack problem.
+type packing struct {
 	counts []int64 // by the items' ids
 	value  int64
-	bound  int64 // no packing is worth more; the value itself unless the steps ran out
+	bound  int64 // upper bound on the value of any packing; equal to value unless the step limit was reached
 }
 
-// solveKnapsack fills an engine of some threads and memory with items, any number of each, for the greatest value.
-// The counts are by place in items.
-func solveKnapsack(items []item, threads, memoryMB int64) packed {
+// solveKnapsack maximizes the value of items packed into the threads and memory of an engine. The counts are parallel
+// to items.
+func solveKnapsack(items []item, threads, memoryMB int64) packing {
 	k := knapsack{
-		items:      usefulItems(items, memoryMB),
+		items:      undominatedItems(items, memoryMB),
 		counts:     make([]int64, len(items)),
 		bestCounts: make([]int64, len(items)),
 		maxSteps:   maxKnapsackSteps,
 	}
 	upperBound := k.upperBound(0, threads, memoryMB)
-	k.fill(0, threads, memoryMB, 0)
+	k.search(0, threads, memoryMB, 0)
 	bound := k.bestValue
 	if k.steps > k.maxSteps {
 		bound = max(upperBound, k.bestValue)
 	}
-	return packed{counts: k.bestCounts, value: k.bestValue, bound: bound}
+	return packing{counts: k.bestCounts, value: k.bestValue, bound: bound}
 }
 
-// usefulItems returns the items that can be of use, of the greatest value first. One that needs no less memory for no
-// more value than another never is.
-func usefulItems(items []item, memoryMB int64) []item {
-	var useful []item
+// undominatedItems returns the items that fit and are not dominated by another with at least their value and at most
+// their memory, in order of decreasing value.
+func undominatedItems(items []item, memoryMB int64) []item {
+	var candidates []item
 	for i, it := range items {
 		if it.value > 0 && it.memoryMB <= memoryMB {
-			useful = append(useful, item{id: i, value: it.value, memoryMB: it.memoryMB})
+			candidates = append(candidates, item{id: i, value: it.value, memoryMB: it.memoryMB})
 		}
 	}
-	slices.SortFunc(useful, func(a, b item) int {
+	slices.SortFunc(candidates, func(a, b item) int {
 		return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.memoryMB, b.memoryMB), cmp.Compare(a.id, b.id))
 	})
 	lowestMB := int64(none)
-	return slices.DeleteFunc(useful, func(it item) bool {
+	return slices.DeleteFunc(candidates, func(it item) bool {
 		if lowestMB >= 0 && it.memoryMB >= lowestMB {
 			return true
 		}
@@ -62,19 +62,19 @@
 	})
 }
 
-// knapsack is a depth-first search with bounds.
+// knapsack is a depth-first branch and bound search.
 type knapsack struct {
-	items      []item // the greatest value first, so also the most memory first
+	items      []item // by decreasing value; undominated, so also by decreasing memory
 	counts     []int64
 	bestCounts []int64
-	maxCounts  []int64 // by id; nil: any number
+	maxCounts  []int64 // by id; nil: no limit
 	bestValue  int64
 	steps      int
 	maxSteps   int
 }
 
-// fill tries counts of the items from one on, the greatest first.
-func (k *knapsack) fill(first int, threads, memoryMB, value int64) {
+// search tries counts of the remaining items, beginning with first, largest counts first.
+func (k *knapsack) search(first int, threads, memoryMB, value int64) {
 	if value > k.bestValue {
 		k.bestValue = value
 		copy(k.bestCounts, k.counts)
@@ -89,7 +89,7 @@
 	it := k.items[first]
 	for n := k.maxCount(it, threads, memoryMB); n >= 0; n-- {
 		k.counts[it.id] = n
-		k.fill(first+1, threads-n, memoryMB-n*it.memoryMB, value+n*it.value)
+		k.search(first+1, threads-n, memoryMB-n*it.memoryMB, value+n*it.value)
 		if k.steps > k.maxSteps {
 			break
 		}
@@ -109,9 +109,8 @@
 	return n
 }
 
-// upperBound returns what mixtures of two items from one on could be worth if threads could be divided: over every
-// pair, the line through them at the memory that there is for a thread. It is rounded up, past what floats may have
-// lost.
+// upperBound returns the value of the LP relaxation over the remaining items: the best mixture of at most two of them
+// at the average memory per thread. It is rounded up beyond floating-point errors.
 func (k *knapsack) upperBound(first int, threads, memoryMB int64) int64 {
 	if threads <= 0 || first >= len(k.items) {
 		return 0
@@ -123,18 +122,18 @@
 		it := k.items[i]
 		if float64(it.memoryMB) <= ofThread {
 			greatest = max(greatest, float64(it.value))
-			break // those after it are worth less
+			break // later items are worth less
 		}
 		greatest = max(greatest, k.mixtureValue(i, ofThread))
 	}
 	return int64(greatest*float64(threads)*(1+roundingSlack)) + 1
 }
 
-// mixtureValue returns the greatest value of a thread that is divided between an item that needs more memory than
-// there is and nothing, or an item after it that needs less.
+// mixtureValue returns the greatest value per thread of a mixture of an item that needs more than the average memory
+// with no item, or with a later one that needs at most the average.
 func (k *knapsack) mixtureValue(index int, memoryOfThread float64) float64 {
 	large := k.items[index]
-	greatest := float64(large.value) * memoryOfThread / float64(large.memoryMB) // with threads left empty
+	greatest := float64(large.value) * memoryOfThread / float64(large.memoryMB) // some threads stay empty
 	for _, small := range k.items[index+1:] {
 		if float64(small.memoryMB) > memoryOfThread || small.memoryMB >= large.memoryMB {
 			continue
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -7,76 +7,78 @@
 	"swiftreel/internal/ilp"
 )
 
-// goal is what a stage looks for.
+// goal is the objective of a stage.
 type goal uint8
 
-// The goals, in the order of the stages.
+// The goals, in the order of their stages.
 const (
-	minShortfall goal = iota // the fewest threads short of the minimums
+	minShortfall goal = iota // minimizes the threads short of minimums
 	maxValue
 	minCost
 )
 
-// cluster is engines alike in everything, also in what they may run now.
+// cluster is engines of a group that may run equally many threads within the constraints.
 type cluster struct {
 	group   *engineGroup
 	engines []int
 	threads int64
 }
 
-// master is the integer program over patterns: how many engines of a cluster run which threads by class, and which
-// threads workloads are granted of that. Few patterns are all written out; else they are generated as their value
-// shows. The compact form has threads by engine and class instead of patterns.
+// master is the integer master program of the column generation. Its columns are the number of engines of a cluster
+// that run a pattern (threads by class), and the threads granted to each workload. Up to maxPatterns all patterns are
+// in the program; beyond that they are generated. The compact form instead has a variable for the threads of each class
+// on each engine.
 type master struct {
 	model          *model
 	constraints    *constraintSet
 	clusters       []cluster
 	program        *ilp.Program
-	columns        []columnMeaning  // of the program's columns
-	patternColumns []map[string]int // by cluster: the column of a pattern's key
-	isComplete     bool             // all patterns are in it
+	columns        []columnMeaning  // parallel to the columns of the program
+	patternColumns []map[string]int // by cluster: column by pattern key
+	isComplete     bool             // the program has all patterns
 	isCompact      bool
-	knownBound     int64 // on the value, known beforehand
+	knownBound     int64 // upper bound on the objective
 	rows           masterRows
 
-	goal           goal
-	costPrice      int64 // what a unit of cost takes off the objective
-	shortfallPrice int64 // and a thread short of a minimum; 0: none may be
+	goal             goal
+	costWeight       int64 // of cost in the objective
+	shortfallPenalty int64 // per thread short of a minimum; 0: no shortfall is allowed
 }
 
-// masterRows are the first rows of each sort.
+// masterRows are the indexes of the first rows of each kind.
 type masterRows struct {
-	convex  int32 // by cluster: engines; in the compact form threads
-	memory  int32 // by cluster; in the compact form only
-	link    int32 // by class: threads granted are run
-	quota   int32 // by tenant
-	minimum int32 // by minimum
-	budget  int32 // by zone
-	outside int32 // by type
-	cost    int32
-	value   int32
+	convexity int32 // by cluster: number of engines; in the compact form number of threads
+	memory    int32 // by cluster; only in the compact form
+	link      int32 // by class: threads granted do not exceed threads run
+	quota     int32 // by tenant
+	minimum   int32 // by minimum
+	budget    int32 // by zone
+	outside   int32 // by type
+	cost      int32
+	value     int32
 }
 
-// columnMeaning is what a column stands for: a pattern of a cluster, threads of a workload, or threads short of a
+// columnMeaning says what a column represents: a pattern of a cluster, threads of a workload, or the shortfall of a
 // minimum.
 type columnMeaning struct {
-	cluster   int     // none: no pattern
+	cluster   int     // none: not a pattern
 	threads   []int64 // of the pattern, by class
-	workload  int     // none: no workload's
-	isPartial bool    // the thread that a workload uses in part
+	workload  int     // none: not a workload
+	isPartial bool    // the partially used thread of the workload
 }
 
 func (c *columnMeaning) isPattern() bool   { return c.cluster >= 0 }
 func (c *columnMeaning) isWorkload() bool  { return c.workload >= 0 }
 func (c *columnMeaning) isShortfall() bool { return c.cluster < 0 && c.workload < 0 }
 
-// clustersOf puts engines together that are alike under the constraints; isSingle: each stands by itself.
-func (m *model) clustersOf(constraints *constraintSet, isSingle bool) []cluster {
+// clusterEngines clusters engines that are identical under the constraints; with isSingle each engine is a cluster of
+// its own.
+func (m *model) clusterEngines(constraints *constraintSet, isSingle bool) []cluster {
 	var list []cluster
 	for i := range m.groups {
 		g := &m.groups[i]
 		for _, engine := range g.engines {
-			threads := m.maxThreadsOf(engine, constraints)
+			threads := m.maxEngineThreads(engine, constraints)
 			if threads <= 0 {
 				continue
 			}
@@ -97,8 +99,8 @@
 	return buildMaster(m, constraints, false)
 }
 
-// newCompact returns the compact form, which is complete at any size. Its bounds are weaker, but branch and bound
-// over it ends.
+// newCompact returns the compact form, which needs no column generation. Its relaxation is weaker, but branch and bound
+// on it is complete.
 func newCompact(m *model, constraints *constraintSet) *master {
 	return buildMaster(m, constraints, true)
 }
@@ -107,7 +109,7 @@
 	s := &master{
 		model:       m,
 		constraints: constraints,
-		clusters:    m.clustersOf(constraints, isCompact),
+		clusters:    m.clusterEngines(constraints, isCompact),
 		program:     &ilp.Program{},
 		isCompact:   isCompact,
 		knownBound:  math.MaxInt64,
@@ -119,11 +121,10 @@
 	return s
 }
 
-// addRows adds the rows of all sorts.
 func (s *master) addRows() {
 	m := s.model
 	set := s.constraints
-	s.rows.convex = s.addRowsOf(len(s.clusters), s.convexRow)
+	s.rows.convexity = s.addRowsOf(len(s.clusters), s.convexityRow)
 	if s.isCompact {
 		s.rows.memory = s.addRowsOf(len(s.clusters), func(i int) ilp.Row {
 			return ilp.Row{Bound: s.clusters[i].group.memoryMB}
@@ -148,7 +149,7 @@
 	})
 }
 
-// addRowsOf adds rows of one sort and returns the first.
+// addRowsOf adds rows of one kind and returns the index of the first.
 func (s *master) addRowsOf(count int, row func(i int) ilp.Row) int32 {
 	first := int32(len(s.program.Rows))
 	for i := range count {
@@ -157,14 +158,14 @@
 	return first
 }
 
-func (s *master) convexRow(cluster int) ilp.Row {
+func (s *master) convexityRow(cluster int) ilp.Row {
 	if s.isCompact {
 		return ilp.Row{Bound: s.clusters[cluster].threads}
 	}
 	return ilp.Row{Bound: int64(len(s.clusters[cluster].engines)), Convexity: true}
 }
 
-// limitOr returns a limit, or another number where there is none.
+// limitOr returns a limit, or otherwise if it is none.
 func limitOr(limit, otherwise int64) int64 {
 	if limit < 0 {
 		return otherwise
@@ -172,7 +173,7 @@
 	return limit
 }
 
-// addWorkloads adds the columns of the workloads: threads fully used, and the one used in part.
+// addWorkloads adds the columns of the workloads: their fully used threads, and the partially used one.
 func (s *master) addWorkloads() {
 	for i, w := range s.model.workloads {
 		value := s.model.threadValues[s.model.classes[w.class].typ]
@@ -202,7 +203,7 @@
 	s.columns = append(s.columns, columnMeaning{cluster: none, workload: index, isPartial: isPartial})
 }
 
-// addShortfalls adds the columns of threads short of the minimums.
+// addShortfalls adds the shortfall columns of the minimums.
 func (s *master) addShortfalls() {
 	for k, f := range s.constraints.minimums {
 		column := ilp.Column{Upper: f.threads, Rows: []int32{s.rows.minimum + int32(k)}, Coefficients: []int64{1}}
@@ -211,63 +212,63 @@
 	}
 }
 
-// minimumOf returns the minimum of a shortfall's column.
+// minimumOf returns the minimum of a shortfall column.
 func (s *master) minimumOf(column int) minimum {
 	return s.constraints.minimums[s.program.Columns[column].Rows[0]-s.rows.minimum]
 }
 
-// beginStage sets the bounds and prices of a stage.
+// beginStage sets the row bounds and the objective of a stage.
 func (s *master) beginStage(g stage) {
 	s.goal = g.goal
-	s.costPrice = 0
+	s.costWeight = 0
 	if g.goal == minCost {
-		s.costPrice = 1
+		s.costWeight = 1
 	}
 	s.program.Rows[s.rows.value].Bound = g.minValue
 	if g.maxCost >= 0 {
 		s.program.Rows[s.rows.cost].Bound = g.maxCost
 	}
-	s.setPrices()
+	s.setObjectives()
 }
 
-func (s *master) setPrices() {
+func (s *master) setObjectives() {
 	for column := range s.columns {
-		s.setPrice(column)
+		s.setObjective(column)
 	}
 }
 
-// setPrice sets what a column is worth in the stage.
-func (s *master) setPrice(column int) {
+// setObjective sets the objective coefficient of a column.
+func (s *master) setObjective(column int) {
 	c := &s.program.Columns[column]
 	meaning := &s.columns[column]
 	switch {
 	case meaning.isPattern():
-		c.Objective = -s.costPrice * s.costOf(column)
+		c.Objective = -s.costWeight * s.patternCost(column)
 	case meaning.isWorkload():
 		c.Objective = 0
 		if s.goal == maxValue {
 			c.Objective = c.Coefficients[len(c.Coefficients)-1]
 		}
 	default:
-		s.setShortfallPrice(column)
+		s.setShortfallPenalty(column)
 	}
 }
 
-// setShortfallPrice sets what threads short of a minimum cost, and whether there may be any.
-func (s *master) setShortfallPrice(column int) {
+// setShortfallPenalty sets the objective coefficient and the upper bound of a shortfall column.
+func (s *master) setShortfallPenalty(column int) {
 	c := &s.program.Columns[column]
-	c.Objective = -s.shortfallPrice
+	c.Objective = -s.shortfallPenalty
 	c.Upper = 0
 	if s.goal == minShortfall {
 		c.Objective = -1
 	}
-	if s.goal == minShortfall || s.shortfallPrice > 0 {
+	if s.goal == minShortfall || s.shortfallPenalty > 0 {
 		c.Upper = s.minimumOf(column).threads
 	}
 }
 
-// costOf returns the cost of a pattern's column.
-func (s *master) costOf(column int) int64 {
+// patternCost returns the cost of a pattern column.
+func (s *master) patternCost(column int) int64 {
 	c := &s.program.Columns[column]
 	if i := slices.Index(c.Rows, s.rows.cost); i >= 0 {
 		return c.Coefficients[i]
@@ -275,18 +276,18 @@
 	return 0
 }
 
-// setCostPrice sets what a unit of cost takes off the objective.
-func (s *master) setCostPrice(price int64) {
-	s.costPrice = price
-	s.setPrices()
+// setCostWeight sets the weight of cost in the objective.
+func (s *master) setCostWeight(weight int64) {
+	s.costWeight = weight
+	s.setObjectives()
 }
 
-// allowShortfall lets minimums be missed at a price during a dive, which would else end at the first that is.
+// allowShortfall lets a dive miss minimums at a penalty. Otherwise it would end at the first minimum that it misses.
 func (s *master) allowShortfall(isAllowed bool) {
 	if s.goal != maxValue {
 		return
 	}
-	s.shortfallPrice = 0
+	s.shortfallPenalty = 0
 	if !isAllowed {
 		return
 	}
@@ -294,10 +295,10 @@
 	for _, value := range s.model.threadValues {
 		greatest = max(greatest, value)
 	}
-	s.shortfallPrice = min(shortfallFactor*greatest, maxSum/max(1, s.model.fleetThreads))
+	s.shortfallPenalty = min(shortfallFactor*greatest, maxSum/max(1, s.model.fleetThreads))
 }
 
-// shortfall returns the threads that a plan is short of minimums.
+// shortfall returns the number of threads short of the minimums.
 func (s *master) shortfall(values []int64) int64 {
 	sum := int64(0)
 	for column := range s.columns {
--- a/internal/solve/methods.go
+++ b/internal/solve/methods.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Method works an answer out. All read the same problem and are held to the same constraints.
+// Method is an algorithm that computes plans. All methods use the same model and constraints.
 type Method interface {
-	// Name is the method's name in answers and on the command line.
+	// Name returns the method's name in answers and on the command line.
 	Name() string
-	// at solves one moment of the warm-up.
-	at(m *model, constraints *constraintSet, stop Stop) outcome
+	// solve solves the model of one point in time.
+	solve(m *model, constraints *constraintSet, stop Stop) outcome
 }
 
 // Named returns a method by its name.
@@ -20,27 +20,27 @@
 	return nil, fmt.Errorf("method %q is none of solver, exhaustive, proportional", name)
 }
 
-// Solver proves its answers by integer programming.
+// Solver is integer programming, with proofs of optimality.
 type Solver struct{}
 
-// Name is "solver".
+// Name returns "solver".
 func (Solver) Name() string { return "solver" }
 
-func (Solver) at(m *model, constraints *constraintSet, stop Stop) outcome {
+func (Solver) solve(m *model, constraints *constraintSet, stop Stop) outcome {
 	return m.solveStages(constraints, stop)
 }
 
-// Exhaustive tries everything, on small problems.
+// Exhaustive enumerates all plans of a small problem.
 type Exhaustive struct{}
 
-// Name is "exhaustive".
+// Name returns "exhaustive".
 func (Exhaustive) Name() string { return "exhaustive" }
 
-// maxStates is the number of states of part of the fleet up to which everything is tried.
+// maxStates is the maximum number of states that the exhaustive search keeps.
 const maxStates = 100_000
 
-func (Exhaustive) at(m *model, constraints *constraintSet, _ Stop) outcome {
-	found := m.tryAll(constraints, maxStates)
+func (Exhaustive) solve(m *model, constraints *constraintSet, _ Stop) outcome {
+	found := m.searchExhaustively(constraints, maxStates)
 	switch {
 	case !found.isComplete:
 		return outcome{}
@@ -48,9 +48,9 @@
 		return outcome{isInfeasible: true}
 	}
 	return outcome{
-		solution: found.solution,
-		measure:  found.measure,
-		bound:    found.measure,
-		proved:   Proved{Value: true, Cost: true, Evenness: true},
+		solution:  found.solution,
+		objective: found.objective,
+		bound:     found.objective,
+		proved:    Proved{Value: true, Cost: true, Evenness: true},
 	}
 }
--- a/internal/solve/model.go
+++ b/internal/solve/model.go
@@ -5,47 +5,49 @@
 	"strings"
 )
 
-// model is a problem in numbers: indexes for names, figures by thread, engines alike put together.
+// model is a problem in numeric form at one point in time: names are replaced by indexes, rates are per thread, and
+// identical engines are grouped.
 type model struct {
 	problem        *Problem
-	jobRates       []int64 // by type: millionths of jobs that a thread does in a second
-	threadValues   []int64 // by type: value of a thread fully used for a second
+	jobRates       []int64 // by type: jobs that a thread completes per second, in millionths
+	threadValues   []int64 // by type: value per second of a fully used thread
 	threadMemoryMB []int64 // by type
-	answerBytes    []int64 // by type: of a thread in a second
+	answerBytes    []int64 // by type: per thread and second
 	classes        []jobClass
 	workloads      []workload
 	groups         []engineGroup
-	groupOf        []int // by engine; none: it gets nothing
-	fleetThreads   int64 // of all engines that get anything
+	groupOf        []int // by engine; none: it has no usable threads
+	fleetThreads   int64 // usable threads of all engines
 }
 
-// jobClass is a type's jobs from one zone: what an engine sees of a job, whoever its tenant is.
+// jobClass is the jobs of a type from one zone. Engines do not distinguish jobs further; the tenant is irrelevant to
+// them.
 type jobClass struct {
 	typ  int
 	zone int
 }
 
-// workload is a demand in whole threads, and one more that is used in part.
+// workload is a demand in whole threads, of which the last may be partially used.
 type workload struct {
 	class        int
 	tenant       int
-	threads      int64 // requested; the one used in part counts as a whole one
+	threads      int64 // requested, including a partially used one
 	fullThreads  int64 // of these, fully used
-	partialValue int64 // of the thread used in part, a second
+	partialValue int64 // per second, of the partially used thread
 }
 
-// engineGroup is engines that differ by name only.
+// engineGroup is engines that differ only in their names.
 type engineGroup struct {
-	representative int   // the first of them
+	representative int   // the first engine
 	engines        []int // in order of their names
-	threads        int64 // usable by each
+	threads        int64 // usable by each engine
 	memoryMB       int64
 	canRun         []bool  // by class
-	cost           []int64 // by class: of a thread for a second, with crossing
-	bytes          []int64 // by class: crossing, of a thread in a second
+	cost           []int64 // by class: per thread and second, including crossing
+	bytes          []int64 // by class: crossing bytes per thread and second
 }
 
-// newModel reads a checked problem at a moment of the warm-up, in ms from now.
+// newModel builds the model of a checked problem at atMS milliseconds from now.
 func newModel(problem *Problem, atMS int64) *model {
 	m := &model{problem: problem}
 	for _, t := range problem.Types {
@@ -60,7 +62,7 @@
 	return m
 }
 
-// addWorkloads reads the demand, and the classes of jobs that stand in it.
+// addWorkloads converts the demand to workloads and collects their classes.
 func (m *model) addWorkloads() {
 	classIndex := map[jobClass]int{}
 	for _, d := range m.problem.Demand {
@@ -90,27 +92,28 @@
 	}
 }
 
-// typeIndex returns the index of a type's name, or none.
+// typeIndex returns the index of a type, or none.
 func (m *model) typeIndex(name string) int {
 	return slices.IndexFunc(m.problem.Types, func(t Type) bool { return t.Name == name })
 }
 
-// tenantIndex returns the index of a tenant's name, or none.
+// tenantIndex returns the index of a tenant, or none.
 func (m *model) tenantIndex(name string) int {
 	return slices.IndexFunc(m.problem.Tenants, func(t Tenant) bool { return t.Name == name })
 }
 
-// zoneIndex returns the index of a zone's name, or none.
+// zoneIndex returns the index of a zone, or none.
 func (m *model) zoneIndex(name string) int {
 	return slices.IndexFunc(m.problem.Zones, func(z Zone) bool { return z.Name == name })
 }
 
-// perMillionRoundedUp returns rate*amount/1,000,000, without leaving 64 bits for a checked problem.
+// perMillionRoundedUp returns rate*amount/1,000,000, rounded up. For a checked problem it does not overflow 64 bits.
 func perMillionRoundedUp(rate, amount int64) int64 {
 	return amount/million*rate + (amount%million*rate+million-1)/million
 }
 
-// usableThreads returns an engine's threads at a moment: of one that warms up its part, which grows evenly.
+// usableThreads returns the threads that an engine may run at atMS. A started engine's capacity grows linearly until it
+// is warm.
 func usableThreads(e Engine, perCore, atMS int64) int64 {
 	threads := e.Cores * perCore
 	if e.State == Draining {
@@ -123,9 +126,9 @@
 	return threads * part / (perMille * e.WarmInMS)
 }
 
-// groupEngines puts engines together that are alike.
+// groupEngines groups identical engines.
 func (m *model) groupEngines(atMS int64) {
-	type likeness struct {
+	type groupKey struct {
 		kind, zone                     string
 		threads, cores, memoryMB, cost int64
 	}
@@ -136,7 +139,7 @@
 	}
 	slices.SortFunc(order, func(a, b int) int { return strings.Compare(p.Engines[a].Name, p.Engines[b].Name) })
 	m.groupOf = make([]int, len(p.Engines))
-	groups := map[likeness]int{}
+	groups := map[groupKey]int{}
 	for _, i := range order {
 		e := p.Engines[i]
 		threads := usableThreads(e, p.threadsPerCore(), atMS)
@@ -145,7 +148,7 @@
 			continue
 		}
 		m.fleetThreads += threads
-		key := likeness{
+		key := groupKey{
 			kind:     e.Kind,
 			zone:     e.Zone,
 			threads:  threads,
@@ -164,7 +167,7 @@
 	}
 }
 
-// newGroup returns a group, yet without engines, of those like one.
+// newGroup returns a group without engines, with the properties of a representative engine.
 func (m *model) newGroup(representative int, threads int64) engineGroup {
 	e := m.problem.Engines[representative]
 	g := engineGroup{representative: representative, threads: threads, memoryMB: e.MemoryMB}
@@ -182,18 +185,18 @@
 	return g
 }
 
-// canRunOn reports whether a job of a class fits an engine of some threads and memory.
+// canRunOn reports whether a job of a class fits on an engine with some threads and memory.
 func (m *model) canRunOn(class jobClass, threads, memoryMB int64) bool {
 	t := m.problem.Types[class.typ]
 	return t.Threads <= threads && t.MemoryMB <= memoryMB
 }
 
-// crossingCost returns the cost of some bytes, rounded up, without leaving 64 bits for a checked problem.
+// crossingCost returns the cost of some bytes, rounded up. For a checked problem it does not overflow 64 bits.
 func crossingCost(bytes, costPerGB int64) int64 {
 	return bytes/bytesPerGB*costPerGB + (bytes%bytesPerGB*costPerGB+bytesPerGB-1)/bytesPerGB
 }
 
-// isPlacementAllowed reports whether a type's placement bound lets it run on a group.
+// isPlacementAllowed reports whether a type's placement bound allows a group of engines.
 func (m *model) isPlacementAllowed(typ int, g *engineGroup) bool {
 	t := &m.problem.Types[typ]
 	e := &m.problem.Engines[g.representative]
--- a/internal/solve/pattern.go
+++ b/internal/solve/pattern.go
@@ -6,15 +6,15 @@
 	"swiftreel/internal/ilp"
 )
 
-// maxPatterns is the number of patterns up to which all are written out.
+// maxPatterns is the number of patterns up to which all are enumerated.
 const maxPatterns = 3000
 
-// maxThreads returns how many threads of a class an engine of a cluster could use if it were empty.
+// maxThreads returns the most threads of a class that an engine of a cluster can use.
 func (s *master) maxThreads(cluster *cluster, class int) int64 {
 	g := cluster.group
 	typ := s.model.classes[class].typ
-	isBarred := s.constraints.outsideLimits[typ] == 0 && !s.model.isPlacementAllowed(typ, g)
-	if !g.canRun[class] || isBarred {
+	isForbidden := s.constraints.outsideLimits[typ] == 0 && !s.model.isPlacementAllowed(typ, g)
+	if !g.canRun[class] || isForbidden {
 		return 0
 	}
 	limit := min(s.model.requestedOfClass(class), cluster.threads)
@@ -24,7 +24,7 @@
 	return limit
 }
 
-// addPatterns writes all patterns out if they are few, else those of one class each.
+// addPatterns adds all patterns if there are at most maxPatterns, else initial ones with a single class each.
 func (s *master) addPatterns() {
 	s.patternColumns = make([]map[string]int, len(s.clusters))
 	for i := range s.clusters {
@@ -45,7 +45,7 @@
 	}
 }
 
-// countPatterns counts the patterns of all clusters, up to one more than the limit.
+// countPatterns counts the patterns of all clusters, and stops once the count exceeds the limit.
 func (s *master) countPatterns(limit int) int {
 	count := 0
 	for i := range s.clusters {
@@ -57,7 +57,8 @@
 	return count
 }
 
-// addSingleClassPatterns adds a pattern of each class that a cluster can run; threadsOf is given the most threads.
+// addSingleClassPatterns adds a pattern for each cluster and each class that it can run; threadsOf returns its threads,
+// given the maximum.
 func (s *master) addSingleClassPatterns(threadsOf func(limit int64) int64) {
 	for i := range s.clusters {
 		for class := range s.model.classes {
@@ -72,37 +73,37 @@
 	}
 }
 
-// patternWalk goes through the patterns of a cluster.
-type patternWalk struct {
-	master  *master
-	cluster *cluster
-	threads []int64 // by class
-	visit   func(threads []int64)
-	left    int // patterns to visit; below 0: it has ended
+// patternEnumeration enumerates the patterns of a cluster.
+type patternEnumeration struct {
+	master    *master
+	cluster   *cluster
+	threads   []int64 // by class
+	visit     func(threads []int64)
+	remaining int // patterns left to visit; negative: the limit is exceeded
 }
 
-// forEachPattern visits the patterns of a cluster but the empty one, up to one more than a limit. The threads that
-// are visited change with the next pattern.
+// forEachPattern visits the nonempty patterns of a cluster, at most one more than the limit. The slice is reused
+// between visits.
 func (s *master) forEachPattern(clusterIndex, limit int, visit func(threads []int64)) {
 	c := &s.clusters[clusterIndex]
-	w := patternWalk{
-		master:  s,
-		cluster: c,
-		threads: make([]int64, len(s.model.classes)),
-		visit:   visit,
-		left:    limit,
-	}
-	w.walk(0, c.threads, c.group.memoryMB)
+	w := patternEnumeration{
+		master:    s,
+		cluster:   c,
+		threads:   make([]int64, len(s.model.classes)),
+		visit:     visit,
+		remaining: limit,
+	}
+	w.enumerate(0, c.threads, c.group.memoryMB)
 }
 
-// walk tries all threads of the classes from one on.
-func (w *patternWalk) walk(class int, threadsLeft, memoryLeft int64) {
-	if w.left < 0 {
+// enumerate tries all numbers of threads of the remaining classes, beginning with class.
+func (w *patternEnumeration) enumerate(class int, threadsLeft, memoryLeft int64) {
+	if w.remaining < 0 {
 		return
 	}
 	if class == len(w.threads) {
 		if threadsLeft < w.cluster.threads {
-			w.left--
+			w.remaining--
 			w.visit(w.threads)
 		}
 		return
@@ -114,12 +115,12 @@
 			break
 		}
 		w.threads[class] = n
-		w.walk(class+1, threadsLeft-n, memoryLeft-n*ofThread)
+		w.enumerate(class+1, threadsLeft-n, memoryLeft-n*ofThread)
 	}
 	w.threads[class] = 0
 }
 
-// patternKey names a pattern of a cluster. Threads of an engine fit three bytes.
+// patternKey encodes a pattern as a map key. The threads of an engine fit in three bytes.
 func patternKey(threads []int64) string {
 	key := make([]byte, 0, 3*len(threads))
 	for _, n := range threads {
@@ -128,7 +129,7 @@
 	return string(key)
 }
 
-// addPattern adds a pattern's column if it is new, and returns it.
+// addPattern adds a pattern's column unless it exists, and returns its index.
 func (s *master) addPattern(clusterIndex int, threads []int64) int {
 	key := patternKey(threads)
 	if column, isKnown := s.patternColumns[clusterIndex][key]; isKnown {
@@ -138,16 +139,16 @@
 	s.patternColumns[clusterIndex][key] = column
 	s.program.Columns = append(s.program.Columns, s.patternColumn(clusterIndex, threads))
 	s.columns = append(s.columns, columnMeaning{cluster: clusterIndex, threads: slices.Clone(threads), workload: none})
-	s.setPrice(column)
+	s.setObjective(column)
 	return column
 }
 
-// patternColumn returns the program's column of a pattern.
+// patternColumn builds the column of a pattern.
 func (s *master) patternColumn(clusterIndex int, threads []int64) ilp.Column {
 	c := &s.clusters[clusterIndex]
 	g := c.group
 	column := ilp.Column{Upper: int64(len(c.engines)), BranchFirst: true}
-	addCoefficient(&column, s.rows.convex+int32(clusterIndex), 1)
+	addCoefficient(&column, s.rows.convexity+int32(clusterIndex), 1)
 	for k, n := range threads {
 		class := s.model.classes[k]
 		if s.isCompact && n > 0 {
--- a/internal/solve/proportional.go
+++ b/internal/solve/proportional.go
@@ -1,34 +1,34 @@
 package solve
 
-// Proportional is what the decision module does without a plan, as far as that can be foreseen: tenants alike share
-// the threads, types by their order of billed value for their work, each job where the most capacity is.
+// Proportional approximates what the decision module does without a plan: tenants share the threads equally, and each
+// job goes to the engine with the greatest free fraction of its threads.
 type Proportional struct{}
 
-// Name is "proportional".
+// Name returns "proportional".
 func (Proportional) Name() string { return "proportional" }
 
-func (Proportional) at(m *model, constraints *constraintSet, _ Stop) outcome {
+func (Proportional) solve(m *model, constraints *constraintSet, _ Stop) outcome {
 	p := newPlacement(m, constraints)
-	p.placeWithin(m.fleetThreads / int64(len(m.problem.Tenants))) // even parts first
-	p.placeWithin(m.fleetThreads)                                 // then what is left over
-	out := outcome{measure: m.measure(p.solution)}
+	p.placeWithin(m.fleetThreads / int64(len(m.problem.Tenants))) // equal shares first
+	p.placeWithin(m.fleetThreads)                                 // then the remaining threads
+	out := outcome{objective: m.objective(p.solution)}
 	for _, w := range m.workloads {
 		out.bound.value += w.valueOf(w.threads, m.threadValues[m.classes[w.class].typ])
 	}
-	if m.violation(p.solution, constraints) == nil { // a formula does not look for what must hold
+	if m.violation(p.solution, constraints) == nil { // the heuristic ignores some constraints, such as minimums
 		out.solution = p.solution
 	}
 	return out
 }
 
-// placement places threads one by one.
+// placement assigns threads one by one.
 type placement struct {
 	model       *model
 	constraints *constraintSet
 	solution    *solution
 	free        []int64 // threads, by engine
 	memoryMB    []int64 // free, by engine
-	crossing    []int64 // bytes a second, by zone
+	crossing    []int64 // bytes per second, by zone
 	byTenant    []int64 // threads placed
 }
 
@@ -44,7 +44,7 @@
 	}
 	for engine := range p.free {
 		if group := model.groupOf[engine]; group >= 0 {
-			p.free[engine] = model.maxThreadsOf(engine, constraints)
+			p.free[engine] = model.maxEngineThreads(engine, constraints)
 			p.memoryMB[engine] = model.groups[group].memoryMB
 			p.solution.threads[engine] = make([]int64, len(model.classes))
 		}
@@ -52,8 +52,8 @@
 	return p
 }
 
-// placeWithin places a thread of each workload in turn, until none can be: each tenant gets up to a number of
-// threads.
+// placeWithin assigns one thread to each workload in turn until none fits. The limit is the most threads that a tenant
+// may hold.
 func (p *placement) placeWithin(limit int64) {
 	for hasPlaced := true; hasPlaced; {
 		hasPlaced = false
@@ -66,7 +66,7 @@
 	}
 }
 
-// limitOf returns the threads that a tenant may get, within its quota.
+// limitOf returns the smaller of a limit and a tenant's quota.
 func (p *placement) limitOf(tenant int, limit int64) int64 {
 	if quota := p.constraints.quotas[tenant]; quota >= 0 {
 		return min(limit, quota)
@@ -74,8 +74,8 @@
 	return limit
 }
 
-// place places a thread of a workload on the engine with the greatest part of its threads free, and reports whether
-// there is one.
+// place assigns a thread of a workload to the engine with the greatest fraction of free threads, and reports whether
+// one fits.
 func (p *placement) place(w workload) bool {
 	best := none
 	for engine := range p.free {
@@ -95,7 +95,7 @@
 	return true
 }
 
-// canPlace reports whether a thread of a workload fits an engine.
+// canPlace reports whether a thread of a workload fits on an engine.
 func (p *placement) canPlace(w workload, engine int) bool {
 	class := p.model.classes[w.class]
 	if p.free[engine] < 1 || p.memoryMB[engine] < p.model.threadMemoryMB[class.typ] {
@@ -106,7 +106,7 @@
 		isWithin(p.crossing[class.zone]+g.bytes[w.class], p.constraints.crossingBudgets[class.zone])
 }
 
-// isFreer reports whether a greater part of an engine's threads is free than of another's.
+// isFreer reports whether an engine has a greater fraction of free threads than another.
 func (p *placement) isFreer(engine, other int) bool {
 	return p.free[engine]*p.groupOf(other).threads > p.free[other]*p.groupOf(engine).threads
 }
--- a/internal/solve/requirement.go
+++ b/internal/solve/requirement.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// requirement is one thing that a problem asks for, at a level: the higher the level, the sooner it can be met.
+// requirement is a single condition of a problem, which can be relaxed: the higher its level, the weaker it is.
 type requirement struct {
 	name       string
-	apply      func(set *constraintSet, losses *[]loss, level int64)
-	changeText string // in a sentence: "%d" is the level
-	loosest    int64  // the level at which it asks for nothing
-	strictest  int64  // the level at which it asks for everything
+	apply      func(set *constraintSet, outages *[]outage, level int64)
+	changeText string // format of the change, with "%d" for the level
+	loosest    int64  // level at which it never restricts a plan
+	strictest  int64  // level that the problem asks for
 }
 
-// loss is the threads that are left of engines, by engine; of all others there are as many as before.
-type loss map[int]int64
+// outage is the remaining threads of the engines that fail, by engine. Engines that are not in it are unaffected.
+type outage map[int]int64
 
-// requirements lists all that the problem asks for, in the problem's order: what must be served, then the limits.
+// requirements lists all requirements of the problem in a fixed order: minimums, limits, outages.
 func (m *model) requirements() []requirement {
 	var list []requirement
 	list = append(list, m.minServedRequirements()...)
@@ -26,12 +26,12 @@
 	list = append(list, m.placementRequirements()...)
 	list = append(list, m.crossingRequirements()...)
 	list = append(list, m.fleetRequirements()...)
-	return append(list, m.lossRequirements()...)
+	return append(list, m.outageRequirements()...)
 }
 
-// requireMinimum returns the application of a minimum of threads that depends on the level.
-func requireMinimum(typ, tenant int, threads func(level int64) int64) func(*constraintSet, *[]loss, int64) {
-	return func(set *constraintSet, _ *[]loss, level int64) {
+// requireMinimum returns an apply function that adds a minimum of threads for a type or a tenant.
+func requireMinimum(typ, tenant int, threads func(level int64) int64) func(*constraintSet, *[]outage, int64) {
+	return func(set *constraintSet, _ *[]outage, level int64) {
 		set.minimums = append(set.minimums, minimum{typ: typ, tenant: tenant, threads: threads(level)})
 	}
 }
@@ -102,7 +102,7 @@
 			changeText: "a quota of %d threads",
 			strictest:  quota,
 			loosest:    max(quota, m.requestedThreads(none, i)),
-			apply:      func(set *constraintSet, _ *[]loss, level int64) { set.quotas[i] = level },
+			apply:      func(set *constraintSet, _ *[]outage, level int64) { set.quotas[i] = level },
 		})
 	}
 	return list
@@ -123,7 +123,7 @@
 			),
 			changeText: "%d of its threads may run elsewhere",
 			loosest:    m.requestedThreads(i, none),
-			apply:      func(set *constraintSet, _ *[]loss, level int64) { set.outsideLimits[i] = level },
+			apply:      func(set *constraintSet, _ *[]outage, level int64) { set.outsideLimits[i] = level },
 		})
 	}
 	return list
@@ -141,13 +141,13 @@
 			changeText: "%d bytes a second",
 			strictest:  budget,
 			loosest:    max(budget, m.maxBytes()),
-			apply:      func(set *constraintSet, _ *[]loss, level int64) { set.crossingBudgets[i] = level },
+			apply:      func(set *constraintSet, _ *[]outage, level int64) { set.crossingBudgets[i] = level },
 		})
 	}
 	return list
 }
 
-// fleetRequirements are those of cost and use.
+// fleetRequirements returns the limits on cost and utilization.
 func (m *model) fleetRequirements() []requirement {
 	var list []requirement
 	if cost := m.problem.Constraints.MaxCost; cost != nil {
@@ -156,7 +156,7 @@
 			changeText: "a cost of %d",
 			strictest:  *cost,
 			loosest:    max(*cost, m.maxCost()),
-			apply:      func(set *constraintSet, _ *[]loss, level int64) { set.maxCost = level },
+			apply:      func(set *constraintSet, _ *[]outage, level int64) { set.maxCost = level },
 		})
 	}
 	if use := m.problem.Constraints.MaxUsePerMille; use != nil {
@@ -165,25 +165,26 @@
 			changeText: "a use of %d per mille",
 			strictest:  *use,
 			loosest:    perMille,
-			apply:      func(set *constraintSet, _ *[]loss, level int64) { set.maxUsePerMille = level },
+			apply:      func(set *constraintSet, _ *[]outage, level int64) { set.maxUsePerMille = level },
 		})
 	}
 	return list
 }
 
-// lossRequirements ask that everything fits without an engine or a zone. Engines alike are one loss.
-func (m *model) lossRequirements() []requirement {
+// outageRequirements returns the requirements that all minimums can be met without an engine or a zone. Identical
+// engines need only one.
+func (m *model) outageRequirements() []requirement {
 	var list []requirement
 	seen := map[string]bool{}
 	add := func(name string, engines []int) {
 		if !seen[name] && len(engines) > 0 {
 			seen[name] = true
-			list = append(list, m.lossRequirement(name, engines))
+			list = append(list, m.outageRequirement(name, engines))
 		}
 	}
 	for _, without := range m.problem.Constraints.FitsWithout {
 		if without != anyEngine {
-			add(without, m.enginesLost(without))
+			add(without, m.enginesOfOutage(without))
 			continue
 		}
 		for _, g := range m.groups {
@@ -193,21 +194,21 @@
 	return list
 }
 
-// enginesLost returns the engines of an entry of Constraints.FitsWithout.
-func (m *model) enginesLost(without string) []int {
+// enginesOfOutage returns the engines that an entry of Constraints.FitsWithout names.
+func (m *model) enginesOfOutage(without string) []int {
 	zone, isZone := strings.CutPrefix(without, withoutZone)
 	var engines []int
 	for i, e := range m.problem.Engines {
-		isLost := without == withoutEngine+e.Name || isZone && zone == e.Zone
-		if m.groupOf[i] >= 0 && isLost {
+		isAffected := without == withoutEngine+e.Name || isZone && zone == e.Zone
+		if m.groupOf[i] >= 0 && isAffected {
 			engines = append(engines, i)
 		}
 	}
 	return engines
 }
 
-func (m *model) lossRequirement(name string, engines []int) requirement {
-	threads := int64(0) // of the greatest engine
+func (m *model) outageRequirement(name string, engines []int) requirement {
+	threads := int64(0) // of the largest engine
 	for _, i := range engines {
 		threads = max(threads, m.groups[m.groupOf[i]].threads)
 	}
@@ -215,22 +216,22 @@
 		name:       "all fits without " + name,
 		changeText: "%d threads of each such engine must be left",
 		loosest:    threads,
-		apply: func(_ *constraintSet, losses *[]loss, level int64) {
-			remaining := loss{}
+		apply: func(_ *constraintSet, outages *[]outage, level int64) {
+			remaining := outage{}
 			for _, i := range engines {
 				remaining[i] = level
 			}
-			*losses = append(*losses, remaining)
+			*outages = append(*outages, remaining)
 		},
 	}
 }
 
 // applyAll applies requirements, each at its strictest level.
-func (m *model) applyAll(list []requirement) (constraintSet, []loss) {
-	set := m.unconstrained()
-	var losses []loss
+func (m *model) applyAll(list []requirement) (constraintSet, []outage) {
+	set := m.noConstraints()
+	var outages []outage
 	for _, r := range list {
-		r.apply(&set, &losses, r.strictest)
+		r.apply(&set, &outages, r.strictest)
 	}
-	return set, losses
+	return set, outages
 }
--- a/internal/solve/solution.go
+++ b/internal/solve/solution.go
@@ -1,11 +1,12 @@
 package solve
 
-// utilizationScale is the denominator of utilizations: parts of ten thousand.
+// utilizationScale is the denominator of utilizations.
 const utilizationScale = 10_000
 
-// solution is threads by engine and by workload. What engines run of a class is what its workloads are granted.
+// solution is the threads of each class on each engine, and the threads granted to each workload. For each class both
+// sums are equal.
 type solution struct {
-	threads [][]int64 // by engine, by class; nil: the engine gets nothing
+	threads [][]int64 // by engine, by class; nil: the engine runs nothing
 	granted []int64   // by workload
 }
 
@@ -16,15 +17,15 @@
 	}
 }
 
-// measure is the objective: value and cost of a second, and the greatest utilization of an engine.
-type measure struct {
+// objective is the objective values of a solution: value and cost per second, and the maximum utilization of an engine.
+type objective struct {
 	value       int64
 	cost        int64
 	utilization int64 // in parts of utilizationScale
 }
 
-// isBetterThan reports the strict order: more value, then less cost, then a lower utilization.
-func (a measure) isBetterThan(b measure) bool {
+// isBetterThan compares lexicographically: more value, then less cost, then a lower utilization.
+func (a objective) isBetterThan(b objective) bool {
 	if a.value != b.value {
 		return a.value > b.value
 	}
@@ -34,7 +35,8 @@
 	return a.utilization < b.utilization
 }
 
-// valueOf returns the value of some of a workload's threads a second; threadValue is that of one fully used.
+// valueOf returns the value per second of some of a workload's threads; threadValue is the value of a fully used
+// thread.
 func (w workload) valueOf(threads, threadValue int64) int64 {
 	if threads > w.fullThreads {
 		return w.fullThreads*threadValue + w.partialValue
@@ -42,9 +44,9 @@
 	return threads * threadValue
 }
 
-// measure returns the objective of a solution.
-func (m *model) measure(plan *solution) measure {
-	var total measure
+// objective evaluates a solution.
+func (m *model) objective(plan *solution) objective {
+	var total objective
 	for i, w := range m.workloads {
 		total.value += w.valueOf(plan.granted[i], m.threadValues[m.classes[w.class].typ])
 	}
@@ -61,7 +63,6 @@
 	return total
 }
 
-// sumOf returns the sum of some numbers.
 func sumOf(numbers []int64) int64 {
 	sum := int64(0)
 	for _, n := range numbers {
--- a/internal/solve/solve.go
+++ b/internal/solve/solve.go
@@ -1,52 +1,53 @@
 package solve
 
-// Options say how to solve.
+// Options are the parameters of Solve.
 type Options struct {
 	Method  Method // nil: Solver
-	Stop    Stop   // nil: as long as it takes
-	Explain bool   // also what binds, and what one more unit of it would bring
+	Stop    Stop   // nil: no time limit
+	Explain bool   // also report the binding constraints and the gain from relaxing each
 }
 
-// Solve works out an answer to a checked problem. Without Stop the same problem gives the same answer at every run:
-// where several are best, the one that a search in a fixed order meets first.
+// Solve computes an answer to a checked problem. Without Stop the result is deterministic: among equal optima it
+// returns the one that the search, in its fixed order, finds first.
 func Solve(problem *Problem, options Options) Answer {
 	method := options.Method
 	if method == nil {
 		method = Solver{}
 	}
 	answer := Answer{Method: method.Name(), Status: Optimal}
-	moments := problem.moments()
-	for i, atMS := range moments {
-		// Each moment has an even part of the time.
+	stepTimes := problem.stepTimes()
+	for i, atMS := range stepTimes {
+		// Divides the time evenly among the steps.
 		stop := func(part int) bool {
-			return options.Stop != nil && options.Stop((i*perMille+part)/len(moments))
+			return options.Stop != nil && options.Stop((i*perMille+part)/len(stepTimes))
 		}
 		m := newModel(problem, atMS)
-		constraints, losses := m.applyAll(m.requirements())
-		out := m.solveMoment(method, &constraints, losses, stop)
+		constraints, outages := m.applyAll(m.requirements())
+		out := m.solveStep(method, &constraints, outages, stop)
 		if out.solution == nil {
 			answer.addFailure(m, out, atMS, stop)
 			return answer
 		}
 		answer.addStep(m.step(out, atMS), out)
-		isLast := i == len(moments)-1
+		isLast := i == len(stepTimes)-1
 		if isLast && options.Explain && out.master != nil {
-			answer.Binding = m.bindings(&constraints, out, upTo(stop, utilizationEnds))
+			answer.Binding = m.bindings(&constraints, out, stopAfter(stop, utilizationEnds))
 		}
 	}
 	return answer
 }
 
-// solveMoment solves one moment; there is no solution if a loss leaves too little for what must be served.
-func (m *model) solveMoment(method Method, constraints *constraintSet, losses []loss, stop Stop) outcome {
-	out := method.at(m, constraints, stop)
-	for _, remaining := range losses {
+// solveStep solves the model of one step. The outcome has no solution if the minimums cannot be met in one of the
+// outages.
+func (m *model) solveStep(method Method, constraints *constraintSet, outages []outage, stop Stop) outcome {
+	out := method.solve(m, constraints, stop)
+	for _, remaining := range outages {
 		if out.solution == nil {
 			break
 		}
 		without := *constraints
-		without.remaining = remaining
-		fit := m.minimumsFit(method, &without, stop)
+		without.outage = remaining
+		fit := m.checkMinimumsBy(method, &without, stop)
 		if fit != feasible {
 			out.solution = nil
 		}
@@ -55,40 +56,40 @@
 	return out
 }
 
-// minimumsFit reports whether what must be served can be.
-func (m *model) minimumsFit(method Method, constraints *constraintSet, stop Stop) feasibility {
+// checkMinimumsBy reports whether all minimums can be met, by exhaustive search if that is the method.
+func (m *model) checkMinimumsBy(method Method, constraints *constraintSet, stop Stop) feasibility {
 	if _, isExhaustive := method.(Exhaustive); !isExhaustive {
-		return m.minimumsFeasibility(constraints, upTo(stop, utilizationEnds))
+		return m.minimumsFeasibility(constraints, stopAfter(stop, utilizationEnds))
 	}
-	tried := m.tryAll(constraints, maxStates)
+	result := m.searchExhaustively(constraints, maxStates)
 	switch {
-	case tried.solution != nil:
+	case result.solution != nil:
 		return feasible
-	case tried.isComplete:
+	case result.isComplete:
 		return infeasible
 	}
 	return undecided
 }
 
-// addFailure says that a moment has no solution, and why if that is proved.
+// addFailure records that a step has no solution, with the conflicts if that is proved.
 func (a *Answer) addFailure(m *model, out outcome, atMS int64, stop Stop) {
 	a.Steps = nil
 	a.Status = Unknown
 	if out.isInfeasible {
 		a.Status = Infeasible
-		a.Conflicts = m.conflicts(atMS, upTo(stop, utilizationEnds))
+		a.Conflicts = m.conflicts(atMS, stopAfter(stop, utilizationEnds))
 	}
 }
 
-// addStep adds a step. The figures of the last one stand on top; the least sure status of all counts.
+// addStep appends a step and takes over its figures. The status is Optimal only if that of all steps is.
 func (a *Answer) addStep(step Step, out outcome) {
 	a.Steps = append(a.Steps, step)
 	if step.Status == Feasible {
 		a.Status = Feasible
 	}
-	a.Value = out.measure.value
-	a.Cost = out.measure.cost
-	a.Evenness = out.measure.utilization
+	a.Value = out.objective.value
+	a.Cost = out.objective.cost
+	a.Evenness = out.objective.utilization
 	a.Bound = out.bound.value
 	a.CostBound = out.bound.cost
 	a.EvennessBound = out.bound.utilization
--- a/internal/solve/solve_test.go
+++ b/internal/solve/solve_test.go
@@ -13,9 +13,9 @@
 	"swiftreel/internal/solve/draw"
 )
 
-// Part of what make proof-solve does with 2,000.
+// make proof-solve checks 2,000 such problems.
 func TestTheAnswerIsThatOfTryingAll(t *testing.T) {
-	none, r := 0, rand.New(rand.NewPCG(17, 1))
+	conflicts, r := 0, rand.New(rand.NewPCG(17, 1))
 	for n := range 250 {
 		problem := draw.Small(r)
 		if f := problem.Check(); f != nil {
@@ -34,7 +34,7 @@
 		if got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost ||
 			got.Evenness != want.Evenness {
 			t.Fatalf(
-				"problem %d: %s %d %d %d, by trying all %s %d %d %d",
+				"problem %d: %s %d %d %d, by exhaustive search %s %d %d %d",
 				n,
 				got.Status,
 				got.Value,
@@ -52,19 +52,20 @@
 			}
 		}
 		for _, c := range got.Conflicts {
-			none++
+			conflicts++
 			if c.FromMS == 0 {
-				needed(t, problem, c)
+				checkIrreducible(t, problem, c)
 			}
 		}
 	}
-	if none < 40 {
-		t.Errorf("only %d conflicts: the draw is one-sided", none)
+	if conflicts < 40 {
+		t.Errorf("only %d conflicts: the sample is unbalanced", conflicts)
 	}
 }
 
-// needed holds a conflict against trying all: impossible together, possible without any one.
-func needed(t *testing.T, problem *solve.Problem, c solve.Conflict) {
+// checkIrreducible checks by exhaustive search that a conflict's requirements cannot be met together, and that they can
+// without any one of them.
+func checkIrreducible(t *testing.T, problem *solve.Problem, c solve.Conflict) {
 	t.Helper()
 	var names []string
 	for _, m := range c.Demands {
@@ -84,7 +85,7 @@
 	}
 }
 
-func plain() *solve.Problem {
+func baseProblem() *solve.Problem {
 	return &solve.Problem{
 		ThreadsPerCore: 1,
 		Engines: []solve.Engine{{Name: "e1", Kind: "std", Zone: "east", Cores: 4, MemoryMB: 4000, Cost: 2},
@@ -100,66 +101,66 @@
 	}
 }
 
-func TestAllColdNothingAskedAndAKindThatIsGone(t *testing.T) {
-	problem := plain()
+func TestNoDemandAWarmingFleetAndAMissingKind(t *testing.T) {
+	problem := baseProblem()
 	problem.Demand = nil
 	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal || a.Value != 0 || a.Cost != 0 {
-		t.Errorf("nothing asked for: %+v", a)
+		t.Errorf("no demand: %+v", a)
 	}
-	problem = plain()
+	problem = baseProblem()
 	for i := range problem.Engines {
 		problem.Engines[i].State, problem.Engines[i].CapacityPerMille, problem.Engines[i].WarmInMS = solve.Started, 250, 8000
 	}
 	a := solve.Solve(problem, solve.Options{})
 	if len(a.Steps) != 5 || a.Steps[0].Value >= a.Steps[4].Value {
-		t.Fatalf("all cold: %+v", a)
+		t.Fatalf("all engines warming up: %+v", a)
 	}
 	for _, s := range a.Steps {
-		for _, u := range s.Use { // at the step's beginning, when the part is least
+		for _, u := range s.Use { // at the beginning of the step, when the capacity is lowest
 			if part := 250 + 750*s.FromMS/8000; u.Threads*1000 > u.Total*part || u.Usable*1000 > u.Total*part {
-				t.Errorf("from %d ms engine %s runs %d, its part is %d per mille", s.FromMS, u.Engine, u.Threads, part)
+				t.Errorf("from %d ms engine %s runs %d, its capacity is %d per mille", s.FromMS, u.Engine, u.Threads, part)
 			}
 		}
 		if err := solve.Verify(problem, s); err != nil {
 			t.Error(err)
 		}
 	}
-	problem = plain()
+	problem = baseProblem()
 	problem.Engines[1].Kind = "std"
 	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}}
 	a = solve.Solve(problem, solve.Options{})
 	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
-		t.Fatalf("a kind that is gone: %+v", a)
+		t.Fatalf("no engine of the required kind: %+v", a)
 	}
-	needed(t, problem, a.Conflicts[0])
+	checkIrreducible(t, problem, a.Conflicts[0])
 }
 
 func TestADrainingEngineAndALostZoneGetNothing(t *testing.T) {
-	problem := plain()
+	problem := baseProblem()
 	problem.Engines[1].State = solve.Draining
 	answer := solve.Solve(problem, solve.Options{})
 	if answer.Status != solve.Optimal || answer.Steps[0].Served[1].Granted != 0 || answer.Value != 4_000_000 {
-		t.Errorf("draining: %+v", answer)
+		t.Errorf("draining engine: %+v", answer)
 	}
-	problem = plain()
+	problem = baseProblem()
 	problem.Constraints.MinServed = []solve.MinServed{{Type: "lookup", PerMille: 600}}
 	problem.Constraints.FitsWithout = []string{"zone east"}
 	if a := solve.Solve(problem, solve.Options{}); a.Status != solve.Optimal {
-		t.Errorf("4 of 6 without a zone: %+v", a)
+		t.Errorf("4 of 6 threads without a zone: %+v", a)
 	}
 	problem.Constraints.MinServed[0].PerMille = 900
 	a := solve.Solve(problem, solve.Options{})
 	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
-		t.Fatalf("6 of 6 without a zone: %+v", a)
+		t.Fatalf("6 of 6 threads without a zone: %+v", a)
 	}
-	needed(t, problem, a.Conflicts[0])
+	checkIrreducible(t, problem, a.Conflicts[0])
 	if got := a.Conflicts[0].Demands[0].Change; got != "serve it at least 666 per mille" {
-		t.Errorf("the least change: %s", got)
+		t.Errorf("smallest change: %s", got)
 	}
 }
 
 func TestThreeConflictsAtOnceAreToldApart(t *testing.T) {
-	problem := plain()
+	problem := baseProblem()
 	problem.Types = append(
 		problem.Types,
 		solve.Type{Name: "report", Threads: 1, WorkMS: 1000, Value: 3, Zones: []string{"west"}},
@@ -168,7 +169,7 @@
 		problem.Demand,
 		solve.Demand{Type: "report", Tenant: "acme", Zone: "west", JobsPer1000S: 2000},
 	)
-	problem.Engines[1].Kind, problem.Engines[1].Zone = "std", "east" // nowhere for imports, nor for reports
+	problem.Engines[1].Kind, problem.Engines[1].Zone = "std", "east" // no engine may run imports or reports
 	quota := int64(1)
 	problem.Tenants[0].QuotaThreads = &quota
 	problem.Constraints.MinServed = []solve.MinServed{
@@ -181,12 +182,12 @@
 		t.Fatalf("%+v", a.Conflicts)
 	}
 	for _, c := range a.Conflicts {
-		needed(t, problem, c)
+		checkIrreducible(t, problem, c)
 	}
 }
 
 func TestEqualOptimaAreSettledTheSameAtEveryRun(t *testing.T) {
-	problem := plain()
+	problem := baseProblem()
 	problem.Engines[1] = problem.Engines[0]
 	problem.Engines[1].Name = "e2"
 	problem.Types[1].Kinds = nil
@@ -198,7 +199,7 @@
 	}
 }
 
-func TestFiguresAtTheEdgeAndNamesTwiceAreFaults(t *testing.T) {
+func TestOverflowingFiguresAndDuplicateNamesAreFaults(t *testing.T) {
 	for path, spoil := range map[string]func(problem *solve.Problem){
 		"/types/1/value": func(problem *solve.Problem) {
 			problem.Types[1].Value = solve.MaxFigure
@@ -217,16 +218,16 @@
 		"/must/fits_without/0":     func(problem *solve.Problem) { problem.Constraints.FitsWithout = []string{"zone north"} },
 		"/types/0/sla_time_ms":     func(problem *solve.Problem) { problem.Types[0].SLATimeMS = 10 },
 	} {
-		problem := plain()
+		problem := baseProblem()
 		spoil(problem)
 		if f := problem.Check(); len(f) == 0 || f[0].Path != path {
-			t.Errorf("%s: told %v", path, f)
+			t.Errorf("%s: got %v", path, f)
 		}
 	}
 }
 
-// Whenever time ends, also in the middle of a node, what is answered holds.
-func TestTimeMayEndAnywhere(t *testing.T) {
+// Wherever a time limit stops the search, also within a node, the answer satisfies the constraints and its bound.
+func TestStoppedAtAnyTimeTheAnswerHolds(t *testing.T) {
 	problem := draw.Ordinary(3, 12, 2, 4, 4, 1.1)
 	for left := 1; left < 3000; left += 1 + left/3 {
 		asked := 0
@@ -242,7 +243,6 @@
 	}
 }
 
-// A problem of another size: what is found fits, and is not above its bound.
 func TestALargerFleetsPlanHolds(t *testing.T) {
 	steps := 0
 	a := solve.Solve(
@@ -258,7 +258,7 @@
 }
 
 func FuzzCheckedProblemsAreSolved(f *testing.F) {
-	text, _ := json.Marshal(plain())
+	text, _ := json.Marshal(baseProblem())
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var problem solve.Problem
@@ -276,9 +276,9 @@
 	})
 }
 
-// Between problems whose patterns are all written out and large ones: floors that dives over patterns missed were
-// once reported as unknown with time left.
-func TestMiddlingFleetsAreSettled(t *testing.T) {
+// These fleets are too large for enumerating all patterns, but small otherwise. Minimums that the diving heuristic
+// missed must not make the status unknown while time is left.
+func TestMediumFleetsAreDecided(t *testing.T) {
 	optimal := 0
 	for seed := range uint64(12) {
 		problem := draw.Ordinary(seed, 4, 2, 3, 3, 1.2)
@@ -296,6 +296,6 @@
 		}
 	}
 	if optimal < 6 {
-		t.Errorf("only %d of 12 settled", optimal)
+		t.Errorf("only %d of 12 decided", optimal)
 	}
 }
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -7,10 +7,11 @@
 	"swiftreel/internal/ilp"
 )
 
-// Stop reports whether so many thousandths of the time given are over. It is called often; nil never stops.
+// Stop reports whether the given part of the time limit, in thousandths, has passed. It is polled often; nil never
+// stops.
 type Stop func(perMille int) bool
 
-// The thousandths of the time at which each stage ends.
+// The ends of the stages, in thousandths of the time limit.
 const (
 	shortfallEnds   = 250
 	valueEnds       = 600
@@ -18,140 +19,139 @@
 	utilizationEnds = 1000
 )
 
-// Gaps that are near enough where not all patterns are written out, as parts of the bound: the last parts of ten
-// thousand are not worth the time.
+// Reciprocals of the relative gaps at which a stage over generated patterns ends. Closing the gap further is not worth
+// the time.
 const (
-	nearValue = 10_000
-	nearCost  = 2000
+	valueGapDivisor = 10_000
+	costGapDivisor  = 2000
 )
 
-// maxCompactVariables is the number of threads variables up to which what patterns left open is closed without them.
-// Where not even the minimums are met yet, it is unmetFactor times as many.
+// maxCompactVariables is the number of variables up to which the compact form closes the gap that the patterns leave.
+// While the minimums are not met, the limit is unmetMinimumsFactor times as high.
 const (
 	maxCompactVariables = 300
-	unmetFactor         = 10
+	unmetMinimumsFactor = 10
 )
 
-// outcome is how far the stages came, at one moment of the warm-up.
+// outcome is the result of solving the model of one point in time.
 type outcome struct {
 	solution     *solution // nil: none
-	isInfeasible bool      // proved: no answer fits
-	measure      measure
-	bound        measure // of each: no better one is possible while those before it stand as they are
+	isInfeasible bool      // proved
+	objective    objective
+	bound        objective // of each objective, given the values of the objectives before it
 	proved       Proved
 	multipliers  ilp.Multipliers
-	master       *master // of the value's stage, for what binds
+	master       *master // of the value stage, for the binding constraints
 }
 
-// take replaces the solution by a better one.
-func (out *outcome) take(m *model, s *solution) {
+// takeIfBetter replaces the solution by one that is better.
+func (out *outcome) takeIfBetter(m *model, s *solution) {
 	if s == nil {
 		return
 	}
-	if found := m.measure(s); found.isBetterThan(out.measure) {
+	if found := m.objective(s); found.isBetterThan(out.objective) {
 		out.solution = s
-		out.measure = found
+		out.objective = found
 	}
 }
 
-// stage is what one run of the master program looks for.
+// stage is the parameters of one run of the master program.
 type stage struct {
-	goal     goal
-	start    *solution // nil: none known
-	above    int64     // only what is worth more counts, and the first such is enough; math.MinInt64: the best
-	part     int64     // where not all patterns are written out, within that part of the bound is enough; 0: all of it
-	minValue int64     // reached by an earlier stage
-	maxCost  int64     // of a second; none: as the constraints say
-	stop     func() bool
+	goal       goal
+	start      *solution // nil: none known
+	above      int64     // only solutions above it count, and the first one ends the stage; math.MinInt64: all count
+	gapDivisor int64     // reciprocal of the gap that ends it if patterns are generated; 0: no gap
+	minValue   int64     // value reached by an earlier stage
+	maxCost    int64     // per second; none: as in the constraints
+	stop       func() bool
 }
 
-// seeksAny reports whether the first solution above a value is enough.
-func (g stage) seeksAny() bool { return g.above != math.MinInt64 }
+// acceptsFirst reports whether the first solution above a value ends the stage.
+func (g stage) acceptsFirst() bool { return g.above != math.MinInt64 }
 
-// solveStages solves for the objective in its strict order.
+// solveStages optimizes the objectives lexicographically, one stage each, after a stage that meets the minimums.
 func (m *model) solveStages(constraints *constraintSet, stop Stop) outcome {
 	var out outcome
 	s := newMaster(m, constraints)
 	out.solution = m.emptySolution()
 	if len(constraints.minimums) > 0 {
-		result := s.finish(stage{
+		result := s.solveStage(stage{
 			goal:    minShortfall,
 			above:   math.MinInt64,
 			maxCost: none,
-			stop:    upTo(stop, shortfallEnds),
+			stop:    stopAfter(stop, shortfallEnds),
 		})
 		if result.solution == nil || result.value < 0 {
 			return outcome{isInfeasible: result.bound < 0}
 		}
 		out.solution = result.solution
 	}
-	out.measure = m.measure(out.solution)
-	m.raiseValue(s, &out, upTo(stop, valueEnds))
-	m.lowerCost(s, &out, upTo(stop, costEnds))
-	m.lowerUtilization(constraints, &out, upTo(stop, utilizationEnds))
+	out.objective = m.objective(out.solution)
+	m.maximizeValue(s, &out, stopAfter(stop, valueEnds))
+	m.minimizeCost(s, &out, stopAfter(stop, costEnds))
+	m.minimizeUtilization(constraints, &out, stopAfter(stop, utilizationEnds))
 	return out
 }
 
-// raiseValue looks for the greatest value.
-func (m *model) raiseValue(master *master, out *outcome, stop func() bool) {
-	result := master.finish(stage{
-		goal:    maxValue,
-		start:   out.solution,
-		above:   math.MinInt64,
-		part:    nearValue,
-		maxCost: master.constraints.maxCost,
-		stop:    stop,
+func (m *model) maximizeValue(master *master, out *outcome, stop func() bool) {
+	result := master.solveStage(stage{
+		goal:       maxValue,
+		start:      out.solution,
+		above:      math.MinInt64,
+		gapDivisor: valueGapDivisor,
+		maxCost:    master.constraints.maxCost,
+		stop:       stop,
 	})
 	out.master = master
 	out.multipliers = result.multipliers
 	out.bound.value = result.bound
 	if result.solution != nil {
 		out.solution = result.solution
-		out.measure = m.measure(result.solution)
+		out.objective = m.objective(result.solution)
 	}
-	out.proved.Value = out.measure.value >= result.bound
+	out.proved.Value = out.objective.value >= result.bound
 }
 
-// lowerCost looks for the least cost while the value stands.
-func (m *model) lowerCost(master *master, out *outcome, stop func() bool) {
-	result := master.finish(stage{
-		goal:     minCost,
-		start:    out.solution,
-		above:    math.MinInt64,
-		part:     nearCost,
-		minValue: out.measure.value,
-		maxCost:  master.constraints.maxCost,
-		stop:     stop,
+// minimizeCost minimizes the cost at the value reached.
+func (m *model) minimizeCost(master *master, out *outcome, stop func() bool) {
+	result := master.solveStage(stage{
+		goal:       minCost,
+		start:      out.solution,
+		above:      math.MinInt64,
+		gapDivisor: costGapDivisor,
+		minValue:   out.objective.value,
+		maxCost:    master.constraints.maxCost,
+		stop:       stop,
 	})
-	out.take(m, result.solution)
+	out.takeIfBetter(m, result.solution)
 	out.bound.cost = max(0, -result.bound)
-	out.proved.Cost = out.proved.Value && out.measure.cost <= out.bound.cost
+	out.proved.Cost = out.proved.Value && out.objective.cost <= out.bound.cost
 }
 
-// lowerUtilization lowers the greatest utilization of an engine while value and cost stand, by bisection of the
-// levels that there are.
-func (m *model) lowerUtilization(constraints *constraintSet, out *outcome, stop func() bool) {
-	levels := m.utilizationsBelow(out.measure.utilization)
+// minimizeUtilization minimizes the maximum utilization of an engine at the value and cost reached, by bisection over
+// the utilization levels that are possible.
+func (m *model) minimizeUtilization(constraints *constraintSet, out *outcome, stop func() bool) {
+	levels := m.utilizationsBelow(out.objective.utilization)
 	isProved := true
-	low := 0            // levels before it cannot be reached
-	high := len(levels) // that which is reached
+	low := 0            // levels below this index are not reachable
+	high := len(levels) // index of the level that is reached
 	for low < high && !stop() {
 		middle := (low + high) / 2
 		limited := *constraints
 		limited.maxUtilization = levels[middle]
-		result := newMaster(m, &limited).finish(stage{
+		result := newMaster(m, &limited).solveStage(stage{
 			goal:    maxValue,
-			above:   out.measure.value - 1,
-			maxCost: out.measure.cost,
+			above:   out.objective.value - 1,
+			maxCost: out.objective.cost,
 			stop:    stop,
 		})
 		if result.solution != nil {
-			out.take(m, result.solution)
-			reached, _ := slices.BinarySearch(levels, out.measure.utilization)
+			out.takeIfBetter(m, result.solution)
+			reached, _ := slices.BinarySearch(levels, out.objective.utilization)
 			high = min(middle, reached)
 			continue
 		}
-		isProved = isProved && result.bound < out.measure.value
+		isProved = isProved && result.bound < out.objective.value
 		low = middle + 1
 	}
 	isProved = isProved && low >= high
@@ -159,13 +159,13 @@
 	if !isProved {
 		return
 	}
-	out.bound.utilization = out.measure.utilization
+	out.bound.utilization = out.objective.utilization
 	if low < len(levels) {
 		out.bound.utilization = levels[low]
 	}
 }
 
-// utilizationsBelow returns the utilizations below one that engines may have, in order.
+// utilizationsBelow returns the utilizations below a limit that engines can have, in increasing order.
 func (m *model) utilizationsBelow(limit int64) []int64 {
 	var levels []int64
 	for i := range m.groups {
@@ -180,11 +180,12 @@
 	return slices.Compact(levels)
 }
 
-func upTo(stop Stop, perMille int) func() bool {
+// stopAfter returns a function that reports whether part of the time limit, in thousandths, has passed.
+func stopAfter(stop Stop, perMille int) func() bool {
 	return func() bool { return stop != nil && stop(perMille) }
 }
 
-// stageResult is what a stage gives. bound is one on the value.
+// stageResult is the result of a stage. bound is an upper bound on value.
 type stageResult struct {
 	solution    *solution // nil: none
 	value       int64
@@ -192,10 +193,10 @@
 	multipliers ilp.Multipliers
 }
 
-// finish runs a stage, and closes what that leaves open by the program without patterns where it is small enough.
-func (s *master) finish(target stage) stageResult {
-	result := s.run(target)
-	if s.isComplete || target.stop() || !s.closesCompactly(target, result) || result.bound <= target.above {
+// solveStage runs a stage, and tries to close a remaining gap with the compact form if that is small enough.
+func (s *master) solveStage(target stage) stageResult {
+	result := s.solveForm(target)
+	if s.isComplete || target.stop() || !s.shouldTryCompact(target, result) || result.bound <= target.above {
 		return result
 	}
 	compact := newCompact(s.model, s.constraints)
@@ -203,7 +204,7 @@
 	if result.solution != nil {
 		target.start = result.solution
 	}
-	closed := compact.run(target)
+	closed := compact.solveForm(target)
 	if closed.solution == nil || result.solution != nil && result.value > closed.value {
 		closed.solution = result.solution
 		closed.value = result.value
@@ -213,18 +214,18 @@
 	return closed
 }
 
-// closesCompactly reports whether the program without patterns is worth trying.
-func (s *master) closesCompactly(g stage, result stageResult) bool {
+// shouldTryCompact reports whether the compact form is worth trying.
+func (s *master) shouldTryCompact(g stage, result stageResult) bool {
 	variables := len(s.model.classes) * len(s.model.problem.Engines)
 	meetsMinimums := result.solution != nil && (g.goal != minShortfall || result.value == 0)
 	if !meetsMinimums {
-		return variables <= unmetFactor*maxCompactVariables
+		return variables <= unmetMinimumsFactor*maxCompactVariables
 	}
-	return variables <= maxCompactVariables && result.value < result.bound && !g.seeksAny()
+	return variables <= maxCompactVariables && result.value < result.bound && !g.acceptsFirst()
 }
 
-// run runs a stage.
-func (s *master) run(target stage) stageResult {
+// solveForm runs a stage on this form of the program.
+func (s *master) solveForm(target stage) stageResult {
 	s.beginStage(target)
 	var values []int64
 	if target.start != nil {
@@ -246,7 +247,7 @@
 	found := search.Run()
 	result := stageResult{value: found.Value, bound: found.Bound, multipliers: multipliers}
 	if !s.isComplete {
-		result.bound = search.KnownBound // the search knows the patterns at hand only
+		result.bound = search.KnownBound // the bound of the search holds only for the patterns in the program
 	}
 	if result.bound == math.MaxInt64 {
 		result.bound = s.maxTotalValue()
@@ -257,25 +258,25 @@
 	return result
 }
 
-// setTarget sets the value that is enough.
+// setTarget sets the objective at which the search ends.
 func (s *master) setTarget(search *ilp.Search, g stage) {
 	switch {
 	case g.goal == minShortfall:
 		search.Target = 0
-	case g.seeksAny():
+	case g.acceptsFirst():
 		search.Target = g.above + 1
-	case !s.isComplete && search.KnownBound != math.MaxInt64 && g.part > 0:
+	case !s.isComplete && search.KnownBound != math.MaxInt64 && g.gapDivisor > 0:
 		magnitude := max(search.KnownBound, -search.KnownBound)
-		search.Target = search.KnownBound - magnitude/g.part
+		search.Target = search.KnownBound - magnitude/g.gapDivisor
 	}
 }
 
-// padded returns columns' values with zeros for columns that came later.
+// padded extends columns' values with zeros for columns that were added since.
 func (s *master) padded(values []int64) []int64 {
 	return append(values, make([]int64, len(s.columns)-len(values))...)
 }
 
-// maxTotalValue is a bound that needs no solving: all that is requested is granted.
+// maxTotalValue returns a trivial upper bound on the objective: all requests are granted.
 func (s *master) maxTotalValue() int64 {
 	sum := int64(0)
 	for j := range s.program.Columns {
--- a/internal/solve/step.go
+++ b/internal/solve/step.go
@@ -6,24 +6,23 @@
 )
 
 const (
-	million = 1_000_000
-	// maxPlanSteps bounds the steps of an answer; stepsOfEngine is how many each engine that warms up adds.
-	maxPlanSteps  = 9
-	stepsOfEngine = 4
+	million        = 1_000_000
+	maxPlanSteps   = 9 // of an answer
+	stepsPerWarmUp = 4 // that each warming engine adds
 )
 
-// stepWriter puts an outcome into names. Within a class, tenants take engines in the order of the workloads and of
-// the engines' names: the same at every run.
+// stepWriter converts an outcome to a Step. Within a class, threads of engines in order of their names are assigned to
+// workloads in their order, so that the result is deterministic.
 type stepWriter struct {
 	model    *model
 	solution *solution
-	order    []int // of the engines that get anything, by name
+	order    []int // engines with usable threads, by name
 	step     Step
 	byTenant []int64 // threads granted
 	byType   []int64
 }
 
-// step returns an outcome's step.
+// step returns the Step of an outcome.
 func (m *model) step(out outcome, atMS int64) Step {
 	w := stepWriter{
 		model:    m,
@@ -32,9 +31,9 @@
 		step: Step{
 			FromMS:   atMS,
 			Status:   Feasible,
-			Value:    out.measure.value,
-			Cost:     out.measure.cost,
-			Evenness: out.measure.utilization,
+			Value:    out.objective.value,
+			Cost:     out.objective.cost,
+			Evenness: out.objective.utilization,
 			Bound:    out.bound.value,
 		},
 		byTenant: make([]int64, len(m.problem.Tenants)),
@@ -50,7 +49,7 @@
 	return w.step
 }
 
-// enginesByName returns the engines that get anything.
+// enginesByName returns the engines with usable threads in order of their names.
 func (m *model) enginesByName() []int {
 	var order []int
 	for _, g := range m.groups {
@@ -62,32 +61,32 @@
 	return order
 }
 
-// writeThreads divides what engines run among the workloads.
+// writeThreads assigns the engines' threads to the workloads.
 func (w *stepWriter) writeThreads() {
-	left := make([][]int64, len(w.solution.threads))
+	remaining := make([][]int64, len(w.solution.threads))
 	for engine, threads := range w.solution.threads {
-		left[engine] = slices.Clone(threads)
+		remaining[engine] = slices.Clone(threads)
 	}
 	for i, load := range w.model.workloads {
 		granted := w.solution.granted[i]
 		w.byTenant[load.tenant] += granted
 		w.byType[w.model.classes[load.class].typ] += granted
 		for _, engine := range w.order {
-			if left[engine] == nil {
+			if remaining[engine] == nil {
 				continue
 			}
-			threads := min(granted, left[engine][load.class])
+			threads := min(granted, remaining[engine][load.class])
 			if threads <= 0 {
 				continue
 			}
 			granted -= threads
-			left[engine][load.class] -= threads
+			remaining[engine][load.class] -= threads
 			w.step.Threads = append(w.step.Threads, w.threadsOf(load, engine, threads))
 		}
 	}
 }
 
-// threadsOf returns threads of a workload on an engine in names.
+// threadsOf returns the assignment of an engine's threads to a workload.
 func (w *stepWriter) threadsOf(load workload, engine int, threads int64) Threads {
 	p := w.model.problem
 	class := w.model.classes[load.class]
@@ -126,7 +125,7 @@
 	}
 }
 
-// writeWeights writes the engines' parts of each class.
+// writeWeights writes each engine's fraction of each class.
 func (w *stepWriter) writeWeights() {
 	p := w.model.problem
 	for k, class := range w.model.classes {
@@ -157,15 +156,16 @@
 	return granted
 }
 
-// moments returns when the steps begin: now, and several times while each engine warms up, until all are warm.
-func (problem *Problem) moments() []int64 {
+// stepTimes returns the times at which steps begin, in milliseconds from now: 0 and several during each warm-up, the
+// last when all engines are warm.
+func (problem *Problem) stepTimes() []int64 {
 	atMS := []int64{0}
 	for _, e := range problem.Engines {
 		if e.State != Started {
 			continue
 		}
-		for k := range int64(stepsOfEngine) {
-			atMS = append(atMS, e.WarmInMS*(k+1)/stepsOfEngine)
+		for k := range int64(stepsPerWarmUp) {
+			atMS = append(atMS, e.WarmInMS*(k+1)/stepsPerWarmUp)
 		}
 	}
 	slices.Sort(atMS)
--- a/internal/solve/violation.go
+++ b/internal/solve/violation.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// audit adds a solution up to hold it against a constraint set. It shares nothing with the search.
+// audit recomputes the sums of a solution to check it against a constraint set, independently of the search.
 type audit struct {
 	model       *model
 	solution    *solution
@@ -10,12 +10,12 @@
 
 	byTenant []int64 // threads granted
 	byType   []int64
-	byClass  []int64 // threads granted that no engine runs
-	crossing []int64 // bytes a second, by zone
+	byClass  []int64 // threads granted less threads run
+	crossing []int64 // bytes per second, by zone
 	outside  []int64 // threads outside the placement bound, by type
 }
 
-// violation names the first constraint that a solution breaks; nil: it keeps all.
+// violation returns the first constraint that a solution violates, or nil.
 func (m *model) violation(plan *solution, constraints *constraintSet) error {
 	a := &audit{
 		model:       m,
@@ -47,7 +47,7 @@
 	for i, w := range a.model.workloads {
 		threads := a.solution.granted[i]
 		if threads < 0 || threads > w.threads {
-			return fmt.Errorf("%d threads given where %d are asked for", threads, w.threads)
+			return fmt.Errorf("%d threads granted, %d requested", threads, w.threads)
 		}
 		a.byTenant[w.tenant] += threads
 		a.byClass[w.class] += threads
@@ -62,7 +62,7 @@
 			continue
 		}
 		if a.model.groupOf[i] < 0 {
-			return fmt.Errorf("engine %s gets threads though it is to get none", a.model.problem.Engines[i].Name)
+			return fmt.Errorf("engine %s has no usable threads but is assigned some", a.model.problem.Engines[i].Name)
 		}
 		if err := a.checkEngine(i, byClass); err != nil {
 			return err
@@ -90,7 +90,7 @@
 			a.outside[class.typ] += threads
 		}
 	}
-	limit := m.maxThreadsOf(engine, a.constraints)
+	limit := m.maxEngineThreads(engine, a.constraints)
 	if used > limit || memoryMB > g.memoryMB {
 		return fmt.Errorf("engine %s: %d threads of %d, %d MB of %d", name, used, limit, memoryMB, g.memoryMB)
 	}
@@ -101,7 +101,7 @@
 	for k, threads := range a.byClass {
 		if threads != 0 {
 			name := a.model.problem.Types[a.model.classes[k].typ].Name
-			return fmt.Errorf("type %s: %d threads given that no engine runs", name, threads)
+			return fmt.Errorf("type %s: granted threads exceed those that engines run by %d", name, threads)
 		}
 	}
 	return nil
@@ -111,12 +111,12 @@
 	p := a.model.problem
 	for i, quota := range a.constraints.quotas {
 		if quota >= 0 && a.byTenant[i] > quota {
-			return fmt.Errorf("tenant %s: %d threads over a quota of %d", p.Tenants[i].Name, a.byTenant[i], quota)
+			return fmt.Errorf("tenant %s: %d threads exceed its quota of %d", p.Tenants[i].Name, a.byTenant[i], quota)
 		}
 	}
 	for i, budget := range a.constraints.crossingBudgets {
 		if budget >= 0 && a.crossing[i] > budget {
-			return fmt.Errorf("zone %s: %d bytes a second cross, %d may", p.Zones[i].Name, a.crossing[i], budget)
+			return fmt.Errorf("zone %s: %d crossing bytes/s exceed its budget of %d", p.Zones[i].Name, a.crossing[i], budget)
 		}
 	}
 	for i, limit := range a.constraints.outsideLimits {
@@ -131,11 +131,11 @@
 	p := a.model.problem
 	for _, f := range a.constraints.minimums {
 		if f.typ >= 0 && a.byType[f.typ] < f.threads {
-			return fmt.Errorf("type %s: %d threads, %d at least", p.Types[f.typ].Name, a.byType[f.typ], f.threads)
+			return fmt.Errorf("type %s: %d threads, minimum %d", p.Types[f.typ].Name, a.byType[f.typ], f.threads)
 		}
 		if f.tenant >= 0 && a.byTenant[f.tenant] < f.threads {
 			return fmt.Errorf(
-				"tenant %s: %d threads, %d at least",
+				"tenant %s: %d threads, minimum %d",
 				p.Tenants[f.tenant].Name,
 				a.byTenant[f.tenant],
 				f.threads,
@@ -146,9 +146,9 @@
 }
 
 func (a *audit) checkCost() error {
-	cost := a.model.measure(a.solution).cost
+	cost := a.model.objective(a.solution).cost
 	if a.constraints.maxCost >= 0 && cost > a.constraints.maxCost {
-		return fmt.Errorf("a second costs %d, %d at most", cost, a.constraints.maxCost)
+		return fmt.Errorf("cost per second is %d, maximum %d", cost, a.constraints.maxCost)
 	}
 	return nil
 }
