--- a/internal/solve/draw/draw_test.go
+++ b/internal/solve/draw/draw_test.go
@@ -11,7 +11,7 @@
 	"swiftreel/internal/solve/draw"
 )
 
-// Tests and proofs name problems by their seeds: a seed draws the same problem for good.
+// Tests and proofs identify problems by their seeds, so the problem of a seed must never change.
 func TestASeedDrawsTheSameProblem(t *testing.T) {
 	for name, test := range map[string]struct {
 		draw func(seed uint64) *solve.Problem
--- a/internal/solve/draw/ordinary.go
+++ b/internal/solve/draw/ordinary.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	ordinarySequence = 40 // of the random source
+	ordinarySequence = 40 // second seed of the random source
 	threadsPerCore   = 2
 )
 
-// engineKinds are the kinds of engines of an ordinary fleet.
+// engineKinds are the kinds of engines in an ordinary fleet.
 var engineKinds = []solve.Engine{
 	{Kind: "kind0", Cores: 16, MemoryMB: 65536, Cost: 12},
 	{Kind: "kind1", Cores: 32, MemoryMB: 98304, Cost: 21},
 	{Kind: "kind2", Cores: 8, MemoryMB: 65536, Cost: 9},
 }
 
-// ordinaryDraw draws the parts of an ordinary problem, in their order.
+// ordinaryDraw generates the parts of an ordinary problem in a fixed order.
 type ordinaryDraw struct {
 	random  *rand.Rand
 	problem *solve.Problem
 	threads float64 // of all engines
 }
 
-// Ordinary draws a fleet as it is met in practice. load is the requested part of all its threads.
+// Ordinary generates a typical fleet. load is the demand as a fraction of all its threads.
 func Ordinary(seed uint64, engines, zones, types, tenants int, load float64) *solve.Problem {
 	d := ordinaryDraw{random: rand.New(rand.NewPCG(seed, ordinarySequence)), problem: &solve.Problem{}}
 	for i := range zones {
@@ -88,7 +88,7 @@
 	d.problem.Tenants = append(d.problem.Tenants, tenant)
 }
 
-// drawDemand divides the load among types, tenants and zones.
+// drawDemand distributes the load randomly among types, tenants and zones.
 func (d *ordinaryDraw) drawDemand(load float64) {
 	p := d.problem
 	types := len(p.Types)
--- a/internal/solve/draw/small.go
+++ b/internal/solve/draw/small.go
@@ -1,4 +1,5 @@
-// Package draw makes problems up, the same from the same random source, for tests and proofs of the solver.
+// Package draw generates random problems for tests and proofs of the solver. The same random source gives the same
+// problems.
 package draw
 
 import (
@@ -8,10 +9,10 @@
 	"swiftreel/internal/solve"
 )
 
-// maxSmallDemand bounds the demand of a small problem.
+// maxSmallDemand bounds the number of demands of a small problem.
 const maxSmallDemand = 6
 
-// Small draws a problem that can be solved by trying everything: up to six engines and four types.
+// Small generates a problem that can be solved exhaustively, with up to six engines and four types.
 func Small(r *rand.Rand) *solve.Problem {
 	d := smallDraw{random: r, problem: &solve.Problem{ThreadsPerCore: 1}}
 	d.kinds = 1 + r.IntN(2)
@@ -26,7 +27,7 @@
 	return d.problem
 }
 
-// smallDraw draws the parts of a small problem, in their order.
+// smallDraw generates the parts of a small problem in a fixed order.
 type smallDraw struct {
 	random  *rand.Rand
 	problem *solve.Problem
@@ -34,7 +35,7 @@
 	zones   int
 }
 
-// isOneIn returns true with a probability of one in n.
+// isOneIn returns true with probability 1/n.
 func (d *smallDraw) isOneIn(n int) bool {
 	return d.random.IntN(n) == 0
 }
@@ -61,7 +62,7 @@
 			Cost:     int64(d.random.IntN(4)),
 		}
 		switch {
-		case i > 0 && d.isOneIn(2): // like the one before
+		case i > 0 && d.isOneIn(2): // a copy of the previous engine
 			name := engine.Name
 			engine = d.problem.Engines[i-1]
 			engine.Name = name
