--- a/internal/solve/draw/ordinary.go
+++ b/internal/solve/draw/ordinary.go
@@ -48,7 +48,7 @@
 		d.problem.Zones[i].CrossingBytesPerS = &budget
 	}
 	d.problem.Constraints.MinServed = []solve.MinServed{{Type: d.problem.Types[0].Name, PerMille: 300}}
-	d.problem.Constraints.SharesHold = true
+	d.problem.Constraints.EnforceShares = true
 	return d.problem
 }
 
--- a/internal/solve/draw/small.go
+++ b/internal/solve/draw/small.go
@@ -143,7 +143,7 @@
 
 func (d *smallDraw) drawLimits() {
 	constraints := &d.problem.Constraints
-	constraints.SharesHold = d.isOneIn(4)
+	constraints.EnforceShares = d.isOneIn(4)
 	if d.isOneIn(4) {
 		cost := int64(d.random.IntN(20))
 		constraints.MaxCost = &cost
--- a/internal/solve/methods.go
+++ b/internal/solve/methods.go
@@ -36,7 +36,7 @@
 // Name returns "exhaustive".
 func (Exhaustive) Name() string { return "exhaustive" }
 
-// maxStates is the maximum number of states that the exhaustive search keeps.
+// maxStates is the number of states beyond which the exhaustive search gives up.
 const maxStates = 100_000
 
 func (Exhaustive) solve(m *model, constraints *constraintSet, _ Stop) outcome {
--- a/internal/solve/problem.go
+++ b/internal/solve/problem.go
@@ -54,10 +54,11 @@
 	AnswerBytes int64    `json:"answer_bytes,omitempty"`
 }
 
-// Tenant is a customer for whom jobs run.
+// Tenant is a party that jobs run for.
 type Tenant struct {
 	Name string `json:"name"`
-	// SharePerMille is the fraction of the fleet's threads that the tenant is guaranteed if Constraints.SharesHold.
+	// SharePerMille is the fraction of the fleet's threads that the tenant is guaranteed, as far as it requests them,
+	// if Constraints.EnforceShares.
 	SharePerMille int64  `json:"share_per_mille,omitempty"`
 	QuotaThreads  *int64 `json:"quota_threads,omitempty"` // upper limit; absent: none
 }
@@ -81,7 +82,7 @@
 // Constraints are the conditions that a plan must satisfy.
 type Constraints struct {
 	MinServed      []MinServed `json:"least_served,omitempty"`
-	SharesHold     bool        `json:"shares_hold,omitempty"`
+	EnforceShares  bool        `json:"shares_hold,omitempty"`
 	MaxCost        *int64      `json:"greatest_cost,omitempty"`          // per second
 	MaxUsePerMille *int64      `json:"greatest_use_per_mille,omitempty"` // of the usable threads of each engine
 	FitsWithout    []string    `json:"fits_without,omitempty"`           // "any engine", "engine NAME", "zone NAME"
--- a/internal/solve/requirement.go
+++ b/internal/solve/requirement.go
@@ -68,7 +68,7 @@
 }
 
 func (m *model) shareRequirements() []requirement {
-	if !m.problem.Constraints.SharesHold {
+	if !m.problem.Constraints.EnforceShares {
 		return nil
 	}
 	var list []requirement
