--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -10,17 +10,17 @@
 	"swiftreel/internal/socketstate"
 )
 
-// heartbeatTimeout bounds the wait for the answer to a heartbeat.
+// heartbeatTimeout bounds the wait for a heartbeat answer.
 const heartbeatTimeout = 5 * time.Second
 
-// readSize is how many bytes are read at once.
-const readSize = 4096
+// readBufferSize is the size of one read, in bytes.
+const readBufferSize = 4096
 
-// Client is one connection of a client to a controller. It is for one goroutine, except that one may send while
-// another reads.
+// Client is a client connection to a controller. It is not safe for concurrent use, except that one goroutine may send
+// while another reads.
 type Client struct {
 	Conn     net.Conn
-	received []byte // not parsed yet
+	received []byte // read but not yet parsed
 	lastID   uint32
 }
 
@@ -34,20 +34,20 @@
 	return new(net.Dialer).DialContext(context.Background(), "tcp", address)
 }
 
-// IsClosed reports whether the controller has closed the connection, so that nothing that is sent is answered.
+// IsClosed reports whether the controller has closed the connection, so that further requests get no answer.
 func (c *Client) IsClosed() bool {
 	tcp, isTCP := c.Conn.(*net.TCPConn)
 	return isTCP && socketstate.PeerClosed(tcp)
 }
 
-// Send requests a job and returns the id of its answer. fields are names and values in turn.
+// Send requests a job and returns the message ID that its answer will carry. fields alternates names and values.
 func (c *Client) Send(method, statement string, fields ...string) (uint32, error) {
 	c.lastID++
 	_, err := c.Conn.Write(client.AppendCall(nil, c.lastID, method, fields, []byte(statement)))
 	return c.lastID, err
 }
 
-// Ready sends a heartbeat, and returns whether jobs are welcome.
+// Ready sends a heartbeat and reports whether the controller accepts jobs.
 func (c *Client) Ready() (bool, error) {
 	c.lastID++
 	if _, err := c.Conn.Write(client.AppendHeartbeat(nil, c.lastID)); err != nil {
@@ -57,13 +57,13 @@
 	return answer.Ready, err
 }
 
-// Revoke takes a job back.
+// Revoke revokes the request with the given message ID.
 func (c *Client) Revoke(id uint32) error {
 	_, err := c.Conn.Write(client.AppendRevoke(nil, id))
 	return err
 }
 
-// Read waits for the next answer for so long.
+// Read waits up to timeout for the next answer.
 func (c *Client) Read(timeout time.Duration) (client.Answer, error) {
 	if err := c.Conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return client.Answer{}, err
@@ -76,7 +76,7 @@
 		if !errors.Is(err, client.ErrIncomplete) {
 			return answer, err
 		}
-		more := make([]byte, readSize)
+		more := make([]byte, readBufferSize)
 		n, err := c.Conn.Read(more)
 		if err != nil {
 			return answer, err
--- a/internal/fake/client_test.go
+++ b/internal/fake/client_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A client sees that the other side has closed the connection.
+// IsClosed detects that the peer has shut down its side of the connection.
 func TestAClientSeesThatItsConnectionIsClosed(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -24,14 +24,14 @@
 	}
 	defer server.Close()
 	if c.IsClosed() {
-		t.Error("an open connection is closed")
+		t.Error("IsClosed reports an open connection as closed")
 	}
 	if err := server.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	for stop := time.Now().Add(20 * time.Second); !c.IsClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatal("its end is not seen")
+			t.Fatal("IsClosed does not report the closed connection")
 		}
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// discoveryHeartbeat is from one line with the number of the last event to the next.
-const discoveryHeartbeat = time.Second
+// discoveryHeartbeatInterval is the time between heartbeat lines, which carry the number of the last event.
+const discoveryHeartbeatInterval = time.Second
 
-// Discovery is a discovery server: it sends each connection the events that follow the number that it subscribed
-// with, one JSON object a line, and later ones as they are added.
+// Discovery is a fake discovery server. It sends each subscriber the events after the number given in its SUB line, one
+// JSON object per line, and then new events as they are added.
 type Discovery struct {
 	listener  net.Listener
 	serving   sync.WaitGroup
@@ -22,13 +22,13 @@
 	closeOnce sync.Once
 
 	mu            sync.Mutex
-	firstNumber   int      // of the first event
-	events        []string // their lines
-	delivered     map[net.Conn]int
-	subscriptions []int // the number of each SUB so far
+	firstNumber   int              // number of the first event
+	events        []string         // as JSON lines
+	delivered     map[net.Conn]int // number of the last event sent to each subscriber
+	subscriptions []int            // numbers given in the SUB lines received so far
 }
 
-// StartDiscovery listens at an address; the first event that is added gets the number first.
+// StartDiscovery listens on an address. The first event added gets the number first.
 func StartDiscovery(address string, first int) (*Discovery, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return d, nil
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (d *Discovery) Address() string { return d.listener.Addr().String() }
 
 func (d *Discovery) accept() {
@@ -53,7 +53,8 @@
 	}
 }
 
-// serve takes a subscription and keeps the connection until its end. A line that is no subscription ends it.
+// serve reads a subscription and holds the connection until the peer closes it. It closes the connection if the first
+// line is not a subscription.
 func (d *Discovery) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -66,7 +67,7 @@
 		return
 	}
 	d.subscribe(conn, last)
-	_, _ = reader.ReadByte() // nothing more comes: this returns with the connection's end
+	_, _ = reader.ReadByte() // subscribers send nothing more, so this blocks until the connection closes
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.delivered, conn)
@@ -80,10 +81,10 @@
 	d.send(conn)
 }
 
-// lastNumber is that of the last event. The lock is held.
+// lastNumber returns the number of the last event. d.mu must be held.
 func (d *Discovery) lastNumber() int { return d.firstNumber + len(d.events) - 1 }
 
-// send writes the events that a connection lacks. The lock is held.
+// send writes the events not yet sent to a connection. d.mu must be held.
 func (d *Discovery) send(conn net.Conn) {
 	for d.delivered[conn] < d.lastNumber() {
 		d.delivered[conn]++
@@ -91,11 +92,11 @@
 	}
 }
 
-// writeLine writes a line to a connection; one that has broken is closed by its own goroutine.
+// writeLine writes a line to a connection. Write errors are ignored: the goroutine serving the connection closes it.
 func writeLine(conn net.Conn, line string) { _, _ = fmt.Fprintf(conn, "%s\n", line) }
 
-// AddEvent adds a change of the endpoint list, or, where complete, the whole of it; hosts is a JSON array. It returns
-// the event's line.
+// AddEvent adds an event that changes the endpoint list, or replaces it if complete is true. hosts is a JSON array. It
+// returns the event as a JSON line.
 func (d *Discovery) AddEvent(complete bool, hosts string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,26 +109,26 @@
 	return line
 }
 
-// AddRaw adds the line of an event as it is, without sending it to those connected: one that another server has sent
-// before.
+// AddRaw adds the JSON line of an event that another server has already sent. It does not send it to current
+// subscribers.
 func (d *Discovery) AddRaw(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.events = append(d.events, line)
 }
 
-// DropConnections closes all connections, and returns what Subscriptions does.
+// DropConnections closes all connections and returns the same list as Subscriptions.
 func (d *Discovery) DropConnections() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for conn := range d.delivered {
-		_ = conn.Close() // its peer may have closed it
+		_ = conn.Close() // the peer may have closed it
 	}
 	return slices.Clone(d.subscriptions)
 }
 
-// Replay writes all events once more to every connection, or, where half, the first half of the last one, and closes
-// them.
+// Replay sends all events again to every connection. If half is true, it sends only the first half of the last event
+// and closes the connections.
 func (d *Discovery) Replay(half bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,19 +140,19 @@
 	for conn := range d.delivered {
 		_, _ = fmt.Fprint(conn, text) // see writeLine
 		if half {
-			_ = conn.Close() // its peer may have closed it
+			_ = conn.Close() // the peer may have closed it
 		}
 	}
 }
 
-// Subscriptions returns the number of each SUB so far.
+// Subscriptions returns the event number of each SUB line received so far.
 func (d *Discovery) Subscriptions() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.subscriptions)
 }
 
-// Write writes a text as it is to every connection.
+// Write sends raw text to every connection.
 func (d *Discovery) Write(text string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +162,7 @@
 }
 
 func (d *Discovery) heartbeat() {
-	tick := time.NewTicker(discoveryHeartbeat)
+	tick := time.NewTicker(discoveryHeartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -181,10 +182,10 @@
 	}
 }
 
-// Close ends the server and its connections. It may be called again.
+// Close stops the server and closes its connections. It is idempotent.
 func (d *Discovery) Close() {
 	d.closeOnce.Do(func() {
-		_ = d.listener.Close() // connections that it has not accepted are reset
+		_ = d.listener.Close() // the kernel resets connections that were not yet accepted
 		close(d.done)
 		d.DropConnections()
 		d.serving.Wait()
--- a/internal/fake/endpoint.go
+++ b/internal/fake/endpoint.go
@@ -11,15 +11,15 @@
 	"swiftreel/internal/sparql/results"
 )
 
-// probeQuery is what controllers probe endpoints with.
+// probeQuery is the query that controllers send as a probe.
 const probeQuery = "ASK {}"
 
-// Interceptor deals with a request before an Endpoint does, given its query or update. It returns true where it has
-// answered.
+// Interceptor handles a request before an Endpoint does. text is the request's query or update. It returns true if it
+// has written the answer.
 type Interceptor func(w http.ResponseWriter, text string) bool
 
-// Endpoint is a SPARQL engine: a small store of triples, which answers SELECT and ASK over basic graph patterns whose
-// terms are set apart by white space, and INSERT DATA. It knows nothing else of SPARQL.
+// Endpoint is a fake SPARQL engine with an in-memory triple store. It supports SELECT and ASK over basic graph patterns
+// with terms separated by white space, and INSERT DATA, but no other part of SPARQL.
 type Endpoint struct {
 	server   *http.Server
 	listener net.Listener
@@ -31,7 +31,7 @@
 	intercept Interceptor
 }
 
-// StartEndpoint listens at an address, with some triples.
+// StartEndpoint listens on an address, with a store that contains the given triples.
 func StartEndpoint(address string, triples ...[3]string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -43,31 +43,31 @@
 	}
 	e.server = &http.Server{Handler: e}
 	e.serving.Go(func() {
-		_ = e.server.Serve(listener) // it returns by Close alone
+		_ = e.server.Serve(listener) // returns only after Close
 	})
 	return e, nil
 }
 
-// URL is where it answers.
+// URL returns the URL of the SPARQL endpoint.
 func (e *Endpoint) URL() string { return "http://" + e.listener.Addr().String() + "/sparql" }
 
-// Intercept sets what deals with each later request first.
+// Intercept sets the interceptor for later requests.
 func (e *Endpoint) Intercept(intercept Interceptor) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.intercept = intercept
 }
 
-// Received returns the queries and updates that it began, without probes.
+// Received returns the queries and updates handled by the endpoint itself, without probes.
 func (e *Endpoint) Received() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.received)
 }
 
-// Close ends as a process does that dies.
+// Close stops the server at once and closes its connections, as a crash does.
 func (e *Endpoint) Close() {
-	_ = e.server.Close() // its listener's error changes nothing
+	_ = e.server.Close() // an error from closing the listener does not matter
 	e.serving.Wait()
 }
 
@@ -98,30 +98,30 @@
 	e.answerQuery(w, query)
 }
 
-// answerUpdate adds triples. The lock is held.
+// answerUpdate adds triples. e.mu must be held.
 func (e *Endpoint) answerUpdate(w http.ResponseWriter, update string) {
 	data, ok := insideBraces(strings.TrimPrefix(update, "INSERT DATA"))
 	if !ok {
-		http.Error(w, "not known here", http.StatusBadRequest)
+		http.Error(w, "unsupported update", http.StatusBadRequest)
 		return
 	}
 	e.triples = append(e.triples, parseTriples(data)...)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// answerQuery solves a SELECT or ASK. The lock is held.
+// answerQuery evaluates a SELECT or ASK query. e.mu must be held.
 func (e *Endpoint) answerQuery(w http.ResponseWriter, query string) {
 	patterns, ok := insideBraces(query)
 	if !ok {
-		http.Error(w, "not known here", http.StatusBadRequest)
+		http.Error(w, "unsupported query", http.StatusBadRequest)
 		return
 	}
 	w.Header().Set("Content-Type", results.JSON.MediaType())
 	WriteResults(w, solve(e.triples, parseTriples(patterns)), strings.HasPrefix(query, "ASK"))
 }
 
-// WriteResults writes rows, or, where boolean, whether there are any, as JSON results. Errors of writing are dropped:
-// the reader has gone.
+// WriteResults writes rows as SPARQL JSON results, or, if boolean is true, whether there are any rows. Write errors are
+// ignored: they mean that the reader has disconnected.
 func WriteResults(w io.Writer, rows []map[string]string, boolean bool) {
 	out := results.NewWriter(results.JSON, w)
 	defer func() { _ = out.Close() }() // see above
@@ -129,21 +129,21 @@
 		_ = out.Head(results.Head{Ask: true, Boolean: len(rows) > 0}) // see above
 		return
 	}
-	variables := variablesOf(rows)
+	variables := variableNames(rows)
 	_ = out.Head(results.Head{Vars: variables}) // see above
 	for _, row := range rows {
 		terms := make([]results.Term, len(variables))
 		for i, name := range variables {
 			if value, bound := row[name]; bound {
-				terms[i] = termOf(value)
+				terms[i] = parseTerm(value)
 			}
 		}
 		_ = out.Row(terms) // see above
 	}
 }
 
-// variablesOf are the names of all rows, in order.
-func variablesOf(rows []map[string]string) []string {
+// variableNames returns the sorted names of all variables bound in rows.
+func variableNames(rows []map[string]string) []string {
 	var names []string
 	for _, row := range rows {
 		for name := range row {
@@ -156,7 +156,7 @@
 	return names
 }
 
-func termOf(value string) results.Term {
+func parseTerm(value string) results.Term {
 	if strings.HasPrefix(value, "<") {
 		return results.Term{Kind: results.IRI, Value: strings.Trim(value, "<>")}
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -1,7 +1,7 @@
-// Package fake has fakes of what a controller speaks with: an engine, the discovery server, a client, a SPARQL
-// endpoint. The example and the tests are built of them. Each fake that listens owns its listener, its connections
-// and their goroutines, and Close ends all of them; all are safe for concurrent use unless they say otherwise. None
-// keeps to more of a protocol than its handler does.
+// Package fake provides fakes of the peers of a controller: an engine, the discovery server, a client and a SPARQL
+// endpoint. The example and the tests use them. Each fake that listens owns its listener, its connections and their
+// goroutines, and Close stops all of them. All are safe for concurrent use unless their documentation says otherwise.
+// A fake enforces no more of its protocol than its handler does.
 package fake
 
 import (
@@ -12,8 +12,8 @@
 	"swiftreel/internal/engine"
 )
 
-// Engine accepts connections of the line protocol and hands each command to its handler: those of one connection in
-// order, those of several at once.
+// Engine accepts line protocol connections and passes each command to its handler. Commands of one connection are
+// handled in order, those of different connections concurrently.
 type Engine struct {
 	handle   func(*Session, engine.Command)
 	listener net.Listener
@@ -24,7 +24,7 @@
 	closed   bool
 }
 
-// StartEngine listens at an address.
+// StartEngine listens on an address.
 func StartEngine(address string, handle func(*Session, engine.Command)) (*Engine, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return e, nil
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (e *Engine) Address() string { return e.listener.Addr().String() }
 
 func (e *Engine) accept() {
@@ -50,17 +50,17 @@
 	}
 }
 
-// register adds a connection. One that comes after Close is closed at once.
+// register adds a connection. A connection accepted after Close is closed at once.
 func (e *Engine) register(session *Session) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
-		_ = session.conn.Close() // its peer sees the end
+		_ = session.conn.Close() // the peer sees the close
 	}
 	e.sessions[session] = struct{}{}
 }
 
-// serve handles commands until the connection ends or sends what is no command.
+// serve handles commands until the connection closes or a command cannot be parsed.
 func (e *Engine) serve(session *Session) {
 	reader := bufio.NewReader(session.conn)
 	for {
@@ -76,16 +76,16 @@
 	delete(e.sessions, session)
 }
 
-// Sessions counts the connections that are open.
+// Sessions returns the number of open connections.
 func (e *Engine) Sessions() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.sessions)
 }
 
-// Close ends as a process does that dies: connections are reset, new ones refused.
+// Close stops the engine as a crash does: open connections are reset, new ones refused.
 func (e *Engine) Close() {
-	_ = e.listener.Close() // connections that it has not accepted are reset
+	_ = e.listener.Close() // the kernel resets connections that were not yet accepted
 	e.mu.Lock()
 	e.closed = true
 	for session := range e.sessions {
@@ -95,12 +95,13 @@
 	e.serving.Wait()
 }
 
-// Session is a controller's connection to an Engine. What cannot be written is dropped: the controller has gone.
+// Session is a controller's connection to an Engine. Write errors are ignored: they mean that the controller has
+// disconnected.
 type Session struct {
 	conn net.Conn
 
 	mu      sync.Mutex
-	aborted map[string]bool // ids, until a page of one is requested
+	aborted map[string]bool // IDs of aborted dispatches, until one of their pages is requested
 }
 
 func (s *Session) abort(id string) {
@@ -109,8 +110,8 @@
 	s.aborted[id] = true
 }
 
-// takeAborted reports whether an id was aborted, once.
-func (s *Session) takeAborted(id string) bool {
+// consumeAborted reports whether a dispatch was aborted, and forgets it.
+func (s *Session) consumeAborted(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	aborted := s.aborted[id]
@@ -118,19 +119,19 @@
 	return aborted
 }
 
-// Answer writes an answer of the line protocol.
+// Answer writes a line protocol answer.
 func (s *Session) Answer(id, kind, fields, body string) {
 	s.Write(engine.AppendAnswer(nil, id, kind, fields, []byte(body)))
 }
 
-// Write writes bytes as they are.
+// Write writes raw bytes.
 func (s *Session) Write(text []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.conn.Write(text) // see Session
 }
 
-// Reset resets the connection: what was written and not sent is lost.
+// Reset resets the connection. Data written but not yet sent is lost.
 func (s *Session) Reset() {
 	if conn, ok := s.conn.(*net.TCPConn); ok {
 		_ = conn.SetLinger(0) // it may be closed already
--- a/internal/fake/faulty_engine.go
+++ b/internal/fake/faulty_engine.go
@@ -9,15 +9,15 @@
 	"swiftreel/internal/engine"
 )
 
-// FaultyEngine answers as an engine behind a bad network does: half of the dispatches well, the others with an answer
-// that is spoilt, doubled, cut off or missing. The rows of each good result begin with the job's id. The faults
-// follow a seed. It is safe for concurrent use.
+// FaultyEngine behaves like an engine behind an unreliable network: it answers half of the dispatches correctly, and
+// the others with a corrupted, duplicated, truncated or missing answer. The rows of each correct result begin with the
+// job's ID. The faults are drawn from a seed. It is safe for concurrent use.
 type FaultyEngine struct {
 	mu     sync.Mutex
 	random *rand.Rand
 }
 
-// NewFaultyEngine draws faults from a seed.
+// NewFaultyEngine returns a handler whose faults are drawn from a seed.
 func NewFaultyEngine(seed uint64) *FaultyEngine {
 	return &FaultyEngine{random: rand.New(rand.NewPCG(seed, 1))}
 }
@@ -28,22 +28,22 @@
 	return e.random.IntN(n)
 }
 
-// FaultyEngineRows is the result of a job, of both its pages, where it is answered well.
-func FaultyEngineRows(id string) string { return rowsOfPage(id, 0) + rowsOfPage(id, 1) }
+// FaultyEngineRows returns the rows of a correct result, both pages together.
+func FaultyEngineRows(id string) string { return pageRows(id, 0) + pageRows(id, 1) }
 
 const (
-	rowsPerPage     = 20
-	lastPage        = 1
-	wrongPage       = 7  // that no result has
-	wrongPageEach   = 20 // one in so many later pages
-	drawsOfDispatch = 24 // one in so many has each of dispatchFaults
+	rowsPerPage        = 20
+	lastPage           = 1
+	wrongPage          = 7  // a page number that no result has
+	wrongPageOneIn     = 20 // one in this many pages after the first is numbered wrongPage
+	dispatchFaultOneIn = 24 // one in this many dispatches gets each of dispatchFaults
 )
 
-func rowsOfPage(id string, page int) string {
+func pageRows(id string, page int) string {
 	return strings.Repeat(fmt.Sprintf("%s\t%d\tx\n", id, page), rowsPerPage)
 }
 
-// Handle handles a command; it is what StartEngine takes.
+// Handle handles a command. It is the handler to pass to StartEngine.
 func (e *FaultyEngine) Handle(session *Session, command engine.Command) {
 	switch command.Name {
 	case "stats", "alive":
@@ -59,26 +59,26 @@
 
 func (e *FaultyEngine) answerPage(session *Session, id string) {
 	page := lastPage
-	if e.draw(wrongPageEach) == 0 {
+	if e.draw(wrongPageOneIn) == 0 {
 		page = wrongPage
 	}
-	if session.takeAborted(id) {
+	if session.consumeAborted(id) {
 		session.Answer(id, "failed", "", "")
 		return
 	}
-	session.Answer(id, "page", fmt.Sprintf("sheet=%d", page), rowsOfPage(id, lastPage))
+	session.Answer(id, "page", fmt.Sprintf("sheet=%d", page), pageRows(id, lastPage))
 }
 
 func (e *FaultyEngine) answerDispatch(session *Session, id string) {
-	answer := string(engine.AppendAnswer(nil, id, "data", "sheets=2,toil=20,room=8", []byte(rowsOfPage(id, 0))))
-	if n := e.draw(drawsOfDispatch); n < len(dispatchFaults) {
+	answer := string(engine.AppendAnswer(nil, id, "data", "sheets=2,toil=20,room=8", []byte(pageRows(id, 0))))
+	if n := e.draw(dispatchFaultOneIn); n < len(dispatchFaults) {
 		dispatchFaults[n](session, id, answer)
 		return
 	}
 	session.Write([]byte(answer))
 }
 
-// dispatchFaults are the ways in which a dispatch goes wrong, each given the answer that would be right.
+// dispatchFaults are the faulty ways to answer a dispatch. Each is given the correct answer.
 var dispatchFaults = []func(session *Session, id, answer string){
 	func(session *Session, id, _ string) { session.Answer(id, "full", "", "") },
 	func(session *Session, id, _ string) { session.Answer(id, "failed", "", "") },
@@ -86,20 +86,20 @@
 		session.Answer(id, "full", "", "")
 		session.Answer(id, "full", "", "")
 	},
-	func(session *Session, _, answer string) { // one for nobody, then two
-		const nobody = "0000000000000000"
-		session.Answer(nobody, "data", "sheets=1", rowsOfPage(nobody, 0))
+	func(session *Session, _, answer string) { // an answer to an unknown ID, then a duplicate answer
+		const unknownID = "0000000000000000"
+		session.Answer(unknownID, "data", "sheets=1", pageRows(unknownID, 0))
 		session.Write([]byte(answer + answer))
 	},
 	func(session *Session, _, _ string) { session.Write([]byte("\x00\x17 noise\r\n")) },
-	func(session *Session, id, _ string) { // a length past all bounds
-		session.Write([]byte(id + " data sheets=1 3000000000\r\n" + rowsOfPage(id, 0)))
+	func(session *Session, id, _ string) { // a body length above any limit
+		session.Write([]byte(id + " data sheets=1 3000000000\r\n" + pageRows(id, 0)))
 	},
 	func(session *Session, _, answer string) { session.Write([]byte(answer[:len(answer)/2])) },
-	func(session *Session, _, answer string) { // a character that no row has
+	func(session *Session, _, answer string) { // a control character in a row
 		session.Write([]byte(strings.Replace(answer, "\tx\n", "\t\x7f\n", 1)))
 	},
-	func(session *Session, _, answer string) { // a figure that is none
+	func(session *Session, _, answer string) { // a malformed number
 		session.Write([]byte(strings.Replace(answer, "toil=20", "toil=2x", 1)))
 	},
 	func(session *Session, _, _ string) { session.Reset() },
@@ -107,5 +107,5 @@
 		session.Write([]byte(answer))
 		session.Reset()
 	},
-	func(*Session, string, string) {}, // no answer ever
+	func(*Session, string, string) {}, // never answers
 }
--- a/internal/fake/misbehaving_client.go
+++ b/internal/fake/misbehaving_client.go
@@ -10,14 +10,14 @@
 	"swiftreel/internal/client"
 )
 
-// misbehavingRead is how long a misbehaving client reads what comes before it leaves.
-const misbehavingRead = 100 * time.Millisecond
+// misbehavingReadTimeout is how long a misbehaving client reads answers before it disconnects.
+const misbehavingReadTimeout = 100 * time.Millisecond
 
-// floodCalls is how many messages a client sends that sends too many.
-const floodCalls = 200
+// floodMessages is how many messages a client sends at once to flood the controller.
+const floodMessages = 200
 
-// MisbehavingClient connects to a controller, sends what it should not, in a way drawn by random, and leaves. It
-// reports whether something that it sent was served.
+// MisbehavingClient connects to a controller, sends invalid or excessive input of a randomly drawn kind, and
+// disconnects. It reports whether any of its requests was served.
 func MisbehavingClient(address string, random *rand.Rand) (served bool) {
 	conn, err := dial(address)
 	if err != nil {
@@ -25,11 +25,11 @@
 	}
 	defer conn.Close()
 	text := misbehaviours[random.IntN(len(misbehaviours))](random)
-	_, _ = conn.Write(text) // the controller may close it meanwhile
-	if conn.SetReadDeadline(time.Now().Add(misbehavingRead)) != nil {
+	_, _ = conn.Write(text) // the controller may close the connection meanwhile
+	if conn.SetReadDeadline(time.Now().Add(misbehavingReadTimeout)) != nil {
 		return false
 	}
-	received, _ := io.ReadAll(conn) // up to the deadline, or to the end that the controller makes
+	received, _ := io.ReadAll(conn) // until the deadline, or until the controller closes the connection
 	for len(received) > 0 {
 		answer, size, err := client.ParseAnswer(received)
 		if err != nil {
@@ -41,21 +41,21 @@
 	return served
 }
 
-// misbehaviours are texts that no client should send.
+// misbehaviours generate input that no client should send.
 var misbehaviours = []func(*rand.Rand) []byte{
 	func(*rand.Rand) []byte { return nil }, // sends nothing
-	noise,
+	invalidBytes,
 	func(*rand.Rand) []byte { // a long field that never ends
 		return append([]byte("\x94\x00\x01\xa6lookup\x92\x80\xc6\x03\x93\x87\x00"), strings.Repeat("x", 1<<20)...)
 	},
-	func(random *rand.Rand) []byte { // half a request
+	func(random *rand.Rand) []byte { // a truncated request
 		text := request(1, "lookup", "call", randomID(random), "ttl", "1000", "org", "acme")
 		return text[:1+random.IntN(len(text)-1)]
 	},
 	func(random *rand.Rand) []byte {
 		return request(1, "unknown", "call", randomID(random), "ttl", "1000", "org", "acme")
 	},
-	func(random *rand.Rand) []byte { // a timeout that is none
+	func(random *rand.Rand) []byte { // an invalid timeout
 		id := randomID(random)
 		timeout := []string{"-1", "x", "1e9", "99999999999", ""}[random.IntN(5)]
 		return request(1, "lookup", "call", id, "ttl", timeout, "org", "acme")
@@ -63,28 +63,28 @@
 	func(random *rand.Rand) []byte {
 		return request(1, "lookup", "call", randomID(random), "ttl", "1000", "org", "nobody")
 	},
-	func(random *rand.Rand) []byte { // many jobs, each taken back at once
+	func(random *rand.Rand) []byte { // many jobs, each revoked at once
 		var text []byte
-		for id := range uint32(floodCalls) {
+		for id := range uint32(floodMessages) {
 			text = append(text, request(id, "lookup", "call", randomID(random), "ttl", "1000", "org", "acme")...)
 			text = client.AppendRevoke(text, id)
 		}
 		return text
 	},
-	func(*rand.Rand) []byte { // fields that are wrong, and one id twice
+	func(*rand.Rand) []byte { // invalid fields, and the same message ID twice
 		return append(request(1, "lookup", "call", "z", "ttl", "1000"), request(1, "lookup", "ttl", "1000")...)
 	},
 	func(*rand.Rand) []byte {
 		var text []byte
-		for id := range uint32(floodCalls) {
+		for id := range uint32(floodMessages) {
 			text = append(text, request(id, "nothing")...)
 		}
 		return text
 	},
 }
 
-// noise is bytes that begin with a code that the protocol does not use.
-func noise(random *rand.Rand) []byte {
+// invalidBytes returns random bytes after a type code that the protocol does not use.
+func invalidBytes(random *rand.Rand) []byte {
 	text := make([]byte, 1+random.IntN(3000))
 	for i := range text {
 		text[i] = byte(random.Uint32())
--- a/internal/fake/triples.go
+++ b/internal/fake/triples.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// triple is subject, predicate and object, or a pattern with variables ("?name") in place of some.
+// triple is a subject, a predicate and an object, or a triple pattern in which variables ("?name") replace some terms.
 type triple [3]string
 
-// insideBraces returns the text between the first and the last brace.
+// insideBraces returns the text between the first opening and the last closing brace.
 func insideBraces(text string) (inside string, ok bool) {
 	from := strings.IndexByte(text, '{')
 	to := strings.LastIndexByte(text, '}')
@@ -18,7 +18,7 @@
 	return text[from+1 : to], true
 }
 
-// parseTriples reads triples that are set apart by dots. What is left over at the end is dropped.
+// parseTriples parses triples separated by dots. An incomplete triple at the end is ignored.
 func parseTriples(text string) []triple {
 	var list []triple
 	terms := strings.Fields(text)
@@ -31,7 +31,7 @@
 	return list
 }
 
-// solve joins patterns over a store, one after the other.
+// solve joins the solutions of all patterns over a store.
 func solve(store, patterns []triple) []map[string]string {
 	rows := []map[string]string{{}}
 	for _, pattern := range patterns {
@@ -48,7 +48,7 @@
 	return rows
 }
 
-// match extends a row by what a pattern's variables are bound to in a triple; ok is false where it does not match.
+// match extends a row with the bindings of a pattern's variables to a triple. ok is false if the triple does not match.
 func match(pattern, t triple, row map[string]string) (extended map[string]string, ok bool) {
 	extended = maps.Clone(row)
 	for i, term := range pattern {
