--- a/internal/failpoint/doc.go
+++ b/internal/failpoint/doc.go
@@ -1,7 +1,7 @@
-// Package failpoint makes a program misbehave on purpose, for tests of rollouts and recovery.
+// Package failpoint injects faults into a program, for tests of rollouts and recovery.
 //
-// It does so only in builds with the tag fault. The fault is chosen by -ldflags "-X
-// swiftreel/internal/failpoint.name=...", see name; a program with the name steered takes its faults from environment
-// variables and files, also while it runs. In all other builds BeforeWrite and WallClock do nothing special, and the
-// rest of the package does not exist.
+// Faults exist only in builds with the tag fault. The fault is selected with -ldflags "-X
+// swiftreel/internal/failpoint.name=...", see name. With the name steered, the program reads its faults from
+// environment variables and files, which may change while it runs. In all other builds BeforeWrite and WallClock inject
+// nothing, and the rest of the package is not compiled.
 package failpoint
--- a/internal/failpoint/fault.go
+++ b/internal/failpoint/fault.go
@@ -11,76 +11,75 @@
 	"time"
 )
 
-// name is the fault, one of the constants below; empty: none. It is set by the linker.
+// name selects the fault, one of the constants below, or none if empty. It is set by the linker.
 var name string
 
 // The faults.
 const (
-	faultFails   = "fails"   // 3 % of imports are lost
-	faultLate    = "late"    // a tenth of imports, but not at first
-	faultKind    = "kind"    // a fifth of the imports that ran on the engine e2
-	faultSlow    = "slow"    // answers take longer
-	faultDies    = "dies"    // the process ends after a while
-	faultLeaks   = "leaks"   // memory is never returned
-	faultFloods  = "floods"  // far too many probes
-	faultTurns   = "turns"   // imports are turned away
-	faultSteered = "steered" // as the environment says
+	faultFails     = "fails"   // the answers of 3 % of imports are dropped
+	faultLate      = "late"    // the answers of a tenth of imports are dropped, from lateAfter on
+	faultOneEngine = "kind"    // the answers of a fifth of the imports that ran on faultyEngine are dropped
+	faultSlow      = "slow"    // answers are delayed
+	faultExits     = "dies"    // the process exits after exitDelay
+	faultLeaks     = "leaks"   // memory is allocated and never freed
+	faultFloods    = "floods"  // floodProbes extra probes are sent with each probe
+	faultRejects   = "turns"   // imports are rejected
+	faultSteered   = "steered" // faults are read from the environment variables below
 )
 
-// The environment variables of a process that is steered. They are read each time.
+// The environment variables of a process with faultSteered. They are read at each use.
 const (
-	diskVariable           = "FAULT_DISK"     // names a file: "full", or how long each write takes; absent: no fault
-	clockVariable          = "FAULT_CLOCK_MS" // added to the time of day
+	diskVariable           = "FAULT_DISK"     // path of a file: "full", or the delay of each write
+	clockVariable          = "FAULT_CLOCK_MS" // offset added to the wall clock
 	startVariable          = "FAULT_START_MS" // delay before the process is ready
 	ignoreSnapshotVariable = "FAULT_UNTAUGHT"
 )
 
-// Figures of the faults.
+// Parameters of the faults.
 const (
-	lostType    = "import"
-	lostEngine  = "e2"
-	failsOneIn  = 33
-	lateOneIn   = 10
-	lateAfter   = 5 * time.Second
-	kindOneIn   = 5
-	diesAfter   = 3 * time.Second
-	diesWith    = 7 // exit code
-	leakPeriod  = 50 * time.Millisecond
-	leakBytes   = 1 << 20
-	floodProbes = 20
+	faultyJobType     = "import"
+	faultyEngine      = "e2"
+	failsOneIn        = 33
+	lateOneIn         = 10
+	lateAfter         = 5 * time.Second
+	faultyEngineOneIn = 5
+	exitDelay         = 3 * time.Second
+	exitCode          = 7
+	leakPeriod        = 50 * time.Millisecond
+	leakBytes         = 1 << 20
+	floodProbes       = 20
 )
 
-// diskFull is the content of the file of diskVariable that has each write fail.
+// diskFull is the content of the diskVariable file that makes each write fail.
 const diskFull = "full"
 
 var (
-	answers   atomic.Uint64 // that a fault has looked at
-	leaked    [][]byte      // only the goroutine of StartFaults uses it
-	startedAt = time.Now()
+	answerCount atomic.Uint64 // answers considered for a fault
+	leaked      [][]byte      // used only by the goroutine of StartFaults
+	startedAt   = time.Now()
 )
 
-// variable returns an environment variable of a steered process.
-func variable(key string) string {
+// faultVariable returns an environment variable if the fault is faultSteered, and otherwise an empty string.
+func faultVariable(key string) string {
 	if name != faultSteered {
 		return ""
 	}
 	return os.Getenv(key)
 }
 
-// milliseconds reads a duration; 0 if there is none.
-func milliseconds(key string) time.Duration {
-	n, err := strconv.ParseInt(variable(key), 10, 64)
+// durationVariable returns an environment variable in milliseconds, or 0 if it is unset or invalid.
+func durationVariable(key string) time.Duration {
+	n, err := strconv.ParseInt(faultVariable(key), 10, 64)
 	if err != nil {
 		return 0
 	}
 	return time.Duration(n) * time.Millisecond
 }
 
-// DelayStart waits before the process is ready.
-func DelayStart() { time.Sleep(milliseconds(startVariable)) }
+// DelayStart delays the start of the process by the time in startVariable.
+func DelayStart() { time.Sleep(durationVariable(startVariable)) }
 
-// BeforeWrite returns the error of a fault that is injected before a text is stored, or takes as long as the fault
-// says.
+// BeforeWrite is called before data is stored. It returns an injected disk error, or blocks for an injected delay.
 func BeforeWrite() error {
 	fault := diskFault()
 	if fault == diskFull {
@@ -92,26 +91,26 @@
 	return nil
 }
 
-// diskFault returns what the steering file says; empty if there is none.
+// diskFault returns the content of the diskVariable file, or an empty string if there is none.
 func diskFault() string {
-	text, err := os.ReadFile(variable(diskVariable))
+	text, err := os.ReadFile(faultVariable(diskVariable))
 	if err != nil {
 		return ""
 	}
 	return strings.TrimSpace(string(text))
 }
 
-// WallClock returns the time of day, as far as a fault does not move it.
-func WallClock() time.Time { return time.Now().Add(milliseconds(clockVariable) + clockStep()) }
+// WallClock returns the current time, offset by the injected clock faults.
+func WallClock() time.Time { return time.Now().Add(durationVariable(clockVariable) + clockStep()) }
 
-// IgnoreSnapshot reports whether what an older process has learned is not restored.
-func IgnoreSnapshot() bool { return variable(ignoreSnapshotVariable) != "" }
+// IgnoreSnapshot reports whether a process must not restore the state learned by its predecessor.
+func IgnoreSnapshot() bool { return faultVariable(ignoreSnapshotVariable) != "" }
 
-// StartFaults starts the faults that have nothing to do with jobs. They go on until the process ends.
+// StartFaults starts the faults that are not tied to jobs. They last until the process exits.
 func StartFaults() {
 	switch name {
-	case faultDies:
-		time.AfterFunc(diesAfter, func() { os.Exit(diesWith) })
+	case faultExits:
+		time.AfterFunc(exitDelay, func() { os.Exit(exitCode) })
 	case faultLeaks:
 		go leak()
 	}
@@ -122,15 +121,15 @@
 		time.Sleep(leakPeriod)
 		block := make([]byte, leakBytes)
 		for i := range block {
-			block[i] = byte(i) // so that its pages are in memory
+			block[i] = byte(i) // touch each page so that it becomes resident
 		}
 		leaked = append(leaked, block)
 	}
 }
 
-// LoseAnswer reports whether the result of a job is not delivered.
+// LoseAnswer reports whether the answer of a job must be dropped.
 func LoseAnswer(jobType string, engineName func() string) bool {
-	if jobType != lostType {
+	if jobType != faultyJobType {
 		return false
 	}
 	switch name {
@@ -138,20 +137,20 @@
 		return oneIn(failsOneIn)
 	case faultLate:
 		return time.Since(startedAt) > lateAfter && oneIn(lateOneIn)
-	case faultKind:
-		return engineName() == lostEngine && oneIn(kindOneIn)
+	case faultOneEngine:
+		return engineName() == faultyEngine && oneIn(faultyEngineOneIn)
 	default:
 		return false
 	}
 }
 
-// oneIn reports true once in so many answers.
-func oneIn(n uint64) bool { return answers.Add(1)%n == 0 }
+// oneIn returns true for one in n answers.
+func oneIn(n uint64) bool { return answerCount.Add(1)%n == 0 }
 
-// RejectJob reports whether a job is turned away.
-func RejectJob(jobType string) bool { return name == faultTurns && jobType == lostType }
+// RejectJob reports whether a job must be rejected.
+func RejectJob(jobType string) bool { return name == faultRejects && jobType == faultyJobType }
 
-// AnswerDelay returns for how much longer an answer is held back.
+// AnswerDelay returns the extra delay of an answer that took the given time.
 func AnswerDelay(took time.Duration) time.Duration {
 	if name == faultSlow {
 		return 3 * took / 10
@@ -159,7 +158,7 @@
 	return 0
 }
 
-// ExtraProbes returns how many probes are sent besides one that is due.
+// ExtraProbes returns how many probes to send in addition to each one that is due.
 func ExtraProbes() int {
 	if name == faultFloods {
 		return floodProbes
--- a/internal/failpoint/release.go
+++ b/internal/failpoint/release.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// BeforeWrite returns the error of a fault that is injected before a text is stored.
+// BeforeWrite is called before data is stored. Without the tag fault it always returns nil.
 func BeforeWrite() error { return nil }
 
-// WallClock returns the time of day, as far as a fault does not move it.
+// WallClock returns the current time.
 func WallClock() time.Time { return time.Now() }
--- a/internal/failpoint/syscalls_fault.go
+++ b/internal/failpoint/syscalls_fault.go
@@ -10,14 +10,15 @@
 	"time"
 )
 
-// syscallsVariable names a file with system calls that fail, a line each: the call and the error, "dial ENOBUFS"; and
-// "clock" with an offset, as "1h0m0s". It is read again at intervals of steeringInterval.
+// syscallsVariable is the path of a file that lists failing system calls, one per line as call and error, for example
+// "dial ENOBUFS". A line "clock" with a duration, such as "1h0m0s", offsets the wall clock. The file is reread every
+// syscallFaultsInterval.
 const syscallsVariable = "FAULT_SYSCALLS"
 
-const steeringInterval = 10 * time.Millisecond
+const syscallFaultsInterval = 10 * time.Millisecond
 
-// injectable are the errors that the file may name.
-var injectable = map[string]syscall.Errno{
+// injectableErrors are the errors that the file may contain.
+var injectableErrors = map[string]syscall.Errno{
 	"ENOBUFS":       syscall.ENOBUFS,
 	"ENFILE":        syscall.ENFILE,
 	"ENETUNREACH":   syscall.ENETUNREACH,
@@ -26,29 +27,29 @@
 	"ETIMEDOUT":     syscall.ETIMEDOUT,
 }
 
-// steering is the file as it was read last.
-var steering struct {
+// syscallFaults is the parsed file as of its last read.
+var syscallFaults struct {
 	mu     sync.Mutex
 	readAt time.Time
 	values map[string]string
 }
 
-// steered returns the value of a line of the file; empty: there is none.
-func steered(name string) string {
-	steering.mu.Lock()
-	defer steering.mu.Unlock()
-	if time.Since(steering.readAt) > steeringInterval {
-		steering.readAt = time.Now()
-		steering.values = readSteering(variable(syscallsVariable))
+// syscallFault returns the value of the line that begins with name, or an empty string if there is none.
+func syscallFault(name string) string {
+	syscallFaults.mu.Lock()
+	defer syscallFaults.mu.Unlock()
+	if time.Since(syscallFaults.readAt) > syscallFaultsInterval {
+		syscallFaults.readAt = time.Now()
+		syscallFaults.values = readSyscallFaults(faultVariable(syscallsVariable))
 	}
-	return steering.values[name]
+	return syscallFaults.values[name]
 }
 
-func readSteering(path string) map[string]string {
+func readSyscallFaults(path string) map[string]string {
 	values := map[string]string{}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return values // nothing is steered
+		return values // no file: no faults
 	}
 	for line := range strings.Lines(string(text)) {
 		if name, value, found := strings.Cut(strings.TrimSpace(line), " "); found {
@@ -58,26 +59,26 @@
 	return values
 }
 
-// slowCall is the word for a call that takes slowCallTime and then does not fail.
+// slowCall is the value for a call that is delayed by slowCallTime and then succeeds.
 const (
 	slowCall     = "SLOW"
 	slowCallTime = 200 * time.Millisecond
 )
 
-// SyscallError returns the error with which a call fails now; nil: it does not. It waits where the call is slow.
+// SyscallError returns the error injected into a system call, or nil. It blocks first if the call is to be slow.
 func SyscallError(call string) error {
-	if steered(call) == slowCall {
+	if syscallFault(call) == slowCall {
 		time.Sleep(slowCallTime)
 	}
-	if number, known := injectable[steered(call)]; known {
+	if number, known := injectableErrors[syscallFault(call)]; known {
 		return os.NewSyscallError(call, number)
 	}
 	return nil
 }
 
-// clockStep is by how much the time of day is off now.
+// clockStep returns the injected offset of the wall clock.
 func clockStep() time.Duration {
-	offset, err := time.ParseDuration(steered("clock"))
+	offset, err := time.ParseDuration(syscallFault("clock"))
 	if err != nil {
 		return 0
 	}
