--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,10 +1,10 @@
-// Package testcluster runs real processes of the program on loopback between fakes of engines, discovery and clients,
-// with links that fail on request, and logs all that the rules are held against: which client requested what, which
-// dispatch reached which engine, which answer came back.
+// Package testcluster runs real processes of the program on loopback, with fake engines, discovery and clients, and
+// with links that fail on request. It logs the events that the rules are checked against: which client requested which
+// job, which dispatch reached which engine, and which answer was returned.
 //
-// A Cluster owns the processes that it starts, their folder and their addresses; Close ends and removes all of them.
-// Its methods are safe for concurrent use, except that a member's supervisor is replaced (StartSupervisor,
-// UpgradeSupervisor) by one goroutine only, with no other one reading that member's Supervisor field meanwhile.
+// A Cluster owns the processes that it starts, their directory and their addresses, and Close stops and removes all of
+// them. Its methods are safe for concurrent use, with one exception: only one goroutine may replace a member's
+// supervisor (StartSupervisor, UpgradeSupervisor), and no other may read that member's Supervisor field meanwhile.
 package testcluster
 
 import (
@@ -19,16 +19,16 @@
 	"swiftreel/internal/fake"
 )
 
-// Cluster is engines, a discovery server, controllers with their supervisors, and links from coordinators to
+// Cluster consists of engines, a discovery server, controllers with their supervisors, and links from coordinators to
 // supervisors.
 type Cluster struct {
-	Dir          string // of all files; removed by Close
+	Dir          string // holds all files; removed by Close
 	Events       EventLog
 	Faults       *FaultPlan
 	Members      []*Member
-	OperatorFile string // names the supervisors by the addresses of their links
+	OperatorFile string // refers to the supervisors by the addresses of their links
 
-	subnet    *Subnet // of the addresses of members
+	subnet    *Subnet // contains the members' addresses
 	lastJob   atomic.Uint64
 	discovery *fake.Discovery
 	engines   map[string]*fake.Engine // by name
@@ -39,26 +39,26 @@
 // Member is a controller and its supervisor.
 type Member struct {
 	Name              string
-	ClientAddress     string // where its controller serves clients
-	Link              *Link  // between coordinators or other voters and its supervisor
+	ClientAddress     string // the controller's listen address for clients
+	Link              *Link  // from coordinators and other voters to the supervisor
 	Supervisor        *Process
-	SupervisorAddress string // past the link
+	SupervisorAddress string // bypasses the link
 
-	program string // of its supervisor
+	program string // run as the supervisor
 	start   func(program string) (*Process, error)
 }
 
 const (
-	requestTimeout = 2 * time.Second        // of one request to a supervisor's status
-	settleTimeout  = 20 * time.Second       // of a start or an election, which takes one to four seconds
-	pollInterval   = 5 * time.Millisecond   // of WaitUntil
-	getTimeout     = 500 * time.Millisecond // of other requests
+	fleetRequestTimeout = 2 * time.Second        // of a status request or an order to a supervisor
+	settleTimeout       = 20 * time.Second       // of a start or an election, which take one to four seconds
+	pollInterval        = 5 * time.Millisecond   // of WaitUntil's polls
+	httpTimeout         = 500 * time.Millisecond // of other HTTP requests
 )
 
-// ErrNotReached is returned where a condition was not met in its time.
+// ErrNotReached is returned if a condition is not met in time.
 var ErrNotReached = errors.New("condition not met")
 
-// WaitUntil polls a condition until it is met, and returns an error that wraps ErrNotReached once the time is over.
+// WaitUntil polls a condition until it is met. After the timeout it returns an error that wraps ErrNotReached.
 func (c *Cluster) WaitUntil(timeout time.Duration, condition func() bool) error {
 	for stop := time.Now().Add(timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(stop) {
@@ -69,7 +69,7 @@
 }
 
 // Stop sends SIGTERM to all supervisors at once and waits until their controllers have drained and all processes have
-// ended. It returns the first error of an exit.
+// exited. It returns the first exit error.
 func (c *Cluster) Stop() error {
 	for _, m := range c.Members {
 		m.Supervisor.Signal(syscall.SIGTERM)
@@ -83,7 +83,7 @@
 	return first
 }
 
-// Close kills what still runs, and removes all files.
+// Close kills the processes that are still running and removes all files.
 func (c *Cluster) Close() {
 	for _, m := range c.Members {
 		if m.Supervisor != nil {
@@ -102,5 +102,5 @@
 	if c.subnet != nil {
 		c.subnet.Release()
 	}
-	_ = os.RemoveAll(c.Dir) // a temporary folder: what is left is the system's to remove
+	_ = os.RemoveAll(c.Dir) // a temporary directory, which the system removes if this fails
 }
--- a/internal/testcluster/commands.go
+++ b/internal/testcluster/commands.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-// CoordinatorDisk is the name under which SetDisk finds the disk of coordinators.
+// CoordinatorDisk is the name of the coordinators' disk for SetDisk.
 const CoordinatorDisk = "coordinators"
 
-// Command runs a command of the program as an operator does, with the cluster's operator file, and returns what it
-// printed. The error of a command that fails carries that too.
+// Command runs a command of the program with the cluster's operator file, as an operator does, and returns its output.
+// The error of a failed command includes the output too.
 func (c *Cluster) Command(program string, args ...string) (string, error) {
 	command := exec.Command(program, args...)
 	command.Env = append(os.Environ(), "ROUTER_OPERATOR="+c.OperatorFile)
@@ -24,7 +24,7 @@
 	return string(text), nil
 }
 
-// StartCoordinator starts a command of "rollout" in the background; folder is its record.
+// StartCoordinator starts a "rollout" subcommand in the background. folder is the directory of its record.
 func (c *Cluster) StartCoordinator(program, folder string, args ...string) (*Process, error) {
 	env := []string{c.diskEnv(CoordinatorDisk), "ROUTER_OPERATOR=" + c.OperatorFile}
 	return StartProcess(program, env, append([]string{"rollout", "--record", folder}, args...)...)
@@ -32,11 +32,12 @@
 
 func (c *Cluster) diskFile(name string) string { return filepath.Join(c.Dir, name+".disk") }
 
-// diskEnv names the file that steers the disk of a build with the tag fault.
+// diskEnv returns the environment variable with the path of the file that injects disk faults in builds with the tag
+// fault.
 func (c *Cluster) diskEnv(name string) string { return "FAULT_DISK=" + c.diskFile(name) }
 
-// SetDisk says how the disk of a member, or of coordinators, is from now on, for builds with the tag fault: "full",
-// or how long a write takes, or "" where it is well.
+// SetDisk injects a disk fault into a member or, with the name CoordinatorDisk, into coordinators. It takes effect only
+// in builds with the tag fault. state is "full", the duration of each write, or "" for a healthy disk.
 func (c *Cluster) SetDisk(name, state string) error {
 	if state == "" {
 		return os.RemoveAll(c.diskFile(name))
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -13,39 +13,39 @@
 	"swiftreel/internal/operator"
 )
 
-// Config says what a cluster consists of. The zero value of each field but Program, Controllers and Engines is usable.
+// Config configures a cluster. All fields except Program, Controllers and Engines have usable zero values.
 type Config struct {
-	Program     string // of controllers and supervisors
+	Program     string // run as controllers and supervisors
 	Seed        uint64
-	Controllers int // in two zones by turns
-	Engines     int // named e1, e2 ...
+	Controllers int // number of controllers, assigned to two zones alternately
+	Engines     int // number of engines, named e1, e2 ...
 
-	EngineFaults       bool           // a fifth of all dispatches fail in one way or another
-	EnginesWarmUp      bool           // engines just started stand little work: WarmUpRules hold
-	Voters             int            // the first members, which elect a leader
-	SupervisorPrograms map[int]string // of members whose supervisor is another build, by index
+	EngineFaults       bool           // a fifth of all dispatches meet a fault
+	EnginesWarmUp      bool           // newly started engines have less capacity, as in WarmUpRules
+	Voters             int            // how many members, counted from the first, elect a leader
+	SupervisorPrograms map[int]string // by member index, for members whose supervisor is another build
 
-	OperatorFields string            // more of the operator's file: JSON members, each followed by a comma
-	FleetFields    string            // more of its part "fleet", likewise
-	Files          map[string]string // texts beside the operator's file, by name
+	OperatorFields string            // extra JSON members of the operator file, each followed by a comma
+	FleetFields    string            // extra JSON members of its object "fleet", likewise
+	Files          map[string]string // contents of files in the operator file's directory, by name
 
-	// For builds with the tag fault and the fault "steered" only.
-	StartDelayMS  int         // from a controller's start until it is ready
-	ClockOffsetMS map[int]int // of the time of day, by member's index
+	// Only for builds with the tag fault and the fault "steered".
+	StartDelayMS  int         // delays each controller's start
+	ClockOffsetMS map[int]int // offset of the wall clock, by member index
 	ExtraEnv      []string
 }
 
-// dispatchWork is what a dispatch takes until FaultPlan.SetWorkDuration says otherwise.
+// dispatchWork is the initial duration of a dispatch; FaultPlan.SetWorkDuration changes it.
 const dispatchWork = 4 * time.Millisecond
 
 // controllerDrainMS is how long a controller may drain before its supervisor kills it.
 const controllerDrainMS = 10_000
 
-// Start starts a cluster and returns once all its controllers serve. Members' addresses are of a loopback network
-// that the cluster has alone, so that a controller that starts again finds its address free.
+// Start starts a cluster and returns once all its controllers serve. The members' addresses belong to a loopback subnet
+// that no other cluster uses, so that a restarted controller finds its address free.
 func (o Config) Start() (c *Cluster, err error) {
 	c = &Cluster{voters: o.Voters, Faults: NewFaultPlan(o.Seed, o.EngineFaults, dispatchWork),
-		engines: map[string]*fake.Engine{}, http: http.Client{Timeout: getTimeout}}
+		engines: map[string]*fake.Engine{}, http: http.Client{Timeout: httpTimeout}}
 	if c.Dir, err = os.MkdirTemp("", "testcluster"); err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 	return c, nil
 }
 
-// startEngines starts the engines and the discovery server, and returns the event that lists them all.
+// startEngines starts the engines and the discovery server, and returns the event that lists all engines.
 func (c *Cluster) startEngines(count int) (known string, err error) {
 	if c.discovery, err = fake.StartDiscovery("127.0.0.1:0", 1); err != nil {
 		return "", err
@@ -95,7 +95,7 @@
 	return c.discovery.AddEvent(true, "["+strings.Join(hosts, ",")+"]"), nil
 }
 
-// addMembers gives members their names, addresses and links.
+// addMembers creates the members with their names, addresses and links.
 func (c *Cluster) addMembers(count int) error {
 	for i := range count {
 		address := func(port int) string { return c.subnet.Address(i+1, port) }
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// writeOperatorFile writes the operator's file, which all members share, and the files beside it.
+// writeOperatorFile writes the operator file, which all members share, and the files in its directory.
 func (c *Cluster) writeOperatorFile(config Config) error {
 	fleet := operator.Fleet{DrainMS: controllerDrainMS, Program: config.Program}
 	for i, m := range c.Members {
@@ -126,7 +126,7 @@
 		return err
 	}
 	c.OperatorFile = filepath.Join(c.Dir, "operator.json")
-	fields := text[1:] // without the brace, as FleetFields come first
+	fields := text[1:] // without the opening brace, since FleetFields come first
 	file := fmt.Appendf(nil, `{%s"fleet":{%s%s}`, config.OperatorFields, config.FleetFields, fields)
 	if err := os.WriteFile(c.OperatorFile, file, 0o600); err != nil {
 		return err
@@ -139,20 +139,20 @@
 	return nil
 }
 
-// controllerConfig is the text of ROUTER_CONFIG.
-const controllerConfig = `{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+// controllerConfigText is the template of the ROUTER_CONFIG file.
+const controllerConfigText = `{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`
 
 // startMembers writes each member's configuration and starts its supervisor. known is the event that lists all engines.
 func (c *Cluster) startMembers(config Config, known string) error {
-	template := settings
+	template := settingsText
 	if config.EnginesWarmUp {
-		template = warmUpSettings
+		template = warmUpSettingsText
 	}
 	for i, m := range c.Members {
 		configFile := filepath.Join(c.Dir, m.Name+".json")
 		seed := config.Seed*100 + uint64(i) + 1
-		text := fmt.Sprintf(controllerConfig, m.Name, m.ClientAddress, seed, c.discovery.Address(), known,
+		text := fmt.Sprintf(controllerConfigText, m.Name, m.ClientAddress, seed, c.discovery.Address(), known,
 			fmt.Sprintf(template, config.Controllers, i, i%2))
 		if err := os.WriteFile(configFile, []byte(text), 0o600); err != nil {
 			return err
@@ -161,7 +161,7 @@
 		if other := config.SupervisorPrograms[i]; other != "" {
 			m.program = other
 		}
-		m.start = c.supervisorStart(m, config.env(i, configFile))
+		m.start = c.supervisorStarter(m, config.env(i, configFile))
 		if err := c.StartSupervisor(m); err != nil {
 			return err
 		}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// env is what a member's processes find in their environment, but for what the cluster itself knows.
+// env returns the environment variables of a member's processes that follow from the configuration.
 func (o Config) env(index int, config string) []string {
 	env := []string{"ROUTER_CONFIG=" + config, fmt.Sprint("FAULT_CLOCK_MS=", o.ClockOffsetMS[index]),
 		fmt.Sprint("FAULT_START_MS=", o.StartDelayMS)}
--- a/internal/testcluster/events.go
+++ b/internal/testcluster/events.go
@@ -7,13 +7,13 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// EventLog is what all fakes of a run log. The zero value is ready; it is safe for concurrent use.
+// EventLog is the common log of all fakes of a run. The zero value is ready to use. It is safe for concurrent use.
 type EventLog struct {
 	mu      sync.Mutex
 	entries []rulecheck.Entry
 }
 
-// Add logs an entry with the present time.
+// Add logs an entry with the current time.
 func (l *EventLog) Add(e rulecheck.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,7 +21,7 @@
 	l.entries = append(l.entries, e)
 }
 
-// Entries returns a copy of all that was logged, in order of time.
+// Entries returns a copy of all entries, in order of time.
 func (l *EventLog) Entries() []rulecheck.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testcluster/fault_plan.go
+++ b/internal/testcluster/fault_plan.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// FaultPlan says what becomes of dispatches at all engines of a cluster. The faults follow a seed; which dispatch
-// meets which one follows time. It is safe for concurrent use.
+// FaultPlan decides which dispatches at a cluster's engines meet a fault. The sequence of faults is drawn from a seed,
+// but which dispatch meets which fault depends on timing. It is safe for concurrent use.
 type FaultPlan struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	enabled bool
 	work    time.Duration
-	failing map[string]bool // engines
+	failing map[string]bool // by engine
 }
 
-// NewFaultPlan draws faults from a seed; not enabled, no dispatch meets one. Work is what a dispatch takes.
+// NewFaultPlan returns a plan that draws faults from a seed, or none if enabled is false. work is the duration of a
+// dispatch.
 func NewFaultPlan(seed uint64, enabled bool, work time.Duration) *FaultPlan {
 	return &FaultPlan{random: rand.New(rand.NewPCG(seed, 1)), enabled: enabled, work: work, failing: map[string]bool{}}
 }
 
-// DispatchFault is what becomes of a dispatch.
+// DispatchFault is a fault of a dispatch.
 type DispatchFault uint8
 
 // The faults of a dispatch.
 const (
 	NoFault DispatchFault = iota
 	RefusesDispatch
-	ResetsConnection // in place of an answer
+	ResetsConnection // instead of answering
 	FailsDispatch
-	AnswersSlowly // after slowFactor times its work
+	AnswersSlowly // after slowFactor times its work duration
 )
 
 const (
@@ -39,7 +40,7 @@
 	slowFactor   = 20
 )
 
-// Draw draws what becomes of the next dispatch.
+// Draw draws the fault of the next dispatch.
 func (p *FaultPlan) Draw() DispatchFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,7 @@
 	return NoFault
 }
 
-// Duration is how long a dispatch with a fault takes at present.
+// Duration returns the current duration of a dispatch with the given fault.
 func (p *FaultPlan) Duration(fault DispatchFault) time.Duration {
 	if fault == AnswersSlowly {
 		return slowFactor * p.WorkDuration()
@@ -57,28 +58,28 @@
 	return p.WorkDuration()
 }
 
-// WorkDuration is what a dispatch takes at present.
+// WorkDuration returns the current duration of a dispatch.
 func (p *FaultPlan) WorkDuration() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.work
 }
 
-// SetWorkDuration sets what each later dispatch takes.
+// SetWorkDuration sets the duration of later dispatches.
 func (p *FaultPlan) SetWorkDuration(work time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.work = work
 }
 
-// SetFailing has an engine fail all dispatches and probes, or serve again.
+// SetFailing sets whether an engine fails all dispatches and probes.
 func (p *FaultPlan) SetFailing(engine string, failing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failing[engine] = failing
 }
 
-// Failing reports whether an engine fails all that reaches it.
+// Failing reports whether an engine fails all dispatches and probes.
 func (p *FaultPlan) Failing(engine string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// LinkMode is what becomes of what passes a link.
+// LinkMode says how a link treats its connections.
 type LinkMode uint8
 
 // The modes of a link.
 const (
 	LinkUp      LinkMode = iota
 	LinkReset            // connections are reset, new ones too
-	LinkSilent           // connections are accepted, and nothing passes
-	LinkOneWay           // requests arrive, responses do not
-	LinkDelayed          // as LinkUp; the delay of SetMode counts in every mode
+	LinkSilent           // connections are accepted, but nothing is forwarded
+	LinkOneWay           // requests are forwarded, responses are not
+	LinkDelayed          // as LinkUp; the delay of SetMode applies in every mode
 )
 
-// maxRecorded bounds what a link records of a request, in bytes.
-const maxRecorded = 1 << 20
+// maxRecordedBytes bounds how much of a request a link records, in bytes.
+const maxRecordedBytes = 1 << 20
 
-// linkTimeout bounds a dial, and a replay.
+// linkTimeout bounds a dial and a replay.
 const linkTimeout = time.Second
 
-// Link forwards TCP connections to an address, and fails on request. It is safe for concurrent use.
+// Link is a TCP proxy in front of an address that fails on request. It is safe for concurrent use.
 type Link struct {
 	listener net.Listener
 	target   string
@@ -37,11 +37,11 @@
 	mode      LinkMode
 	delay     time.Duration
 	conns     map[net.Conn]struct{} // until closed
-	lastOrder []byte                // the last POST request of any connection
+	lastOrder []byte                // last POST request of any connection
 	closed    bool
 }
 
-// NewLink listens at an address and forwards to a target.
+// NewLink listens on an address and forwards to a target.
 func NewLink(address, target string) (*Link, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -52,11 +52,11 @@
 	return l, nil
 }
 
-// Address is where it listens.
+// Address returns the listen address.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// SetMode sets what becomes of later connections. Those that are open are closed, so that none goes on in the mode
-// before. Each write waits for the delay, both ways.
+// SetMode sets the mode of later connections, and closes the open ones so that none continues in the previous mode.
+// Each write is delayed, in both directions.
 func (l *Link) SetMode(mode LinkMode, delay time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,14 +65,14 @@
 	l.closeConns()
 }
 
-// closeConns closes all connections. The lock is held.
+// closeConns closes all connections. l.mu must be held.
 func (l *Link) closeConns() {
 	for conn := range l.conns {
 		_ = conn.Close() // its goroutine may have closed it
 	}
 }
 
-// ReplayLastOrder sends the last POST request once more: late, and out of order.
+// ReplayLastOrder sends the last POST request again, so that it arrives late and out of order.
 func (l *Link) ReplayLastOrder() {
 	l.mu.Lock()
 	request := l.lastOrder
@@ -82,14 +82,14 @@
 	}
 	conn, err := l.dialTarget()
 	if err != nil {
-		return // nobody is there to receive it
+		return // the target is not listening
 	}
 	defer conn.Close()
 	if conn.SetDeadline(time.Now().Add(linkTimeout)) != nil {
 		return
 	}
 	if _, err := conn.Write(request); err == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 4096)) // whatever the answer is
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, 4096)) // the answer does not matter
 	}
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// register adds a connection, and returns the mode in which it is to be served; ok is false where the link is closed.
+// register adds a connection and returns the mode to serve it in. ok is false if the link is closed.
 func (l *Link) register(conn net.Conn) (mode LinkMode, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 		return
 	}
 	if mode == LinkSilent {
-		_, _ = io.Copy(io.Discard, client) // until the client gives up
+		_, _ = io.Copy(io.Discard, client) // until the client closes the connection
 		return
 	}
 	server, err := l.dialTarget()
@@ -150,14 +150,14 @@
 		l.forwardRequests(server, client)
 	}()
 	if mode == LinkOneWay {
-		_, _ = io.Copy(io.Discard, server) // until the server has answered
+		_, _ = io.Copy(io.Discard, server) // until the server closes the connection
 		return
 	}
 	l.forward(client, server, func([]byte) {})
 }
 
-// forwardRequests forwards, and records the last POST request. Requests of a connection come one after the other, so
-// that each begins with a read of its own.
+// forwardRequests forwards requests and records the last POST request. Requests of a connection are sequential, so each
+// begins with a new read.
 func (l *Link) forwardRequests(server, client net.Conn) {
 	var request []byte
 	l.forward(server, client, func(text []byte) {
@@ -166,7 +166,7 @@
 			request = bytes.Clone(text)
 		case bytes.HasPrefix(text, []byte("GET ")):
 			request = nil
-		case len(request) > 0 && len(request)+len(text) <= maxRecorded:
+		case len(request) > 0 && len(request)+len(text) <= maxRecordedBytes:
 			request = append(request, text...)
 		}
 		if len(request) > 0 {
@@ -177,8 +177,8 @@
 	})
 }
 
-// forward copies until either connection ends, with the link's delay before each write. Each text read goes to
-// observe first.
+// forward copies until either connection closes, with the link's delay before each write. It passes the data of each
+// read to observe first.
 func (l *Link) forward(to, from net.Conn, observe func([]byte)) {
 	l.mu.Lock()
 	delay := l.delay
@@ -201,7 +201,7 @@
 	}
 }
 
-// pause waits; it returns false where the link is closed meanwhile.
+// pause waits for the delay. It returns false if the link is closed meanwhile.
 func (l *Link) pause(delay time.Duration) bool {
 	if delay <= 0 {
 		return true
@@ -214,9 +214,9 @@
 	}
 }
 
-// Close ends it and resets its connections.
+// Close stops the link and closes its connections.
 func (l *Link) Close() {
-	_ = l.listener.Close() // no connection is lost by it
+	_ = l.listener.Close() // an error does not affect open connections
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	jobsPerHeartbeat = 5                     // over a connection, before the next heartbeat
-	reconnectDelay   = 10 * time.Millisecond // before the next attempt
-	answerGrace      = 5 * time.Second       // past a job's timeout, until a client gives up
+	jobsPerHeartbeat = 5                     // on one connection, until the next heartbeat
+	reconnectDelay   = 10 * time.Millisecond // until the next connection attempt
+	answerGrace      = 5 * time.Second       // how long a client waits beyond the job timeout
 
 	lookupTimeout = 2 * time.Second
 	importTimeout = 4 * time.Second
 
-	importTenths = 4 // of all jobs
-	keyedTenths  = 1 // of all jobs: imports with an ordered key
+	importTenths = 4 // imports, in tenths of all jobs
+	keyedTenths  = 1 // imports with an ordering key, in tenths of all jobs
 )
 
-// Load is clients that request jobs of a cluster's controllers until stopped. A client goes on over another
-// connection where its own breaks, and away from a controller that does not welcome jobs. The counts are safe to read
-// at any time.
+// Load is a set of clients that request jobs from a cluster's controllers until stopped. A client reconnects if its
+// connection breaks or if the controller does not accept jobs. The counters may be read at any time.
 type Load struct {
 	cluster *Cluster
 	pause   time.Duration
-	workMS  int64 // that jobs claim to take
+	workMS  int64 // work that jobs declare
 	done    chan struct{}
 	clients sync.WaitGroup
 
-	// Counts of outcomes. Broken: the connection, before the answer.
+	// Counts of outcomes. Broken: the connection broke before the answer.
 	Done, Throttled, Cancelled, Broken atomic.Int64
 }
 
-// StartLoad starts clients at each controller, each with a mean pause from one job to the next. uneven: the first
-// controller has twice as many clients, the last a third. Jobs claim the work that dispatches take at present.
+// StartLoad starts clients for each controller, each with a mean pause between jobs. If uneven is true, the first
+// controller gets twice as many clients, and the last a third. Jobs declare the current duration of a dispatch as their
+// work.
 func (c *Cluster) StartLoad(seed uint64, clients int, pause time.Duration, uneven bool) *Load {
 	l := &Load{cluster: c, pause: pause, workMS: max(1, c.Faults.WorkDuration().Milliseconds()), done: make(chan struct{})}
 	for i, m := range c.Members {
@@ -60,7 +60,7 @@
 	return l
 }
 
-// Stop ends the load once each client has ended the job that it waits for. It is called once.
+// Stop stops the load and waits until each client has finished its current job. It must be called only once.
 func (l *Load) Stop() {
 	close(l.done)
 	l.clients.Wait()
@@ -75,7 +75,7 @@
 	}
 }
 
-// count counts an answer, and returns it as the rules name it.
+// count counts an answer and returns its name in the rules.
 func (l *Load) count(answer client.Answer) string {
 	switch answer.Error {
 	case "":
@@ -90,15 +90,15 @@
 	}
 }
 
-// loadClient is one client of a load. It belongs to one goroutine.
+// loadClient is one client of a load. It is used by one goroutine only.
 type loadClient struct {
 	load    *Load
-	name    string // four digits; the front of jobs, and their key
+	name    string // four digits; used as the jobs' Front and ordering key
 	address string
 	random  *rand.Rand
 }
 
-// run connects again and again until the load is stopped.
+// run requests jobs, reconnecting as needed, until the load is stopped.
 func (c *loadClient) run() {
 	for !c.load.stopped() {
 		conn, err := fake.Dial(c.address)
@@ -107,15 +107,16 @@
 			continue
 		}
 		c.serve(conn)
-		_ = conn.Conn.Close() // it may have broken
+		_ = conn.Conn.Close() // the connection may have broken
 		if !c.load.stopped() {
 			time.Sleep(reconnectDelay)
 		}
 	}
 }
 
-// serve requests jobs over one connection, for as long as they are welcome. Before each it looks whether the controller
-// has closed the connection meanwhile, as one does that is told to end: clients that read their sockets see that.
+// serve requests jobs over one connection while the controller accepts them. Before each job it checks whether the
+// controller has closed the connection, as a controller does that is shutting down: real clients read their sockets and
+// notice.
 func (c *loadClient) serve(conn *fake.Client) {
 	for n := 0; !c.load.stopped() && !conn.IsClosed(); n++ {
 		if n%jobsPerHeartbeat == 0 {
@@ -134,7 +135,7 @@
 type jobRequest struct {
 	id      string
 	method  string
-	key     string // "": without order
+	key     string // ordering key; empty: unordered
 	timeout time.Duration
 }
 
@@ -153,10 +154,10 @@
 	return job
 }
 
-// errOtherAnswer is returned where an answer is to another job than that waited for.
-var errOtherAnswer = errors.New("an answer to another job")
+// errUnexpectedAnswer is returned if an answer has the message ID of another request.
+var errUnexpectedAnswer = errors.New("answer to another request")
 
-// runJob requests one job, waits for its answer and logs both. The error is of a connection that serves no more.
+// runJob requests one job, waits for its answer and logs both. After an error the connection must not be used again.
 func (c *loadClient) runJob(conn *fake.Client) error {
 	job := c.nextJob()
 	events := &c.load.cluster.Events
@@ -184,7 +185,7 @@
 	}
 	answer, err := conn.Read(job.timeout + answerGrace)
 	if err == nil && answer.ID != id {
-		err = fmt.Errorf("%w: %d, requested was %d", errOtherAnswer, answer.ID, id)
+		err = fmt.Errorf("%w: got message ID %d, want %d", errUnexpectedAnswer, answer.ID, id)
 	}
 	return answer, err
 }
--- a/internal/testcluster/members.go
+++ b/internal/testcluster/members.go
@@ -7,22 +7,23 @@
 	"syscall"
 )
 
-// supervisorCommand starts a supervisor. Builds under its present and its former name know this one.
+// supervisorCommand is the subcommand that starts a supervisor. It is an alias that both old and current builds accept.
 const supervisorCommand = "keep"
 
-// supervisorStart returns a function that starts a member's supervisor, by any program, on the member's state folder.
-func (c *Cluster) supervisorStart(m *Member, env []string) func(program string) (*Process, error) {
+// supervisorStarter returns a function that starts a member's supervisor, run by a given program, on the member's state
+// directory.
+func (c *Cluster) supervisorStarter(m *Member, env []string) func(program string) (*Process, error) {
 	env = append(env, c.diskEnv(m.Name), "ROUTER_NAME="+m.Name, "ROUTER_OPERATOR="+c.OperatorFile)
 	return func(program string) (*Process, error) {
 		return StartProcess(program, env, supervisorCommand, "--state", filepath.Join(c.Dir, m.Name))
 	}
 }
 
-// Voters are the members that elect a leader, in the order of the operator's file.
+// Voters returns the members that elect a leader, in the order of the operator file.
 func (c *Cluster) Voters() []*Member { return slices.Clone(c.Members[:c.voters]) }
 
-// StartSupervisor starts the supervisor of a member whose last one has ended, by the same program and on the same
-// state folder.
+// StartSupervisor restarts a member's supervisor with the same program and state directory. The previous one must have
+// exited.
 func (c *Cluster) StartSupervisor(m *Member) error {
 	process, err := m.start(m.program)
 	if err != nil {
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// DrainMember ends a member's supervisor with SIGTERM and returns once its controller has drained and both have ended.
+// DrainMember sends SIGTERM to a member's supervisor and returns once its controller has drained and both have exited.
 func (c *Cluster) DrainMember(m *Member) error {
 	m.Supervisor.Signal(syscall.SIGTERM)
 	if err := m.Supervisor.WaitExit(); err != nil {
@@ -41,8 +42,8 @@
 	return nil
 }
 
-// UpgradeSupervisor starts the supervisor of a member whose last one has ended, by the program given and on the same
-// state folder. It returns once the controller serves.
+// UpgradeSupervisor restarts a member's supervisor with another program and the same state directory. The previous one
+// must have exited. It returns once the controller serves.
 func (c *Cluster) UpgradeSupervisor(m *Member, program string) error {
 	m.program = program
 	if err := c.StartSupervisor(m); err != nil {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -10,22 +10,22 @@
 	"syscall"
 )
 
-// maxLog bounds what is retained of a process's log, in bytes; later lines are dropped.
-const maxLog = 8 << 20
+// maxLogBytes bounds how much of a process's log is retained; later lines are dropped.
+const maxLogBytes = 8 << 20
 
-// Process is a running process of the program, with what it has logged. It is safe for concurrent use.
+// Process is a process of the program, with its log. It is safe for concurrent use.
 type Process struct {
 	command *exec.Cmd
-	reader  sync.WaitGroup // of its log; ends with it
+	reader  sync.WaitGroup // goroutine that reads the log
 	exited  chan struct{}
-	exit    error // its exit's, once exited is closed
+	exitErr error // valid once exited is closed
 
 	mu  sync.Mutex
 	log strings.Builder
 }
 
-// StartProcess starts one, in a process group of its own, so that it and what it starts can be ended together. It is
-// killed with this process, however that ends. env is added to the environment of this process.
+// StartProcess starts a process in its own process group, so that it and its children can be killed together. It is
+// killed when this process dies, for whatever reason. env is added to the environment of this process.
 func StartProcess(program string, env []string, args ...string) (*Process, error) {
 	p := &Process{command: exec.Command(program, args...), exited: make(chan struct{})}
 	p.command.Env = append(os.Environ(), env...)
@@ -38,18 +38,18 @@
 	err = p.command.Start()
 	_ = to.Close() // the process has its own copy
 	if err != nil {
-		_ = from.Close() // nothing will be read
+		_ = from.Close() // there is no process whose log to read
 		return nil, err
 	}
 	p.reader.Go(func() { p.readLog(from) })
 	go func() {
-		p.exit = p.command.Wait()
+		p.exitErr = p.command.Wait()
 		close(p.exited)
 	}()
 	return p, nil
 }
 
-// readLog reads until all that hold the other end have closed it.
+// readLog reads until all processes that hold the write end have closed it.
 func (p *Process) readLog(from io.ReadCloser) {
 	defer from.Close()
 	lines := bufio.NewReader(from)
@@ -65,29 +65,29 @@
 func (p *Process) appendLog(line string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.log.Len() < maxLog {
+	if p.log.Len() < maxLogBytes {
 		p.log.WriteString(line)
 	}
 }
 
-// Pid returns the process's number.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.command.Process.Pid }
 
-// Log returns what it and what it started have logged so far.
+// Log returns the log of the process and its children so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// WaitExit waits until it has ended and all of its log is read, and returns the error of its exit.
+// WaitExit waits until the process has exited and its log has been read, and returns the exit error.
 func (p *Process) WaitExit() error {
 	<-p.exited
 	p.reader.Wait()
-	return p.exit
+	return p.exitErr
 }
 
-// Exited reports whether it has ended.
+// Exited reports whether the process has exited.
 func (p *Process) Exited() bool {
 	select {
 	case <-p.exited:
@@ -97,13 +97,13 @@
 	}
 }
 
-// Signal signals it alone. One that has ended is none.
+// Signal sends a signal to the process, but not to its children. It has no effect if the process has exited.
 func (p *Process) Signal(s syscall.Signal) {
-	_ = p.command.Process.Signal(s) // it may have ended
+	_ = p.command.Process.Signal(s) // the process may have exited
 }
 
-// Kill kills it and what it started, and waits for its exit.
+// Kill kills the process and its children, and waits for its exit.
 func (p *Process) Kill() {
-	_ = syscall.Kill(-p.command.Process.Pid, syscall.SIGKILL) // they may have ended
-	_ = p.WaitExit()                                          // killed
+	_ = syscall.Kill(-p.command.Process.Pid, syscall.SIGKILL) // they may have exited
+	_ = p.WaitExit()                                          // the exit error says that it was killed
 }
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -8,9 +8,9 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// settings are those of the controllers, with three blanks for figures: how many there are, a controller's index and
-// that of its zone. The two types differ in what may be done with their jobs and in how long they take.
-const settings = `{"balancers":%d,"me":%d,"step_ns":5000000,"discovery":"automatic",
+// settingsText is the template of the controllers' settings. Its three placeholders are the number of controllers,
+// a controller's index and the index of its zone. The two job types differ in their idempotency and their duration.
+const settingsText = `{"balancers":%d,"me":%d,"step_ns":5000000,"discovery":"automatic",
 "localities":["east","west"],"locality":%d,"kinds":["std"],
 "tenants":[{"name":"acme","quota_per_s":100000,"share":1}],
 "classes":[
@@ -24,7 +24,8 @@
 "telemetry":{"via":"on_probe","fields":["concurrent"]},
 "invariants":{"answer_slack_ns":20000000,"drain_grace_ns":250000000,"order_pause_ns":50000000}}`
 
-// Rules of a cluster, for rulecheck.Check. An answer may be half a second late, as the machine may be busy.
+// Rules are the rules of a cluster, for rulecheck.Check. An answer may be half a second late, since the machine may be
+// busy.
 var Rules = rulecheck.Rules{
 	Types: map[string]rulecheck.Type{
 		"lookup": {Effect: rulecheck.Restartable},
@@ -34,15 +35,15 @@
 	DrainGrace:  int64(400 * time.Millisecond),
 }
 
-// warmUpTime is how long an engine of a cluster with EnginesWarmUp takes to warm up, and warmUpWindow the window in
-// which its work is counted.
+// warmUpTime is how long an engine of a cluster with EnginesWarmUp warms up, and warmUpWindow the window in which its
+// work is summed.
 const (
 	warmUpTime   = 6 * time.Second
 	warmUpWindow = time.Second
 )
 
-// WarmUpRules are those of a cluster with EnginesWarmUp: in a window an engine may be given twice the third of its
-// capacity that it starts with.
+// WarmUpRules returns the rules of a cluster with EnginesWarmUp. An engine starts with a third of its capacity, and may
+// get twice the work of that capacity in a window.
 func WarmUpRules() rulecheck.Rules {
 	r := Rules
 	r.WarmUp = int64(warmUpTime)
@@ -51,7 +52,7 @@
 	return r
 }
 
-// warmUpSettings are those of such a cluster.
-var warmUpSettings = strings.Replace(settings, `"invariants":{`,
+// warmUpSettingsText is settingsText for a cluster with EnginesWarmUp.
+var warmUpSettingsText = strings.Replace(settingsText, `"invariants":{`,
 	fmt.Sprintf(`"invariants":{"warm_within_ns":%d,"fall_ns":%d,"fall_multiple":2,"start_capacity":0.333,`,
 		warmUpTime, warmUpWindow), 1)
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -10,26 +10,26 @@
 	"swiftreel/internal/quota"
 )
 
-// ShareWatch samples again and again which shares of the fleet a cluster's controllers go by. It counts only what was
-// held at one moment for certain: what two samples in a row show, or what a member that cannot be reached must still
-// hold.
+// ShareWatch periodically samples the fleet shares that a cluster's controllers apply. It counts only shares that were
+// certainly held at the same time: those that two consecutive samples show, and those that an unreachable member must
+// still hold.
 type ShareWatch struct {
 	cluster  *Cluster
 	done     chan struct{}
 	sampling sync.WaitGroup
 
 	// Valid once Stop has returned.
-	MaxAssigned int64 // the most of the fleet that was held at a moment, in parts of quota.FullShare
-	Samples     int   // with any share held
+	MaxAssigned int64 // largest sum of shares held at the same time, in units of quota.FullShare
+	Samples     int   // number of samples with any share held
 }
 
 // shareSample is the share of a member.
 type shareSample struct {
 	share int64
-	until int64 // by the machine's clock
+	until int64 // expiry, on the machine's monotonic clock
 }
 
-// WatchShares begins to sample at an interval.
+// WatchShares starts sampling at an interval.
 func (c *Cluster) WatchShares(interval time.Duration) *ShareWatch {
 	w := &ShareWatch{cluster: c, done: make(chan struct{})}
 	w.sampling.Go(func() { w.run(interval) })
@@ -55,7 +55,8 @@
 	}
 }
 
-// heldByBoth adds up what both samples show and what had not expired at a time before the second one.
+// sharesInBoth returns the sum of the shares that both samples show and that had not expired at now, a time before the
+// second sample.
 func sharesInBoth(before, after []shareSample, now int64) (sum int64) {
 	for i := range after {
 		if now < min(before[i].until, after[i].until) {
@@ -65,8 +66,8 @@
 	return sum
 }
 
-// sample requests all members' shares at once. One that does not answer, or whose controller does not go by its share
-// for certain, has that of the sample before.
+// sample requests the shares of all members concurrently. A member that does not answer, or whose controller has not
+// certainly applied its share, keeps the value of the previous sample.
 func (w *ShareWatch) sample(last []shareSample) []shareSample {
 	samples := make([]shareSample, len(last))
 	var requests sync.WaitGroup
@@ -82,15 +83,16 @@
 	return samples
 }
 
-// errNoShare is returned by Stop where no share was seen: nothing is shown then.
-var errNoShare = errors.New("no share was seen")
+// errNoShare is returned by Stop if no sample had a share, since the watch then shows nothing.
+var errNoShare = errors.New("no share was held in any sample")
 
-// Stop ends the watch. The error says that more than the whole was held at a moment, or that none was seen.
+// Stop stops the watch. It returns an error if the shares held at some time exceeded the whole, or if no sample had a
+// share.
 func (w *ShareWatch) Stop() error {
 	close(w.done)
 	w.sampling.Wait()
 	if w.MaxAssigned > quota.FullShare {
-		return fmt.Errorf("%d of %d were held at a moment", w.MaxAssigned, quota.FullShare)
+		return fmt.Errorf("shares held at the same time sum to %d of %d", w.MaxAssigned, quota.FullShare)
 	}
 	if w.Samples == 0 {
 		return errNoShare
--- a/internal/testcluster/subnet.go
+++ b/internal/testcluster/subnet.go
@@ -6,14 +6,14 @@
 	"net"
 )
 
-// Subnet is a loopback network that no other cluster or run on this machine has, so that a process that starts again
-// finds its address free.
+// Subnet is a loopback subnet that no other cluster or run on this machine uses, so that a restarted process finds its
+// address free.
 type Subnet struct {
-	prefix string // first three parts of its addresses
+	prefix string // first three octets
 	lock   net.Listener
 }
 
-// LockSubnet chooses one. Release gives it back.
+// LockSubnet picks a random unused subnet and locks it until Release.
 func LockSubnet() *Subnet {
 	for {
 		prefix := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
@@ -24,8 +24,8 @@
 	}
 }
 
-// Address is an address in it, of a host below 250.
+// Address returns an address in the subnet. host must be below 250.
 func (s *Subnet) Address(host, port int) string { return fmt.Sprintf("%s.%d:%d", s.prefix, host, port) }
 
-// Release gives the network back.
-func (s *Subnet) Release() { _ = s.lock.Close() } // nothing was ever accepted
+// Release unlocks the subnet.
+func (s *Subnet) Release() { _ = s.lock.Close() } // the listener accepts no connections, so an error does not matter
