--- a/internal/rulecheck/check.go
+++ b/internal/rulecheck/check.go
@@ -2,45 +2,45 @@
 
 import "fmt"
 
-// job is what the log has said of a job so far.
+// job is the state of a job as of the entries processed so far.
 type job struct {
 	Entry
-	answer     string // empty while it is owed
-	dispatches int    // that reached an engine
-	first      Entry  // the first dispatch that began
-	began      int
-	running    int
-	unsureAt   int64 // when the last outcome was unsure; 0: none was
-	finishedAt int64 // when it was answered and nothing ran any more; 0: not yet
+	answer      string // final answer; empty: none yet
+	dispatches  int    // dispatches that reached an engine
+	first       Entry  // first dispatch that began
+	began       int    // dispatches that began
+	running     int    // dispatches that began and have not ended
+	uncertainAt int64  // time of the last uncertain outcome; 0: none
+	finishedAt  int64  // when it was answered and no dispatch was running; 0: not yet
 }
 
-// engine is what the log has said of an engine so far.
+// engine is the state of an engine as of the entries processed so far.
 type engine struct {
 	Entry
 	unavailableSince int64   // when it began to drain or was removed
-	warmUpWork       []Entry // dispatches that began while it was warming up, in the window
+	warmUpWork       []Entry // dispatches that began while it warmed up, within the window
 }
 
-// orderLine names the jobs that run one after the other.
-type orderLine struct{ front, key string }
+// orderKey identifies jobs that must run one after the other.
+type orderKey struct{ front, key string }
 
 type checker struct {
-	rules      Rules
-	jobs       map[string]*job
-	lines      map[orderLine][]*job // in the order in which they were accepted
-	engines    map[string]*engine
-	acceptedAt []int64 // of jobs, within the window of retries
-	retriedAt  []int64 // of retries, within that window
-	found      []Violation
+	rules       Rules
+	jobs        map[string]*job
+	orderedJobs map[orderKey][]*job // in order of acceptance
+	engines     map[string]*engine
+	acceptedAt  []int64 // times of accepted jobs within the retry window
+	retriedAt   []int64 // times of retries within the retry window
+	violations  []Violation
 }
 
-// Check returns every broken rule in a merged log, in the order of the log.
+// Check returns every violation in a merged log. Violations are in the order of the log; missing answers come last.
 func Check(rules Rules, log []Entry) []Violation {
 	c := &checker{
-		rules:   rules,
-		jobs:    map[string]*job{},
-		lines:   map[orderLine][]*job{},
-		engines: map[string]*engine{},
+		rules:       rules,
+		jobs:        map[string]*job{},
+		orderedJobs: map[orderKey][]*job{},
+		engines:     map[string]*engine{},
 	}
 	for _, entry := range log {
 		c.handle(entry)
@@ -50,15 +50,15 @@
 			c.report(ruleAnswer, entry, "no final answer")
 		}
 	}
-	return c.found
+	return c.violations
 }
 
 func (c *checker) handle(entry Entry) {
 	switch entry.Event {
 	case Listed:
-		c.list(entry)
+		c.listEngine(entry)
 	case Accepted:
-		c.accept(entry)
+		c.acceptJob(entry)
 	case Answered, ClientLeft:
 		c.answer(entry)
 	case Reached, Began:
@@ -69,7 +69,7 @@
 }
 
 func (c *checker) report(rule int, entry Entry, format string, values ...any) {
-	c.found = append(c.found, Violation{
+	c.violations = append(c.violations, Violation{
 		Rule:   rule,
 		TimeNS: entry.TimeNS,
 		Job:    entry.Job,
@@ -77,7 +77,7 @@
 	})
 }
 
-func (c *checker) list(entry Entry) {
+func (c *checker) listEngine(entry Entry) {
 	previous := c.engines[entry.Engine]
 	current := &engine{Entry: entry}
 	if previous != nil && previous.Started == entry.Started {
@@ -92,7 +92,7 @@
 	c.engines[entry.Engine] = current
 }
 
-func (c *checker) accept(entry Entry) {
+func (c *checker) acceptJob(entry Entry) {
 	if c.jobs[entry.Job] != nil {
 		c.report(ruleAnswer, entry, "taken twice under one name")
 		return
@@ -101,8 +101,8 @@
 	c.jobs[entry.Job] = j
 	c.acceptedAt = append(c.acceptedAt, entry.TimeNS)
 	if c.rules.Types[entry.Type].Ordered && entry.Key != "" {
-		line := orderLine{front: entry.Front, key: entry.Key}
-		c.lines[line] = append(c.lines[line], j)
+		key := orderKey{front: entry.Front, key: entry.Key}
+		c.orderedJobs[key] = append(c.orderedJobs[key], j)
 	}
 }
 
@@ -133,7 +133,7 @@
 	j.finish(entry.TimeNS)
 }
 
-// mayHaveEffect reports whether a job has run such that a client must not repeat it.
+// mayHaveEffect reports whether a job may have had an effect, so that a client must not repeat it.
 func (c *checker) mayHaveEffect(j *job, entry Entry) bool {
 	if j.began == 0 {
 		return false
@@ -149,7 +149,7 @@
 	}
 }
 
-// finish notes when the job was answered and nothing of it ran any more.
+// finish sets finishedAt if the job is answered and no dispatch is running.
 func (j *job) finish(timeNS int64) {
 	if j.answer != "" && j.running == 0 {
 		j.finishedAt = max(j.finishedAt, timeNS)
@@ -158,8 +158,8 @@
 
 func (c *checker) dispatch(entry Entry) {
 	j := c.jobs[entry.Job]
-	to := c.engines[entry.Engine]
-	if j == nil || to == nil {
+	target := c.engines[entry.Engine]
+	if j == nil || target == nil {
 		c.report(ruleAnswer, entry, "a dispatch of what nobody asked for, or to engine %s that is in no list",
 			entry.Engine)
 		return
@@ -168,13 +168,13 @@
 	if j.dispatches > 1 {
 		c.checkRetries(entry)
 	}
-	c.checkDrain(entry, to)
-	c.checkPlacement(entry, j, to)
+	c.checkDrain(entry, target)
+	c.checkPlacement(entry, j, target)
 	if entry.Event != Began {
 		return
 	}
-	c.checkEffect(entry, j, to)
-	c.checkWarmUp(entry, to)
+	c.checkEffect(entry, j, target)
+	c.checkWarmUp(entry, target)
 	c.checkOrder(entry, j)
 	if j.began == 0 {
 		j.first = entry
@@ -191,7 +191,7 @@
 	}
 	j.running--
 	if entry.Answer == Broken {
-		j.unsureAt = entry.TimeNS
+		j.uncertainAt = entry.TimeNS
 	}
 	j.finish(entry.TimeNS)
 }
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -27,33 +27,33 @@
 	RetriesPerMille:   200,
 }
 
-// fleet is two engines, the first cold until 10,000.
-const fleet = `{"t":0,"what":"listed","engine":"e1","state":"ready","zone":"east","kind":"std","group":"g1",` +
+// engineLog lists two engines, the first of which warms up until 10,000 ns.
+const engineLog = `{"t":0,"what":"listed","engine":"e1","state":"ready","zone":"east","kind":"std","group":"g1",` +
 	`"cores":2,"started":1}
 {"t":0,"what":"listed","engine":"e2","state":"ready","zone":"west","kind":"big","group":"g2","cores":2}
 `
 
-func line(t int, what, job, more string) string {
-	return fmt.Sprintf(`{"t":%d,"what":%q,"job":%q%s}`+"\n", t, what, job, more)
+func logLine(t int, event, job, fields string) string {
+	return fmt.Sprintf(`{"t":%d,"what":%q,"job":%q%s}`+"\n", t, event, job, fields)
 }
 
-func taken(t int, job, typ, key string) string {
-	return line(t, Accepted, job, fmt.Sprintf(`,"type":%q,"key":%q,"front":"n1","until":%d`, typ, key, t+2000))
+func accepted(t int, job, jobType, key string) string {
+	return logLine(t, Accepted, job, fmt.Sprintf(`,"type":%q,"key":%q,"front":"n1","until":%d`, jobType, key, t+2000))
 }
 
 func began(t int, job, engine string) string {
-	return line(t, Began, job, fmt.Sprintf(`,"engine":%q,"work":250`, engine))
+	return logLine(t, Began, job, fmt.Sprintf(`,"engine":%q,"work":250`, engine))
 }
 
-func ended(t int, job, how string) string {
-	return line(t, Ended, job, `,"engine":"e1","answer":"`+how+`"`)
+func ended(t int, job, answer string) string {
+	return logLine(t, Ended, job, `,"engine":"e1","answer":"`+answer+`"`)
 }
-func answered(t int, job, how string) string {
-	return line(t, Answered, job, `,"answer":"`+how+`"`)
+func answered(t int, job, answer string) string {
+	return logLine(t, Answered, job, `,"answer":"`+answer+`"`)
 }
 
-func ran(t int, job, typ, engine string) string {
-	return taken(t, job, typ, "") + began(t+1, job, engine) + ended(t+2, job, Done) + answered(t+3, job, Done)
+func served(t int, job, jobType, engine string) string {
+	return accepted(t, job, jobType, "") + began(t+1, job, engine) + ended(t+2, job, Done) + answered(t+3, job, Done)
 }
 
 func TestEachBrokenRuleIsFoundAndNothingElse(t *testing.T) {
@@ -63,73 +63,73 @@
 		rule int // 0: none
 		log  string
 	}{
-		{"done", 0, ran(1, "a", "lookup", "e1")},
-		{"throttled unsent", 0, taken(1, "a", "import", "") + answered(5, "a", Throttled)},
-		{"refused, then run", 0, taken(1, "a", "import", "") + line(2, Reached, "a", `,"engine":"e1"`) +
+		{"done", 0, served(1, "a", "lookup", "e1")},
+		{"throttled unsent", 0, accepted(1, "a", "import", "") + answered(5, "a", Throttled)},
+		{"refused, then run", 0, accepted(1, "a", "import", "") + logLine(2, Reached, "a", `,"engine":"e1"`) +
 			began(3, "a", "e1") + ended(4, "a", Done) + answered(5, "a", Done)},
-		{"left", 0, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "")},
-		{"no answer", 1, taken(1, "a", "lookup", "")},
-		{"two answers", 1, ran(1, "a", "lookup", "e1") + answered(9, "a", Done)},
-		{"late", 1, taken(1, "a", "lookup", "") + answered(2012, "a", Throttled)},
-		{"late by the slack", 0, taken(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
-		{"answered after it left", 1, taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") +
+		{"left", 0, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "")},
+		{"no answer", 1, accepted(1, "a", "lookup", "")},
+		{"two answers", 1, served(1, "a", "lookup", "e1") + answered(9, "a", Done)},
+		{"late", 1, accepted(1, "a", "lookup", "") + answered(2012, "a", Throttled)},
+		{"late by the slack", 0, accepted(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
+		{"answered after it left", 1, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") +
 			answered(5, "a", Throttled)},
-		{"done by nobody", 1, taken(1, "a", "lookup", "") + answered(4, "a", Done)},
+		{"done by nobody", 1, accepted(1, "a", "lookup", "") + answered(4, "a", Done)},
 		{"an answer to nothing", 1, answered(4, "a", Throttled)},
-		{"run-once twice", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"run-once twice", 2, accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"run-once throttled after it ran", 2, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"run-once throttled after it ran", 2, accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			answered(6, "a", Throttled)},
-		{"run-once cancelled after it ran", 0, taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"run-once cancelled after it ran", 0, accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			answered(6, "a", Cancelled)},
-		{"keyed again in its group", 0, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"keyed again in its group", 0, accepted(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"keyed again elsewhere", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"keyed again elsewhere", 2, accepted(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			began(4, "a", "e2") + ended(5, "a", Done) + answered(6, "a", Done)},
-		{"keyed again too late", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"keyed again too late", 2, accepted(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			began(1003, "a", "e1") + ended(1005, "a", Done) + answered(1006, "a", Done)},
-		{"keyed by all, throttled in its window", 0, taken(1, "a", "mark", "") + began(2, "a", "e1") +
+		{"keyed by all, throttled in its window", 0, accepted(1, "a", "mark", "") + began(2, "a", "e1") +
 			ended(3, "a", Broken) + answered(900, "a", Throttled)},
-		{"keyed by all, throttled past it", 2, taken(1, "a", "mark", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"keyed by all, throttled past it", 2, accepted(1, "a", "mark", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			answered(1100, "a", Throttled)},
-		{"keyed by a group, throttled", 2, taken(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
+		{"keyed by a group, throttled", 2, accepted(1, "a", "update", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			answered(5, "a", Throttled)},
 		{"draining within the grace", 0,
 			`{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" +
-				ran(54, "a", "lookup", "e1")},
+				served(54, "a", "lookup", "e1")},
 		{"draining past the grace", 3,
 			`{"t":5,"what":"listed","engine":"e1","state":"draining","zone":"east","started":1,"cores":2}` + "\n" +
-				ran(55, "a", "lookup", "e1")},
+				served(55, "a", "lookup", "e1")},
 		{"draining, then gone, from the first", 3, `{"t":5,"what":"listed","engine":"e2","state":"draining"}` + "\n" +
-			`{"t":50,"what":"listed","engine":"e2","state":"gone"}` + "\n" + ran(60, "a", "lookup", "e2")},
-		{"a cold engine pushed over by two", 4, ran(1, "a", "lookup", "e1") + ran(11, "b", "lookup", "e1") +
-			strings.ReplaceAll(ran(21, "c", "lookup", "e1"), "n1", "n2")},
-		{"a cold engine in two windows", 0, ran(1, "a", "lookup", "e1") + ran(11, "b", "lookup", "e1") +
-			ran(1013, "c", "lookup", "e1")},
-		{"a warm engine", 0, ran(10001, "a", "lookup", "e1") + ran(10011, "b", "lookup", "e1") +
-			ran(10021, "c", "lookup", "e1")},
-		{"out of order", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "b", "e1") +
+			`{"t":50,"what":"listed","engine":"e2","state":"gone"}` + "\n" + served(60, "a", "lookup", "e2")},
+		{"a cold engine pushed over by two", 4, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
+			strings.ReplaceAll(served(21, "c", "lookup", "e1"), "n1", "n2")},
+		{"a cold engine in two windows", 0, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
+			served(1013, "c", "lookup", "e1")},
+		{"a warm engine", 0, served(10001, "a", "lookup", "e1") + served(10011, "b", "lookup", "e1") +
+			served(10021, "c", "lookup", "e1")},
+		{"out of order", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "b", "e1") +
 			ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
-		{"order of two keys", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "l") + began(3, "b", "e1") +
+		{"order of two keys", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "l") + began(3, "b", "e1") +
 			ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
-		{"the next while the first still runs", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") +
+		{"the next while the first still runs", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") +
 			began(3, "a", "e1") + answered(4, "a", Cancelled) + began(5, "b", "e1") + ended(6, "a", Broken) +
 			ended(7, "b", Done) + answered(8, "b", Done)},
-		{"without its rest", 5, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"without its rest", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(103, "b", "e1") + ended(104, "b", Done) +
 			answered(105, "b", Done)},
-		{"with its rest", 0, taken(1, "a", "import", "k") + taken(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"with its rest", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(104, "b", "e1") + ended(105, "b", Done) +
 			answered(106, "b", Done)},
-		{"zone", 6, ran(1, "a", "import", "e2")},
-		{"kind", 6, ran(1, "a", "report", "e1")},
-		{"budget", 7, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) + began(4, "a", "e2") +
+		{"zone", 6, served(1, "a", "import", "e2")},
+		{"kind", 6, served(1, "a", "report", "e1")},
+		{"budget", 7, accepted(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) + began(4, "a", "e2") +
 			ended(5, "a", Broken) + began(6, "a", "e2") + ended(7, "a", Done) + answered(8, "a", Done)},
-		{"budget with time between", 0, taken(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) +
+		{"budget with time between", 0, accepted(1, "a", "lookup", "") + began(2, "a", "e2") + ended(3, "a", Broken) +
 			began(4, "a", "e2") + ended(5, "a", Broken) + began(1004, "a", "e2") + ended(1005, "a", Done) +
 			answered(1006, "a", Done)},
 	} {
-		log, err := Read(strings.NewReader(fleet + c.log))
+		log, err := Read(strings.NewReader(engineLog + c.log))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,22 +150,22 @@
 		want []string
 	}{
 		"done, and nothing began it": {
-			taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Done),
+			accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") + answered(5, "a", Done),
 			[]string{"an answer after the client left", "done, and no engine began it"},
 		},
 		"run-once, throttled after it ran": {
-			taken(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + line(4, ClientLeft, "a", "") +
+			accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + logLine(4, ClientLeft, "a", "") +
 				answered(5, "a", Throttled),
 			[]string{"an answer after the client left", "throttled though it may have run"},
 		},
 		"answered twice": {
-			taken(1, "a", "lookup", "") + line(4, ClientLeft, "a", "") + answered(5, "a", Throttled) +
+			accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") + answered(5, "a", Throttled) +
 				answered(6, "a", Throttled),
 			[]string{"an answer after the client left", "a second final answer: throttled after throttled"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			log, err := Read(strings.NewReader(fleet + c.log))
+			log, err := Read(strings.NewReader(engineLog + c.log))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -183,7 +183,7 @@
 }
 
 func TestLogsOfOneMomentAreMergedWithoutBlame(t *testing.T) {
-	a, _ := Read(strings.NewReader(fleet + taken(1, "a", "import", "k") + taken(1, "b", "import", "k") +
+	a, _ := Read(strings.NewReader(engineLog + accepted(1, "a", "import", "k") + accepted(1, "b", "import", "k") +
 		answered(5, "a", Done) + answered(9, "b", Done)))
 	b, _ := Read(strings.NewReader(began(2, "a", "e1") + ended(5, "a", Done) + began(5, "b", "e1") + ended(6, "b", Done)))
 	if found := Check(rules, Merge(b, a)); len(found) > 0 {
--- a/internal/rulecheck/log.go
+++ b/internal/rulecheck/log.go
@@ -1,16 +1,16 @@
-// Package rulecheck finds every broken rule in the logs of stand-ins: clients log the jobs they asked for and the
-// answers they got, engines every dispatch that reached them. It knows nothing of how a controller decides: whatever
-// forwards jobs is held to the same seven rules.
+// Package rulecheck finds every rule violation in the logs of fake clients and engines. Clients log the jobs they
+// request and the answers they get, engines log every dispatch that reaches them. The check does not depend on how a
+// controller makes decisions: anything that forwards jobs can be checked against the same seven rules.
 //
-//  1. Each job has one final answer in time, and a result only if an engine ran it.
-//  2. A job that may run once does not run twice, and is not throttled once it may have run.
-//  3. Nothing reaches an engine that drains or was removed.
-//  4. An engine that has just started gets no more work than it can bear.
-//  5. Jobs of one order key run one after the other.
+//  1. Each job gets one final answer in time, and a result only if an engine ran it.
+//  2. A run-once job does not run twice, and is not throttled once it may have run.
+//  3. No dispatch reaches an engine that is draining or was removed.
+//  4. A newly started engine gets no more work than its capacity while it warms up.
+//  5. Jobs with the same ordering key run one after the other.
 //  6. Jobs run only in zones and on kinds of engines that their type allows.
-//  7. Retries keep to their budget.
+//  7. Retries stay within their budget.
 //
-// There is no clock: all times are those of the logs, in whole nanoseconds.
+// The check reads no clock. All times are those of the logs, in nanoseconds.
 package rulecheck
 
 import (
@@ -24,24 +24,24 @@
 
 // Values of Entry.Event.
 const (
-	Listed     = "listed"   // the endpoint list, as all controllers get it, has this entry of an engine
-	Accepted   = "taken"    // a client asked for a job, and it was accepted
-	Answered   = "answered" // the client has its final answer
-	ClientLeft = "left"     // the client disconnected: no answer is owed, and none may follow
-	Reached    = "reached"  // a dispatch came to an engine, which refused it
-	Began      = "began"    // a dispatch came to an engine, which began it: from here on it has its effect
-	Ended      = "ended"    // the engine ended it, as Answer says
+	Listed     = "listed"   // the endpoint list sent to all controllers has this entry for an engine
+	Accepted   = "taken"    // a client requested a job, and it was accepted
+	Answered   = "answered" // the client got its final answer
+	ClientLeft = "left"     // the client disconnected: no answer is due, and none may follow
+	Reached    = "reached"  // a dispatch reached an engine, which refused it
+	Began      = "began"    // a dispatch reached an engine, which began it: from here on it may have an effect
+	Ended      = "ended"    // the engine ended the dispatch with the outcome in Answer
 )
 
 // Values of Entry.Answer.
 const (
 	Done      = "done"
 	Throttled = "throttled"
-	Cancelled = "cancelled" // for good
-	Broken    = "broken"    // whether the controller knows the outcome is unsure
+	Cancelled = "cancelled" // permanently
+	Broken    = "broken"    // the controller may not know the outcome
 )
 
-// stateReady is the state of an engine that takes jobs; any other does not.
+// stateReady is the state of an engine that accepts jobs. Engines in any other state do not.
 const stateReady = "ready"
 
 // Entry is a line of a log.
@@ -49,30 +49,30 @@
 	TimeNS int64  `json:"t"`
 	Event  string `json:"what"`
 
-	Job        string `json:"job,omitempty"` // the same in every log
+	Job        string `json:"job,omitempty"` // job ID, the same in every log
 	Type       string `json:"type,omitempty"`
 	Tenant     string `json:"tenant,omitempty"`
-	Key        string `json:"key,omitempty"`   // order key
-	Front      string `json:"front,omitempty"` // the controller that accepted it: order holds among its jobs
+	Key        string `json:"key,omitempty"`   // ordering key
+	Front      string `json:"front,omitempty"` // scope of the ordering key: a controller or client
 	DeadlineNS int64  `json:"until,omitempty"` // Accepted: the job timeout
 
 	Answer string `json:"answer,omitempty"` // Answered and Ended
 
 	Engine   string `json:"engine,omitempty"`
 	Protocol string `json:"protocol,omitempty"`
-	Work     int64  `json:"work,omitempty"` // Began: of the dispatch, in ns
+	Work     int64  `json:"work,omitempty"` // Began: work of the dispatch, in ns
 	State    string `json:"state,omitempty"`
 	Zone     string `json:"zone,omitempty"`
 	Kind     string `json:"kind,omitempty"`
-	Group    string `json:"group,omitempty"`   // engines that drop repeats together
+	Group    string `json:"group,omitempty"`   // engines of one group drop repeats together
 	Started  int64  `json:"started,omitempty"` // when the engine started; 0: long ago
 	Cores    int64  `json:"cores,omitempty"`
 }
 
-// maxLineBytes bounds a line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read reads a log of JSON lines; empty lines are skipped. An error names the line.
+// Read reads a log of JSON lines and skips empty lines. An error contains the line number.
 func Read(from io.Reader) ([]Entry, error) {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLineBytes)
@@ -90,7 +90,7 @@
 	return log, scanner.Err()
 }
 
-// eventOrder is the order of events of the same time that breaks no rule by itself: what ends comes before what begins.
+// eventOrder orders events with the same time so that the order itself causes no violation: ends come before begins.
 var eventOrder = map[string]int{
 	Listed:     0,
 	Accepted:   1,
@@ -101,7 +101,7 @@
 	Began:      4,
 }
 
-// Merge puts logs in one order: by time, then by eventOrder, then as they were.
+// Merge merges logs, ordered by time, then by eventOrder, then by their original order.
 func Merge(logs ...[]Entry) []Entry {
 	merged := slices.Concat(logs...)
 	slices.SortStableFunc(merged, func(a, b Entry) int {
--- a/internal/rulecheck/log_test.go
+++ b/internal/rulecheck/log_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A log is read and written again to the byte: each key of an entry.
+// Reading a log and writing it again gives the same bytes, so that no key of an entry is lost.
 func TestALogIsReadWhole(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "log.jsonl"))
 	if err != nil {
