--- a/internal/rulecheck/check.go
+++ b/internal/rulecheck/check.go
@@ -94,7 +94,7 @@
 
 func (c *checker) acceptJob(entry Entry) {
 	if c.jobs[entry.Job] != nil {
-		c.report(ruleAnswer, entry, "taken twice under one name")
+		c.report(ruleAnswer, entry, "accepted twice under one ID")
 		return
 	}
 	j := &job{Entry: entry}
@@ -109,16 +109,16 @@
 func (c *checker) answer(entry Entry) {
 	j := c.jobs[entry.Job]
 	if j == nil {
-		c.report(ruleAnswer, entry, "an answer for a job that nobody asked for")
+		c.report(ruleAnswer, entry, "answer for an unknown job")
 		return
 	}
 	switch {
 	case j.answer == ClientLeft:
-		c.report(ruleAnswer, entry, "an answer after the client left")
+		c.report(ruleAnswer, entry, "answer after the client disconnected")
 	case j.answer != "":
-		c.report(ruleAnswer, entry, "a second final answer: %s after %s", entry.Answer, j.answer)
+		c.report(ruleAnswer, entry, "second final answer: %s after %s", entry.Answer, j.answer)
 	case entry.Event == Answered && entry.TimeNS > j.DeadlineNS+c.rules.AnswerSlack:
-		c.report(ruleAnswer, entry, "its final answer comes %d ns late", entry.TimeNS-j.DeadlineNS)
+		c.report(ruleAnswer, entry, "final answer is %d ns late", entry.TimeNS-j.DeadlineNS)
 	}
 	j.answer = entry.Answer
 	if entry.Event == ClientLeft {
@@ -128,7 +128,7 @@
 		c.report(ruleEffect, entry, "throttled though it may have run")
 	}
 	if entry.Answer == Done && j.began == 0 {
-		c.report(ruleAnswer, entry, "done, and no engine began it")
+		c.report(ruleAnswer, entry, "done, but no engine began it")
 	}
 	j.finish(entry.TimeNS)
 }
@@ -160,7 +160,7 @@
 	j := c.jobs[entry.Job]
 	target := c.engines[entry.Engine]
 	if j == nil || target == nil {
-		c.report(ruleAnswer, entry, "a dispatch of what nobody asked for, or to engine %s that is in no list",
+		c.report(ruleAnswer, entry, "dispatch of an unknown job, or to unlisted engine %s",
 			entry.Engine)
 		return
 	}
@@ -186,7 +186,7 @@
 func (c *checker) endDispatch(entry Entry) {
 	j := c.jobs[entry.Job]
 	if j == nil || j.running == 0 {
-		c.report(ruleAnswer, entry, "ends at engine %s where it did not run", entry.Engine)
+		c.report(ruleAnswer, entry, "ends at engine %s, where it was not running", entry.Engine)
 		return
 	}
 	j.running--
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -67,15 +67,15 @@
 		{"throttled unsent", 0, accepted(1, "a", "import", "") + answered(5, "a", Throttled)},
 		{"refused, then run", 0, accepted(1, "a", "import", "") + logLine(2, Reached, "a", `,"engine":"e1"`) +
 			began(3, "a", "e1") + ended(4, "a", Done) + answered(5, "a", Done)},
-		{"left", 0, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "")},
+		{"client disconnected", 0, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "")},
 		{"no answer", 1, accepted(1, "a", "lookup", "")},
 		{"two answers", 1, served(1, "a", "lookup", "e1") + answered(9, "a", Done)},
 		{"late", 1, accepted(1, "a", "lookup", "") + answered(2012, "a", Throttled)},
-		{"late by the slack", 0, accepted(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
-		{"answered after it left", 1, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") +
+		{"late within the slack", 0, accepted(1, "a", "lookup", "") + answered(2011, "a", Throttled)},
+		{"answered after the client disconnected", 1, accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") +
 			answered(5, "a", Throttled)},
-		{"done by nobody", 1, accepted(1, "a", "lookup", "") + answered(4, "a", Done)},
-		{"an answer to nothing", 1, answered(4, "a", Throttled)},
+		{"done without a dispatch", 1, accepted(1, "a", "lookup", "") + answered(4, "a", Done)},
+		{"answer for an unknown job", 1, answered(4, "a", Throttled)},
 		{"run-once twice", 2, accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
 			began(4, "a", "e1") + ended(5, "a", Done) + answered(6, "a", Done)},
 		{"run-once throttled after it ran", 2, accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) +
@@ -102,11 +102,11 @@
 				served(55, "a", "lookup", "e1")},
 		{"draining, then gone, from the first", 3, `{"t":5,"what":"listed","engine":"e2","state":"draining"}` + "\n" +
 			`{"t":50,"what":"listed","engine":"e2","state":"gone"}` + "\n" + served(60, "a", "lookup", "e2")},
-		{"a cold engine pushed over by two", 4, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
+		{"overloaded by two controllers", 4, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
 			strings.ReplaceAll(served(21, "c", "lookup", "e1"), "n1", "n2")},
-		{"a cold engine in two windows", 0, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
+		{"warming up, in two windows", 0, served(1, "a", "lookup", "e1") + served(11, "b", "lookup", "e1") +
 			served(1013, "c", "lookup", "e1")},
-		{"a warm engine", 0, served(10001, "a", "lookup", "e1") + served(10011, "b", "lookup", "e1") +
+		{"warmed up", 0, served(10001, "a", "lookup", "e1") + served(10011, "b", "lookup", "e1") +
 			served(10021, "c", "lookup", "e1")},
 		{"out of order", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "b", "e1") +
 			ended(4, "b", Done) + answered(5, "b", Done) + answered(6, "a", Throttled)},
@@ -115,10 +115,10 @@
 		{"the next while the first still runs", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") +
 			began(3, "a", "e1") + answered(4, "a", Cancelled) + began(5, "b", "e1") + ended(6, "a", Broken) +
 			ended(7, "b", Done) + answered(8, "b", Done)},
-		{"without its rest", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"pause of the key missed", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(103, "b", "e1") + ended(104, "b", Done) +
 			answered(105, "b", Done)},
-		{"with its rest", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"pause of the key kept", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(104, "b", "e1") + ended(105, "b", Done) +
 			answered(106, "b", Done)},
 		{"zone", 6, served(1, "a", "import", "e2")},
@@ -151,17 +151,17 @@
 	}{
 		"done, and nothing began it": {
 			accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") + answered(5, "a", Done),
-			[]string{"an answer after the client left", "done, and no engine began it"},
+			[]string{"answer after the client disconnected", "done, but no engine began it"},
 		},
 		"run-once, throttled after it ran": {
 			accepted(1, "a", "import", "") + began(2, "a", "e1") + ended(3, "a", Broken) + logLine(4, ClientLeft, "a", "") +
 				answered(5, "a", Throttled),
-			[]string{"an answer after the client left", "throttled though it may have run"},
+			[]string{"answer after the client disconnected", "throttled though it may have run"},
 		},
 		"answered twice": {
 			accepted(1, "a", "lookup", "") + logLine(4, ClientLeft, "a", "") + answered(5, "a", Throttled) +
 				answered(6, "a", Throttled),
-			[]string{"an answer after the client left", "a second final answer: throttled after throttled"},
+			[]string{"answer after the client disconnected", "second final answer: throttled after throttled"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rulecheck/dispatch_rules.go
+++ b/internal/rulecheck/dispatch_rules.go
@@ -42,7 +42,7 @@
 		sum += began.Work
 	}
 	if limit := c.rules.WarmUpWorkPerCore * target.Cores; sum > limit {
-		c.report(ruleWarmUp, entry, "cold engine %s is given %d ns of work in a window, %d it stands",
+		c.report(ruleWarmUp, entry, "engine %s is warming up and gets %d ns of work in a window, limit %d ns",
 			entry.Engine, sum, limit)
 	}
 }
@@ -57,9 +57,9 @@
 			return
 		}
 		if earlier.finishedAt == 0 {
-			c.report(ruleOrder, entry, "begins before job %s of its key is over", earlier.Job)
+			c.report(ruleOrder, entry, "begins before job %s of its key has finished", earlier.Job)
 		} else if earlier.uncertainAt > 0 && entry.TimeNS < earlier.uncertainAt+c.rules.OrderPause {
-			c.report(ruleOrder, entry, "begins %d ns after an unsure outcome of job %s of its key",
+			c.report(ruleOrder, entry, "begins %d ns after an uncertain outcome of job %s of its key",
 				entry.TimeNS-earlier.uncertainAt, earlier.Job)
 		}
 	}
@@ -84,6 +84,6 @@
 	retries := int64(len(c.retriedAt))
 	accepted := int64(len(c.acceptedAt))
 	if 1000*retries > 1000*c.rules.FreeRetries+c.rules.RetriesPerMille*accepted {
-		c.report(ruleRetries, entry, "%d further dispatches for %d jobs taken", retries, accepted)
+		c.report(ruleRetries, entry, "%d retries for %d jobs accepted", retries, accepted)
 	}
 }
