--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -115,10 +115,10 @@
 		{"the next while the first still runs", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") +
 			began(3, "a", "e1") + answered(4, "a", Cancelled) + began(5, "b", "e1") + ended(6, "a", Broken) +
 			ended(7, "b", Done) + answered(8, "b", Done)},
-		{"pause of the key missed", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"key pause missed", 5, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(103, "b", "e1") + ended(104, "b", Done) +
 			answered(105, "b", Done)},
-		{"pause of the key kept", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
+		{"key pause kept", 0, accepted(1, "a", "import", "k") + accepted(2, "b", "import", "k") + began(3, "a", "e1") +
 			ended(4, "a", Broken) + answered(5, "a", Cancelled) + began(104, "b", "e1") + ended(105, "b", Done) +
 			answered(106, "b", Done)},
 		{"zone", 6, served(1, "a", "import", "e2")},
