--- a/internal/soak/aspect.go
+++ b/internal/soak/aspect.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// aspect is what a fault takes hold of at a controller or an engine: two faults of one aspect exclude each other,
-// those of different ones overlap.
+// aspect is the part of a controller or an engine that a fault affects. Two faults of the same aspect exclude each
+// other; faults of different aspects may overlap.
 type aspect uint8
 
 const (
-	aspectProcess     aspect = iota // it is ended and started anew
-	aspectPause                     // it is stopped for a time
-	aspectFeed                      // the way to the feed
-	aspectConfig                    // a new configuration
-	aspectClients                   // clients that speak badly
-	aspectIdleClients               // clients that say nothing
-	aspectCalls                     // system calls that fail
-	aspectList                      // the engine's state in the list
-	aspectWay                       // the way to the engine
+	aspectProcess     aspect = iota // the process is ended and restarted
+	aspectPause                     // the process is paused
+	aspectFeed                      // the connection to the feed
+	aspectConfig                    // the configuration
+	aspectClients                   // misbehaving clients
+	aspectIdleClients               // idle clients
+	aspectSyscalls                  // failing system calls
+	aspectEngineList                // the engine's state in the endpoint list
+	aspectNetwork                   // the connections to the engine
 )
 
-// aspectOf says which aspect a fault takes hold of.
+// aspectOf maps each kind of fault to the aspect it affects.
 var aspectOf = map[string]aspect{
 	faultTerm:        aspectProcess,
 	faultTermStart:   aspectProcess,
@@ -29,27 +29,28 @@
 	faultFeedDown:    aspectFeed,
 	faultFeedSilent:  aspectFeed,
 	faultFeedSlow:    aspectFeed,
-	faultDrain:       aspectList,
-	faultRestart:     aspectList,
-	faultVanish:      aspectWay,
+	faultDrain:       aspectEngineList,
+	faultRestart:     aspectEngineList,
+	faultVanish:      aspectNetwork,
 	faultHang:        aspectPause,
 	faultLongHang:    aspectPause,
-	faultReset:       aspectWay,
-	faultSlow:        aspectWay,
+	faultReset:       aspectNetwork,
+	faultSlow:        aspectNetwork,
 	faultBadClient:   aspectClients,
 	faultIdleFlood:   aspectIdleClients,
-	faultDialFails:   aspectCalls,
-	faultAcceptFails: aspectCalls,
-	faultClockStep:   aspectCalls,
+	faultDialFails:   aspectSyscalls,
+	faultAcceptFails: aspectSyscalls,
+	faultClockStep:   aspectSyscalls,
 }
 
-// aspects are those of which a fault is active. The zero value has none. It is safe for concurrent use.
+// aspects is the set of aspects with an active fault. The zero value is empty. It is safe for concurrent use.
 type aspects struct {
 	mu     sync.Mutex
 	active map[aspect]bool
 }
 
-// acquire takes hold of the aspect of a kind of fault, unless another fault has; release lets go of it.
+// acquire reserves the aspect of a kind of fault until release is called. acquired is false if another fault of that
+// aspect is active.
 func (a *aspects) acquire(kind string) (release func(), acquired bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Slack of the judge over what the terms allow, for records that are admitted a moment late on a busy machine.
+// Allowances of the specification, and the slack of the check for events that are recorded late on a busy machine.
 const (
-	answerSlack    = 500 * time.Millisecond // as the terms have it: up to then an answer only earns nothing
-	recordSlack    = 60 * time.Millisecond
-	leaveTerm      = 100 * time.Millisecond
-	deadlineTerm   = 150 * time.Millisecond
-	notifiedWithin = 7 * time.Second        // whether it arrived or not
-	resumeAllowed  = 300 * time.Millisecond // after a pause, for what lay unread
+	answerSlack         = 500 * time.Millisecond // by the specification, an answer up to this late only loses its value
+	recordSlack         = 60 * time.Millisecond  // of the check itself
+	leaveAllowance      = 100 * time.Millisecond // from a client's leave until dispatches for it must stop
+	deadlineAllowance   = 150 * time.Millisecond // by which an engine's time limit may exceed the client's
+	notificationTimeout = 7 * time.Second        // after which a change counts as notified, whether or not it arrived
+	resumeAllowance     = 300 * time.Millisecond // after a pause, for input that was unread
 )
 
-// Finding is a broken invariant.
+// Finding is a violation of an invariant.
 type Finding struct {
 	Rule string
 	Text string
@@ -26,16 +26,16 @@
 // String returns the finding as one line.
 func (f Finding) String() string { return f.Rule + ": " + f.Text }
 
-// checker holds the records of a run against the invariants.
+// checker checks the records of a run against the invariants.
 type checker struct {
 	*Records
 	calls    map[string]*Call
 	fetched  map[string][]Fetch
 	executed map[string][]Execution
-	found    []Finding
+	findings []Finding
 }
 
-// Check returns every broken invariant. Nothing may be recorded any more.
+// Check returns every violation of an invariant. Recording must have ended.
 func Check(records *Records) []Finding {
 	c := &checker{Records: records, calls: map[string]*Call{}, fetched: map[string][]Fetch{},
 		executed: map[string][]Execution{}}
@@ -61,14 +61,14 @@
 	c.checkOrder()
 	c.checkSlowStart()
 	c.checkRetries()
-	return c.found
+	return c.findings
 }
 
 func (c *checker) report(rule, format string, values ...any) {
-	c.found = append(c.found, Finding{Rule: rule, Text: fmt.Sprintf(format, values...)})
+	c.findings = append(c.findings, Finding{Rule: rule, Text: fmt.Sprintf(format, values...)})
 }
 
-// checkAnswer: a call has one final answer in time, unless its client has left or its controller was killed.
+// checkAnswer checks that a call has one final answer in time, unless its client left or its controller was killed.
 func (c *checker) checkAnswer(call *Call) {
 	if call.Answers > 1 {
 		c.report("answer", "call %s has %d answers", call.ID, call.Answers)
@@ -80,70 +80,77 @@
 		c.checkCrossed(call)
 		return
 	case Unreadable:
-		c.report("answer", "call %s has an answer that cannot be read", call.ID)
+		c.report("answer", "call %s has a malformed answer", call.ID)
 		return
 	case Broken, Unanswered:
-		if !c.excused(call) && !c.shutByFlood(call) {
+		if !c.controllerWasKilled(call) && !c.closedByFlood(call) {
 			c.report("lost", "call %s (%s) on %s sent %s is %s after %v", call.ID, call.Type, call.Connection,
 				clock(call.SentAt), cmp.Or(string(call.Outcome), "unanswered"), call.EndedAt.Sub(call.SentAt))
 		}
 		return
 	}
-	if late := call.EndedAt.Sub(c.dueAt(call)); late > answerSlack+recordSlack && !c.excused(call) {
-		c.report("late", "call %s (%s) on %s sent %s is answered %s %v after its time, %d stalls here meanwhile", call.ID,
+	if late := call.EndedAt.Sub(c.dueAt(call)); late > answerSlack+recordSlack && !c.controllerWasKilled(call) {
+		c.report("late", "call %s (%s) on %s sent %s is answered %s %v after it was due, %d stalls here meanwhile", call.ID,
 			call.Type, call.Connection, clock(call.SentAt), call.Outcome, late, c.stallsBetween(call.SentAt, call.EndedAt))
 	}
 	if call.Outcome == Served && !slices.ContainsFunc(c.executed[call.ID], func(e Execution) bool { return !e.Refused }) {
-		c.report("answer", "call %s is served and no engine ran it", call.ID)
+		c.report("answer", "call %s is served, but no engine ran it", call.ID)
 	}
 }
 
-// checkCrossed: calls that crossed the close of a connection were not taken. A single call on a resting connection is
-// sent again by its client; for several the controller has to say that nothing was open or unread as it closed.
+// checkCrossed checks that calls sent while the controller closed the connection were not accepted. The client resends
+// a single call on an idle connection. For several calls, the controller's log must say that no call was open and no
+// input unread when it closed the connection.
 func (c *checker) checkCrossed(call *Call) {
 	switch {
-	case c.excused(call):
+	case c.controllerWasKilled(call):
 	case len(c.fetched[call.ID]) > 0:
-		c.report("lost", "call %s (%s) on %s sent %s crossed a close and was sent on", call.ID, call.Type, call.Connection,
+		c.report("lost", "call %s (%s) on %s sent %s crossed a close and was dispatched", call.ID, call.Type, call.Connection,
 			clock(call.SentAt))
-	case call.SentWith > 1 && c.closeOf(call) != closedIdle && !c.shutByFlood(call):
-		c.report("lost", "call %s (%s) on %s (%s) sent %s with %d crossed a close that its controller does not name idle: %s",
-			call.ID, call.Type, call.Connection, call.LocalAddress, clock(call.SentAt), call.SentWith,
-			cmp.Or(c.closeOf(call), "it logs none"))
+	case call.BatchSize > 1 && c.closeReason(call) != closedIdle && !c.closedByFlood(call):
+		c.report("lost",
+			"call %s (%s) on %s (%s) sent %s with %d crossed a close that its controller did not log as idle: %s", call.ID,
+			call.Type, call.Connection, call.LocalAddress, clock(call.SentAt), call.BatchSize,
+			cmp.Or(c.closeReason(call), "no close logged"))
 	}
 }
 
-// closeOf is what the call's controller logs of the close of its connection; empty: nothing.
-func (c *checker) closeOf(call *Call) string { return c.closes[call.Controller][call.LocalAddress] }
+// closeReason returns what the call's controller logged when it closed the call's connection, or an empty string.
+func (c *checker) closeReason(call *Call) string {
+	return c.closeReasons[call.Controller][call.LocalAddress]
+}
 
-// excused reports whether the process that a call was sent to was killed, as a crash does, before it was answered.
-func (c *checker) excused(call *Call) bool {
+// controllerWasKilled reports whether the process that a call was sent to was killed with SIGKILL, to simulate a crash,
+// before it answered the call.
+func (c *checker) controllerWasKilled(call *Call) bool {
 	return slices.ContainsFunc(c.kills[call.Controller], func(at time.Time) bool {
 		return !at.Before(call.ConnectedAt) && at.Before(call.EndedAt.Add(time.Second))
 	})
 }
 
-// shutByFlood reports whether a call was the first on a new connection that idle clients left no room for: it may be
-// shut unread.
-func (c *checker) shutByFlood(call *Call) bool {
+// closedByFlood reports whether a call was the first on a new connection during a flood of idle clients. The controller
+// may close such a connection without reading it, as it has no free descriptors.
+func (c *checker) closedByFlood(call *Call) bool {
 	return call.IsFirst && len(c.fetched[call.ID]) == 0 &&
 		slices.ContainsFunc(c.idleFloods[call.Controller], func(flood Interval) bool {
 			return call.EndedAt.After(flood.From) && call.ConnectedAt.Before(flood.To)
 		})
 }
 
-// dueAt is when a call's answer is due: its timeout, later where its controller was paused or could accept nothing.
+// dueAt returns when a call's answer is due: at its timeout, or later if its controller was paused or could not accept
+// connections.
 func (c *checker) dueAt(call *Call) time.Time {
 	due := call.SentAt.Add(call.Timeout)
 	for _, pause := range slices.Concat(c.pauses[call.Controller], c.acceptOutages[call.Controller]) {
-		if pause.To.After(call.SentAt) && pause.From.Before(due.Add(answerSlack)) && pause.To.Add(resumeAllowed).After(due) {
-			due = pause.To.Add(resumeAllowed)
+		if pause.To.After(call.SentAt) && pause.From.Before(due.Add(answerSlack)) &&
+			pause.To.Add(resumeAllowance).After(due) {
+			due = pause.To.Add(resumeAllowance)
 		}
 	}
 	return due
 }
 
-// checkEffect: what runs once runs once, and is not refused once it has run.
+// checkEffect checks that a run-once call runs at most once, and is not refused after it has run.
 func (c *checker) checkEffect(call *Call) {
 	if call.Type != typeImport {
 		return
@@ -158,26 +165,26 @@
 		c.report("duplicate", "call %s ran %d times", call.ID, ran)
 	}
 	if ran > 0 && call.Outcome == Refused {
-		c.report("duplicate", "call %s is refused and ran", call.ID)
+		c.report("duplicate", "call %s was refused, but ran", call.ID)
 	}
 }
 
-// checkFetch holds one dispatch against the client's leave, its deadline, its placement and the state of its engine.
+// checkFetch checks a dispatch against the client's leave, the deadline, the placement rules and the engine's state.
 func (c *checker) checkFetch(call *Call, fetch Fetch) {
 	if call.Type == typeLocal && !isOfAllowedKind(fetch.Engine) {
 		c.report("placement", "call %s reaches %s", call.ID, fetch.Engine)
 	}
 	if c.wasStalled(fetch.At) {
-		return // it may have come long before it was recorded
+		return // the dispatch may have arrived long before it was recorded
 	}
-	if call.Outcome == Left && fetch.At.Sub(call.EndedAt) > leaveTerm+recordSlack {
+	if call.Outcome == Left && fetch.At.Sub(call.EndedAt) > leaveAllowance+recordSlack {
 		c.report("gone", "call %s reaches %s %v after its client left, %v", call.ID, fetch.Engine,
 			fetch.At.Sub(call.EndedAt), fetch)
 	}
 	left := call.SentAt.Add(call.Timeout).Sub(fetch.At)
-	if fetch.Given > left+deadlineTerm+recordSlack && !c.wasPaused(call) {
+	if fetch.TimeLimit > left+deadlineAllowance+recordSlack && !c.wasPaused(call) {
 		c.report("deadline", "call %s on %s gives %s %v of %v, %v, %d stalls here meanwhile", call.ID, call.Connection,
-			fetch.Engine, fetch.Given, left, fetch, c.stallsBetween(call.SentAt, fetch.At))
+			fetch.Engine, fetch.TimeLimit, left, fetch, c.stallsBetween(call.SentAt, fetch.At))
 	}
 	if since, unavailable := c.unavailableFor(call.Controller, fetch); unavailable && since > drainGrace+recordSlack {
 		c.report("drain", "call %s on %s reaches %s at %s, %v after it was listed as not ready", call.ID, call.Connection,
@@ -185,14 +192,14 @@
 	}
 }
 
-// wasStalled reports whether the recording process got no CPU at a time.
+// wasStalled reports whether the recording process was stalled (got no CPU) at a time.
 func (c *checker) wasStalled(at time.Time) bool {
 	return slices.ContainsFunc(c.stalls, func(stall Interval) bool {
 		return !at.Before(stall.From) && at.Before(stall.To)
 	})
 }
 
-// stallsBetween counts the times between two at which the recording process got no CPU.
+// stallsBetween counts the stalls of the recording process between two times.
 func (c *checker) stallsBetween(from, to time.Time) (count int) {
 	for _, stall := range c.stalls {
 		if stall.To.After(from) && stall.From.Before(to) {
@@ -202,17 +209,18 @@
 	return count
 }
 
-// wasPaused reports whether a call's controller was paused between its sending and its end: it cannot know then how
-// long the call lay unread.
+// wasPaused reports whether a call's controller was paused between the sending and the end of the call. The controller
+// then cannot know how long the call was unread.
 func (c *checker) wasPaused(call *Call) bool {
 	return slices.ContainsFunc(c.pauses[call.Controller], func(pause Interval) bool {
 		return pause.To.After(call.SentAt) && pause.From.Before(call.EndedAt)
 	})
 }
 
-// unavailableFor returns since when a controller was told that an engine takes nothing, if that was the last it was
-// notifiedAt. What its feed held back counts as told notifiedWithin later. That an engine is ready counts as told
-// from when its line began to be written: a controller may send before the write has returned.
+// unavailableFor reports whether, at the time of a dispatch, the last state of the engine that the controller was
+// notified of was one that accepts no jobs, and for how long. A change that the controller's feed held back counts as
+// notified after notificationTimeout. A change to ready counts from the start of the write of its line, since the
+// controller may dispatch before the write returns.
 func (c *checker) unavailableFor(controller int, fetch Fetch) (since time.Duration, unavailable bool) {
 	state := "ready"
 	var changedAt time.Time
@@ -222,7 +230,7 @@
 			notifiedAt = change.BegunAt
 		}
 		if change.Controller != controller {
-			notifiedAt = notifiedAt.Add(notifiedWithin)
+			notifiedAt = notifiedAt.Add(notificationTimeout)
 		}
 		if change.Engine != fetch.Engine || notifiedAt.After(fetch.At) || notifiedAt.Before(changedAt) {
 			continue
@@ -238,7 +246,7 @@
 	return fetch.At.Sub(changedAt), state != "ready"
 }
 
-// isLatest reports whether a controller was never told a change that another was notifiedAt.
+// isLatest reports whether a controller was never notified of a change that another one was notified of.
 func (c *checker) isLatest(change Change, controller int) bool {
 	return !slices.ContainsFunc(c.changes, func(own Change) bool {
 		return own.Controller == controller && own.Engine == change.Engine && own.State == change.State &&
@@ -246,27 +254,27 @@
 	})
 }
 
-// checkOrder: jobs of one key run one after the other, in the order in which their client sent them over a
-// connection. What counts is when a dispatch came to the engine: one that was given up there may still begin later.
+// checkOrder checks that calls of one key run one after the other, in the order in which their client sent them over a
+// connection. Dispatches count from their arrival at the engine, since an abandoned dispatch may still begin later.
 func (c *checker) checkOrder() {
-	previous := map[string]*Call{} // by key: one client has a key
+	previous := map[string]*Call{} // by key; each key belongs to one client
 	for _, call := range c.Records.calls {
 		if call.Key == "" || len(c.fetched[call.ID]) == 0 {
 			continue
 		}
 		if before := previous[call.Key]; before != nil && before.Connection == call.Connection {
-			c.checkPair(before, call)
+			c.checkConsecutive(before, call)
 		}
 		previous[call.Key] = call
 	}
 }
 
-// orderSlack is how much the distance of two dispatches may shrink on their way.
+// orderSlack is by how much the time between two dispatches may shrink in transit.
 const orderSlack = 8 * time.Millisecond
 
-// checkPair holds two calls of a key against each other that follow one another: the earlier one runs for its time,
-// or its key rests after it.
-func (c *checker) checkPair(earlier, later *Call) {
+// checkConsecutive checks two consecutive calls of a key. The later one must be dispatched only after the earlier one
+// has run for its work time or its key has paused.
+func (c *checker) checkConsecutive(earlier, later *Call) {
 	first := slices.MinFunc(c.fetched[later.ID], byTime)
 	for _, fetch := range c.fetched[earlier.ID] {
 		if !c.wasBegun(fetch) || c.wasStalled(fetch.At) || c.wasStalled(first.At) {
--- a/internal/soak/check_rates.go
+++ b/internal/soak/check_rates.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkSlowStart: in any window an engine that warms up gets no more calls than it withstands from all controllers
-// that were told of its start.
+// checkSlowStart checks that an engine that warms up gets no more calls in any window than its limit. The limit is for
+// the sum over all controllers.
 func (c *checker) checkSlowStart() {
 	for engine, starts := range c.starts() {
 		for _, start := range starts {
@@ -16,7 +16,7 @@
 	}
 }
 
-// starts are the times at which engines started as the feed notifiedAt.
+// starts returns the start times of engines as listed by the feed.
 func (c *checker) starts() map[string][]time.Time {
 	starts := map[string][]time.Time{}
 	for _, change := range c.changes {
@@ -38,59 +38,61 @@
 	for i, first := range arrivals {
 		count := 0
 		for _, at := range arrivals[i:] {
-			if at.Sub(first) < fallWindow {
+			if at.Sub(first) < overloadWindow {
 				count++
 			}
 		}
 		if limit := slowStartLimit(first.Sub(start)); float64(count) > limit {
-			c.report("failback", "engine %s gets %d calls in a window %v after its start, it withstands %.0f", engine, count,
+			c.report("failback", "engine %s gets %d calls in a window %v after its start, limit %.0f", engine, count,
 				first.Sub(start), limit)
 			return
 		}
 	}
 }
 
-// meanWork is the mean work of a call, by the parts of types that clients draw.
+// meanWork is the mean work of a call, given the mix of types that clients draw.
 const meanWork = 28 * time.Millisecond
 
-// slowStartLimit is how many calls of mean work an engine withstands in a window, some time after its start.
+// slowStartLimit returns how many calls of mean work an engine may get in a window, given the time since its start. It
+// includes a margin of two to three standard deviations of the count, plus a constant.
 func slowStartLimit(sinceStart time.Duration) float64 {
 	capacity := startCapacity + (1-startCapacity)*sinceStart.Seconds()/warmUpTime.Seconds()
-	n := fallMultiple * capacity * engineCores * fallWindow.Seconds() / meanWork.Seconds()
+	n := overloadMultiple * capacity * engineCores * overloadWindow.Seconds() / meanWork.Seconds()
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// retrySlack is by how much an order may come before its dispatch reaches its engine: the budget counts orders.
+// retrySlack bounds the time from the decision to dispatch until the dispatch reaches its engine. The retry budget
+// counts decisions.
 const retrySlack = time.Second
 
-// checkRetries: a controller's dispatches beyond a call's first keep to their budget. Each of its processes counts
-// from its start. A call counts from when its write began: a controller may have taken it, and dispatched it, before
-// the client's write has returned.
+// checkRetries checks that a controller's retries, the dispatches after a call's first, stay within their budget. Each
+// process of a controller counts from its start. A call counts from the start of its write, since the controller may
+// accept and dispatch it before the client's write returns.
 func (c *checker) checkRetries() {
-	type controllerCalls struct{ admitted, further []time.Time }
-	all := map[int]*controllerCalls{}
+	type controllerTimes struct{ admitted, retries []time.Time }
+	all := map[int]*controllerTimes{}
 	for _, call := range c.Records.calls {
-		of := all[call.Controller]
-		if of == nil {
-			of = &controllerCalls{}
-			all[call.Controller] = of
+		times := all[call.Controller]
+		if times == nil {
+			times = &controllerTimes{}
+			all[call.Controller] = times
 		}
-		of.admitted = append(of.admitted, call.BegunAt)
+		times.admitted = append(times.admitted, call.BegunAt)
 		for _, fetch := range slices.SortedFunc(slices.Values(c.fetched[call.ID]), byTime)[min(1, len(c.fetched[call.ID])):] {
-			of.further = append(of.further, fetch.At)
+			times.retries = append(times.retries, fetch.At)
 		}
 	}
-	for controller, of := range all {
-		slices.SortFunc(of.further, time.Time.Compare)
-		for _, at := range of.further {
+	for controller, times := range all {
+		slices.SortFunc(times.retries, time.Time.Compare)
+		for _, at := range times.retries {
 			sinceStart := at.Sub(c.lastStart(controller, at))
-			further := within(of.further, at, min(sinceStart, retryWindow-retrySlack))
-			admitted := within(of.admitted, at, min(sinceStart, retryWindow+retrySlack))
-			if float64(further) > freeRetries+retryRatio*float64(admitted) {
-				c.report("retries", "controller %d sends %d further dispatches for %d calls at %s", controller, further, admitted,
+			retries := within(times.retries, at, min(sinceStart, retryWindow-retrySlack))
+			admitted := within(times.admitted, at, min(sinceStart, retryWindow+retrySlack))
+			if float64(retries) > freeRetries+retryRatio*float64(admitted) {
+				c.report("retries", "controller %d sends %d retries for %d calls at %s", controller, retries, admitted,
 					clock(at))
 				break
 			}
@@ -98,7 +100,7 @@
 	}
 }
 
-// lastStart is when the process of a controller started that ran at a time.
+// lastStart returns the start time of the controller process that ran at a time.
 func (c *checker) lastStart(controller int, at time.Time) (last time.Time) {
 	for _, start := range c.processStarts[controller] {
 		if start.Before(at) {
@@ -110,7 +112,7 @@
 
 func byTime(a, b Fetch) int { return a.At.Compare(b.At) }
 
-// within counts the times in a window that ends at a time.
+// within counts the times in a window that ends at end.
 func within(times []time.Time, end time.Time, window time.Duration) (count int) {
 	for _, at := range times {
 		if !at.After(end) && end.Sub(at) <= window {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	readTimeout   = 20 * time.Second // over any job timeout and any pause of a controller
-	longTimeout   = 12 * time.Second // longer than a controller is left after SIGTERM
-	longOneIn     = 4                // imports
+	readTimeout   = 20 * time.Second // longer than any job timeout and any pause of a controller
+	longTimeout   = 12 * time.Second // longer than killDelay
+	longOneIn     = 4                // one in this many imports has longTimeout
 	connectDelay  = 20 * time.Millisecond
-	thinkTime     = 60 * time.Millisecond // mean, between two turns of a client
+	thinkTime     = 60 * time.Millisecond // mean time between two actions of a client
 	idleTime      = 700 * time.Millisecond
 	pieceInterval = 40 * time.Millisecond
 	statement     = "SELECT 1 FROM a_1.b"
-	badInputBytes = 64 << 10 // more than a controller reads of what it cannot use
+	badInputBytes = 64 << 10 // more than a controller reads of invalid input
 
-	// crossingTime is how shortly before the end of a resting connection a call may be sent that its client sends
-	// again.
+	// crossingTime is the maximum time between sending a call and the close of its idle connection after which the
+	// client resends the call.
 	crossingTime = 50 * time.Millisecond
 )
 
-// Parts of a turn, of a hundred.
+// Probabilities of the actions of a client, in percent. The rest are single calls.
 const (
-	partPipeline = 20 // several calls at once
-	partPieces   = 10 // a call in pieces
-	partLeave    = 12 // the client leaves early
-	partBadInput = 6  // input that cannot be read, behind calls that are open
-	partIdle     = 4  // the connection rests, and is used again
+	percentPipeline = 20 // several calls at once
+	percentPieces   = 10 // a call written in pieces
+	percentLeave    = 12 // the client leaves before the answers
+	percentBadInput = 6  // invalid input after open calls
+	percentIdle     = 4  // the connection is idle for a time, then used again
 )
 
-// loadClient is one client: it connects again and again, and takes turns on each connection. It belongs to one
-// goroutine.
+// loadClient is one client. It repeatedly connects and performs actions on each connection. It is used by one goroutine
+// only.
 type loadClient struct {
 	name       string
 	controller *Controller
@@ -49,24 +49,24 @@
 	isStopped  func() bool
 	lastCall   *atomic.Uint64
 
-	conn     *fake.Client
-	connName string
-	since    time.Time // of the connection
-	conns    int
-	lastID   uint32
-	open     map[uint32]*Call
-	hasSent  bool // on this connection
+	conn        *fake.Client
+	connName    string
+	connectedAt time.Time
+	conns       int
+	lastID      uint32
+	open        map[uint32]*Call
+	hasSent     bool // whether a call was sent on this connection
 }
 
-// run goes on until stopped.
+// run runs the client until it is stopped.
 func (c *loadClient) run() {
 	for !c.isStopped() {
 		if !c.controller.acceptsConnections() || !c.connect() {
 			time.Sleep(connectDelay)
 			continue
 		}
-		c.use()
-		_ = c.conn.Conn.Close() // it may have ended
+		c.useConnection()
+		_ = c.conn.Conn.Close() // the connection may have been closed
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	c.conns++
 	c.conn = conn
-	c.since = time.Now()
+	c.connectedAt = time.Now()
 	c.connName = fmt.Sprintf("%s-%d", c.name, c.conns)
 	c.lastID = 0
 	c.open = map[uint32]*Call{}
@@ -85,36 +85,36 @@
 	return true
 }
 
-// use takes turns on the connection until it ends, or the controller is about to.
-func (c *loadClient) use() {
+// useConnection performs actions on the connection until it closes or the controller is shutting down.
+func (c *loadClient) useConnection() {
 	for !c.isStopped() && c.controller.acceptsRequests() {
-		if !c.turn(c.random.IntN(100)) {
+		if !c.act(c.random.IntN(100)) {
 			return
 		}
 		time.Sleep(time.Duration(c.random.ExpFloat64() * float64(thinkTime)))
 	}
 }
 
-// turn takes one turn, and reports whether the connection goes on.
-func (c *loadClient) turn(draw int) bool {
-	for _, kind := range []struct {
-		part int
-		take func() bool
+// act performs one action, drawn from 0 to 99, and reports whether the connection is still usable.
+func (c *loadClient) act(draw int) bool {
+	for _, action := range []struct {
+		percent int
+		run     func() bool
 	}{
-		{partPipeline, func() bool { return c.send(2+c.random.IntN(6)) && c.readAll() }},
-		{partPieces, func() bool { return c.sendPieces(c.nextCall()) && c.readAll() }},
-		{partLeave, c.leave},
-		{partBadInput, c.badInput},
-		{partIdle, func() bool { time.Sleep(idleTime); return c.send(1) && c.readAll() }},
+		{percentPipeline, func() bool { return c.send(2+c.random.IntN(6)) && c.readAll() }},
+		{percentPieces, func() bool { return c.sendPieces(c.nextCall()) && c.readAll() }},
+		{percentLeave, c.leave},
+		{percentBadInput, c.sendBadInput},
+		{percentIdle, func() bool { time.Sleep(idleTime); return c.send(1) && c.readAll() }},
 	} {
-		if draw -= kind.part; draw < 0 {
-			return kind.take()
+		if draw -= action.percent; draw < 0 {
+			return action.run()
 		}
 	}
 	return c.send(1) && c.readAll()
 }
 
-// request is a call with its bytes.
+// request is a call with its encoded message.
 type request struct {
 	call  *Call
 	id    uint32
@@ -124,7 +124,7 @@
 func (c *loadClient) nextCall() request {
 	c.lastID++
 	call := &Call{ID: fmt.Sprintf("%016x", c.lastCall.Add(1)), Controller: c.controller.index, Connection: c.connName,
-		ConnectedAt: c.since}
+		ConnectedAt: c.connectedAt}
 	switch draw := c.random.IntN(10); {
 	case draw < 3:
 		call.Type = typeImport
@@ -148,7 +148,7 @@
 	return request{call, c.lastID, client.AppendCall(nil, c.lastID, call.Type, fields, []byte(statement))}
 }
 
-// send sends calls at once.
+// send sends calls in one write. It reports whether the connection is still usable.
 func (c *loadClient) send(count int) bool {
 	var requests []request
 	var text []byte
@@ -162,20 +162,20 @@
 	}
 	begunAt := time.Now()
 	if _, err := c.conn.Conn.Write(text); err != nil {
-		return false // whether it went out whole is not known: the client sends it again
+		return false // it is unknown whether all was sent, so the client resends the calls
 	}
 	c.recordCalls(begunAt, requests...)
 	return true
 }
 
-// recordCalls records calls whose last byte was just written.
+// recordCalls records calls that have just been written. begunAt is when the write of their last bytes began.
 func (c *loadClient) recordCalls(begunAt time.Time, requests ...request) {
 	now := time.Now()
 	for _, r := range requests {
 		r.call.BegunAt = begunAt
 		r.call.SentAt = now
 		r.call.IsFirst = !c.hasSent
-		r.call.SentWith = len(requests)
+		r.call.BatchSize = len(requests)
 		r.call.LocalAddress = c.conn.Conn.LocalAddr().String()
 		c.open[r.id] = r.call
 		c.records.addCall(r.call)
@@ -183,15 +183,15 @@
 	c.hasSent = true
 }
 
-// sendPieces sends a call in three pieces.
+// sendPieces sends a call in three writes. It reports whether the connection is still usable.
 func (c *loadClient) sendPieces(r request) bool {
-	var begunAt time.Time // of the last piece: before it the call is not whole
+	var begunAt time.Time // of the last piece, before which the call is incomplete
 	for i := range 3 {
 		if i > 0 {
 			time.Sleep(time.Duration(c.random.Int64N(int64(pieceInterval))))
 		}
 		if c.conn.IsClosed() {
-			return false // it was not whole
+			return false // the call is incomplete
 		}
 		begunAt = time.Now()
 		if _, err := c.conn.Conn.Write(r.bytes[i*len(r.bytes)/3 : (i+1)*len(r.bytes)/3]); err != nil {
@@ -202,7 +202,7 @@
 	return true
 }
 
-// leave sends calls and leaves before they are answered, or revokes them.
+// leave sends calls and then disconnects or revokes them, without waiting for answers.
 func (c *loadClient) leave() bool {
 	if !c.send(1 + c.random.IntN(3)) {
 		return false
@@ -211,7 +211,7 @@
 	switch c.random.IntN(3) {
 	case 0:
 		c.endOpen(Left)
-		_ = c.conn.Conn.Close() // it may have ended
+		_ = c.conn.Conn.Close() // the connection may have been closed
 	case 1:
 		c.endOpen(Left)
 		reset(c.conn.Conn)
@@ -227,19 +227,19 @@
 		text = client.AppendRevoke(text, id)
 	}
 	if _, err := c.conn.Conn.Write(text); err != nil {
-		c.endOpen(Left) // it has gone in any case
+		c.endOpen(Left) // the client has left in any case
 		return false
 	}
 	c.endOpen(Left)
 	return true
 }
 
-// unusableMessage is MessagePack, and no message of the protocol.
+// unusableMessage is valid MessagePack, but not a message of the protocol.
 var unusableMessage = []byte{0x91, 0x01}
 
-// badInput sends calls, and behind them what cannot be read. The calls are owed their answers, unless they are
-// revoked behind it.
-func (c *loadClient) badInput() bool {
+// sendBadInput sends calls, followed by invalid input. The calls must still be answered, unless they are revoked after
+// the invalid input.
+func (c *loadClient) sendBadInput() bool {
 	if !c.send(2) {
 		return false
 	}
@@ -251,29 +251,29 @@
 	case 1:
 		_, _ = c.conn.Conn.Write(unusableMessage) // an error shows at the next write
 		c.revokeAll()
-		time.Sleep(idleTime) // until then it has not left
+		time.Sleep(idleTime) // the client stays connected meanwhile
 		return false
 	}
 	if _, err := c.conn.Conn.Write(bad); err != nil {
-		c.noteBroken()
+		c.recordBroken()
 		return false
 	}
 	c.readAll()
 	return false
 }
 
-// readAll reads until no call is open, and reports whether the connection goes on.
+// readAll reads until no call is open, and reports whether the connection is still usable.
 func (c *loadClient) readAll() bool {
 	for len(c.open) > 0 {
 		answer, err := c.conn.Read(readTimeout)
 		switch {
 		case err == nil:
-			c.noteAnswer(answer)
+			c.recordAnswer(answer)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			c.endOpen(Unanswered)
 			return false
 		case isBroken(err):
-			c.noteBroken()
+			c.recordBroken()
 			return false
 		default:
 			c.endOpen(Unreadable)
@@ -288,9 +288,8 @@
 	return errors.Is(err, io.EOF) || errors.As(err, &networkError)
 }
 
-// noteAnswer records an answer. One to a call that the client has left, or to a message that could not be read, is
-// none that it waits for.
-func (c *loadClient) noteAnswer(answer client.Answer) {
+// recordAnswer records an answer. It ignores answers to calls that the client has left, and to invalid messages.
+func (c *loadClient) recordAnswer(answer client.Answer) {
 	call := c.open[answer.ID]
 	if call == nil {
 		return
@@ -311,11 +310,12 @@
 	}
 }
 
-// noteBroken records the end of the connection. Calls written at once on a resting connection just before are sent
-// again; the check holds them against what the controller says of the connection.
-func (c *loadClient) noteBroken() {
+// recordBroken records that the connection broke. If all open calls were written at once just before, on an idle
+// connection, their outcome is Crossed and the client resends them. The check compares them with the reason for the
+// close that the controller logged.
+func (c *loadClient) recordBroken() {
 	for _, call := range c.open {
-		if time.Since(call.SentAt) > crossingTime || call.SentWith < len(c.open) {
+		if time.Since(call.SentAt) > crossingTime || call.BatchSize < len(c.open) {
 			c.endOpen(Broken)
 			return
 		}
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,9 +1,9 @@
-// Package soak runs a fleet of real controller processes against real engine processes on loopback, has several
-// faults overlap, and judges what happened by the invariants of the protocol.
+// Package soak runs a fleet of real controller processes against real engine processes on loopback, injects overlapping
+// faults, and checks the invariants of the protocol.
 //
-// A run is drawn from a seed: which faults, when, for how long. Controllers and engines are processes, so that they
-// can be stopped, killed and signalled; the way to each engine goes through a Proxy that can delay, cut and reset and
-// that records each dispatch as it arrives; each controller has a feed of its own, so that it is known what it was
-// told when. Clients record what they sent, when they left and what they got. The judge reads these records and the
-// controllers' logs, and nothing else.
+// The faults of a run, their times and their lengths are drawn from a seed. Controllers and engines are processes, so
+// that they can be paused, killed and signalled. Connections to an engine pass through a Proxy that can delay, hold
+// back and reset them, and that records each dispatch as it arrives. Each controller has its own feed, so that it is
+// known when it was notified of what. Clients record what they sent, when they left and which answers they got. The
+// check uses only these records and the controllers' logs.
 package soak
--- a/internal/soak/engine_process.go
+++ b/internal/soak/engine_process.go
@@ -18,18 +18,18 @@
 	"swiftreel/internal/fake"
 )
 
-// engineCapacity is how many dispatches an engine runs at once; it refuses more.
+// engineCapacity is the maximum number of concurrent dispatches of an engine. It refuses others as full.
 const engineCapacity = 3 * engineCores
 
-// Faults of engines, each one in so many dispatches.
+// Faults of engines. Each affects one in this many dispatches.
 const (
-	failsOneIn  = 40
-	resetsOneIn = 120
-	cutsOneIn   = 120 // half an answer, and the end
-	twiceOneIn  = 60  // the answer comes twice
+	failsOneIn      = 40
+	resetsOneIn     = 120
+	truncatesOneIn  = 120 // half an answer, then a reset
+	duplicatesOneIn = 60  // the answer is sent twice
 )
 
-// engineProcess is an engine's process as EngineMain runs it.
+// engineProcess is the engine that runs in a process started with EngineMain.
 type engineProcess struct {
 	name        string
 	incarnation int
@@ -37,20 +37,19 @@
 
 	mu      sync.Mutex
 	out     *json.Encoder
-	running map[runningKey]*time.Timer
+	running map[dispatchKey]*time.Timer
 }
 
-// runningKey names a dispatch by the connection that it came by.
-type runningKey struct {
+// dispatchKey identifies a dispatch by its connection and job ID.
+type dispatchKey struct {
 	session *fake.Session
 	id      string
 }
 
-// EngineMain runs an engine until its process is ended. It prints its address, and then each execution as a line of
-// JSON.
+// EngineMain runs an engine until its process is killed. It prints its address, and then each execution as a JSON line.
 func EngineMain(name string, incarnation int, seed uint64, out io.Writer) error {
 	e := &engineProcess{name: name, incarnation: incarnation, random: rand.New(rand.NewPCG(seed, uint64(incarnation))),
-		out: json.NewEncoder(out), running: map[runningKey]*time.Timer{}}
+		out: json.NewEncoder(out), running: map[dispatchKey]*time.Timer{}}
 	listener, err := fake.StartEngine("127.0.0.1:0", e.handle)
 	if err != nil {
 		return err
@@ -64,7 +63,7 @@
 func (e *engineProcess) handle(session *fake.Session, command engine.Command) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	key := runningKey{session, command.ID}
+	key := dispatchKey{session, command.ID}
 	switch command.Name {
 	case "stats", "alive":
 		session.Answer(command.ID, "well", fmt.Sprintf("load=concurrent:%d", len(e.running)), "")
@@ -82,20 +81,20 @@
 	}
 }
 
-// begin refuses a dispatch, or lets it run for the time of its type. The lock is held.
-func (e *engineProcess) begin(key runningKey, command engine.Command) {
+// begin refuses a dispatch, or runs it for the work time of its type. e.mu must be held.
+func (e *engineProcess) begin(key dispatchKey, command engine.Command) {
 	refused := len(e.running) >= engineCapacity
 	began := Execution{ID: key.id, Engine: e.name, Incarnation: e.incarnation, Refused: refused, BeganAt: time.Now()}
-	_ = e.out.Encode(began) // its reader ends with the run
+	_ = e.out.Encode(began) // the reader may have exited at the end of the run
 	if refused {
 		key.session.Answer(key.id, "full", "", "")
 		return
 	}
-	e.running[key] = time.AfterFunc(workTime[fieldOf(command.Fields, "c")], func() { e.finish(key) })
+	e.running[key] = time.AfterFunc(workTime[fieldValue(command.Fields, "c")], func() { e.finish(key) })
 }
 
-// finish answers a dispatch in one way or another, unless it was aborted meanwhile.
-func (e *engineProcess) finish(key runningKey) {
+// finish answers a dispatch, possibly with a fault, unless it has been aborted.
+func (e *engineProcess) finish(key dispatchKey) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.running[key] == nil {
@@ -108,18 +107,18 @@
 		key.session.Answer(key.id, "failed", "", "")
 	case e.random.IntN(resetsOneIn) == 0:
 		key.session.Reset()
-	case e.random.IntN(cutsOneIn) == 0:
+	case e.random.IntN(truncatesOneIn) == 0:
 		key.session.Write(answer[:len(answer)/2])
 		key.session.Reset()
-	case e.random.IntN(twiceOneIn) == 0:
+	case e.random.IntN(duplicatesOneIn) == 0:
 		key.session.Write(append(answer, answer...))
 	default:
 		key.session.Write(answer)
 	}
 }
 
-// fieldOf returns the value of a field of a fetch.
-func fieldOf(fields, name string) string {
+// fieldValue returns the value of a field of a fetch command, or an empty string.
+func fieldValue(fields, name string) string {
 	for field := range strings.SplitSeq(fields, ",") {
 		if value, found := strings.CutPrefix(field, name+"="); found {
 			return value
@@ -128,32 +127,32 @@
 	return ""
 }
 
-// Engine is an engine of a run: its process, which may be replaced, and the way to it. It is safe for concurrent use
-// by one goroutine that replaces the process and others that pause it.
+// Engine is an engine of a run, with its proxy. Its process may be replaced. It is safe for concurrent use by one
+// goroutine that replaces the process and others that pause it.
 type Engine struct {
 	name    string
 	kind    string
 	proxy   *Proxy
 	records *Records
-	program []string // that runs EngineMain, without the figures of a incarnation
+	program []string // command line that runs EngineMain, without the arguments of an incarnation
 	seed    uint64
 
 	faults      aspects
 	incarnation int
-	reading     sync.WaitGroup // of the process's executions
+	reading     sync.WaitGroup // goroutine that reads the process's executions
 
 	mu      sync.Mutex
-	process *exec.Cmd // nil: none runs
+	process *exec.Cmd // nil if none is running
 	paused  bool
 }
 
-// start starts a process of the engine; the one before must have ended.
+// start starts a process of the engine. The previous one must have exited.
 func (e *Engine) start() error {
 	e.incarnation++
 	args := append(e.program[1:len(e.program):len(e.program)], e.name, fmt.Sprint(e.incarnation), fmt.Sprint(e.seed))
 	process := exec.CommandContext(context.Background(), e.program[0], args...)
 	process.Stderr = os.Stderr
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a soak that is killed leaves none behind
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // if the soak is killed, its engines are too
 	out, err := process.StdoutPipe()
 	if err != nil {
 		return err
@@ -179,13 +178,13 @@
 	for {
 		var execution Execution
 		if decoder.Decode(&execution) != nil {
-			return // it was killed
+			return // the process was killed
 		}
 		e.records.addExecution(execution)
 	}
 }
 
-// kill ends the process as a crash does. Its address refuses connections.
+// kill kills the process, to simulate a crash. The proxy resets new connections until the next start.
 func (e *Engine) kill() {
 	e.mu.Lock()
 	process := e.process
@@ -196,12 +195,12 @@
 		return
 	}
 	e.proxy.setTarget("", e.incarnation)
-	_ = process.Process.Kill() // it may have ended
+	_ = process.Process.Kill() // the process may have exited
 	e.reading.Wait()
-	_ = process.Wait() // killed
+	_ = process.Wait() // the exit error says that it was killed
 }
 
-// pause stops the process, or lets it go on: it hangs meanwhile.
+// pause suspends the process, so that it hangs, or resumes it.
 func (e *Engine) pause(stopped bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -213,5 +212,5 @@
 	if stopped {
 		signal = syscall.SIGSTOP
 	}
-	_ = e.process.Process.Signal(signal) // it may have ended
+	_ = e.process.Process.Signal(signal) // the process may have exited
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// Fault is one that begins at a time of a run, at one engine, controller or the feed.
+// Fault is a fault that is injected at a time of a run into an engine, or into a controller, its clients or its feed.
 type Fault struct {
 	Kind   string
 	At     time.Duration
 	Length time.Duration
 	Target int
-	Pair   string // of the two kinds that were placed together; empty: it was drawn alone
+	Pair   string // name of the pair of kinds it was drawn with; empty: it was drawn alone
 
-	Placement int // the same for both faults of a pair
+	Placement int // number of the pair in the run, the same for both faults
 }
 
 // String returns the fault as one line.
-func (t Fault) String() string {
-	return fmt.Sprintf("%6.2fs %-16s target=%d for %v %s", t.At.Seconds(), t.Kind, t.Target, t.Length, t.Pair)
+func (f Fault) String() string {
+	return fmt.Sprintf("%6.2fs %-16s target=%d for %v %s", f.At.Seconds(), f.Kind, f.Target, f.Length, f.Pair)
 }
 
-// The kinds of fault.
+// The kinds of faults.
 const (
-	faultTerm       = "controller_term"           // SIGTERM and a new process
-	faultTermStart  = "controller_term_at_start"  // SIGTERM, a new process, SIGTERM before it is ready, another one
-	faultTermPause  = "controller_term_and_pause" // SIGSTOP amid a shutdown
-	faultKill       = "controller_kill"           // SIGKILL and a new process
+	faultTerm       = "controller_term"           // SIGTERM, then a new process
+	faultTermStart  = "controller_term_at_start"  // SIGTERM, a new process, SIGTERM before it is ready, a third process
+	faultTermPause  = "controller_term_and_pause" // SIGSTOP during a shutdown
+	faultKill       = "controller_kill"           // SIGKILL, then a new process
 	faultPause      = "controller_pause"          // SIGSTOP, SIGCONT
-	faultMove       = "feed_moves"                // SIGHUP, several in a row
+	faultMove       = "feed_moves"                // a configuration with another feed server, and several SIGHUPs
 	faultFeedDown   = "feed_down"
 	faultFeedSilent = "feed_silent"
 	faultFeedSlow   = "feed_in_pieces"
-	faultDrain      = "engine_drains" // and is removed later
+	faultDrain      = "engine_drains" // the engine drains and is replaced later
 	faultRestart    = "engine_restarts"
-	faultVanish     = "engine_vanishes" // nothing passes
+	faultVanish     = "engine_vanishes" // nothing is forwarded to or from the engine
 	faultHang       = "engine_hangs"    // SIGSTOP, SIGCONT
 	faultLongHang   = "engine_hangs_long"
 	faultReset      = "engine_resets"
 	faultSlow       = "engine_slow_answers"
 	faultBadClient  = "bad_clients"
-	faultIdleFlood  = "idle_client_flood" // idle clients that fill the descriptors
+	faultIdleFlood  = "idle_client_flood" // idle clients that use up the descriptors
 
-	// For builds with the tag fault, which Config.InjectErrors says.
-	faultDialFails   = "dials_fail"   // with an error of the machine's own
-	faultAcceptFails = "accepts_fail" // likewise
+	// Only for builds with the tag fault, if Config.InjectErrors is set.
+	faultDialFails   = "dials_fail"   // dial calls fail with a local error
+	faultAcceptFails = "accepts_fail" // accept calls fail with a local error
 	faultClockStep   = "clock_steps"
 )
 
@@ -61,25 +61,25 @@
 )
 
 const (
-	faultEvery     = 600 * time.Millisecond // mean, from one to the next
-	overlap        = 3                      // begin close to one another
-	longHangFactor = 3                      // through the whole of a shutdown
-	settleTime     = 2 * time.Second        // before the first, and after the last begins
-	pairWithin     = time.Second            // the second of a placed pair begins so long into the first, at most
-	minLength      = 300 * time.Millisecond // of a fault
-	maxLength      = 2500 * time.Millisecond
+	meanFaultInterval = 600 * time.Millisecond // mean time between faults
+	faultsPerGroup    = 3                      // faults that begin close together: a pair and single ones
+	longHangFactor    = 3                      // lengthens a hang, so that it lasts for a whole shutdown
+	settleTime        = 2 * time.Second        // before the first fault, and after the start of the last
+	maxPairDelay      = time.Second            // maximum time between the starts of the two faults of a pair
+	minFaultLength    = 300 * time.Millisecond
+	maxFaultLength    = 2500 * time.Millisecond
 )
 
-// faultPair is two kinds of fault that are placed together.
+// faultPair is a pair of kinds of faults that are injected together.
 type faultPair struct{ first, second string }
 
-// name is the same for both orders of the kinds.
+// name returns the name of the pair, which is the same for both orders of the kinds.
 func (p faultPair) name() string {
 	return min(p.first, p.second) + "+" + max(p.first, p.second)
 }
 
-// faultPairs are all two kinds of fault, in both orders. injects says that those are among them that need a build
-// with the tag fault.
+// faultPairs returns all pairs of kinds of faults, in both orders. If injects is true, they include the kinds that need
+// a build with the tag fault.
 func faultPairs(injects bool) (pairs []faultPair) {
 	kinds := slices.Concat(controllerFaults, clientFaults, engineFaults)
 	if injects {
@@ -95,42 +95,43 @@
 	return pairs
 }
 
-// faultDraw draws the faults of a run.
-type faultDraw struct {
+// faultGenerator draws the faults of a run at random.
+type faultGenerator struct {
 	random               *rand.Rand
 	controllers, engines int
 	injects              bool
 	pairs                []faultPair
-	placements           int // so far
+	placements           int // pairs drawn so far
 }
 
-// DrawFaults draws the faults of a run from a seed: groups of some that begin within a moment, so that two or three
-// overlap. Each group has a placed pair: two kinds at one controller, at one engine or at one of each, the second
-// within a second of the first. injects says that those are drawn too that need a build with the tag fault.
+// DrawFaults draws the faults of a run from a seed. Faults come in groups that begin close together, so that two or
+// three overlap. Each group has a pair: two kinds at the same controller, at the same engine or at one of each, the
+// second at most maxPairDelay after the first. If injects is true, the kinds that need a build with the tag fault are
+// drawn too.
 func DrawFaults(seed uint64, length time.Duration, controllers, engines int, injects bool) []Fault {
-	d := faultDraw{random: rand.New(rand.NewPCG(seed, 0x50a4)), controllers: controllers, engines: engines,
+	d := faultGenerator{random: rand.New(rand.NewPCG(seed, 0x50a4)), controllers: controllers, engines: engines,
 		injects: injects, pairs: faultPairs(injects)}
 	var faults []Fault
 	for at := settleTime; at < length-settleTime; {
 		faults = append(faults, d.placedPair(at)...)
-		for range overlap - 2 {
+		for range faultsPerGroup - 2 {
 			at += time.Duration(d.random.Int64N(int64(200 * time.Millisecond)))
 			faults = append(faults, d.single(at))
 		}
-		at += time.Duration(d.random.ExpFloat64() * float64(overlap*faultEvery))
+		at += time.Duration(d.random.ExpFloat64() * float64(faultsPerGroup*meanFaultInterval))
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return faults
 }
 
-// placedPair draws two faults whose targets are the same where they are of one sort.
-func (d *faultDraw) placedPair(at time.Duration) []Fault {
+// placedPair draws a pair of faults. They have the same target if both affect controllers or both affect engines.
+func (d *faultGenerator) placedPair(at time.Duration) []Fault {
 	pair := d.pairs[d.random.IntN(len(d.pairs))]
 	controller, engine := d.random.IntN(d.controllers), d.random.IntN(d.engines)
 	d.placements++
 	faults := []Fault{
 		d.fault(pair.first, at, controller, engine),
-		d.fault(pair.second, at+time.Duration(d.random.Int64N(int64(pairWithin))), controller, engine),
+		d.fault(pair.second, at+time.Duration(d.random.Int64N(int64(maxPairDelay))), controller, engine),
 	}
 	for i := range faults {
 		faults[i].Pair = pair.name()
@@ -139,8 +140,8 @@
 	return faults
 }
 
-// single draws one fault.
-func (d *faultDraw) single(at time.Duration) Fault {
+// single draws a single fault.
+func (d *faultGenerator) single(at time.Duration) Fault {
 	var kinds []string
 	switch draw := d.random.IntN(20); {
 	case d.injects && draw < 6:
@@ -156,9 +157,9 @@
 	return d.fault(kind, at, d.random.IntN(d.controllers), d.random.IntN(d.engines))
 }
 
-// fault makes a fault of a kind, with a drawn length.
-func (d *faultDraw) fault(kind string, at time.Duration, controller, engine int) Fault {
-	length := minLength + time.Duration(d.random.Int64N(int64(maxLength-minLength)))
+// fault returns a fault of a kind with a randomly drawn length.
+func (d *faultGenerator) fault(kind string, at time.Duration, controller, engine int) Fault {
+	length := minFaultLength + time.Duration(d.random.Int64N(int64(maxFaultLength-minFaultLength)))
 	if kind == faultLongHang {
 		length *= longHangFactor
 	}
--- a/internal/soak/feed.go
+++ b/internal/soak/feed.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// feedHeartbeat is from one line with the number of the last event to the next.
+// feedHeartbeat is the time between heartbeat lines, which carry the number of the last event.
 const feedHeartbeat = time.Second
 
-// entry is an engine as the feed lists it.
+// entry is an engine's entry in the endpoint list.
 type entry struct {
 	name    string
 	address string
@@ -30,50 +30,50 @@
 		e.name, e.address, e.kind, e.state, bornMS)
 }
 
-// event is a change of the list, with the entries that it has.
+// event is an event of the feed, with its entries.
 type event struct {
 	line    string
 	entries []entry
 }
 
-// Feed is the control feed as each controller reaches it: at an address of its own, so that it is known what it was
-// told when, and so that it can fail for one. It is safe for concurrent use.
+// Feed is the feed of all controllers. Each controller has its own servers, so that it is known when it was notified of
+// what, and so that the feed can fail for one controller only. It is safe for concurrent use.
 type Feed struct {
 	records *Records
 
-	mu        sync.Mutex
-	events    []event // the first has number 1
-	entrances []*entrance
+	mu          sync.Mutex
+	events      []event // the first event has number 1
+	feedServers []*feedServer
 }
 
-// entrance is where one controller reaches the feed.
-type entrance struct {
+// feedServer serves the feed to one controller.
+type feedServer struct {
 	feed       *Feed
 	controller int
 	listener   net.Listener
 
-	isDown   bool // connections are closed at once
-	isSilent bool // connections stand, nothing is sent
-	piece    int  // bytes sent at once; 0: a whole line
-	conns    map[net.Conn]int
+	isDown   bool             // connections are closed at once
+	isSilent bool             // connections stay open, but nothing is sent
+	piece    int              // number of bytes per write; 0: a whole line
+	conns    map[net.Conn]int // number of the last event sent to each connection
 }
 
-// open listens for a controller.
-func (f *Feed) open(controller int, address string) (*entrance, error) {
+// open starts a server for a controller.
+func (f *Feed) open(controller int, address string) (*feedServer, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	e := &entrance{feed: f, controller: controller, listener: listener, conns: map[net.Conn]int{}}
+	e := &feedServer{feed: f, controller: controller, listener: listener, conns: map[net.Conn]int{}}
 	f.mu.Lock()
-	f.entrances = append(f.entrances, e)
+	f.feedServers = append(f.feedServers, e)
 	f.mu.Unlock()
 	go e.accept()
 	go e.heartbeat()
 	return e, nil
 }
 
-// add adds an event, and sends it to all that are connected.
+// add adds an event and sends it to all connections.
 func (f *Feed) add(complete bool, entries ...entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -84,12 +84,13 @@
 	number := len(f.events) + 1
 	f.events = append(f.events, event{entries: entries, line: fmt.Sprintf(
 		`{"n":%d,"members":{"seq":%d,"whole":%v,"hosts":[%s]}}`, number, number, complete, strings.Join(texts, ","))})
-	for _, e := range f.entrances {
+	for _, e := range f.feedServers {
 		e.sendAll()
 	}
 }
 
-// known returns all events so far as a configuration has them, and records that a controller was told them.
+// known returns the lines of all events so far, for a controller's configuration, and records that the controller was
+// notified of them.
 func (f *Feed) known(controller int) (lines []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,7 +101,8 @@
 	return lines
 }
 
-// recordNotified records that a controller was told an event, by its index, since its writing began. The lock is held.
+// recordNotified records that a controller was notified of the event at index, by a write that began at begunAt. f.mu
+// must be held.
 func (f *Feed) recordNotified(controller, index int, begunAt time.Time) {
 	for _, e := range f.events[index].entries {
 		f.records.addChange(Change{Engine: e.name, Controller: controller, State: e.state, Start: e.start,
@@ -108,8 +110,8 @@
 	}
 }
 
-// fail sets how the feed fails for a controller; the zero values: it does not.
-func (e *entrance) fail(isDown, isSilent bool, piece int) {
+// fail sets how the feed fails for the controller. With zero values it does not fail.
+func (e *feedServer) fail(isDown, isSilent bool, piece int) {
 	e.feed.mu.Lock()
 	defer e.feed.mu.Unlock()
 	e.isDown = isDown
@@ -117,13 +119,13 @@
 	e.piece = piece
 	if isDown {
 		for conn := range e.conns {
-			_ = conn.Close() // its peer may have closed it
+			_ = conn.Close() // the peer may have closed it
 		}
 	}
 	e.sendAll()
 }
 
-func (e *entrance) accept() {
+func (e *feedServer) accept() {
 	for {
 		conn, err := e.listener.Accept()
 		if err != nil {
@@ -133,7 +135,7 @@
 	}
 }
 
-func (e *entrance) serve(conn net.Conn) {
+func (e *feedServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	line, err := reader.ReadString('\n')
@@ -152,21 +154,21 @@
 	e.conns[conn] = last
 	e.send(conn)
 	e.feed.mu.Unlock()
-	_, _ = reader.ReadByte() // nothing more comes: it returns with the connection's end
+	_, _ = reader.ReadByte() // the controller sends nothing more, so this blocks until the connection closes
 	e.feed.mu.Lock()
 	defer e.feed.mu.Unlock()
 	delete(e.conns, conn)
 }
 
-// sendAll sends what is new to all connections. The feed's lock is held.
-func (e *entrance) sendAll() {
+// sendAll sends new events to all connections. The feed's mu must be held.
+func (e *feedServer) sendAll() {
 	for conn := range e.conns {
 		e.send(conn)
 	}
 }
 
-// send sends the events that a connection lacks. The feed's lock is held.
-func (e *entrance) send(conn net.Conn) {
+// send sends the events not yet sent to a connection. The feed's mu must be held.
+func (e *feedServer) send(conn net.Conn) {
 	for !e.isSilent && !e.isDown && e.conns[conn] < len(e.feed.events) {
 		index := e.conns[conn]
 		e.conns[conn]++
@@ -176,17 +178,17 @@
 	}
 }
 
-// write writes a line, in pieces where it is so set. The feed's lock is held.
-func (e *entrance) write(conn net.Conn, line string) {
+// write writes a line, in pieces if piece is set. The feed's mu must be held.
+func (e *feedServer) write(conn net.Conn, line string) {
 	text := line + "\n"
 	for e.piece > 0 && len(text) > e.piece {
-		_, _ = conn.Write([]byte(text[:e.piece])) // one that has broken is closed by its own goroutine
+		_, _ = conn.Write([]byte(text[:e.piece])) // the goroutine serving the connection closes it on errors
 		text = text[e.piece:]
 	}
 	_, _ = conn.Write([]byte(text)) // likewise
 }
 
-func (e *entrance) heartbeat() {
+func (e *feedServer) heartbeat() {
 	for range time.Tick(feedHeartbeat) {
 		e.feed.mu.Lock()
 		for conn := range e.conns {
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -10,71 +10,71 @@
 	"swiftreel/internal/fake"
 )
 
-// play has each fault begin at its time, and waits until all are over.
-func (r *run) play(faults []Fault) {
+// injectFaults injects each fault at its time, and waits until all have ended.
+func (r *run) injectFaults(faults []Fault) {
 	started := time.Now()
-	played := &playedPairs{records: r.records, begun: map[int]bool{}}
+	pairs := &injectedPairs{records: r.records, injected: map[int]bool{}}
 	var running sync.WaitGroup
-	for _, t := range faults {
-		time.Sleep(time.Until(started.Add(t.At)))
-		running.Go(func() { r.fault(t, played) })
+	for _, f := range faults {
+		time.Sleep(time.Until(started.Add(f.At)))
+		running.Go(func() { r.injectFault(f, pairs) })
 	}
 	time.Sleep(time.Until(started.Add(r.config.Length)))
 	running.Wait()
 }
 
-// playedPairs counts the placed pairs both of whose faults are played. It is safe for concurrent use.
-type playedPairs struct {
+// injectedPairs counts the pairs of which both faults were injected. It is safe for concurrent use.
+type injectedPairs struct {
 	records *Records
 
-	mu    sync.Mutex
-	begun map[int]bool // placements of which one fault is played
+	mu       sync.Mutex
+	injected map[int]bool // placements of which a fault was injected
 }
 
-func (p *playedPairs) note(t Fault) {
-	if t.Pair == "" {
+func (p *injectedPairs) record(f Fault) {
+	if f.Pair == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.begun[t.Placement] {
-		p.records.addPair(t.Pair)
+	if p.injected[f.Placement] {
+		p.records.addPair(f.Pair)
 	}
-	p.begun[t.Placement] = true
+	p.injected[f.Placement] = true
 }
 
-// fault plays a fault, unless another has hold of what it is about.
-func (r *run) fault(t Fault, played *playedPairs) {
-	_, isEngineFault := engineFaultPlays[t.Kind]
-	active := &r.controllers[t.Target%len(r.controllers)].faults
+// injectFault injects a fault, unless another fault of the same aspect is active at its target.
+func (r *run) injectFault(f Fault, pairs *injectedPairs) {
+	_, isEngineFault := engineFaultInjectors[f.Kind]
+	active := &r.controllers[f.Target%len(r.controllers)].faults
 	if isEngineFault {
-		active = &r.engines[t.Target].faults
+		active = &r.engines[f.Target].faults
 	}
-	release, acquired := active.acquire(t.Kind)
+	release, acquired := active.acquire(f.Kind)
 	if !acquired {
 		return
 	}
 	defer release()
-	played.note(t)
+	pairs.record(f)
 	if isEngineFault {
-		engineFaultPlays[t.Kind](r, r.engines[t.Target], t)
+		engineFaultInjectors[f.Kind](r, r.engines[f.Target], f)
 		return
 	}
-	if err := controllerFaultPlays[t.Kind](r, r.controllers[t.Target], t); err != nil {
+	if err := controllerFaultInjectors[f.Kind](r, r.controllers[f.Target], f); err != nil {
 		r.records.addFailure(err.Error())
 	}
 }
 
-// engineFaultPlays play faults of engines.
-var engineFaultPlays = map[string]func(r *run, e *Engine, t Fault){
-	faultDrain: func(r *run, e *Engine, t Fault) {
+// engineFaultInjectors inject the faults of engines, by kind.
+var engineFaultInjectors = map[string]func(r *run, e *Engine, f Fault){
+	faultDrain: func(r *run, e *Engine, f Fault) {
 		r.feed.add(false, e.entry("draining", time.Time{}))
-		time.Sleep(t.Length)
+		time.Sleep(f.Length)
 		r.replace(e)
 	},
-	faultRestart: func(r *run, e *Engine, t Fault) {
+	faultRestart: func(r *run, e *Engine, f Fault) {
 		e.kill()
-		time.Sleep(t.Length / 4)
+		time.Sleep(f.Length / 4)
 		r.replace(e)
 	},
 	faultHang:     hangEngine,
@@ -83,24 +83,24 @@
 		e.proxy.setMode(ProxyReset)
 		e.proxy.setMode(ProxyUp)
 	},
-	faultVanish: func(_ *run, e *Engine, t Fault) { e.fail(ProxySilent, t.Length) },
-	faultSlow:   func(_ *run, e *Engine, t Fault) { e.fail(ProxySlow, t.Length) },
+	faultVanish: func(_ *run, e *Engine, f Fault) { e.fail(ProxySilent, f.Length) },
+	faultSlow:   func(_ *run, e *Engine, f Fault) { e.fail(ProxySlow, f.Length) },
 }
 
-func hangEngine(_ *run, e *Engine, t Fault) {
+func hangEngine(_ *run, e *Engine, f Fault) {
 	e.pause(true)
-	time.Sleep(t.Length)
+	time.Sleep(f.Length)
 	e.pause(false)
 }
 
-// fail has the way to the engine fail for a time.
+// fail sets the proxy of the engine to a mode for a time.
 func (e *Engine) fail(mode ProxyMode, length time.Duration) {
 	e.proxy.setMode(mode)
 	time.Sleep(length)
 	e.proxy.setMode(ProxyUp)
 }
 
-// replace removes an engine and lists a new process of it, which is cold.
+// replace removes an engine from the endpoint list and lists a new process of it, which has to warm up.
 func (r *run) replace(e *Engine) {
 	r.feed.add(false, e.entry("gone", time.Time{}))
 	e.kill()
@@ -112,30 +112,30 @@
 	r.feed.add(false, e.entry("ready", started))
 }
 
-// pauseStep is how much later after SIGTERM the pause of faultTermPause begins, from one target to the next.
+// pauseStep times the index of the target is the time from SIGTERM to the pause of faultTermPause.
 const pauseStep = 40 * time.Millisecond
 
-// maxStartDelay is how long after its start a process is told to end, at most, by faultTermStart.
+// maxStartDelay bounds the time from the start of a process to its SIGTERM in faultTermStart.
 const maxStartDelay = 60 * time.Millisecond
 
-// controllerFaultPlays play faults of controllers, of their clients and of their way to the feed.
-var controllerFaultPlays = map[string]func(r *run, c *Controller, t Fault) error{
-	faultTerm: func(r *run, c *Controller, t Fault) error {
-		c.terminate(int(t.Length / time.Millisecond))
+// controllerFaultInjectors inject the faults of controllers, of their clients and of their feeds, by kind.
+var controllerFaultInjectors = map[string]func(r *run, c *Controller, f Fault) error{
+	faultTerm: func(r *run, c *Controller, f Fault) error {
+		c.terminate(int(f.Length / time.Millisecond))
 		r.saveLog(c)
 		return c.start()
 	},
-	faultTermStart: func(r *run, c *Controller, t Fault) error {
-		c.terminate(int(t.Length / time.Millisecond))
+	faultTermStart: func(r *run, c *Controller, f Fault) error {
+		c.terminate(int(f.Length / time.Millisecond))
 		r.saveLog(c)
-		if err := c.startAndTerminate(t.Length % maxStartDelay); err != nil {
+		if err := c.startAndTerminate(f.Length % maxStartDelay); err != nil {
 			return err
 		}
 		return c.start()
 	},
-	faultTermPause: func(r *run, c *Controller, t Fault) error {
-		time.AfterFunc(time.Duration(t.Target)*pauseStep, func() { c.pause(t.Length) })
-		c.terminate(int(t.Length / time.Millisecond))
+	faultTermPause: func(r *run, c *Controller, f Fault) error {
+		time.AfterFunc(time.Duration(f.Target)*pauseStep, func() { c.pause(f.Length) })
+		c.terminate(int(f.Length / time.Millisecond))
 		r.saveLog(c)
 		return c.start()
 	},
@@ -144,72 +144,72 @@
 		r.saveLog(c)
 		return c.start()
 	},
-	faultPause: func(_ *run, c *Controller, t Fault) error {
-		c.pause(t.Length)
+	faultPause: func(_ *run, c *Controller, f Fault) error {
+		c.pause(f.Length)
 		return nil
 	},
-	faultMove: func(_ *run, c *Controller, t Fault) error {
-		if err := c.move(); err != nil {
+	faultMove: func(_ *run, c *Controller, f Fault) error {
+		if err := c.moveFeed(); err != nil {
 			return err
 		}
-		time.Sleep(t.Length / 10)
-		return c.move()
+		time.Sleep(f.Length / 10)
+		return c.moveFeed()
 	},
 	faultFeedDown:    failFeed,
 	faultFeedSilent:  failFeed,
 	faultFeedSlow:    failFeed,
 	faultBadClient:   badClients,
 	faultIdleFlood:   floodWithIdleClients,
-	faultDialFails:   func(_ *run, c *Controller, t Fault) error { return c.steer(t) },
-	faultAcceptFails: func(_ *run, c *Controller, t Fault) error { return c.steer(t) },
-	faultClockStep:   func(_ *run, c *Controller, t Fault) error { return c.steer(t) },
+	faultDialFails:   func(_ *run, c *Controller, f Fault) error { return c.injectSyscallFault(f) },
+	faultAcceptFails: func(_ *run, c *Controller, f Fault) error { return c.injectSyscallFault(f) },
+	faultClockStep:   func(_ *run, c *Controller, f Fault) error { return c.injectSyscallFault(f) },
 }
 
-// feedPiece is how many bytes the feed sends at once in faultFeedSlow.
-const feedPiece = 7
+// feedPieceBytes is the number of bytes per write of the feed in faultFeedSlow.
+const feedPieceBytes = 7
 
-func failFeed(_ *run, c *Controller, t Fault) error {
+func failFeed(_ *run, c *Controller, f Fault) error {
 	piece := 0 // a whole line
-	if t.Kind == faultFeedSlow {
-		piece = feedPiece
+	if f.Kind == faultFeedSlow {
+		piece = feedPieceBytes
 	}
-	entrance := c.entrance()
-	entrance.fail(t.Kind == faultFeedDown, t.Kind == faultFeedSilent, piece)
-	time.Sleep(t.Length)
-	entrance.fail(false, false, 0)
+	server := c.currentFeedServer()
+	server.fail(f.Kind == faultFeedDown, f.Kind == faultFeedSilent, piece)
+	time.Sleep(f.Length)
+	server.fail(false, false, 0)
 	return nil
 }
 
-// badClients has clients that speak badly come for a time.
-func badClients(r *run, c *Controller, t Fault) error {
-	random := rand.New(rand.NewPCG(r.config.Seed, uint64(t.At)))
-	for stop := time.Now().Add(t.Length); time.Now().Before(stop); {
+// badClients runs misbehaving clients for a time.
+func badClients(r *run, c *Controller, f Fault) error {
+	random := rand.New(rand.NewPCG(r.config.Seed, uint64(f.At)))
+	for stop := time.Now().Add(f.Length); time.Now().Before(stop); {
 		if fake.MisbehavingClient(c.address, random) {
-			r.records.addFailure("a bad client is served")
+			r.records.addFailure("a misbehaving client is served")
 		}
 	}
 	return nil
 }
 
 const (
-	floodSize        = 600 // connections, more than a controller has descriptors for
+	floodConnections = 600 // more than a controller has descriptors for
 	floodDialTimeout = 100 * time.Millisecond
 )
 
-// floodWithIdleClients has clients that say nothing fill the controller's descriptors for a time.
-func floodWithIdleClients(r *run, c *Controller, t Fault) error {
+// floodWithIdleClients uses up the controller's descriptors with idle connections for a time.
+func floodWithIdleClients(r *run, c *Controller, f Fault) error {
 	from := time.Now()
 	dialer := net.Dialer{Timeout: floodDialTimeout}
 	var conns []net.Conn
-	for range floodSize {
+	for range floodConnections {
 		conn, err := dialer.DialContext(context.Background(), "tcp4", c.address)
 		if err != nil {
-			time.Sleep(floodDialTimeout / floodSize)
+			time.Sleep(floodDialTimeout / floodConnections)
 			continue
 		}
 		conns = append(conns, conn)
 	}
-	time.Sleep(t.Length)
+	time.Sleep(f.Length)
 	for _, conn := range conns {
 		_ = conn.Close() // the controller may have closed it
 	}
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -14,47 +14,47 @@
 	"swiftreel/internal/engine"
 )
 
-// ProxyMode is what becomes of the connections to an engine.
+// ProxyMode says how a proxy treats its connections.
 type ProxyMode uint8
 
 // The modes.
 const (
 	ProxyUp     ProxyMode = iota
-	ProxySilent           // connections come up and stand, and nothing passes either way
-	ProxyReset            // open connections are reset when the mode is set; new ones pass
-	ProxySlow             // each answer comes in two pieces with a pause between
+	ProxySilent           // connections are accepted and stay open, but nothing is forwarded in either direction
+	ProxyReset            // open connections are reset when the mode is set; new ones are forwarded
+	ProxySlow             // each answer is forwarded in two pieces with a pause between them
 )
 
 const (
-	pieceDelay  = 30 * time.Millisecond
-	proxyBuffer = 32 << 10
+	pieceDelay       = 30 * time.Millisecond
+	proxyBufferBytes = 32 << 10
 
-	queuedCommands = 1024 // on one connection, while nothing passes
-	dialDeadline   = time.Second
+	commandQueueSize = 1024 // per connection, while nothing is forwarded
+	proxyDialTimeout = time.Second
 )
 
-// Proxy is the way to one engine. It records each fetch that comes by, forwards what passes, and fails on request. It
-// is safe for concurrent use.
+// Proxy is a TCP proxy in front of an engine that records each fetch command and fails on request. It is safe for
+// concurrent use.
 type Proxy struct {
 	listener net.Listener
 	name     string
 	records  *Records
 
 	mu          sync.Mutex
-	target      string // of the engine's process; empty: none runs
+	target      string // address of the engine's process; empty: none is running
 	incarnation int
 	mode        ProxyMode
-	change      chan struct{} // closed when the mode changes
+	modeChanged chan struct{} // closed when the mode changes
 	conns       map[net.Conn]struct{}
 }
 
-// newProxy listens at an address for an engine.
+// newProxy starts the proxy of an engine on an address.
 func newProxy(address, name string, records *Records) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, name: name, records: records, change: make(chan struct{}),
+	p := &Proxy{listener: listener, name: name, records: records, modeChanged: make(chan struct{}),
 		conns: map[net.Conn]struct{}{}}
 	go p.accept()
 	return p, nil
@@ -62,8 +62,8 @@
 
 func (p *Proxy) address() string { return p.listener.Addr().String() }
 
-// setTarget forwards later connections to a process; empty: connections are reset, as by a machine without a
-// listener.
+// setTarget sets the address that later connections are forwarded to. If it is empty, they are reset, as by a machine
+// without a listener.
 func (p *Proxy) setTarget(target string, incarnation int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,19 +71,19 @@
 	p.incarnation = incarnation
 }
 
-// setMode sets what becomes of connections, those that are open too.
+// setMode sets the mode for open and later connections.
 func (p *Proxy) setMode(mode ProxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
-	close(p.change)
-	p.change = make(chan struct{})
+	close(p.modeChanged)
+	p.modeChanged = make(chan struct{})
 	if mode == ProxyReset {
 		p.resetAll()
 	}
 }
 
-// resetAll resets all connections. The lock is held.
+// resetAll resets all connections. p.mu must be held.
 func (p *Proxy) resetAll() {
 	for conn := range p.conns {
 		reset(conn)
@@ -92,11 +92,11 @@
 
 // dial connects to an address.
 func dial(address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: dialDeadline}
+	dialer := net.Dialer{Timeout: proxyDialTimeout}
 	return dialer.DialContext(context.Background(), "tcp4", address)
 }
 
-// reset closes a connection such that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0) // it may be closed already
@@ -104,16 +104,16 @@
 	_ = conn.Close() // likewise
 }
 
-// pass waits until something may pass.
-func (p *Proxy) pass() ProxyMode {
+// awaitForwarding waits until the mode allows forwarding, and returns it.
+func (p *Proxy) awaitForwarding() ProxyMode {
 	for {
 		p.mu.Lock()
-		mode, change := p.mode, p.change
+		mode, modeChanged := p.mode, p.modeChanged
 		p.mu.Unlock()
 		if mode != ProxySilent {
 			return mode
 		}
-		<-change
+		<-modeChanged
 	}
 }
 
@@ -127,8 +127,8 @@
 	}
 }
 
-// serve forwards one connection until either end closes it. What the controller sends is read at once, however long
-// the connection to the engine's process takes.
+// serve forwards one connection until either end closes it. It reads from the controller at once, even while the
+// connection to the engine's process is not yet established.
 func (p *Proxy) serve(controller net.Conn) {
 	defer p.remove(controller)
 	acceptedAt := time.Now()
@@ -137,14 +137,14 @@
 		reset(controller)
 		return
 	}
-	queue := make(chan []byte, queuedCommands)
+	queue := make(chan []byte, commandQueueSize)
 	defer close(queue)
 	go p.connect(target, controller, queue)
 	p.readCommands(controller, queue, Fetch{Engine: p.name, Incarnation: incarnation, AcceptedAt: acceptedAt,
 		ReadFrom: time.Now()})
 }
 
-// add notes a connection, and returns the engine's process that it is for; an empty target: none runs.
+// add adds a connection and returns the target to forward it to. An empty target means that no process is running.
 func (p *Proxy) add(conn net.Conn) (target string, incarnation int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,8 +152,9 @@
 	return p.target, p.incarnation
 }
 
-// connect connects to an engine's process, writes it what is queued until the queue is closed, and forwards its
-// answers to the controller. If it cannot be reached, or closes its connection, the controller's is reset.
+// connect connects to the engine's process, writes the queued commands to it until the queue is closed, and forwards
+// its answers to the controller. If the process cannot be reached or closes the connection, the controller's connection
+// is reset.
 func (p *Proxy) connect(target string, controller net.Conn, queue <-chan []byte) {
 	engineConn, err := dial(target)
 	if err != nil {
@@ -176,16 +177,16 @@
 	delete(p.conns, conn)
 }
 
-// forwardAnswers copies what an engine answers.
+// forwardAnswers forwards answers until either connection closes.
 func (p *Proxy) forwardAnswers(to, from net.Conn) {
-	buffer := make([]byte, proxyBuffer)
+	buffer := make([]byte, proxyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
 		if err != nil {
 			return
 		}
 		text := buffer[:n]
-		if p.pass() == ProxySlow {
+		if p.awaitForwarding() == ProxySlow {
 			half := len(text) / 2
 			if _, err := to.Write(text[:half]); err != nil {
 				return
@@ -199,11 +200,11 @@
 	}
 }
 
-// readCommands queues commands one by one, and records each fetch as it arrives, whether it may pass or not. What all
-// fetches of the connection have in common is given.
+// readCommands queues commands one by one, and records each fetch as it arrives, whether or not the mode allows
+// forwarding. fetch holds the fields common to all fetches of the connection.
 func (p *Proxy) readCommands(from net.Conn, queue chan<- []byte, fetch Fetch) {
-	var passed bytes.Buffer
-	reader := bufio.NewReader(io.TeeReader(from, &passed))
+	var consumed bytes.Buffer
+	reader := bufio.NewReader(io.TeeReader(from, &consumed))
 	fetch.Controller, _, _ = net.SplitHostPort(from.RemoteAddr().String())
 	for {
 		command, err := engine.ReadCommand(reader)
@@ -211,36 +212,36 @@
 			return
 		}
 		if command.Name == "fetch" {
-			fetch.ID, fetch.At, fetch.Given = command.ID, time.Now(), givenTime(command.Fields)
+			fetch.ID, fetch.At, fetch.TimeLimit = command.ID, time.Now(), timeLimit(command.Fields)
 			p.records.addFetch(fetch)
 		}
-		text := bytes.Clone(passed.Bytes()[:passed.Len()-reader.Buffered()])
-		passed.Next(len(text))
+		text := bytes.Clone(consumed.Bytes()[:consumed.Len()-reader.Buffered()])
+		consumed.Next(len(text))
 		queue <- text
 	}
 }
 
-// writeCommands writes what is queued once it may pass.
+// writeCommands writes queued commands whenever the mode allows forwarding.
 func (p *Proxy) writeCommands(to net.Conn, queue <-chan []byte) {
 	for text := range queue {
-		p.pass()
-		_, _ = to.Write(text) // one that has ended shows at the reader of its answers
+		p.awaitForwarding()
+		_, _ = to.Write(text) // the reader of answers notices a closed connection
 	}
 }
 
-// givenTime is how long an engine may take, as the fields of a fetch say.
-func givenTime(fields string) time.Duration {
+// timeLimit returns the engine's time limit from the fields of a fetch command.
+func timeLimit(fields string) time.Duration {
 	for field := range strings.SplitSeq(fields, ",") {
 		if text, found := strings.CutPrefix(field, "w="); found {
-			milliseconds, _ := strconv.Atoi(text) // one that is none is 0: never too much
+			milliseconds, _ := strconv.Atoi(text) // an invalid number gives 0, which is never too much
 			return time.Duration(milliseconds) * time.Millisecond
 		}
 	}
 	return 0
 }
 
-// close ends it and its connections.
+// close stops the proxy and resets its connections.
 func (p *Proxy) close() {
-	_ = p.listener.Close() // no connection is lost by it
+	_ = p.listener.Close() // an error does not affect open connections
 	p.setMode(ProxyReset)
 }
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -6,101 +6,101 @@
 	"time"
 )
 
-// Outcome is what a client saw of a call.
+// Outcome is the outcome of a call as its client saw it.
 type Outcome string
 
 // The outcomes.
 const (
-	Unanswered Outcome = ""          // the connection stands, no answer came
-	Served     Outcome = "served"    // a result
-	Refused    Outcome = "refused"   // trying again is harmless
-	Failed     Outcome = "failed"    // any other error
-	Left       Outcome = "left"      // the client closed or revoked before an answer
-	Broken     Outcome = "broken"    // the connection ended before an answer
-	Crossed    Outcome = "crossed"   // it crossed the close of a resting connection: the client sends it again
-	Unreadable Outcome = "malformed" // an answer that cannot be read
+	Unanswered Outcome = ""          // no answer, though the connection is open
+	Served     Outcome = "served"    // got a result
+	Refused    Outcome = "refused"   // got an error after which the call may be retried
+	Failed     Outcome = "failed"    // got any other error
+	Left       Outcome = "left"      // the client disconnected or revoked the call before the answer
+	Broken     Outcome = "broken"    // the connection broke before the answer
+	Crossed    Outcome = "crossed"   // sent while the controller closed the idle connection; the client resends it
+	Unreadable Outcome = "malformed" // got a malformed answer
 )
 
 // Call is one call as its client saw it.
 type Call struct {
 	ID         string
 	Type       string
-	Key        string // order key; empty: none
+	Key        string // ordering key; empty: none
 	Controller int
-	Connection string // of the client
+	Connection string // name of the client's connection
 	Timeout    time.Duration
 
 	ConnectedAt time.Time
-	BegunAt     time.Time // the write of its last byte began: from then on a controller may have taken it
-	SentAt      time.Time // its last byte was written
-	EndedAt     time.Time // of the outcome
+	BegunAt     time.Time // start of the write of its last byte, from which on a controller may have accepted it
+	SentAt      time.Time // end of the write of its last byte
+	EndedAt     time.Time // time of the outcome
 	Outcome     Outcome
-	Answers     int // that came under its id
+	Answers     int // number of answers to it
 
-	LocalAddress string // of the client's end of its connection
-	IsFirst      bool   // nothing was sent before it on its connection
-	SentWith     int    // how many calls were written at once, with this one
+	LocalAddress string // address of the client's end of the connection
+	IsFirst      bool   // nothing was sent before it on the connection
+	BatchSize    int    // how many calls were written at once, including this one
 }
 
-// Fetch is a dispatch that came to an engine's address.
+// Fetch is a dispatch that reached an engine's address.
 type Fetch struct {
 	ID          string
 	Engine      string
 	Incarnation int // of the engine's process
 	Controller  string
-	At          time.Time // its command was read whole
-	Given       time.Duration
+	At          time.Time // when its command was read completely
+	TimeLimit   time.Duration
 
-	AcceptedAt time.Time // the connection, by the proxy
-	ReadFrom   time.Time // the proxy began to read it
+	AcceptedAt time.Time // when the proxy accepted the connection
+	ReadFrom   time.Time // when the proxy began to read from the connection
 }
 
-// String tells of the dispatch's time, and of that of its connection.
+// String describes when the dispatch arrived, and when its connection was accepted.
 func (f Fetch) String() string {
-	return fmt.Sprintf("at %s on a connection accepted %v and read since %v before", clock(f.At), f.At.Sub(f.AcceptedAt),
-		f.At.Sub(f.ReadFrom))
+	return fmt.Sprintf("at %s on a connection accepted %v earlier and read since %v earlier", clock(f.At),
+		f.At.Sub(f.AcceptedAt), f.At.Sub(f.ReadFrom))
 }
 
-// Execution is a dispatch that an engine's process began.
+// Execution is a dispatch that an engine's process began or refused.
 type Execution struct {
 	ID          string    `json:"id"`
 	Engine      string    `json:"engine"`
 	Incarnation int       `json:"incarnation"`
-	Refused     bool      `json:"refused"` // it answered that it is full, and ran nothing
+	Refused     bool      `json:"refused"` // the engine was full and did not run it
 	BeganAt     time.Time `json:"began"`
 }
 
-// Change is a state of an engine that a controller was told.
+// Change is a change of an engine's state that a controller was notified of.
 type Change struct {
 	Engine     string
 	Controller int
 	State      string
-	Start      time.Time // of the engine; zero: long ago
-	BegunAt    time.Time // it began to be written to the controller's feed, or to its configuration
-	At         time.Time // it was written
+	Start      time.Time // start time of the engine; zero: long ago
+	BegunAt    time.Time // start of the write to the controller's feed or configuration
+	At         time.Time // end of the write
 }
 
-// Interval is a time in which something held.
+// Interval is an interval of time.
 type Interval struct{ From, To time.Time }
 
-// Records are all that was recorded in a run. They are safe for concurrent use.
+// Records are the records of a run. They are safe for concurrent use. Maps with int keys are by controller.
 type Records struct {
 	mu            sync.Mutex
 	calls         []*Call
 	fetches       []Fetch
 	executions    []Execution
 	changes       []Change
-	pauses        map[int][]Interval // of controllers' processes
-	acceptOutages map[int][]Interval // times in which controllers could not accept connections
-	idleFloods    map[int][]Interval // times in which idle clients filled controllers' descriptors
-	closes        map[int]map[string]string
-	pairs         map[string]int // placed pairs of faults that were played, by name
+	pauses        map[int][]Interval        // of controller processes
+	acceptOutages map[int][]Interval        // when controllers could not accept connections
+	idleFloods    map[int][]Interval        // when idle clients used up controllers' descriptors
+	closeReasons  map[int]map[string]string // logged reasons for closing connections, by client address
+	pairs         map[string]int            // injected pairs of faults, by name
 	kills         map[int][]time.Time
-	stops         map[int][]time.Time // SIGTERM
-	processStarts map[int][]time.Time // of controllers' processes, in order
-	stopKills     int                 // processes that were killed as they had not ended after SIGTERM
-	failures      []string            // processes that did what they must not
-	stalls        []Interval          // of the recording process itself: times recorded then are late
+	stops         map[int][]time.Time // times of SIGTERM
+	processStarts map[int][]time.Time // of controller processes, in order
+	stopKills     int                 // processes killed because they had not exited after SIGTERM
+	failures      []string            // process failures, such as crashes and logged errors
+	stalls        []Interval          // of the recording process; times recorded during a stall are late
 }
 
 func newRecords() *Records {
@@ -108,7 +108,7 @@
 		pauses:        map[int][]Interval{},
 		acceptOutages: map[int][]Interval{},
 		idleFloods:    map[int][]Interval{},
-		closes:        map[int]map[string]string{},
+		closeReasons:  map[int]map[string]string{},
 		pairs:         map[string]int{},
 		kills:         map[int][]time.Time{},
 		stops:         map[int][]time.Time{},
@@ -140,13 +140,13 @@
 	r.changes = append(r.changes, c)
 }
 
-// beginPause records that a controller's process is paused from now on, until the returned function is called.
+// beginPause records that a controller's process is paused from now until end is called.
 func (r *Records) beginPause(controller int) (end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	index := len(r.pauses[controller])
 	now := time.Now()
-	r.pauses[controller] = append(r.pauses[controller], Interval{From: now, To: now.Add(farAhead)})
+	r.pauses[controller] = append(r.pauses[controller], Interval{From: now, To: now.Add(beyondRun)})
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -166,14 +166,14 @@
 	r.idleFloods[controller] = append(r.idleFloods[controller], flood)
 }
 
-// addClose records what a controller logs of a connection that it has closed, by its client's address.
-func (r *Records) addClose(controller int, address, text string) {
+// addCloseReason records the reason that a controller logged for closing the connection of a client address.
+func (r *Records) addCloseReason(controller int, address, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closes[controller] == nil {
-		r.closes[controller] = map[string]string{}
+	if r.closeReasons[controller] == nil {
+		r.closeReasons[controller] = map[string]string{}
 	}
-	r.closes[controller][address] = text
+	r.closeReasons[controller][address] = text
 }
 
 func (r *Records) addPair(name string) {
@@ -212,7 +212,7 @@
 	r.stopKills++
 }
 
-// pausedSince is for how long a controller's process was paused since a time.
+// pausedSince returns how long a controller's process has been paused since a time.
 func (r *Records) pausedSince(controller int, since time.Time) (paused time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -12,33 +12,33 @@
 	"swiftreel/internal/testcluster"
 )
 
-// Config says what a run consists of.
+// Config configures a run.
 type Config struct {
-	Program       string   // of controllers
-	EngineProgram []string // that runs EngineMain with three more arguments: name, incarnation, seed
+	Program       string   // run as controllers
+	EngineProgram []string // command line that runs EngineMain, given three more arguments: name, incarnation, seed
 	Seed          uint64
 	Controllers   int
 	Engines       int
-	Clients       int // of each controller
+	Clients       int // per controller
 	Length        time.Duration
-	Env           []string // more of the controllers' environment
-	InjectErrors  bool     // Program is built with the tag fault, steered
-	LogFolder     string   // where controllers' logs are kept; empty: nowhere
+	Env           []string // extra environment variables of the controllers
+	InjectErrors  bool     // whether Program is built with the tag fault and the fault "steered"
+	LogFolder     string   // directory in which controllers' logs are saved; empty: not saved
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Faults   []Fault
 	Findings []Finding
 	Outcomes map[Outcome]int
 	Fetches  int
-	Stalls   int // of the recording process: what was recorded then is not judged by its time
-	Kills    int // of controllers that had not ended after SIGTERM
+	Stalls   int // stalls of the recording process; the times of events recorded during one are not checked
+	Kills    int // controllers killed because they had not exited after SIGTERM
 
-	Pairs map[string]int // placed pairs of faults that were played, by name
+	Pairs map[string]int // injected pairs of faults, by name
 }
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
 	config      Config
 	records     *Records
@@ -51,7 +51,7 @@
 	lastCall    atomic.Uint64
 }
 
-// Run plays a run and judges it. The error says that it could not be played.
+// Run executes a run and checks the invariants. It returns an error only if the run could not be executed.
 func Run(config Config) (Report, error) {
 	r := &run{config: config, records: newRecords()}
 	defer r.close()
@@ -62,8 +62,8 @@
 	var clients sync.WaitGroup
 	clients.Go(func() { watchStalls(r.records, r.stopped.Load) })
 	r.startClients(&clients)
-	r.play(faults)
-	r.end()
+	r.injectFaults(faults)
+	r.stopControllers()
 	r.stopped.Store(true)
 	clients.Wait()
 	report := Report{Faults: faults, Findings: Check(r.records), Outcomes: map[Outcome]int{},
@@ -110,17 +110,17 @@
 	return nil
 }
 
-// engineName names an engine by its index.
+// engineName returns the name of the engine at an index.
 func engineName(index int) string { return fmt.Sprint("e", index) }
 
-// isOfAllowedKind reports whether an engine is of the kind on which all types run: two in three are.
+// isOfAllowedKind reports whether an engine is of allowedKind, the kind on which all types may run. Two in three are.
 func isOfAllowedKind(name string) bool {
 	var index int
 	_, err := fmt.Sscanf(name, "e%d", &index)
 	return err == nil && index%3 != 2
 }
 
-// entry is the engine's entry in the list.
+// entry returns the engine's entry in the endpoint list.
 func (e *Engine) entry(state string, start time.Time) entry {
 	return entry{name: e.name, address: e.proxy.address(), kind: e.kind, state: state, start: start}
 }
@@ -132,12 +132,12 @@
 		c := &Controller{index: i, count: r.config.Controllers, address: r.subnet.Address(10+i, 7000),
 			configFile: filepath.Join(r.folder, fmt.Sprintf("c%d.json", i)), program: r.config.Program, env: r.config.Env,
 			records: r.records, feed: r.feed}
-		for place := range 2 {
-			entrance, err := r.feed.open(i, r.subnet.Address(80+i, 8000+place))
+		for portOffset := range 2 {
+			server, err := r.feed.open(i, r.subnet.Address(80+i, 8000+portOffset))
 			if err != nil {
 				return err
 			}
-			c.entrances = append(c.entrances, entrance)
+			c.feedServers = append(c.feedServers, server)
 		}
 		r.controllers = append(r.controllers, c)
 		starting.Go(func() { errs[i] = c.start() })
@@ -154,21 +154,21 @@
 func (r *run) startClients(clients *sync.WaitGroup) {
 	for i, c := range r.controllers {
 		for k := range r.config.Clients {
-			one := &loadClient{name: fmt.Sprintf("k%02d%02d", i, k), controller: c, records: r.records,
+			lc := &loadClient{name: fmt.Sprintf("k%02d%02d", i, k), controller: c, records: r.records,
 				random: rand.New(rand.NewPCG(r.config.Seed, uint64(i*100+k))), isStopped: r.stopped.Load,
 				lastCall: &r.lastCall}
-			clients.Go(one.run)
+			clients.Go(lc.run)
 		}
 	}
 }
 
 const (
-	hangingOneIn = 3                      // engines that hang through the end of a run
-	hangLead     = 600 * time.Millisecond // before it, for jobs to be out there
+	hangingOneIn = 3                      // one in this many engines hangs while the controllers stop
+	hangLead     = 600 * time.Millisecond // how long before that it hangs, so that it has open jobs
 )
 
-// end ends all controllers in order while clients go on and some engines hang, and checks how they end.
-func (r *run) end() {
+// stopControllers stops all controllers gracefully while clients continue and some engines hang, and records failures.
+func (r *run) stopControllers() {
 	for i, e := range r.engines {
 		e.pause(i%hangingOneIn == 0)
 	}
@@ -182,7 +182,7 @@
 	}
 	ending.Wait()
 	for _, e := range r.engines {
-		e.kill() // those that hang would begin what lies unread, for nobody
+		e.kill() // resuming a hanging engine would run the dispatches it has not read
 	}
 }
 
@@ -192,14 +192,14 @@
 	}
 }
 
-// close ends what still runs, and removes the folder.
+// close stops everything that is still running and removes the directory.
 func (r *run) close() {
 	for _, c := range r.controllers {
 		if process := c.current(); process != nil {
 			process.Kill()
 		}
-		for _, entrance := range c.entrances {
-			_ = entrance.listener.Close() // nothing depends on it
+		for _, server := range c.feedServers {
+			_ = server.listener.Close() // an error does not matter
 		}
 	}
 	for _, e := range r.engines {
@@ -210,5 +210,5 @@
 	if r.subnet != nil {
 		r.subnet.Release()
 	}
-	_ = os.RemoveAll(r.folder) // a temporary folder: what is left is the system's to remove
+	_ = os.RemoveAll(r.folder) // a temporary directory, which the system removes if this fails
 }
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Figures of the rules, as the controllers' settings have them.
+// Parameters of the rules, as in the controllers' settings.
 const (
-	drainGrace     = 250 * time.Millisecond
-	orderPause     = 50 * time.Millisecond
-	startCapacity  = 0.4 // part of its capacity that an engine starts with
-	fallMultiple   = 0.8 // of its capacity, that may be dispatched in a window
-	warmUpTime     = 6 * time.Second
-	fallWindow     = time.Second
-	engineCores    = 2
-	retryWindow    = 10 * time.Second
-	freeRetries    = 4 // so few that the faults of a run reach the budget
-	retryRatio     = 0.04
-	maxAttempts    = 4
-	dialTimeout    = 250 * time.Millisecond
-	allowedKind    = "std"
-	otherKind      = "big"
-	memoryLimitMB  = 64
-	maxDescriptors = 512
+	drainGrace       = 250 * time.Millisecond
+	orderPause       = 50 * time.Millisecond
+	startCapacity    = 0.4 // fraction of its capacity that an engine starts with
+	overloadMultiple = 0.8 // work per window while warming up, as a multiple of the capacity
+	warmUpTime       = 6 * time.Second
+	overloadWindow   = time.Second
+	engineCores      = 2
+	retryWindow      = 10 * time.Second
+	freeRetries      = 4 // low enough for the faults of a run to reach the budget
+	retryRatio       = 0.04
+	maxAttempts      = 4
+	dialTimeout      = 250 * time.Millisecond
+	allowedKind      = "std"
+	otherKind        = "big"
+	memoryLimitMB    = 64
+	maxDescriptors   = 512
 )
 
-// The types of job.
+// The job types.
 const (
-	typeLookup = "lookup" // repeatable
-	typeImport = "import" // runs once, in the order of its key; some of its clients wait for long
-	typeLocal  = "local"  // repeatable, on engines of one kind only
+	typeLookup = "lookup" // restartable
+	typeImport = "import" // run-once, ordered by key; some calls have longTimeout
+	typeLocal  = "local"  // restartable, only on engines of allowedKind
 )
 
-// workTime is what an engine takes for a job of each type.
+// workTime is how long an engine works on a job of each type.
 var workTime = map[string]time.Duration{
 	typeLookup: 20 * time.Millisecond,
 	typeImport: 40 * time.Millisecond,
 	typeLocal:  30 * time.Millisecond,
 }
 
-// settingsText are a controller's settings, with blanks for figures.
+// settingsText is the template of a controller's settings.
 const settingsText = `{"balancers":%d,"me":%d,"step_ns":5000000,"discovery":"automatic",
 "localities":["here"],"kinds":["std","big"],
 "tenants":[{"name":"one","quota_per_s":100000,"share":1}],
@@ -56,11 +56,11 @@
 "invariants":{"answer_slack_ns":2e7,"drain_grace_ns":%d,"order_pause_ns":%d,"start_capacity":%g,
 "warm_within_ns":%d,"fall_multiple":%g,"fall_ns":%d,"extra_window_ns":%d,"budget_free":%d,"further_ratio":%g}}`
 
-// configText is the text of a controller's configuration, with blanks for figures.
+// configText is the template of a controller's configuration file.
 const configText = `{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
 "feed":%q,"known":{"n":%d,"events":[%s]},"settings":%s}`
 
 func settings(controllers, index int) string {
 	return fmt.Sprintf(settingsText, controllers, index, engineCores, engineCores, maxAttempts, dialTimeout, drainGrace,
-		orderPause, startCapacity, warmUpTime, fallMultiple, fallWindow, retryWindow, freeRetries, retryRatio)
+		orderPause, startCapacity, warmUpTime, overloadMultiple, overloadWindow, retryWindow, freeRetries, retryRatio)
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// engineCommand is the first argument with which the test program runs as an engine's process.
+// engineCommand is the first argument that makes the test program run as an engine.
 const engineCommand = "engine"
 
 func TestMain(m *testing.M) {
@@ -23,10 +23,10 @@
 	os.Exit(m.Run())
 }
 
-// shortSeeds are those of the short runs.
+// shortSeeds are the seeds of the short runs.
 var shortSeeds = []uint64{1, 2}
 
-// Short runs with few processes: what the soak plays in full (make soak).
+// Short runs with few processes violate no invariant. "make soak" executes full runs.
 func TestAShortRunBreaksNoInvariant(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "swiftreel")
 	if out, err := exec.Command("go", "build", "-o", program, "swiftreel/cmd/swiftreel").CombinedOutput(); err != nil {
@@ -50,34 +50,34 @@
 				t.Error(finding)
 			}
 			if report.Outcomes[Served] == 0 || len(report.Faults) < 2 || len(report.Pairs) == 0 {
-				t.Errorf("nothing is shown: %+v", report)
+				t.Errorf("the run shows nothing: %+v", report)
 			}
 		})
 	}
 }
 
-// runStart is when the calls of tests of the check are sent.
+// runStart is when calls are sent in the tests of the check.
 var runStart = time.Unix(5000, 0)
 
 func after(d time.Duration) time.Time { return runStart.Add(d) }
 
-// goodRecords have one call that was served in time.
-func goodRecords() *Records {
+// validRecords returns records of one call that was served in time.
+func validRecords() *Records {
 	r := newRecords()
 	r.addChange(Change{Engine: "e0", State: "ready", At: after(-time.Minute)})
 	r.addCall(&Call{ID: "a", Type: typeImport, Key: "k", Connection: "k-1", Timeout: time.Second,
 		ConnectedAt: after(-time.Second), BegunAt: runStart, SentAt: runStart, EndedAt: after(100 * time.Millisecond),
 		Outcome: Served, Answers: 1})
-	r.addFetch(Fetch{ID: "a", Engine: "e0", At: after(10 * time.Millisecond), Given: 990 * time.Millisecond})
+	r.addFetch(Fetch{ID: "a", Engine: "e0", At: after(10 * time.Millisecond), TimeLimit: 990 * time.Millisecond})
 	r.addExecution(Execution{ID: "a", Engine: "e0", BeganAt: after(11 * time.Millisecond)})
 	return r
 }
 
-// Each broken invariant is found under its rule, and a run that keeps them gives none.
+// Check reports each violation under its rule, and nothing for records without violations.
 func TestEachBrokenInvariantIsFound(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(r *Records)
-		rule  string // empty: nothing is broken
+		corrupt func(r *Records)
+		rule    string // empty: no violation
 	}{
 		"nothing":          {func(*Records) {}, ""},
 		"two answers":      {func(r *Records) { r.calls[0].Answers = 2 }, "answer"},
@@ -116,21 +116,21 @@
 		"crossed and sent on": {func(r *Records) { r.calls[0].Outcome = Crossed }, "lost"},
 		"several crossed": {func(r *Records) {
 			r.calls[0].Outcome = Crossed
-			r.calls[0].SentWith = 2
+			r.calls[0].BatchSize = 2
 			r.fetches = nil
 		}, "lost"},
 		"several crossed a close that is named idle": {func(r *Records) {
 			r.calls[0].Outcome = Crossed
-			r.calls[0].SentWith = 2
+			r.calls[0].BatchSize = 2
 			r.calls[0].LocalAddress = "127.0.0.1:4"
-			r.addClose(0, "127.0.0.1:4", closedIdle)
+			r.addCloseReason(0, "127.0.0.1:4", closedIdle)
 			r.fetches = nil
 		}, ""},
 		"several crossed a close with input unread": {func(r *Records) {
 			r.calls[0].Outcome = Crossed
-			r.calls[0].SentWith = 2
+			r.calls[0].BatchSize = 2
 			r.calls[0].LocalAddress = "127.0.0.1:4"
-			r.addClose(0, "127.0.0.1:4", "idle open_calls=0 unread=true")
+			r.addCloseReason(0, "127.0.0.1:4", "idle open_calls=0 unread=true")
 			r.fetches = nil
 		}, "lost"},
 		"shut unread in a flood of idle clients": {func(r *Records) {
@@ -159,7 +159,7 @@
 			r.addAcceptOutage(0, Interval{after(-time.Second), after(1900 * time.Millisecond)})
 		}, ""},
 		"too much time while accepts failed": {func(r *Records) {
-			r.fetches[0].Given = 2 * time.Second
+			r.fetches[0].TimeLimit = 2 * time.Second
 			r.addAcceptOutage(0, Interval{after(-time.Second), after(time.Second)})
 		}, "deadline"},
 		"ran twice":       {func(r *Records) { r.addExecution(r.executions[0]) }, "duplicate"},
@@ -168,9 +168,9 @@
 			r.calls[0].Outcome = Left
 			r.calls[0].EndedAt = after(-time.Second)
 		}, "gone"},
-		"too much time": {func(r *Records) { r.fetches[0].Given = 2 * time.Second }, "deadline"},
+		"too much time": {func(r *Records) { r.fetches[0].TimeLimit = 2 * time.Second }, "deadline"},
 		"too much time by a late record": {func(r *Records) {
-			r.fetches[0].Given = 2 * time.Second
+			r.fetches[0].TimeLimit = 2 * time.Second
 			r.addStall(Interval{after(0), after(20 * time.Millisecond)})
 		}, ""},
 		"wrong place": {func(r *Records) {
@@ -192,12 +192,12 @@
 			r.addChange(Change{Engine: "e0", State: "ready", BegunAt: after(11 * time.Millisecond), At: after(time.Second)})
 		}, "drain"},
 		"another was told that it drains": {func(r *Records) {
-			r.addChange(Change{Engine: "e0", Controller: 1, State: "draining", At: after(-notifiedWithin - time.Second)})
+			r.addChange(Change{Engine: "e0", Controller: 1, State: "draining", At: after(-notificationTimeout - time.Second)})
 		}, "drain"},
 		"order": {func(r *Records) {
 			r.calls = append([]*Call{{ID: "b", Type: typeImport, Key: "k", Connection: "k-1", Timeout: time.Second,
 				SentAt: after(-time.Millisecond), EndedAt: after(time.Second / 2), Outcome: Served, Answers: 1}}, r.calls...)
-			r.addFetch(Fetch{ID: "b", Engine: "e0", At: after(time.Second / 2), Given: time.Second / 2})
+			r.addFetch(Fetch{ID: "b", Engine: "e0", At: after(time.Second / 2), TimeLimit: time.Second / 2})
 			r.addExecution(Execution{ID: "b", Engine: "e0", BeganAt: after(time.Second / 2)})
 		}, "order"},
 		"two of a key at once": {func(r *Records) {
@@ -229,7 +229,7 @@
 			}
 			r.addStart(0, after(20*time.Millisecond))
 			for range freeRetries {
-				r.addFetch(Fetch{ID: "a", Engine: "e0", At: after(30 * time.Millisecond), Given: 900 * time.Millisecond})
+				r.addFetch(Fetch{ID: "a", Engine: "e0", At: after(30 * time.Millisecond), TimeLimit: 900 * time.Millisecond})
 			}
 		}, ""},
 		"retries of one process": {func(r *Records) {
@@ -239,7 +239,7 @@
 			}
 		}, "retries"},
 		"retries for a call that is being written": {func(r *Records) {
-			r.calls[0].BegunAt = after(-20 * time.Second) // so that it earns nothing any more
+			r.calls[0].BegunAt = after(-20 * time.Second) // before the retry window, so that it adds nothing to the budget
 			for range freeRetries + 1 {
 				r.addFetch(r.fetches[0])
 			}
@@ -262,8 +262,8 @@
 		}, "retries"},
 		"process": {func(r *Records) { r.addFailure("crashed") }, "process"},
 	} {
-		r := goodRecords()
-		c.spoil(r)
+		r := validRecords()
+		c.corrupt(r)
 		rules := map[string]bool{}
 		for _, finding := range Check(r) {
 			rules[finding.Rule] = true
@@ -274,7 +274,7 @@
 	}
 }
 
-// A seed draws the same faults each time, some of which overlap.
+// The same seed always gives the same faults, some of which overlap.
 func TestFaultsAreDrawnFromTheSeed(t *testing.T) {
 	one, again := DrawFaults(7, time.Minute, 12, 12, true), DrawFaults(7, time.Minute, 12, 12, true)
 	overlapping := 0
@@ -291,8 +291,8 @@
 	}
 }
 
-// Every two kinds of fault are placed together by some seed, the second within a second of the first, at the same
-// controller or engine where both are about one.
+// Every pair of kinds of faults is drawn by some seed, the second at most maxPairDelay after the first, and with the
+// same target if both affect controllers or both affect engines.
 func TestEachPairOfFaultsIsPlaced(t *testing.T) {
 	const seeds = 400
 	placed := map[string]bool{}
@@ -308,8 +308,8 @@
 				continue
 			}
 			placed[fault.Pair] = true
-			isSameSort := (engineFaultPlays[before.Kind] == nil) == (engineFaultPlays[fault.Kind] == nil)
-			if fault.At-before.At > pairWithin || isSameSort && fault.Target != before.Target {
+			isSameSort := (engineFaultInjectors[before.Kind] == nil) == (engineFaultInjectors[fault.Kind] == nil)
+			if fault.At-before.At > maxPairDelay || isSameSort && fault.Target != before.Target {
 				t.Fatalf("seed %d: %v and %v", seed, before, fault)
 			}
 		}
@@ -321,13 +321,13 @@
 	}
 }
 
-// Each kind of fault is about one aspect, and is played.
+// Each kind of fault has an aspect, and an injector for either engines or controllers.
 func TestEachKindOfFaultIsPlayed(t *testing.T) {
 	for _, pair := range faultPairs(true) {
 		kind := pair.first
 		_, hasAspect := aspectOf[kind]
-		_, isOfEngine := engineFaultPlays[kind]
-		_, isOfController := controllerFaultPlays[kind]
+		_, isOfEngine := engineFaultInjectors[kind]
+		_, isOfController := controllerFaultInjectors[kind]
 		if !hasAspect || isOfEngine == isOfController {
 			t.Errorf("%s: aspect %v, at an engine %v, at a controller %v", kind, hasAspect, isOfEngine, isOfController)
 		}
--- a/internal/soak/stall.go
+++ b/internal/soak/stall.go
@@ -4,11 +4,11 @@
 
 const (
 	stallTick      = 5 * time.Millisecond
-	stallThreshold = 20 * time.Millisecond // a tick so late shows that this process got no CPU
-	stallGrace     = 50 * time.Millisecond // after a stall, in which what came meanwhile is recorded
+	stallThreshold = 20 * time.Millisecond // a tick this late shows that the process got no CPU
+	stallGrace     = 50 * time.Millisecond // after a stall, until the events of the stall are recorded
 )
 
-// watchStalls records when this process got no CPU, until it is told to stop.
+// watchStalls records stalls of this process, during which it gets no CPU, until isStopped returns true.
 func watchStalls(records *Records, isStopped func() bool) {
 	last := time.Now()
 	for !isStopped() {
