--- a/internal/acceptance/controller_test.go
+++ b/internal/acceptance/controller_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	startCapacity    = 0.4 // part of its capacity that an engine starts with
-	overloadMultiple = 2.0 // of its capacity, that may be dispatched in a window
+	startCapacity    = 0.4 // fraction of its capacity that an engine starts with
+	overloadMultiple = 2.0 // work per window while warming up, as a multiple of the capacity
 	warmUpTime       = 6 * time.Second
 	warmUpWindow     = time.Second
 	engineCores      = 16
 )
 
-// settingsText are settings with blanks for figures. Their types, names and figures are of no other deployment.
+// settingsText is the template of the settings. Their types, names and values differ from those of any deployment.
 const settingsText = `{"balancers":%d,"me":%d,"step_ns":5000000,"discovery":"automatic",
 "localities":["here"],"kinds":["k"],
 "tenants":[{"name":"one","quota_per_s":100000,"share":1}],
@@ -37,15 +37,15 @@
 "invariants":{"answer_slack_ns":2e7,"drain_grace_ns":2.5e8,"order_pause_ns":5e7,
 "start_capacity":%g,"warm_within_ns":%d,"fall_multiple":%g,"fall_ns":%d}}`
 
-// settings are those of one controller of a fleet.
+// settings returns the settings of one controller of a fleet.
 func settings(controllers, index int) string {
 	return fmt.Sprintf(settingsText, controllers, index, startCapacity, warmUpTime, overloadMultiple, warmUpWindow)
 }
 
-// defaultDescriptors is the limit of descriptors in a configuration.
+// defaultDescriptors is the descriptor limit in a configuration unless a test sets another.
 const defaultDescriptors = 1024
 
-// controller is one process of the program, with its configuration.
+// controller is a controller process with its configuration.
 type controller struct {
 	*testcluster.Process // nil before start
 
@@ -55,10 +55,10 @@
 	configFile  string
 	fleetSize   int
 	index       int
-	descriptors int // the process's limit; 0: as it is
+	descriptors int // descriptor limit of the process; 0: unchanged
 }
 
-// newController makes one that is killed with the test.
+// newController returns a controller that is not started yet. Its process is killed at the end of the test.
 func newController(t *testing.T, fleetSize, index int) *controller {
 	t.Helper()
 	c := &controller{t: t, name: fmt.Sprintf("n%d", index), address: freeAddress(t), fleetSize: fleetSize, index: index,
@@ -71,7 +71,7 @@
 	return c
 }
 
-// freeAddress is one of loopback at which nobody listens now.
+// freeAddress returns a loopback address without a listener.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,11 +82,12 @@
 	return listener.Addr().String()
 }
 
-// configText is the form of ROUTER_CONFIG.
+// configText is the template of the ROUTER_CONFIG file.
 const configText = `{"name":%q,"listen":%q,"seed":"%x","limits":{"cores":1,"memory_mb":64,"sockets":%d},
 "feed":%q,"known":{"n":%d,"events":[%s]},"settings":%s}`
 
-// writeConfig writes the configuration: where the discovery server is, and the events known, the first of number 1.
+// writeConfig writes the configuration with the address of the discovery server and the known events, of which the
+// first has number 1.
 func (c *controller) writeConfig(discovery string, known ...string) {
 	c.t.Helper()
 	descriptors := defaultDescriptors
@@ -116,7 +117,7 @@
 	c.Process = process
 }
 
-// ready reports whether jobs are welcome, by a heartbeat over a new connection.
+// ready reports whether the controller accepts jobs, using a heartbeat over a new connection.
 func (c *controller) ready() bool {
 	client, err := fake.Dial(c.address)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return ready && err == nil
 }
 
-// startFleet starts controllers and waits until all are ready.
+// startFleet starts a fleet of controllers and waits until all are ready.
 func startFleet(t *testing.T, size int, discovery, known string) []*controller {
 	t.Helper()
 	var all []*controller
@@ -138,12 +139,12 @@
 		all = append(all, c)
 	}
 	for _, c := range all {
-		until(t, "not ready", c.ready)
+		waitFor(t, "not ready", c.ready)
 	}
 	return all
 }
 
-// dial connects to a controller until the test ends.
+// dial connects to the controller. The connection is closed at the end of the test.
 func (c *controller) dial(t *testing.T) *fake.Client {
 	t.Helper()
 	client, err := fake.Dial(c.address)
@@ -154,7 +155,8 @@
 	return client
 }
 
-// sendJob requests a job that claims to take so many milliseconds, and returns the id of its answer.
+// sendJob requests a job that declares workMS milliseconds of work, and returns the message ID that its answer will
+// carry.
 func sendJob(t *testing.T, client *fake.Client, id string, workMS int) uint32 {
 	t.Helper()
 	fields := []string{"call", id, "ttl", "8000", "org", "one", "work", fmt.Sprint(workMS), "est_mb", "8"}
@@ -165,13 +167,13 @@
 	return answer
 }
 
-// endpoint is an engine's entry in the endpoint list; startedMS 0: it is not known since when it runs.
+// endpoint returns an engine's entry in the endpoint list. startedMS is 0 if its start time is unknown.
 func endpoint(name, address, state string, startedMS int64) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"k","block":0,"health":%q,"share":1,"born_ms":%d}`,
 		name, address, state, startedMS)
 }
 
-// listEvent is event 1, with the complete endpoint list.
+// listEvent returns event 1, with a complete endpoint list.
 func listEvent(endpoints ...string) string {
 	return fmt.Sprintf(`{"n":1,"members":{"seq":1,"whole":true,"hosts":[%s]}}`, strings.Join(endpoints, ","))
 }
--- a/internal/acceptance/engine_test.go
+++ b/internal/acceptance/engine_test.go
@@ -11,14 +11,15 @@
 	"swiftreel/internal/fake"
 )
 
-// dispatch is one that reached an engine.
+// dispatch is a dispatch that reached an engine.
 type dispatch struct {
 	id      string
 	at      time.Time
 	session *fake.Session
 }
 
-// recordingEngine records what reaches it. A dispatch takes workTime; holding, it is not answered before release.
+// recordingEngine records the dispatches that reach it. It answers each after workTime, or, while holding, not before
+// release.
 type recordingEngine struct {
 	*fake.Engine
 	workTime time.Duration
@@ -26,7 +27,7 @@
 	mu       sync.Mutex
 	holding  bool
 	received []dispatch
-	open     map[string]*time.Timer // of dispatches neither answered nor aborted; nil while it holds them
+	open     map[string]*time.Timer // neither answered nor aborted, by job ID; nil timer while held
 }
 
 func startEngine(t *testing.T, workTime time.Duration, holding bool) *recordingEngine {
@@ -58,7 +59,7 @@
 	}
 }
 
-// begin records a dispatch and lets it run. The lock is held.
+// begin records a dispatch and starts its timer unless holding. e.mu must be held.
 func (e *recordingEngine) begin(d dispatch) {
 	e.received = append(e.received, d)
 	e.open[d.id] = nil
@@ -67,7 +68,7 @@
 	}
 }
 
-// answer answers a dispatch, unless it was aborted meanwhile.
+// answer answers a dispatch unless it has been aborted.
 func (e *recordingEngine) answer(d dispatch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,21 +78,21 @@
 	}
 }
 
-// dispatches returns what has reached it, in order.
+// dispatches returns the dispatches that reached the engine, in order.
 func (e *recordingEngine) dispatches() []dispatch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.received)
 }
 
-// hold has it answer nothing more before release.
+// hold makes the engine hold back the answers of later dispatches until release.
 func (e *recordingEngine) hold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.holding = true
 }
 
-// release ends its holding and answers all that is open.
+// release stops holding and answers all open dispatches.
 func (e *recordingEngine) release() {
 	e.mu.Lock()
 	e.holding = false
--- a/internal/acceptance/hangup_test.go
+++ b/internal/acceptance/hangup_test.go
@@ -14,25 +14,25 @@
 	"swiftreel/internal/testcluster"
 )
 
-// runLine is the entry of the deploy file that says how a controller is run.
-var runLine = regexp.MustCompile(`(?m)^run = "([^"]*)"`)
+// deployRunCommand matches the entry of the deploy file with the command that runs a controller.
+var deployRunCommand = regexp.MustCompile(`(?m)^run = "([^"]*)"`)
 
-// runCommand is what a shell is given to run this test's program as it is deployed.
+// runCommand returns the shell command that runs the program under test as it is deployed.
 func runCommand(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	match := runLine.FindStringSubmatch(string(text))
+	match := deployRunCommand.FindStringSubmatch(string(text))
 	if match == nil || !strings.Contains(match[1], "bin/swiftreel") {
-		t.Fatal("the deploy file does not say how to run a controller")
+		t.Fatal("the deploy file has no command that runs a controller")
 	}
 	return strings.Replace(match[1], "bin/swiftreel", program, 1)
 }
 
-// A new configuration is told to all controllers by SIGHUP while some are being restarted: it comes to a process that
-// has begun and does not catch signals yet. None ends by it, and each becomes ready.
+// SIGHUP announces a new configuration to all controllers while some are restarting, so that it may reach a process
+// that does not handle signals yet. It must not end the process, and each process must become ready.
 func TestAHangupBeforeItIsCaughtEndsNothing(t *testing.T) {
 	const starts = 8
 	feed, err := fake.StartDiscovery("127.0.0.1:0", 1)
@@ -49,19 +49,19 @@
 		}
 		c.Process = process
 		awaitProgram(t, process)
-		until(t, "it is not ready", func() bool {
+		waitFor(t, "the process is not ready", func() bool {
 			process.Signal(syscall.SIGHUP)
 			return process.Exited() || c.ready()
 		})
 		if process.Exited() {
-			t.Fatalf("start %d: it has ended: %v %s", i, process.WaitExit(), process.Log())
+			t.Fatalf("start %d: the process has exited: %v %s", i, process.WaitExit(), process.Log())
 		}
 		c.Kill()
 	}
 }
 
-// awaitProgram waits until the shell of a process has become the program. It does not pause between two looks: what
-// comes right after is at stake.
+// awaitProgram waits until the shell has executed the program. It polls without a pause, since the test needs to send a
+// signal right after that.
 func awaitProgram(t *testing.T, process *testcluster.Process) {
 	t.Helper()
 	executable := fmt.Sprintf("/proc/%d/exe", process.Pid())
@@ -71,7 +71,7 @@
 			return
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the shell does not become the program")
+			t.Fatal("the shell has not executed the program")
 		}
 	}
 }
--- a/internal/acceptance/late_dial_test.go
+++ b/internal/acceptance/late_dial_test.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	deadlineSlack  = 150 * time.Millisecond // over what the client has left, that an engine may be given
-	clientDeadline = 8 * time.Second        // of sendJob
+	deadlineAllowance = 150 * time.Millisecond // by which an engine's time limit may exceed the client's time left
+	clientDeadline    = 8 * time.Second        // of sendJob
 )
 
-// dialTime is how long the connection to an engine takes at least to come up.
-const dialTime = 4 * deadlineSlack
+// dialTime is the minimum time until the connection to the engine is established.
+const dialTime = 4 * deadlineAllowance
 
-// The connection to an engine comes up long after its dispatch was ordered, within the dial timeout and the grace of
-// a drain. What the engine is given is what the client has left by then.
+// The connection to an engine is established long after the dispatch was decided, but within the dial timeout and the
+// drain grace period. The time limit sent to the engine must be what the client has left by then.
 func TestAnEngineReachedLateIsGivenWhatTheClientHasLeft(t *testing.T) {
-	listener, filler := crowdedListener(t)
+	listener, filler := fullBacklogListener(t)
 	c := newController(t, 1, 0)
 	c.writeConfig(freeAddress(t), listEvent(endpoint("e1", listener.Addr().String(), "ready", 0)))
 	replaceInFile(t, c.configFile, `"dial_timeout_ns":25e7`, `"dial_timeout_ns":5e9`)
 	replaceInFile(t, c.configFile, `"drain_grace_ns":2.5e8`, `"drain_grace_ns":5e9`)
 	c.start()
-	until(t, "not ready", c.ready)
+	waitFor(t, "not ready", c.ready)
 	client := c.dial(t)
 	sentAt := time.Now()
 	sendJob(t, client, jobID(1), 10)
-	until(t, "no dial", func() bool { return strings.Contains(dialsTo(t, listener.Addr()), "SYN_SENT") })
-	until(t, "time stands still", func() bool { return time.Since(sentAt) > dialTime })
-	accept(t, listener, filler)
+	waitFor(t, "no dial", func() bool { return strings.Contains(connStatesTo(t, listener.Addr()), "SYN_SENT") })
+	waitFor(t, "the dial time has not passed", func() bool { return time.Since(sentAt) > dialTime })
+	acceptFiller(t, listener, filler)
 	fetch := acceptFetch(t, listener)
 	left := clientDeadline - time.Since(sentAt)
 	given := givenTime(t, fetch)
-	if given > left+deadlineSlack {
-		t.Errorf("the engine is given %v, the client has %v left", given, left)
+	if given > left+deadlineAllowance {
+		t.Errorf("the engine gets a time limit of %v, but the client has only %v left", given, left)
 	}
 }
 
-// crowdedListener is a listener whose queue of connections is full: a dial goes on until the filler is accepted.
-func crowdedListener(t *testing.T) (net.Listener, net.Conn) {
+// fullBacklogListener returns a listener whose backlog is full, so that a dial blocks until the filler connection is
+// accepted.
+func fullBacklogListener(t *testing.T) (net.Listener, net.Conn) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -59,7 +60,7 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	file := os.NewFile(uintptr(fd), "crowded listener")
+	file := os.NewFile(uintptr(fd), "listener with a full backlog")
 	defer file.Close() // the listener has a copy
 	listener, err := net.FileListener(file)
 	if err != nil {
@@ -74,8 +75,8 @@
 	return listener, filler
 }
 
-// accept accepts the filler, which frees the queue.
-func accept(t *testing.T, listener net.Listener, filler net.Conn) {
+// acceptFiller accepts the filler connection, which frees the backlog.
+func acceptFiller(t *testing.T, listener net.Listener, filler net.Conn) {
 	t.Helper()
 	accepted, err := listener.Accept()
 	if err != nil {
@@ -83,11 +84,11 @@
 	}
 	t.Cleanup(func() { accepted.Close() })
 	if accepted.RemoteAddr().String() != filler.LocalAddr().String() {
-		t.Fatal("the queue was not full")
+		t.Fatal("the backlog was not full")
 	}
 }
 
-// acceptFetch accepts connections until a fetch comes, and returns it. Probes are answered.
+// acceptFetch accepts connections until a fetch command arrives, and returns it. It answers probes.
 func acceptFetch(t *testing.T, listener net.Listener) engine.Command {
 	t.Helper()
 	fetches := make(chan engine.Command, 10)
@@ -120,11 +121,11 @@
 			fetches <- command
 			continue
 		}
-		_, _ = conn.Write(engine.AppendAnswer(nil, command.ID, "well", "load=concurrent:0", nil)) // it may have ended
+		_, _ = conn.Write(engine.AppendAnswer(nil, command.ID, "well", "load=concurrent:0", nil)) // may be closed
 	}
 }
 
-// givenTime is how long an engine may take, as a fetch says.
+// givenTime returns the engine's time limit in a fetch command.
 func givenTime(t *testing.T, fetch engine.Command) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(fetch.Fields, ",") {
@@ -136,15 +137,15 @@
 			return time.Duration(milliseconds) * time.Millisecond
 		}
 	}
-	t.Fatalf("no time in %q", fetch.Fields)
+	t.Fatalf("no time limit in %q", fetch.Fields)
 	return 0
 }
 
-// tcpStates names the states of /proc/net/tcp that tests look for.
+// tcpStates maps the state codes of /proc/net/tcp that tests look for to their names.
 var tcpStates = map[string]string{"01": "ESTABLISHED", "02": "SYN_SENT"}
 
-// dialsTo lists the states of all connections of this machine whose peer is an address.
-func dialsTo(t *testing.T, address net.Addr) string {
+// connStatesTo returns the states of all connections of this machine to an address.
+func connStatesTo(t *testing.T, address net.Addr) string {
 	t.Helper()
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
--- a/internal/acceptance/log_reader_test.go
+++ b/internal/acceptance/log_reader_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// hangupsThatFillAPipe is how many lines, of over 100 bytes each, are more than a pipe holds.
-const hangupsThatFillAPipe = 1200
+// sighupsToFillPipe is a number of log lines, of over 100 bytes each, that exceeds the capacity of a pipe.
+const sighupsToFillPipe = 1200
 
-// startWithLog starts the process with a pipe for its log, whose reading end the test has.
+// startWithLog starts the process with its log written to a pipe, and returns the read end.
 func (c *controller) startWithLog(t *testing.T) (process *exec.Cmd, reader *os.File) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
@@ -26,7 +26,7 @@
 	}
 	_ = writer.Close() // the process has its own copy
 	t.Cleanup(func() {
-		_ = process.Process.Kill() // it may have ended
+		_ = process.Process.Kill() // it may have exited
 		_ = reader.Close()         // it may be closed already
 	})
 	return process, reader
@@ -41,25 +41,26 @@
 	return err == nil && answer.Error == ""
 }
 
-// Whoever reads the log goes away, and lines are written after it: a job is served, and SIGTERM ends in order.
+// The reader of the log closes the pipe, and the controller logs more lines. Jobs must still be served, and SIGTERM
+// must lead to a clean exit.
 func TestALogReaderThatGoesAwayEndsNothing(t *testing.T) {
 	engine := startEngine(t, time.Millisecond, false)
 	c := newController(t, 1, 0)
 	c.writeConfig(freeAddress(t), listEvent(endpoint("e1", engine.Address(), "ready", 0)))
 	process, reader := c.startWithLog(t)
-	until(t, "not ready", c.ready)
+	waitFor(t, "not ready", c.ready)
 	_ = reader.Close()
 	for range 10 {
-		_ = process.Process.Signal(syscall.SIGHUP) // each reload is a line
+		_ = process.Process.Signal(syscall.SIGHUP) // each reload logs a line
 		if !c.serves(t, jobID(1)) {
-			t.Fatal("no job is served any more")
+			t.Fatal("a job is not served after the log reader closed the pipe")
 		}
 	}
 	_ = process.Process.Signal(syscall.SIGTERM)
 	awaitExit(t, process)
 }
 
-// awaitExit waits until a process has ended in order.
+// awaitExit waits for a clean exit of a process.
 func awaitExit(t *testing.T, process *exec.Cmd) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -67,37 +68,38 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ends with %v", err)
+			t.Errorf("process exits with %v", err)
 		}
 	case <-time.After(conditionTimeout):
-		t.Error("does not end")
-		_ = process.Process.Kill() // so that the wait for it ends
+		t.Error("process does not exit")
+		_ = process.Process.Kill() // so that Wait returns
 	}
 }
 
-// Whoever reads the log hangs: lines pile up behind a full pipe. Jobs are served, and SIGTERM ends in order.
+// The reader of the log hangs, and log lines queue up behind the full pipe. Jobs must still be served, and SIGTERM must
+// lead to a clean exit.
 func TestALogThatNobodyReadsHoldsUpNothing(t *testing.T) {
 	engine := startEngine(t, time.Millisecond, false)
 	c := newController(t, 1, 0)
 	c.writeConfig(freeAddress(t), listEvent(endpoint("e1", engine.Address(), "ready", 0)))
 	process, reader := c.startWithLog(t)
-	until(t, "not ready", c.ready)
+	waitFor(t, "not ready", c.ready)
 	fillPipe(t, process)
 	if !c.serves(t, jobID(2)) {
-		t.Fatal("no job is served any more")
+		t.Fatal("a job is not served while the pipe is full")
 	}
 	_ = process.Process.Signal(syscall.SIGTERM)
 	awaitExit(t, process)
 	_ = reader.Close()
 }
 
-// fillPipe has the process log lines until its pipe is full, or many more than that.
+// fillPipe makes the process log at least as many lines as fill its pipe.
 func fillPipe(t *testing.T, process *exec.Cmd) {
 	t.Helper()
-	for range hangupsThatFillAPipe {
+	for range sighupsToFillPipe {
 		if err := process.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // so that signals do not count as one; what is asserted does not depend on it
+		time.Sleep(time.Millisecond) // so that pending signals are not merged; the assertions do not depend on it
 	}
 }
--- a/internal/acceptance/main_test.go
+++ b/internal/acceptance/main_test.go
@@ -1,5 +1,5 @@
-// Package acceptance holds the terms of docs/acceptance.md against real processes of the program, between fakes on
-// loopback. What is asserted comes from the fakes' records.
+// Package acceptance tests the criteria of docs/acceptance.md with real processes of the program and fake peers on
+// loopback. The assertions use the records of the fakes.
 package acceptance
 
 import (
@@ -27,7 +27,7 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(dir) // a temporary folder: what is left is the system's to remove
+	_ = os.RemoveAll(dir) // a temporary directory, which the system removes if this fails
 	os.Exit(code)
 }
 
@@ -36,8 +36,8 @@
 	conditionInterval = 2 * time.Millisecond
 )
 
-// until polls a condition, and fails the test with a message where it is not met in time.
-func until(t *testing.T, message string, condition func() bool) {
+// waitFor polls a condition, and fails the test with a message if it is not met in time.
+func waitFor(t *testing.T, message string, condition func() bool) {
 	t.Helper()
 	for stop := time.Now().Add(conditionTimeout); !condition(); time.Sleep(conditionInterval) {
 		if time.Now().After(stop) {
--- a/internal/acceptance/pause_test.go
+++ b/internal/acceptance/pause_test.go
@@ -11,17 +11,16 @@
 
 const (
 	pauseRounds    = 30
-	pauseLength    = 400 * time.Millisecond // longer than an engine that drains may still be sent to
+	pauseLength    = 400 * time.Millisecond // longer than the drain grace period
 	pausedClients  = 12
-	callsOfAClient = 3
+	callsPerClient = 3
 )
 
-// A controller is stopped (SIGSTOP) for longer than the grace of a drain. Meanwhile an engine begins to drain, and
-// calls come. When the process goes on, the readers of the clients and the reader of the feed wake up in any order: a
-// call that is read first was ordered at the engine that drains, and its first byte went out before the line of the
-// feed was read. The soak showed it as calls that reach an engine 445 to 963 ms after it was listed as draining, each
-// some milliseconds after a SIGCONT (seeds 8001 to 8003 with drains placed in pauses). A trial that logged the age of
-// the list at the first byte had it at 1.23 s in 12 of 12 such calls, and the age of the order at 9 to 197 us.
+// A controller is paused (SIGSTOP) for longer than the drain grace period. Meanwhile an engine begins to drain, and
+// calls arrive. When the process resumes, the readers of clients and of the feed wake up in any order. The failure: a
+// call that is read first is dispatched to the draining engine before the feed's line is read. In soaks with drains
+// during pauses (seeds 8001 to 8003) such calls reached an engine 445 to 963 ms after it was listed as draining, a few
+// milliseconds after a SIGCONT; in 12 of 12 calls the endpoint list was 1.23 s old, and the decision 9 to 197 us.
 func TestNothingIsSentToAnEngineThatBeganToDrainInAPause(t *testing.T) {
 	feed, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
@@ -36,7 +35,7 @@
 	c := newController(t, 1, 0)
 	c.writeConfig(feed.Address())
 	c.start()
-	until(t, "not ready", c.ready)
+	waitFor(t, "not ready", c.ready)
 	var clients []*fake.Client
 	for range pausedClients {
 		clients = append(clients, c.dial(t))
@@ -44,7 +43,7 @@
 	calls := 0
 	sendAll := func() {
 		for _, client := range clients {
-			for range callsOfAClient {
+			for range callsPerClient {
 				calls++
 				sendJob(t, client, jobID(calls), 1)
 			}
@@ -52,7 +51,7 @@
 	}
 	answerAll := func() {
 		for _, client := range clients {
-			for range callsOfAClient {
+			for range callsPerClient {
 				if _, err := client.Read(answerTimeout); err != nil {
 					t.Fatal(err)
 				}
@@ -62,7 +61,7 @@
 	for round := range pauseRounds {
 		drains := round % len(engines)
 		sendAll()
-		answerAll() // over connections to both engines, which stay open
+		answerAll() // opens connections to both engines, which stay open
 		c.Signal(syscall.SIGSTOP)
 		feed.AddEvent(false, "["+entry(drains, "draining")+"]")
 		sendAll()
@@ -71,7 +70,7 @@
 		c.Signal(syscall.SIGCONT)
 		answerAll()
 		if sent := engines[drains].dispatches()[before:]; len(sent) > 0 {
-			t.Errorf("round %d: %d calls reach an engine that has drained for %v", round, len(sent), pauseLength)
+			t.Errorf("round %d: %d calls reach an engine that has been draining for %v", round, len(sent), pauseLength)
 		}
 		feed.AddEvent(false, "["+entry(drains, "ready")+"]")
 	}
@@ -79,30 +78,30 @@
 
 const (
 	revocationRounds = 12
-	jobsThatWait     = 20
+	waitingJobs      = 20
 )
 
-// A controller is stopped while jobs wait for an engine that is full. Meanwhile their clients cancel them, and the
-// engine answers what it has. When the process goes on, the engine's answers may be read first, and the jobs that are
-// taken up then were cancelled long before. The soak showed it once: a call reached its engine 1.17 s after its
-// client had revoked it, ordered 22 us before, in the moment of a SIGCONT (seed 8002 with drains placed in pauses).
+// A controller is paused while jobs wait for a full engine. Meanwhile their clients revoke them, and the engine answers
+// its open dispatches. The failure: when the process resumes, it reads the engine's answers first and dispatches jobs
+// that were revoked long before. In one soak (seed 8002, with drains during pauses) a call reached its engine right
+// after a SIGCONT, 1.17 s after its client had revoked it and 22 us after the decision to dispatch it.
 func TestNothingIsSentForClientsThatCancelledInAPause(t *testing.T) {
 	e := startEngine(t, time.Millisecond, true)
 	c := newController(t, 1, 0)
 	c.writeConfig(freeAddress(t), listEvent(endpoint("e1", e.Address(), "ready", 0)))
 	c.start()
-	until(t, "not ready", c.ready)
-	fills := c.dial(t)
+	waitFor(t, "not ready", c.ready)
+	fillingClient := c.dial(t)
 	jobs := 0
 	for round := range revocationRounds {
-		for range jobsThatFill {
+		for range jobsToFillEngine {
 			jobs++
-			sendJob(t, fills, jobID(jobs), 1000)
+			sendJob(t, fillingClient, jobID(jobs), 1000)
 		}
-		_, _ = fills.Ready() // its answer shows that the jobs were accepted
+		_, _ = fillingClient.Ready() // the answer shows that the jobs were accepted
 		cancels := map[*fake.Client]uint32{}
 		cancelled := map[string]bool{}
-		for range jobsThatWait {
+		for range waitingJobs {
 			client := c.dial(t)
 			jobs++
 			cancels[client] = sendJob(t, client, jobID(jobs), 1000)
@@ -117,10 +116,10 @@
 		}
 		e.release()
 		time.Sleep(pauseLength)
-		before := len(e.dispatches()) // with what was on its way as the pause began
+		before := len(e.dispatches()) // includes dispatches that were in transit when the pause began
 		c.Signal(syscall.SIGCONT)
-		for range jobsThatFill {
-			if _, err := fills.Read(answerTimeout); err != nil {
+		for range jobsToFillEngine {
+			if _, err := fillingClient.Read(answerTimeout); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -131,22 +130,23 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("round %d: %d jobs reach the engine %v after their clients have cancelled them", round, late, pauseLength)
+			t.Errorf("round %d: %d jobs reach the engine %v after their clients have revoked them", round, late, pauseLength)
 		}
 		e.hold()
 	}
 }
 
 const (
-	// longPause is longer than it takes until what a feed has to tell counts as told, whether it arrived or not.
+	// longPause is longer than the time after which a change counts as notified, whether or not the feed delivered it.
 	longPause = 8 * time.Second
-	// wakeTime is how long after a pause what is read counts as sent in the pause; the feed is followed again later.
-	wakeTime = 35 * time.Millisecond
+	// resumeTime is how long after a pause input still counts as sent during the pause. The controller resubscribes to
+	// the feed later than that.
+	resumeTime = 35 * time.Millisecond
 )
 
-// A controller is stopped for longer than it takes until what its feed has to tell counts as told. Meanwhile the
-// feed's connection ends, and an engine begins to drain. Calls that come as the process goes on wait until the feed
-// is followed again: on the list from before the pause they would go to the engine that drains.
+// A controller is paused for longer than the time after which a change of its feed counts as notified. Meanwhile the
+// feed's connection closes, and an engine begins to drain. Calls that arrive when the process resumes must wait until
+// it has resubscribed to the feed: with the endpoint list from before the pause they would go to the draining engine.
 func TestAfterALongPauseCallsWaitForTheFeed(t *testing.T) {
 	feed, err := fake.StartDiscovery("127.0.0.1:0", 1)
 	if err != nil {
@@ -159,7 +159,7 @@
 	c := newController(t, 1, 0)
 	c.writeConfig(feed.Address())
 	c.start()
-	until(t, "not ready", c.ready)
+	waitFor(t, "not ready", c.ready)
 	var clients []*fake.Client
 	for i := range pausedClients {
 		client := c.dial(t)
@@ -175,7 +175,7 @@
 	time.Sleep(longPause)
 	before := len(drains.dispatches())
 	c.Signal(syscall.SIGCONT)
-	time.Sleep(wakeTime)
+	time.Sleep(resumeTime)
 	for i, client := range clients {
 		sendJob(t, client, jobID(1000+i), 1)
 	}
@@ -185,10 +185,10 @@
 			t.Fatal(err)
 		}
 		if answer.Error != "" {
-			t.Errorf("%s, though an engine is ready", answer.Error)
+			t.Errorf("answer %s, although an engine is ready", answer.Error)
 		}
 	}
 	if sent := drains.dispatches()[before:]; len(sent) > 0 {
-		t.Errorf("%d calls reach an engine that has drained for %v", len(sent), longPause)
+		t.Errorf("%d calls reach an engine that has been draining for %v", len(sent), longPause)
 	}
 }
--- a/internal/acceptance/restart_test.go
+++ b/internal/acceptance/restart_test.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	soonReady     = 10 * time.Second // nine in ten must be
-	lastReady     = 30 * time.Second // all must be
-	giveUpReady   = 40 * time.Second
-	restartPause  = 20 * time.Millisecond // from one process that is ended to the next
-	requestPause  = 50 * time.Millisecond
-	requestAnswer = 2 * time.Second
+	quickReadyTime  = 10 * time.Second // for nine in ten processes
+	maxReadyTime    = 30 * time.Second // for all processes
+	readyTimeout    = 40 * time.Second
+	restartInterval = 20 * time.Millisecond // from the end of one process to that of the next
+	requestInterval = 50 * time.Millisecond
+	requestTimeout  = 2 * time.Second
 )
 
-// Twenty processes are killed at once, and then ended one by one under load, while discovery is down and the engines
-// hang: nine in ten are ready within 10 s, all within 30 s.
+// Under load, twenty processes are killed at once and later terminated one by one, and restarted each time, while
+// discovery sends nothing and the engines hang. Nine in ten must be ready within 10 s, and all within 30 s.
 func TestRestartsWithDiscoveryDownAndEnginesHanging(t *testing.T) {
 	const fleet = 20
 	hanging := []*recordingEngine{startEngine(t, 0, true), startEngine(t, 0, true)}
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // discovery accepts connections and sends nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // discovery that accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		load.Go(func() { requestUntil(done, c.address, i, &load) })
 	}
 	checkRestarts(t, "killed", restartAll(all, 0, func(c *controller) { c.Kill() }))
-	checkRestarts(t, "ended", restartAll(all, restartPause, func(c *controller) {
+	checkRestarts(t, "ended", restartAll(all, restartInterval, func(c *controller) {
 		c.Signal(syscall.SIGTERM)
 		if err := c.WaitExit(); err != nil {
 			t.Errorf("%s: %v", c.name, err)
@@ -48,33 +48,34 @@
 	load.Wait()
 }
 
-// requestUntil sends a job over a new connection again and again. Every second one is not waited for.
+// requestUntil repeatedly requests a job over a new connection. It closes every second connection without waiting for
+// the answer.
 func requestUntil(done <-chan struct{}, address string, index int, load *sync.WaitGroup) {
 	for n := 0; ; n++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(requestPause):
+		case <-time.After(requestInterval):
 		}
-		one, err := fake.Dial(address)
+		conn, err := fake.Dial(address)
 		if err != nil {
 			continue
 		}
 		fields := []string{"call", fmt.Sprintf("%08x%08x", index, n), "ttl", "1500", "org", "one", "work", "50"}
-		_, _ = one.Send("look", "SELECT 1 FROM a_1.b", fields...) // its controller may end meanwhile
+		_, _ = conn.Send("look", "SELECT 1 FROM a_1.b", fields...) // the controller may exit meanwhile
 		if n%2 != 0 {
-			one.Conn.Close()
+			conn.Conn.Close()
 			continue
 		}
 		load.Go(func() {
-			_, _ = one.Read(requestAnswer) // likewise
-			one.Conn.Close()
+			_, _ = conn.Read(requestTimeout) // likewise
+			conn.Conn.Close()
 		})
 	}
 }
 
-// restartAll ends each process in some way, one a pause after the other, and starts it again. It returns how long
-// each took from its start until it was ready.
+// restartAll ends each process with end, with a pause between them, and restarts it. It returns the times from start
+// to ready.
 func restartAll(all []*controller, pause time.Duration, end func(*controller)) []time.Duration {
 	took := make([]time.Duration, len(all))
 	var restarts sync.WaitGroup
@@ -83,7 +84,7 @@
 			end(c)
 			start := time.Now()
 			c.start()
-			for !c.ready() && time.Since(start) < giveUpReady {
+			for !c.ready() && time.Since(start) < readyTimeout {
 				time.Sleep(5 * time.Millisecond)
 			}
 			took[i] = time.Since(start)
@@ -99,12 +100,12 @@
 	soon, last := 0, time.Duration(0)
 	for _, d := range took {
 		last = max(last, d)
-		if d <= soonReady {
+		if d <= quickReadyTime {
 			soon++
 		}
 	}
 	t.Logf("%s: %d of %d ready within 10 s, the last after %v", name, soon, len(took), last.Round(time.Millisecond))
-	if soon < len(took)*9/10 || last > lastReady {
+	if soon < len(took)*9/10 || last > maxReadyTime {
 		t.Errorf("%s: %d of %d ready within 10 s, the last after %v", name, soon, len(took), last)
 	}
 }
--- a/internal/acceptance/warm_up_test.go
+++ b/internal/acceptance/warm_up_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	warmUpWork    = time.Second // of each job
-	lowRate       = 1.2         // jobs a second
-	highRate      = 5           // likewise, at every fourth controller
-	minDispatches = 5           // at the engine that warms up: it is used
+	warmUpWork    = time.Second // work of each job
+	lowRate       = 1.2         // jobs per second
+	highRate      = 5           // jobs per second, at every fourth controller
+	minDispatches = 5           // to the engine that warms up, so that it is used
 )
 
-// Twenty processes, an engine that warms up, traffic that is uneven: what all send in any window stays within what it
-// stands, and the engine is used.
+// Twenty processes with uneven load share an engine that warms up. The sum of their dispatches in any window must stay
+// within the engine's limit, and the engine must be used.
 func TestAnEngineThatWarmsUpStandsUnderTwentyProcesses(t *testing.T) {
 	const fleet = 20
 	discovery, err := fake.StartDiscovery("127.0.0.1:0", 1)
@@ -37,49 +37,49 @@
 	}
 	known := discovery.AddEvent(true, "["+warm+"]")
 	load := startUnevenLoad(t, startFleet(t, fleet, discovery.Address(), known))
-	until(t, "no load", func() bool { return load.served.Load() > 40 })
+	waitFor(t, "no load", func() bool { return load.served.Load() > 40 })
 	e := startEngine(t, warmUpWork, false)
 	started := time.Now()
 	discovery.AddEvent(false, "["+endpoint("cold", e.Address(), "ready", started.UnixMilli())+"]")
-	until(t, "not warm", func() bool { return time.Since(started) > warmUpTime })
+	waitFor(t, "not warm", func() bool { return time.Since(started) > warmUpTime })
 	load.stop()
-	var since []time.Duration // of dispatches while it warms up, from its start
+	var times []time.Duration // times of dispatches during warm-up, since the engine's start
 	for _, d := range e.dispatches() {
 		if after := d.at.Sub(started); after < warmUpTime {
-			since = append(since, after)
+			times = append(times, after)
 		}
 	}
-	used := maxUse(since)
-	t.Logf("N=%.1f: %d calls in %v, at most %.2f of what stands in a window",
-		dispatchesAtStart(), len(since), warmUpTime, used)
-	if used > 1 || len(since) < minDispatches {
-		t.Errorf("%d calls to the engine that warms up, at most %.2f of what stands", len(since), used)
+	utilization := maxUtilization(times)
+	t.Logf("N=%.1f: %d calls in %v, at most %.2f of the limit in a window",
+		windowLimitAtStart(), len(times), warmUpTime, utilization)
+	if utilization > 1 || len(times) < minDispatches {
+		t.Errorf("%d calls to the engine that warms up, at most %.2f of the limit in a window", len(times), utilization)
 	}
 }
 
-// dispatchesAtStart is how many dispatches an engine can take in a window just after its start.
-func dispatchesAtStart() float64 {
+// windowLimitAtStart returns how many dispatches an engine may get in a window right after its start.
+func windowLimitAtStart() float64 {
 	return overloadMultiple * startCapacity * engineCores * warmUpWindow.Seconds() / warmUpWork.Seconds()
 }
 
-// maxUse is the greatest part of an engine's limit that dispatches made up in a window. The limit has a margin of two
-// standard deviations of counts; dispatches are given by their times since its start.
-func maxUse(dispatches []time.Duration) float64 {
-	used := 0.0
+// maxUtilization returns the maximum fraction of an engine's limit that dispatches reach in any window. dispatches are
+// times since the engine's start. The limit includes a margin of two standard deviations of the count, plus a constant.
+func maxUtilization(dispatches []time.Duration) float64 {
+	utilization := 0.0
 	for i, first := range dispatches {
-		stands := dispatchesAtStart() * (1 + (1/startCapacity-1)*first.Seconds()/warmUpTime.Seconds())
+		limit := windowLimitAtStart() * (1 + (1/startCapacity-1)*first.Seconds()/warmUpTime.Seconds())
 		count := 0
 		for _, at := range dispatches[i:] {
 			if at-first < warmUpWindow {
 				count++
 			}
 		}
-		used = max(used, float64(count)/(stands+2*math.Sqrt(stands)+2))
+		utilization = max(utilization, float64(count)/(limit+2*math.Sqrt(limit)+2))
 	}
-	return used
+	return utilization
 }
 
-// unevenLoad is one client at each controller.
+// unevenLoad is a load with one client per controller, at different rates.
 type unevenLoad struct {
 	served  atomic.Int64 // jobs
 	done    chan struct{}
@@ -104,7 +104,7 @@
 	l.clients.Wait()
 }
 
-// run sends jobs at a mean rate a second, whether the ones before are answered or not.
+// run requests jobs at a mean rate per second, without waiting for answers.
 func (l *unevenLoad) run(t *testing.T, address string, index int, rate float64) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(7, uint64(index)))
@@ -123,11 +123,11 @@
 		}
 		fields := []string{"call", fmt.Sprintf("%08x%08x", index, n), "ttl", "8000", "org", "one",
 			"work", fmt.Sprint(warmUpWork.Milliseconds()), "est_mb", "8"}
-		_, _ = client.Send("look", "SELECT 1 FROM a_1.b", fields...) // one that is lost is not served
+		_, _ = client.Send("look", "SELECT 1 FROM a_1.b", fields...) // a lost request is not counted as served
 	}
 }
 
-// countAnswers reads until the connection ends.
+// countAnswers counts served jobs until the connection closes.
 func (l *unevenLoad) countAnswers(client *fake.Client) {
 	for {
 		answer, err := client.Read(time.Minute)
