--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -79,7 +79,7 @@
 	case Crossed:
 		c.checkCrossed(call)
 		return
-	case Unreadable:
+	case Malformed:
 		c.report("answer", "call %s has a malformed answer", call.ID)
 		return
 	case Broken, Unanswered:
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -276,7 +276,7 @@
 			c.recordBroken()
 			return false
 		default:
-			c.endOpen(Unreadable)
+			c.endOpen(Malformed)
 			return false
 		}
 	}
@@ -301,7 +301,7 @@
 	case "":
 		call.Outcome = Served
 		if string(answer.Body) != call.ID+"\tb\tc\n" {
-			call.Outcome = Unreadable
+			call.Outcome = Malformed
 		}
 	case "Overloaded":
 		call.Outcome = Refused
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -18,7 +18,7 @@
 	Left       Outcome = "left"      // the client disconnected or revoked the call before the answer
 	Broken     Outcome = "broken"    // the connection broke before the answer
 	Crossed    Outcome = "crossed"   // sent while the controller closed the idle connection; the client resends it
-	Unreadable Outcome = "malformed" // got a malformed answer
+	Malformed  Outcome = "malformed" // got a malformed answer
 )
 
 // Call is one call as its client saw it.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -79,12 +79,12 @@
 		corrupt func(r *Records)
 		rule    string // empty: no violation
 	}{
-		"nothing":          {func(*Records) {}, ""},
-		"two answers":      {func(r *Records) { r.calls[0].Answers = 2 }, "answer"},
-		"unreadable":       {func(r *Records) { r.calls[0].Outcome = Unreadable }, "answer"},
-		"served by nobody": {func(r *Records) { r.executions = nil }, "answer"},
-		"broken":           {func(r *Records) { r.calls[0].Outcome = Broken }, "lost"},
-		"never answered":   {func(r *Records) { r.calls[0].Outcome = Unanswered }, "lost"},
+		"nothing":                     {func(*Records) {}, ""},
+		"two answers":                 {func(r *Records) { r.calls[0].Answers = 2 }, "answer"},
+		"malformed":                   {func(r *Records) { r.calls[0].Outcome = Malformed }, "answer"},
+		"served without an execution": {func(r *Records) { r.executions = nil }, "answer"},
+		"broken":                      {func(r *Records) { r.calls[0].Outcome = Broken }, "lost"},
+		"never answered":              {func(r *Records) { r.calls[0].Outcome = Unanswered }, "lost"},
 		"broken by a kill": {func(r *Records) {
 			r.calls[0].Outcome = Broken
 			r.addKill(0, after(50*time.Millisecond))
@@ -97,7 +97,7 @@
 			r.calls[0].Outcome = Broken
 			r.addKill(0, after(-2*time.Second))
 		}, "lost"},
-		"broken by another's kill": {func(r *Records) {
+		"broken by the kill of another controller": {func(r *Records) {
 			r.calls[0].Outcome = Broken
 			r.addKill(1, after(50*time.Millisecond))
 		}, "lost"},
@@ -113,13 +113,13 @@
 			r.calls[0].Outcome = Crossed
 			r.fetches = nil
 		}, ""},
-		"crossed and sent on": {func(r *Records) { r.calls[0].Outcome = Crossed }, "lost"},
+		"crossed, but dispatched": {func(r *Records) { r.calls[0].Outcome = Crossed }, "lost"},
 		"several crossed": {func(r *Records) {
 			r.calls[0].Outcome = Crossed
 			r.calls[0].BatchSize = 2
 			r.fetches = nil
 		}, "lost"},
-		"several crossed a close that is named idle": {func(r *Records) {
+		"several crossed a close that is logged as idle": {func(r *Records) {
 			r.calls[0].Outcome = Crossed
 			r.calls[0].BatchSize = 2
 			r.calls[0].LocalAddress = "127.0.0.1:4"
@@ -133,18 +133,18 @@
 			r.addCloseReason(0, "127.0.0.1:4", "idle open_calls=0 unread=true")
 			r.fetches = nil
 		}, "lost"},
-		"shut unread in a flood of idle clients": {func(r *Records) {
+		"closed unread during a flood of idle clients": {func(r *Records) {
 			r.calls[0].Outcome = Broken
 			r.calls[0].IsFirst = true
 			r.fetches = nil
 			r.addIdleFlood(0, Interval{after(-time.Second), after(time.Second)})
 		}, ""},
-		"shut in a flood, and sent on": {func(r *Records) {
+		"closed during a flood, but dispatched": {func(r *Records) {
 			r.calls[0].Outcome = Broken
 			r.calls[0].IsFirst = true
 			r.addIdleFlood(0, Interval{after(-time.Second), after(time.Second)})
 		}, "lost"},
-		"shut in a flood on a connection in use": {func(r *Records) {
+		"closed during a flood on a connection in use": {func(r *Records) {
 			r.calls[0].Outcome = Broken
 			r.fetches = nil
 			r.addIdleFlood(0, Interval{after(-time.Second), after(time.Second)})
@@ -183,15 +183,15 @@
 		"drained a moment ago": {func(r *Records) {
 			r.addChange(Change{Engine: "e0", State: "draining", At: after(-drainGrace / 2)})
 		}, ""},
-		"told that it is ready again, as the line is still being written": {func(r *Records) {
+		"notified that it is ready again, while the line is still being written": {func(r *Records) {
 			r.addChange(Change{Engine: "e0", State: "draining", At: after(-time.Second)})
 			r.addChange(Change{Engine: "e0", State: "ready", BegunAt: after(9 * time.Millisecond), At: after(time.Second)})
 		}, ""},
-		"told later that it is ready again": {func(r *Records) {
+		"notified later that it is ready again": {func(r *Records) {
 			r.addChange(Change{Engine: "e0", State: "draining", At: after(-time.Second)})
 			r.addChange(Change{Engine: "e0", State: "ready", BegunAt: after(11 * time.Millisecond), At: after(time.Second)})
 		}, "drain"},
-		"another was told that it drains": {func(r *Records) {
+		"another controller was notified that it drains": {func(r *Records) {
 			r.addChange(Change{Engine: "e0", Controller: 1, State: "draining", At: after(-notificationTimeout - time.Second)})
 		}, "drain"},
 		"order": {func(r *Records) {
@@ -276,18 +276,18 @@
 
 // The same seed always gives the same faults, some of which overlap.
 func TestFaultsAreDrawnFromTheSeed(t *testing.T) {
-	one, again := DrawFaults(7, time.Minute, 12, 12, true), DrawFaults(7, time.Minute, 12, 12, true)
+	faults, again := DrawFaults(7, time.Minute, 12, 12, true), DrawFaults(7, time.Minute, 12, 12, true)
 	overlapping := 0
-	for i, fault := range one {
+	for i, fault := range faults {
 		if fault != again[i] {
 			t.Fatalf("%v and %v", fault, again[i])
 		}
-		if i > 0 && fault.At < one[i-1].At+one[i-1].Length {
+		if i > 0 && fault.At < faults[i-1].At+faults[i-1].Length {
 			overlapping++
 		}
 	}
-	if overlapping < len(one)/3 {
-		t.Errorf("%d of %d overlap", overlapping, len(one))
+	if overlapping < len(faults)/3 {
+		t.Errorf("%d of %d overlap", overlapping, len(faults))
 	}
 }
 
@@ -295,7 +295,7 @@
 // same target if both affect controllers or both affect engines.
 func TestEachPairOfFaultsIsPlaced(t *testing.T) {
 	const seeds = 400
-	placed := map[string]bool{}
+	drawn := map[string]bool{}
 	for seed := range uint64(seeds) {
 		first := map[int]Fault{}
 		for _, fault := range DrawFaults(seed, time.Minute, 12, 12, true) {
@@ -307,16 +307,16 @@
 				first[fault.Placement] = fault
 				continue
 			}
-			placed[fault.Pair] = true
-			isSameSort := (engineFaultInjectors[before.Kind] == nil) == (engineFaultInjectors[fault.Kind] == nil)
-			if fault.At-before.At > maxPairDelay || isSameSort && fault.Target != before.Target {
+			drawn[fault.Pair] = true
+			haveSameTargetType := (engineFaultInjectors[before.Kind] == nil) == (engineFaultInjectors[fault.Kind] == nil)
+			if fault.At-before.At > maxPairDelay || haveSameTargetType && fault.Target != before.Target {
 				t.Fatalf("seed %d: %v and %v", seed, before, fault)
 			}
 		}
 	}
 	for _, pair := range faultPairs(true) {
-		if !placed[pair.name()] {
-			t.Errorf("never placed: %s", pair.name())
+		if !drawn[pair.name()] {
+			t.Errorf("never drawn: %s", pair.name())
 		}
 	}
 }
