--- a/internal/sparql/decide/cost.go
+++ b/internal/sparql/decide/cost.go
@@ -117,7 +117,7 @@
 func staticWork(statement *syntax.Statement) float64 {
 	counts := statement.Cost
 	units := 1.0
-	for variables, patterns := range counts.Free {
+	for variables, patterns := range counts.PatternsByVariables {
 		units += float64(patterns) * patternWeights[variables]
 	}
 	combinations := counts.Joins + counts.Unions + counts.Subqueries
--- a/internal/sparql/front/handler.go
+++ b/internal/sparql/front/handler.go
@@ -104,10 +104,10 @@
 			return nil, rejectf(http.StatusBadRequest, "SERVICE <%s> is not allowed here", service)
 		}
 	}
-	if statement.Loads {
+	if statement.UsesLoad {
 		return nil, rejectf(http.StatusBadRequest, "LOAD is not allowed here")
 	}
-	if request.update && len(request.graphs) > 0 && statement.Dataset { // section 2.2.3 of the protocol
+	if request.update && len(request.graphs) > 0 && statement.HasDatasetClause { // section 2.2.3 of the protocol
 		return nil, rejectf(http.StatusBadRequest, "USING or WITH in the text, and using-graph-uri")
 	}
 	return statement, nil
--- a/internal/sparql/syntax/builtins.go
+++ b/internal/sparql/syntax/builtins.go
@@ -1,21 +1,21 @@
 package syntax
 
-// argumentCount bounds the arguments of a function.
+// argumentCount is the allowed number of arguments of a function.
 type argumentCount struct {
 	min int
-	max int // unbounded: any number
+	max int // or unbounded
 }
 
 const unbounded = -1
 
-// anyCount is for functions that are not built in, and for lists of values.
+// anyCount is used for functions that are not built in, and for the lists of IN and NOT IN.
 var anyCount = argumentCount{0, unbounded}
 
 func (c argumentCount) allows(arguments int) bool {
 	return arguments >= c.min && (c.max == unbounded || arguments <= c.max)
 }
 
-// builtIns are the built-in functions with their arguments, but for EXISTS and the aggregates.
+// builtIns are the built-in functions with their argument counts, without EXISTS and the aggregates.
 var builtIns = map[string]argumentCount{
 	"STR": {1, 1}, "LANG": {1, 1}, "LANGMATCHES": {2, 2}, "DATATYPE": {1, 1}, "BOUND": {1, 1}, "IRI": {1, 1},
 	"URI": {1, 1}, "BNODE": {0, 1}, "RAND": {0, 0}, "ABS": {1, 1}, "CEIL": {1, 1}, "FLOOR": {1, 1}, "ROUND": {1, 1},
--- a/internal/sparql/syntax/expression.go
+++ b/internal/sparql/syntax/expression.go
@@ -18,7 +18,7 @@
 // Constraint ::= BrackettedExpression | BuiltInCall | FunctionCall
 func (p *parser) constraint() {
 	if p.isPunct("(") {
-		p.bracketed()
+		p.bracketedExpression()
 		return
 	}
 	if !p.isCall() {
@@ -27,7 +27,7 @@
 	p.call()
 }
 
-func (p *parser) bracketed() {
+func (p *parser) bracketedExpression() {
 	p.expect("(")
 	p.expression()
 	p.expect(")")
@@ -64,7 +64,7 @@
 
 // arguments ::= NIL | '(' 'DISTINCT'? Expression ( ',' Expression )* ')'
 func (p *parser) arguments(count argumentCount, distinct bool) {
-	at := p.token.at
+	at := p.token.offset
 	p.expect("(")
 	if distinct {
 		p.acceptKeyword("DISTINCT")
@@ -84,7 +84,7 @@
 	}
 }
 
-// Aggregate ::= NAME '(' 'DISTINCT'? ( '*' | Expression ) ')', and GROUP_CONCAT with its separator
+// Aggregate ::= NAME '(' 'DISTINCT'? ( '*' | Expression ) ')', after the name; GROUP_CONCAT may have a separator
 func (p *parser) aggregate(name string) {
 	p.statement.Cost.Aggregates++
 	p.expect("(")
@@ -103,28 +103,28 @@
 	p.expect(")")
 }
 
-// Expression ::= ConditionalOrExpression, by precedence: || && relation + - * / unary
+// Expression ::= ConditionalOrExpression. By increasing precedence: ||, &&, relational, + and -, * and /, unary.
 func (p *parser) expression() {
 	p.nested(func() {
-		p.and()
+		p.conditionalAnd()
 		for p.accept("||") {
-			p.and()
+			p.conditionalAnd()
 		}
 	})
 }
 
-func (p *parser) and() {
-	p.relation()
+func (p *parser) conditionalAnd() {
+	p.relational()
 	for p.accept("&&") {
-		p.relation()
+		p.relational()
 	}
 }
 
-func (p *parser) relation() {
-	p.sum()
-	for _, sign := range []string{"=", "!=", "<=", ">=", "<", ">"} {
-		if p.accept(sign) {
-			p.sum()
+func (p *parser) relational() {
+	p.additive()
+	for _, operator := range []string{"=", "!=", "<=", ">=", "<", ">"} {
+		if p.accept(operator) {
+			p.additive()
 			return
 		}
 	}
@@ -136,14 +136,14 @@
 	}
 }
 
-func (p *parser) sum() {
-	p.product()
+func (p *parser) additive() {
+	p.multiplicative()
 	for p.accept("+") || p.accept("-") {
-		p.product()
+		p.multiplicative()
 	}
 }
 
-func (p *parser) product() {
+func (p *parser) multiplicative() {
 	p.unary()
 	for p.accept("*") || p.accept("/") {
 		p.unary()
@@ -162,7 +162,7 @@
 func (p *parser) primary() {
 	switch {
 	case p.isPunct("("):
-		p.bracketed()
+		p.bracketedExpression()
 	case p.token.kind == literal:
 		p.literal()
 	case p.token.kind == number || p.token.kind == variable || p.isAnyKeyword("true", "false"):
--- a/internal/sparql/syntax/lexer.go
+++ b/internal/sparql/syntax/lexer.go
@@ -7,14 +7,14 @@
 	"unicode/utf8"
 )
 
-// lexer cuts a text into tokens, one ahead.
+// lexer splits a text into tokens, with one token of lookahead.
 type lexer struct {
 	text  string
-	pos   int // byte offset behind the token
+	pos   int // byte offset after the token
 	token token
 }
 
-// parseFailure is thrown by panic within the package, and recovered by Parse.
+// parseFailure is the panic value with which the package reports errors; Parse recovers it.
 type parseFailure struct {
 	at     int
 	reason string
@@ -24,7 +24,7 @@
 	panic(parseFailure{at, fmt.Sprintf(format, values...)})
 }
 
-// lineAndColumn returns the place of a byte offset; both count from 1, columns in characters.
+// lineAndColumn converts a byte offset to a line and a column. Both count from 1, columns in characters.
 func lineAndColumn(text string, at int) (line, column int) {
 	before := text[:min(at, len(text))]
 	line = 1 + strings.Count(before, "\n")
@@ -36,7 +36,7 @@
 	before := l.pos
 	l.skipSpace()
 	at := l.pos
-	l.token = token{at: at, spaced: at > before}
+	l.token = token{offset: at, afterSpace: at > before}
 	if at == len(l.text) {
 		return
 	}
@@ -109,7 +109,7 @@
 	l.emit(langTag, length, text[:length])
 }
 
-// isLangTagByte reports whether a byte belongs to a language tag; digits and dashes do not begin one.
+// isLangTagByte reports whether a byte may be in a language tag. Digits and hyphens may not be first.
 func isLangTagByte(c byte, inside bool) bool {
 	return isLetter(c) || inside && (isDigit(c) || c == '-')
 }
@@ -120,21 +120,21 @@
 	if length == 0 {
 		l.fail(l.pos, "a blank node without label")
 	}
-	l.emit(blank, 2+length, text[2:2+length])
+	l.emit(blankNode, 2+length, text[2:2+length])
 }
 
-// emit makes a token of the next bytes.
+// emit sets the current token and advances past its bytes.
 func (l *lexer) emit(kind tokenKind, length int, text string) {
 	l.token.kind = kind
 	l.token.text = text
 	l.pos += length
 }
 
-// readPunct reads the first of some signs that stands here.
-func (l *lexer) readPunct(signs ...string) {
-	for _, sign := range signs {
-		if strings.HasPrefix(l.text[l.pos:], sign) {
-			l.emit(punct, len(sign), sign)
+// readPunct reads the first of the given symbols that matches at the current position.
+func (l *lexer) readPunct(symbols ...string) {
+	for _, symbol := range symbols {
+		if strings.HasPrefix(l.text[l.pos:], symbol) {
+			l.emit(punct, len(symbol), symbol)
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 	l.fail(l.pos, "%q begins nothing", r)
 }
 
-// iriEnd returns the length of an IRI in brackets; 0 where there is none.
+// iriEnd returns the length of the IRI in angle brackets at the start of s, or 0 if there is none.
 func iriEnd(s string) int {
 	for i := 1; i < len(s); i++ {
 		switch c := s[i]; {
@@ -155,23 +155,23 @@
 	return 0
 }
 
-// readString reads a string, short or long, with its escapes left as they are.
+// readString reads a short or long string literal. It checks escapes but does not resolve them.
 func (l *lexer) readString(quote byte) {
 	at := l.pos
-	mark := string(quote)
-	long := strings.HasPrefix(l.text[at:], strings.Repeat(mark, 3))
+	delimiter := string(quote)
+	long := strings.HasPrefix(l.text[at:], strings.Repeat(delimiter, 3))
 	if long {
-		mark = strings.Repeat(mark, 3)
+		delimiter = strings.Repeat(delimiter, 3)
 	}
-	for i := at + len(mark); i < len(l.text); i++ {
+	for i := at + len(delimiter); i < len(l.text); i++ {
 		switch c := l.text[i]; {
 		case c == '\\':
 			if i+1 >= len(l.text) || strings.IndexByte("tbnrf\\\"'uU", l.text[i+1]) < 0 {
 				l.fail(i, "an escape that there is not")
 			}
 			i++
-		case strings.HasPrefix(l.text[i:], mark):
-			l.emit(literal, i+len(mark)-at, "")
+		case strings.HasPrefix(l.text[i:], delimiter):
+			l.emit(literal, i+len(delimiter)-at, "")
 			return
 		case !long && (c == '\n' || c == '\r'):
 			l.fail(at, "a string that does not end on its line")
@@ -180,12 +180,12 @@
 	l.fail(at, "a string that does not end")
 }
 
-// startsNumber reports whether a text that is not empty begins with a number.
+// startsNumber reports whether a text, which must not be empty, begins with a number.
 func startsNumber(text string) bool {
 	return isDigit(text[0]) || text[0] == '.' && len(text) > 1 && isDigit(text[1])
 }
 
-// readNumber reads digits with a fraction and an exponent, where they are complete.
+// readNumber reads an unsigned number. A fraction or exponent without digits is not part of it.
 func (l *lexer) readNumber() {
 	s := l.text[l.pos:]
 	length := digitsEnd(s, 0)
@@ -196,7 +196,7 @@
 	l.emit(number, length, s[:length])
 }
 
-// digitsEnd returns where the digits end that begin at an offset.
+// digitsEnd returns the end of the digits that begin at an offset.
 func digitsEnd(s string, at int) int {
 	for at < len(s) && isDigit(s[at]) {
 		at++
@@ -204,7 +204,7 @@
 	return at
 }
 
-// exponentEnd returns where the exponent ends that begins at an offset; the offset where there is none.
+// exponentEnd returns the end of the exponent that begins at an offset, or the offset itself if there is none.
 func exponentEnd(s string, at int) int {
 	if at >= len(s) || s[at] != 'e' && s[at] != 'E' {
 		return at
@@ -219,10 +219,10 @@
 	return at
 }
 
-// startsName reports whether a prefixed name or a keyword may begin with a byte.
+// startsName reports whether a byte may begin a prefixed name or a keyword.
 func startsName(c byte) bool { return c == ':' || isLetter(c) || c >= utf8.RuneSelf }
 
-// readName reads prefix:local, prefix: or a keyword.
+// readName reads a prefixed name, of the form prefix:local or prefix:, or a keyword.
 func (l *lexer) readName() {
 	s := l.text[l.pos:]
 	prefix := nameLength(s, true)
@@ -238,19 +238,19 @@
 		r, _ := utf8.DecodeRuneInString(s)
 		l.fail(l.pos, "%q begins nothing", r)
 	}
-	length := nameLength(s, false) // keywords have no signs inside
+	length := nameLength(s, false) // keywords contain no dots or hyphens
 	l.emit(keyword, length, s[:length])
 }
 
-// nameLength returns how many bytes of a text are a name; signs: with dots and dashes inside, as prefixes have.
-func nameLength(s string, signs bool) int {
+// nameLength returns the length in bytes of the name at the start of s. A prefix may contain dots and hyphens.
+func nameLength(s string, isPrefix bool) int {
 	n := 0
 	for n < len(s) {
 		r, size := utf8.DecodeRuneInString(s[n:])
 		if r == utf8.RuneError && size <= 1 {
 			break
 		}
-		if r != '_' && !unicode.IsLetter(r) && !unicode.IsDigit(r) && (!signs || n == 0 || r != '-' && r != '.') {
+		if r != '_' && !unicode.IsLetter(r) && !unicode.IsDigit(r) && (!isPrefix || n == 0 || r != '-' && r != '.') {
 			break
 		}
 		n += size
@@ -258,24 +258,24 @@
 	return n
 }
 
-// localLength returns how many bytes are the local part of a prefixed name, or the label of a blank node.
-func localLength(s string, label bool) int {
+// localLength returns the length in bytes of the local part of a prefixed name, or of the label of a blank node.
+func localLength(s string, isLabel bool) int {
 	length := 0
 	for length < len(s) {
 		size := labelSize(s[length:], length == 0)
-		if size == 0 && !label {
-			size = localExtraSize(s[length:])
+		if size == 0 && !isLabel {
+			size = localOnlySize(s[length:])
 		}
 		if size == 0 {
 			break
 		}
 		length += size
 	}
-	return trimDots(s, length)
+	return trimTrailingDots(s, length)
 }
 
-// labelSize returns the size of the character at the start, if it may stand in a label; dashes and dots do not begin
-// one.
+// labelSize returns the size of the character at the start if it is allowed in a label, else 0. Hyphens and dots may
+// not be first.
 func labelSize(s string, first bool) int {
 	r, size := utf8.DecodeRuneInString(s)
 	if r == utf8.RuneError && size <= 1 {
@@ -287,8 +287,9 @@
 	return 0
 }
 
-// localExtraSize returns the size of what only local parts may have: a colon, an escape, a byte in hex.
-func localExtraSize(s string) int {
+// localOnlySize returns the size of the element at the start if only local parts may contain it, else 0: a colon, a
+// backslash escape or a percent-encoded byte.
+func localOnlySize(s string) int {
 	switch {
 	case s[0] == ':':
 		return 1
@@ -300,8 +301,8 @@
 	return 0
 }
 
-// trimDots returns a length without the dots at its end, which end a triple; an escaped dot stays.
-func trimDots(s string, n int) int {
+// trimTrailingDots returns the length without unescaped dots at its end: they terminate the triple.
+func trimTrailingDots(s string, n int) int {
 	for n > 0 && s[n-1] == '.' && (n < 2 || s[n-2] != '\\') {
 		n--
 	}
--- a/internal/sparql/syntax/parser.go
+++ b/internal/sparql/syntax/parser.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// parser is a recursive descent parser: a function for each production of the grammar, which stands above it. Its
-// functions leave by panic with a parseFailure, which Parse recovers.
+// parser is a recursive descent parser with a method for each production of the grammar, quoted in its comment.
+// Errors are panics with a parseFailure, which Parse recovers.
 type parser struct {
 	lexer
 	statement     *Statement
@@ -16,11 +16,11 @@
 	prefixes      map[string]string
 	fingerprint   hash.Hash64
 	depth         int // of nested groups, paths, expressions and lists
-	graphs        int // named so far
-	subqueryDepth int // only limits at 0 count
+	graphCount    int // graphs and services named so far
+	subqueryDepth int // a LIMIT is recorded only at depth 0
 }
 
-// advance reads the next token and adds the one that it stands for to the fingerprint.
+// advance reads the next token and adds its normalized text to the fingerprint.
 func (p *parser) advance() {
 	p.readToken()
 	p.fingerprint.Write([]byte{byte(p.token.kind)})
@@ -28,14 +28,15 @@
 	p.fingerprint.Write([]byte{0})
 }
 
-// normalized is the text of a token without what texts of one fingerprint may differ in.
+// normalized returns the token's text without the details that do not affect the fingerprint: literals, numbers, names
+// of variables and blank nodes, and the case of keywords.
 func (t token) normalized() string {
 	switch t.kind {
 	case literal, langTag:
 		return "L"
 	case number:
 		return "N"
-	case variable, blank:
+	case variable, blankNode:
 		return "V"
 	case keyword:
 		return strings.ToUpper(t.text)
@@ -43,20 +44,20 @@
 	return t.text
 }
 
-// maxQuoted bounds how many bytes of the text an error quotes.
-const maxQuoted = 30
+// maxQuotedBytes limits the part of the text that an error quotes.
+const maxQuotedBytes = 30
 
-// unexpected fails at the present token.
+// unexpected fails at the current token.
 func (p *parser) unexpected(wanted string) {
 	found := "the end"
-	if p.token.kind != end {
-		stop := min(p.pos, p.token.at+maxQuoted)
-		found = strconv.Quote(p.text[p.token.at:stop])
+	if p.token.kind != endOfText {
+		stop := min(p.pos, p.token.offset+maxQuotedBytes)
+		found = strconv.Quote(p.text[p.token.offset:stop])
 	}
-	p.fail(p.token.at, "%s where %s is wanted", found, wanted)
+	p.fail(p.token.offset, "%s where %s is wanted", found, wanted)
 }
 
-func (p *parser) isPunct(sign string) bool { return p.token.kind == punct && p.token.text == sign }
+func (p *parser) isPunct(symbol string) bool { return p.token.kind == punct && p.token.text == symbol }
 
 func (p *parser) isKeyword(name string) bool {
 	return p.token.kind == keyword && strings.EqualFold(p.token.text, name)
@@ -73,16 +74,16 @@
 
 func (p *parser) isIRI() bool { return p.token.kind == iriRef || p.token.kind == prefixedName }
 
-// accept reads a sign if it is the present token.
-func (p *parser) accept(sign string) bool {
-	if !p.isPunct(sign) {
+// accept consumes the current token if it is the given symbol.
+func (p *parser) accept(symbol string) bool {
+	if !p.isPunct(symbol) {
 		return false
 	}
 	p.advance()
 	return true
 }
 
-// acceptKeyword reads a keyword if it is the present token.
+// acceptKeyword consumes the current token if it is the given keyword.
 func (p *parser) acceptKeyword(name string) bool {
 	if !p.isKeyword(name) {
 		return false
@@ -91,9 +92,9 @@
 	return true
 }
 
-func (p *parser) expect(sign string) {
-	if !p.accept(sign) {
-		p.unexpected(strconv.Quote(sign))
+func (p *parser) expect(symbol string) {
+	if !p.accept(symbol) {
+		p.unexpected(strconv.Quote(symbol))
 	}
 }
 
@@ -114,22 +115,22 @@
 	if p.token.kind != iriRef {
 		p.unexpected("an IRI in <>")
 	}
-	iri := p.resolve(p.token.text, p.token.at)
+	iri := p.resolve(p.token.text, p.token.offset)
 	p.advance()
 	return iri
 }
 
-// nested parses what stands inside something else, and bounds how deep.
+// nested parses a nested element and limits the nesting depth.
 func (p *parser) nested(inner func()) {
 	p.depth++
 	if p.depth > MaxDepth {
-		p.fail(p.token.at, "over %d levels in each other", MaxDepth)
+		p.fail(p.token.offset, "over %d levels in each other", MaxDepth)
 	}
 	inner()
 	p.depth--
 }
 
-// iri reads an IRI and returns it with prefix and base resolved.
+// iri consumes an IRI or prefixed name and returns it resolved against the prefixes and the base.
 func (p *parser) iri() string {
 	switch p.token.kind {
 	case iriRef:
@@ -138,7 +139,7 @@
 		prefix, local, _ := strings.Cut(p.token.text, ":")
 		namespace, known := p.prefixes[prefix]
 		if !known {
-			p.fail(p.token.at, "prefix %q is not declared", prefix+":")
+			p.fail(p.token.offset, "prefix %q is not declared", prefix+":")
 		}
 		p.advance()
 		return namespace + unescape(local)
@@ -147,7 +148,7 @@
 	return ""
 }
 
-// unescape removes the backslashes of a local name.
+// unescape resolves the backslash escapes of a local name.
 func unescape(local string) string {
 	if strings.IndexByte(local, '\\') < 0 {
 		return local
@@ -162,7 +163,7 @@
 	return unescaped.String()
 }
 
-// resolve returns a reference resolved against the base, if there is one.
+// resolve resolves an IRI reference against the base, if there is one.
 func (p *parser) resolve(ref string, at int) string {
 	if p.base == "" {
 		return ref
@@ -183,7 +184,7 @@
 	if err != nil {
 		return "", err
 	}
-	if strings.HasSuffix(ref, "#") { // net/url drops an empty fragment, which namespaces end in
+	if strings.HasSuffix(ref, "#") { // net/url drops an empty fragment, with which many namespaces end
 		return resolved.String() + "#", nil
 	}
 	return resolved.String(), nil
@@ -199,11 +200,11 @@
 	p.statement.Writes = append(p.statement.Writes, p.countGraph(graph))
 }
 
-// countGraph bounds how many graphs and services a text names.
+// countGraph limits the number of graphs and services that a text names.
 func (p *parser) countGraph(graph string) string {
-	p.graphs++
-	if p.graphs > MaxGraphs {
-		p.fail(p.token.at, "over %d graphs", MaxGraphs)
+	p.graphCount++
+	if p.graphCount > MaxGraphs {
+		p.fail(p.token.offset, "over %d graphs", MaxGraphs)
 	}
 	return graph
 }
--- a/internal/sparql/syntax/pattern.go
+++ b/internal/sparql/syntax/pattern.go
@@ -26,9 +26,9 @@
 
 // GroupGraphPatternSub ::= TriplesBlock? ( GraphPatternNotTriples '.'? TriplesBlock? )*
 func (p *parser) groupInner() {
-	allowed := terms{vars: true, blanks: true, paths: true}
+	allowed := tripleRules{variables: true, blankNodes: true, paths: true}
 	p.triples(allowed, true)
-	for p.notTriples() {
+	for p.graphPatternNotTriples() {
 		p.accept(".")
 		p.triples(allowed, true)
 	}
@@ -36,7 +36,7 @@
 
 // GraphPatternNotTriples ::= GroupOrUnionGraphPattern | OptionalGraphPattern | MinusGraphPattern | GraphGraphPattern |
 // ServiceGraphPattern | Filter | Bind | InlineData.
-func (p *parser) notTriples() bool {
+func (p *parser) graphPatternNotTriples() bool {
 	switch {
 	case p.isPunct("{"):
 		p.group()
@@ -58,7 +58,7 @@
 	case p.acceptKeyword("BIND"):
 		p.expect("(")
 		p.expression()
-		p.as()
+		p.asVariable()
 		p.expect(")")
 	case p.acceptKeyword("VALUES"):
 		p.dataBlock()
@@ -68,7 +68,7 @@
 	return true
 }
 
-// GraphGraphPattern ::= 'GRAPH' VarOrIri GroupGraphPattern, from the graph on.
+// GraphGraphPattern ::= 'GRAPH' VarOrIri GroupGraphPattern, after 'GRAPH'.
 func (p *parser) graphPattern() {
 	if p.token.kind == variable {
 		p.statement.ReadsAny = true
@@ -79,7 +79,7 @@
 	p.group()
 }
 
-// ServiceGraphPattern ::= 'SERVICE' 'SILENT'? VarOrIri GroupGraphPattern, behind the first keyword.
+// ServiceGraphPattern ::= 'SERVICE' 'SILENT'? VarOrIri GroupGraphPattern, after 'SERVICE'.
 func (p *parser) servicePattern() {
 	p.acceptKeyword("SILENT")
 	service := ""
@@ -93,18 +93,19 @@
 	p.group()
 }
 
-// terms says which terms are allowed in triples, and how the triples count.
-type terms struct {
-	vars   bool
-	blanks bool
-	paths  bool
-	data   bool // triples count as rows, not as patterns
+// tripleRules are the terms and paths that are allowed in triples, and how the triples are counted.
+type tripleRules struct {
+	variables  bool
+	blankNodes bool
+	paths      bool
+	inlineData bool // triples count as rows, not as patterns
 }
 
-// triples ::= ( TriplesSameSubject ( '.' triples? )? )?, as TriplesBlock, TriplesTemplate and ConstructTriples have it.
-func (p *parser) triples(allowed terms, counted bool) {
+// triples ::= ( TriplesSameSubject ( '.' triples? )? )?, which covers TriplesBlock, TriplesTemplate and
+// ConstructTriples. The triples are counted as patterns if counted is set.
+func (p *parser) triples(allowed tripleRules, counted bool) {
 	for p.startsTerm() {
-		p.subject(allowed, counted)
+		p.triplesSameSubject(allowed, counted)
 		if !p.accept(".") {
 			return
 		}
@@ -114,7 +115,7 @@
 // startsTerm reports whether a term, list or blank node begins here.
 func (p *parser) startsTerm() bool {
 	switch p.token.kind {
-	case iriRef, prefixedName, blank, variable, literal, number:
+	case iriRef, prefixedName, blankNode, variable, literal, number:
 		return true
 	case keyword:
 		return p.isAnyKeyword("true", "false")
@@ -123,34 +124,34 @@
 }
 
 // TriplesSameSubjectPath ::= VarOrTerm PropertyListPathNotEmpty | TriplesNodePath PropertyListPath
-func (p *parser) subject(allowed terms, counted bool) {
-	free, node := p.node(allowed, counted)
-	if node && !p.startsVerb(allowed) {
+func (p *parser) triplesSameSubject(allowed tripleRules, counted bool) {
+	variables, hasTriples := p.node(allowed, counted)
+	if hasTriples && !p.startsVerb(allowed) {
 		return
 	}
-	p.properties(allowed, free, counted)
+	p.propertyList(allowed, variables, counted)
 }
 
 // PropertyListPathNotEmpty ::= Verb ObjectList ( ';' ( Verb ObjectList )? )*
-func (p *parser) properties(allowed terms, free int, counted bool) {
-	p.verbObjects(allowed, free, counted)
+func (p *parser) propertyList(allowed tripleRules, variables int, counted bool) {
+	p.verbObjects(allowed, variables, counted)
 	for p.accept(";") {
 		if p.startsVerb(allowed) {
-			p.verbObjects(allowed, free, counted)
+			p.verbObjects(allowed, variables, counted)
 		}
 	}
 }
 
-func (p *parser) startsVerb(allowed terms) bool {
+func (p *parser) startsVerb(allowed tripleRules) bool {
 	return p.isIRI() || p.token.kind == variable || p.token.kind == keyword && p.token.text == "a" ||
 		allowed.paths && (p.isPunct("^") || p.isPunct("!") || p.isPunct("("))
 }
 
-func (p *parser) verbObjects(allowed terms, free int, counted bool) {
+func (p *parser) verbObjects(allowed tripleRules, variables int, counted bool) {
 	if p.token.kind == variable {
 		p.requireVariableAllowed(allowed)
 		p.advance()
-		free++
+		variables++
 	} else if allowed.paths {
 		p.path()
 	} else {
@@ -158,11 +159,11 @@
 	}
 	for {
 		object, _ := p.node(allowed, counted)
-		if allowed.data {
+		if allowed.inlineData {
 			p.statement.Cost.Rows++
 		} else if counted {
 			p.statement.Cost.Patterns++
-			p.statement.Cost.Free[free+object]++
+			p.statement.Cost.PatternsByVariables[variables+object]++
 		}
 		if !p.accept(",") {
 			return
@@ -179,48 +180,49 @@
 	p.iri()
 }
 
-// node ::= VarOrTerm | Collection | BlankNodePropertyList. Returns 1 where it is not bound, and whether it has triples
-// of its own.
-func (p *parser) node(allowed terms, counted bool) (free int, node bool) {
+// node ::= VarOrTerm | Collection | BlankNodePropertyList. It returns 1 for a variable, blank node or collection, else
+// 0, and whether the node has triples of its own.
+func (p *parser) node(allowed tripleRules, counted bool) (variables int, hasTriples bool) {
 	switch {
 	case p.isPunct("("):
 		p.nested(func() {
 			p.advance()
 			for n := 0; !p.accept(")"); n++ {
 				p.node(allowed, counted)
-				node = true
+				hasTriples = true
 			}
 		})
-		return 1, node
+		return 1, hasTriples
 	case p.isPunct("["):
-		at := p.token.at
+		at := p.token.offset
 		p.nested(func() {
 			p.advance()
 			if p.accept("]") {
 				return
 			}
-			p.properties(allowed, 1, counted)
+			p.propertyList(allowed, 1, counted)
 			p.expect("]")
-			node = true
+			hasTriples = true
 		})
-		if !allowed.blanks {
+		if !allowed.blankNodes {
 			p.fail(at, "no blank node may stand here")
 		}
-		return 1, node
+		return 1, hasTriples
 	}
 	return p.term(allowed), false
 }
 
-// term ::= iri | RDFLiteral | NumericLiteral | BooleanLiteral | BlankNode | Var, as far as they may stand here
-func (p *parser) term(allowed terms) (free int) {
+// term ::= iri | RDFLiteral | NumericLiteral | BooleanLiteral | BlankNode | Var, as far as allowed. It returns 1 for a
+// variable or blank node, else 0.
+func (p *parser) term(allowed tripleRules) (variables int) {
 	switch {
 	case p.token.kind == variable:
 		p.requireVariableAllowed(allowed)
 		p.advance()
 		return 1
-	case p.token.kind == blank:
-		if !allowed.blanks {
-			p.fail(p.token.at, "no blank node may stand here")
+	case p.token.kind == blankNode:
+		if !allowed.blankNodes {
+			p.fail(p.token.offset, "no blank node may stand here")
 		}
 		p.advance()
 		return 1
@@ -240,18 +242,18 @@
 	return 0
 }
 
-// signedNumber parses a sign and the number right behind it.
+// signedNumber parses a sign and the number that follows it immediately.
 func (p *parser) signedNumber() {
 	p.advance()
-	if p.token.kind != number || p.token.spaced {
+	if p.token.kind != number || p.token.afterSpace {
 		p.unexpected("a number")
 	}
 	p.advance()
 }
 
-func (p *parser) requireVariableAllowed(allowed terms) {
-	if !allowed.vars {
-		p.fail(p.token.at, "no variable may stand here")
+func (p *parser) requireVariableAllowed(allowed tripleRules) {
+	if !allowed.variables {
+		p.fail(p.token.offset, "no variable may stand here")
 	}
 }
 
@@ -305,20 +307,20 @@
 		})
 		p.expect(")")
 	case p.accept("!"):
-		one := func() {
+		element := func() {
 			p.accept("^")
 			p.verb()
 		}
 		if !p.accept("(") {
-			one()
+			element()
 			return
 		}
 		if p.accept(")") {
 			return
 		}
-		one()
+		element()
 		for p.accept("|") {
-			one()
+			element()
 		}
 		p.expect(")")
 	default:
--- a/internal/sparql/syntax/query.go
+++ b/internal/sparql/syntax/query.go
@@ -16,14 +16,14 @@
 	}
 }
 
-// PrefixDecl ::= 'PREFIX' PNAME_NS IRIREF, from the name on.
+// PrefixDecl ::= 'PREFIX' PNAME_NS IRIREF, after 'PREFIX'.
 func (p *parser) prefixDeclaration() {
 	text := p.token.text
 	if p.token.kind != prefixedName || !strings.HasSuffix(text, ":") || strings.Count(text, ":") != 1 {
 		p.unexpected("a prefix with its colon")
 	}
 	if len(p.prefixes) >= MaxGraphs {
-		p.fail(p.token.at, "over %d prefixes", MaxGraphs)
+		p.fail(p.token.offset, "over %d prefixes", MaxGraphs)
 	}
 	p.advance()
 	p.prefixes[strings.TrimSuffix(text, ":")] = p.expectIRIRef()
@@ -75,7 +75,7 @@
 			p.advance()
 		case p.accept("("):
 			p.expression()
-			p.as()
+			p.asVariable()
 			p.expect(")")
 		case columns == 0:
 			p.unexpected("a variable or *")
@@ -85,7 +85,7 @@
 	}
 }
 
-func (p *parser) as() {
+func (p *parser) asVariable() {
 	p.expectKeyword("AS")
 	p.expectVariable()
 }
@@ -94,7 +94,7 @@
 // DatasetClause* 'WHERE' '{' TriplesTemplate? '}' SolutionModifier ).
 func (p *parser) construct() {
 	if p.accept("{") {
-		p.triples(terms{vars: true, blanks: true}, false)
+		p.triples(tripleRules{variables: true, blankNodes: true}, false)
 		p.expect("}")
 		p.datasetClauses("FROM")
 		p.where()
@@ -103,7 +103,7 @@
 	p.datasetClauses("FROM")
 	p.expectKeyword("WHERE")
 	p.expect("{")
-	p.triples(terms{vars: true, blanks: true}, true)
+	p.triples(tripleRules{variables: true, blankNodes: true}, true)
 	p.expect("}")
 }
 
@@ -121,10 +121,10 @@
 	}
 }
 
-// DatasetClause ::= 'FROM' ( iri | 'NAMED' iri ), and UsingClause
-func (p *parser) datasetClauses(introduction string) {
-	for p.acceptKeyword(introduction) {
-		p.statement.Dataset = true
+// DatasetClause* ::= ( 'FROM' ( iri | 'NAMED' iri ) )*, and UsingClause* with 'USING'
+func (p *parser) datasetClauses(clause string) {
+	for p.acceptKeyword(clause) {
+		p.statement.HasDatasetClause = true
 		p.acceptKeyword("NAMED")
 		p.addRead(p.iri())
 	}
@@ -166,7 +166,7 @@
 		case p.accept("("):
 			p.expression()
 			if p.isKeyword("AS") {
-				p.as()
+				p.asVariable()
 			}
 			p.expect(")")
 		case p.isCall():
@@ -187,7 +187,7 @@
 			p.advance()
 		case p.isAnyKeyword("ASC", "DESC"):
 			p.advance()
-			p.bracketed()
+			p.bracketedExpression()
 		case p.isPunct("(") || p.isCall():
 			p.constraint()
 		case conditions == 0:
@@ -249,9 +249,9 @@
 	}
 }
 
-// dataBlockRow ::= '(' DataBlockValue* ')' | NIL, of as many values as there are variables.
+// dataBlockRow ::= '(' DataBlockValue* ')' | NIL, with one value for each variable.
 func (p *parser) dataBlockRow(columns int) {
-	at := p.token.at
+	at := p.token.offset
 	p.expect("(")
 	values := 0
 	for ; !p.accept(")"); values++ {
@@ -266,6 +266,6 @@
 // DataBlockValue ::= iri | RDFLiteral | NumericLiteral | BooleanLiteral | 'UNDEF'
 func (p *parser) dataBlockValue() {
 	if !p.acceptKeyword("UNDEF") {
-		p.term(terms{})
+		p.term(tripleRules{})
 	}
 }
--- a/internal/sparql/syntax/statement.go
+++ b/internal/sparql/syntax/statement.go
@@ -1,6 +1,6 @@
-// Package syntax reads SPARQL 1.1 queries and updates (W3C Recommendation of 2013-03-21, section 19) far enough to know
-// what they are and what they touch. It runs nothing, and retains nothing of a text but names of graphs and counts. Its
-// functions are safe for concurrent use.
+// Package syntax parses SPARQL 1.1 queries and updates (W3C Recommendation of 2013-03-21, section 19) to determine
+// their form, the graphs that they access and the counts for a cost estimate. It builds no syntax tree and evaluates
+// nothing. Its functions are safe for concurrent use.
 package syntax
 
 import (
@@ -9,13 +9,13 @@
 	"slices"
 )
 
-// Error says where and why a text is no SPARQL, or none that is accepted here.
+// Error is a syntax error, or a limit that a text exceeds, with its position.
 type Error struct {
 	Line, Column int // from 1; columns count characters
 	Reason       string
 }
 
-// Error returns the place and the reason.
+// Error returns the position and the reason.
 func (e *Error) Error() string {
 	return fmt.Sprintf("line %d column %d: %s", e.Line, e.Column, e.Reason)
 }
@@ -37,46 +37,46 @@
 	return [...]string{"SELECT", "CONSTRUCT", "DESCRIBE", "ASK", "UPDATE"}[f]
 }
 
-// Bounds of a text; beyond them it is refused before it is read further.
+// Limits of a text. Parsing stops at the first one exceeded.
 const (
 	MaxBytes  = 1 << 20
-	MaxDepth  = 128  // of groups, paths, expressions and lists in each other
-	MaxGraphs = 1000 // named in one text
+	MaxDepth  = 128  // of nested groups, paths, expressions and lists
+	MaxGraphs = 1000 // and services that a text may name, and prefixes that it may declare
 )
 
-// Statement is what is known of a text. IRIs are resolved against the prefixes and the base of the text.
+// Statement is the result of parsing a text. IRIs are resolved against the prefixes and the base of the text.
 type Statement struct {
 	Form Form
 
-	// Graphs by their IRI, in order, each once. Any: also others, named by a variable, by ALL or by NAMED. Default: the
-	// default graph.
+	// IRIs of graphs, sorted, without duplicates. ReadsAny and WritesAny: also graphs that the text does not name,
+	// through a variable, ALL or NAMED. ReadsDefault and WritesDefault: the default graph.
 	Reads, Writes               []string
 	ReadsAny, WritesAny         bool
 	ReadsDefault, WritesDefault bool
-	Services                    []string // endpoints of SERVICE; "" for one named by a variable
-	Dataset                     bool     // FROM, USING or WITH names graphs in the text
-	Loads                       bool     // LOAD fetches from elsewhere
+	Services                    []string // IRIs of SERVICE, sorted, without duplicates; "" for a variable
+	HasDatasetClause            bool     // the text has FROM, USING or WITH
+	UsesLoad                    bool     // the text has LOAD, which fetches a remote document
 
-	Fingerprint uint64 // equal for texts that differ in literals, numbers, names of variables and white space only
+	Fingerprint uint64 // equal for texts that differ only in literals, numbers, names of variables and white space
 	Cost        Counts
 }
 
-// Counts are what an estimate of the cost is based on.
+// Counts are the features of a text on which cost estimates are based.
 type Counts struct {
-	Patterns   int    // triple patterns
-	Free       [4]int // of them, by how many of their three places are variables
-	Paths      int    // property paths of any length: * and +
-	Joins      int    // OPTIONAL, MINUS, EXISTS
-	Unions     int
-	Subqueries int
-	Filters    int
-	Aggregates int
-	Sorts      int   // ORDER BY, GROUP BY, DISTINCT
-	Rows       int   // inline data: VALUES, INSERT DATA, DELETE DATA
-	Limit      int64 // of the outermost; -1: none
+	Patterns            int    // triple patterns
+	PatternsByVariables [4]int // triple patterns by their number of variables
+	Paths               int    // property paths of arbitrary length: * and +
+	Joins               int    // OPTIONAL, MINUS, EXISTS
+	Unions              int
+	Subqueries          int
+	Filters             int
+	Aggregates          int
+	Sorts               int   // ORDER BY, GROUP BY, DISTINCT
+	Rows                int   // inline data: VALUES, INSERT DATA, DELETE DATA
+	Limit               int64 // of the outermost query; -1: none
 }
 
-// Parse reads a query, or an update. The error is an *Error.
+// Parse parses a query, or an update if update is set. The error is an *Error.
 func Parse(text string, update bool) (statement *Statement, err error) {
 	if len(text) > MaxBytes {
 		return nil, &Error{1, 1, "longer than a text may be"}
@@ -104,7 +104,7 @@
 	} else {
 		p.query()
 	}
-	if p.token.kind != end {
+	if p.token.kind != endOfText {
 		p.unexpected("the end")
 	}
 	p.statement.Fingerprint = p.fingerprint.Sum64()
--- a/internal/sparql/syntax/syntax_test.go
+++ b/internal/sparql/syntax/syntax_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Queries that go through every production of the grammar at least once.
+// Queries that cover every production of the query grammar.
 var queries = []string{
 	`SELECT * WHERE { ?s ?p ?o }`,
 	`BASE <http://x/> PREFIX t: <terms#> PREFIX : <http://y/> SELECT DISTINCT ?a (COUNT(*) AS ?n) FROM <g1> ` +
@@ -46,13 +46,13 @@
 	`CLEAR DEFAULT; CLEAR NAMED; PREFIX x: <y> DROP GRAPH x:z`,
 }
 
-func TestWhatTheGrammarAllowsIsRead(t *testing.T) {
+func TestValidTextsAreParsed(t *testing.T) {
 	for _, text := range queries {
 		if _, err := Parse(text, false); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
 		if _, err := Parse(text, true); err == nil {
-			t.Errorf("a query is taken for an update: %s", text)
+			t.Errorf("a query was parsed as an update: %s", text)
 		}
 	}
 	for _, text := range updates {
@@ -60,12 +60,12 @@
 			t.Errorf("%s: %v", text, err)
 		}
 		if _, err := Parse(text, false); err == nil {
-			t.Errorf("an update is taken for a query: %s", text)
+			t.Errorf("an update was parsed as a query: %s", text)
 		}
 	}
 }
 
-func TestWhatItDoesNotIsToldWithItsPlace(t *testing.T) {
+func TestSyntaxErrorsReportTheirPosition(t *testing.T) {
 	for text, want := range map[string]Error{
 		``:                                    {1, 1, "the end where SELECT, CONSTRUCT, DESCRIBE or ASK is wanted"},
 		"SELECT ?x\n{ ?x t:p 1 }":             {2, 6, `prefix "t:" is not declared`},
@@ -111,22 +111,22 @@
 		{"ASK { ?x <p> ", "[<q> ", "]"}, {"ASK { FILTER ", "EXISTS { FILTER ", "}"}, {"SELECT * ", "{ SELECT * ", "}"}} {
 		_, err := Parse(deep[0]+strings.Repeat(deep[1], 10_000)+strings.Repeat(deep[2], 10_000), false)
 		if err == nil || !strings.Contains(err.Error(), "over 128 levels") {
-			t.Errorf("%q ten thousand times: %v", deep[1], err)
+			t.Errorf("%q nested 10000 times: %v", deep[1], err)
 		}
 	}
 	if _, err := Parse("ASK "+strings.Repeat("{", 100)+strings.Repeat("}", 100), false); err != nil {
 		t.Error(err)
 	}
 	if _, err := Parse(strings.Repeat(" ", MaxBytes)+"ASK {}", false); err == nil {
-		t.Error("a text too long is read")
+		t.Error("a text over MaxBytes was accepted")
 	}
 	if _, err := Parse(strings.Repeat("CLEAR GRAPH <g>;", MaxGraphs+1), true); err == nil {
-		t.Error("any number of graphs is taken")
+		t.Error("a text with over MaxGraphs graphs was accepted")
 	}
 }
 
 func TestGraphsFormsAndCountsAreKnown(t *testing.T) {
-	read := func(text string, update bool) *Statement {
+	mustParse := func(text string, update bool) *Statement {
 		t.Helper()
 		s, err := Parse(text, update)
 		if err != nil {
@@ -134,41 +134,41 @@
 		}
 		return s
 	}
-	s := read(queries[1], false)
+	s := mustParse(queries[1], false)
 	if s.Form != Select || !slices.Equal(s.Reads, []string{"http://x/g1", "http://x/terms#g2"}) || s.ReadsDefault ||
 		s.Cost.Limit != 10 || s.Cost.Sorts != 3 || s.Cost.Aggregates != 2 {
 		t.Errorf("%+v", s)
 	}
-	s = read(queries[5], false)
+	s = mustParse(queries[5], false)
 	if !slices.Equal(s.Services, []string{"http://far/sparql"}) || s.Cost.Limit != -1 ||
 		s.Cost.Subqueries != 1 || !s.ReadsDefault {
 		t.Errorf("%+v", s)
 	}
-	s = read(updates[3], true)
+	s = mustParse(updates[3], true)
 	if s.Form != Update || !slices.Equal(s.Writes, []string{"http://x/g", "http://x/h"}) ||
 		!slices.Equal(s.Reads, []string{"http://x/a", "http://x/b"}) || s.WritesAny || s.WritesDefault {
 		t.Errorf("%+v", s)
 	}
-	s = read(updates[5], true)
-	if !s.Loads || !s.WritesAny || !s.WritesDefault || !slices.Equal(s.Writes, []string{"b", "c", "d", "g", "h"}) ||
+	s = mustParse(updates[5], true)
+	if !s.UsesLoad || !s.WritesAny || !s.WritesDefault || !slices.Equal(s.Writes, []string{"b", "c", "d", "g", "h"}) ||
 		!slices.Equal(s.Reads, []string{"a", "b"}) {
 		t.Errorf("%+v", s)
 	}
-	s = read(updates[2], true)
-	if !s.WritesAny || s.Cost.Patterns != 1 || s.Cost.Free[2] != 1 {
+	s = mustParse(updates[2], true)
+	if !s.WritesAny || s.Cost.Patterns != 1 || s.Cost.PatternsByVariables[2] != 1 {
 		t.Errorf("%+v", s)
 	}
-	s = read(`SELECT * { ?a <p> ?b . ?b ?q ?c . <x> <p>* ?a OPTIONAL { <x> <y> 1 } }`, false)
-	if s.Cost.Free != [4]int{1, 1, 1, 1} ||
+	s = mustParse(`SELECT * { ?a <p> ?b . ?b ?q ?c . <x> <p>* ?a OPTIONAL { <x> <y> 1 } }`, false)
+	if s.Cost.PatternsByVariables != [4]int{1, 1, 1, 1} ||
 		s.Cost.Paths != 1 || s.Cost.Joins != 1 {
 		t.Errorf("%+v", s)
 	}
-	a := read(`SELECT ?x { ?x <p> "a"@en, 3 }`, false)
-	if b := read("# other\nselect  ?name\n{ ?name <p> 'b'@de , 4.5 }", false); a.Fingerprint != b.Fingerprint {
-		t.Error("literals, names of variables and white space change the shape")
+	a := mustParse(`SELECT ?x { ?x <p> "a"@en, 3 }`, false)
+	if b := mustParse("# other\nselect  ?name\n{ ?name <p> 'b'@de , 4.5 }", false); a.Fingerprint != b.Fingerprint {
+		t.Error("literals, names of variables or white space changed the fingerprint")
 	}
-	if b := read(`SELECT ?x { ?x <q> "a"@en, 3 }`, false); a.Fingerprint == b.Fingerprint {
-		t.Error("another predicate has the same shape")
+	if b := mustParse(`SELECT ?x { ?x <q> "a"@en, 3 }`, false); a.Fingerprint == b.Fingerprint {
+		t.Error("texts with different predicates have the same fingerprint")
 	}
 }
 
@@ -184,10 +184,10 @@
 			if err != nil && (!errors.As(err, &parseError) || parseError.Line < 1 || parseError.Column < 1) {
 				t.Fatalf("%v", err)
 			}
-			if s != nil && len(text) > 0 { // a part of it must not end the program either
-				_, _ = Parse(text[:r.IntN(len(text))], update) // an error is as good as none
+			if s != nil && len(text) > 0 { // a truncated text must not panic either
+				_, _ = Parse(text[:r.IntN(len(text))], update) // both success and an error are valid
 				if again, _ := Parse(text, update); again == nil || again.Fingerprint != s.Fingerprint {
-					t.Fatal("read twice it differs")
+					t.Fatal("parsing the text again gave another fingerprint")
 				}
 			}
 		}
--- a/internal/sparql/syntax/token.go
+++ b/internal/sparql/syntax/token.go
@@ -4,21 +4,21 @@
 type tokenKind uint8
 
 const (
-	end          tokenKind = iota
-	iriRef                 // text is what stands between the brackets
+	endOfText    tokenKind = iota
+	iriRef                 // the text is without the angle brackets
 	prefixedName           // prefix:local
-	blank                  // _:label
-	variable               // without its mark
-	literal                // a string
+	blankNode              // _:label
+	variable               // the text is without ? or $
+	literal                // a string; the text is empty
 	langTag
 	number
-	keyword // a keyword, a, true ...
-	punct   // one or two signs
+	keyword // a keyword, function name, a, true or false
+	punct   // a symbol of one or two characters
 )
 
 type token struct {
-	kind   tokenKind
-	text   string
-	at     int  // byte offset
-	spaced bool // white space stands before it
+	kind       tokenKind
+	text       string
+	offset     int  // in bytes
+	afterSpace bool // white space or a comment precedes the token
 }
--- a/internal/sparql/syntax/update.go
+++ b/internal/sparql/syntax/update.go
@@ -5,7 +5,7 @@
 	p.statement.Form = Update
 	for operations := 0; ; operations++ {
 		p.prologue()
-		if p.token.kind == end && operations > 0 {
+		if p.token.kind == endOfText && operations > 0 {
 			return
 		}
 		p.operation()
@@ -39,15 +39,15 @@
 	case p.acceptKeyword("DELETE"):
 		p.delete()
 	case p.acceptKeyword("WITH"):
-		p.with()
+		p.modifyWith()
 	default:
 		p.unexpected("an update")
 	}
 }
 
-// Load ::= 'LOAD' 'SILENT'? iri ( 'INTO' GraphRef )?, behind the first keyword.
+// Load ::= 'LOAD' 'SILENT'? iri ( 'INTO' GraphRef )?, after 'LOAD'.
 func (p *parser) load() {
-	p.statement.Loads = true
+	p.statement.UsesLoad = true
 	p.acceptKeyword("SILENT")
 	p.iri()
 	if !p.acceptKeyword("INTO") {
@@ -58,7 +58,7 @@
 	p.addWrite(p.iri())
 }
 
-// clearOrDrop ::= 'SILENT'? GraphRefAll
+// clearOrDrop ::= 'SILENT'? GraphRefAll, after 'CLEAR' or 'DROP'
 func (p *parser) clearOrDrop() {
 	p.acceptKeyword("SILENT")
 	switch {
@@ -75,32 +75,32 @@
 	}
 }
 
-// insert parses InsertData, or a Modify that begins with INSERT, behind that keyword.
+// insert parses InsertData, or a Modify that begins with INSERT, after that keyword.
 func (p *parser) insert() {
 	if p.acceptKeyword("DATA") {
-		p.quads(terms{blanks: true, data: true}, "")
+		p.quads(tripleRules{blankNodes: true, inlineData: true}, "")
 		return
 	}
 	p.modify("", true)
 }
 
-// delete parses DeleteData, DeleteWhere, or a Modify that begins with DELETE, behind that keyword.
+// delete parses DeleteData, DeleteWhere, or a Modify that begins with DELETE, after that keyword.
 func (p *parser) delete() {
 	switch {
 	case p.acceptKeyword("DATA"):
-		p.quads(terms{data: true}, "")
+		p.quads(tripleRules{inlineData: true}, "")
 	case p.acceptKeyword("WHERE"):
 		p.statement.ReadsDefault = true
-		p.quads(terms{vars: true}, "")
+		p.quads(tripleRules{variables: true}, "")
 	default:
 		p.modify("", false)
 	}
 }
 
-// with parses a Modify that begins with WITH, behind that keyword.
-func (p *parser) with() {
+// modifyWith parses a Modify that begins with WITH, after that keyword.
+func (p *parser) modifyWith() {
 	graph := p.iri()
-	p.statement.Dataset = true
+	p.statement.HasDatasetClause = true
 	insert := p.isKeyword("INSERT")
 	if !insert && !p.isKeyword("DELETE") {
 		p.unexpected("INSERT or DELETE")
@@ -126,14 +126,15 @@
 	}
 }
 
-// Modify ::= ( 'WITH' iri )? ( DeleteClause InsertClause? | InsertClause ) UsingClause* 'WHERE' GroupGraphPattern
+// Modify ::= ( 'WITH' iri )? ( DeleteClause InsertClause? | InsertClause ) UsingClause* 'WHERE' GroupGraphPattern,
+// after the first 'INSERT' or 'DELETE'; with is the graph of WITH, or "".
 func (p *parser) modify(with string, insert bool) {
 	if insert {
-		p.quads(terms{vars: true, blanks: true}, with)
+		p.quads(tripleRules{variables: true, blankNodes: true}, with)
 	} else {
-		p.quads(terms{vars: true}, with)
+		p.quads(tripleRules{variables: true}, with)
 		if p.acceptKeyword("INSERT") {
-			p.quads(terms{vars: true, blanks: true}, with)
+			p.quads(tripleRules{variables: true, blankNodes: true}, with)
 		}
 	}
 	before := len(p.statement.Reads)
@@ -150,8 +151,8 @@
 }
 
 // Quads ::= '{' TriplesTemplate? ( 'GRAPH' VarOrIri '{' TriplesTemplate? '}' '.'? TriplesTemplate? )* '}'.
-// What stands in no GRAPH goes to the graph of WITH, or the default one.
-func (p *parser) quads(allowed terms, with string) {
+// Triples outside a GRAPH block are written to the graph of WITH, or the default graph.
+func (p *parser) quads(allowed tripleRules, with string) {
 	p.expect("{")
 	p.quadsOutsideGraph(allowed, with)
 	for p.acceptKeyword("GRAPH") {
@@ -171,8 +172,8 @@
 	p.expect("}")
 }
 
-// quadsOutsideGraph ::= TriplesTemplate?, into the graph of WITH, or the default one.
-func (p *parser) quadsOutsideGraph(allowed terms, with string) {
+// quadsOutsideGraph ::= TriplesTemplate?, written to the graph of WITH, or the default graph.
+func (p *parser) quadsOutsideGraph(allowed tripleRules, with string) {
 	if !p.startsTerm() {
 		return
 	}
