--- a/internal/sparql/results/accept.go
+++ b/internal/sparql/results/accept.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// maxMediaRanges bounds an Accept header.
+// maxMediaRanges limits the number of media ranges in an Accept header.
 const maxMediaRanges = 64
 
-// mediaRange is one of the ranges of an Accept header.
+// mediaRange is a media range of an Accept header.
 type mediaRange struct {
 	mainType string // "*": any
 	subtype  string // "*": any
 	weight   float64
 }
 
-// How specific a range that matches is.
+// Matches of a media range, by increasing specificity.
 const (
 	noMatch = iota - 1
 	anyTypeMatch
@@ -24,9 +24,10 @@
 	exactMatch
 )
 
-// Negotiate chooses among offered media types by an Accept header (RFC 9110, section 12.5.1): the greatest weight,
-// where the most specific range of a type decides its weight, and the first offered where weights are equal. "" accepts
-// anything. It returns false if nothing offered is acceptable, which is 406, or if the header cannot be read.
+// Negotiate chooses an offered media type by an Accept header (RFC 9110, section 12.5.1): the one with the greatest
+// weight, or the first of those with equal weights. The most specific matching range determines the weight of a type.
+// An empty header accepts anything. Negotiate returns false if no offered type is acceptable, which calls for status
+// 406, or if the header is malformed.
 func Negotiate(accept string, offered []string) (string, bool) {
 	if strings.TrimSpace(accept) == "" {
 		return offered[0], true
@@ -70,14 +71,14 @@
 	weight := 1.0
 	if quality, given := parameters["q"]; given {
 		weight, err = strconv.ParseFloat(quality, 64)
-		if err != nil || !(weight >= 0 && weight <= 1) { // also not a number
+		if err != nil || !(weight >= 0 && weight <= 1) { // also rejects NaN
 			return mediaRange{}, false
 		}
 	}
 	return mediaRange{mainType: mainType, subtype: subtype, weight: weight}, true
 }
 
-// weightOf returns the weight of the most specific range that matches; 0 where none does.
+// weightOf returns the weight of the most specific range that matches a media type, or 0 if none does.
 func weightOf(mediaType string, ranges []mediaRange) float64 {
 	mainType, subtype, _ := strings.Cut(mediaType, "/")
 	weight := 0.0
--- a/internal/sparql/results/csv.go
+++ b/internal/sparql/results/csv.go
@@ -9,18 +9,19 @@
 	"unicode/utf8"
 )
 
-// ErrNoBooleanForm is returned by formats that have no form for a boolean.
-var ErrNoBooleanForm = errors.New("CSV and TSV have no form for ASK")
+// ErrNoBoolean is returned by writers of formats that cannot represent the boolean result of an ASK.
+var ErrNoBoolean = errors.New("CSV and TSV cannot represent the boolean result of an ASK")
 
-// csvReader reads CSV, which shows no kinds: every value is a plain literal, an empty one unbound. Its form has no end
-// of its own: only the length of its body, or its last chunk, shows that it is complete, which the HTTP side checks.
+// csvReader reads CSV, which does not distinguish kinds of terms: every value is a plain literal, an empty one is
+// unbound. CSV has no end marker: only the HTTP framing, a Content-Length or the last chunk, shows whether a result is
+// complete, which the HTTP client checks.
 type csvReader struct {
-	source  *bounded
+	source  *limitedReader
 	records *csv.Reader
 	row     []Term
 }
 
-func newCSVReader(source *bounded) *csvReader {
+func newCSVReader(source *limitedReader) *csvReader {
 	r := &csvReader{source: source, records: csv.NewReader(source)}
 	r.records.ReuseRecord = true
 	return r
@@ -37,7 +38,7 @@
 		return Head{}, err
 	}
 	r.row = make([]Term, len(vars))
-	r.source.renew()
+	r.source.resetLimit()
 	return head, nil
 }
 
@@ -50,7 +51,7 @@
 	if err != nil {
 		return nil, r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	for column, value := range values {
 		if !utf8.ValidString(value) {
 			return nil, errNotUTF8
@@ -63,24 +64,24 @@
 	return r.row, nil
 }
 
-var errNotUTF8 = fmt.Errorf("%w: no UTF-8", ErrForm)
+var errNotUTF8 = fmt.Errorf("%w: invalid UTF-8", ErrMalformed)
 
-// lineWriter writes CSV or TSV.
-type lineWriter struct {
+// separatedWriter writes CSV, or TSV if isTSV is set.
+type separatedWriter struct {
 	destination io.Writer
-	tabs        bool   // TSV
-	buffer      []byte // of a line
+	isTSV       bool
+	buffer      []byte // holds one line
 }
 
 // Head implements Writer.
-func (w *lineWriter) Head(head Head) error {
+func (w *separatedWriter) Head(head Head) error {
 	if head.Ask {
-		return ErrNoBooleanForm
+		return ErrNoBoolean
 	}
 	w.buffer = w.buffer[:0]
 	for column, name := range head.Vars {
-		w.separate(column)
-		if w.tabs {
+		w.appendSeparator(column)
+		if w.isTSV {
 			w.buffer = append(w.buffer, '?')
 		}
 		w.buffer = append(w.buffer, name...)
@@ -89,14 +90,14 @@
 }
 
 // Row implements Writer.
-func (w *lineWriter) Row(row []Term) error {
+func (w *separatedWriter) Row(row []Term) error {
 	w.buffer = w.buffer[:0]
 	for column, term := range row {
-		w.separate(column)
+		w.appendSeparator(column)
 		switch {
 		case term.Kind == Unbound:
-		case w.tabs:
-			w.buffer = appendTurtle(w.buffer, term)
+		case w.isTSV:
+			w.buffer = appendTurtleTerm(w.buffer, term)
 		case term.Kind == Blank:
 			w.appendCSV("_:" + term.Value)
 		default:
@@ -106,21 +107,21 @@
 	return w.writeLine()
 }
 
-// Close implements Writer. Neither form has an end.
-func (w *lineWriter) Close() error { return nil }
+// Close implements Writer. Neither format has an end marker.
+func (w *separatedWriter) Close() error { return nil }
 
-func (w *lineWriter) separate(column int) {
+func (w *separatedWriter) appendSeparator(column int) {
 	switch {
 	case column == 0:
-	case w.tabs:
+	case w.isTSV:
 		w.buffer = append(w.buffer, '\t')
 	default:
 		w.buffer = append(w.buffer, ',')
 	}
 }
 
-func (w *lineWriter) writeLine() error {
-	if !w.tabs {
+func (w *separatedWriter) writeLine() error {
+	if !w.isTSV {
 		w.buffer = append(w.buffer, '\r')
 	}
 	w.buffer = append(w.buffer, '\n')
@@ -128,7 +129,7 @@
 	return err
 }
 
-func (w *lineWriter) appendCSV(value string) {
+func (w *separatedWriter) appendCSV(value string) {
 	if !strings.ContainsAny(value, "\",\r\n") {
 		w.buffer = append(w.buffer, value...)
 		return
--- a/internal/sparql/results/json.go
+++ b/internal/sparql/results/json.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// The names of a result's members.
+// The member names of a result object.
 const (
 	jsonHead     = "head"
 	jsonBoolean  = "boolean"
@@ -16,18 +16,18 @@
 )
 
 var (
-	errTwoHeads         = errors.New("two heads")
-	errBooleanNoHead    = errors.New("a boolean without its head")
-	errResultsNoHead    = errors.New("results before their head")
-	errNeitherForm      = errors.New("neither results nor boolean")
-	errNoBindings       = errors.New("no bindings")
-	errBindingsRepeated = errors.New("bindings once more")
+	errDuplicateHead     = errors.New("duplicate head")
+	errBooleanHead       = errors.New("boolean without a head, or with variables")
+	errResultsBeforeHead = errors.New("results before the head")
+	errNoResult          = errors.New("neither results nor boolean present")
+	errNoBindings        = errors.New("missing bindings")
+	errDuplicateBindings = errors.New("duplicate bindings")
 )
 
 // jsonReader reads {"head":{"vars":[...]},"results":{"bindings":[...]}} or {"head":{},"boolean":b} token by token. The
-// head has to come first: a streamed answer could not be sent on otherwise.
+// head must come first, as a result could not be converted while streaming otherwise.
 type jsonReader struct {
-	source   *bounded
+	source   *limitedReader
 	decoder  *json.Decoder
 	head     Head
 	columns  map[string]int // by variable
@@ -35,7 +35,7 @@
 	complete bool
 }
 
-// jsonTerm is a term of a binding.
+// jsonTerm is the JSON form of a term.
 type jsonTerm struct {
 	Type     string  `json:"type"`
 	Value    *string `json:"value"`
@@ -43,7 +43,7 @@
 	Datatype string  `json:"datatype"`
 }
 
-func newJSONReader(source *bounded) *jsonReader {
+func newJSONReader(source *limitedReader) *jsonReader {
 	return &jsonReader{source: source, decoder: json.NewDecoder(source)}
 }
 
@@ -52,11 +52,11 @@
 	if err := r.readHead(); err != nil {
 		return Head{}, r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	return r.head, nil
 }
 
-// readHead reads up to the first binding, or the whole answer of an ASK.
+// readHead reads up to the first binding, or the complete result of an ASK.
 func (r *jsonReader) readHead() error {
 	if err := r.expect('{'); err != nil {
 		return err
@@ -70,7 +70,7 @@
 		switch name {
 		case jsonHead:
 			if hasHead {
-				return errTwoHeads
+				return errDuplicateHead
 			}
 			hasHead = true
 			err = r.readVariables()
@@ -78,7 +78,7 @@
 			return r.readBoolean(hasHead)
 		case jsonResults:
 			if !hasHead {
-				return errResultsNoHead
+				return errResultsBeforeHead
 			}
 			return r.enterBindings()
 		default:
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	return errNeitherForm
+	return errNoResult
 }
 
 func (r *jsonReader) readVariables() error {
@@ -112,13 +112,13 @@
 		return err
 	}
 	if !hasHead || len(r.head.Vars) > 0 {
-		return errBooleanNoHead
+		return errBooleanHead
 	}
 	r.head.Ask = true
 	return r.finish()
 }
 
-// enterBindings goes to the first binding.
+// enterBindings advances to the first binding.
 func (r *jsonReader) enterBindings() error {
 	if err := r.expect('{'); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	if err := r.decoder.Decode(&binding); err != nil {
 		return nil, r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	if r.row == nil {
 		r.row = make([]Term, len(r.head.Vars))
 	}
@@ -161,7 +161,7 @@
 	for name, value := range binding {
 		column, known := r.columns[name]
 		if !known || value.Value == nil {
-			return nil, fmt.Errorf("%w: binding of %q", ErrForm, name)
+			return nil, fmt.Errorf("%w: invalid binding of variable %q", ErrMalformed, name)
 		}
 		term, err := value.term()
 		if err != nil {
@@ -180,14 +180,14 @@
 		return Term{Kind: Blank, Value: *t.Value}, nil
 	case "literal", "typed-literal":
 		if t.Lang != "" && t.Datatype != "" {
-			return Term{}, fmt.Errorf("%w: a literal with language and datatype", ErrForm)
+			return Term{}, fmt.Errorf("%w: literal with both a language and a datatype", ErrMalformed)
 		}
 		return Term{Kind: Literal, Value: *t.Value, Lang: t.Lang, Datatype: t.Datatype}, nil
 	}
-	return Term{}, fmt.Errorf("%w: type %q", ErrForm, t.Type)
+	return Term{}, fmt.Errorf("%w: unknown term type %q", ErrMalformed, t.Type)
 }
 
-// leaveBindings leaves bindings and results, and finishes.
+// leaveBindings reads from the end of the bindings to the end of the result.
 func (r *jsonReader) leaveBindings() error {
 	if err := r.expect(']'); err != nil {
 		return err
@@ -198,7 +198,7 @@
 			return err
 		}
 		if name == jsonBindings {
-			return errBindingsRepeated
+			return errDuplicateBindings
 		}
 		if err := r.skipValue(); err != nil {
 			return err
@@ -210,7 +210,7 @@
 	return r.finish()
 }
 
-// finish goes to the end of the outermost object, and makes sure that nothing follows.
+// finish reads to the end of the outermost object and checks that nothing follows.
 func (r *jsonReader) finish() error {
 	for r.decoder.More() {
 		name, err := r.decoder.Token()
@@ -218,7 +218,7 @@
 			return err
 		}
 		if name == jsonHead || name == jsonResults || name == jsonBoolean {
-			return fmt.Errorf("%v once more", name)
+			return fmt.Errorf("duplicate %v", name)
 		}
 		if err := r.skipValue(); err != nil {
 			return err
@@ -229,7 +229,7 @@
 	}
 	extra, err := r.decoder.Token()
 	if err == nil {
-		return fmt.Errorf("%v after the end", extra)
+		return fmt.Errorf("data after the end: %v", extra)
 	}
 	if err != io.EOF {
 		return err
@@ -244,7 +244,7 @@
 		return err
 	}
 	if found != wanted {
-		return fmt.Errorf("%v where %v is wanted", found, wanted)
+		return fmt.Errorf("found %v, expected %v", found, wanted)
 	}
 	return nil
 }
@@ -254,15 +254,15 @@
 	return r.decoder.Decode(&skipped)
 }
 
-// jsonKinds are the types of terms by their kind.
+// jsonKinds are the JSON types of terms by kind.
 var jsonKinds = [...]string{IRI: "uri", Literal: "literal", Blank: "bnode"}
 
-// jsonWriter writes one binding a line.
+// jsonWriter writes JSON, with each binding on a line of its own.
 type jsonWriter struct {
 	destination io.Writer
 	head        Head
 	rows        int
-	buffer      []byte // of a row
+	buffer      []byte // holds one row
 }
 
 // Head implements Writer.
@@ -319,7 +319,7 @@
 }
 
 func (w *jsonWriter) appendString(text string) {
-	quoted, _ := json.Marshal(text) // cannot fail for a string
+	quoted, _ := json.Marshal(text) // never fails for a string
 	w.buffer = append(w.buffer, quoted...)
 }
 
--- a/internal/sparql/results/results.go
+++ b/internal/sparql/results/results.go
@@ -1,6 +1,6 @@
 // Package results reads and writes SPARQL query results as streams: JSON, XML, CSV and TSV (W3C Recommendations of
-// 2013-03-21). A result is complete only when its reader has come to the end of its form without an error; one that
-// breaks off is no result, whatever came before. Readers and writers are for one goroutine at a time.
+// 2013-03-21). A result is valid only if its reader has reached the end of the format without an error; a truncated one
+// must be discarded, whatever rows it began with. Readers and writers are not safe for concurrent use.
 package results
 
 import (
@@ -12,7 +12,7 @@
 	"unicode/utf8"
 )
 
-// Format is a serialization of results.
+// Format is a serialization format of results.
 type Format uint8
 
 // The formats.
@@ -36,7 +36,7 @@
 // Kind is the kind of a term.
 type Kind uint8
 
-// The kinds. An unbound variable has no term.
+// The kinds of terms. Unbound stands for a variable without a value.
 const (
 	Unbound Kind = iota
 	IRI
@@ -44,43 +44,43 @@
 	Blank
 )
 
-// Term is a value of a variable. Lang and Datatype are of literals, one of them at most.
+// Term is the value of a variable. A literal may have Lang or Datatype, not both.
 type Term struct {
 	Kind                  Kind
 	Value, Lang, Datatype string
 }
 
-// Bounds of a result. A row is read into memory completely; a result never is.
+// Limits of a result. Readers hold one row in memory, never the whole result.
 const (
-	MaxVars = 1000
-	MaxRow  = 4 << 20 // bytes as received
-	maxHead = 1 << 20 // bytes as received
+	MaxVars      = 1000
+	MaxRow       = 4 << 20 // bytes as received
+	maxHeadBytes = 1 << 20 // bytes as received
 )
 
-// Errors of a result, wrapped with what is known of the cause.
+// Errors of a result. They may be wrapped together with the cause.
 var (
-	ErrForm  = errors.New("no result in the form that it states")
-	ErrCut   = errors.New("the result breaks off")
-	ErrBound = errors.New("a row or head past its bound")
+	ErrMalformed = errors.New("malformed result")
+	ErrTruncated = errors.New("truncated result")
+	ErrTooLarge  = errors.New("row or head exceeds its size limit")
 )
 
-// Reader reads a result: first its head, then row after row. Next returns io.EOF only if the result is complete.
+// Reader reads a result: first the head, then the rows. Next returns io.EOF only if the result is complete.
 type Reader interface {
-	// Head returns the variables, or the answer of an ASK.
+	// Head returns the variables, or the result of an ASK.
 	Head() (Head, error)
-	// Next returns a row, a term for each variable. The next call overwrites it.
+	// Next returns the next row, with a term for each variable. The row is valid until the next call.
 	Next() ([]Term, error)
 }
 
-// Head is what stands before the rows. An ASK has no variables and no rows.
+// Head is the head of a result, or the complete result of an ASK, which has no variables and no rows.
 type Head struct {
 	Vars    []string
 	Ask     bool
 	Boolean bool
 }
 
-// Writer writes a result. Close ends its form: without it a result is unmistakably cut where the form has an
-// end (JSON, XML).
+// Writer writes a result. Close writes the end of the format, if it has one (JSON, XML): without it, readers see a
+// truncated result.
 type Writer interface {
 	Head(Head) error
 	Row([]Term) error
@@ -89,7 +89,7 @@
 
 // NewReader returns a reader of a format.
 func NewReader(f Format, source io.Reader) Reader {
-	b := &bounded{source: source, left: maxHead}
+	b := &limitedReader{source: source, remaining: maxHeadBytes}
 	switch f {
 	case XML:
 		return newXMLReader(b)
@@ -107,13 +107,13 @@
 	case XML:
 		return &xmlWriter{destination: destination}
 	case CSV, TSV:
-		return &lineWriter{destination: destination, tabs: f == TSV}
+		return &separatedWriter{destination: destination, isTSV: f == TSV}
 	}
 	return &jsonWriter{destination: destination}
 }
 
-// Copy converts a result of one format into another while it is read, and returns how many rows it had. An error of the
-// writer is a *WriteError, any other is the result's.
+// Copy writes a result to a writer while reading it, for instance to convert its format, and returns its number of
+// rows. An error of the writer is returned as a *WriteError; any other error is the reader's.
 func Copy(to Writer, from Reader) (rows int, err error) {
 	head, err := from.Head()
 	if err != nil {
@@ -124,7 +124,7 @@
 	}
 	for ; ; rows++ {
 		row, err := from.Next()
-		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF means a truncated result
 			break
 		}
 		if err != nil {
@@ -140,7 +140,7 @@
 	return rows, nil
 }
 
-// WriteError is an error of the destination of Copy.
+// WriteError is an error of the writer of Copy.
 type WriteError struct{ Err error }
 
 // Error returns the text of the cause.
@@ -149,58 +149,60 @@
 // Unwrap returns the cause.
 func (e *WriteError) Unwrap() error { return e.Err }
 
-// bounded limits the bytes read until it is renewed, at each row. It remembers the error of its source.
-type bounded struct {
-	source io.Reader
-	left   int   // bytes
-	err    error // of the source, but for io.EOF
+// limitedReader limits the bytes read for a head or row, and keeps the error of its source. The limit is reset after
+// each head and row.
+type limitedReader struct {
+	source    io.Reader
+	remaining int   // bytes
+	err       error // of the source, except io.EOF
 }
 
-// Read reads up to what is left of the bound, and returns ErrBound beyond it.
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, ErrBound
+// Read reads at most the remaining bytes, and returns ErrTooLarge if none remain.
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, ErrTooLarge
 	}
-	n, err := b.source.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.source.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	if err != nil && err != io.EOF {
 		b.err = err
 	}
 	return n, err
 }
 
-// renew allows the bytes of one more row. What a reader buffers beyond it counts for the next.
-func (b *bounded) renew() { b.left = MaxRow }
+// resetLimit allows the bytes of another row. Bytes that a reader has buffered already do not count for it.
+func (b *limitedReader) resetLimit() { b.remaining = MaxRow }
 
-// cause returns the error that a parser's error comes from: the bound, the source, a cut, or the form.
-func (b *bounded) cause(err error) error {
+// cause converts an error of a format's parser to the error of its cause: a size limit, the source, a truncated result
+// or a malformed one.
+func (b *limitedReader) cause(err error) error {
 	switch {
-	case errors.Is(err, ErrBound):
-		return ErrBound
+	case errors.Is(err, ErrTooLarge):
+		return ErrTooLarge
 	case b.err != nil:
-		return fmt.Errorf("%w: %w", ErrCut, b.err)
+		return fmt.Errorf("%w: %w", ErrTruncated, b.err)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return ErrCut
+		return ErrTruncated
 	}
-	return fmt.Errorf("%w: %w", ErrForm, err)
+	return fmt.Errorf("%w: %w", ErrMalformed, err)
 }
 
-// isVariableName reports whether a text is a variable's name, without its mark (VARNAME of the grammar).
+// isVariableName reports whether a text is a variable name without its ? or $ (VARNAME of the grammar).
 func isVariableName(name string) bool {
 	return name != "" && utf8.ValidString(name) && strings.IndexFunc(name, func(r rune) bool {
 		return r != '_' && r != '\u00b7' && !unicode.In(r, unicode.L, unicode.N, unicode.Mn, unicode.Mc)
 	}) < 0
 }
 
-// indexVariables returns the column of each variable. A duplicate name, or too many, is an error.
+// indexVariables returns the column of each variable. Invalid or duplicate names and too many variables are errors.
 func indexVariables(vars []string) (map[string]int, error) {
 	if len(vars) > MaxVars {
-		return nil, ErrBound
+		return nil, ErrTooLarge
 	}
 	columns := map[string]int{}
 	for column, name := range vars {
 		if _, duplicate := columns[name]; duplicate || !isVariableName(name) {
-			return nil, fmt.Errorf("%w: variable %q", ErrForm, name)
+			return nil, fmt.Errorf("%w: invalid or duplicate variable %q", ErrMalformed, name)
 		}
 		columns[name] = column
 	}
--- a/internal/sparql/results/results_test.go
+++ b/internal/sparql/results/results_test.go
@@ -12,7 +12,7 @@
 
 var formats = []Format{JSON, XML, CSV, TSV}
 
-func drawn(r *rand.Rand) (Head, [][]Term) {
+func randomResult(r *rand.Rand) (Head, [][]Term) {
 	words := []string{"", "a", "ä,\"b\"\r\nc", "<&>'\t", "\\", "x y", "1", "true", "\u2028"}
 	word := func() string { return words[r.IntN(len(words))] }
 	h := Head{Vars: []string{"x", "other", "z_9"}[:1+r.IntN(3)]}
@@ -40,7 +40,7 @@
 	return h, rows
 }
 
-func written(t *testing.T, f Format, h Head, rows [][]Term) []byte {
+func encode(t *testing.T, f Format, h Head, rows [][]Term) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	w := NewWriter(f, &b)
@@ -60,7 +60,7 @@
 	}
 	for {
 		row, err := r.Next()
-		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF means a truncated result
 			return h, rows, nil
 		}
 		if err != nil {
@@ -73,32 +73,33 @@
 func TestWhatIsWrittenIsReadBack(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 7))
 	for range 400 {
-		h, rows := drawn(r)
+		h, rows := randomResult(r)
 		for _, f := range []Format{JSON, XML, TSV} {
-			text := written(t, f, h, rows)
+			text := encode(t, f, h, rows)
 			gotHead, got, err := readAll(NewReader(f, bytes.NewReader(text)))
-			if f == XML { // XML knows no CR of its own in text, it is escaped; nothing is lost
+			if f == XML { // XML parsers normalize an unescaped CR in text; the writer escapes it, so nothing is lost
 				err = errors.Join(err)
 			}
 			if err != nil || !reflect.DeepEqual(gotHead, h) || !reflect.DeepEqual(got, rows) {
 				t.Fatalf("%d: %v\n%s\n%+v\n%+v", f, err, text, got, rows)
 			}
-			for _, to := range formats { // and turned into any other on the fly
-				var direct, turned = written(t, to, h, rows), new(bytes.Buffer)
-				n, err := Copy(NewWriter(to, turned), NewReader(f, bytes.NewReader(text)))
-				if err != nil || n != len(rows) || !bytes.Equal(turned.Bytes(), direct) {
-					t.Fatalf("%d to %d: %v\n%s\n%s", f, to, err, turned, direct)
+			for _, to := range formats { // and converted to any other format while read
+				var direct, converted = encode(t, to, h, rows), new(bytes.Buffer)
+				n, err := Copy(NewWriter(to, converted), NewReader(f, bytes.NewReader(text)))
+				if err != nil || n != len(rows) || !bytes.Equal(converted.Bytes(), direct) {
+					t.Fatalf("%d to %d: %v\n%s\n%s", f, to, err, converted, direct)
 				}
 			}
 		}
-		h2, rows2, err := readAll(NewReader(CSV, bytes.NewReader(written(t, CSV, h, rows))))
+		h2, rows2, err := readAll(NewReader(CSV, bytes.NewReader(encode(t, CSV, h, rows))))
 		if err != nil || len(rows2) != len(rows) && len(h.Vars) > 1 || !reflect.DeepEqual(h2, h) {
 			t.Fatalf("CSV: %v, %d rows of %d", err, len(rows2), len(rows))
 		}
 	}
 }
 
-// A result cut anywhere is none; CSV, and TSV between two lines, cannot tell, which is for the HTTP body's length.
+// A result truncated at any byte must be rejected. CSV, and TSV truncated between two lines, cannot show it; there the
+// length of the HTTP body has to.
 func TestACutResultIsNoResult(t *testing.T) {
 	h := Head{Vars: []string{"x", "y"}}
 	rows := [][]Term{
@@ -106,39 +107,39 @@
 		{{Kind: Literal, Value: "b", Lang: "en"}, {Kind: Literal, Value: "c"}},
 	}
 	for _, f := range []Format{JSON, XML, TSV} {
-		for _, whole := range [][]byte{written(t, f, h, rows), written(t, min(f, XML), Head{Ask: true, Boolean: true}, nil)} {
-			last := len(bytes.TrimRight(whole, "\n"))
+		for _, full := range [][]byte{encode(t, f, h, rows), encode(t, min(f, XML), Head{Ask: true, Boolean: true}, nil)} {
+			last := len(bytes.TrimRight(full, "\n"))
 			for n := range last {
-				if f == TSV && (n > 0 && whole[n-1] == '\n' || whole[0] == '<') {
+				if f == TSV && (n > 0 && full[n-1] == '\n' || full[0] == '<') {
 					continue
 				}
-				if _, _, err := readAll(NewReader(f, bytes.NewReader(whole[:n]))); err == nil {
-					t.Fatalf("%d: whole after %d of %d: %s", f, n, last, whole[:n])
+				if _, _, err := readAll(NewReader(f, bytes.NewReader(full[:n]))); err == nil {
+					t.Fatalf("%d: accepted as complete after %d of %d bytes: %s", f, n, last, full[:n])
 				}
 			}
 			if f != TSV {
-				if _, _, err := readAll(NewReader(f, io.MultiReader(bytes.NewReader(whole), strings.NewReader("x")))); err == nil {
-					t.Errorf("%d: more after the end is taken", f)
+				if _, _, err := readAll(NewReader(f, io.MultiReader(bytes.NewReader(full), strings.NewReader("x")))); err == nil {
+					t.Errorf("%d: data after the end was accepted", f)
 				}
 			}
 		}
 	}
-	for _, f := range formats { // the source breaks, at whatever place
-		whole := written(t, f, h, rows)
-		for n := range len(whole) + 1 {
-			broken := io.MultiReader(bytes.NewReader(whole[:n]), failing{})
+	for _, f := range formats { // the source fails after any number of bytes
+		full := encode(t, f, h, rows)
+		for n := range len(full) + 1 {
+			broken := io.MultiReader(bytes.NewReader(full[:n]), failingReader{})
 			if _, _, err := readAll(NewReader(f, broken)); err == nil {
-				t.Fatalf("%d: broken after %d of %d, and whole", f, n, len(whole))
+				t.Fatalf("%d: source failed after %d of %d bytes, but the result was accepted", f, n, len(full))
 			}
 		}
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, errors.New("reset") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("reset") }
 
-func TestBadResultsAreFaults(t *testing.T) {
+func TestMalformedResultsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		f    Format
 		text string
@@ -175,19 +176,19 @@
 		{TSV, "?x\n\"a\"@\n"},
 	} {
 		if _, rows, err := readAll(NewReader(c.f, strings.NewReader(c.text))); err == nil {
-			t.Errorf("%d: %.200s: %d rows, no fault", c.f, c.text, len(rows))
+			t.Errorf("%d: %.200s: %d rows, no error", c.f, c.text, len(rows))
 		}
 	}
 }
 
-// endless gives a start and then the same byte for ever: a row, or a head, must not be taken into memory whatever its
-// length is.
-type endless struct {
+// endlessReader returns a given start, then the same byte without end. A row or head of unlimited length must not be
+// read into memory.
+type endlessReader struct {
 	start io.Reader
 	read  int
 }
 
-func (e *endless) Read(p []byte) (int, error) {
+func (e *endlessReader) Read(p []byte) (int, error) {
 	if n, err := e.start.Read(p); err == nil {
 		return n, nil
 	}
@@ -208,8 +209,8 @@
 		},
 		CSV: {"", "x\n"}, TSV: {"?", "?x\n\""}} {
 		for _, start := range starts {
-			e := &endless{start: strings.NewReader(start)}
-			if _, _, err := readAll(NewReader(f, e)); !errors.Is(err, ErrBound) || e.read > 2*MaxRow {
+			e := &endlessReader{start: strings.NewReader(start)}
+			if _, _, err := readAll(NewReader(f, e)); !errors.Is(err, ErrTooLarge) || e.read > 2*MaxRow {
 				t.Errorf("%d: %s...: %v after %d bytes", f, start, err, e.read)
 			}
 		}
@@ -217,17 +218,17 @@
 }
 
 func TestFormatsAreNegotiatedByWeight(t *testing.T) {
-	all := []string{JSON.MediaType(), XML.MediaType(), CSV.MediaType(), TSV.MediaType()}
+	types := []string{JSON.MediaType(), XML.MediaType(), CSV.MediaType(), TSV.MediaType()}
 	for accept, want := range map[string]string{
-		"": all[0], "*/*": all[0], "text/csv": all[2], "text/*": all[2],
-		"text/*;q=0.5, application/sparql-results+xml;q=0.6": all[1],
-		"text/csv;q=0.1, */*;q=0.5":                          all[0], "*/*, application/sparql-results+json;q=0": all[1],
-		"text/*, text/csv;q=0.2":         all[3],
-		"APPLICATION/SPARQL-RESULTS+XML": all[1], "image/png": "", "text/csv;q=0": "", "text/csv;q=2": "",
+		"": types[0], "*/*": types[0], "text/csv": types[2], "text/*": types[2],
+		"text/*;q=0.5, application/sparql-results+xml;q=0.6": types[1],
+		"text/csv;q=0.1, */*;q=0.5":                          types[0], "*/*, application/sparql-results+json;q=0": types[1],
+		"text/*, text/csv;q=0.2":         types[3],
+		"APPLICATION/SPARQL-RESULTS+XML": types[1], "image/png": "", "text/csv;q=0": "", "text/csv;q=2": "",
 		"nonsense": "", "*/csv": "",
 		strings.Repeat("a/b,", 100) + "*/*": "",
 	} {
-		if got, ok := Negotiate(accept, all); got != want || ok != (want != "") {
+		if got, ok := Negotiate(accept, types); got != want || ok != (want != "") {
 			t.Errorf("%.60q: %q", accept, got)
 		}
 	}
@@ -236,7 +237,7 @@
 func FuzzReaders(f *testing.F) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for range 6 {
-		h, rows := drawn(r)
+		h, rows := randomResult(r)
 		for _, format := range formats {
 			var b bytes.Buffer
 			w := NewWriter(format, &b)
@@ -258,7 +259,7 @@
 		if err != nil || h.Ask {
 			return
 		}
-		for _, to := range []Format{JSON, TSV} { // what is read whole can be written, and read again as the same
+		for _, to := range []Format{JSON, TSV} { // a complete result can be written and read again
 			if to == TSV && strings.ContainsAny(strings.Join(h.Vars, ""), "\t\r\n") {
 				continue
 			}
--- a/internal/sparql/results/tsv.go
+++ b/internal/sparql/results/tsv.go
@@ -8,22 +8,22 @@
 	"unicode/utf8"
 )
 
-// tsvReader reads TSV: variables with their mark, terms as in Turtle. A line that does not end is cut.
+// tsvReader reads TSV: variables with their ? or $, terms as in Turtle. A line without its newline is truncated.
 type tsvReader struct {
-	source *bounded
+	source *limitedReader
 	lines  *bufio.Reader
 	row    []Term
 }
 
-func newTSVReader(source *bounded) *tsvReader {
+func newTSVReader(source *limitedReader) *tsvReader {
 	return &tsvReader{source: source, lines: bufio.NewReader(source)}
 }
 
 // Head implements Reader.
 func (r *tsvReader) Head() (Head, error) {
 	text, err := r.line()
-	if err == io.EOF { //nolint:errorlint // line returns it as it is at the end
-		err = ErrCut
+	if err == io.EOF { //nolint:errorlint // line returns it unwrapped at the end
+		err = ErrTruncated
 	}
 	if err != nil {
 		return Head{}, err
@@ -32,7 +32,7 @@
 	if text != "" {
 		for field := range strings.SplitSeq(text, "\t") {
 			if len(field) < 2 || field[0] != '?' && field[0] != '$' {
-				return Head{}, fmt.Errorf("%w: variable %.20q", ErrForm, field)
+				return Head{}, fmt.Errorf("%w: invalid variable %.20q", ErrMalformed, field)
 			}
 			head.Vars = append(head.Vars, field[1:])
 		}
@@ -54,21 +54,22 @@
 	if len(r.row) > 0 || text != "" {
 		for field := range strings.SplitSeq(text, "\t") {
 			if values == len(r.row) {
-				return nil, fmt.Errorf("%w: a row of over %d values", ErrForm, values)
+				return nil, fmt.Errorf("%w: row with over %d values", ErrMalformed, values)
 			}
-			if r.row[values], err = parseTurtle(field); err != nil {
-				return nil, fmt.Errorf("%w: %w", ErrForm, err)
+			if r.row[values], err = parseTurtleTerm(field); err != nil {
+				return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 			}
 			values++
 		}
 	}
 	if values != len(r.row) {
-		return nil, fmt.Errorf("%w: a row of %d values", ErrForm, values)
+		return nil, fmt.Errorf("%w: row with only %d values", ErrMalformed, values)
 	}
 	return r.row, nil
 }
 
-// line reads a line without its end. It returns io.EOF only where the source ended behind a complete line.
+// line reads a line and returns it without its line ending. It returns io.EOF only if the source ended after a complete
+// line.
 func (r *tsvReader) line() (string, error) {
 	text, err := r.lines.ReadString('\n')
 	if err != nil {
@@ -77,7 +78,7 @@
 		}
 		return "", r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	if !utf8.ValidString(text) {
 		return "", errNotUTF8
 	}
--- a/internal/sparql/results/turtle.go
+++ b/internal/sparql/results/turtle.go
@@ -8,12 +8,12 @@
 	"unicode/utf8"
 )
 
-var errTerm = errors.New("a term that is none")
+var errInvalidTerm = errors.New("invalid term")
 
 const xsdNamespace = "http://www.w3.org/2001/XMLSchema#"
 
-// parseTurtle reads one term; "" is unbound.
-func parseTurtle(text string) (Term, error) {
+// parseTurtleTerm parses one term; "" is unbound.
+func parseTurtleTerm(text string) (Term, error) {
 	switch {
 	case text == "":
 		return Term{}, nil
@@ -31,16 +31,16 @@
 
 func parseIRI(text string) (Term, error) {
 	if len(text) < 2 || text[len(text)-1] != '>' || strings.ContainsAny(text[1:len(text)-1], "<> ") {
-		return Term{}, errTerm
+		return Term{}, errInvalidTerm
 	}
 	iri, ok := unescapeRunes(text[1 : len(text)-1])
 	if !ok {
-		return Term{}, errTerm
+		return Term{}, errInvalidTerm
 	}
 	return Term{Kind: IRI, Value: iri}, nil
 }
 
-// parseNumber reads a number and gives it the datatype that Turtle does.
+// parseNumber parses a number and returns it with the datatype that Turtle assigns.
 func parseNumber(text string) (Term, error) {
 	datatype := "integer"
 	for i := range len(text) {
@@ -53,7 +53,7 @@
 			datatype = "double"
 		case isSign(c) && isExponent(text[i-1]):
 		default:
-			return Term{}, errTerm
+			return Term{}, errInvalidTerm
 		}
 	}
 	return Term{Kind: Literal, Value: text, Datatype: xsdNamespace + datatype}, nil
@@ -63,7 +63,7 @@
 func isSign(c byte) bool     { return c == '+' || c == '-' }
 func isExponent(c byte) bool { return c == 'e' || c == 'E' }
 
-// unescapeRunes resolves \uXXXX and \UXXXXXXXX, the only escapes of an IRI.
+// unescapeRunes resolves \uXXXX and \UXXXXXXXX, the only escapes in an IRI.
 func unescapeRunes(text string) (string, bool) {
 	if strings.IndexByte(text, '\\') < 0 {
 		return text, true
@@ -84,7 +84,7 @@
 	return unescaped.String(), true
 }
 
-// escapedRune returns the character of the escape at the start, and the size of the escape; 0: it is none.
+// escapedRune returns the character of the numeric escape at the start, and the size of the escape, 0 if it is invalid.
 func escapedRune(text string) (r rune, size int) {
 	digits := 0
 	if len(text) > 1 {
@@ -101,7 +101,7 @@
 	return rune(code), size
 }
 
-// runeDigits returns how many digits follow an escape's letter; 0 if it names no character by number.
+// runeDigits returns the number of hex digits after the letter of a numeric escape, or 0 for any other letter.
 func runeDigits(letter byte) int {
 	switch letter {
 	case 'u':
@@ -112,11 +112,11 @@
 	return 0
 }
 
-// parseQuoted reads a literal in quotes, with its language or datatype.
+// parseQuoted parses a quoted literal with its language or datatype.
 func parseQuoted(text string) (Term, error) {
 	value, size, ok := unquote(text)
 	if !ok {
-		return Term{}, errTerm
+		return Term{}, errInvalidTerm
 	}
 	term := Term{Kind: Literal, Value: value}
 	suffix := text[size:]
@@ -127,12 +127,12 @@
 	case strings.HasPrefix(suffix, "^^<") && suffix[len(suffix)-1] == '>' && len(suffix) > 4:
 		term.Datatype = suffix[3 : len(suffix)-1]
 	default:
-		return Term{}, errTerm
+		return Term{}, errInvalidTerm
 	}
 	return term, nil
 }
 
-// unquote returns the string in quotes at the start, and how many bytes it takes with its quotes.
+// unquote returns the value of the quoted string at the start, and its size in bytes with the quotes.
 func unquote(text string) (value string, size int, ok bool) {
 	quote := text[0]
 	var unescaped strings.Builder
@@ -154,7 +154,7 @@
 	return "", 0, false
 }
 
-// escapedCharacter returns what an escape in a string stands for, and its size; 0: it is none.
+// escapedCharacter returns the character of the escape at the start, and the size of the escape, 0 if it is invalid.
 func escapedCharacter(text string) (r rune, size int) {
 	if len(text) < 2 {
 		return 0, 0
@@ -172,8 +172,8 @@
 var turtleEscapes = strings.NewReplacer(
 	"\t", `\t`, "\n", `\n`, "\r", `\r`, "\b", `\b`, "\f", `\f`, `\`, `\\`, `"`, `\"`)
 
-// appendTurtle appends a term that is bound.
-func appendTurtle(buffer []byte, term Term) []byte {
+// appendTurtleTerm appends a bound term.
+func appendTurtleTerm(buffer []byte, term Term) []byte {
 	switch term.Kind {
 	case IRI:
 		return appendIRI(buffer, term.Value)
@@ -185,7 +185,8 @@
 	}
 }
 
-// appendIRI escapes what may not stand in an IRI, so that it does not break the line.
+// appendIRI appends an IRI in angle brackets. It escapes characters that are not allowed there, which could break the
+// line.
 func appendIRI(buffer []byte, iri string) []byte {
 	buffer = append(buffer, '<')
 	for _, c := range []byte(iri) {
--- a/internal/sparql/results/xml.go
+++ b/internal/sparql/results/xml.go
@@ -12,15 +12,15 @@
 const xmlNamespace = "http://www.w3.org/2005/sparql-results#"
 
 var (
-	errTextBetween   = errors.New("text between elements")
-	errSecondResult  = errors.New("more than one result")
-	errMoreAfterEnd  = errors.New("more after the end")
-	errSecondBinding = errors.New("two values in a binding")
+	errTextBetweenElements = errors.New("unexpected text between elements")
+	errSecondResult        = errors.New("more than one boolean or results element")
+	errTrailingData        = errors.New("data after the end of the document")
+	errSecondBinding       = errors.New("more than one value in a binding")
 )
 
-// xmlReader reads <sparql> with its head and results, or boolean.
+// xmlReader reads the <sparql> element with its head and its results or boolean.
 type xmlReader struct {
-	source   *bounded
+	source   *limitedReader
 	decoder  *xml.Decoder
 	head     Head
 	columns  map[string]int // by variable
@@ -28,7 +28,7 @@
 	complete bool
 }
 
-func newXMLReader(source *bounded) *xmlReader {
+func newXMLReader(source *limitedReader) *xmlReader {
 	return &xmlReader{source: source, decoder: xml.NewDecoder(source)}
 }
 
@@ -37,11 +37,11 @@
 	if err := r.readHead(); err != nil {
 		return Head{}, r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	return r.head, nil
 }
 
-// readHead reads up to the first result, or the whole answer of an ASK.
+// readHead reads up to the first result, or the complete result of an ASK.
 func (r *xmlReader) readHead() error {
 	if _, err := r.start("sparql"); err != nil {
 		return err
@@ -62,10 +62,10 @@
 	case "boolean":
 		return r.readBoolean()
 	}
-	return fmt.Errorf("element %s", element.Name.Local)
+	return fmt.Errorf("unexpected element %s", element.Name.Local)
 }
 
-// readVariables reads to the end of the head.
+// readVariables reads the variables, to the end of the head element.
 func (r *xmlReader) readVariables() error {
 	for {
 		token, err := r.token()
@@ -95,7 +95,7 @@
 	}
 	text = strings.TrimSpace(text)
 	if len(r.head.Vars) > 0 || text != "true" && text != "false" {
-		return fmt.Errorf("boolean %.20q", text)
+		return fmt.Errorf("invalid boolean %.20q", text)
 	}
 	r.head.Ask = true
 	r.head.Boolean = text == "true"
@@ -119,16 +119,16 @@
 		return nil, io.EOF
 	}
 	if element.Name.Local != "result" {
-		return nil, fmt.Errorf("%w: element %s", ErrForm, element.Name.Local)
+		return nil, fmt.Errorf("%w: unexpected element %s", ErrMalformed, element.Name.Local)
 	}
 	if err := r.readBindings(); err != nil {
 		return nil, r.source.cause(err)
 	}
-	r.source.renew()
+	r.source.resetLimit()
 	return r.row, nil
 }
 
-// readBindings reads a row to the end of its element.
+// readBindings reads the bindings of a row, to the end of its element.
 func (r *xmlReader) readBindings() error {
 	if r.row == nil {
 		r.row = make([]Term, len(r.head.Vars))
@@ -153,7 +153,7 @@
 	name := attribute(binding, "name")
 	column, known := r.columns[name]
 	if binding.Name.Local != "binding" || !known || r.row[column].Kind != Unbound {
-		return fmt.Errorf("element %s of %q", binding.Name.Local, name)
+		return fmt.Errorf("unexpected element %s with name %q", binding.Name.Local, name)
 	}
 	element, err := r.start("")
 	if err != nil {
@@ -170,7 +170,7 @@
 		term.Lang = attribute(element, "lang")
 		term.Datatype = attribute(element, "datatype")
 	default:
-		return fmt.Errorf("element %s", element.Name.Local)
+		return fmt.Errorf("unexpected element %s", element.Name.Local)
 	}
 	if term.Value, err = r.text(); err != nil {
 		return err
@@ -179,23 +179,23 @@
 	return r.expectEnd(errSecondBinding)
 }
 
-// finish makes sure that the outermost element ends and nothing follows.
+// finish checks that the outermost element ends and that nothing follows.
 func (r *xmlReader) finish() error {
 	if err := r.expectEnd(errSecondResult); err != nil {
 		return err
 	}
 	_, err := r.token()
 	if err == nil {
-		return errMoreAfterEnd
+		return errTrailingData
 	}
-	if err != io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
+	if err != io.EOF { //nolint:errorlint // an error that wraps io.EOF means a truncated result
 		return err
 	}
 	r.complete = true
 	return nil
 }
 
-// token returns the next start or end of an element; what else there is between them must be white space.
+// token returns the next start or end of an element. It skips comments and the like; text must be white space.
 func (r *xmlReader) token() (xml.Token, error) {
 	for {
 		token, err := r.decoder.Token()
@@ -205,20 +205,20 @@
 		switch token := token.(type) {
 		case xml.StartElement:
 			if token.Name.Space != xmlNamespace {
-				return nil, fmt.Errorf("element %s of another name space", token.Name.Local)
+				return nil, fmt.Errorf("element %s is not in the SPARQL results namespace", token.Name.Local)
 			}
 			return token, nil
 		case xml.EndElement:
 			return token, nil
 		case xml.CharData:
 			if len(bytes.TrimSpace(token)) > 0 {
-				return nil, errTextBetween
+				return nil, errTextBetweenElements
 			}
 		}
 	}
 }
 
-// start returns the start of the next element, which must be of that name; "": any.
+// start returns the start of the next element, which must have the given name; "" allows any.
 func (r *xmlReader) start(name string) (xml.StartElement, error) {
 	token, err := r.token()
 	if err != nil {
@@ -226,12 +226,12 @@
 	}
 	element, isStart := token.(xml.StartElement)
 	if !isStart || name != "" && element.Name.Local != name {
-		return xml.StartElement{}, fmt.Errorf("no element %s", name)
+		return xml.StartElement{}, fmt.Errorf("missing element %s", name)
 	}
 	return element, nil
 }
 
-// expectEnd reads the end of an element; otherwise is the error where another element starts.
+// expectEnd reads the end of an element. It returns the error otherwise if another element starts instead.
 func (r *xmlReader) expectEnd(otherwise error) error {
 	token, err := r.token()
 	if err != nil {
@@ -243,7 +243,7 @@
 	return nil
 }
 
-// text reads to the end of the present element, which must hold text only.
+// text reads to the end of the current element, which must contain only text.
 func (r *xmlReader) text() (string, error) {
 	var text strings.Builder
 	for {
@@ -257,7 +257,7 @@
 		case xml.EndElement:
 			return text.String(), nil
 		case xml.StartElement:
-			return "", fmt.Errorf("element %s inside text", token.Name.Local)
+			return "", fmt.Errorf("unexpected element %s inside text", token.Name.Local)
 		}
 	}
 }
@@ -271,14 +271,14 @@
 	return ""
 }
 
-// xmlElements are the elements of terms by their kind.
+// xmlElements are the element names of terms by kind.
 var xmlElements = [...]string{IRI: "uri", Literal: "literal", Blank: "bnode"}
 
-// xmlWriter writes one result a line.
+// xmlWriter writes XML, with each result on a line of its own.
 type xmlWriter struct {
 	destination io.Writer
 	head        Head
-	buffer      bytes.Buffer // of a row
+	buffer      bytes.Buffer // holds one row
 }
 
 // Head implements Writer.
@@ -334,7 +334,7 @@
 }
 
 func (w *xmlWriter) escape(text string) {
-	_ = xml.EscapeText(&w.buffer, []byte(text)) // writing to a buffer cannot fail
+	_ = xml.EscapeText(&w.buffer, []byte(text)) // never fails on a bytes.Buffer
 }
 
 func (w *xmlWriter) flush() error {
