--- a/internal/sparql/decide/classify.go
+++ b/internal/sparql/decide/classify.go
@@ -7,16 +7,16 @@
 	"swiftreel/internal/sparql/syntax"
 )
 
-// Rule maps texts to a job type: those of its forms whose estimated work is within its bounds.
+// Rule maps statements to a job type: those of its forms whose estimated work is within its bounds.
 type Rule struct {
-	Forms     []string     // SELECT, CONSTRUCT, DESCRIBE, ASK, UPDATE; none: all
-	KeyedOnly bool         // only updates that have an idempotency key
+	Forms     []string     // of SELECT, CONSTRUCT, DESCRIBE, ASK, UPDATE; empty: all
+	KeyedOnly bool         // matches only updates with an idempotency key
 	MinWork   choice.Nanos // inclusive
 	MaxWork   choice.Nanos // exclusive; 0: no bound
 	Type      string
 }
 
-// Classify returns the job type of the first rule that matches; false where none does.
+// Classify returns the job type of the first rule that matches, or false if none does.
 func Classify(rules []Rule, statement *syntax.Statement, work choice.Nanos, keyed bool) (string, bool) {
 	for _, rule := range rules {
 		if rule.matches(statement, work, keyed) {
@@ -36,8 +36,8 @@
 	return work >= r.MinWork && (r.MaxWork == 0 || work < r.MaxWork)
 }
 
-// OrderKey returns the key by which an update is kept in order: the graph that it writes. One that writes several, or
-// any, has a key that all such share. A query has none.
+// OrderKey returns the ordering key of an update: the graph that it writes. All updates that write several graphs, or
+// any graph, share one key. A query has none.
 func OrderKey(statement *syntax.Statement) string {
 	switch {
 	case statement.Form != syntax.Update:
--- a/internal/sparql/decide/cost.go
+++ b/internal/sparql/decide/cost.go
@@ -14,106 +14,107 @@
 	maxWork = choice.Nanos(600_000_000_000)
 )
 
-// How estimates are learned, in answers.
+// Sample limits of the learned estimates.
 const (
-	maxFingerprintAnswers = 64  // counted at most for a fingerprint, so that its mean follows changes
-	maxBiasAnswers        = 200 // counted at most for the bias of static estimates
-	trustedAnswers        = 3   // from so many on a fingerprint's own mean stands alone
+	maxFingerprintSamples = 64  // cap per fingerprint, so that its mean follows changes
+	maxBiasSamples        = 200 // cap for the bias of static estimates
+	trustedSamples        = 3   // from this number on, a fingerprint's mean is used without the static estimate
 )
 
 // Weights of the static estimate.
 const (
-	patternWork      = choice.Nanos(200_000) // of a pattern without variables
-	pathFactor       = 4.0                   // for each property path of any length
+	patternWork      = choice.Nanos(200_000) // of a triple pattern without variables
+	pathFactor       = 4.0                   // for each property path of arbitrary length
 	maxPaths         = 6
 	combineFactor    = 1.5 // for each join of groups, union and subquery
 	maxCombinations  = 12
 	sortFactor       = 2.0
-	limitBase        = 5.0 // patterns, under a LIMIT without sorting
+	limitBase        = 5.0 // units of a LIMIT without sorting, before its rows
 	limitRowsPerUnit = 10
 	maxLimit         = 1_000_000
-	rowsPerUnit      = 5 // of inline data
-	anyGraphFactor   = 3.0
+	rowsPerUnit      = 5   // of inline data
+	anyGraphFactor   = 3.0 // for access to graphs that the statement does not name
 )
 
-// patternWeights are the costs of a pattern by how many of its places are variables.
+// patternWeights are the costs of a triple pattern by its number of variables.
 var patternWeights = [4]float64{1, 3, 30, 600}
 
-// CostEstimator learns what texts cost by their fingerprint. It holds a bounded number of fingerprints; the least
-// recently used one is evicted.
+// CostEstimator learns the cost of statements by their fingerprint. It holds a bounded number of fingerprints and
+// evicts the least recently used one.
 type CostEstimator struct {
-	capacity    int
-	byID        map[uint64]*list.Element
-	recent      *list.List // of *fingerprintCost, the most recently used first
-	bias        float64    // mean log of true work over the static estimate
-	biasAnswers float64
+	capacity      int
+	byFingerprint map[uint64]*list.Element
+	lru           *list.List // of *fingerprintCost, most recently used first
+	bias          float64    // mean log of the ratio of measured work to the static estimate
+	biasSamples   float64
 }
 
 type fingerprintCost struct {
 	fingerprint uint64
-	answers     float64
+	samples     float64
 	meanLog     float64 // of work in ns
 }
 
-// NewCostEstimator returns an estimator of up to capacity fingerprints, about 150 bytes each.
+// NewCostEstimator returns an estimator that stores up to capacity fingerprints, of about 150 bytes each.
 func NewCostEstimator(capacity int) *CostEstimator {
-	return &CostEstimator{capacity: max(1, capacity), byID: map[uint64]*list.Element{}, recent: list.New()}
+	return &CostEstimator{capacity: max(1, capacity), byFingerprint: map[uint64]*list.Element{}, lru: list.New()}
 }
 
-// Estimate returns the expected work of a text, and whether there were answers to texts of its fingerprint.
+// Estimate returns the expected work of a statement, and whether its fingerprint has samples.
 func (c *CostEstimator) Estimate(statement *syntax.Statement) (work choice.Nanos, known bool) {
 	static := math.Log(staticWork(statement)) + c.bias
-	element := c.byID[statement.Fingerprint]
+	element := c.byFingerprint[statement.Fingerprint]
 	if element == nil {
 		return boundedWork(static), false
 	}
-	c.recent.MoveToFront(element)
+	c.lru.MoveToFront(element)
 	cost := element.Value.(*fingerprintCost)
-	if cost.answers >= trustedAnswers {
+	if cost.samples >= trustedSamples {
 		return boundedWork(cost.meanLog), true
 	}
-	return boundedWork((cost.answers*cost.meanLog + static) / (cost.answers + 1)), true
+	return boundedWork((cost.samples*cost.meanLog + static) / (cost.samples + 1)), true
 }
 
-// Observe learns from the true work of a text that was answered. Work that is not known is 0 and teaches nothing.
+// Observe adds the measured work of an answered statement as a sample. Unknown work is 0 and is ignored.
 func (c *CostEstimator) Observe(statement *syntax.Statement, work choice.Nanos) {
 	if work <= 0 {
 		return
 	}
 	logWork := math.Log(float64(min(work, maxWork)))
-	c.biasAnswers = min(c.biasAnswers+1, maxBiasAnswers)
-	c.bias += (logWork - math.Log(staticWork(statement)) - c.bias) / c.biasAnswers
+	c.biasSamples = min(c.biasSamples+1, maxBiasSamples)
+	c.bias += (logWork - math.Log(staticWork(statement)) - c.bias) / c.biasSamples
 	cost := c.fingerprintCost(statement.Fingerprint)
-	cost.answers = min(cost.answers+1, maxFingerprintAnswers)
-	cost.meanLog += (logWork - cost.meanLog) / cost.answers
+	cost.samples = min(cost.samples+1, maxFingerprintSamples)
+	cost.meanLog += (logWork - cost.meanLog) / cost.samples
 }
 
-// fingerprintCost returns the entry of a fingerprint as the most recently used, a new one if there was none.
+// fingerprintCost returns the entry of a fingerprint, created if missing, and marks it as the most recently used.
 func (c *CostEstimator) fingerprintCost(fingerprint uint64) *fingerprintCost {
-	if element := c.byID[fingerprint]; element != nil {
-		c.recent.MoveToFront(element)
+	if element := c.byFingerprint[fingerprint]; element != nil {
+		c.lru.MoveToFront(element)
 		return element.Value.(*fingerprintCost)
 	}
-	if c.recent.Len() >= c.capacity {
-		oldest := c.recent.Back()
-		delete(c.byID, oldest.Value.(*fingerprintCost).fingerprint)
-		c.recent.Remove(oldest)
+	if c.lru.Len() >= c.capacity {
+		oldest := c.lru.Back()
+		delete(c.byFingerprint, oldest.Value.(*fingerprintCost).fingerprint)
+		c.lru.Remove(oldest)
 	}
 	cost := &fingerprintCost{fingerprint: fingerprint}
-	c.byID[fingerprint] = c.recent.PushFront(cost)
+	c.byFingerprint[fingerprint] = c.lru.PushFront(cost)
 	return cost
 }
 
-// Len returns how many fingerprints are held.
-func (c *CostEstimator) Len() int { return c.recent.Len() }
+// Len returns the number of stored fingerprints.
+func (c *CostEstimator) Len() int { return c.lru.Len() }
 
-// boundedWork returns the work with the given logarithm, within the bounds of an estimate.
+// boundedWork returns the work with the given logarithm, clamped to the bounds of an estimate.
 func boundedWork(logWork float64) choice.Nanos {
 	return max(minWork, choice.Nanos(math.Exp(min(logWork, math.Log(float64(maxWork))))))
 }
 
-// staticWork returns the work of a text by its counts alone, in ns. Patterns add up, as joins go from one to the next;
-// what is of any length, optional or sorted multiplies; an outermost LIMIT without sorting ends early.
+// staticWork returns the work of a statement in ns, estimated from its counts alone. Triple patterns add up, as a join
+// evaluates one after the other; paths of arbitrary length, combined groups and sorting multiply; an outermost LIMIT
+// without sorting caps the sum, as evaluation stops early.
 func staticWork(statement *syntax.Statement) float64 {
 	counts := statement.Cost
 	units := 1.0
--- a/internal/sparql/decide/doc.go
+++ b/internal/sparql/decide/doc.go
@@ -1,7 +1,7 @@
-// Package decide holds what the SPARQL side decides and remembers for itself: estimates of a text's cost, idempotency
-// keys of updates, drains reported by two sources, and slots shared by the protocols. Which engine a job is sent to,
-// whether it is retried, and what is rejected is left to the decision module.
+// Package decide holds the decisions and state that are specific to SPARQL: cost estimates of statements, idempotency
+// keys of updates, drains reported by the endpoint list or the engines, and job slots shared by the protocols. The
+// decision module chooses the engine of a job, and decides on retries and rejections.
 //
-// The package does no I/O and reads no clock: times are arguments. Every table is bounded and says when entries leave
-// it. No type is safe for concurrent use; callers hold a lock.
+// The package does no I/O and reads no clock: times are arguments. Every table is bounded and documents when entries
+// are removed. No type is safe for concurrent use; callers hold a lock.
 package decide
--- a/internal/sparql/decide/drain.go
+++ b/internal/sparql/decide/drain.go
@@ -2,50 +2,49 @@
 
 import "swiftreel/choice"
 
-// Signal is what an engine shows of its own state: by a header of an answer, the close of its connection, or the status
-// of a probe.
+// Signal is an engine's own indication of its state: a response header, a closed connection or the status of a probe.
 type Signal uint8
 
 // The signals.
 const (
 	SignalServing  Signal = iota // an answer or probe without any sign of a drain
-	SignalClosing                // Connection: close: it may drain, or only close an idle connection
-	SignalDraining               // it says so, or answers 503 to a probe
+	SignalClosing                // Connection: close: a drain, or merely an idle connection being closed
+	SignalDraining               // the Draining header, or 503 to a probe
 )
 
-// maxCloses is how many connections in a row an engine may close before that counts as draining.
-const maxCloses = 3
+// drainingCloseCount is the number of consecutive closed connections that counts as draining.
+const drainingCloseCount = 3
 
-// DrainTracker joins the states in the list of engines with the signals of the engines themselves, which may disagree
-// and come in any order. An engine drains if either says so. Its own signal counts until another one says otherwise,
-// until the engine is seen to have restarted, or until it is stale, by when the list has had time to follow.
+// DrainTracker combines the states in the endpoint list with the signals of the engines themselves, which may disagree
+// and arrive in any order. An engine is draining if either source reports it. An engine's own drain signal is valid
+// until a serving signal, a restart of the engine or its expiry, by when the list has had time to catch up.
 type DrainTracker struct {
-	lifetime choice.Nanos // of an engine's own signal
+	lifetime choice.Nanos // of an engine's drain signal
 	engines  map[choice.EngineID]*drainState
 }
 
-// drainState is what is known of an engine that is in the list.
+// drainState is the drain state of an engine in the endpoint list.
 type drainState struct {
-	listed         choice.EngineEntry
-	selfDraining   bool
-	closes         int          // in a row
-	lastSignalAt   choice.Nanos // of a drain
-	effectiveState choice.EngineState
+	listed            choice.EngineEntry
+	selfDraining      bool
+	consecutiveCloses int
+	lastDrainSignalAt choice.Nanos
+	effectiveState    choice.EngineState
 }
 
-// NewDrainTracker returns a tracker of an empty list. An engine's own signal counts for the lifetime, unless repeated.
+// NewDrainTracker returns a tracker without engines. A drain signal expires after the lifetime unless it is repeated.
 func NewDrainTracker(lifetime choice.Nanos) *DrainTracker {
 	return &DrainTracker{lifetime: lifetime, engines: map[choice.EngineID]*drainState{}}
 }
 
-// ApplyList takes entries of the list and returns them as the module is to see them.
+// ApplyList applies entries of the endpoint list and returns them with their effective states, for the decision module.
 func (d *DrainTracker) ApplyList(now choice.Nanos, entries []choice.EngineEntry) (effective []choice.EngineEntry) {
 	for _, entry := range entries {
 		state := d.engines[entry.Engine]
 		if state == nil {
 			state = &drainState{}
 			d.engines[entry.Engine] = state
-		} else if entry.StartedAt != state.listed.StartedAt { // the restarted engine does not drain as the old one did
+		} else if entry.StartedAt != state.listed.StartedAt { // signals of the previous process do not apply
 			state.clearSignals()
 		}
 		state.listed = entry
@@ -59,7 +58,8 @@
 	return effective
 }
 
-// ApplySignal takes an engine's own signal. It returns the engine's entry, and whether the module has to hear of it.
+// ApplySignal applies an engine's own signal. It returns the engine's effective entry, and whether its state changed,
+// in which case the decision module has to be told. Signals of engines that are not in the list are ignored.
 func (d *DrainTracker) ApplySignal(
 	now choice.Nanos, id choice.EngineID, signal Signal,
 ) (entry choice.EngineEntry, changed bool) {
@@ -71,8 +71,8 @@
 	case SignalServing:
 		state.clearSignals()
 	case SignalClosing:
-		state.closes++
-		if state.closes >= maxCloses {
+		state.consecutiveCloses++
+		if state.consecutiveCloses >= drainingCloseCount {
 			state.markDraining(now)
 		}
 	case SignalDraining:
@@ -81,7 +81,8 @@
 	return d.update(now, state)
 }
 
-// ExpireSignals drops signals that are stale. It returns the entries that changed, in the order of ids.
+// ExpireSignals drops expired signals of the given engines. It returns the entries whose state changed, in the order
+// of ids.
 func (d *DrainTracker) ExpireSignals(now choice.Nanos, ids []choice.EngineID) (changed []choice.EngineEntry) {
 	for _, id := range ids {
 		state := d.engines[id]
@@ -104,17 +105,17 @@
 
 func (s *drainState) clearSignals() {
 	s.selfDraining = false
-	s.closes = 0
+	s.consecutiveCloses = 0
 }
 
 func (s *drainState) markDraining(now choice.Nanos) {
 	s.selfDraining = true
-	s.lastSignalAt = now
+	s.lastDrainSignalAt = now
 }
 
-// effectiveEntry returns the listed entry, draining where the engine says so itself.
+// effectiveEntry returns the listed entry, as draining if the engine's own signal says so. It clears an expired signal.
 func (s *drainState) effectiveEntry(now, lifetime choice.Nanos) choice.EngineEntry {
-	if s.selfDraining && now-s.lastSignalAt >= lifetime {
+	if s.selfDraining && now-s.lastDrainSignalAt >= lifetime {
 		s.clearSignals()
 	}
 	entry := s.listed
--- a/internal/sparql/decide/idempotency.go
+++ b/internal/sparql/decide/idempotency.go
@@ -6,55 +6,55 @@
 	"swiftreel/choice"
 )
 
-// IdempotencyKey names an update that its client may send again (IETF draft-ietf-httpapi-idempotency-key-header). It
-// counts for its tenant only. Without a value there is no key.
+// IdempotencyKey identifies an update that its client may send again (IETF draft-ietf-httpapi-idempotency-key-header).
+// Keys are scoped to their tenant. An empty value means that there is no key.
 type IdempotencyKey struct {
 	Tenant string
 	Value  string
 }
 
-// KeyVerdict is what to do with an update that has an idempotency key.
+// KeyVerdict is how an update with an idempotency key is handled.
 type KeyVerdict uint8
 
 // The verdicts.
 const (
 	KeyNew            KeyVerdict = iota // run it
-	KeyInProgress                       // the first has not ended: 409
-	KeyCompleted                        // it is done: the same answer once more, nothing runs
-	KeyOutcomeUnknown                   // it may have run: 502 as the first time, nothing runs
-	KeyMismatch                         // the key was another text's: 422
-	KeyTableFull                        // it could not be remembered: 503, nothing runs
+	KeyInProgress                       // the first request has not ended: 409
+	KeyCompleted                        // the first request succeeded: repeat its answer without running the update
+	KeyOutcomeUnknown                   // the first request may have run: 502 again, without running the update
+	KeyMismatch                         // the key was used with a different request: 422
+	KeyTableFull                        // the key cannot be stored: 503, without running the update
 )
 
 // UpdateOutcome is how an update with an idempotency key ended.
 type UpdateOutcome uint8
 
-// The outcomes. An update that never ran may come again and be run; one that may have run must not, until its window is
-// over.
+// The outcomes. A repeated update is run if the first never ran; if it may have run, the repeated one must not be run
+// until the window of the key has ended.
 const (
 	UpdateDone UpdateOutcome = iota
 	UpdateNeverRan
 	UpdateMayHaveRun
 )
 
-// KeyTable remembers updates by their idempotency keys: while they are in progress, and for a window after. It is
-// bounded; a key leaves when its update ends without having run, or when its window is over.
+// KeyTable stores the idempotency keys of updates while they are in progress, and for a window afterwards. It is
+// bounded; a key is removed when its update ends without having run, or when its window has ended.
 type KeyTable struct {
 	capacity int
 	window   choice.Nanos
 	entries  map[IdempotencyKey]*keyEntry
-	ended    *list.List // of *keyEntry, by the end of their window
+	ended    *list.List // of *keyEntry, by expiresAt
 }
 
 type keyEntry struct {
 	key        IdempotencyKey
-	digest     uint64 // of all that was sent
+	digest     uint64 // of the request
 	mayHaveRun bool
 	expiresAt  choice.Nanos
-	ended      *list.Element // in KeyTable.ended; nil: in progress
+	ended      *list.Element // in KeyTable.ended; nil while in progress
 }
 
-// NewKeyTable returns a table of up to capacity keys, each held for a window after its update ended.
+// NewKeyTable returns a table of up to capacity keys, each kept for a window after its update ended.
 func NewKeyTable(capacity int, window choice.Nanos) *KeyTable {
 	return &KeyTable{
 		capacity: max(1, capacity),
@@ -64,13 +64,13 @@
 	}
 }
 
-// Begin takes an update with its key and the digest of its text. After KeyNew, End has to be called.
+// Begin returns the verdict on an update with the given key and request digest. After KeyNew, End has to be called.
 func (t *KeyTable) Begin(now choice.Nanos, key IdempotencyKey, digest uint64) KeyVerdict {
 	t.expire(now)
 	entry := t.entries[key]
 	switch {
 	case entry == nil && len(t.entries) >= t.capacity:
-		return KeyTableFull // an evicted key could run twice
+		return KeyTableFull // evicting a key could let its update run twice
 	case entry == nil:
 		t.entries[key] = &keyEntry{key: key, digest: digest}
 		return KeyNew
@@ -84,7 +84,7 @@
 	return KeyCompleted
 }
 
-// End records how the update of a key ended. Of a key that is not in progress it changes nothing.
+// End records how the update of a key ended. It has no effect on a key that is not in progress.
 func (t *KeyTable) End(now choice.Nanos, key IdempotencyKey, outcome UpdateOutcome) {
 	entry := t.entries[key]
 	if entry == nil || entry.ended != nil {
@@ -99,7 +99,7 @@
 	entry.ended = t.ended.PushBack(entry)
 }
 
-// expire drops the keys whose window is over.
+// expire removes the keys whose window has ended.
 func (t *KeyTable) expire(now choice.Nanos) {
 	for {
 		oldest := t.ended.Front()
@@ -111,5 +111,5 @@
 	}
 }
 
-// Len returns how many keys are held.
+// Len returns the number of stored keys.
 func (t *KeyTable) Len() int { return len(t.entries) }
--- a/internal/sparql/decide/slots.go
+++ b/internal/sparql/decide/slots.go
@@ -2,12 +2,12 @@
 
 import "swiftreel/choice"
 
-// Slots shares the slots for open jobs between protocols, so that a burst of one does not take them all. The module's
-// buckets keep threads apart by job type and tenant, but a slot is taken before a bucket is asked, first come first
-// served.
+// Slots shares the slots for open jobs between protocols, so that a burst on one protocol does not take them all. The
+// decision module's buckets divide engine threads by job type and tenant, but a slot is acquired before that, first
+// come, first served.
 //
-// Each protocol is sure of what it used recently, as a decaying peak, and some more, up to its even share; what nobody
-// is sure of anyone may take.
+// Each protocol has slots reserved for the decaying peak of its recent use plus some headroom, up to its even share.
+// Any protocol may take slots that are not reserved.
 type Slots struct {
 	usage []slotUsage // by protocol
 }
@@ -19,22 +19,22 @@
 }
 
 const (
-	peakHalvingTime = choice.Nanos(30_000_000_000)
-	headroom        = 0.25 // beyond its peak that a protocol is sure of
-	minHeadroom     = 8.0  // jobs
+	peakHalfLife = choice.Nanos(30_000_000_000)
+	headroom     = 0.25 // reserved beyond the peak, as a share of it
+	minHeadroom  = 8.0  // jobs
 )
 
-// A peak decays in steps of an eighth of its halving time, and is dropped after many of them.
+// A peak decays in steps of an eighth of its half-life, and is reset after many half-lives without an update.
 const (
-	decayStep       = peakHalvingTime / 8
-	decayFactor     = 0.917004 // the eighth root of a half
-	maxDecayElapsed = 100 * peakHalvingTime
+	decayStep       = peakHalfLife / 8
+	decayFactor     = 0.917004 // the eighth root of 1/2
+	maxDecayElapsed = 100 * peakHalfLife
 )
 
-// NewSlots returns slots shared by so many protocols, numbered from 0, all of them free.
+// NewSlots returns slots, all free, that are shared by the given number of protocols, numbered from 0.
 func NewSlots(protocols int) *Slots { return &Slots{usage: make([]slotUsage, protocols)} }
 
-// Acquire takes one of capacity slots for a protocol's job. It returns false if none is left for it.
+// Acquire takes one of capacity slots for a protocol's job. It returns false if none is available to the protocol.
 func (s *Slots) Acquire(now choice.Nanos, protocol, capacity int) bool {
 	evenShare := float64(capacity) / float64(len(s.usage))
 	inUse := 0
@@ -58,10 +58,10 @@
 	return true
 }
 
-// Release frees a slot of a protocol.
+// Release returns a slot of a protocol.
 func (s *Slots) Release(protocol int) { s.usage[protocol].inUse-- }
 
-// reserved returns how many free slots a protocol is sure of.
+// reserved returns how many free slots are reserved for a protocol.
 func (u *slotUsage) reserved(evenShare float64) float64 {
 	assured := min(evenShare, u.peak*(1+headroom)+minHeadroom)
 	return max(0, assured-float64(u.inUse))
