--- a/internal/sparql/endpoint/client.go
+++ b/internal/sparql/endpoint/client.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	maxHeaderBytes      = 64 << 10 // of an answer
+	maxHeaderBytes      = 64 << 10 // of a response
 	maxIdleConns        = 64
 	maxIdleConnsPerHost = 4
 )
 
-// Client carries dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL. Each dispatch has a
-// goroutine, which ends with it.
+// Client sends dispatches to all SPARQL endpoints. A Host's Address is the endpoint's URL. Each dispatch runs in a
+// goroutine of its own.
 type Client struct {
 	limits   backend.Limits
 	onSignal func(name string, signal decide.Signal)
 	http     *http.Client
-	ctx      context.Context // of all requests; Close ends it
+	ctx      context.Context // of all requests; Close cancels it
 	cancel   context.CancelFunc
 
-	mu       sync.Mutex           // guards what follows
-	inFlight map[string]*inFlight // by engine; one leaves with its last dispatch
-	conns    int                  // dispatches and probes in flight: a connection each
+	mu       sync.Mutex           // guards the fields below
+	inFlight map[string]*inFlight // by engine; removed with the engine's last dispatch
+	conns    int                  // dispatches and probes in flight, which use a connection each
 }
 
-// inFlight counts the dispatches at an engine.
+// inFlight counts the dispatches in flight at an engine.
 type inFlight struct {
 	open      int
 	cancelled int
@@ -41,7 +41,7 @@
 
 var _ backend.Engines = (*Client)(nil)
 
-// New returns a client. onSignal is called with what engines report of themselves beside their answers.
+// New returns a client. onSignal is called with the state that an engine's response indicates.
 func New(limits backend.Limits, onSignal func(name string, signal decide.Signal)) *Client {
 	c := &Client{limits: limits, onSignal: onSignal, inFlight: map[string]*inFlight{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -68,7 +68,7 @@
 	d := &dispatch{client: c, name: to.Name, cancel: cancel, reply: reply}
 	if !c.acquire(to.Name) {
 		counters.Increment("endpoint_conns_full")
-		d.finishUnsent(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine refused nothing
+		d.finishUnsent(backend.Reply{Outcome: backend.Full}) // not sent: the job never ran
 		return d
 	}
 	operation, err := parseStatement(request.Statement)
@@ -84,7 +84,7 @@
 		return d
 	}
 	timeout := time.Duration(permission.TimeoutMS) * time.Millisecond
-	timer := time.AfterFunc(timeout+c.limits.DialTimeout, cancel) // beyond it nobody waits
+	timer := time.AfterFunc(timeout+c.limits.DialTimeout, cancel) // nobody waits for a later reply
 	context.AfterFunc(ctx, func() { timer.Stop() })
 	go func() {
 		d.finish(c.exchange(ctx, to, string(request.ID), operation))
@@ -93,7 +93,8 @@
 	return d
 }
 
-// CloseIdle implements backend.Engines. The library closes all that are idle, which costs others a dial.
+// CloseIdle implements backend.Engines. net/http can only close the idle connections of all engines; other engines
+// are dialed again.
 func (c *Client) CloseIdle(string) { c.http.CloseIdleConnections() }
 
 // InFlight implements backend.Engines.
@@ -115,7 +116,7 @@
 	c.http.CloseIdleConnections()
 }
 
-// acquire takes a connection for a dispatch to an engine, or for a probe (""). It returns false if there is none left.
+// acquire reserves a connection for a dispatch to an engine, or for a probe (""). It returns false at the limit.
 func (c *Client) acquire(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	return true
 }
 
-// countCancelled counts a dispatch as cancelled instead of open.
+// countCancelled moves a dispatch from the open to the cancelled ones.
 func (c *Client) countCancelled(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +144,7 @@
 	}
 }
 
-// release returns the connection of a dispatch that ended, or of a probe.
+// release frees the connection of a dispatch that ended, or of a probe ("").
 func (c *Client) release(name string, cancelled bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sparql/endpoint/dispatch.go
+++ b/internal/sparql/endpoint/dispatch.go
@@ -7,37 +7,37 @@
 	"swiftreel/internal/backend"
 )
 
-// dispatch is one that was started.
+// dispatch implements backend.Dispatch.
 type dispatch struct {
 	client *Client
 	name   string // of the engine
 	cancel context.CancelFunc
 	reply  func(backend.Reply)
 
-	mu          sync.Mutex // guards what follows
-	over        bool       // its outcome was reported, or it was cancelled
-	onCancelled func()     // of the one that cancelled it
+	mu          sync.Mutex // guards the fields below
+	ended       bool       // its outcome was reported, or it was cancelled
+	onCancelled func()     // the argument of Cancel
 }
 
-// finish reports the outcome, unless the dispatch was cancelled: then that nothing of it is in flight.
+// finish frees the connection and reports the outcome. If the dispatch was cancelled, it calls onCancelled instead.
 func (d *dispatch) finish(reply backend.Reply) {
 	cancelled, onCancelled := d.end()
 	d.client.release(d.name, cancelled)
 	d.report(reply, cancelled, onCancelled)
 }
 
-// finishUnsent does so for a dispatch that got no connection.
+// finishUnsent does the same for a dispatch that got no connection.
 func (d *dispatch) finishUnsent(reply backend.Reply) {
 	cancelled, onCancelled := d.end()
 	d.report(reply, cancelled, onCancelled)
 }
 
-// end marks the dispatch as over, and returns whether it was cancelled before.
+// end marks the dispatch as ended, and returns whether it was cancelled before.
 func (d *dispatch) end() (cancelled bool, onCancelled func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	cancelled = d.over
-	d.over = true
+	cancelled = d.ended
+	d.ended = true
 	return cancelled, d.onCancelled
 }
 
@@ -52,15 +52,15 @@
 	}
 }
 
-// Cancel implements backend.Dispatch. HTTP has no message for it: the connection is closed, and an engine that has
-// begun may go on.
+// Cancel implements backend.Dispatch. HTTP has no message for cancellation: the connection is closed, and an engine
+// that has started the job may continue it.
 func (d *dispatch) Cancel(done func()) bool {
 	d.mu.Lock()
-	if d.over {
+	if d.ended {
 		d.mu.Unlock()
 		return false
 	}
-	d.over = true
+	d.ended = true
 	d.onCancelled = done
 	d.mu.Unlock()
 	d.client.countCancelled(d.name)
@@ -68,5 +68,5 @@
 	return true
 }
 
-// SetPriority implements backend.Dispatch: the protocol has no message for it.
+// SetPriority implements backend.Dispatch. It does nothing, as the protocol has no message for it.
 func (d *dispatch) SetPriority(uint8) {}
--- a/internal/sparql/endpoint/doc.go
+++ b/internal/sparql/endpoint/doc.go
@@ -1,4 +1,4 @@
-// Package endpoint speaks the SPARQL 1.1 Protocol with engines, behind the interface that all protocols share. It tells
-// outcomes apart as strictly as the line protocol does: what never ran is known never to have run, and an answer counts
-// only when it is complete and in the form that it states.
+// Package endpoint implements backend.Engines for engines that speak the SPARQL 1.1 Protocol. It distinguishes outcomes
+// as strictly as the line protocol does: it reports that a job never ran only when that is certain, and accepts a
+// result only if it is complete and valid in its stated format.
 package endpoint
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -17,8 +17,8 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// town is a client and one scripted endpoint: what it reads of a request, and then writes or does, is the test's.
-type town struct {
+// fixture is a client and one endpoint, whose behaviour on each request is scripted by the test.
+type fixture struct {
 	t       *testing.T
 	client  *Client
 	host    backend.Host
@@ -27,7 +27,7 @@
 	signals []decide.Signal
 }
 
-func newTown(t *testing.T, conns int64, serve func(net.Conn, *http.Request)) *town {
+func newFixture(t *testing.T, conns int64, serve func(net.Conn, *http.Request)) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,33 +56,33 @@
 		}
 	})
 	host := backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}
-	w := &town{t: t, host: host, bytes: new(limits.Bytes)}
-	w.bytes.SetCapacity(1 << 20)
-	most := new(limits.Count)
-	most.Store(conns)
+	f := &fixture{t: t, host: host, bytes: new(limits.Bytes)}
+	f.bytes.SetCapacity(1 << 20)
+	connLimit := new(limits.Count)
+	connLimit.Store(conns)
 	bounds := backend.Limits{
 		DialTimeout: time.Second,
 		IdleTimeout: 10 * time.Second,
-		Conns:       most,
-		ResultBytes: w.bytes,
+		Conns:       connLimit,
+		ResultBytes: f.bytes,
 	}
-	w.client = New(bounds, func(_ string, signal decide.Signal) {
-		w.mu.Lock()
-		w.signals = append(w.signals, signal)
-		w.mu.Unlock()
+	f.client = New(bounds, func(_ string, signal decide.Signal) {
+		f.mu.Lock()
+		f.signals = append(f.signals, signal)
+		f.mu.Unlock()
 	})
 	t.Cleanup(func() {
-		w.client.Close()
+		f.client.Close()
 		l.Close()
 		running.Wait()
-		if !w.bytes.Unused() {
-			t.Error("bytes are kept")
+		if !f.bytes.Unused() {
+			t.Error("result memory was not released")
 		}
-		if open, given := w.client.InFlight("e1"); open+given != 0 || w.client.conns != 0 {
-			t.Errorf("%d open, %d given up, %d in all", open, given, w.client.conns)
+		if open, cancelled := f.client.InFlight("e1"); open+cancelled != 0 || f.client.conns != 0 {
+			t.Errorf("%d open and %d cancelled dispatches, %d connections in use", open, cancelled, f.client.conns)
 		}
 	})
-	return w
+	return f
 }
 
 var query = Operation{
@@ -99,176 +99,176 @@
 func (openGate) Withdraw() {}
 func (openGate) Await()    {}
 
-func (w *town) ask(a Operation) backend.Reply {
-	w.t.Helper()
-	told := make(chan backend.Reply, 2)
-	request := backend.Request{ID: []byte("7"), Statement: a.Statement(), Gate: openGate{}}
-	w.client.Start(w.host, request, func(r backend.Reply) { told <- r })
+func (f *fixture) do(operation Operation) backend.Reply {
+	f.t.Helper()
+	replies := make(chan backend.Reply, 2)
+	request := backend.Request{ID: []byte("7"), Statement: operation.Statement(), Gate: openGate{}}
+	f.client.Start(f.host, request, func(r backend.Reply) { replies <- r })
 	select {
-	case r := <-told:
+	case r := <-replies:
 		return r
 	case <-time.After(20 * time.Second):
-		w.t.Fatal("no outcome")
+		f.t.Fatal("no outcome")
 	}
 	return backend.Reply{}
 }
 
-const good = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","value":"http://a"}}]}}`
+const result = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","value":"http://a"}}]}}`
 
-func answer(status, fields, body string) string {
+func httpResponse(status, fields, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), fields, body)
 }
 
-const typed = "Content-Type: application/sparql-results+json; charset=utf-8\r\n"
+const jsonType = "Content-Type: application/sparql-results+json; charset=utf-8\r\n"
 
-// Each outcome is told apart: what never ran, what may have, what is done.
-func TestOutcomesAreToldApart(t *testing.T) {
+// Each response must lead to the right outcome: the job never ran, it may have run, or it is done.
+func TestOutcomesAreDistinguished(t *testing.T) {
 	update := Operation{Update: true, Accept: "*/*", Form: url.Values{"update": {"CLEAR ALL"}}}
-	half := answer("200 OK", typed, good)
-	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + typed + "\r\n" +
-		fmt.Sprintf("%x\r\n%s\r\n", len(good), good)
+	complete := httpResponse("200 OK", jsonType, result)
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + jsonType + "\r\n" +
+		fmt.Sprintf("%x\r\n%s\r\n", len(result), result)
 	const lastChunk = "0\r\n\r\n"
 	endless := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10) + "\r\n\r\n"
 	large := `{"head":{"vars":[]},"results":{"bindings":[` + strings.Repeat(" ", 2<<20) + "]}}"
-	const elsewhere = "Location: /other\r\n"
+	const location = "Location: /other\r\n"
 	const notStarted = "Not-Started: ?1\r\n"
-	const compressed = typed + "Content-Encoding: gzip\r\n"
+	const compressed = jsonType + "Content-Encoding: gzip\r\n"
 	for name, c := range map[string]struct {
-		ask   Operation
-		write string
-		want  backend.Outcome
+		do       Operation
+		response string
+		want     backend.Outcome
 	}{
-		"done":                          {query, answer("200 OK", typed+"Load: inflight:3\r\n", good), backend.Done},
-		"chunked":                       {query, chunked + lastChunk, backend.Done},
-		"last chunk missing":            {query, chunked, backend.Reset},
-		"body cut":                      {query, half[:len(half)-5], backend.Reset},
-		"head cut":                      {query, half[:20], backend.Reset},
-		"nothing at all":                {query, "", backend.Reset},
-		"breaks inside the JSON":        {query, answer("200 OK", typed, good[:len(good)-9]), backend.Failed},
-		"more after the JSON":           {query, answer("200 OK", typed, good+good), backend.Failed},
-		"another format":                {query, answer("200 OK", "Content-Type: text/html\r\n", "<html>"), backend.Failed},
-		"said to be compressed":         {query, answer("200 OK", compressed, "\x1f\x8b"), backend.Failed},
-		"full, and nothing began":       {query, answer("503 Service Unavailable", notStarted, ""), backend.Full},
-		"too many, and nothing began":   {query, answer("429 Too Many Requests", notStarted, ""), backend.Full},
-		"503 that says nothing":         {query, answer("503 Service Unavailable", "", ""), backend.Failed},
-		"an error":                      {query, answer("500 Internal Server Error", notStarted, ""), backend.Failed},
-		"sent elsewhere":                {query, answer("307 Temporary Redirect", elsewhere, ""), backend.Failed},
-		"no HTTP":                       {query, "220 mail\r\n\r\n", backend.Reset},
-		"a header without end":          {query, endless, backend.Reset},
-		"an update done":                {update, answer("204 No Content", "", ""), backend.Done},
-		"an update done, with words":    {update, answer("200 OK", "Content-Type: text/plain\r\n", "done"), backend.Done},
-		"an update's answer cut":        {update, strings.TrimSuffix(answer("200 OK", "", "done"), "e"), backend.Failed},
-		"an update answered at length":  {update, answer("200 OK", "", strings.Repeat("x", 200<<10)), backend.Failed},
-		"more than there is memory for": {query, answer("200 OK", typed, large), backend.Failed},
+		"done":                      {query, httpResponse("200 OK", jsonType+"Load: inflight:3\r\n", result), backend.Done},
+		"chunked":                   {query, chunked + lastChunk, backend.Done},
+		"last chunk missing":        {query, chunked, backend.Reset},
+		"truncated body":            {query, complete[:len(complete)-5], backend.Reset},
+		"truncated header":          {query, complete[:20], backend.Reset},
+		"no response":               {query, "", backend.Reset},
+		"truncated JSON":            {query, httpResponse("200 OK", jsonType, result[:len(result)-9]), backend.Failed},
+		"data after the JSON":       {query, httpResponse("200 OK", jsonType, result+result), backend.Failed},
+		"another format":            {query, httpResponse("200 OK", "Content-Type: text/html\r\n", "<html>"), backend.Failed},
+		"content encoding":          {query, httpResponse("200 OK", compressed, "\x1f\x8b"), backend.Failed},
+		"503, not started":          {query, httpResponse("503 Service Unavailable", notStarted, ""), backend.Full},
+		"429, not started":          {query, httpResponse("429 Too Many Requests", notStarted, ""), backend.Full},
+		"503, possibly started":     {query, httpResponse("503 Service Unavailable", "", ""), backend.Failed},
+		"server error":              {query, httpResponse("500 Internal Server Error", notStarted, ""), backend.Failed},
+		"redirect":                  {query, httpResponse("307 Temporary Redirect", location, ""), backend.Failed},
+		"not HTTP":                  {query, "220 mail\r\n\r\n", backend.Reset},
+		"endless header":            {query, endless, backend.Reset},
+		"update done":               {update, httpResponse("204 No Content", "", ""), backend.Done},
+		"update done, with a body":  {update, httpResponse("200 OK", "Content-Type: text/plain\r\n", "done"), backend.Done},
+		"truncated update response": {update, strings.TrimSuffix(httpResponse("200 OK", "", "done"), "e"), backend.Failed},
+		"oversized update response": {update, httpResponse("200 OK", "", strings.Repeat("x", 200<<10)), backend.Failed},
+		"result exceeds memory":     {query, httpResponse("200 OK", jsonType, large), backend.Failed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newTown(t, 8, func(conn net.Conn, r *http.Request) {
-				for field, want := range c.ask.Form {
+			f := newFixture(t, 8, func(conn net.Conn, r *http.Request) {
+				for field, want := range c.do.Form {
 					got := r.PostForm[field]
 					if r.Method != "POST" || r.Header.Get("Job") != "7" ||
 						len(got) != 1 || got[0] != want[0] {
-						t.Errorf("asked %v", r)
+						t.Errorf("unexpected request: %v", r)
 					}
 				}
-				io.WriteString(conn, c.write)
+				io.WriteString(conn, c.response)
 				conn.Close()
 			})
-			r := w.ask(c.ask)
+			r := f.do(c.do)
 			if r.Outcome != c.want {
-				t.Errorf("end %d, want %d", r.Outcome, c.want)
+				t.Errorf("outcome %d, want %d", r.Outcome, c.want)
 			}
-			if r.Outcome == backend.Done && !c.ask.Update {
+			if r.Outcome == backend.Done && !c.do.Update {
 				text, _ := io.ReadAll(Pages(r.Pages))
-				if string(text) != good || name == "done" && r.Load != "inflight:3" {
+				if string(text) != result || name == "done" && r.Load != "inflight:3" {
 					t.Errorf("%q, load %q", text, r.Load)
 				}
 			}
-			w.client.Release(r.Pages)
+			f.client.Release(r.Pages)
 		})
 	}
 }
 
 func TestARefusedDialNeverRan(t *testing.T) {
-	w := newTown(t, 8, func(net.Conn, *http.Request) {})
+	f := newFixture(t, 8, func(net.Conn, *http.Request) {})
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	w.host.Address = "http://" + l.Addr().String()
+	f.host.Address = "http://" + l.Addr().String()
 	l.Close()
-	if r := w.ask(query); r.Outcome != backend.NotConnected {
-		t.Errorf("end %d", r.Outcome)
+	if r := f.do(query); r.Outcome != backend.NotConnected {
+		t.Errorf("dispatch to a closed port: outcome %d", r.Outcome)
 	}
 	probed := make(chan backend.Reply, 1)
-	w.client.Probe(w.host, true, time.Second, func(r backend.Reply) { probed <- r })
+	f.client.Probe(f.host, true, time.Second, func(r backend.Reply) { probed <- r })
 	if r := <-probed; r.Outcome != backend.NotConnected {
-		t.Errorf("a probe: end %d", r.Outcome)
+		t.Errorf("probe of a closed port: outcome %d", r.Outcome)
 	}
-	if r := w.ask(Operation{}); r.Outcome != backend.NotConnected {
-		t.Errorf("end %d", r.Outcome)
+	if r := f.do(Operation{}); r.Outcome != backend.NotConnected {
+		t.Errorf("empty operation to a closed port: outcome %d", r.Outcome)
 	}
 }
 
-// One given up is told nothing more; done comes once its connection is closed. It has no outcome twice.
-func TestGivenUpIsGivenUpOnce(t *testing.T) {
-	asked, closed := make(chan struct{}, 1), make(chan struct{})
-	w := newTown(t, 1, func(c net.Conn, _ *http.Request) {
-		asked <- struct{}{}
+// A cancelled dispatch must not report an outcome. Cancel's callback runs once, after the connection is closed.
+func TestCancelledDispatchEndsOnce(t *testing.T) {
+	received, closed := make(chan struct{}, 1), make(chan struct{})
+	f := newFixture(t, 1, func(c net.Conn, _ *http.Request) {
+		received <- struct{}{}
 		_, _ = io.Copy(io.Discard, c) // until it is closed, by either side
 		close(closed)
 	})
-	told := make(chan backend.Reply, 2)
+	replies := make(chan backend.Reply, 2)
 	request := backend.Request{ID: []byte("7"), Statement: query.Statement(), Gate: openGate{}}
-	d := w.client.Start(w.host, request, func(r backend.Reply) { told <- r })
-	<-asked
-	if open, _ := w.client.InFlight("e1"); open != 1 {
-		t.Errorf("%d open", open)
+	d := f.client.Start(f.host, request, func(r backend.Reply) { replies <- r })
+	<-received
+	if open, _ := f.client.InFlight("e1"); open != 1 {
+		t.Errorf("%d dispatches open, want 1", open)
 	}
-	if r := w.ask(query); r.Outcome != backend.Full { // no connection is left: it never ran
-		t.Errorf("past the connections: end %d", r.Outcome)
+	if r := f.do(query); r.Outcome != backend.Full { // at the connection limit, so it never ran
+		t.Errorf("dispatch over the connection limit: outcome %d", r.Outcome)
 	}
 	done := make(chan struct{})
 	if !d.Cancel(func() { close(done) }) || d.Cancel(nil) {
-		t.Error("not given up once")
+		t.Error("the first Cancel must succeed and the second must not")
 	}
 	<-done
 	<-closed
-	if len(told) != 0 {
-		t.Error("an outcome of what was given up")
+	if len(replies) != 0 {
+		t.Error("a cancelled dispatch reported an outcome")
 	}
 }
 
-func TestAnEnginesOwnWordsAreHeard(t *testing.T) {
+func TestEngineSignalsAreReported(t *testing.T) {
 	var mu sync.Mutex
 	next := ""
-	w := newTown(t, 8, func(c net.Conn, _ *http.Request) {
+	f := newFixture(t, 8, func(c net.Conn, _ *http.Request) {
 		mu.Lock()
 		io.WriteString(c, next)
 		mu.Unlock()
 	})
 	probe := func() backend.Reply {
-		told := make(chan backend.Reply, 1)
-		w.client.Probe(w.host, true, 20*time.Second, func(r backend.Reply) { told <- r })
-		return <-told
+		replies := make(chan backend.Reply, 1)
+		f.client.Probe(f.host, true, 20*time.Second, func(r backend.Reply) { replies <- r })
+		return <-replies
 	}
-	ask := `{"head":{},"boolean":true}`
+	askResult := `{"head":{},"boolean":true}`
 	for _, c := range []struct {
-		write  string
-		end    backend.Outcome
-		signal decide.Signal
+		response string
+		outcome  backend.Outcome
+		signal   decide.Signal
 	}{
-		{answer("200 OK", typed+"Load: inflight:2\r\n", ask), backend.Done, decide.SignalServing},
-		{answer("200 OK", typed+"Draining: ?1\r\n", ask), backend.Done, decide.SignalDraining},
-		{answer("503 Service Unavailable", "", ""), backend.Full, decide.SignalDraining},
-		{answer("200 OK", typed, "{}"), backend.Failed, decide.SignalServing},
-		{answer("200 OK", typed+"Connection: close\r\n", ask), backend.Done, decide.SignalClosing},
+		{httpResponse("200 OK", jsonType+"Load: inflight:2\r\n", askResult), backend.Done, decide.SignalServing},
+		{httpResponse("200 OK", jsonType+"Draining: ?1\r\n", askResult), backend.Done, decide.SignalDraining},
+		{httpResponse("503 Service Unavailable", "", ""), backend.Full, decide.SignalDraining},
+		{httpResponse("200 OK", jsonType, "{}"), backend.Failed, decide.SignalServing},
+		{httpResponse("200 OK", jsonType+"Connection: close\r\n", askResult), backend.Done, decide.SignalClosing},
 	} {
 		mu.Lock()
-		next = c.write
+		next = c.response
 		mu.Unlock()
 		r := probe()
-		w.mu.Lock()
-		word := w.signals[len(w.signals)-1]
-		w.mu.Unlock()
-		if r.Outcome != c.end || word != c.signal {
-			t.Errorf("%q: end %d, word %d", c.write, r.Outcome, word)
+		f.mu.Lock()
+		signal := f.signals[len(f.signals)-1]
+		f.mu.Unlock()
+		if r.Outcome != c.outcome || signal != c.signal {
+			t.Errorf("%q: outcome %d, signal %d", c.response, r.Outcome, signal)
 		}
 	}
 }
--- a/internal/sparql/endpoint/exchange.go
+++ b/internal/sparql/endpoint/exchange.go
@@ -16,20 +16,20 @@
 	"swiftreel/internal/sparql/results"
 )
 
-// Headers of engines, structured fields (RFC 9651).
+// Response headers of engines, structured fields (RFC 9651).
 const (
-	headerNotStarted = "Not-Started" // of a 503 or 429: nothing was begun
+	headerNotStarted = "Not-Started" // of a 503 or 429: the job was not started
 	headerDraining   = "Draining"
 	headerLoad       = "Load" // the load report
-	headerTrue       = "?1"
+	headerTrue       = "?1"   // a structured-field boolean
 )
 
-// HeaderIdempotencyKey is sent by clients, and handed on to engines (draft-ietf-httpapi-idempotency-key-header).
+// HeaderIdempotencyKey is sent by clients and forwarded to engines (draft-ietf-httpapi-idempotency-key-header).
 const HeaderIdempotencyKey = "Idempotency-Key"
 
 const formMediaType = "application/x-www-form-urlencoded"
 
-// exchange sends an operation and reads its one answer.
+// exchange sends an operation and reads the response.
 func (c *Client) exchange(
 	ctx context.Context, to backend.Host, id string, operation encodedOperation,
 ) backend.Reply {
@@ -64,7 +64,8 @@
 	return false
 }
 
-// post sends a form. It reports whether a connection was up, so that any of the form may have been read.
+// post sends a form. It also reports whether the request got a connection, after which the engine may have read some of
+// the form.
 func (c *Client) post(
 	ctx context.Context, to backend.Host, id string, operation encodedOperation,
 ) (response *http.Response, connected bool, err error) {
@@ -76,7 +77,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	request.GetBody = nil // never sent a second time by the library once a byte of it went out
+	request.GetBody = nil // keeps net/http from resending a request that has been partly written
 	request.Header.Set("Content-Type", formMediaType)
 	request.Header.Set("Accept", operation.accept)
 	if operation.idempotencyKey != "" {
@@ -90,7 +91,7 @@
 	return response, gotConn.Load(), err
 }
 
-// reportSignal reports what an engine shows of its own state.
+// reportSignal reports the engine's state as indicated by a response.
 func (c *Client) reportSignal(name string, response *http.Response) {
 	signal := decide.SignalServing
 	switch {
@@ -102,7 +103,7 @@
 	c.onSignal(name, signal)
 }
 
-// readUpdateAnswer reads the body of an update's answer, which means nothing, but must be complete.
+// readUpdateAnswer reads the response body of an update. Its content is ignored, but it must be complete.
 func readUpdateAnswer(response *http.Response) backend.Outcome {
 	size, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxHeaderBytes+1))
 	if err != nil || size > maxHeaderBytes {
@@ -111,7 +112,7 @@
 	return backend.Done
 }
 
-// readResult reads a result into pages, as far as there is memory, and follows its form to the end.
+// readResult reads a result into pages, within the limit of result memory, and checks that it is complete.
 func (c *Client) readResult(response *http.Response, accept string) ([][]byte, backend.Outcome) {
 	mediaType, _, _ := strings.Cut(response.Header.Get("Content-Type"), ";")
 	if !strings.EqualFold(strings.TrimSpace(mediaType), accept) || response.Header.Get("Content-Encoding") != "" {
@@ -124,8 +125,8 @@
 		c.Release(pages)
 		return nil, backend.Failed
 	}
-	isCut := response.ContentLength >= 0 && totalSize(pages) != response.ContentLength
-	if err != nil || isCut {
+	truncated := response.ContentLength >= 0 && totalSize(pages) != response.ContentLength
+	if err != nil || truncated {
 		c.Release(pages)
 		return nil, backend.Reset
 	}
@@ -137,7 +138,7 @@
 	return pages, backend.Done
 }
 
-// formats are the result formats, by media type, whose end can be recognised.
+// formats are the result formats, by media type, that can be checked for completeness.
 var formats = map[string]results.Format{
 	results.JSON.MediaType(): results.JSON,
 	results.XML.MediaType():  results.XML,
@@ -145,20 +146,20 @@
 	results.TSV.MediaType():  results.TSV,
 }
 
-// isComplete reports whether a result is complete in its form. Other forms show no end.
+// isComplete reports whether a result is complete and valid in its format. Other media types are not checked.
 func isComplete(mediaType string, pages [][]byte) bool {
 	format, known := formats[mediaType]
 	return !known || readThrough(results.NewReader(format, Pages(pages))) == nil
 }
 
-// readThrough reads a result to its end.
+// readThrough reads a result to its end and returns the first error.
 func readThrough(reader results.Reader) error {
 	if _, err := reader.Head(); err != nil {
 		return err
 	}
 	for {
 		_, err := reader.Next()
-		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a result that breaks off
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF means a truncated result
 			return nil
 		}
 		if err != nil {
--- a/internal/sparql/endpoint/pages.go
+++ b/internal/sparql/endpoint/pages.go
@@ -6,13 +6,13 @@
 	"io"
 )
 
-// pageSize is the size of the pages that a result is held in.
+// pageSize is the size in bytes of the pages in which a result is stored.
 const pageSize = 64 << 10
 
-var errNoMemory = errors.New("the memory for results is exhausted")
+var errNoMemory = errors.New("result memory is exhausted")
 
-// readPages reads to the end of a body. It returns errNoMemory where the memory for results does not suffice; the pages
-// read so far are returned with any error.
+// readPages reads a body to its end. It returns errNoMemory if the limit of result memory is reached. The pages read so
+// far are returned with any error.
 func (c *Client) readPages(body io.Reader) ([][]byte, error) {
 	var pages [][]byte
 	for {
@@ -24,7 +24,7 @@
 		if len(page) > 0 {
 			pages = append(pages, page)
 		}
-		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF is a body that breaks off
+		if err == io.EOF { //nolint:errorlint // an error that wraps io.EOF means a truncated body
 			return pages, nil
 		}
 		if err != nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// readPage reads a full page, or less with an error. Unlike io.ReadFull it tells a body cut short from one that ends.
+// readPage reads a full page, or less with an error. Unlike io.ReadFull, it keeps the reader's error, so that a
+// truncated body differs from one that ends.
 func readPage(body io.Reader) ([]byte, error) {
 	page := make([]byte, pageSize)
 	size := 0
@@ -55,7 +56,7 @@
 	return size
 }
 
-// Pages returns a reader of pages one after the other.
+// Pages returns a reader of the concatenated pages.
 func Pages(pages [][]byte) io.Reader {
 	readers := make([]io.Reader, len(pages))
 	for i, page := range pages {
--- a/internal/sparql/endpoint/probe.go
+++ b/internal/sparql/endpoint/probe.go
@@ -12,7 +12,7 @@
 	"swiftreel/internal/sparql/results"
 )
 
-// probeForm is the query ASK {}, which every endpoint answers at once.
+// probeForm is the query ASK {}, which every endpoint can answer immediately.
 const probeForm = "query=ASK+%7B%7D"
 
 // Probe implements backend.Engines.
@@ -38,7 +38,7 @@
 	reply(result)
 }
 
-// failedProbe returns the outcome of a probe without an answer.
+// failedProbe returns the outcome of a probe without a response.
 func failedProbe(ctx context.Context, connected bool) backend.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -49,9 +49,9 @@
 	return backend.Reset
 }
 
-// readProbe reads a probe's answer and reports what it shows of the engine.
+// readProbe reads the response to a probe and reports the engine's signal.
 func (c *Client) readProbe(name string, response *http.Response) backend.Outcome {
-	if response.StatusCode == http.StatusServiceUnavailable { // of itself, as there is no job
+	if response.StatusCode == http.StatusServiceUnavailable { // concerns the engine itself, as a probe has no job
 		c.onSignal(name, decide.SignalDraining)
 		return backend.Full
 	}
--- a/internal/sparql/endpoint/statement.go
+++ b/internal/sparql/endpoint/statement.go
@@ -6,12 +6,12 @@
 	"net/url"
 )
 
-// Operation is what a job does on this protocol. It travels as the statement of a backend.Request.
+// Operation is the query or update of a job. It is encoded as the statement of a backend.Request.
 type Operation struct {
 	Update         bool
-	Accept         string     // the media type wanted of the engine
-	IdempotencyKey string     // by which engines drop duplicates; "": none
-	Form           url.Values // query or update, and the graphs
+	Accept         string     // the media type requested from the engine
+	IdempotencyKey string     // by which engines detect duplicates; "": none
+	Form           url.Values // the query or update parameter, and the graph parameters
 }
 
 // The first line of an encoded operation.
@@ -20,9 +20,9 @@
 	updateKind = "update"
 )
 
-var errNotAnOperation = errors.New("no statement of this protocol")
+var errNotAnOperation = errors.New("statement does not encode a SPARQL operation")
 
-// Statement encodes the operation.
+// Statement encodes the operation as four lines: its kind, media type, idempotency key and form.
 func (o Operation) Statement() []byte {
 	kind := queryKind
 	if o.Update {
@@ -31,7 +31,7 @@
 	return []byte(kind + "\n" + o.Accept + "\n" + url.QueryEscape(o.IdempotencyKey) + "\n" + o.Form.Encode())
 }
 
-// encodedOperation is an operation whose form is sent as it was encoded.
+// encodedOperation is an operation whose form is still encoded, as it is sent.
 type encodedOperation struct {
 	update         bool
 	accept         string
