--- a/internal/sparql/front/answer.go
+++ b/internal/sparql/front/answer.go
@@ -16,7 +16,7 @@
 	"swiftreel/internal/sparql/syntax"
 )
 
-// The media types that are offered, the first where the client does not care.
+// The media types that are offered; the first is the default.
 var (
 	tableFormats = []string{
 		results.JSON.MediaType(), results.XML.MediaType(), results.CSV.MediaType(), results.TSV.MediaType(),
@@ -24,7 +24,7 @@
 	graphFormats = []string{"text/turtle", "application/n-triples", "application/rdf+xml", "application/ld+json"}
 )
 
-// formats are the result formats by their media type.
+// formats are the result formats by media type.
 var formats = map[string]results.Format{
 	results.JSON.MediaType(): results.JSON,
 	results.XML.MediaType():  results.XML,
@@ -32,25 +32,25 @@
 	results.TSV.MediaType():  results.TSV,
 }
 
-// answer is a job's one answer on its way to the client. The handler's goroutine alone writes; the job's goroutine
-// hands the outcome over and waits until it is out, as the handler may not retain its pages.
+// answer delivers a job's outcome to the client. Only the handler's goroutine writes the response. The job's goroutine
+// hands over the outcome and waits until it is written, as the handler may not retain the pages after that.
 type answer struct {
 	w            http.ResponseWriter
 	r            *http.Request
 	update       bool
-	engineFormat string // the media type wanted of the engine
-	clientFormat string // and that of the answer
+	engineFormat string // the media type requested from the engine
+	clientFormat string // the media type of the response
 	startedAt    time.Time
 
-	// Of the handler's goroutine.
-	duration      time.Duration        // of a job that was done
-	updateOutcome decide.UpdateOutcome // as far as is known
+	// Used by the handler's goroutine only.
+	duration      time.Duration        // of a successful job
+	updateOutcome decide.UpdateOutcome // UpdateMayHaveRun until known
 
 	outcome     chan outcome
 	handlerDone chan struct{}
 	written     chan struct{}
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	onDisconnect func()
 	disconnected bool
 }
@@ -61,12 +61,12 @@
 	status     int
 	text       string
 	retryAfter time.Duration
-	neverRan   bool // nothing of it ran
+	neverRan   bool // no engine began the job
 }
 
 var _ gateway.Client = (*answer)(nil)
 
-// newAnswer negotiates the format of an answer.
+// newAnswer returns the answer to a request, with its formats negotiated. It fails if no acceptable format is offered.
 func newAnswer(w http.ResponseWriter, r *http.Request, statement *syntax.Statement) (*answer, error) {
 	a := &answer{
 		w:             w,
@@ -90,16 +90,16 @@
 	a.clientFormat = format
 	a.engineFormat = format
 	if offered[0] == tableFormats[0] {
-		a.engineFormat = tableFormats[0] // it shows whether it is complete
+		a.engineFormat = tableFormats[0] // its syntax shows whether the result is complete
 	}
 	return a, nil
 }
 
-// offeredFormats returns the media types for the result of a query.
+// offeredFormats returns the media types offered for the result of a query form.
 func offeredFormats(form syntax.Form) []string {
 	switch form {
 	case syntax.Ask:
-		return tableFormats[:2] // the others have no form for it
+		return tableFormats[:2] // CSV and TSV cannot represent a boolean
 	case syntax.Construct, syntax.Describe:
 		return graphFormats
 	default:
@@ -132,7 +132,7 @@
 	a.deliver(outcome{status: status, text: reason, neverRan: status == http.StatusBadRequest})
 }
 
-// deliver hands an outcome to the handler, and waits until its pages are written.
+// deliver hands an outcome to the handler and waits until its pages, if any, are written.
 func (a *answer) deliver(o outcome) {
 	select {
 	case a.outcome <- o:
@@ -166,10 +166,11 @@
 	return !a.disconnected
 }
 
-// AwaitInput implements gateway.Client: the server reads on by itself, and a client cannot cancel but by leaving.
+// AwaitInput implements gateway.Client. It does nothing: net/http reads the connection by itself, and a client can
+// cancel a job only by disconnecting.
 func (a *answer) AwaitInput(time.Duration) {}
 
-// wait returns when the answer is out, or the client has left.
+// wait returns when the answer has been written or the client has disconnected.
 func (a *answer) wait() {
 	defer close(a.handlerDone)
 	select {
@@ -196,7 +197,8 @@
 	}
 }
 
-// write sends an answer. A result that breaks off on its way ends the connection without its last chunk.
+// write sends an outcome to the client. If the result is truncated, the connection is closed without the last chunk, so
+// that the client sees an incomplete response.
 func (a *answer) write(o outcome) {
 	defer close(a.written)
 	out := &deadlineWriter{a.w, http.NewResponseController(a.w)}
@@ -226,7 +228,7 @@
 	http.Error(a.w, o.text, o.status)
 }
 
-// writeResult sends the engine's result, converted into the client's format.
+// writeResult writes the engine's result, converted to the client's format if it differs.
 func (a *answer) writeResult(out io.Writer, pages io.Reader) error {
 	if a.engineFormat == a.clientFormat {
 		_, err := io.Copy(out, pages)
@@ -237,7 +239,7 @@
 	return err
 }
 
-// deadlineWriter sets a deadline for each write.
+// deadlineWriter sets a new deadline for each write.
 type deadlineWriter struct {
 	w          io.Writer
 	controller *http.ResponseController
@@ -245,7 +247,7 @@
 
 func (d *deadlineWriter) extend() { setWriteDeadline(d.controller, time.Now().Add(writeTimeout)) }
 
-// Write writes within the time that a part of an answer may take.
+// Write writes a part of an answer, which must be taken within writeTimeout.
 func (d *deadlineWriter) Write(part []byte) (int, error) {
 	d.extend()
 	return d.w.Write(part)
--- a/internal/sparql/front/front_test.go
+++ b/internal/sparql/front/front_test.go
@@ -17,15 +17,15 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// taker answers each job as it is told to.
-type taker struct{ answer func(gateway.Request) }
+// stubSubmitter answers each job by calling a function of the test.
+type stubSubmitter struct{ answer func(gateway.Request) }
 
-func (taker) Ready() bool                { return true }
-func (t taker) Submit(a gateway.Request) { go t.answer(a) }
+func (stubSubmitter) Ready() bool                      { return true }
+func (s stubSubmitter) Submit(request gateway.Request) { go s.answer(request) }
 
-const rows = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"literal","value":"%s"}}]}}`
+const resultTemplate = `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"literal","value":"%s"}}]}}`
 
-func served(t *testing.T, conns int, answer func(gateway.Request)) (address string) {
+func startServer(t *testing.T, conns int, answer func(gateway.Request)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,20 +38,20 @@
 		MaxTimeout:     time.Minute,
 		Conns:          conns,
 		MaxKeys:        10,
-	}, taker{answer})
+	}, stubSubmitter{answer})
 	var running sync.WaitGroup
 	running.Go(func() { f.Serve(l) })
 	t.Cleanup(func() {
 		f.Close()
 		running.Wait()
 		if f.Owed() != 0 {
-			t.Errorf("%d answers are owed", f.Owed())
+			t.Errorf("%d answers were not written", f.Owed())
 		}
 	})
 	return l.Addr().String()
 }
 
-func dialed(t *testing.T, address string) net.Conn {
+func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -62,17 +62,17 @@
 	return c
 }
 
-func get(text string) string {
+func getRequest(text string) string {
 	return "GET /sparql?query=" + url.QueryEscape(text) + " HTTP/1.1\r\nHost: x\r\n\r\n"
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	at := served(t, 4, func(a gateway.Request) {
+	address := startServer(t, 4, func(a gateway.Request) {
 		form, _ := url.ParseQuery(strings.SplitN(string(a.Statement), "\n", 4)[3])
-		a.Client.Done([][]byte{[]byte(fmt.Sprintf(rows, form.Get("query")))})
+		a.Client.Done([][]byte{[]byte(fmt.Sprintf(resultTemplate, form.Get("query")))})
 	})
-	c := dialed(t, at)
-	io.WriteString(c, get("ASK { <a> <b> 1 }")+get("SELECT * { ?s <b> 2 }")+
+	c := dial(t, address)
+	io.WriteString(c, getRequest("ASK { <a> <b> 1 }")+getRequest("SELECT * { ?s <b> 2 }")+
 		"POST /sparql HTTP/1.1\r\nHost: x\r\n"+
 		"Content-Type: application/sparql-query\r\nContent-Length: 21\r\n\r\nSELECT * { ?s <b> 3 }")
 	r := bufio.NewReader(c)
@@ -89,44 +89,44 @@
 	}
 }
 
-// Each state has its end: headers that do not come, a client that takes nothing of its answer, one more than may be
-// open.
-func TestEachStateOfAConnectionHasItsEnd(t *testing.T) {
+// Each connection state must be bounded: a request whose headers do not arrive, a client that does not read its answer,
+// and one connection over the limit.
+func TestEachConnectionStateIsBounded(t *testing.T) {
 	large := strings.Repeat("x", 1<<20)
-	at := served(t, 2, func(a gateway.Request) {
+	address := startServer(t, 2, func(a gateway.Request) {
 		var pages [][]byte
-		head, tail, _ := strings.Cut(rows, "%s")
+		head, tail, _ := strings.Cut(resultTemplate, "%s")
 		pages = append(pages, []byte(head))
 		for range 64 {
 			pages = append(pages, []byte(large))
 		}
 		a.Client.Done(append(pages, []byte(tail)))
 	})
-	cut := counters.Value("sparql_answers_cut")
-	slow, unread := dialed(t, at), dialed(t, at)
+	truncatedBefore := counters.Value("sparql_answers_cut")
+	slow, unread := dial(t, address), dial(t, address)
 	io.WriteString(slow, "GET /sparql?query=")
-	io.WriteString(unread, get("SELECT * { ?s <b> 2 }"))
-	third := dialed(t, at) // waits at the door until one of the others has ended
+	io.WriteString(unread, getRequest("SELECT * { ?s <b> 2 }"))
+	third := dial(t, address) // over the limit: waits until one of the others is closed
 	io.WriteString(third, "GET /sparql HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	if body, err := io.ReadAll(third); err != nil || !strings.Contains(string(body), "sd:Service") {
-		t.Errorf("the third: %v %s", err, body)
+		t.Errorf("connection over the limit: %v %s", err, body)
 	}
 	if _, err := io.ReadAll(slow); err != nil {
-		t.Errorf("slow headers: %v", err)
+		t.Errorf("connection with incomplete headers: %v", err)
 	}
-	r := bufio.NewReader(unread)        // what it takes now was written before it was given up
-	a, err := http.ReadResponse(r, nil) //nolint:bodyclose // breaks off; its connection is closed at the end of the test
+	r := bufio.NewReader(unread)        // reads what was written before the write deadline passed
+	a, err := http.ReadResponse(r, nil) //nolint:bodyclose // truncated; the test's cleanup closes it
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := time.Now().Add(15 * time.Second)
-	for ; counters.Value("sparql_answers_cut") == cut; time.Sleep(10 * time.Millisecond) {
+	for ; counters.Value("sparql_answers_cut") == truncatedBefore; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(stop) {
-			t.Fatal("a client that takes nothing keeps its answer")
+			t.Fatal("an answer that the client does not read was not aborted")
 		}
 	}
 	if body, err := io.ReadAll(a.Body); err == nil {
-		t.Errorf("an answer taken too late is whole: %d bytes", len(body))
+		t.Errorf("an answer read after the write deadline is complete: %d bytes", len(body))
 	}
 }
 
@@ -135,14 +135,14 @@
 		answer func(gateway.Client)
 		status int
 	}{
-		"throttled":           {func(a gateway.Client) { a.Throttled(1500 * time.Millisecond) }, 503},
-		"cancelled for good":  {func(a gateway.Client) { a.Failed(gateway.ReasonCancelled) }, 502},
-		"job timeout":         {func(a gateway.Client) { a.Failed(gateway.ReasonTimeout) }, 504},
-		"an unusable call":    {func(a gateway.Client) { a.Failed("no such tenant") }, 400},
-		"answered at its end": {func(a gateway.Client) { a.Done(nil) }, 0}, // nothing that is a result: cut
+		"throttled":             {func(a gateway.Client) { a.Throttled(1500 * time.Millisecond) }, 503},
+		"cancelled permanently": {func(a gateway.Client) { a.Failed(gateway.ReasonCancelled) }, 502},
+		"job timeout":           {func(a gateway.Client) { a.Failed(gateway.ReasonTimeout) }, 504},
+		"unusable job":          {func(a gateway.Client) { a.Failed("no such tenant") }, 400},
+		"empty result":          {func(a gateway.Client) { a.Done(nil) }, 0}, // invalid: the connection is aborted
 	} {
-		at := served(t, 2, func(a gateway.Request) { c.answer(a.Client) })
-		r, err := http.Get("http://" + at + "/sparql?query=" + url.QueryEscape("SELECT * { ?s <b> 2 }"))
+		address := startServer(t, 2, func(a gateway.Request) { c.answer(a.Client) })
+		r, err := http.Get("http://" + address + "/sparql?query=" + url.QueryEscape("SELECT * { ?s <b> 2 }"))
 		if err != nil {
 			if c.status != 0 {
 				t.Errorf("%s: %v", name, err)
--- a/internal/sparql/front/handler.go
+++ b/internal/sparql/front/handler.go
@@ -20,7 +20,7 @@
 	"swiftreel/internal/sparql/syntax"
 )
 
-// ServeHTTP serves one request: its answer is out, or its client gone, when it returns.
+// ServeHTTP serves one request. It returns when the answer has been written or the client has disconnected.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	tenant, served := f.tenant(r)
 	if !served {
@@ -29,7 +29,7 @@
 	}
 	deadlines := http.NewResponseController(w)
 	setReadDeadline(deadlines, time.Now().Add(bodyTimeout))
-	setWriteDeadline(deadlines, time.Time{}) // that of the answer before on this connection is over
+	setWriteDeadline(deadlines, time.Time{}) // clears the deadline of the previous response on this connection
 	arrivedAt := time.Now()
 	request, err := readRequest(w, r, f.options.DefaultTimeout, f.options.MaxTimeout)
 	if err != nil {
@@ -45,7 +45,7 @@
 		f.reject(w, err)
 		return
 	}
-	setReadDeadline(deadlines, time.Time{}) // the next request on it has its own
+	setReadDeadline(deadlines, time.Time{}) // the next request on the connection sets its own
 	answer, err := newAnswer(w, r, statement)
 	if err != nil {
 		f.reject(w, err)
@@ -59,21 +59,23 @@
 	if !f.beginKey(w, request, key) {
 		return
 	}
-	defer f.endKey(key, answer) // whatever ends the request: a key in progress would stay so for ever
+	defer f.endKey(key, answer) // on every path, as a key left in progress would never expire
 	f.run(answer, job{request: request, statement: statement, key: key, tenant: tenant, arrivedAt: arrivedAt})
 }
 
-// The deadlines of a connection are set as far as it has any: a request of a test may have none.
+// setReadDeadline sets a connection's read deadline. Errors are ignored, as the writer of a test may not support
+// deadlines.
 func setReadDeadline(controller *http.ResponseController, deadline time.Time) {
 	_ = controller.SetReadDeadline(deadline)
 }
 
+// setWriteDeadline does the same for the write deadline.
 func setWriteDeadline(controller *http.ResponseController, deadline time.Time) {
 	_ = controller.SetWriteDeadline(deadline)
 }
 
-// tenant returns the tenant given by the path, a header or the user of basic authentication, in this order. It returns
-// false if nothing is served at the path.
+// tenant returns the tenant given by the path, a header or the user of basic authentication, in this order, else the
+// default tenant. It returns false if nothing is served at the path.
 func (f *Front) tenant(r *http.Request) (string, bool) {
 	suffix, served := strings.CutPrefix(r.URL.Path, f.options.Path)
 	if !served || suffix != "" && (suffix[0] != '/' || strings.Contains(suffix[1:], "/")) {
@@ -93,7 +95,8 @@
 	return f.options.Tenant, true
 }
 
-// parse reads the text. What is malformed, or uses what is not allowed, is rejected.
+// parse parses the text of a request. It rejects malformed texts, SERVICE endpoints that are not allowed, LOAD, and
+// updates that name their dataset both in the text and in parameters.
 func (f *Front) parse(request request) (*syntax.Statement, error) {
 	statement, err := syntax.Parse(request.text, request.update)
 	if err != nil {
@@ -113,7 +116,7 @@
 	return statement, nil
 }
 
-// reject answers a request that becomes no job.
+// reject answers a request that is not submitted as a job.
 func (f *Front) reject(w http.ResponseWriter, err error) {
 	var rejection *rejectionError
 	if !errors.As(err, &rejection) {
@@ -126,7 +129,7 @@
 	http.Error(w, rejection.text, rejection.status)
 }
 
-// job is a request that was accepted.
+// job is an accepted request.
 type job struct {
 	request   request
 	statement *syntax.Statement
@@ -135,7 +138,7 @@
 	arrivedAt time.Time
 }
 
-// run submits a job and waits until its answer is out, or its client has left.
+// run submits a job and waits until its answer has been written or its client has disconnected.
 func (f *Front) run(answer *answer, job job) {
 	f.mu.Lock()
 	work, _ := f.costs.Estimate(job.statement)
@@ -152,8 +155,8 @@
 		IdempotencyKey: job.key.Value,
 		Form:           job.request.form(),
 	}
-	f.owed.Add(1)
-	defer f.owed.Add(-1)
+	f.pendingAnswers.Add(1)
+	defer f.pendingAnswers.Add(-1)
 	f.submitter.Submit(gateway.Request{
 		Type:          []byte(jobType),
 		ID:            newJobID(),
@@ -174,7 +177,7 @@
 	}
 }
 
-// form returns what an endpoint is sent of a request.
+// form returns the form parameters that are sent to the engine's endpoint.
 func (r request) form() url.Values {
 	form := url.Values{"query": {r.text}}
 	if r.update {
@@ -186,14 +189,14 @@
 	return form
 }
 
-// newJobID returns the random identifier of a job, in hex.
+// newJobID returns a random job identifier, in hex.
 func newJobID() []byte {
 	var id [8]byte
 	_, _ = rand.Read(id[:]) // never fails
 	return []byte(hex.EncodeToString(id[:]))
 }
 
-// serviceDescription is in Turtle (W3C Recommendation of 2013-03-21); %s is the path.
+// serviceDescription is a SPARQL 1.1 Service Description (W3C Recommendation of 2013-03-21) in Turtle. %s is the path.
 const serviceDescription = `@prefix sd: <http://www.w3.org/ns/sparql-service-description#> .
 [] a sd:Service ;
   sd:endpoint <%s> ;
--- a/internal/sparql/front/idempotency.go
+++ b/internal/sparql/front/idempotency.go
@@ -14,8 +14,8 @@
 // maxKeyLength bounds an idempotency key, in bytes.
 const maxKeyLength = 200
 
-// readIdempotencyKey reads an update's Idempotency-Key, a string of structured fields, quoted or not. Queries have
-// none.
+// readIdempotencyKey reads the Idempotency-Key of an update, a structured-field string, with or without quotes. Queries
+// have no key.
 func readIdempotencyKey(r *http.Request, tenant string, update bool) (decide.IdempotencyKey, error) {
 	values := r.Header.Values(endpoint.HeaderIdempotencyKey)
 	if !update || len(values) == 0 {
@@ -31,10 +31,11 @@
 
 func isForbiddenInKey(c rune) bool { return c <= ' ' || c > '~' || c == '"' }
 
-// now is the time of idempotency keys: it never goes back.
+// now returns the monotonic time since the front was created, used for idempotency keys.
 func (f *Front) now() choice.Nanos { return choice.Nanos(time.Since(f.started)) }
 
-// beginKey answers an update whose idempotency key is known already. It returns true if the request is to be run.
+// beginKey registers the idempotency key of an update, if it has one. It returns true if the request is to be run;
+// otherwise it has answered the request.
 func (f *Front) beginKey(w http.ResponseWriter, request request, key decide.IdempotencyKey) bool {
 	if key.Value == "" {
 		return true
@@ -60,7 +61,7 @@
 	return false
 }
 
-// endKey records how the update of a key ended.
+// endKey records how the update of an idempotency key ended.
 func (f *Front) endKey(key decide.IdempotencyKey, answer *answer) {
 	if key.Value == "" {
 		return
@@ -70,7 +71,7 @@
 	f.keys.End(f.now(), key, answer.updateOutcome)
 }
 
-// digest is of all that an idempotency key stands for.
+// digest returns a hash of the text and the graphs, which a repeated request with the same key must match.
 func (r request) digest() uint64 {
 	digest := fnv.New64a()
 	for _, part := range []string{r.text, "\x00", r.graphs.Encode()} {
--- a/internal/sparql/front/request.go
+++ b/internal/sparql/front/request.go
@@ -14,39 +14,39 @@
 	"swiftreel/internal/sparql/syntax"
 )
 
-// request is what a client wants.
+// request is a parsed client request.
 type request struct {
 	update           bool
 	text             string
-	graphs           url.Values // default-graph-uri and the like, as received
+	graphs           url.Values // the graph parameters, as received
 	timeout          time.Duration
-	wantsDescription bool // a bare GET: the service description
+	wantsDescription bool // a GET without parameters, answered with the service description
 }
 
-// rejectionError is why a request becomes no job.
+// rejectionError is the reason for which a request is not submitted as a job, with its HTTP status.
 type rejectionError struct {
 	status int
 	text   string
-	allow  string // the header Allow; "": none
+	allow  string // the Allow header; "": none
 }
 
-// Error returns the text for the client.
+// Error returns the text that is sent to the client.
 func (r *rejectionError) Error() string { return r.text }
 
 func rejectf(status int, format string, values ...any) *rejectionError {
 	return &rejectionError{status: status, text: fmt.Sprintf(format, values...)}
 }
 
-// maxBodyBytes bounds a request's body; a text is bounded by the parser.
+// maxBodyBytes limits a request body, which may be URL-encoded; the parser limits the text itself.
 const maxBodyBytes = 2 * syntax.MaxBytes
 
-// graphParameters are the protocol's parameters for graphs: of queries, and of updates.
+// graphParameters are the protocol's parameters that name graphs; the key is true for updates.
 var graphParameters = map[bool][]string{
 	false: {"default-graph-uri", "named-graph-uri"},
 	true:  {"using-graph-uri", "using-named-graph-uri"},
 }
 
-// readRequest reads a request by section 2 of the protocol. Errors are rejections.
+// readRequest parses a request as specified in section 2 of the protocol. All errors are rejections.
 func readRequest(w http.ResponseWriter, r *http.Request, defaultTimeout, maxTimeout time.Duration) (request, error) {
 	parameters, err := url.ParseQuery(r.URL.RawQuery)
 	if err != nil {
@@ -81,12 +81,12 @@
 	if parameters.Has("update") {
 		return request{}, rejectf(http.StatusBadRequest, "an update is asked for by POST")
 	}
-	text, err := single(parameters, "query")
+	text, err := singleValue(parameters, "query")
 	return request{text: text}, err
 }
 
-// single returns the value of a parameter that has to be given once.
-func single(parameters url.Values, name string) (string, error) {
+// singleValue returns the value of a parameter that must be given exactly once.
+func singleValue(parameters url.Values, name string) (string, error) {
 	values := parameters[name]
 	if len(values) != 1 {
 		return "", rejectf(http.StatusBadRequest, "%d parameters %s, where one is wanted", len(values), name)
@@ -94,7 +94,7 @@
 	return values[0], nil
 }
 
-// readBody reads a form, whose parameters are added to those of the query string, or a text as it is.
+// readBody reads a form, whose parameters are added to those of the query string, or an unencoded text.
 func readBody(w http.ResponseWriter, r *http.Request, parameters url.Values) (request, error) {
 	mediaType, err := bodyMediaType(r.Header)
 	if err != nil {
@@ -148,17 +148,17 @@
 	if update && form.Has("query") {
 		return request{}, rejectf(http.StatusBadRequest, "query and update in one form")
 	}
-	text, err := single(form, name)
+	text, err := singleValue(form, name)
 	if err != nil {
 		return request{}, err
 	}
-	for name, values := range form { // graphs may be given in either
+	for name, values := range form { // graph parameters may be in the form or the query string
 		parameters[name] = append(parameters[name], values...)
 	}
 	return request{text: text, update: update}, nil
 }
 
-// readGraphs returns the graphs of an operation; those of the other kind of operation are rejected.
+// readGraphs returns the graph parameters of a query or update. It rejects parameters of the other kind of operation.
 func readGraphs(parameters url.Values, update bool) (url.Values, error) {
 	graphs := url.Values{}
 	for _, name := range graphParameters[update] {
@@ -174,7 +174,7 @@
 	return graphs, nil
 }
 
-// readTimeout returns the job timeout: a parameter, else a header, in whole milliseconds, else the default.
+// readTimeout returns the job timeout: the parameter, else the header, both in whole milliseconds, else the default.
 func readTimeout(parameter, header string, defaultTimeout, maxTimeout time.Duration) (time.Duration, error) {
 	text := parameter
 	if text == "" {
--- a/internal/sparql/front/server.go
+++ b/internal/sparql/front/server.go
@@ -16,31 +16,31 @@
 	"swiftreel/internal/sparql/decide"
 )
 
-// Options are what the operator's file says of the front.
+// Options are the settings of a Front.
 type Options struct {
-	Path            string // where it is served; with /TENANT behind it the tenant is TENANT
-	Tenant          string // of requests that name none
-	TenantHeader    string // "": no header names one
+	Path            string // the URL path; PATH/TENANT selects a tenant
+	Tenant          string // default, for requests that name none
+	TenantHeader    string // the request header that names the tenant; "": none
 	Rules           []decide.Rule
 	DefaultTimeout  time.Duration // of a job
 	MaxTimeout      time.Duration // of a job
-	Services        []string      // that SERVICE may name
-	Conns           int           // of clients, open at once
-	MaxFingerprints int           // of queries whose cost is remembered
-	MaxKeys         int           // idempotency keys remembered
-	KeyWindow       time.Duration // for which a key is remembered after its update ended
+	Services        []string      // endpoints that SERVICE may name
+	Conns           int           // limit of open client connections
+	MaxFingerprints int           // limit of statement fingerprints with learned costs
+	MaxKeys         int           // limit of stored idempotency keys
+	KeyWindow       time.Duration // how long a key is kept after its update ended
 }
 
-// Each state of a connection has its limit: headers, body, an answer that is not read, idleness.
+// Limits of each connection state: reading headers and body, writing an answer, idle.
 const (
 	headersTimeout = 2 * time.Second
 	bodyTimeout    = 5 * time.Second
-	writeTimeout   = 3 * time.Second // for a part of an answer: a client that takes none of it for so long has left
+	writeTimeout   = 3 * time.Second // for each write: a client that reads nothing for so long counts as gone
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 32 << 10
 )
 
-// Submitter runs jobs.
+// Submitter accepts and runs jobs.
 type Submitter interface {
 	// Ready reports whether jobs are accepted.
 	Ready() bool
@@ -50,20 +50,20 @@
 
 // Front serves all SPARQL clients. Its methods are safe for concurrent use.
 type Front struct {
-	options   Options
-	submitter Submitter
-	server    *http.Server
-	connSlots chan struct{}
-	owed      atomic.Int64
-	started   time.Time
-	rejected  ratelog.Logger
-
-	mu    sync.Mutex // guards what follows
+	options        Options
+	submitter      Submitter
+	server         *http.Server
+	connSlots      chan struct{}
+	pendingAnswers atomic.Int64
+	started        time.Time
+	rejected       ratelog.Logger
+
+	mu    sync.Mutex // guards the fields below
 	costs *decide.CostEstimator
 	keys  *decide.KeyTable
 }
 
-// New returns a front whose jobs the submitter runs. It serves nobody until Serve.
+// New returns a front that submits jobs to the submitter. It accepts no connections until Serve.
 func New(options Options, submitter Submitter) *Front {
 	f := &Front{
 		options:   options,
@@ -91,22 +91,23 @@
 	}
 }
 
-// Owed returns how many jobs have not got their answer out.
-func (f *Front) Owed() int64 { return f.owed.Load() }
+// Owed returns the number of jobs whose answer has not been written completely.
+func (f *Front) Owed() int64 { return f.pendingAnswers.Load() }
 
-// Close ends all connections.
+// Close closes the listener and all connections.
 func (f *Front) Close() {
-	_ = f.server.Close() // whether a socket closed in order changes nothing any more
+	_ = f.server.Close() // an error in closing a socket has no consequence
 }
 
-// Shutdown accepts no more connections and closes idle ones. It does not wait.
+// Shutdown stops accepting connections and closes idle ones, without waiting for those in use.
 func (f *Front) Shutdown() {
 	go func() {
-		_ = f.server.Shutdown(context.Background()) // Close ends what is left
+		_ = f.server.Shutdown(context.Background()) // Close closes the remaining connections
 	}()
 }
 
-// limitedListener accepts as many connections as there are slots; more wait in the system's queue.
+// limitedListener limits the number of open connections to the number of slots. The accept loop blocks while no slot is
+// free: one accepted connection waits for a slot, others wait in the kernel's accept queue.
 type limitedListener struct {
 	net.Listener
 	slots chan struct{}
@@ -128,7 +129,7 @@
 	release sync.Once
 }
 
-// Close frees the connection's slot once.
+// Close frees the connection's slot, once, and closes the connection.
 func (c *limitedConn) Close() error {
 	c.release.Do(func() { <-c.slots })
 	return c.Conn.Close()
