--- a/internal/sparql/endpoint/client.go
+++ b/internal/sparql/endpoint/client.go
@@ -68,7 +68,7 @@
 	d := &dispatch{client: c, name: to.Name, cancel: cancel, reply: reply}
 	if !c.acquire(to.Name) {
 		counters.Increment("endpoint_conns_full")
-		d.finishUnsent(backend.Reply{Outcome: backend.Full}) // not sent: the job never ran
+		d.finishUnsent(backend.Reply{Outcome: backend.Full}) // never ran, and the engine did not refuse it
 		return d
 	}
 	operation, err := parseStatement(request.Statement)
--- a/internal/sparql/front/answer.go
+++ b/internal/sparql/front/answer.go
@@ -247,7 +247,7 @@
 
 func (d *deadlineWriter) extend() { setWriteDeadline(d.controller, time.Now().Add(writeTimeout)) }
 
-// Write writes a part of an answer, which must be taken within writeTimeout.
+// Write writes a part of an answer, which the client must read within writeTimeout.
 func (d *deadlineWriter) Write(part []byte) (int, error) {
 	d.extend()
 	return d.w.Write(part)
