--- a/example/demo.go
+++ b/example/demo.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	readyPolls   = 50
-	readyPolling = 100 * time.Millisecond
+	readyPollAttempts = 50
+	readyPollInterval = 100 * time.Millisecond
 )
 
-var errNotReady = errors.New("the controller does not get ready")
+var errNotReady = errors.New("controller did not become ready in time")
 
-// demo shows a controller at work in a few seconds.
+// demo runs a controller against the fakes and sends it a few jobs. It takes a few seconds.
 func demo() error {
 	running, err := startFakes()
 	if err != nil {
@@ -29,16 +29,16 @@
 		return err
 	}
 	if !waitReady() {
-		_ = controller.Process.Kill() // it may have ended by itself
+		_ = controller.Process.Kill() // fails if it has already exited
 		return errNotReady
 	}
-	err = playJobs(running)
+	err = sendJobs(running)
 	log.Print("\n-- the controller is told to stop")
 	return errors.Join(err, stopController(controller))
 }
 
-// playJobs sends one job that is served, one that is throttled, and some while an engine is lost.
-func playJobs(running *fakes) error {
+// sendJobs sends one job that is served, one that is throttled, and several after an engine has crashed.
+func sendJobs(running *fakes) error {
 	log.Print("\n-- a job is served")
 	if err := send([]string{"SELECT * FROM sales_17.orders"}); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// startController starts bin/swiftreel with the example's configuration.
+// startController starts bin/swiftreel with the configuration of the example.
 func startController(arguments ...string) (*exec.Cmd, error) {
 	controller := exec.Command("bin/swiftreel", arguments...)
 	controller.Env = append(os.Environ(), "ROUTER_CONFIG="+configFile)
@@ -66,7 +66,7 @@
 	return controller, controller.Start()
 }
 
-// stopController has the controller end as an operator does, and waits until it has.
+// stopController sends SIGTERM to the controller, as an operator would, and waits until it has exited.
 func stopController(controller *exec.Cmd) error {
 	if err := controller.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -74,13 +74,13 @@
 	return controller.Wait()
 }
 
-// waitReady reports whether the controller accepts jobs within some seconds.
+// waitReady polls the controller and reports whether it accepts jobs before the attempts are used up.
 func waitReady() bool {
-	for range readyPolls {
+	for range readyPollAttempts {
 		if isReady() {
 			return true
 		}
-		time.Sleep(readyPolling)
+		time.Sleep(readyPollInterval)
 	}
 	return false
 }
--- a/example/fakes.go
+++ b/example/fakes.go
@@ -11,24 +11,24 @@
 	"swiftreel/internal/fake"
 )
 
-// feedAddress and engineAddresses are those of example/config.json.
+// feedAddress and engineAddresses must match example/config.json.
 const feedAddress = "127.0.0.1:9379"
 
 var engineAddresses = map[string]string{"e1": "127.0.0.1:9101", "e2": "127.0.0.1:9102"}
 
 const (
-	firstEvent  = 2 // the configuration knows event 1
-	jobDuration = 100 * time.Millisecond
-	listDelay   = 2 * time.Second // from the loss of an engine until the feed says so
+	firstEvent    = 2 // event 1 is part of the configuration
+	jobDuration   = 100 * time.Millisecond
+	announceDelay = 2 * time.Second // from the crash of an engine until the feed reports it
 )
 
-// States of an engine in the feed.
+// Engine states in the feed.
 const (
 	stateReady   = "ready"
 	stateRemoved = "gone"
 )
 
-// fakes are the engines that are up, and the feed.
+// fakes holds the running fake engines and the fake endpoint feed.
 type fakes struct {
 	feed *fake.Discovery
 
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// command carries out a line of standard input.
+// command executes one line of standard input, split into fields.
 func (f *fakes) command(fields []string) {
 	if len(fields) == 2 && engineAddresses[fields[1]] != "" {
 		switch fields[0] {
@@ -77,7 +77,7 @@
 	log.Print("lose or back, and e1 or e2")
 }
 
-// loseEngine ends an engine as a crash does. The feed says so some time later.
+// loseEngine closes an engine as a crash would. The feed reports it after announceDelay.
 func (f *fakes) loseEngine(name string) {
 	f.mu.Lock()
 	lost := f.engines[name]
@@ -88,7 +88,7 @@
 	}
 	lost.Close()
 	log.Printf("%s is lost", name)
-	time.AfterFunc(listDelay, func() { f.announce(name, stateRemoved, 0) })
+	time.AfterFunc(announceDelay, func() { f.announce(name, stateRemoved, 0) })
 }
 
 func (f *fakes) restoreEngine(name string) {
@@ -99,7 +99,7 @@
 	f.announce(name, stateReady, time.Now().UnixMilli())
 }
 
-// feedEntry is an engine as the feed describes it.
+// feedEntry describes an engine in the format of the feed.
 type feedEntry struct {
 	Host   string `json:"host"`
 	Dial   string `json:"dial"`
@@ -111,7 +111,7 @@
 	BornMS int64  `json:"born_ms"`
 }
 
-// announce has the feed send an engine's state. startedAt is in milliseconds of Unix time; 0: not known.
+// announce publishes an engine's state on the feed. startedAt is in milliseconds of Unix time; 0 means unknown.
 func (f *fakes) announce(name, state string, startedAt int64) {
 	event, err := json.Marshal([]feedEntry{{
 		Host: name, Dial: engineAddresses[name], Site: "east", Class: "std", Health: state, Share: 1, BornMS: startedAt,
@@ -123,7 +123,7 @@
 	log.Printf("feed: %s", f.feed.AddEvent(false, string(event)))
 }
 
-// engineJobs are the jobs of one engine: each takes the same time and has two pages.
+// engineJobs tracks the jobs of one engine. Each takes jobDuration and returns two pages.
 type engineJobs struct {
 	engine string
 
@@ -153,7 +153,7 @@
 	}
 }
 
-// finish sends the first page, unless the job was cancelled.
+// finish sends the first page unless the job was cancelled.
 func (e *engineJobs) finish(session *fake.Session, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/example/main.go
+++ b/example/main.go
@@ -1,9 +1,9 @@
-// Command example lets a newcomer try swiftreel: two fake engines and a fake endpoint feed, and a way to send a job.
+// Command example runs swiftreel locally with two fake engines and a fake endpoint feed, and sends jobs to it.
 //
-//	go run ./example serve            engines and feed, until interrupted; reads "lose e1" and "back e1"
+//	go run ./example serve            runs engines and feed until interrupted; reads "lose e1" and "back e1"
 //	go run ./example send STATEMENT   sends one job to the controller at 127.0.0.1:9090 and prints its answer
-//	go run ./example demo             all of it with bin/swiftreel: a job served, one throttled, an engine lost
-//	go run ./example sparql           bin/swiftreel beside fake engines of both protocols, to be asked with curl
+//	go run ./example demo             runs all of it with bin/swiftreel: a job served, one throttled, an engine lost
+//	go run ./example sparql           runs bin/swiftreel with fake engines of both protocols, for queries with curl
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// controllerAddress and configFile belong together: the file says where the controller listens.
+// controllerAddress must match the listen address in configFile.
 const (
 	controllerAddress = "127.0.0.1:9090"
 	configFile        = "example/config.json"
@@ -41,12 +41,12 @@
 	case "demo":
 		return demo()
 	case "sparql":
-		return sparql()
+		return runSPARQL()
 	}
 	return errUsage
 }
 
-// serve runs the fakes until interrupted, and loses engines or brings them back as standard input says.
+// serve runs the fakes until interrupted. Commands on standard input stop engines and restart them.
 func serve() error {
 	f, err := startFakes()
 	if err != nil {
@@ -57,5 +57,5 @@
 	for lines.Scan() {
 		f.command(strings.Fields(lines.Text()))
 	}
-	select {} // no more to read: until interrupted
+	select {} // standard input has ended: run until interrupted
 }
--- a/example/send.go
+++ b/example/send.go
@@ -12,7 +12,7 @@
 	"swiftreel/internal/fake"
 )
 
-// answerSlack is how long an answer is waited for beyond its job's timeout.
+// answerSlack is how long send waits for an answer beyond the job timeout.
 const answerSlack = time.Second
 
 // send sends one job and prints its answer.
--- a/example/sparql.go
+++ b/example/sparql.go
@@ -10,18 +10,18 @@
 	"swiftreel/internal/fake"
 )
 
-// endpointAddresses are those of example/sparql.json: both machines speak both protocols.
+// endpointAddresses must match example/sparql.json. Engines e1 and e2 serve both protocols.
 var endpointAddresses = []string{"127.0.0.1:9201", "127.0.0.1:9202"}
 
-// triples are what the endpoints hold.
+// triples are the contents of the endpoints.
 var triples = [][3]string{
 	{"<http://x/term1>", "<http://x/label>", `"memory"`},
 	{"<http://x/term1>", "<http://x/in>", "<http://x/base>"},
 	{"<http://x/term2>", "<http://x/label>", `"engine"`},
 }
 
-// sparql runs the fakes, two SPARQL endpoints and the controller, until interrupted.
-func sparql() error {
+// runSPARQL runs the fakes, two SPARQL endpoints and the controller until interrupted.
+func runSPARQL() error {
 	if _, err := startFakes(); err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	<-stop
 	if err := stopController(controller); err != nil {
-		return fmt.Errorf("the controller: %w", err)
+		return fmt.Errorf("stop controller: %w", err)
 	}
 	return nil
 }
