--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -1,4 +1,4 @@
-// Package scripts has the tests of the scripts beside it; it holds no code of its own.
+// Package scripts contains only the tests of the scripts in this directory.
 package scripts
 
 import (
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// passingTests and redTests are the tests of two packages of a module made for these tests.
+// passingTests and redTests are the test files of the two packages of the generated module.
 const (
 	passingTests = `package calm
 
@@ -29,8 +29,8 @@
 `
 )
 
-// runKnownRed runs test-known-red in a module with the given KNOWN-RED.txt ("" for none), after the named tests of
-// package red were left out of it, and returns what it printed and whether it passed.
+// runKnownRed runs test-known-red in a generated module with the given KNOWN-RED.txt ("" for none). The tests of package
+// red named by without are left out. It returns the output and whether the script succeeded.
 func runKnownRed(t *testing.T, knownRed string, without ...string) (string, bool) {
 	t.Helper()
 	script, err := filepath.Abs("test-known-red")
--- a/scripts/layers_test.go
+++ b/scripts/layers_test.go
@@ -14,23 +14,23 @@
 	architecturePage = "../docs/architecture.md"
 )
 
-// TestImportsFollowTheLayersOfTheArchitecturePage: each package stands in the table of layers, and imports no package
-// of a layer above its own.
+// TestImportsFollowTheLayersOfTheArchitecturePage checks that each package is listed in the table of layers and imports
+// no package from a higher layer.
 func TestImportsFollowTheLayersOfTheArchitecturePage(t *testing.T) {
 	layers := readLayers(t)
 	for importer, imported := range listImports(t) {
 		if _, listed := layers[importer]; !listed {
-			t.Errorf("%s stands in no layer of docs/architecture.md", importer)
+			t.Errorf("%s is not listed in any layer in docs/architecture.md", importer)
 		}
 		for _, name := range imported {
 			if layers[importer] > layers[name] {
-				t.Errorf("%s imports %s, which is of a layer above", importer, name)
+				t.Errorf("%s imports %s, which is in a higher layer", importer, name)
 			}
 		}
 	}
 }
 
-// readLayers returns the layer of each package, counted from the top of the table.
+// readLayers returns the layer number of each package, counted from the top of the table.
 func readLayers(t *testing.T) map[string]int {
 	t.Helper()
 	page, err := os.ReadFile(architecturePage)
@@ -50,7 +50,7 @@
 		if len(cells) < 4 {
 			continue
 		}
-		if strings.TrimSpace(cells[1]) != "" { // a row without a name belongs to the layer before
+		if strings.TrimSpace(cells[1]) != "" { // a row without a name continues the layer above it
 			layer++
 		}
 		for _, match := range names.FindAllStringSubmatch(cells[2], -1) {
@@ -60,7 +60,8 @@
 	return layers
 }
 
-// listImports returns the packages of the module that each package imports, without tests, proofs and scripts.
+// listImports returns, for each package, the packages of this module that it imports. It leaves out tests, and the
+// packages under internal/proof and scripts.
 func listImports(t *testing.T) map[string][]string {
 	t.Helper()
 	const form = "{{.ImportPath}} {{join .Imports \" \"}}"
--- a/scripts/samedecisions/compare.go
+++ b/scripts/samedecisions/compare.go
@@ -7,22 +7,22 @@
 	"slices"
 )
 
-// difference is one figure that two entries do not share. A side that lacks the figure reads "absent".
+// difference is one figure that differs between two entries. A side that lacks the figure is "absent".
 type difference struct {
 	path          string
 	before, after string
 }
 
-// absent stands for a figure that only the other side has; JSON's null is a value like any other.
+// absent represents a figure that only the other side has. JSON null is not absent: it is a value of its own.
 type absent struct{}
 
-// measuresCPU tells the figures of a day that depend on the machine and on its load, not on the decisions taken.
-var measuresCPU = map[string]bool{
+// isCPUFigure holds the names of figures that depend on the machine and its load, not on the decisions taken.
+var isCPUFigure = map[string]bool{
 	"cpu_us_event": true,
 	"cpu_late":     true,
 }
 
-// compareFigures returns the differences between two sets of figures, ordered by path.
+// compareFigures returns the differences between two sets of figures, sorted by path.
 func compareFigures(before, after map[string]any) []difference {
 	return compareObjects("", before, after)
 }
@@ -63,15 +63,15 @@
 	}
 	var found []difference
 	for _, key := range slices.Sorted(maps.Keys(keys)) {
-		if measuresCPU[key] {
+		if isCPUFigure[key] {
 			continue
 		}
-		found = append(found, compareValues(prefix+key, member(before, key), member(after, key))...)
+		found = append(found, compareValues(prefix+key, memberOf(before, key), memberOf(after, key))...)
 	}
 	return found
 }
 
-func member(object map[string]any, key string) any {
+func memberOf(object map[string]any, key string) any {
 	if value, ok := object[key]; ok {
 		return value
 	}
@@ -82,19 +82,19 @@
 	var found []difference
 	for i := range max(len(before), len(after)) {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		found = append(found, compareValues(at, element(before, i), element(after, i))...)
+		found = append(found, compareValues(at, elementOf(before, i), elementOf(after, i))...)
 	}
 	return found
 }
 
-func element(list []any, i int) any {
+func elementOf(list []any, i int) any {
 	if i < len(list) {
 		return list[i]
 	}
 	return absent{}
 }
 
-// render returns a value as the journal writes it.
+// render formats a value as JSON, as in the journal.
 func render(value any) string {
 	if _, ok := value.(absent); ok {
 		return "absent"
--- a/scripts/samedecisions/entry.go
+++ b/scripts/samedecisions/entry.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 )
 
-// entry is the part of a journal entry that describes a score on the simulator. Figures stay decoded JSON: they are
-// compared as they were written, whatever the bench records about a day.
+// entry is the part of a journal entry that describes a score on the simulator. Figures are kept as decoded JSON, so
+// that every field recorded for a day is compared as written, including fields added to the bench later.
 type entry struct {
 	ID          string `json:"id"`
 	Command     string `json:"cmd"`
@@ -25,7 +25,7 @@
 	Days        []any  `json:"days"`
 }
 
-// readEntry reads the entry with the given identifier from the journal directory, or from a file if name is a path.
+// readEntry reads the entry with the given ID from the journal directory, or from a file if name ends in .json.
 func readEntry(journal, name string) (*entry, error) {
 	path := name
 	if filepath.Ext(name) != ".json" {
@@ -47,22 +47,22 @@
 
 func parseEntry(name string, text []byte) (*entry, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	decoder.UseNumber() // a figure is equal only if it is written with the same digits
+	decoder.UseNumber() // numbers are equal only if they are written with the same digits
 	var e entry
 	if err := decoder.Decode(&e); err != nil {
 		return nil, fmt.Errorf("entry %s: %w", name, err)
 	}
 	if e.Command != "score" || !e.Simulated {
-		return nil, fmt.Errorf("entry %s: no score on the simulator (command %q)", name, e.Command)
+		return nil, fmt.Errorf("entry %s: not a score on the simulator (command %q)", name, e.Command)
 	}
 	if len(e.Days) == 0 {
-		return nil, fmt.Errorf("entry %s: holds no days", name)
+		return nil, fmt.Errorf("entry %s: contains no days", name)
 	}
 	return &e, nil
 }
 
-// sameRun returns an error unless both entries are runs of the same days of the same deployment.
-func sameRun(before, after *entry) error {
+// checkSameRun returns an error unless both entries are runs of the same deployment, panel and mode.
+func checkSameRun(before, after *entry) error {
 	identity := func(e *entry) string {
 		return fmt.Sprintf("site %s (%s), panel %s, mode %s", e.Site, e.SiteSHA, e.Panel, e.Mode)
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// figures returns what two runs with the same decisions have in common.
+// figures returns the fields that are equal in two runs with the same decisions.
 func (e *entry) figures() map[string]any {
 	return map[string]any{
 		"ok": e.OK, "error": e.Error, "score": e.Score, "days_left_out": e.DaysLeftOut, "days": e.Days,
--- a/scripts/samedecisions/main.go
+++ b/scripts/samedecisions/main.go
@@ -19,7 +19,7 @@
 	"strings"
 )
 
-// maxPrinted bounds the differences printed for one pair; the rest are counted.
+// maxPrinted limits the differences printed per pair; the rest are only counted.
 const maxPrinted = 10
 
 const (
@@ -27,7 +27,7 @@
 	exitUnusable  = 2
 )
 
-// errDifferent reports that all pairs were compared and at least one of them differs.
+// errDifferent is returned when all pairs were compared and at least one of them differs.
 var errDifferent = errors.New("decisions differ")
 
 func main() {
@@ -50,7 +50,7 @@
 }
 
 // compareAll compares the entries pair by pair and reports each pair on out. It returns errDifferent if a pair differs,
-// and another error if an entry cannot be read or two entries of a pair are no runs of the same days.
+// and another error if an entry cannot be read or the entries of a pair are not runs of the same days.
 func compareAll(out io.Writer, journal string, before, after []string) error {
 	if len(before) == 0 || len(before) != len(after) {
 		return fmt.Errorf("need as many entries before as after, at least one: got %d and %d", len(before), len(after))
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// comparePair returns how many figures differ between two entries.
+// comparePair compares two entries, reports the result on out and returns the number of differing figures.
 func comparePair(out io.Writer, journal, before, after string) (int, error) {
 	old, err := readEntry(journal, before)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := sameRun(old, recent); err != nil {
+	if err := checkSameRun(old, recent); err != nil {
 		return 0, err
 	}
 	differences := compareFigures(old.figures(), recent.figures())
--- a/scripts/samedecisions/main_test.go
+++ b/scripts/samedecisions/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// recorded is a journal entry of the bench's form, with two days.
+// recorded is a journal entry with two days, in the format that the bench writes.
 const recorded = `{"v":1,"id":"aaaa0001","at":["2026-12-02T02:09:44Z","2026-12-02T02:09:55Z"],"cmd":"score","sim":true,
 "head":"0dcecd2","build_s":1.9,"mode":"quick","site":"bilbao-main-later","site_sha":"f1aad01e","panel":"f882c1a4",
 "ok":true,"error":null,"score":0.6477,"days_left_out":0,
@@ -18,8 +18,8 @@
 {"G":0.5879,"cpu_late":0.0,"cpu_us_event":3.277,"fault":null,"name":"overload","rules":{"drain":0,"dup":0},
 "signature":{"attempts_per_try":0.696},"troubles":["flush"]}],"digest":"0.648, -0.000 against a snapshot"}`
 
-// compareWith writes the recorded entry and a copy with replacements into a journal, compares them and returns the
-// report.
+// compareWith writes the recorded entry and a copy with the replacements applied to a journal, compares the two and
+// returns the report.
 func compareWith(t *testing.T, replacements ...string) (string, error) {
 	t.Helper()
 	journal := t.TempDir()
