--- a/internal/proof/report.go
+++ b/internal/proof/report.go
@@ -1,5 +1,5 @@
-// Package proof prints what the commands below it print alike: the machine, each check that fails, and the time that
-// the whole proof took. Operators' scripts read these lines, so their wording stays.
+// Package proof prints the output shared by the proof commands: the machine, each failed check, and the total time.
+// Operators' scripts parse these lines, so their text must not change.
 package proof
 
 import (
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// SimulatedEngines is the note on figures that were not measured with real engines.
+// SimulatedEngines is printed in the header of proofs whose figures were not measured with real engines.
 const SimulatedEngines = "engines are simulated servers"
 
-// printedPrecision is that of the durations of a proof and its stages.
+// printedPrecision is the precision of printed durations.
 const printedPrecision = 100 * time.Millisecond
 
-// Machine describes what the proof runs on.
+// Machine describes the machine that the proof runs on.
 func Machine() string {
 	return fmt.Sprintf("machine: %d cores, %s", runtime.NumCPU(), runtime.Version())
 }
 
-// Report remembers when a proof began and whether a check has failed. It is safe for concurrent use.
+// Report records when a proof started and whether a check has failed. It is safe for concurrent use.
 type Report struct {
 	startedAt time.Time
 
@@ -30,12 +30,12 @@
 	hasFailed bool
 }
 
-// NewReport begins a report whose lines go to out.
+// NewReport starts a report that writes to out.
 func NewReport(out io.Writer) *Report {
 	return &Report{startedAt: time.Now(), out: out}
 }
 
-// Failf prints why a check has failed, and has the proof fail.
+// Failf prints why a check failed and marks the proof as failed.
 func (r *Report) Failf(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,12 +50,12 @@
 	return r.hasFailed
 }
 
-// Elapsed returns the time since the proof began, rounded for print.
+// Elapsed returns the time since the proof started, rounded for printing.
 func (r *Report) Elapsed() time.Duration {
 	return time.Since(r.startedAt).Round(printedPrecision)
 }
 
-// PrintTotal prints the last line of a proof: how long it took.
+// PrintTotal prints the last line of a proof: the total time.
 func (r *Report) PrintTotal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proof/report_test.go
+++ b/internal/proof/report_test.go
@@ -11,7 +11,7 @@
 	"swiftreel/internal/proof"
 )
 
-// Operators' scripts read the lines.
+// Operators' scripts parse these lines, so a change of their text breaks them.
 func TestReportPrintsItsLines(t *testing.T) {
 	var out bytes.Buffer
 	report := proof.NewReport(&out)
