--- a/internal/proof/upgrade/build.go
+++ b/internal/proof/upgrade/build.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// build is one of the two versions: a folder with its binaries.
+// build is a directory with the binaries of one of the two versions.
 type build struct {
 	version string // as its processes report it
 	dir     string
@@ -16,7 +16,7 @@
 
 func (b build) program() string { return filepath.Join(b.dir, "swiftreel") }
 
-// viewer is the program that shows a rollout. It may have another name since.
+// viewer returns the path of the program that renders a rollout. Its name differs between versions.
 func (b build) viewer() (string, error) {
 	for _, name := range []string{"fleetview", "rollout-view"} {
 		path := filepath.Join(b.dir, name)
@@ -24,10 +24,10 @@
 			return path, nil
 		}
 	}
-	return "", fmt.Errorf("%s: no program that shows rollouts", b.dir)
+	return "", fmt.Errorf("%s: no rollout viewer found", b.dir)
 }
 
-// buildBoth builds a commit, from a worktree that it makes under dir and removes again, and the present tree.
+// buildBoth builds the given commit, from a temporary worktree under dir, and the current tree.
 func buildBoth(commit, dir string) (base, current build, err error) {
 	base = build{version: "base", dir: filepath.Join(dir, "base")}
 	current = build{version: "current", dir: filepath.Join(dir, "current")}
@@ -51,7 +51,7 @@
 	return base, current, err
 }
 
-// make builds all commands of a tree under the version's name.
+// make builds all commands of a source tree and sets their version name.
 func (b build) make(tree string) error {
 	if err := os.MkdirAll(b.dir, 0o700); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return run(tree, "go", "build", "-ldflags", name, "-o", b.dir, "./cmd/...")
 }
 
-// run runs a command in a folder. The error of one that fails carries what it printed.
+// run runs a command in a directory. The error of a failed command includes its output.
 func run(dir, name string, args ...string) error {
 	c := exec.Command(name, args...)
 	c.Dir = dir
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	quickBake = 300 * time.Millisecond  // minimum time of a stage
-	longBake  = 1500 * time.Millisecond // of a stage in which something is to happen
-	stepLimit = 40 * time.Second        // what a step waits for at most
+	shortBake = 300 * time.Millisecond  // minimum bake time of a stage
+	longBake  = 1500 * time.Millisecond // leaves time to interrupt a stage while it bakes
+	stepLimit = 40 * time.Second        // longest wait within a step
 )
 
-// fleet is the cluster of a scenario, with the version of each supervisor and the changes made so far.
+// fleet is the cluster of a scenario, with the version of each supervisor and the number of the last change.
 type fleet struct {
 	cluster       *testcluster.Cluster
 	base, current build
-	versions      map[string]build // of supervisors, by member
+	versions      map[string]build // supervisor version by member
 	load          load
-	logs          map[string]string // of supervisors that were restarted, by member
+	logs          map[string]string // logs of earlier supervisor processes by member
 	number        int64             // of the last change
 	stopped       bool
 }
 
-func newFleet(cluster *testcluster.Cluster, base, current build, plan testcluster.Config) *fleet {
+func newFleet(cluster *testcluster.Cluster, base, current build, config testcluster.Config) *fleet {
 	f := &fleet{cluster: cluster, base: base, current: current, versions: map[string]build{}, load: load{cluster: cluster},
 		logs: map[string]string{}}
 	for i, m := range cluster.Members {
 		f.versions[m.Name] = base
-		if plan.SupervisorPrograms[i] == current.program() {
+		if config.SupervisorPrograms[i] == current.program() {
 			f.versions[m.Name] = current
 		}
 	}
@@ -45,7 +45,7 @@
 	return f
 }
 
-// other is the version that b is not.
+// other returns the version that is not b.
 func (f *fleet) other(b build) build {
 	if b == f.base {
 		return f.current
@@ -53,77 +53,77 @@
 	return f.base
 }
 
-// folder is where coordinators of both versions record changes.
-func (f *fleet) folder() string { return filepath.Join(f.cluster.Dir, "record") }
+// recordFolder returns the directory in which coordinators of both versions record changes.
+func (f *fleet) recordFolder() string { return filepath.Join(f.cluster.Dir, "record") }
 
-// record reads the change that was recorded last; a zero record where none can be read.
+// record reads the record of the last change. It returns a zero record if it cannot be read.
 func (f *fleet) record() coordinator.Record {
-	r, _, err := coordinator.UnlockedFolder(f.folder()).Record()
+	r, _, err := coordinator.UnlockedFolder(f.recordFolder()).Record()
 	if err != nil {
 		return coordinator.Record{}
 	}
 	return r
 }
 
-// settings is the field "to" of a change of settings that none before it made.
-func (f *fleet) settings() string { return fmt.Sprintf(`{"shape":{"budget_free":%d}}`, f.number+1) }
+// nextSettings returns the field "to" of a settings change that differs from all earlier ones.
+func (f *fleet) nextSettings() string { return fmt.Sprintf(`{"shape":{"budget_free":%d}}`, f.number+1) }
 
-// toProgram is that of a change of the program.
+// toProgram returns the field "to" of a program change.
 func toProgram(b build) string { return fmt.Sprintf(`{"program":%q}`, b.program()) }
 
-// writeChange writes the file of the next change.
+// writeChange writes the change file of the next change.
 func (f *fleet) writeChange(kind change.Kind, to string, bake time.Duration) (string, error) {
 	f.number++
 	return f.cluster.WriteQuickChange(f.number, kind, to, bake)
 }
 
-// begin starts a coordinator of one version on the next change.
-func (f *fleet) begin(by build, kind change.Kind, to string, bake time.Duration) (*testcluster.Process, error) {
+// startChange writes the next change and starts a coordinator of the given version on it.
+func (f *fleet) startChange(by build, kind change.Kind, to string, bake time.Duration) (*testcluster.Process, error) {
 	file, err := f.writeChange(kind, to, bake)
 	if err != nil {
 		return nil, err
 	}
-	return f.cluster.StartCoordinator(by.program(), f.folder(), "start", file)
+	return f.cluster.StartCoordinator(by.program(), f.recordFolder(), "start", file)
 }
 
-// settingsBy is a change of settings by a coordinator of one version.
-func (f *fleet) settingsBy(coordinator build) action {
-	return func() (string, error) { return f.change(coordinator, change.KindSettings, f.settings()) }
+// changeSettings returns an action that rolls out a settings change with a coordinator of the given version.
+func (f *fleet) changeSettings(coordinator build) action {
+	return func() (string, error) { return f.change(coordinator, change.KindSettings, f.nextSettings()) }
 }
 
-// programBy is a change of the program to that of a version.
-func (f *fleet) programBy(coordinator, to build) action {
+// changeProgram returns an action that rolls out the program of a version with a coordinator of the given version.
+func (f *fleet) changeProgram(coordinator, to build) action {
 	return func() (string, error) { return f.change(coordinator, change.KindProgram, toProgram(to)) }
 }
 
-// change takes a change through the fleet by a coordinator of one version.
+// change rolls a change out with a coordinator of the given version and waits until it has succeeded.
 func (f *fleet) change(by build, kind change.Kind, to string) (string, error) {
-	p, err := f.begin(by, kind, to, quickBake)
+	p, err := f.startChange(by, kind, to, shortBake)
 	if err != nil {
 		return "", err
 	}
-	return f.finish(p)
+	return f.awaitSuccess(p)
 }
 
-// finish waits for a coordinator's success, and checks that all members run the change.
-func (f *fleet) finish(p *testcluster.Process) (string, error) {
+// awaitSuccess waits until a coordinator exits without an error, and checks that all members run the change.
+func (f *fleet) awaitSuccess(p *testcluster.Process) (string, error) {
 	if err := p.WaitExit(); err != nil {
-		return "", fmt.Errorf("the coordinator ends with %w: %s", err, tail(p.Log()))
+		return "", fmt.Errorf("coordinator failed: %w: %s", err, lastLines(p.Log()))
 	}
-	return f.reached(f.record())
+	return f.checkDone(f.record())
 }
 
-// reached checks that a change is done, and that every member runs what it leads to.
-func (f *fleet) reached(r coordinator.Record) (string, error) {
+// checkDone checks that the last change is recorded as done and that every member runs its target spec.
+func (f *fleet) checkDone(r coordinator.Record) (string, error) {
 	if r.Change.Number != f.number || r.State.Phase != rollout.PhaseDone {
-		return "", fmt.Errorf("change %d is recorded as %s, wanted is %d: %s",
+		return "", fmt.Errorf("change %d is recorded as %s, want change %d done: %s",
 			r.Change.Number, r.State.Phase, f.number, r.State.Outcome)
 	}
-	return f.running(r.ToSpec, r.Change.Number)
+	return f.awaitRunning(r.ToSpec, r.Change.Number)
 }
 
-// running waits until every member runs a spec, by an order of the change of that number.
-func (f *fleet) running(spec change.Spec, number int64) (string, error) {
+// awaitRunning waits until every member runs a spec because of an order of the change with that number.
+func (f *fleet) awaitRunning(spec change.Spec, number int64) (string, error) {
 	for _, m := range f.cluster.Members {
 		var last supervisor.Status
 		err := f.cluster.WaitUntil(stepLimit, func() bool {
@@ -132,14 +132,14 @@
 			return err == nil && s.Serving && s.RunningSpec == spec.Digest() && s.Fence.Number == number
 		})
 		if err != nil {
-			return "", fmt.Errorf("%s runs %s by order %v, wanted is %s by one of change %d: %w",
+			return "", fmt.Errorf("%s runs %s by order %v, want %s by an order of change %d: %w",
 				m.Name, last.RunningSpec, last.Fence, spec.Digest(), number, err)
 		}
 	}
 	return fmt.Sprintf("change %d on all %d", number, len(f.cluster.Members)), nil
 }
 
-// upgradeAll restarts the supervisors one by one as another version, each on its folder.
+// upgradeAll restarts the supervisors one by one as another version, each on its existing state directory.
 func (f *fleet) upgradeAll(to build) (string, error) {
 	start := time.Now()
 	for _, m := range f.cluster.Members {
@@ -150,7 +150,7 @@
 	return fmt.Sprintf("%d, in %v", len(f.cluster.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
-// restart ends a member's supervisor, does something, and starts a version of it.
+// restart stops a member's supervisor, calls between, and starts a supervisor of the given version.
 func (f *fleet) restart(m *testcluster.Member, to build, between func() error) error {
 	if err := f.cluster.DrainMember(m); err != nil {
 		return err
@@ -163,10 +163,10 @@
 	return f.cluster.UpgradeSupervisor(m, to.program())
 }
 
-// log is all that a member's supervisors and their controllers have logged.
+// log returns everything that a member's supervisors and their controllers have logged.
 func (f *fleet) log(m *testcluster.Member) string { return f.logs[m.Name] + m.Supervisor.Log() }
 
-// logErrors are the lines of an error's level of all members.
+// logErrors returns the log lines of level ERROR of all members.
 func (f *fleet) logErrors() string {
 	var lines []string
 	for _, m := range f.cluster.Members {
@@ -179,7 +179,7 @@
 	return strings.Join(lines, " | ")
 }
 
-// writeLogs leaves all logs in a folder.
+// writeLogs writes the logs of all members to a directory.
 func (f *fleet) writeLogs(dir, scenario string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -193,7 +193,8 @@
 	return nil
 }
 
-// upgrade restarts one, and checks that it holds what it held and that its controller runs as before.
+// upgrade restarts a member's supervisor as another version. It checks that the controller runs the same spec as
+// before and that the supervisor's persistent state is unchanged.
 func (f *fleet) upgrade(member *testcluster.Member, to build) error {
 	before, err := f.cluster.Status(member)
 	if err != nil {
@@ -209,16 +210,16 @@
 		return err == nil && status.RunningSpec == before.RunningSpec
 	})
 	if err != nil {
-		return fmt.Errorf("%s runs %s after its restart, before it was %s: %w",
+		return fmt.Errorf("%s runs %s after its restart, %s before: %w",
 			member.Name, after.RunningSpec, before.RunningSpec, err)
 	}
 	if then, now := restartStateOf(before), restartStateOf(after); then != now {
-		return fmt.Errorf("%s holds %+v after its restart, before it was %+v", member.Name, now, then)
+		return fmt.Errorf("%s has state %+v after its restart, %+v before", member.Name, now, then)
 	}
 	return nil
 }
 
-// restartState is what a supervisor's folder must bring through a restart.
+// restartState is the state that a supervisor must keep across a restart.
 type restartState struct {
 	fence     change.Fence
 	orderedBy string
@@ -230,7 +231,7 @@
 	return restartState{s.Fence, s.OrderedBy, s.Spec.Digest(), s.Version}
 }
 
-// await waits for something to be so while a coordinator works, if one is given.
+// await waits until a condition holds. It fails early if process, which may be nil, exits before that.
 func (f *fleet) await(what string, process *testcluster.Process, is func() bool) error {
 	ended := false
 	err := f.cluster.WaitUntil(stepLimit, func() bool {
@@ -244,24 +245,24 @@
 	case err != nil:
 		return fmt.Errorf("%s: %w", what, err)
 	case ended && !is():
-		return fmt.Errorf("%s: the coordinator has ended: %s", what, tail(process.Log()))
+		return fmt.Errorf("%s: coordinator exited: %s", what, lastLines(process.Log()))
 	}
 	return nil
 }
 
-// tailLines are kept of a log that is shown.
+// tailLines is the number of log lines in an error message.
 const tailLines = 6
 
-// tail is the end of a log, on one line.
-func tail(log string) string {
+// lastLines returns the last lines of a log, joined into one line.
+func lastLines(log string) string {
 	lines := strings.Split(strings.TrimSpace(log), "\n")
 	return strings.Join(lines[max(0, len(lines)-tailLines):], " | ")
 }
 
-// load is the clients of a fleet, which may rest for a while.
+// load is the client load of a fleet. It can be paused.
 type load struct {
 	cluster *testcluster.Cluster
-	all     []*testcluster.Load // the last one runs, unless resting
+	all     []*testcluster.Load // the last one is running unless paused
 	paused  bool
 }
 
@@ -282,7 +283,7 @@
 	}
 }
 
-// jobs are the counts of all clients so far.
+// jobs counts the jobs of all clients so far by how they ended.
 type jobs struct{ done, throttled, cancelled, broken int64 }
 
 func (j jobs) sum() int64 { return j.done + j.throttled + j.cancelled + j.broken }
@@ -297,4 +298,4 @@
 	return j
 }
 
-var errNoMember = errors.New("no member fits")
+var errNoMember = errors.New("no voter runs the version that should rejoin")
--- a/internal/proof/upgrade/main.go
+++ b/internal/proof/upgrade/main.go
@@ -1,7 +1,7 @@
-// Command upgrade builds the program as it was at an earlier commit and as it stands now, and rolls fleets of real
-// processes under load from the one to the other and back, on folders that the earlier one wrote: make proof-upgrade.
-// Coordinators, supervisors and leaders of both versions work side by side meanwhile. It prints a line for each check
-// and ends with exit code 1 where one fails.
+// Command upgrade tests upgrades and downgrades between an earlier commit and the current tree: make proof-upgrade. It
+// builds both versions and rolls fleets of real processes under load from one to the other and back, on state
+// directories written by the other version. Coordinators, supervisors and leaders of both versions run side by side.
+// It prints a line for each check and exits with 1 if a check fails.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"swiftreel/internal/proof"
 )
 
-// baseCommit is the last one before the names of the code were changed.
+// baseCommit is the last commit before identifiers were renamed throughout the code.
 const baseCommit = "70e2e4b"
 
 func main() {
@@ -34,13 +34,14 @@
 	}
 }
 
-// prove builds both versions, plays all scenarios at once and prints what came of each check. ok: all passed.
+// prove builds both versions, runs the scenarios in parallel and prints the result of each check. ok reports whether
+// all checks passed.
 func prove(commit, only, logs string) (ok bool, err error) {
 	dir, err := os.MkdirTemp("", "upgrade")
 	if err != nil {
 		return false, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: what is left is the system's to remove
+	defer func() { _ = os.RemoveAll(dir) }() // leftovers in the temporary directory do no harm
 	start := time.Now()
 	base, current, err := buildBoth(commit, dir)
 	if err != nil {
--- a/internal/proof/upgrade/mixed.go
+++ b/internal/proof/upgrade/mixed.go
@@ -15,8 +15,8 @@
 	"swiftreel/internal/testcluster"
 )
 
-// mixedPlan is a fleet whose supervisors are of both versions by turns.
-func mixedPlan(base, current build) testcluster.Config {
+// mixedConfig describes a fleet whose supervisors alternate between the two versions.
+func mixedConfig(base, current build) testcluster.Config {
 	return testcluster.Config{Program: base.program(), Seed: 62, Controllers: 4, Engines: 2,
 		SupervisorPrograms: map[int]string{1: current.program(), 3: current.program()}}
 }
@@ -24,27 +24,27 @@
 func mixedSteps(f *fleet) []step {
 	base, current := f.base, f.current
 	return []step{
-		{"settings: base coordinator, supervisors of both", f.settingsBy(base)},
-		{"program becomes current: current coordinator, supervisors of both", f.programBy(current, current)},
-		{"program becomes base: base coordinator, supervisors of both", f.programBy(base, base)},
-		{"coordinators base, current, base: each goes on where one was killed", with(f.takeOver, base)},
-		{"coordinators current, base, current: each goes on where one was killed", with(f.takeOver, current)},
-		{"current coordinator is paused and resumed by commands of the base", with(f.pause, current)},
-		{"base coordinator is paused and resumed by commands of the current", with(f.pause, base)},
-		{"current coordinator rolls back, told by the base", with(f.requestRollback, current)},
-		{"base coordinator rolls back, told by the current", with(f.requestRollback, base)},
-		{"each version knows every field of both versions' statuses", f.sameStatuses},
-		{"both versions print the same of the record", f.sameRecord},
+		{"settings: base coordinator, supervisors of both", f.changeSettings(base)},
+		{"program becomes current: current coordinator, supervisors of both", f.changeProgram(current, current)},
+		{"program becomes base: base coordinator, supervisors of both", f.changeProgram(base, base)},
+		{"coordinators base, current, base: each goes on where one was killed", withVersion(f.takeOver, base)},
+		{"coordinators current, base, current: each goes on where one was killed", withVersion(f.takeOver, current)},
+		{"current coordinator is paused and resumed by commands of the base", withVersion(f.pause, current)},
+		{"base coordinator is paused and resumed by commands of the current", withVersion(f.pause, base)},
+		{"current coordinator rolls back, told by the base", withVersion(f.requestRollback, current)},
+		{"base coordinator rolls back, told by the current", withVersion(f.requestRollback, base)},
+		{"each version knows every field of both versions' statuses", f.compareStatuses},
+		{"both versions print the same of the record", f.compareRecords},
 	}
 }
 
-// exitFenced is the exit code of a coordinator that finds another one at work.
+// exitFenced is the exit code of a coordinator that finds another one active.
 const exitFenced = 6
 
-// exitRolledBack is that of one whose change was rolled back.
-const exitRollback = 4
+// exitRolledBack is the exit code of a coordinator whose change was rolled back.
+const exitRolledBack = 4
 
-// exitCode is that of a process that ended with an error: 0 for none, -1 where it was no exit.
+// exitCode returns the exit code of a process from the error of its wait: 0 for nil, -1 if it did not exit normally.
 func exitCode(err error) int {
 	if err == nil {
 		return 0
@@ -56,12 +56,12 @@
 	return -1
 }
 
-// resume starts a coordinator on the record of one that was killed, and waits until it has taken the change over. The
-// lock of the killed one may not be free at once.
+// resume starts a coordinator on the record of one that was killed, and waits until it has taken over the change. It
+// retries while the lock of the killed coordinator is still held.
 func (f *fleet) resume(by build) (*testcluster.Process, error) {
 	term := f.record().State.Fence.Term
 	for stop := time.Now().Add(stepLimit); ; {
-		p, err := f.cluster.StartCoordinator(by.program(), f.folder(), "resume", "--conduct")
+		p, err := f.cluster.StartCoordinator(by.program(), f.recordFolder(), "resume", "--conduct")
 		if err != nil {
 			return nil, err
 		}
@@ -75,9 +75,10 @@
 	}
 }
 
-// bakeFirstStage begins a change of settings by a coordinator of one version, and waits until its first stage bakes.
+// bakeFirstStage starts a settings change with a coordinator of the given version, and waits until its first stage
+// bakes.
 func (f *fleet) bakeFirstStage(by build) (*testcluster.Process, error) {
-	p, err := f.begin(by, change.KindSettings, f.settings(), longBake)
+	p, err := f.startChange(by, change.KindSettings, f.nextSettings(), longBake)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +86,8 @@
 	return p, err
 }
 
-// takeOver begins a change by one version, has the other take it over and then the first one again.
+// takeOver starts a change with a coordinator of one version, kills it and resumes with the other version, then kills
+// that one and resumes with the first version again.
 func (f *fleet) takeOver(first build) (string, error) {
 	p, err := f.bakeFirstStage(first)
 	if err != nil {
@@ -102,17 +104,17 @@
 	if p, err = f.resume(first); err != nil {
 		return "", err
 	}
-	detail, err := f.finish(p)
+	detail, err := f.awaitSuccess(p)
 	return fmt.Sprintf("%s, term %d", detail, f.record().State.Fence.Term), err
 }
 
-// wish leaves an operator's wish in the record, by a command of one version.
+// request records an operator's request for the current change, with a command of the given version.
 func (f *fleet) request(by build, command string) error {
-	_, err := f.cluster.Command(by.program(), "rollout", "--record", f.folder(), command)
+	_, err := f.cluster.Command(by.program(), "rollout", "--record", f.recordFolder(), command)
 	return err
 }
 
-// pause has the other version's commands pause a coordinator's change and end the pause.
+// pause pauses and resumes a coordinator's change with commands of the other version.
 func (f *fleet) pause(coordinator build) (string, error) {
 	p, err := f.bakeFirstStage(coordinator)
 	if err != nil {
@@ -128,10 +130,10 @@
 	if err := f.request(other, "resume"); err != nil {
 		return "", err
 	}
-	return f.finish(p)
+	return f.awaitSuccess(p)
 }
 
-// rollBack has the other version's command roll a coordinator's change back.
+// requestRollback rolls a coordinator's change back with a command of the other version.
 func (f *fleet) requestRollback(coordinator build) (string, error) {
 	p, err := f.bakeFirstStage(coordinator)
 	if err != nil {
@@ -140,22 +142,23 @@
 	if err := f.request(f.other(coordinator), "back"); err != nil {
 		return "", err
 	}
-	if code := exitCode(p.WaitExit()); code != exitRollback {
-		return "", fmt.Errorf("the coordinator ends with exit code %d: %s", code, tail(p.Log()))
+	if code := exitCode(p.WaitExit()); code != exitRolledBack {
+		return "", fmt.Errorf("coordinator exited with code %d: %s", code, lastLines(p.Log()))
 	}
-	if err := f.request(f.other(coordinator), "resume"); err != nil { // else the next change takes in the wish of this one
+	// Clear the request, otherwise it would also apply to the next change.
+	if err := f.request(f.other(coordinator), "resume"); err != nil {
 		return "", err
 	}
 	r := f.record()
 	if r.State.Phase != rollout.PhaseReverted {
-		return "", fmt.Errorf("the change is recorded as %s", r.State.Phase)
+		return "", fmt.Errorf("change is recorded as %s, want it rolled back", r.State.Phase)
 	}
-	detail, err := f.running(r.FromSpec, r.Change.Number)
+	detail, err := f.awaitRunning(r.FromSpec, r.Change.Number)
 	return "rolled back, " + detail, err
 }
 
-// sameStatuses has the status command of each version poll all supervisors, and compares the fields that they print.
-func (f *fleet) sameStatuses() (string, error) {
+// compareStatuses polls all supervisors with the status command of each version and compares the printed fields.
+func (f *fleet) compareStatuses() (string, error) {
 	fields := map[string][]string{}
 	for _, b := range []build{f.base, f.current} {
 		text, err := f.cluster.Command(b.program(), "fleet", "status", "--json")
@@ -163,7 +166,7 @@
 			return "", err
 		}
 		if strings.Contains(text, `"unknown_fields"`) {
-			return "", fmt.Errorf("%s does not know all fields: %s", b.version, text)
+			return "", fmt.Errorf("version %s reports unknown fields: %s", b.version, text)
 		}
 		var members []any
 		if err := json.Unmarshal([]byte(text), &members); err != nil {
@@ -175,12 +178,12 @@
 	}
 	byBase, byCurrent := fields[f.base.version], fields[f.current.version]
 	if !slices.Equal(byBase, byCurrent) {
-		return "", fmt.Errorf("fields %v, by the base %v", byCurrent, byBase)
+		return "", fmt.Errorf("current version prints fields %v, base version %v", byCurrent, byBase)
 	}
 	return fmt.Sprintf("%d fields", len(byBase)), nil
 }
 
-// addPaths adds the paths of all names in a JSON value.
+// addPaths adds the paths of all object members in a JSON value.
 func addPaths(at string, v any, paths map[string]bool) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/proof/upgrade/report.go
+++ b/internal/proof/upgrade/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// outcome is how a check ended.
+// outcome is the result of a check.
 type outcome string
 
 const (
@@ -37,7 +37,7 @@
 	r.checks = append(r.checks, check{name, o, detail})
 }
 
-// result adds a check that has run.
+// result adds a check that was run; it failed if err is not nil.
 func (r *report) result(name, detail string, err error) {
 	if err != nil {
 		r.add(name, failed, err.Error())
@@ -46,7 +46,7 @@
 	r.add(name, passed, detail)
 }
 
-// printReports prints a line for each check. It returns whether all have passed.
+// printReports prints a line for each check and returns whether all passed.
 func printReports(out io.Writer, reports []*report) bool {
 	ok, count := true, 0
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/internal/proof/upgrade/roll.go
+++ b/internal/proof/upgrade/roll.go
@@ -9,31 +9,31 @@
 	"swiftreel/internal/testcluster"
 )
 
-// rollPlan is a fleet that is all of the base version at first.
-func rollPlan(base, _ build) testcluster.Config {
+// rollConfig describes a fleet in which everything starts as the base version.
+func rollConfig(base, _ build) testcluster.Config {
 	return testcluster.Config{Program: base.program(), Seed: 61, Controllers: 3, Engines: 3,
 		Files: map[string]string{"problem.json": testcluster.PlanningProblem}}
 }
 
-// rollSteps are an upgrade and the way back, each part by each version.
+// rollSteps upgrades the fleet and downgrades it again. Each kind of change is made by coordinators of both versions.
 func rollSteps(f *fleet) []step {
 	base, current := f.base, f.current
 	return []step{
-		{"settings: base coordinator, base supervisors", f.settingsBy(base)},
-		{"supervisors become current, on folders of the base", with(f.upgradeAll, current)},
-		{"program becomes current: base coordinator, current supervisors", f.programBy(base, current)},
+		{"settings: base coordinator, base supervisors", f.changeSettings(base)},
+		{"supervisors become current, on folders of the base", withVersion(f.upgradeAll, current)},
+		{"program becomes current: base coordinator, current supervisors", f.changeProgram(base, current)},
 		{"plan solved by the base: current coordinator on the base's record, current supervisors",
 			func() (string, error) { return f.planChange(base, current, "") }},
-		{"supervisors become base, on folders of the current", with(f.upgradeAll, base)},
-		{"program becomes base: current coordinator, base supervisors", f.programBy(current, base)},
+		{"supervisors become base, on folders of the current", withVersion(f.upgradeAll, base)},
+		{"program becomes base: current coordinator, base supervisors", f.changeProgram(current, base)},
 		{"plan solved by the current: base coordinator on the current's record, base supervisors",
 			func() (string, error) { return f.planChange(current, base, "proportional") }},
-		{"both versions print the same of the record", f.sameRecord},
+		{"both versions print the same of the record", f.compareRecords},
 	}
 }
 
-// planChange solves a plan by one version and takes it through the fleet by a coordinator of another. No method is the
-// usual one.
+// planChange solves a plan with one version and rolls it out with a coordinator of another. An empty method selects the
+// default one.
 func (f *fleet) planChange(solver, coordinator build, method string) (string, error) {
 	path := filepath.Join(f.cluster.Dir, fmt.Sprintf("plan-%d.json", f.number))
 	problem := filepath.Join(f.cluster.Dir, "problem.json")
@@ -47,10 +47,11 @@
 	return f.change(coordinator, change.KindPlan, fmt.Sprintf(`{"plan":%q}`, path))
 }
 
-// sameRecord has the commands of both versions read the record's folder.
-func (f *fleet) sameRecord() (string, error) {
+// compareRecords reads the record with the commands of both versions and compares their output. It also has each
+// version write a report page.
+func (f *fleet) compareRecords() (string, error) {
 	for _, command := range []string{"status", "history"} {
-		args := []string{"rollout", "--record", f.folder(), command, "--json"}
+		args := []string{"rollout", "--record", f.recordFolder(), command, "--json"}
 		byBase, err := f.cluster.Command(f.base.program(), args...)
 		if err != nil {
 			return "", err
@@ -60,25 +61,25 @@
 			return "", err
 		}
 		if byBase != byCurrent {
-			return "", fmt.Errorf("rollout %s: %s, by the base %s", command, byCurrent, byBase)
+			return "", fmt.Errorf("rollout %s: current version prints %s, base version %s", command, byCurrent, byBase)
 		}
 	}
 	for _, b := range []build{f.base, f.current} {
-		if err := f.page(b); err != nil {
+		if err := f.writePage(b); err != nil {
 			return "", err
 		}
 	}
 	return "rollout status, rollout history, a page by each", nil
 }
 
-// page has a version write the page of the last change.
-func (f *fleet) page(b build) error {
+// writePage has a version write the HTML report of the last change.
+func (f *fleet) writePage(b build) error {
 	viewer, err := b.viewer()
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(f.cluster.Dir, b.version+".html")
-	if _, err := f.cluster.Command(viewer, "report", "--record", f.folder(), "--out", path); err != nil {
+	if _, err := f.cluster.Command(viewer, "report", "--record", f.recordFolder(), "--out", path); err != nil {
 		return err
 	}
 	info, err := os.Stat(path)
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -10,47 +10,47 @@
 	"swiftreel/internal/testcluster"
 )
 
-// scenario is a fleet of its own under load, and what is done with it, step by step.
+// scenario is a sequence of steps on a separate fleet under load.
 type scenario struct {
-	name  string
-	plan  func(base, current build) testcluster.Config
-	steps func(*fleet) []step
+	name   string
+	config func(base, current build) testcluster.Config
+	steps  func(*fleet) []step
 }
 
-// step is one thing done with a fleet, and the check of what came of it.
+// step is an operation on a fleet together with the check of its result.
 type step struct {
 	name   string
 	action action
 }
 
-// action returns figures, or why the check fails.
+// action performs a step. It returns figures to print, or an error that says why the check failed.
 type action func() (detail string, err error)
 
-// with is an action of one version.
-func with(do func(build) (string, error), version build) action {
+// withVersion binds a version to a function, which makes it an action.
+func withVersion(do func(build) (string, error), version build) action {
 	return func() (string, error) { return do(version) }
 }
 
-// scenarios are all of them; their fleets share nothing.
+// scenarios returns all scenarios. Their fleets share no state.
 func scenarios() []scenario {
 	return []scenario{
-		{"roll", rollPlan, rollSteps},
-		{"mixed", mixedPlan, mixedSteps},
-		{"voters", voterPlan, voterSteps},
-		{"transfer", transferPlan, transferSteps},
+		{"roll", rollConfig, rollSteps},
+		{"mixed", mixedConfig, mixedSteps},
+		{"voters", voterConfig, voterSteps},
+		{"transfer", transferConfig, transferSteps},
 	}
 }
 
-// play starts the fleet, takes all steps and holds what was logged against the rules. Steps after one that failed are
-// reported as not run. logs is a folder for what all processes have logged, or "".
+// play starts the fleet, runs all steps and checks the logs against the rules. Steps after a failed one are reported as
+// not run. logs is a directory for the logs of all processes; "" writes none.
 func (s scenario) play(base, current build, r *report, logs string) {
-	cluster, err := s.plan(base, current).Start()
+	cluster, err := s.config(base, current).Start()
 	if err != nil {
 		r.add("the fleet starts", failed, err.Error())
 		return
 	}
 	defer cluster.Close()
-	f := newFleet(cluster, base, current, s.plan(base, current))
+	f := newFleet(cluster, base, current, s.config(base, current))
 	watch := startWatch(cluster)
 	steps := append(s.steps(f), step{"all processes drain and end", f.stop})
 	broken := false
@@ -65,7 +65,7 @@
 	}
 	detail, err := watch.stop()
 	r.result("orders, assignments and terms never go back", detail, err)
-	if err = watch.unaskedEnds(); err != nil {
+	if err = watch.checkCrashes(); err != nil {
 		err = fmt.Errorf("%w; errors logged: %s", err, f.logErrors())
 	}
 	r.result("no controller ends unasked", "", err)
@@ -78,13 +78,13 @@
 	}
 }
 
-// minJobs is how many jobs a scenario must have played to count.
+// minJobs is the number of jobs below which a scenario proves nothing.
 const minJobs = 100
 
-// outcomes holds the logs of clients and engines against the rules.
+// outcomes checks the logs of clients and engines against the rules.
 func (f *fleet) outcomes() (string, error) {
 	if !f.stopped {
-		return "", fmt.Errorf("the fleet did not come to its end; jobs so far: %+v", f.load.jobs())
+		return "", fmt.Errorf("fleet was not stopped; jobs so far: %+v", f.load.jobs())
 	}
 	var errs []error
 	for _, v := range rulecheck.Check(testcluster.Rules, f.cluster.Events.Entries()) {
@@ -92,7 +92,7 @@
 	}
 	j := f.load.jobs()
 	if j.broken > 0 {
-		errs = append(errs, fmt.Errorf("%d connections broke before an answer: %s", j.broken, f.brokenJobs()))
+		errs = append(errs, fmt.Errorf("%d connections closed before an answer: %s", j.broken, f.brokenJobs()))
 	}
 	if j.sum() < minJobs {
 		errs = append(errs, fmt.Errorf("only %d jobs", j.sum()))
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("%d jobs, %.2f%% done, %d cut off", j.sum(), share, j.broken), errors.Join(errs...)
 }
 
-// brokenJobs names the jobs whose connections broke, and when.
+// brokenJobs lists the jobs whose connections were closed before an answer, with the time of each.
 func (f *fleet) brokenJobs() string {
 	var list []string
 	for _, e := range f.cluster.Events.Entries() {
@@ -112,7 +112,7 @@
 	return strings.Join(list, ", ")
 }
 
-// stop ends the load and lets all processes drain.
+// stop ends the load and drains all processes.
 func (f *fleet) stop() (string, error) {
 	f.load.stop()
 	start := time.Now()
--- a/internal/proof/upgrade/transfer.go
+++ b/internal/proof/upgrade/transfer.go
@@ -16,16 +16,17 @@
 	"swiftreel/internal/testcluster"
 )
 
-// transferPlan is two controllers, one under a supervisor of each version.
-func transferPlan(base, current build) testcluster.Config {
+// transferConfig describes a fleet of two controllers, one under a supervisor of each version.
+func transferConfig(base, current build) testcluster.Config {
 	return testcluster.Config{Program: base.program(), Seed: 64, Controllers: 2, Engines: 3,
 		SupervisorPrograms: map[int]string{1: current.program()}}
 }
 
-// brokenEngine is the one that fails all that it is asked.
+// brokenEngine is the engine that fails all requests while its fault is set.
 const brokenEngine = "e2"
 
-// transferSteps change the program while an engine is ejected: the next process must know it from its start.
+// transferSteps changes the program while an engine is ejected. The new process must know of the ejection from its
+// start, by the state transfer.
 func transferSteps(f *fleet) []step {
 	return []step{
 		{"an engine that fails is ejected", f.eject},
@@ -35,8 +36,8 @@
 	}
 }
 
-// ejected waits until every controller has ejected so many engines.
-func (f *fleet) ejected(n int) error {
+// awaitEjected waits until every controller has ejected n engines.
+func (f *fleet) awaitEjected(n int) error {
 	for _, m := range f.cluster.Members {
 		var last supervisor.Status
 		err := f.cluster.WaitUntil(stepLimit, func() (is bool) {
@@ -45,7 +46,7 @@
 			return err == nil && s.Serving && s.EjectedEngines == n
 		})
 		if err != nil {
-			return fmt.Errorf("%s has ejected %d engines, wanted are %d: %w", m.Name, last.EjectedEngines, n, err)
+			return fmt.Errorf("%s has ejected %d engines, want %d: %w", m.Name, last.EjectedEngines, n, err)
 		}
 	}
 	return nil
@@ -53,15 +54,16 @@
 
 func (f *fleet) eject() (string, error) {
 	f.cluster.Faults.SetFailing(brokenEngine, true)
-	return "", f.ejected(1)
+	return "", f.awaitEjected(1)
 }
 
 func (f *fleet) restore() (string, error) {
 	f.cluster.Faults.SetFailing(brokenEngine, false)
-	return "", f.ejected(0)
+	return "", f.awaitEjected(0)
 }
 
-// transfer has every controller run another version, with no load meanwhile from which it could learn.
+// transfer switches every controller to another version. The load is stopped meanwhile, so that the new process can
+// learn of the ejected engine only from its predecessor.
 func (f *fleet) transfer(to build) (string, error) {
 	f.load.stop()
 	f.number++
@@ -72,13 +74,13 @@
 	if err := f.switchAll(to); err != nil {
 		return "", err
 	}
-	before := f.began(brokenEngine)
+	before := f.countBegun(brokenEngine)
 	f.load.start()
 	done := f.load.jobs().done
 	if err := f.await("jobs are done", nil, func() bool { return f.load.jobs().done > done+minJobs }); err != nil {
 		return "", err
 	}
-	if n := f.began(brokenEngine) - before; n > 0 {
+	if n := f.countBegun(brokenEngine) - before; n > 0 {
 		return "", fmt.Errorf("%d jobs were sent to the engine that was ejected", n)
 	}
 	if _, err := f.reportFields(reports); err != nil {
@@ -88,8 +90,8 @@
 	return fmt.Sprintf("%d jobs, none to the ejected engine; %d fields reported as before", jobs, len(reports)), nil
 }
 
-// switchAll orders every controller to run another version, and checks that its new process has an engine ejected
-// from its start.
+// switchAll orders every controller to run another version, and checks that the new process has one engine ejected as
+// soon as it serves.
 func (f *fleet) switchAll(to build) error {
 	for _, m := range f.cluster.Members {
 		fence := change.Fence{Number: f.number, Term: 1, Revision: 1}
@@ -105,41 +107,41 @@
 			return err == nil && s.Serving && s.Version == to.version
 		})
 		if err != nil {
-			return fmt.Errorf("%s runs %s: %w", m.Name, s.Version, err)
+			return fmt.Errorf("%s runs version %s: %w", m.Name, s.Version, err)
 		}
 		if s.EjectedEngines != 1 {
-			return fmt.Errorf("the new process of %s has ejected %d engines from its start, wanted is 1",
+			return fmt.Errorf("new process of %s starts with %d ejected engines, want 1",
 				m.Name, s.EjectedEngines)
 		}
 	}
 	return nil
 }
 
-// reportAddress matches the log line by which a controller says where it serves its report. Supervisors of both
-// versions read it, so it cannot change.
+// reportAddress matches the log line in which a controller gives the address of its report. Supervisors of both
+// versions parse it, so it cannot change.
 var reportAddress = regexp.MustCompile(`msg=serving_tally address=(\S+)`)
 
-// reportFields returns the paths of all names in the first member's report. It waits until they are those wanted,
-// unless that is nil.
+// reportFields returns the paths of all fields in the first member's report. If wanted is not nil, it waits until the
+// fields are equal to it.
 func (f *fleet) reportFields(wanted []string) (fields []string, err error) {
 	m := f.cluster.Members[0]
 	waitErr := f.cluster.WaitUntil(stepLimit, func() bool {
-		if fields, err = reportOf(m); err != nil {
+		if fields, err = fetchReportFields(m); err != nil {
 			return false
 		}
 		return wanted == nil || slices.Equal(fields, wanted)
 	})
 	if waitErr != nil {
-		return nil, errors.Join(fmt.Errorf("%s reports fields %v, wanted are %v: %w", m.Name, fields, wanted, waitErr), err)
+		return nil, errors.Join(fmt.Errorf("%s reports fields %v, want %v: %w", m.Name, fields, wanted, waitErr), err)
 	}
 	return fields, nil
 }
 
-// reportOf requests the report of a member's newest process.
-func reportOf(member *testcluster.Member) ([]string, error) {
+// fetchReportFields requests the report of a member's newest process and returns the paths of its fields.
+func fetchReportFields(member *testcluster.Member) ([]string, error) {
 	all := reportAddress.FindAllStringSubmatch(member.Supervisor.Log(), -1)
 	if len(all) == 0 {
-		return nil, errors.New("it does not say where it reports")
+		return nil, errors.New("log has no report address")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), stepLimit)
 	defer cancel()
@@ -161,8 +163,8 @@
 	return slices.Sorted(maps.Keys(paths)), nil
 }
 
-// began counts the dispatches that an engine began.
-func (f *fleet) began(engine string) (n int) {
+// countBegun returns the number of dispatches that an engine began to run.
+func (f *fleet) countBegun(engine string) (n int) {
 	for _, e := range f.cluster.Events.Entries() {
 		if e.Event == rulecheck.Began && e.Engine == engine {
 			n++
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -19,8 +19,9 @@
 	"swiftreel/internal/testcluster"
 )
 
-// voterPlan is three voters and two more members, of both versions, with shares and plans that the leader assigns.
-func voterPlan(base, current build) testcluster.Config {
+// voterConfig describes a fleet of three voters and two other members, of both versions, with shares and plans assigned
+// by the leader.
+func voterConfig(base, current build) testcluster.Config {
 	return testcluster.Config{Program: base.program(), Seed: 63, Controllers: 5, Engines: 3, Voters: 3,
 		SupervisorPrograms: map[int]string{1: current.program(), 4: current.program()},
 		Files:              map[string]string{"problem.json": testcluster.PlanningProblem},
@@ -31,26 +32,26 @@
 func voterSteps(f *fleet) []step {
 	base, current := f.base, f.current
 	var shares *testcluster.ShareWatch
-	found := func() (string, error) {
+	bootstrap := func() (string, error) {
 		shares = f.cluster.WatchShares(watchInterval)
 		_, err := f.cluster.Command(base.program(), "fleet", "found")
 		return "", err
 	}
 	return []step{
-		{"the base founds a group of both versions", found},
-		{"assignments are followed by all", f.assigned},
-		{"settings: current leader, taken over by a base leader", with(f.agreedChange, current)},
-		{"settings: base leader, taken over by a current leader", with(f.agreedChange, base)},
-		{"program becomes current: base coordinator beside the leader", f.programBy(base, current)},
-		{"assignments are followed by current processes", f.assigned},
-		{"a base voter without memory joins under a current leader", with(f.rejoin, current)},
-		{"a current voter without memory joins under a base leader", with(f.rejoin, base)},
-		{"voters become current one by one, on folders of the base", with(f.upgradeVoters, current)},
-		{"settings: current leaders", with(f.agreedChange, current)},
-		{"program becomes base: current coordinator beside the leader", f.programBy(current, base)},
-		{"voters become base one by one, on folders of the current", with(f.upgradeVoters, base)},
-		{"settings: base leaders", with(f.agreedChange, base)},
-		{"assignments are followed by base processes", f.assigned},
+		{"the base founds a group of both versions", bootstrap},
+		{"assignments are followed by all", f.awaitAssigned},
+		{"settings: current leader, taken over by a base leader", withVersion(f.agreedChange, current)},
+		{"settings: base leader, taken over by a current leader", withVersion(f.agreedChange, base)},
+		{"program becomes current: base coordinator beside the leader", f.changeProgram(base, current)},
+		{"assignments are followed by current processes", f.awaitAssigned},
+		{"a base voter without memory joins under a current leader", withVersion(f.rejoin, current)},
+		{"a current voter without memory joins under a base leader", withVersion(f.rejoin, base)},
+		{"voters become current one by one, on folders of the base", withVersion(f.upgradeVoters, current)},
+		{"settings: current leaders", withVersion(f.agreedChange, current)},
+		{"program becomes base: current coordinator beside the leader", f.changeProgram(current, base)},
+		{"voters become base one by one, on folders of the current", withVersion(f.upgradeVoters, base)},
+		{"settings: base leaders", withVersion(f.agreedChange, base)},
+		{"assignments are followed by base processes", f.awaitAssigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
 			percent := 100 * float64(shares.MaxAssigned) / float64(quota.FullShare)
@@ -59,10 +60,10 @@
 	}
 }
 
-// assigned waits until every member goes by a share and a plan of one leader's term.
-func (f *fleet) assigned() (string, error) {
+// awaitAssigned waits until every member follows a share and a plan of the same term.
+func (f *fleet) awaitAssigned() (string, error) {
 	term := int64(0)
-	err := f.await("every member goes by a share and a plan", nil, func() bool {
+	err := f.await("every member follows a share and a plan", nil, func() bool {
 		term = 0
 		for _, m := range f.cluster.Members {
 			s, err := f.cluster.Status(m)
@@ -76,41 +77,41 @@
 	return fmt.Sprintf("term %d", term), err
 }
 
-// followsAssignment reports whether a member has a share and a plan, and its controller goes by the share, to the
-// digit that is lost between parts of a million and fractions.
+// followsAssignment reports whether a member has a share and a plan and its controller uses that share. A difference of
+// one millionth is allowed: the conversion between millionths and fractions rounds.
 func followsAssignment(s supervisor.Status) bool {
 	share := s.Assignment.Shares[quota.Fleet]
 	off := s.SharePerMillion - share
 	return s.Assignment.Term != 0 && s.Assignment.Plan != "" && share != 0 && off >= -1 && off <= 1
 }
 
-// view is the status of a voter; a zero status where it does not answer.
-func (f *fleet) view(m *testcluster.Member) (v leader.Status) {
+// voterStatus returns the status of a voter, or a zero status if it does not answer.
+func (f *fleet) voterStatus(m *testcluster.Member) (v leader.Status) {
 	if err := f.cluster.GetJSON(m, "/v1/owner", &v); err != nil {
 		return leader.Status{}
 	}
 	return v
 }
 
-// leadershipTries bounds how often leadership is handed on until it is where it should be.
+// leadershipTries limits the transfers of leadership until a voter of the wanted version leads.
 const leadershipTries = 10
 
-// lead hands leadership on until a voter of a version has it.
-func (f *fleet) lead(wanted build) (*testcluster.Member, error) {
+// moveLeadership transfers leadership until a voter of the wanted version leads, and returns that voter.
+func (f *fleet) moveLeadership(wanted build) (*testcluster.Member, error) {
 	for range leadershipTries {
 		leader, err := f.cluster.Leader(f.cluster.Voters())
 		if err != nil || f.versions[leader.Name] == wanted {
 			return leader, err
 		}
-		if err := f.handOver(leader, wanted); err != nil {
+		if err := f.stepDown(leader, wanted); err != nil {
 			return nil, err
 		}
 	}
 	return nil, fmt.Errorf("no %s voter leads after %d attempts", wanted.version, leadershipTries)
 }
 
-// handOver has a leader step down while those that should not follow it are stopped.
-func (f *fleet) handOver(leader *testcluster.Member, wanted build) error {
+// stepDown has the leader step down while voters of other versions are stopped, so that they are not elected.
+func (f *fleet) stepDown(leader *testcluster.Member, wanted build) error {
 	for _, m := range f.cluster.Voters() {
 		if m != leader && f.versions[m.Name] != wanted {
 			m.Supervisor.Signal(syscall.SIGSTOP)
@@ -118,8 +119,8 @@
 		}
 	}
 	err := f.cluster.StepDown(leader)
-	if errors.Is(err, testcluster.ErrRefused) { // it has just begun, or leads no more
-		time.Sleep(100 * time.Millisecond) // before the next attempt, not a proof
+	if errors.Is(err, testcluster.ErrRefused) { // its term has just begun, or it is no longer the leader
+		time.Sleep(100 * time.Millisecond) // pause before the next attempt
 		return nil
 	}
 	if err != nil {
@@ -127,15 +128,15 @@
 	}
 	return f.await("leadership is handed on", nil, func() bool {
 		for _, m := range f.cluster.Voters() {
-			if m != leader && f.versions[m.Name] == wanted && f.view(m).Active {
+			if m != leader && f.versions[m.Name] == wanted && f.voterStatus(m).Active {
 				return true
 			}
 		}
-		return f.view(leader).Active // nobody took over
+		return f.voterStatus(leader).Active // no other voter took over
 	})
 }
 
-// agreedRecord is the change as the group has agreed on it; a zero record where no leader returns it.
+// agreedRecord returns the replicated record of the change, or a zero record if no leader returns it.
 func (f *fleet) agreedRecord() (r coordinator.Record) {
 	leader, err := f.cluster.Leader(f.cluster.Voters())
 	if err != nil || f.cluster.GetJSON(leader, "/v1/owner/item?name=change.json", &r) != nil {
@@ -144,13 +145,13 @@
 	return r
 }
 
-// agreedChange begins a change of settings under a leader of one version, by a command of the other, and has the
-// other version, where there is a voter of that, take it over in the first stage.
+// agreedChange starts a settings change under a leader of one version, with a command of the other version. If there is
+// a voter of the other version, that one takes over leadership in the first stage.
 func (f *fleet) agreedChange(first build) (string, error) {
-	if _, err := f.lead(first); err != nil {
+	if _, err := f.moveLeadership(first); err != nil {
 		return "", err
 	}
-	file, err := f.writeChange(change.KindSettings, f.settings(), longBake)
+	file, err := f.writeChange(change.KindSettings, f.nextSettings(), longBake)
 	if err != nil {
 		return "", err
 	}
@@ -170,7 +171,7 @@
 			next = f.other(first)
 		}
 	}
-	if _, err := f.lead(next); err != nil {
+	if _, err := f.moveLeadership(next); err != nil {
 		return "", err
 	}
 	if err := f.await("the end of the change", nil, func() bool {
@@ -179,24 +180,24 @@
 	}); err != nil {
 		return "", fmt.Errorf("%w: %s: %s", err, r.State.Phase, r.State.Reason)
 	}
-	return f.reached(r)
+	return f.checkDone(r)
 }
 
-// item is a voter's copy of the agreed record.
-func (f *fleet) item(m *testcluster.Member) (text json.RawMessage) {
+// agreedCopy returns a voter's copy of the replicated record, or nil if it cannot be read.
+func (f *fleet) agreedCopy(m *testcluster.Member) (text json.RawMessage) {
 	if err := f.cluster.GetJSON(m, "/v1/owner/item?name=change.json", &text); err != nil {
 		return nil
 	}
 	return text
 }
 
-// inGroup waits until a voter is a member under a number that it may have, and has the agreed record.
-func (f *fleet) inGroup(m *testcluster.Member, record json.RawMessage, numberFits func(uint64) bool) error {
+// awaitInGroup waits until a voter is in the group with an acceptable ID and has the replicated record.
+func (f *fleet) awaitInGroup(m *testcluster.Member, record json.RawMessage, numberFits func(uint64) bool) error {
 	var v leader.Status
 	err := f.await(m.Name+" is in the group with the agreed record", nil, func() bool {
-		v = f.view(m)
+		v = f.voterStatus(m)
 		complete := v.RaftLeader != "" && len(v.Voters) == len(f.cluster.Voters())
-		return numberFits(v.ID) && complete && bytes.Equal(f.item(m), record)
+		return numberFits(v.ID) && complete && bytes.Equal(f.agreedCopy(m), record)
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %+v", err, v)
@@ -204,8 +205,8 @@
 	return nil
 }
 
-// upgradeVoters restarts the members one by one as another version. Voters keep their number, their term and what was
-// agreed.
+// upgradeVoters restarts the members one by one as another version. Voters must keep their ID, must not go back to an
+// earlier term and must have the replicated record.
 func (f *fleet) upgradeVoters(to build) (string, error) {
 	start := time.Now()
 	for i, m := range f.cluster.Members {
@@ -215,27 +216,27 @@
 			}
 			continue
 		}
-		before, record := f.view(m), f.item(m)
+		before, record := f.voterStatus(m), f.agreedCopy(m)
 		if before.ID == 0 || record == nil {
-			return "", fmt.Errorf("%s is of no group or has no record: %+v", m.Name, before)
+			return "", fmt.Errorf("%s is in no group or has no record: %+v", m.Name, before)
 		}
 		if err := f.upgrade(m, to); err != nil {
 			return "", err
 		}
-		if err := f.inGroup(m, record, func(number uint64) bool { return number == before.ID }); err != nil {
+		if err := f.awaitInGroup(m, record, func(number uint64) bool { return number == before.ID }); err != nil {
 			return "", err
 		}
-		if after := f.view(m); after.Term < before.Term {
-			return "", fmt.Errorf("%s knows term %d, before its restart it was %d", m.Name, after.Term, before.Term)
+		if after := f.voterStatus(m); after.Term < before.Term {
+			return "", fmt.Errorf("%s is at term %d after its restart, %d before", m.Name, after.Term, before.Term)
 		}
 	}
 	return fmt.Sprintf("%d members in %v", len(f.cluster.Members), time.Since(start).Round(100*time.Millisecond)), nil
 }
 
-// rejoin has a voter of one version lose its memory and join a group that the other one leads, which sends it a
-// snapshot.
+// rejoin deletes the store of a voter of one version and has it join the group again under a leader of the other
+// version, which sends it a snapshot.
 func (f *fleet) rejoin(leaderVersion build) (string, error) {
-	leader, err := f.lead(leaderVersion)
+	leader, err := f.moveLeadership(leaderVersion)
 	if err != nil {
 		return "", err
 	}
@@ -244,18 +245,18 @@
 		if f.versions[m.Name] != joining {
 			continue
 		}
-		before, record := f.view(m).ID, f.item(leader)
+		before, record := f.voterStatus(m).ID, f.agreedCopy(leader)
 		removeState := func() error { return os.Remove(filepath.Join(f.cluster.Dir, m.Name, "owner.db")) }
 		if err := f.restart(m, joining, removeState); err != nil {
 			return "", err
 		}
-		if number := f.view(m).ID; number != 0 {
-			return "", fmt.Errorf("%s came back as number %d", m.Name, number)
+		if number := f.voterStatus(m).ID; number != 0 {
+			return "", fmt.Errorf("%s restarted without its store, but with ID %d", m.Name, number)
 		}
 		if _, err := f.cluster.Command(joining.program(), "fleet", "join", m.Name); err != nil {
 			return "", err
 		}
-		err := f.inGroup(m, record, func(number uint64) bool { return number != 0 && number != before })
+		err := f.awaitInGroup(m, record, func(number uint64) bool { return number != 0 && number != before })
 		return m.Name, err
 	}
 	return "", errNoMember
