--- a/internal/proof/store/commits.go
+++ b/internal/proof/store/commits.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	measureFor     = 2 * time.Second
-	commitPayload  = 250 // bytes
-	plainWrite     = 300 // bytes, about those of a commit
-	minGroupFactor = 4   // maxWriters commit at least so many times as often as one
-	maxWriters     = 64
+	measureDuration    = 2 * time.Second
+	commitPayloadBytes = 250
+	plainWriteBytes    = 300 // about the size of a commit
+	minGroupFactor     = 4   // least ratio of the commit rate of maxWriters writers to that of one
+	maxWriters         = 64
 )
 
-// latencies are the durations of one measurement.
+// latencies holds the durations of the operations of one measurement.
 type latencies []time.Duration
 
-func (l latencies) rate() float64 { return float64(len(l)) / measureFor.Seconds() }
+func (l latencies) rate() float64 { return float64(len(l)) / measureDuration.Seconds() }
 
-// percentile returns a duration for print; the latencies must be sorted.
+// percentile returns a percentile, rounded for printing. The latencies must be sorted.
 func (l latencies) percentile(percent int) time.Duration {
 	return l[len(l)*percent/100].Round(time.Microsecond)
 }
 
-// measureCommits measures commits by the number of goroutines that commit at once, beside plain syncs in the same
-// directory.
+// measureCommits measures the commit rate with different numbers of concurrent writers, and plain syncs in the same
+// directory for comparison.
 func measureCommits(dir string) error {
 	plain, err := measurePlainSyncs(filepath.Join(dir, "plain"))
 	if err != nil {
 		return err
 	}
 	fmt.Printf("the disk's own: %d bytes and a sync %.0f a second, p50 %v, p99 %v\n",
-		plainWrite, plain.rate(), plain.percentile(50), plain.percentile(99))
+		plainWriteBytes, plain.rate(), plain.percentile(50), plain.percentile(99))
 	singleRate := 0.0
 	for _, writers := range []int{1, 8, maxWriters} {
 		rate, err := measureGroupCommit(filepath.Join(dir, fmt.Sprint("commits", writers)), writers)
@@ -49,22 +49,22 @@
 			singleRate = rate
 		}
 		if writers == maxWriters && rate < minGroupFactor*singleRate {
-			return fmt.Errorf("%d waiting commit %.0f a second, one %.0f", maxWriters, rate, singleRate)
+			return fmt.Errorf("%d writers commit %.0f times a second, one writer %.0f times", maxWriters, rate, singleRate)
 		}
 	}
 	return nil
 }
 
-// measurePlainSyncs writes and syncs a file without the store.
+// measurePlainSyncs measures a write and a sync of a plain file, without the store.
 func measurePlainSyncs(path string) (sorted latencies, err error) {
 	file, err := os.Create(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	for start := time.Now(); time.Since(start) < measureFor; {
+	for start := time.Now(); time.Since(start) < measureDuration; {
 		writeStart := time.Now()
-		if _, err := file.Write(make([]byte, plainWrite)); err != nil {
+		if _, err := file.Write(make([]byte, plainWriteBytes)); err != nil {
 			return nil, err
 		}
 		if err := file.Sync(); err != nil {
@@ -76,8 +76,8 @@
 	return sorted, nil
 }
 
-// measureGroupCommit commits from a number of goroutines to a new store, prints what it measured, and returns the
-// commits a second.
+// measureGroupCommit commits to a new store from the given number of goroutines, prints the figures, and returns the
+// commits per second.
 func measureGroupCommit(path string, writers int) (rate float64, err error) {
 	directory, err := store.OpenDirectory(path)
 	if err != nil {
@@ -106,7 +106,7 @@
 	var mu sync.Mutex
 	var all latencies
 	var running sync.WaitGroup
-	end := time.Now().Add(measureFor)
+	end := time.Now().Add(measureDuration)
 	for range writers {
 		running.Go(func() {
 			own := commitUntil(committer, end)
@@ -120,12 +120,12 @@
 	return all
 }
 
-// commitUntil commits one record at a time until a moment.
+// commitUntil commits one record at a time until the given time. It returns nil if a commit fails.
 func commitUntil(committer *store.Committer, end time.Time) latencies {
 	var own latencies
 	for time.Now().Before(end) {
 		start := time.Now()
-		record := store.Record{Kind: 1, Payload: make([]byte, commitPayload)}
+		record := store.Record{Kind: 1, Payload: make([]byte, commitPayloadBytes)}
 		if err := committer.Commit(record); err != nil {
 			return nil
 		}
--- a/internal/proof/store/main.go
+++ b/internal/proof/store/main.go
@@ -1,5 +1,5 @@
-// Command store measures that the store keeps what it acknowledged, and what that costs: make proof-store. It prints
-// its figures and exits with 1 if one of them fails.
+// Command store tests that the store keeps what it has acknowledged and measures the cost: make proof-store. It prints
+// its figures and exits with 1 if a check fails.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"swiftreel/internal/proof"
 )
 
-// crashSeeds is how many sequences of work the tests of the store cut off at each of their calls.
+// crashSeeds is the number of seeded workloads that the store's tests interrupt at each disk operation.
 const crashSeeds = "1000"
 
 func main() {
@@ -28,14 +28,14 @@
 			report.Failf("%v", err)
 		}
 	}
-	_ = os.RemoveAll(dir) // a temporary directory; what is left harms nothing
+	_ = os.RemoveAll(dir) // leftovers in the temporary directory do no harm
 	report.PrintTotal()
 	if report.HasFailed() {
 		os.Exit(1)
 	}
 }
 
-// runTests runs the tests of store and recovery and prints the figures that they log.
+// runTests runs the tests of packages store and recovery and prints the figures that they log.
 func runTests(report *proof.Report) {
 	output, err := goTest("./internal/store", "-args", "-seeds", crashSeeds)
 	if err == nil {
@@ -56,7 +56,7 @@
 	return exec.Command("go", arguments...).CombinedOutput()
 }
 
-// printFigures prints a line of test output if it is logged by a test or says how one ended.
+// printFigures prints a line of test output if it is a log line or the result of a test.
 func printFigures(line string) {
 	if strings.HasPrefix(line, "---") {
 		fmt.Print(line)
--- a/internal/proof/store/startup.go
+++ b/internal/proof/store/startup.go
@@ -16,13 +16,13 @@
 	recordCount     = 1_000_000
 	recordsPerBatch = 4096
 	recordsPerJob   = 4
-	recordsPerOpen  = 100 // one job is left open for so many records
+	recordsPerOpen  = 100 // one open job per this many records
 	orderingKeys    = 5000
 	retainedAnswers = 1000
 	maxStartup      = 20 * time.Second
 )
 
-// startup is a store that was opened, with the time that it took.
+// startup is an opened store and the time that opening it took.
 type startup struct {
 	ledger *recovery.Ledger
 	log    *store.Log
@@ -36,8 +36,8 @@
 	return startup{ledger: ledger, log: log, took: time.Since(start)}, err
 }
 
-// measureStartup writes a million records of jobs, of which one in a hundred is left open, and measures a start from
-// them with and without a checkpoint.
+// measureStartup writes recordCount records of jobs, with one open job per recordsPerOpen records, and measures opening
+// the store with and without a checkpoint.
 func measureStartup(dir string) (err error) {
 	directory, err := store.OpenDirectory(filepath.Join(dir, "million"))
 	if err != nil {
@@ -69,17 +69,17 @@
 	fmt.Printf("; a checkpoint of them %.2f s, and a start from that %.2f s\n",
 		checkpointTook.Seconds(), short.took.Seconds())
 	if full.took > maxStartup {
-		return fmt.Errorf("it took over %v", maxStartup)
+		return fmt.Errorf("opening the store took over %v", maxStartup)
 	}
 	return compareLedgers(full.ledger, short.ledger)
 }
 
-// compareLedgers checks that a checkpoint holds the state from which it was written.
+// compareLedgers checks that the ledger read from a checkpoint has the same open jobs as the one it was written from.
 func compareLedgers(written, read *recovery.Ledger) error {
 	wantOpen, _ := written.Size()
 	gotOpen, _ := read.Size()
 	if gotOpen != wantOpen || wantOpen < recordCount/recordsPerOpen/2 {
-		return fmt.Errorf("%d jobs are open, %d were", gotOpen, wantOpen)
+		return fmt.Errorf("%d jobs are open after the restart, want %d", gotOpen, wantOpen)
 	}
 	want, err := json.Marshal(written.OpenJobs(1))
 	if err != nil {
@@ -90,12 +90,12 @@
 		return err
 	}
 	if !bytes.Equal(got, want) {
-		return errors.New("the checkpoint tells another state")
+		return errors.New("open jobs read from the checkpoint differ")
 	}
 	return nil
 }
 
-// batchWriter appends records in batches until there are recordCount.
+// batchWriter appends records in batches until recordCount is reached.
 type batchWriter struct {
 	log   *store.Log
 	batch []store.Record
@@ -136,7 +136,7 @@
 	return opened.log.Close()
 }
 
-// writeJob writes the records of one job. Some jobs stay open with an attempt out.
+// writeJob writes the records of one job. Some jobs stay open with an attempt in progress.
 func writeJob(w *batchWriter, number int) error {
 	call := recovery.CallID(fmt.Sprintf("%016x", number))
 	key := fmt.Sprint("k", number%orderingKeys)
