--- a/internal/proof/soak/main.go
+++ b/internal/proof/soak/main.go
@@ -1,6 +1,5 @@
-// Command soak plays runs of many seeds with real controller and engine processes on loopback, with faults that
-// overlap, and ends with 1 where an invariant is broken. It prints what a seed was made of, so that it can be played
-// again.
+// Command soak runs real controller and engine processes on loopback under overlapping faults, one run per seed, and
+// exits with 1 if an invariant is violated. For such a seed it prints the faults, so that the run can be repeated.
 package main
 
 import (
@@ -29,22 +28,22 @@
 	}
 }
 
-// runEngine is the engine's process: name, incarnation, seed.
+// runEngine is the main function of an engine process. Its arguments are name, incarnation and seed.
 func runEngine(args []string) {
-	incarnation, _ := strconv.Atoi(args[1])       // written by this program
+	incarnation, _ := strconv.Atoi(args[1])       // always a number: the soak formats it
 	seed, _ := strconv.ParseUint(args[2], 10, 64) // likewise
 	err := soak.EngineMain(args[0], incarnation, seed, os.Stdout)
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
 }
 
-// options are the flags.
+// options holds the command-line flags.
 type options struct {
 	firstSeed uint64
 	seeds     int
 	program   string
 	tags      string
-	run       soak.Config // of each seed
+	run       soak.Config // of every seed, without the seed and the programs
 }
 
 func parseFlags() options {
@@ -72,7 +71,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(folder) }() // a temporary folder: what is left is the system's to remove
+		defer func() { _ = os.RemoveAll(folder) }() // leftovers in the temporary directory do no harm
 		o.program = filepath.Join(folder, "swiftreel")
 		if err := buildProgram(o.program, o.tags); err != nil {
 			return err
@@ -85,10 +84,10 @@
 	return playSeeds(o, self)
 }
 
-// playSeeds plays all seeds with engines run by a program, and prints what came of them.
+// playSeeds runs all seeds and prints their results. self is the program that runs the engines.
 func playSeeds(o options, self string) error {
 	failed := 0
-	played, found := map[string]int{}, map[string]int{}
+	played, withFindings := map[string]int{}, map[string]int{}
 	for i := range o.seeds {
 		config := o.run
 		config.Program = o.program
@@ -104,11 +103,11 @@
 		for pair, count := range report.Pairs {
 			played[pair] += count
 			if len(report.Findings) > 0 {
-				found[pair] += count
+				withFindings[pair] += count
 			}
 		}
 	}
-	printPairs(played, found)
+	printPairs(played, withFindings)
 	fmt.Printf("%d of %d seeds without a finding\n", o.seeds-failed, o.seeds)
 	if failed > 0 {
 		return fmt.Errorf("%d seeds with findings", failed)
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// buildProgram builds the controller. With the tag fault its faults are steered by the environment.
+// buildProgram builds the controller. With the build tag fault, the environment controls its faults.
 func buildProgram(path, tags string) error {
 	const steered = "-X swiftreel/internal/failpoint.name=steered"
 	build := exec.Command("go", "build", "-tags", tags, "-ldflags", steered, "-o", path, "swiftreel/cmd/swiftreel")
@@ -126,9 +125,9 @@
 	return nil
 }
 
-const maxPrinted = 40 // findings of a seed
+const maxPrinted = 40 // findings per seed
 
-// printReport prints what came of a seed, and reports whether nothing was found.
+// printReport prints the result of a seed and reports whether it has no findings.
 func printReport(seed uint64, report soak.Report) bool {
 	rules := map[string]int{}
 	for _, f := range report.Findings {
@@ -152,9 +151,9 @@
 	return false
 }
 
-// printPairs prints how many of the placed pairs of faults were played, how often each, and those of seeds with
-// findings.
-func printPairs(played, found map[string]int) {
+// printPairs prints how many pairs of overlapping faults were placed, how often each occurred, and how often in seeds
+// with findings.
+func printPairs(played, withFindings map[string]int) {
 	total := 0
 	for _, count := range played {
 		total += count
@@ -162,8 +161,8 @@
 	fmt.Printf("%d pairs of faults placed, %d different\n", total, len(played))
 	for _, pair := range slices.Sorted(maps.Keys(played)) {
 		fmt.Printf("  pair %-50s %3d", pair, played[pair])
-		if found[pair] > 0 {
-			fmt.Printf(", %d of them in seeds with findings", found[pair])
+		if withFindings[pair] > 0 {
+			fmt.Printf(", %d of them in seeds with findings", withFindings[pair])
 		}
 		fmt.Println()
 	}
