--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -22,32 +22,32 @@
 	shareCheckInterval = 100 * time.Millisecond
 	changeTimeout      = 40 * time.Second
 	applyTimeout       = 20 * time.Second
-	strikesPerChange   = 2
-	maxStrikeDelayMS   = 900
+	lossesPerChange    = 2
+	maxLossDelayMS     = 900
 	quotaAndPlanning   = `"parts":{"life_ms":3000},` +
 		`"planning":{"problem":"problem.json","every_ms":5000,"least_ms":1000,"life_ms":10000},`
 )
 
-// changeTiming makes changes quick, and their limits so wide that none fails: the proof is not about the canary
-// analysis.
+// changeTiming makes changes quick, with limits so wide that the canary analysis stops none: this proof does not test
+// the analysis.
 const changeTiming = `"stages":[{"per_mille":1},{"per_mille":500},{"per_mille":1000}],` +
 	`"pace":{"base_ms":300,"bake_ms":300,"most_ms":60000,"apply_ms":20000,"steady_ms":1,"unheard_ms":2500,` +
 	`"shared_ms":3000,"look_ms":50},
 "limits":{"jobs_wanted":5,"shared_per_mille":900,"slower_per_mille":900,"missed_per_mille":900,` +
 	`"throttled_per_mille":900,"cpu_percent":5000,"memory_percent":5000,"crashes":1000}`
 
-// clusterRun is one cluster of real processes, what happens to it, and what is found.
+// clusterRun is a run of one cluster of real processes, with its results.
 type clusterRun struct {
 	program  string
 	number   int
 	random   *rand.Rand
-	eachStep bool // lose the leader in each step of a change, then all voters' stores
+	eachStep bool // lose the leader in each step of a change, then the store of every voter
 	cluster  *testcluster.Cluster
 
-	stopped    []*testcluster.Member // by SIGSTOP, now
-	killedLogs []string              // logs of supervisors that were killed
+	stopped    []*testcluster.Member // currently stopped by SIGSTOP
+	killedLogs []string              // logs of killed supervisors
 
-	failovers  map[strike][]time.Duration // until another member acted
+	failovers  map[leaderLoss][]time.Duration // time until another member acted as leader
 	violations []rulecheck.Violation
 	jobs       jobCounts
 	terms      int
@@ -56,13 +56,13 @@
 	planCount  int
 }
 
-// play runs the cluster through its changes and checks what came of it.
+// play starts the cluster, plays its changes and checks the results.
 func (r *clusterRun) play() error {
-	plan := r.clusterPlan()
-	plan.Voters = voterCount
-	plan.FleetFields = quotaAndPlanning
+	config := r.clusterConfig()
+	config.Voters = voterCount
+	config.FleetFields = quotaAndPlanning
 	var err error
-	r.cluster, err = plan.Start()
+	r.cluster, err = config.Start()
 	if err != nil {
 		return err
 	}
@@ -93,10 +93,10 @@
 	return nil
 }
 
-// playBaseline plays the load on a cluster without a leader.
+// playBaseline runs the load on a cluster without a leader.
 func (r *clusterRun) playBaseline() error {
 	var err error
-	r.cluster, err = r.clusterPlan().Start()
+	r.cluster, err = r.clusterConfig().Start()
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	return r.cluster.Stop()
 }
 
-func (r *clusterRun) clusterPlan() testcluster.Config {
+func (r *clusterRun) clusterConfig() testcluster.Config {
 	return testcluster.Config{
 		Program:     r.program,
 		Seed:        uint64(r.number) + 1,
@@ -138,21 +138,21 @@
 		}
 		return r.replaceVoters()
 	}
-	for number := 1; number <= schedulesPerCluster; number++ {
-		if err := r.playSchedule(number); err != nil {
-			return fmt.Errorf("schedule %d: %w", number, err)
+	for number := 1; number <= changesPerCluster; number++ {
+		if err := r.playChange(number); err != nil {
+			return fmt.Errorf("change %d: %w", number, err)
 		}
 	}
 	return nil
 }
 
-// command runs the program as an operator does.
+// command runs an operator command of the program.
 func (r *clusterRun) command(arguments ...string) error {
 	_, err := r.cluster.Command(r.program, arguments...)
 	return err
 }
 
-// awaitLeader waits until a voter other than the named one acts as leader.
+// awaitLeader waits until a voter other than except acts as leader.
 func (r *clusterRun) awaitLeader(except string) (*testcluster.Member, error) {
 	candidates := slices.DeleteFunc(r.cluster.Voters(), func(member *testcluster.Member) bool {
 		return member.Name == except || slices.Contains(r.stopped, member)
@@ -166,14 +166,14 @@
 	NewSpec change.Spec   `json:"to"`
 }
 
-// readChange reads the rollout's record from a member.
+// readChange reads the replicated rollout record from a member.
 func (r *clusterRun) readChange(from *testcluster.Member) (replicatedChange, error) {
 	var record replicatedChange
 	err := r.cluster.GetJSON(from, "/v1/owner/item?name=change.json", &record)
 	return record, err
 }
 
-// startChange starts a change of the settings. bakeMS is for how long each stage bakes.
+// startChange starts a settings change whose stages bake for bakeMS milliseconds each.
 func (r *clusterRun) startChange(number, bakeMS int) error {
 	text := fmt.Sprintf(`{"number":%d,"kind":"settings","to":{"shape":{"budget_free":%d}},%s}`,
 		number, number, changeTiming)
@@ -185,14 +185,14 @@
 	return r.command("rollout", "start", "--agreed", file)
 }
 
-// playSchedule takes a change through while the leader is lost in some way, twice.
-func (r *clusterRun) playSchedule(number int) error {
+// playChange rolls a change out and loses the leader lossesPerChange times meanwhile, in ways drawn from the seed.
+func (r *clusterRun) playChange(number int) error {
 	if err := r.startChange(number, defaultBakeMS); err != nil {
 		return err
 	}
-	for range strikesPerChange {
-		time.Sleep(time.Duration(r.random.IntN(maxStrikeDelayMS)) * time.Millisecond) // the seed says when it strikes
-		if err := r.strikeRandomly(); err != nil {
+	for range lossesPerChange {
+		time.Sleep(time.Duration(r.random.IntN(maxLossDelayMS)) * time.Millisecond) // the seed determines the time
+		if err := r.loseRandomly(); err != nil {
 			return err
 		}
 	}
@@ -201,7 +201,7 @@
 		return err
 	}
 	if record.State.Phase != rollout.PhaseDone {
-		return fmt.Errorf("ends as %s: %s", record.State.Phase, record.State.Outcome)
+		return fmt.Errorf("change ended as %s: %s", record.State.Phase, record.State.Outcome)
 	}
 	return r.awaitRunning(record.NewSpec.Digest())
 }
@@ -217,12 +217,12 @@
 		return err == nil && record.State.Phase.IsTerminal()
 	})
 	if err != nil {
-		err = fmt.Errorf("does not end: %s (%s): %w", record.State.Phase, record.State.Reason, err)
+		err = fmt.Errorf("change does not end: %s (%s): %w", record.State.Phase, record.State.Reason, err)
 	}
 	return record, err
 }
 
-// awaitRunning waits until all controllers run a spec.
+// awaitRunning waits until all controllers run the given spec.
 func (r *clusterRun) awaitRunning(spec change.Digest) error {
 	for _, member := range r.cluster.Members {
 		err := r.cluster.WaitUntil(applyTimeout, func() bool {
@@ -230,7 +230,7 @@
 			return err == nil && status.RunningSpec == spec
 		})
 		if err != nil {
-			return fmt.Errorf("%s does not run it: %w", member.Name, err)
+			return fmt.Errorf("%s does not run the new spec: %w", member.Name, err)
 		}
 	}
 	return nil
--- a/internal/proof/owner/cost_fleet.go
+++ b/internal/proof/owner/cost_fleet.go
@@ -23,7 +23,7 @@
 	costDrainMS    = 1000
 )
 
-// costFleet is listeners in this process, and voters in processes of their own.
+// costFleet is a fleet with listeners in this process and voters in separate processes.
 type costFleet struct {
 	folder    string
 	settings  operator.Fleet
@@ -33,7 +33,7 @@
 	bytes     atomic.Int64 // to and from the listeners
 }
 
-// startCostFleet starts a fleet of so many listeners.
+// startCostFleet starts a fleet with count listeners.
 func startCostFleet(count int) (*costFleet, error) {
 	folder, err := os.MkdirTemp("", "costs")
 	if err != nil {
@@ -75,8 +75,8 @@
 // close kills the voters and removes all files.
 func (f *costFleet) close() {
 	for _, voter := range f.voters {
-		_ = voter.Process.Kill() // it may have ended
-		_ = voter.Wait()         // it was killed
+		_ = voter.Process.Kill() // fails if it has already exited
+		_ = voter.Wait()         // always an error: it was killed
 	}
 	for _, socket := range f.sockets {
 		_ = socket.Close()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// addVoter adds a voter to the settings, at an address that was free a moment ago.
+// addVoter adds a voter to the settings, at an address that was just found to be free.
 func (f *costFleet) addVoter(name string) error {
 	socket, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -138,14 +138,13 @@
 	return nil
 }
 
-// bootstrapBody is what makes a process a voter.
+// bootstrapBody is the body of the request that makes a process a voter.
 type bootstrapBody struct {
 	ID      int               `json:"id"`
 	Members map[uint64]string `json:"names"`
 }
 
-// awaitLeader bootstraps the voters as they come up, until one of them acts as leader, and returns that one's
-// process.
+// awaitLeader bootstraps the voters as they come up until one of them acts as leader, and returns its process ID.
 func (f *costFleet) awaitLeader() (pid int, err error) {
 	names := map[uint64]string{}
 	for i, name := range f.settings.Voters {
@@ -154,7 +153,7 @@
 	voters := f.settings.Members[len(f.listeners):]
 	for end := time.Now().Add(costTimeout); ; time.Sleep(costInterval) {
 		if time.Now().After(end) {
-			return 0, fmt.Errorf("nobody owns %d listeners", len(f.listeners))
+			return 0, fmt.Errorf("no leader for %d listeners", len(f.listeners))
 		}
 		for i, voter := range voters {
 			bootstrapVoter(voter, bootstrapBody{ID: i + 1, Members: names})
@@ -167,7 +166,8 @@
 	}
 }
 
-// bootstrapVoter asks a process to become a voter. It may not be up yet, or be one already.
+// bootstrapVoter requests that a process become a voter. Errors are ignored: the process may not be up yet, or may be a
+// voter already.
 func bootstrapVoter(voter operator.Member, body bootstrapBody) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// request asks a voter. The caller closes the response's body.
+// request sends a request to a voter. The caller closes the response body.
 func request(method string, voter operator.Member, path string, body []byte) (*http.Response, error) {
 	url := "http://" + voter.Listen + path
 	r, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(body))
@@ -189,7 +189,7 @@
 	return http.DefaultClient.Do(r)
 }
 
-// isActive reports whether a voter acts as leader now.
+// isActive reports whether a voter currently acts as leader.
 func isActive(voter operator.Member) bool {
 	response, err := request(http.MethodGet, voter, "/v1/owner", nil)
 	if err != nil {
@@ -200,11 +200,11 @@
 	return json.NewDecoder(response.Body).Decode(&status) == nil && status.Active
 }
 
-// awaitAssignments waits until the listeners have accepted so many assignments together.
+// awaitAssignments waits until the listeners have accepted count assignments in total.
 func (f *costFleet) awaitAssignments(count int) error {
 	for end := time.Now().Add(costTimeout); f.assignmentCount() < count; time.Sleep(costInterval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("%d listeners heard %d words", len(f.listeners), f.assignmentCount())
+			return fmt.Errorf("%d listeners accepted only %d assignments", len(f.listeners), f.assignmentCount())
 		}
 	}
 	return nil
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -11,28 +11,28 @@
 	"swiftreel/internal/proof"
 )
 
-// What leading costs by the number of listeners. Three voters are processes of their own (this program, with the real
-// packages); listeners are supervisors' handlers in this process, with the real fence. It is compared with the plain
-// way: a file that everyone polls.
+// This file measures the cost of a leader by the number of listeners. The three voters are separate processes (this
+// program, with the real packages). Listeners are supervisor handlers in this process, with the real fence. The cost is
+// compared with that of a file that every member polls.
 
 const (
-	costDuration   = 4 * time.Second // measured, once it has settled
+	costDuration   = 4 * time.Second // length of the measurement, after the first assignments
 	maxLeaderCores = 0.5             // at 300 listeners
-	minAssignments = 0.5             // to a listener in a second
+	minAssignments = 0.5             // per listener and second
 	costTimeout    = 20 * time.Second
 	costInterval   = 50 * time.Millisecond
 )
 
 var listenerCounts = []int{5, 50, 300}
 
-// leadingCost is what a leader uses and does, each second.
+// leadingCost is what a leader uses and sends, per second.
 type leadingCost struct {
 	cores       float64
 	bytes       float64 // to and from listeners
-	assignments float64 // to each listener
+	assignments float64 // per listener
 }
 
-// proveCosts measures leaders of few and of many listeners.
+// proveCosts measures the cost of a leader for each of listenerCounts.
 func proveCosts(report *proof.Report) {
 	for _, count := range listenerCounts {
 		cost, err := measureLeading(count)
@@ -59,7 +59,7 @@
 		count, 1000*cost.cores, cost.bytes/1e3, cost.assignments, count, 1000*pollingCores)
 }
 
-// measureLeading measures a leader of so many listeners.
+// measureLeading measures the cost of a leader with count listeners.
 func measureLeading(count int) (leadingCost, error) {
 	fleet, err := startCostFleet(count)
 	if err != nil {
@@ -86,9 +86,9 @@
 	}, nil
 }
 
-// cpuSeconds returns what a process has used so far, to a hundredth of a second; 0: not known.
+// cpuSeconds returns the CPU time of a process so far, in steps of a hundredth of a second, or 0 if it is unknown.
 func cpuSeconds(pid int) float64 {
-	const userField, systemField, ticksPerSecond = 11, 12, 100 // after the command's name in /proc/PID/stat
+	const userField, systemField, ticksPerSecond = 11, 12, 100 // field indexes after the command name in /proc/PID/stat
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -106,7 +106,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// measurePolling returns the cores that so many pollers use together.
+// measurePolling returns how many cores count pollers use in total.
 func measurePolling(count int) (float64, error) {
 	executable, err := os.Executable()
 	if err != nil {
--- a/internal/proof/owner/election.go
+++ b/internal/proof/owner/election.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	voterCount          = 5
-	listenerCount       = 5 // members without a vote
-	clusterCount        = 4
-	schedulesPerCluster = 5 // one after the other
-	randomStream        = 9
+	voterCount        = 5
+	listenerCount     = 5 // members without a vote
+	clusterCount      = 4
+	changesPerCluster = 5 // rolled out one after the other
+	randomStream      = 9
 )
 
-// proveElection runs all clusters at the same time, and beside them the costs and shares.
+// proveElection runs all clusters at the same time, together with the proofs of costs and shares.
 func proveElection(report *proof.Report, program string) {
 	fmt.Print(headerLine(runtime.NumCPU(), runtime.Version()))
 	election := electionProof{report: report}
@@ -40,7 +40,7 @@
 	report.PrintTotal()
 }
 
-// electionProof collects what the clusters find. Its methods are safe for concurrent use.
+// electionProof collects the results of the clusters. Its methods are safe for concurrent use.
 type electionProof struct {
 	report *proof.Report
 
@@ -52,7 +52,7 @@
 	p.report.Failf("town %d: %v", cluster, cause)
 }
 
-// runBaseline plays the same load on a fleet without a leader.
+// runBaseline runs the same load on a fleet without a leader.
 func (p *electionProof) runBaseline(program string) {
 	run := &clusterRun{program: program, number: clusterCount + 1}
 	if err := run.playBaseline(); err != nil {
@@ -63,15 +63,15 @@
 	p.summary.baseline = run.jobs
 }
 
-// runCluster plays one cluster. The last one loses its leader in each step of a change, and then all its voters'
-// stores.
+// runCluster runs one cluster. The last one loses its leader in each step of a change, and then the store of every
+// voter.
 func (p *electionProof) runCluster(program string, number int) {
 	run := &clusterRun{
 		program:   program,
 		number:    number,
 		eachStep:  number == clusterCount,
 		random:    rand.New(rand.NewPCG(uint64(number), randomStream)),
-		failovers: map[strike][]time.Duration{},
+		failovers: map[leaderLoss][]time.Duration{},
 	}
 	if err := run.play(); err != nil {
 		p.fail(number, err)
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -8,8 +8,8 @@
 	"swiftreel/internal/change"
 )
 
-// checkFences checks that each supervisor took its orders in order, and that all orders of a term are one leader's.
-// It counts the terms and the plans that controllers took.
+// checkFences checks that each supervisor accepted orders with increasing fences, and that all orders of a term come
+// from one leader. It counts the terms and the plans that controllers accepted.
 func (r *clusterRun) checkFences() error {
 	texts := r.killedLogs
 	for _, member := range r.cluster.Members {
@@ -24,12 +24,12 @@
 	}
 	r.terms = len(leaders)
 	if r.terms == 0 {
-		return errors.New("no order was taken")
+		return errors.New("no order was accepted")
 	}
 	return nil
 }
 
-// checkOrders checks the orders in one supervisor's log.
+// checkOrders checks the orders in one supervisor's log. leaders holds the leader of each term and is added to.
 func checkOrders(text string, leaders map[int64]string) error {
 	var last change.Fence
 	for line := range strings.Lines(text) {
@@ -44,11 +44,11 @@
 			return err
 		}
 		if fence.Compare(last) <= 0 {
-			return fmt.Errorf("order %v was taken after %v", fence, last)
+			return fmt.Errorf("order %v was accepted after %v", fence, last)
 		}
 		_, name, _ := strings.Cut(by, "@")
 		if known := leaders[fence.Term]; known != "" && known != name {
-			return fmt.Errorf("reign %d ordered by %s and %s", fence.Term, known, name)
+			return fmt.Errorf("orders of term %d come from %s and from %s", fence.Term, known, name)
 		}
 		last = fence
 		leaders[fence.Term] = name
--- a/internal/proof/owner/listener.go
+++ b/internal/proof/owner/listener.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	groupsPerListener   = 6 // types and tenants in each status
+	groupsPerListener   = 6 // groups of type and tenant in each status
 	typesPerListener    = 3
 	jobsPerSecond       = 7
 	latencyBuckets      = 60
@@ -25,7 +25,7 @@
 	enginesPerListener  = 300
 )
 
-// listener stands for a supervisor: it serves a status and accepts assignments with the real fence.
+// listener simulates a supervisor: it serves a status and accepts assignments with the real fence.
 type listener struct {
 	name      string
 	startedAt time.Time
@@ -43,7 +43,7 @@
 }
 
 func (l *listener) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(l.status()) // the client has gone
+	_ = json.NewEncoder(w).Encode(l.status()) // fails only if the client has disconnected
 }
 
 func (l *listener) status() supervisor.Status {
@@ -103,13 +103,13 @@
 	return l.assignments
 }
 
-// countingListener counts the bytes that pass its connections, in both directions.
+// countingListener counts the bytes on its connections, in both directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept accepts a connection whose bytes are counted.
+// Accept implements net.Listener. It wraps the connection to count its bytes.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	return countingConn{conn, l.bytes}, err
@@ -120,14 +120,14 @@
 	bytes *atomic.Int64
 }
 
-// Read reads and counts.
+// Read implements net.Conn and counts the bytes read.
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write implements net.Conn and counts the bytes written.
 func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
--- a/internal/proof/owner/main.go
+++ b/internal/proof/owner/main.go
@@ -1,5 +1,5 @@
-// Command owner proves the leader election on fleets of real processes: voters are killed, stopped and cut off while
-// changes go through under whoever leads. It prints its figures and exits with 1 if one of them fails. Run it with
+// Command owner tests leader election on fleets of real processes: voters are killed, stopped and cut off while changes
+// are rolled out under changing leaders. It prints its figures and exits with 1 if a check fails. Run it with
 // make proof-owner.
 package main
 
@@ -11,7 +11,7 @@
 	"swiftreel/internal/proof"
 )
 
-// Parts of the proof that -only names.
+// Values of the flag -only.
 const (
 	onlyCosts   = "costs"
 	onlyShares  = "shares"
@@ -48,7 +48,7 @@
 	case onlyShares:
 		proveShares(report, program)
 	case onlyVirtual:
-		if err := playVirtual(program); err != nil {
+		if err := runVirtualTime(program); err != nil {
 			report.Failf("%v", err)
 		}
 	}
--- a/internal/proof/owner/roles.go
+++ b/internal/proof/owner/roles.go
@@ -18,7 +18,7 @@
 	"swiftreel/internal/operator"
 )
 
-// rolePoll is the role of a process that polls a file; every other role is a voter's name.
+// rolePoll is the role of a process that polls a file. Every other role is the name of a voter.
 const rolePoll = "poll"
 
 const (
@@ -27,7 +27,7 @@
 	pollFileBytes = 4096
 )
 
-// runRole runs this program as a voter, or as one that polls.
+// runRole runs this program as a voter or as a poller.
 func runRole(role, file string) error {
 	if role == rolePoll {
 		return runPolling(file)
@@ -35,7 +35,7 @@
 	return runVoter(role, file)
 }
 
-// runVoter runs a voter with its duties, and a listener's handlers for its own supervisor.
+// runVoter runs a voter with its duties as a leader, and the handlers of a listener in place of its supervisor.
 func runVoter(name, file string) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	settings, err := operator.Load(file)
@@ -71,8 +71,8 @@
 	return http.Serve(socket, mux)
 }
 
-// runPolling has a number of goroutines read one file each second, and one write it. It prints the part of a core
-// that all of them used.
+// runPolling has the given number of goroutines read a file once a second while another one writes it. It prints how
+// many cores they used in total.
 func runPolling(number string) error {
 	count, err := strconv.Atoi(number)
 	if err != nil {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // a temporary file
+	defer func() { _ = os.Remove(file.Name()) }() // a leftover temporary file does no harm
 	end := time.Now().Add(pollDuration)
 	var wait sync.WaitGroup
 	for i := range count + 1 {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// pollFile reads or writes a file once a second. Whether it succeeds does not matter, only what it costs.
+// pollFile reads or writes a file once a second. Errors are ignored: only the CPU time is measured.
 func pollFile(path string, isWriter bool, delay time.Duration, end time.Time) {
 	for time.Sleep(delay); time.Now().Before(end); time.Sleep(pollInterval) {
 		if isWriter {
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -14,7 +14,7 @@
 
 const (
 	unevenDuration      = 10 * time.Second
-	unevenSettledFor    = 3 * time.Second // before the end: shares have settled by then
+	unevenSettledFor    = 3 * time.Second // before the end; by then shares have settled
 	unevenCheckInterval = 200 * time.Millisecond
 	unevenJobInterval   = 20 * time.Millisecond
 	unevenServiceTime   = 60 * time.Millisecond
@@ -23,14 +23,14 @@
 	shareUnit           = 1e6
 )
 
-// unevenResult is how well controllers' shares fit the jobs that they get.
+// unevenResult describes how well the controllers' shares match the jobs that they receive.
 type unevenResult struct {
-	meanError float64 // between a controller's share and its part of the jobs
+	meanError float64 // difference between a controller's share and its fraction of the jobs
 	doneShare float64
 }
 
-// proveShares has a front send unevenly to four controllers, once with assigned shares and once with estimated ones,
-// and compares how far each controller's share is from its part of the jobs.
+// proveShares sends an uneven load to four controllers, once with shares assigned by a leader and once with shares that
+// the controllers estimate, and compares how far each controller's share is from its fraction of the jobs.
 func proveShares(report *proof.Report, program string) {
 	var assigned, estimated unevenResult
 	var assignedErr, estimatedErr error
@@ -57,13 +57,13 @@
 		100*assigned.meanError, 100*estimated.meanError, 100*assigned.doneShare, 100*estimated.doneShare)
 }
 
-// runUneven runs one cluster, with assigned shares or without.
+// runUneven runs one cluster, with or without assigned shares.
 func runUneven(program string, areAssigned bool) (unevenResult, error) {
-	plan := testcluster.Config{Program: program, Seed: unevenSeed, Controllers: 4, Engines: 2, Voters: 3}
+	config := testcluster.Config{Program: program, Seed: unevenSeed, Controllers: 4, Engines: 2, Voters: 3}
 	if areAssigned {
-		plan.FleetFields = `"parts":{"life_ms":3000},`
+		config.FleetFields = `"parts":{"life_ms":3000},`
 	}
-	cluster, err := plan.Start()
+	cluster, err := config.Start()
 	if err != nil {
 		return unevenResult{}, err
 	}
@@ -91,7 +91,7 @@
 	return unevenResult{meanError: meanError, doneShare: float64(load.Done.Load()) / float64(max(1, all))}, nil
 }
 
-// measureShares returns the mean difference between shares and parts of the jobs, once they have settled.
+// measureShares returns the mean difference between shares and fractions of the jobs, once shares have settled.
 func measureShares(cluster *testcluster.Cluster) (float64, error) {
 	total, count := 0.0, 0
 	for end := time.Now().Add(unevenDuration); time.Now().Before(end); time.Sleep(unevenCheckInterval) {
@@ -113,8 +113,8 @@
 	return total / float64(count), nil
 }
 
-// shareDifferences returns, for each controller, by how much its share differs from its part of the jobs so far;
-// nothing before the first job.
+// shareDifferences returns, for each controller, the difference between its share and its fraction of the jobs so far.
+// It returns nil before the first job.
 func shareDifferences(cluster *testcluster.Cluster) ([]float64, error) {
 	shares := make([]float64, len(cluster.Members))
 	jobs := make([]float64, len(cluster.Members))
--- a/internal/proof/owner/steps.go
+++ b/internal/proof/owner/steps.go
@@ -15,15 +15,15 @@
 
 const (
 	defaultBakeMS     = 300
-	longBakeMS        = 1500 // so that the leader can be lost while a stage bakes
+	longBakeMS        = 1500 // leaves time to lose the leader while a stage bakes
 	minLostSteps      = 5
 	eachStepTimeout   = 60 * time.Second
 	stepCheckInterval = 5 * time.Millisecond
 	restartTimeout    = 20 * time.Second
 )
 
-// loseLeaderInEachStep loses the leader once in each step of a change that the replicated record shows: killed and
-// stepped down, in turns.
+// loseLeaderInEachStep loses the leader once in each step of a change that the replicated record shows. It alternates
+// between a leader that steps down and one that is killed.
 func (r *clusterRun) loseLeaderInEachStep() error {
 	if err := r.startChange(1, longBakeMS); err != nil {
 		return err
@@ -42,7 +42,7 @@
 			return r.checkEnd(state)
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("does not end: %s (%s)", state.Phase, state.Reason)
+			return fmt.Errorf("change does not end: %s (%s)", state.Phase, state.Reason)
 		}
 		if err := r.loseLeaderOnce(state, member); err != nil {
 			return err
@@ -52,12 +52,12 @@
 
 func (r *clusterRun) checkEnd(state rollout.State) error {
 	if state.Phase != rollout.PhaseDone || len(r.lostSteps) < minLostSteps {
-		return fmt.Errorf("the change ends as %s (%s), owners lost in %v", state.Phase, state.Outcome, r.lostSteps)
+		return fmt.Errorf("change ended as %s (%s), leaders lost in %v", state.Phase, state.Outcome, r.lostSteps)
 	}
 	return nil
 }
 
-// loseLeaderOnce loses the leader, unless that was done in this step before.
+// loseLeaderOnce loses the leader unless one was already lost in this step.
 func (r *clusterRun) loseLeaderOnce(state rollout.State, member *testcluster.Member) error {
 	step := fmt.Sprint(state.Phase, " ", state.Stage+1)
 	if slices.Contains(r.lostSteps, step) {
@@ -68,13 +68,13 @@
 	if len(r.lostSteps)%2 == 1 {
 		kind = steppedDown
 	}
-	if err := r.strike(kind, member); err != nil {
+	if err := r.loseLeader(kind, member); err != nil {
 		return fmt.Errorf("in %s: %w", step, err)
 	}
 	return nil
 }
 
-// replaceVoters has every voter lose its store, one after the other, under load. Each joins under a new ID.
+// replaceVoters deletes the store of each voter, one after the other, under load. Each joins again with a new ID.
 func (r *clusterRun) replaceVoters() error {
 	for _, member := range r.cluster.Members[:voterCount] {
 		if err := r.replaceVoter(member); err != nil {
@@ -104,7 +104,7 @@
 		return err
 	}
 	if restarted.ID != 0 {
-		return fmt.Errorf("%s came back as %d", member.Name, restarted.ID)
+		return fmt.Errorf("%s restarted without its store, but with ID %d", member.Name, restarted.ID)
 	}
 	if err := r.command("fleet", "replace-voter", member.Name); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	err := r.cluster.GetJSON(member, "/v1/owner", &status)
 	isNew := status.ID != 0 && status.ID != formerID
 	if err != nil || !isNew || len(status.Voters) != voterCount {
-		return errors.Join(fmt.Errorf("%s is %+v after %d", member.Name, status, formerID), err)
+		return errors.Join(fmt.Errorf("%s has status %+v, want a new ID instead of %d", member.Name, status, formerID), err)
 	}
 	return nil
 }
--- a/internal/proof/owner/summary_test.go
+++ b/internal/proof/owner/summary_test.go
@@ -8,11 +8,10 @@
 	"swiftreel/internal/golden"
 )
 
-// Operators' scripts read the table: its lines stay as they were at commit 70e2e4b, whose statements wrote the golden
-// file.
+// Operators' scripts parse the table, so its lines must not change. The golden file was written at commit 70e2e4b.
 func TestTheTableKeepsItsLines(t *testing.T) {
 	found := summary{
-		failovers: map[strike][]time.Duration{
+		failovers: map[leaderLoss][]time.Duration{
 			killed:      {3100 * time.Millisecond, 1200 * time.Millisecond, 1500 * time.Millisecond},
 			cutOff:      {900 * time.Millisecond},
 			steppedDown: {40 * time.Millisecond, 60 * time.Millisecond},
--- a/internal/proof/owner/virtual.go
+++ b/internal/proof/owner/virtual.go
@@ -13,16 +13,16 @@
 	"swiftreel/internal/testcluster"
 )
 
-// testRuns are the arguments of go test for the tests in virtual time at full size: 1,000 simulated networks, 200
-// leaders lost in each way, an hour without faults, and the exhaustive walk of two leaders.
+// testRuns holds the arguments of go test for the tests in virtual time at full size: 1,000 simulated networks, 200
+// leaders lost in each way, an hour without faults, and the exhaustive exploration of two leaders.
 var testRuns = [][]string{
 	{"TestTimesWithoutALeader|TestOneLeaderAtATime", "./internal/leader",
 		"-args", "-runs", "200", "-hours", "1", "-worlds", "1000"},
 	{"TestAllThatCanHappen|TestNeverMore", "./internal/assignment", "./internal/quota"},
 }
 
-// playVirtual plays the tests in virtual time at full size, and real voters beside them.
-func playVirtual(program string) error {
+// runVirtualTime runs the tests in virtual time at full size, and real voters at the same time.
+func runVirtualTime(program string) error {
 	stop := make(chan struct{})
 	ended := make(chan error, 1)
 	go func() { ended <- countTermsUnderLoad(program, stop) }()
@@ -31,7 +31,7 @@
 	return errors.Join(err, <-ended)
 }
 
-// countTermsUnderLoad counts how often the leader of three voters changes while the tests keep all cores busy.
+// countTermsUnderLoad counts the leader changes among three voters while the tests keep all cores busy.
 func countTermsUnderLoad(program string, stop <-chan struct{}) error {
 	cluster, err := testcluster.Config{Program: program, Seed: 50, Controllers: 3, Engines: 2, Voters: 3}.Start()
 	if err != nil {
@@ -83,7 +83,7 @@
 		return fmt.Errorf("%w: %s", err, bytes.TrimSpace(text))
 	}
 	if bytes.Contains(text, []byte("no tests to run")) {
-		return fmt.Errorf("a pattern of test names matches none: %s", bytes.TrimSpace(text))
+		return fmt.Errorf("a test name pattern matches no test: %s", bytes.TrimSpace(text))
 	}
 	return nil
 }
