--- a/internal/proof/rollout/builds.go
+++ b/internal/proof/rollout/builds.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// badBuilds are the programs with a fault, by the name of that in package failpoint.
+// badBuilds lists the programs with a fault, by the fault's name in package failpoint.
 var badBuilds = []struct {
 	name        string
 	description string
@@ -30,14 +30,15 @@
 	failpointVariable = "swiftreel/internal/failpoint.name="
 )
 
-// build is a program to be built.
+// build describes a program to build.
 type build struct {
-	path      string // below the builds' directory
-	version   string // empty: as the source says
-	failpoint string // empty: without faults
+	path      string // relative to the build directory
+	version   string // empty: the version in the source
+	failpoint string // empty: no faults
 }
 
-// buildPrograms builds the running program, the next one and one for each fault, and returns their paths by name.
+// buildPrograms builds the base program, the next version and one program for each fault, and returns their paths by
+// name.
 func buildPrograms(dir string) (map[string]string, error) {
 	builds := map[string]build{
 		supervisorProgram: {path: supervisorProgram},
@@ -48,7 +49,7 @@
 		builds[b.name] = build{path: b.name, version: "bad-" + b.name, failpoint: b.name}
 	}
 	programs := map[string]string{}
-	// Steered programs are in a directory of their own, as supervisors run the controller that is beside them.
+	// Steered programs are in a separate directory, because a supervisor runs the controller in its own directory.
 	for _, name := range []string{"steered", "later", supervisorProgram} {
 		path := filepath.Join("apart", name)
 		builds[path] = build{path: path, version: name, failpoint: "steered"}
@@ -69,7 +70,7 @@
 	return programs, failed
 }
 
-// run builds the program into a directory.
+// run builds the program below dir.
 func (b build) run(dir string) error {
 	source := "./cmd/swiftreel"
 	if strings.HasSuffix(b.path, supervisorProgram) {
--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -17,33 +17,33 @@
 	handoverClients = 30
 	handoverPause   = 140 * time.Millisecond
 	handoverEngines = 2
-	// handoverSwitches is how often a controller's program is changed in each way.
+	// handoverSwitches is the number of program changes of the controller in each way.
 	handoverSwitches = 3
-	// steadyTime is the load beside the switches; it proves nothing.
-	steadyTime = 1500 * time.Millisecond
+	// steadyLoadTime is the duration of load before the switches and after each one.
+	steadyLoadTime = 1500 * time.Millisecond
 
 	maxGapMS = 500  // without an answer
 	minDone  = 0.99 // of all answers
 )
 
-// errUnsettled is returned where the figures of a hand-over cannot be had.
-var errUnsettled = errors.New("no controller serves")
+// errNotRunning is returned when the controller has no process that could be restarted.
+var errNotRunning = errors.New("controller has no running process")
 
-// handover is a cluster of one controller whose program is changed under load.
+// handover is a cluster of one controller, whose program is changed under load.
 type handover struct {
 	cluster *testcluster.Cluster
 	member  *testcluster.Member
-	passed  bool // no figure has failed
+	passed  bool // no check has failed
 }
 
-// fail prints what failed.
+// fail prints why a check failed and marks the hand-over as failed.
 func (h *handover) fail(reason ...any) {
 	fmt.Println(append([]any{"FAILED: hand-over:"}, reason...)...)
 	h.passed = false
 }
 
-// checkHandover changes the program of a controller under load: by a process beside the old one and, as the plain
-// way, by SIGTERM and a new start. It prints the figures and reports whether they hold.
+// checkHandover changes the program of a controller under load, first with a new process that takes over from the old
+// one, then for comparison by SIGTERM and a restart. It prints the figures and reports whether all checks passed.
 func checkHandover(base, next string) bool {
 	h := &handover{passed: true}
 	cluster, err := testcluster.Config{Program: base, Seed: handoverSeed, Controllers: 1, Engines: handoverEngines}.Start()
@@ -55,7 +55,7 @@
 	h.cluster = cluster
 	h.member = cluster.Members[0]
 	load := cluster.StartLoad(handoverSeed, handoverClients, handoverPause, false)
-	time.Sleep(steadyTime)
+	time.Sleep(steadyLoadTime)
 	marks := []time.Time{time.Now()}
 	if err := h.switchBeside(base, next); err != nil {
 		h.fail(err)
@@ -81,7 +81,7 @@
 	return h.passed
 }
 
-// printFigures prints the figures of both ways, which begin and end at the marks, and checks those of the first.
+// printFigures prints the figures of both ways, delimited by the marks, and checks those of the first.
 func (h *handover) printFigures(log []rulecheck.Entry, marks []time.Time, broken []int64) {
 	fmt.Printf("hand-over of the program, one controller, %d switches each way:\n", handoverSwitches)
 	for i, name := range []string{"beside the old one", "SIGTERM and a new start"} {
@@ -95,7 +95,7 @@
 	}
 }
 
-// switchBeside has the coordinator order another program several times.
+// switchBeside orders another program several times, as a coordinator does.
 func (h *handover) switchBeside(base, next string) error {
 	for i := range handoverSwitches {
 		status, err := h.cluster.Status(h.member)
@@ -107,12 +107,12 @@
 			return err
 		}
 		h.awaitServing(func(pid, draining int) bool { return pid != status.PID && draining == 0 })
-		time.Sleep(steadyTime)
+		time.Sleep(steadyLoadTime)
 	}
 	return nil
 }
 
-// switchByRestart ends the controller several times; its supervisor starts it again.
+// switchByRestart terminates the controller several times. Its supervisor restarts it.
 func (h *handover) switchByRestart() error {
 	for range handoverSwitches {
 		status, err := h.cluster.Status(h.member)
@@ -120,16 +120,16 @@
 			return err
 		}
 		if status.PID == 0 {
-			return errUnsettled
+			return errNotRunning
 		}
-		_ = syscall.Kill(status.PID, syscall.SIGTERM) // one that has exited meanwhile is started again too
+		_ = syscall.Kill(status.PID, syscall.SIGTERM) // if it has already exited, it is restarted as well
 		h.awaitServing(func(pid, _ int) bool { return pid != status.PID })
-		time.Sleep(steadyTime)
+		time.Sleep(steadyLoadTime)
 	}
 	return nil
 }
 
-// awaitServing waits until the controller serves and its process is as wanted.
+// awaitServing waits until the controller serves and isWanted accepts its process and number of draining processes.
 func (h *handover) awaitServing(isWanted func(pid, draining int) bool) {
 	err := h.cluster.WaitUntil(awaitTimeout, func() bool {
 		status, err := h.cluster.Status(h.member)
@@ -140,16 +140,16 @@
 	}
 }
 
-// orderFence is that of an order past any coordinator.
+// orderFence returns the fence of an order that is sent without a coordinator.
 func orderFence(revision int64) change.Fence {
 	return change.Fence{Number: 1, Term: 1, Revision: revision}
 }
 
-// figures are those of jobs that were answered in a span of time. Jobs with an ordered key stand apart: under a newer
-// process they wait until the older one has exited.
+// figures describes the jobs that were answered in a period of time. Jobs with an ordering key are measured separately:
+// in a new process they wait until the old one has exited.
 type figures struct {
 	perSecond  float64
-	done       float64 // part of all answers
+	done       float64 // fraction of all answers
 	p50MS      float64
 	p99MS      float64
 	gapMS      float64 // the longest time without an answer
@@ -162,7 +162,8 @@
 		name, f.perSecond, 100*f.done, f.p50MS, f.p99MS, f.gapMS, broken, f.keyedP99MS)
 }
 
-// figuresOf reads the figures of a span off a cluster's log; without jobs of both sorts only the gap is filled in.
+// figuresOf computes the figures of a period from a cluster's log. Without jobs both with and without a key, only the
+// gap is set.
 func figuresOf(log []rulecheck.Entry, from, to time.Time) figures {
 	var f figures
 	accepted := map[string]rulecheck.Entry{}
--- a/internal/proof/rollout/main.go
+++ b/internal/proof/rollout/main.go
@@ -1,7 +1,7 @@
-// Command rollout takes good and bad changes through fleets of real processes on loopback, kills coordinators in
-// every phase and breaks the links to supervisors: make proof-rollout. With -only virtual it has the canary analysis
-// and the rollout's state machine play thousands of changes without a process: make proof-judge. It exits with 1 if a
-// figure fails.
+// Command rollout rolls good and bad changes out through fleets of real processes on loopback, kills coordinators in
+// every phase and disturbs the links to supervisors: make proof-rollout. With -only virtual it simulates thousands of
+// changes with the real canary analysis and rollout state machine, without processes: make proof-judge. It exits with
+// 1 if a check fails.
 package main
 
 import (
@@ -15,17 +15,17 @@
 	"swiftreel/internal/proof"
 )
 
-// Names of -only that are no scenario's.
+// Values of the flag -only that are not names of scenarios.
 const (
 	onlyVirtual  = "virtual"
 	onlyTransfer = "taught"
 	onlyHandover = "handover"
 )
 
-// errFailed is returned where a figure fails; what fails has been printed.
-var errFailed = errors.New("a figure fails")
+// errFailed is returned when a check failed. The reason has been printed already.
+var errFailed = errors.New("a check failed")
 
-// options are the command's flags.
+// options holds the command-line flags.
 type options struct {
 	schedules int
 	only      string
@@ -33,7 +33,7 @@
 	chart     string
 }
 
-// plays reports whether a scenario is to be played.
+// plays reports whether the scenario is selected.
 func (o options) plays(name string) bool {
 	return o.only == "" || o.only == name
 }
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // the system clears its temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // leftovers in the temporary directory do no harm
 	programs, err := buildPrograms(dir)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// playAll plays all that the options say, and reports whether every figure holds.
+// playAll plays everything that the options select and reports whether all checks passed.
 func playAll(flags options, programs map[string]string) bool {
 	transferFailed := false
 	var transfer sync.WaitGroup
@@ -102,7 +102,7 @@
 	return printResults(results) && ok
 }
 
-// playScenarios plays scenarios side by side, and prints a line on each that is no schedule of faults.
+// playScenarios plays scenarios in parallel and prints a line for each except the schedules of faults.
 func playScenarios(list []scenario, flags options, program string) []result {
 	var mu sync.Mutex // guards results
 	var results []result
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	loadClients  = 3 // at each controller
+	loadClients  = 3 // per controller
 	loadPause    = 24 * time.Millisecond
 	awaitTimeout = 20 * time.Second
 	pollInterval = 2 * time.Millisecond
 )
 
-// play takes the change through a cluster of its own.
+// play rolls the change out in a separate cluster.
 func (s scenario) play(program string) result {
 	r := result{scenario: s}
 	cluster, err := testcluster.Config{
@@ -48,7 +48,7 @@
 	if s.losesEngine {
 		go loseEngine(cluster, folder)
 	}
-	r.kills, r.err = s.coordinate(cluster, program, folder, file)
+	r.kills, r.err = s.runCoordinators(cluster, program, folder, file)
 	close(done)
 	load.Stop()
 	r.jobs = load.Done.Load() + load.Throttled.Load() + load.Cancelled.Load()
@@ -63,14 +63,14 @@
 	return r
 }
 
-// setError keeps the first error.
+// setError sets the error unless one is set already.
 func (r *result) setError(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// addRecord fills in what the coordinator's record says.
+// addRecord fills in the results from the coordinator's record.
 func (r *result) addRecord(record coordinator.Record) {
 	r.phase = record.State.Phase
 	r.stage = record.State.Stage + 1
@@ -80,7 +80,8 @@
 	}
 }
 
-// checkMembers checks that every controller runs what the record says, and took its orders in their order.
+// checkMembers checks that every controller runs the spec that the record implies, and that every supervisor accepted
+// orders with increasing fences.
 func (r *result) checkMembers(cluster *testcluster.Cluster, record coordinator.Record) {
 	wanted := record.FromSpec.Digest()
 	if r.phase == rollout.PhaseDone {
@@ -97,21 +98,21 @@
 		r.setError(err)
 	}
 	if accepted == 0 {
-		r.setError(errors.New("no supervisor's log has an accepted order"))
+		r.setError(errors.New("no accepted order in any supervisor's log"))
 	}
 }
 
-// loseEngine has an engine die in the first stage.
+// loseEngine crashes an engine while the first stage bakes.
 func loseEngine(cluster *testcluster.Cluster, folder string) {
 	isBaking := func() bool {
 		record, _, err := coordinator.UnlockedFolder(folder).Record()
 		return err == nil && record.State.Phase == rollout.PhaseBaking
 	}
-	_ = cluster.WaitUntil(awaitTimeout, isBaking) // if the rollout is over before, its result says so
+	_ = cluster.WaitUntil(awaitTimeout, isBaking) // if the rollout ends earlier, its result shows it
 	cluster.CrashEngine("e1")
 }
 
-// injectFaults plays the schedule until done is closed.
+// injectFaults injects the scheduled faults until done is closed.
 func (s scenario) injectFaults(cluster *testcluster.Cluster, done chan struct{}) {
 	began := time.Now()
 	for _, f := range s.faults {
@@ -137,9 +138,9 @@
 	}
 }
 
-// coordinate runs coordinators until the change ends, and returns how many were killed. Where they shall be, it is
-// once in each phase that the record shows.
-func (s scenario) coordinate(cluster *testcluster.Cluster, program, folder, file string) (int, error) {
+// runCoordinators runs coordinators until the change ends, and returns how many were killed. If the scenario kills
+// coordinators, it does so once in each phase that the record shows.
+func (s scenario) runCoordinators(cluster *testcluster.Cluster, program, folder, file string) (int, error) {
 	killedAt := map[string]bool{}
 	kills := 0
 	arguments := []string{"start", file}
@@ -162,14 +163,14 @@
 			return kills, nil
 		}
 		isLocked := strings.Contains(p.Log(), "another process conducts")
-		if kills > 0 && isLocked { // the killed one's lock is not free yet
+		if kills > 0 && isLocked { // the lock of the killed coordinator is not free yet
 			continue
 		}
-		return kills, fmt.Errorf("the conductor ended: %s: %s", fmt.Sprint(err), p.Log())
+		return kills, fmt.Errorf("coordinator exited: %s: %s", fmt.Sprint(err), p.Log())
 	}
 }
 
-// killsNow reports whether the coordinator is to be killed in the phase that the record shows.
+// killsNow reports whether to kill the coordinator in the phase that the record shows, which it does once per phase.
 func (s scenario) killsNow(folder string, killedAt map[string]bool) bool {
 	if !s.killsCoordinator {
 		return false
@@ -190,7 +191,7 @@
 	return err == nil && exists && record.State.Phase.IsTerminal()
 }
 
-// exposure returns the time from the first stage's beginning to the decision to roll back, or to the end.
+// exposure returns the time from the start of the first stage to the decision to roll back, or to the end.
 func exposure(folder string) time.Duration {
 	steps, err := coordinator.UnlockedFolder(folder).History()
 	if err != nil {
@@ -211,7 +212,7 @@
 	return to.Sub(from)
 }
 
-// checkFences checks by a supervisor's log that it accepted its orders in their order, and counts them.
+// checkFences checks in a supervisor's log that it accepted orders with increasing fences, and counts them.
 func checkFences(log string) (orders int, err error) {
 	var last change.Fence
 	for line := range strings.Lines(log) {
@@ -224,7 +225,7 @@
 			return orders, err
 		}
 		if f.Compare(last) <= 0 {
-			return orders, fmt.Errorf("order %v was taken after %v", f, last)
+			return orders, fmt.Errorf("order %v was accepted after %v", f, last)
 		}
 		last = f
 		orders++
--- a/internal/proof/rollout/power_chart.go
+++ b/internal/proof/rollout/power_chart.go
@@ -11,7 +11,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// drawPower draws how many jobs the new version had had when a harm was found, by the number of controllers.
+// drawPower draws a chart of the number of jobs that the new version had received when a harm was detected, with one
+// line per fleet size.
 func drawPower(path string, power map[int]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text = "found harm"
--- a/internal/proof/rollout/result.go
+++ b/internal/proof/rollout/result.go
@@ -9,31 +9,31 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// minJobs is the number of jobs below which a scenario shows nothing.
+// minJobs is the number of jobs below which a scenario proves nothing.
 const minJobs = 100
 
-// result is what came of a scenario.
+// result is the result of a scenario.
 type result struct {
 	scenario
 	phase             rollout.Phase
-	stage             int // reached, from 1
+	stage             int // last stage reached, counted from 1
 	outcome           string
 	jobs              int64 // answered
-	newJobs           int64 // of these, by the new version
-	brokenConnections int64 // before an answer
+	newJobs           int64 // of these, answered by the new version
+	brokenConnections int64 // closed before an answer
 	exposure          time.Duration
 	violations        []rulecheck.Violation
 	kills             int // of the coordinator
 	err               error
 }
 
-// summary returns the line that is printed on a scenario.
+// summary returns the line that is printed for a scenario.
 func (r result) summary() string {
 	return fmt.Sprintf("  %-32s %-10s stage %d  jobs %5d  by the new version %5d  cut off %2d  %5.1f s  %s",
 		r.name, r.phase, r.stage, r.jobs, r.newJobs, r.brokenConnections, r.exposure.Seconds(), r.outcome)
 }
 
-// failures returns all that a scenario should not have shown.
+// failures returns the descriptions of all failed checks of a scenario.
 func (r result) failures() []string {
 	var list []string
 	if r.err != nil {
@@ -60,7 +60,7 @@
 	return list
 }
 
-// printResults prints what failed and the totals, and reports whether nothing failed.
+// printResults prints the failures and the totals, and reports whether there were no failures.
 func printResults(results []result) bool {
 	ok := true
 	ends := map[rollout.Phase]int{}
@@ -82,7 +82,7 @@
 	return ok
 }
 
-// printSchedule prints how to play the scenario's faults again.
+// printSchedule prints the command that repeats the scenario, and its faults.
 func (r result) printSchedule() {
 	if len(r.faults) == 0 {
 		return
--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -14,7 +14,8 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// TestScheduleIsThatOfItsSeed holds the schedules that earlier runs have printed: they can be played again.
+// TestScheduleIsThatOfItsSeed guards against a change of the drawn schedules, after which the seeds printed by earlier
+// runs would no longer reproduce their faults.
 func TestScheduleIsThatOfItsSeed(t *testing.T) {
 	var text bytes.Buffer
 	for seed := range uint64(4) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// TestVirtualRolloutsAreThoseRecorded holds a few changes of each sort to what came of them when they were recorded.
+// TestVirtualRolloutsAreThoseRecorded compares a few changes with and without harm to their recorded results.
 func TestVirtualRolloutsAreThoseRecorded(t *testing.T) {
 	var text bytes.Buffer
 	for _, harm := range []float64{0, 0.05} {
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -8,42 +8,42 @@
 	"swiftreel/internal/testcluster"
 )
 
-// faultsName is the name of the scenarios that play a schedule of faults.
+// faultsName is the name of all scenarios that play a schedule of faults.
 const faultsName = "faults"
 
-// scenario is a change that goes through a cluster of its own.
+// scenario is a change that is rolled out in a separate cluster.
 type scenario struct {
 	name             string
-	program          string // a build; empty: the change is one of settings
+	program          string // path of the new program; empty: a settings change
 	seed             uint64
 	controllers      int
 	engines          int
 	killsCoordinator bool // once in each phase
-	isBrief          bool // it is not about the canary analysis
-	losesEngine      bool // in the first stage, which is no fault of the change
+	isBrief          bool // short timing, for scenarios that do not test the canary analysis
+	losesEngine      bool // an engine crashes in the first stage, which the change did not cause
 	faults           []fault
-	wantedPhase      rollout.Phase // empty: any in which a rollout ends
-	maxStage         int           // from 1: at the latest the change is rolled back there; 0: not checked
+	wantedPhase      rollout.Phase // empty: any terminal phase
+	maxStage         int           // last stage, counted from 1, by which the change must be rolled back; 0: not checked
 }
 
-// fault is an entry of a schedule. It is printed as JSON, so that a schedule that fails can be played again.
+// fault is an entry of a schedule. It is printed as JSON, so that a failed schedule can be repeated.
 type fault struct {
 	AtMS    int64                `json:"at_ms"` // since the scenario's start
 	Member  int                  `json:"member"`
 	Mode    testcluster.LinkMode `json:"way"` // of the link to the supervisor
 	DelayMS int64                `json:"delay_ms"`
-	Repeat  bool                 `json:"repeat"`  // the last order is delivered once more
-	StopMS  int64                `json:"stop_ms"` // the supervisor is stopped (SIGSTOP) for so long
+	Repeat  bool                 `json:"repeat"`  // the last order is delivered again
+	StopMS  int64                `json:"stop_ms"` // how long the supervisor is stopped by SIGSTOP
 }
 
 const (
 	scheduleSpanMS   = 3000
 	firstFaultMS     = 200
-	linkModes        = 5 // of testcluster.LinkMode
-	scheduleSequence = 7 // of the random source
+	linkModes        = 5 // number of values of testcluster.LinkMode
+	scheduleSequence = 7 // stream of the random source
 )
 
-// schedule draws faults of links and supervisors from a seed; the last ones end all.
+// schedule draws faults of links and supervisors from a seed. The last entries restore all links.
 func schedule(seed uint64, members int) []fault {
 	random := rand.New(rand.NewPCG(seed, scheduleSequence))
 	var faults []fault
@@ -66,7 +66,7 @@
 	return faults
 }
 
-// scenarios lists all that the options may play.
+// scenarios returns all scenarios from which the options may select.
 func scenarios(flags options, programs map[string]string) []scenario {
 	list := []scenario{
 		{name: "good settings", seed: 1, wantedPhase: rollout.PhaseDone},
@@ -110,8 +110,8 @@
 	return list
 }
 
-// Timing and limits of the changes: short, as the proof has a minute. briefTiming is for what is not about the
-// analysis.
+// Timing and limits of the changes. They are short, because the proof should take about a minute. briefTiming is for
+// scenarios that do not test the canary analysis.
 const (
 	analysisTiming = `"pace":{"base_ms":2500,"bake_ms":4000,"most_ms":30000,"apply_ms":12000,"steady_ms":200,` +
 		`"unheard_ms":2500,"shared_ms":3000,"look_ms":100},` +
@@ -123,7 +123,7 @@
 	changeStages = `"stages":[{"per_mille":1},{"per_mille":400},{"per_mille":1000}]`
 )
 
-// changeFile returns the text of the change.
+// changeFile returns the content of the change file.
 func (s scenario) changeFile() string {
 	if s.program != "" {
 		return fmt.Sprintf(`{"number":1,"kind":"program","to":{"program":%q},%s,%s}`, s.program, changeStages, analysisTiming)
--- a/internal/proof/rollout/transfer.go
+++ b/internal/proof/rollout/transfer.go
@@ -15,18 +15,18 @@
 	transferEngines = 2
 	transferClients = 10
 	transferPause   = 20 * time.Millisecond
-	// transferJobTime is fifty times what the jobs' estimates say.
+	// transferJobTime is fifty times the jobs' estimates.
 	transferJobTime = 200 * time.Millisecond
-	// transferJobs are counted after each switch; warmUpJobs come before it.
-	transferJobs = 60
-	warmUpJobs   = 3 * transferJobs
-	// noTransferVariable has a steered build start without its predecessor's state.
+	// countedJobs is the number of jobs counted after each switch, warmUpJobs the number before it.
+	countedJobs = 60
+	warmUpJobs  = 3 * countedJobs
+	// noTransferVariable makes a steered build start without its predecessor's state.
 	noTransferVariable = "FAULT_UNTAUGHT=1"
 )
 
-// checkTransfer changes the program under jobs that take fifty times what their estimates say, with and without the
-// state of the older process: one that does not know it takes the first attempts for lost and retries them. It
-// returns why the figures do not hold, or "".
+// checkTransfer changes the program under jobs that take fifty times their estimates, with and without a state transfer
+// from the old process. Without it, the new process considers the first attempts lost and retries them. It returns the
+// reason for a failed check, or "".
 func checkTransfer(program string) string {
 	with, err := retriesAfterSwitch(program, "")
 	if err != nil {
@@ -37,14 +37,14 @@
 		return err.Error()
 	}
 	fmt.Printf("jobs that take 50 times their estimate, of %d after a switch of the program, dispatched again: "+
-		"taught %.0f, not taught %.0f\n", transferJobs, with, without)
+		"taught %.0f, not taught %.0f\n", countedJobs, with, without)
 	if with >= without {
-		return "it makes no difference"
+		return "the state transfer does not reduce retries"
 	}
 	return ""
 }
 
-// retriesAfterSwitch returns how many retries the newer process made for its first jobs.
+// retriesAfterSwitch returns how many retries the new process made per countedJobs jobs.
 func retriesAfterSwitch(program, environment string) (float64, error) {
 	cluster, err := testcluster.Config{
 		Program:     program,
@@ -59,7 +59,7 @@
 	defer cluster.Close()
 	m := cluster.Members[0]
 	load := cluster.StartLoad(transferSeed, transferClients, transferPause, false)
-	cluster.Faults.SetWorkDuration(transferJobTime) // after the load: its jobs claim what they took as it began
+	cluster.Faults.SetWorkDuration(transferJobTime) // after StartLoad, so that the jobs still give the short estimate
 	isWarm := func() bool { return load.Done.Load() > warmUpJobs }
 	if err := cluster.WaitUntil(awaitTimeout, isWarm); err != nil {
 		return 0, err
@@ -82,10 +82,10 @@
 	if err != nil {
 		return 0, err
 	}
-	return float64(totalRetries(after)) * transferJobs / float64(max(1, totalJobs(after))), nil
+	return float64(totalRetries(after)) * countedJobs / float64(max(1, totalJobs(after))), nil
 }
 
-// awaitFirstJobs waits until a newer process of the controller has answered its first jobs, and returns its status.
+// awaitFirstJobs waits until a new process of the controller has answered its first jobs, and returns its status.
 func awaitFirstJobs(cluster *testcluster.Cluster, startedBefore int64) (supervisor.Status, error) {
 	var after supervisor.Status
 	err := cluster.WaitUntil(awaitTimeout, func() bool {
@@ -94,7 +94,7 @@
 			return false
 		}
 		after = status
-		return totalJobs(status) >= transferJobs
+		return totalJobs(status) >= countedJobs
 	})
 	return after, err
 }
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	virtualSamples = 900 // for which a stage may stand
-	nullSeedFactor = 1000
-	harmSeedFactor = 7000
-	maxHarmUnfound = 0.05 // a harm from here on must always be found
+	virtualSamples     = 900 // longest bake time of a stage, in samples
+	nullSeedFactor     = 1000
+	harmSeedFactor     = 7000
+	minHarmAlwaysFound = 0.05 // least harm that must be detected in every change
 )
 
-// harms are the parts of jobs that the new version cancels for good.
+// harms lists the fractions of jobs that the new version cancels permanently.
 var harms = []float64{0.01, 0.02, 0.05, 0.1, 0.2}
 
-// virtualFleets are played: so many changes without effect, and so many of each harm.
+// virtualFleets lists the simulated fleets.
 var virtualFleets = []virtualSeries{
 	{controllers: 3, jobsPerSecond: 20, nulls: 600, harmed: 30},
 	{controllers: 30, jobsPerSecond: 5, nulls: 360, harmed: 15},
 	{controllers: 300, jobsPerSecond: 2, nulls: 40, harmed: 4},
 }
 
-// virtualSeries are changes in fleets of one size.
+// virtualSeries describes the simulated changes in fleets of one size.
 type virtualSeries struct {
 	controllers   int
-	jobsPerSecond float64 // of a controller
-	nulls         int     // changes without effect
-	harmed        int     // changes of each harm
+	jobsPerSecond float64 // mean per controller
+	nulls         int     // number of changes without effect
+	harmed        int     // number of changes for each harm
 }
 
-// roll plays changes side by side, and returns their results by seed.
+// roll simulates count changes in parallel and returns their results in the order of their seeds.
 func (s virtualSeries) roll(count, seedFactor int, harm float64) []virtualResult {
 	results := make([]virtualResult, count)
 	var wait sync.WaitGroup
@@ -54,8 +54,8 @@
 	return results
 }
 
-// printVirtualFigures prints the figures of the analysis in virtual time, and reports whether they hold. chart is the
-// path of the chart to write; empty: none.
+// printVirtualFigures prints the figures of the canary analysis in virtual time and reports whether all checks passed.
+// chart is the path of the chart to write; empty writes none.
 func printVirtualFigures(chart string) bool {
 	fmt.Println("in virtual time, changes that change nothing (1 job in 50 misses, clumps, habits, bad spells for all):")
 	ok := printFalseAlarms()
@@ -81,16 +81,16 @@
 	return ok
 }
 
-// falseAlarms counts changes without effect.
+// falseAlarms counts the results of changes without effect.
 type falseAlarms struct {
 	changes   int
 	passed    int
 	stopped   int
-	fixedTest int // stopped by the fixed test
+	fixedTest int // changes that the fixed test would have stopped
 	reasons   map[string]int
 }
 
-// falseAlarms plays changes without effect.
+// falseAlarms simulates the changes without effect and counts their results.
 func (s virtualSeries) falseAlarms() falseAlarms {
 	f := falseAlarms{changes: s.nulls, reasons: map[string]int{}}
 	for _, r := range s.roll(s.nulls, nullSeedFactor, 0) {
@@ -108,7 +108,8 @@
 	return f
 }
 
-// printFalseAlarms prints what becomes of changes without effect, and reports whether few enough are stopped.
+// printFalseAlarms prints the results of changes without effect. It reports whether fewer than 1% were stopped and all
+// have ended.
 func printFalseAlarms() bool {
 	var all falseAlarms
 	for _, s := range virtualFleets {
@@ -138,8 +139,8 @@
 	return 100 * float64(part) / float64(total)
 }
 
-// printPower prints how soon each harm is found. It returns the points of the chart, and whether each great harm was
-// found in every change.
+// printPower prints how soon each harm is detected. It returns the points of the chart, and whether every harm of at
+// least minHarmAlwaysFound was detected in every change.
 func (s virtualSeries) printPower() (plotter.XYs, bool) {
 	ok := true
 	var points plotter.XYs
@@ -152,7 +153,7 @@
 				seconds = append(seconds, r.seconds)
 			}
 		}
-		if harm >= maxHarmUnfound && len(jobs) < s.harmed {
+		if harm >= minHarmAlwaysFound && len(jobs) < s.harmed {
 			ok = false
 		}
 		if len(jobs) == 0 {
--- a/internal/proof/rollout/virtual_fleet.go
+++ b/internal/proof/rollout/virtual_fleet.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	fleetSequence   = 11   // of the random source
-	defaultMissRate = 0.02 // of all jobs
+	fleetSequence   = 11   // stream of the random source
+	defaultMissRate = 0.02 // fraction of all jobs
 	latencyBuckets  = 64
 )
 
-// virtualFleet is a fleet in virtual time: controllers with uneven traffic and habits of their own, jobs that fail in
-// clusters, days that turn bad for all. The canary analysis and the rollout's state machine are the real ones; a
-// sample is a second.
+// virtualFleet is a fleet in virtual time. Controllers differ in traffic and miss rate, misses are clustered, and the
+// miss rate of the whole fleet rises at times. The canary analysis and the rollout state machine are the real ones. A
+// sample covers one second.
 type virtualFleet struct {
-	random      *rand.Rand
-	jobRates    []float64 // jobs a second, by controller
-	excessRates []float64 // of misses, by controller: a habit
-	harm        float64   // part of jobs by the new version that are cancelled for good
-	missRate    float64   // of all controllers, now
+	random         *rand.Rand
+	jobRates       []float64 // jobs per second, by controller
+	extraMissRates []float64 // constant addition to the miss rate, by controller
+	harm           float64   // fraction of jobs that the new version cancels permanently
+	missRate       float64   // current miss rate of all controllers
 }
 
-// newVirtualFleet draws a fleet from a seed. jobsPerSecond is the mean of a controller.
+// newVirtualFleet draws a fleet from a seed. jobsPerSecond is the mean per controller.
 func newVirtualFleet(seed uint64, controllers int, jobsPerSecond, harm float64) *virtualFleet {
 	f := &virtualFleet{random: rand.New(rand.NewPCG(seed, fleetSequence)), harm: harm, missRate: defaultMissRate}
 	for range controllers {
 		f.jobRates = append(f.jobRates, jobsPerSecond*math.Exp(0.5*f.random.NormFloat64()-0.125))
-		f.excessRates = append(f.excessRates, 0.01*f.random.Float64())
+		f.extraMissRates = append(f.extraMissRates, 0.01*f.random.Float64())
 	}
 	return f
 }
 
-// sample draws a second of each controller's work.
+// sample draws one second of jobs of each controller.
 func (f *virtualFleet) sample(isNew []bool) []canary.Sample {
-	f.drawDay()
+	f.drawMissRate()
 	samples := make([]canary.Sample, 0, len(f.jobRates))
 	for i := range f.jobRates {
 		samples = append(samples, f.sampleController(i, isNew[i]))
@@ -45,8 +45,8 @@
 	return samples
 }
 
-// drawDay begins or ends a bad spell for all, of 30 s in the mean.
-func (f *virtualFleet) drawDay() {
+// drawMissRate starts or ends a period with a higher miss rate for all controllers. It lasts 30 s on average.
+func (f *virtualFleet) drawMissRate() {
 	const (
 		beginProbability = 0.003
 		endProbability   = 0.033
@@ -61,7 +61,7 @@
 
 func (f *virtualFleet) sampleController(controller int, isNew bool) canary.Sample {
 	const (
-		stallProbability = 0.02 // an engine stalls under one controller's jobs
+		stallProbability = 0.02 // that an engine stalls, which affects the jobs of one controller
 		stallFactor      = 6.0
 		memoryMB         = 40
 	)
@@ -77,9 +77,9 @@
 	}
 	for _, t := range []struct {
 		name string
-		part float64 // of the controller's jobs
+		part float64 // fraction of the controller's jobs
 	}{{"lookup", 0.8}, {"report", 0.2}} {
-		counts := f.drawJobs(f.jobRates[controller]*t.part, f.excessRates[controller], stall, isNew)
+		counts := f.drawJobs(f.jobRates[controller]*t.part, f.extraMissRates[controller], stall, isNew)
 		if counts.Jobs > 0 {
 			s.Counts[canary.Group{Type: t.name, Tenant: "a"}] = counts
 		}
@@ -87,14 +87,14 @@
 	return s
 }
 
-// drawJobs draws a second of jobs of a group.
-func (f *virtualFleet) drawJobs(rate, excessRate, stall float64, isNew bool) canary.JobCounts {
+// drawJobs draws one second of jobs of a group.
+func (f *virtualFleet) drawJobs(rate, extraMissRate, stall float64, isNew bool) canary.JobCounts {
 	jobs := int(rate)
 	if f.random.Float64() < rate-float64(jobs) {
 		jobs++
 	}
 	counts := canary.JobCounts{LatencyBuckets: make([]uint64, latencyBuckets)}
-	missRate := (f.missRate + excessRate) * stall
+	missRate := (f.missRate + extraMissRate) * stall
 	for range jobs {
 		f.drawJob(&counts, missRate, stall, isNew)
 	}
--- a/internal/proof/rollout/virtual_rollout.go
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	second       = int64(1e9) // in ns
-	maxBakeTimes = 10         // a rollout that is not over after so many times of its samples is undecided
+	nanosPerSecond    = int64(1e9)
+	maxStepsPerSample = 10 // a rollout that runs longer than this many times its samples is undecided
 )
 
-// virtualResult is what came of a change in a virtual fleet.
+// virtualResult is the result of a change in a virtual fleet.
 type virtualResult struct {
 	phase          rollout.Phase
 	outcome        string
-	fixedTestStops bool // a fixed test evaluated at every sample would have stopped it in the first stage
+	fixedTestStops bool // the fixed test, evaluated at every sample, would have stopped it in the first stage
 	newJobs        uint64
-	seconds        int // since the first stage
+	seconds        int // since the start of the first stage
 }
 
-// virtualRollout takes a change through a virtual fleet whose members do at once as they are ordered.
+// virtualRollout rolls a change out in a virtual fleet whose members carry out orders at once.
 type virtualRollout struct {
 	fleet    *virtualFleet
 	machine  *rollout.Machine
@@ -33,13 +33,13 @@
 	fixed    fixedTest
 	isNew    []bool // by controller
 
-	phase      rollout.Phase // of the last second
+	phase      rollout.Phase // in the last second
 	stage      int
-	firstStage int // the second at which it began
+	firstStage int // second in which the first stage started
 	result     virtualResult
 }
 
-// roll returns what comes of a change that stands for at most so many samples.
+// roll simulates a change whose stages bake for at most the given number of samples.
 func (f *virtualFleet) roll(samples int) virtualResult {
 	timing := change.Timing{
 		BaselineMS:         60_000,
@@ -64,7 +64,7 @@
 		phase:    rollout.PhasePreparing,
 		stage:    -1,
 	}
-	for t := 0; !v.machine.State.Phase.IsTerminal() && t < maxBakeTimes*samples; t++ {
+	for t := 0; !v.machine.State.Phase.IsTerminal() && t < maxStepsPerSample*samples; t++ {
 		v.step(t)
 	}
 	v.result.phase = v.machine.State.Phase
@@ -72,10 +72,10 @@
 	return v.result
 }
 
-// step plays a second.
+// step simulates one second.
 func (v *virtualRollout) step(t int) {
 	samples := v.fleet.sample(v.isNew)
-	in := rollout.Observation{Now: int64(t) * second, Members: v.members(samples)}
+	in := rollout.Observation{Now: int64(t) * nanosPerSecond, Members: v.members(samples)}
 	v.beginStage(t)
 	v.evaluate(&in, samples, t)
 	before := v.machine.State.Phase
@@ -104,7 +104,7 @@
 	return members
 }
 
-// beginStage begins a new analysis where the machine has begun a stage.
+// beginStage starts a new analysis if the state machine has started a stage.
 func (v *virtualRollout) beginStage(t int) {
 	state := v.machine.State
 	if state.Phase == v.phase && state.Stage == v.stage {
@@ -122,7 +122,7 @@
 	}
 }
 
-// evaluate adds the samples to what the phase looks at.
+// evaluate passes the samples to the analysis that belongs to the current phase.
 func (v *virtualRollout) evaluate(in *rollout.Observation, samples []canary.Sample, t int) {
 	switch v.machine.State.Phase {
 	case rollout.PhaseBaseline:
@@ -141,7 +141,7 @@
 	}
 }
 
-// planStages lays the stages out by the controllers' traffic.
+// planStages selects the members of each stage by the controllers' traffic.
 func (v *virtualRollout) planStages(samples []canary.Sample) {
 	const baselineSeconds = 60
 	places := make([]change.Candidate, 0, len(samples))
@@ -153,8 +153,8 @@
 	v.machine.SetStages(stages)
 }
 
-// fixedTest is the test that the sequential one replaces: two proportions of missed jobs, at one in a hundred,
-// evaluated after every sample.
+// fixedTest compares the fractions of missed jobs of both versions with a fixed-sample test of two proportions at a
+// level of 1%, evaluated after every sample. It is the reference for the sequential test of the canary analysis.
 type fixedTest struct {
 	newJobs, newMissed float64
 	oldJobs, oldMissed float64
