--- a/internal/proof/sparql/clients.go
+++ b/internal/proof/sparql/clients.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	writeEach    = 10 // one in so many jobs is an import or update
-	keys         = 3  // of imports
-	partsOfCalls = 4  // a client makes one in so many of a run's calls
-	answerLimit  = 10 * time.Second
+	jobsPerWrite        = 10 // one in this many jobs is an import or update
+	keys                = 3  // number of ordering keys of imports
+	clientsSharingCalls = 4  // number of clients that share a run's calls
+	answerLimit         = 10 * time.Second
 )
 
-// job is a job as a client requests it.
+// job is a job requested by a client.
 type job struct {
 	id      string
 	jobType string
 	key     string
-	front   string // jobs of one front and key have an order
+	front   string // jobs with the same front and key are ordered
 	timeout time.Duration
 }
 
@@ -39,17 +39,18 @@
 	r.events.Add(rulecheck.Entry{Event: rulecheck.Answered, Job: id, Answer: answer})
 }
 
-// runCaller is a MessagePack client: one job at a time. A job without its answer is found by the check of the log.
-func (r *run) runCaller(target *controller, index int, name string) {
+// runMessagePackClient runs a MessagePack client with one job at a time. It stops at the first error; the check of the
+// log reports the job that has no answer.
+func (r *run) runMessagePackClient(target *controller, index int, name string) {
 	conn, err := fake.Dial(target.clientAddress)
 	if err != nil {
 		return
 	}
 	defer conn.Conn.Close()
-	for n := range r.config.calls / partsOfCalls {
+	for n := range r.config.calls / clientsSharingCalls {
 		j := job{id: fmt.Sprintf("%s%014x", name, n+1), jobType: lookupType, front: fmt.Sprint(name, index),
 			timeout: readTimeout}
-		if n%writeEach == writeEach-1 {
+		if n%jobsPerWrite == jobsPerWrite-1 {
 			j.jobType = importType
 			j.timeout = writeTimeout
 			j.key = fmt.Sprint("k", n%keys)
@@ -64,7 +65,7 @@
 	}
 }
 
-// call requests a job and returns its answer as the rules name it.
+// call requests a job and returns its outcome as a value of package rulecheck.
 func call(conn *fake.Client, request job) (string, error) {
 	fields := []string{"call", request.id, "ttl", fmt.Sprint(request.timeout.Milliseconds()), "org", "acme",
 		"work", "4", "est_mb", "8"}
@@ -80,7 +81,7 @@
 		return "", err
 	}
 	if answer.ID != id {
-		return "", fmt.Errorf("an answer to %d, requested was %d", answer.ID, id)
+		return "", fmt.Errorf("answer has ID %d, want %d", answer.ID, id)
 	}
 	switch answer.Error {
 	case "":
@@ -92,16 +93,16 @@
 	}
 }
 
-// runQuerier is a SPARQL client, with one request at a time over each of its connections.
-func (r *run) runQuerier(target *controller, index int, name string) {
-	var lanes sync.WaitGroup
-	for lane := range r.config.lanes {
-		lanes.Go(func() {
+// runSPARQLClient runs a SPARQL client with one request at a time on each of its connections.
+func (r *run) runSPARQLClient(target *controller, index int, name string) {
+	var connections sync.WaitGroup
+	for connection := range r.config.connections {
+		connections.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
-			for n := lane; n < r.config.queries/partsOfCalls; n += r.config.lanes {
+			for n := connection; n < r.config.queries/clientsSharingCalls; n += r.config.connections {
 				id := fmt.Sprintf("s%s%06d", name, n)
-				if n%writeEach == writeEach-1 {
+				if n%jobsPerWrite == jobsPerWrite-1 {
 					r.update(client, target, id)
 				} else {
 					r.query(client, target, index, id)
@@ -110,7 +111,7 @@
 			}
 		})
 	}
-	lanes.Wait()
+	connections.Wait()
 }
 
 func (r *run) query(client *http.Client, target *controller, index int, id string) {
@@ -118,14 +119,14 @@
 	r.post(client, target, j, url.Values{"query": {"SELECT * { ?s <p> ?o } # " + id}})
 }
 
-// update requests one. Each has a front of its own: updates of several connections have no order that a client could
-// know.
+// update requests an update. Each update has a front of its own, because the order of updates on several connections is
+// undefined.
 func (r *run) update(client *http.Client, target *controller, id string) {
 	j := job{id: id, jobType: updateType, key: "graph g", front: id, timeout: writeTimeout}
 	r.post(client, target, j, url.Values{"update": {"INSERT DATA { GRAPH <g> { <s> <p> 1 } } # " + id}})
 }
 
-// post requests a job over SPARQL and logs its outcome. What is none is logged as none.
+// post requests a job over SPARQL and logs its outcome. A response that is no valid outcome is not logged.
 func (r *run) post(client *http.Client, target *controller, requested job, form url.Values) {
 	form.Set("timeout", fmt.Sprint(requested.timeout.Milliseconds()))
 	address := "http://" + target.sparqlAddress + "/sparql"
@@ -150,7 +151,7 @@
 	}
 }
 
-// outcomeOf is a response's outcome as the rules name it, "" where it is none.
+// outcomeOf returns the outcome of a response as a value of package rulecheck, or "" if it is not a valid outcome.
 func outcomeOf(response *http.Response, body string) string {
 	complete := strings.HasSuffix(strings.TrimSpace(body), "]}}")
 	switch response.StatusCode {
--- a/internal/proof/sparql/controller.go
+++ b/internal/proof/sparql/controller.go
@@ -19,15 +19,15 @@
 	startInterval = 5 * time.Millisecond
 )
 
-// controller is a process. It listens where there is room, and its log says where: an address chosen before it starts
-// may be another run's by then, whose jobs would be taken for this one's.
+// controller is a controller process. It listens on free ports, which are read from its log. A port chosen before the
+// start could be in use by another run by then, and jobs of the two runs would be mixed up.
 type controller struct {
 	*testcluster.Process
-	clientAddress string // valid once it serves
+	clientAddress string // set once it serves
 	sparqlAddress string // likewise
 }
 
-// startController writes the files of the controller of an index and starts it.
+// startController writes the configuration files of the controller with the given index and starts it.
 func startController(program, dir string, index int, config, operator string) (*controller, error) {
 	configFile := filepath.Join(dir, fmt.Sprintf("n%d.json", index))
 	operatorFile := filepath.Join(dir, fmt.Sprintf("own%d.json", index))
@@ -47,7 +47,7 @@
 	servingSPARQLLine = regexp.MustCompile(`msg=serving_sparql address=(\S+)`)
 )
 
-// readAddresses reads off its log where it serves. It returns false where it does not serve yet.
+// readAddresses reads the controller's addresses from its log. It returns false if the controller does not serve yet.
 func (c *controller) readAddresses() bool {
 	log := c.Log()
 	client := servingLine.FindStringSubmatch(log)
@@ -60,7 +60,7 @@
 	return true
 }
 
-// ready reports whether it welcomes jobs.
+// ready reports whether the controller accepts jobs.
 func (c *controller) ready() bool {
 	if !c.readAddresses() {
 		return false
@@ -74,7 +74,7 @@
 	return ready && err == nil
 }
 
-var errNotReady = errors.New("the controller does not get ready")
+var errNotReady = errors.New("controller did not become ready in time")
 
 func (c *controller) awaitReady() error {
 	for stop := time.Now().Add(startTimeout); !c.ready(); time.Sleep(startInterval) {
@@ -85,9 +85,9 @@
 	return nil
 }
 
-var errOverdue = errors.New("answers came after their time")
+var errOverdue = errors.New("answers were late")
 
-// stop has it drain and end, which has to go well.
+// stop terminates the controller. It returns an error if the controller fails to drain or logged late answers.
 func (c *controller) stop() error {
 	c.Signal(syscall.SIGTERM)
 	if err := c.WaitExit(); err != nil {
--- a/internal/proof/sparql/counts.go
+++ b/internal/proof/sparql/counts.go
@@ -2,12 +2,12 @@
 
 import "swiftreel/internal/rulecheck"
 
-// counts are those of a run's jobs and dispatches.
+// counts holds the numbers of a run's jobs and dispatches.
 type counts struct {
 	jobs, done, throttled, cancelled int
 	dispatches, begun                int
-	lookups, lookupsDone             int // of the MessagePack clients
-	requests, requestsDone           int // of the SPARQL clients
+	lookups, lookupsDone             int // from the MessagePack clients
+	requests, requestsDone           int // from the SPARQL clients
 	violations                       []rulecheck.Violation
 }
 
@@ -21,7 +21,7 @@
 	c.violations = append(c.violations, other.violations...)
 }
 
-// countLog counts a run's log and holds it against the rules.
+// countLog counts the events in a run's log and checks it against the rules.
 func countLog(log []rulecheck.Entry) counts {
 	c := counts{violations: rulecheck.Check(rules, log)}
 	types := map[string]string{} // by job
--- a/internal/proof/sparql/endpoint.go
+++ b/internal/proof/sparql/endpoint.go
@@ -11,14 +11,14 @@
 	"swiftreel/internal/testcluster"
 )
 
-// faultyEndpoint deals with requests before an endpoint does: it logs them and meets them with faults.
+// faultyEndpoint intercepts the requests to an endpoint, logs them and injects faults.
 type faultyEndpoint struct {
 	name   string
 	events *testcluster.EventLog
 	faults *testcluster.FaultPlan
 }
 
-// startEndpoint starts an endpoint that logs and fails as a plan says.
+// startEndpoint starts an endpoint that logs its requests and injects faults by a fault plan.
 func startEndpoint(name string, events *testcluster.EventLog, faults *testcluster.FaultPlan) (*fake.Endpoint, error) {
 	endpoint, err := fake.StartEndpoint("127.0.0.1:0", [3]string{"<a>", "<p>", "1"}, [3]string{"<b>", "<p>", "2"})
 	if err != nil {
@@ -34,7 +34,8 @@
 		Work: int64(work)})
 }
 
-// intercept answers a request that meets a fault. The text of a job has its id in a comment, that of a probe has none.
+// intercept answers requests for which a fault was drawn, and leaves all others to the endpoint. The text of a job
+// ends with its ID in a comment; that of a probe does not.
 func (f *faultyEndpoint) intercept(w http.ResponseWriter, text string) (answered bool) {
 	_, jobID, isJob := strings.Cut(text, "# ")
 	if !isJob {
@@ -48,12 +49,12 @@
 		return true
 	}
 	f.log(rulecheck.Began, jobID, "", f.faults.WorkDuration())
-	time.Sleep(f.faults.Duration(fault)) // the job's work, as simulated
+	time.Sleep(f.faults.Duration(fault)) // simulates the job's work
 	switch fault {
 	case testcluster.ResetsConnection:
 		f.log(rulecheck.Ended, jobID, rulecheck.Broken, 0)
 		panic(http.ErrAbortHandler) // net/http closes the connection without a log line
-	case testcluster.FailsDispatch: // begins well, and breaks off inside the JSON
+	case testcluster.FailsDispatch: // starts a valid response and breaks off inside the JSON
 		f.log(rulecheck.Ended, jobID, rulecheck.Broken, 0)
 		w.Header().Set("Content-Type", "application/sparql-results+json")
 		fmt.Fprint(w, `{"head":{"vars":["s"]},"results":{"bindings":[{"s":{"type":"uri","val`)
--- a/internal/proof/sparql/main.go
+++ b/internal/proof/sparql/main.go
@@ -1,6 +1,6 @@
-// Command sparql plays a mixed run of both protocols against real controllers on loopback: make proof-sparql. Fakes
-// log every job, answer and dispatch; rulecheck reads the logs. It ends with exit code 1 where a rule is broken or a
-// job has not its one outcome.
+// Command sparql runs a mixed load of both protocols against real controllers on loopback: make proof-sparql. Fakes log
+// every job, answer and dispatch, and package rulecheck checks the logs. It exits with 1 if a rule is broken or a job
+// does not have exactly one outcome.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"swiftreel/internal/proof"
 )
 
-// maxFloodLoss is the part of lookups that a flood of SPARQL requests may cost.
+// maxFloodLoss is the largest accepted loss in the fraction of lookups done, caused by a flood of SPARQL requests.
 const maxFloodLoss = 0.03
 
 func main() {
@@ -31,7 +31,7 @@
 	}
 }
 
-// playFaults plays runs with faults, some at once. All jobs must have their one outcome by the rules.
+// playFaults plays runs with faults, several in parallel. By the rules, each job must have exactly one outcome.
 func playFaults(report *proof.Report, program string, seeds int) {
 	fmt.Printf("%d seeds of faults, two controllers, engines of the line protocol on e1 e2 e3, of SPARQL on e1 e2 e4:\n",
 		seeds)
@@ -43,7 +43,7 @@
 		slots <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slots }()
-			config := runConfig{seed: seed, faults: true, calls: 300, queries: 150, pause: 4 * time.Millisecond, lanes: 8}
+			config := runConfig{seed: seed, faults: true, calls: 300, queries: 150, pause: 4 * time.Millisecond, connections: 8}
 			c, err := play(program, config)
 			reportRun(report, seed, c, err)
 			mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// reportRun reports what a run should not have shown.
+// reportRun reports the error and the violations of a run.
 func reportRun(report *proof.Report, seed uint64, c counts, err error) {
 	if err != nil {
 		report.Failf("seed %d: %v", seed, err)
@@ -71,8 +71,8 @@
 	}
 }
 
-// playFlood plays a calm run with few SPARQL requests and one with many, and compares what becomes of MessagePack
-// lookups.
+// playFlood plays a run with few SPARQL requests and one with many, and compares the fractions of MessagePack lookups
+// that were done.
 func playFlood(report *proof.Report, program string) {
 	calm, ok := floodRun(report, program, 30, 1)
 	if !ok {
@@ -87,9 +87,15 @@
 	}
 }
 
-// floodRun plays a run without faults, and returns the part of lookups that were done; ok is false where it failed.
-func floodRun(report *proof.Report, program string, queries, lanes int) (done float64, ok bool) {
-	c, err := play(program, runConfig{seed: 99, calls: 1500, queries: queries, pause: 2 * time.Millisecond, lanes: lanes})
+// floodRun plays a run without faults and returns the fraction of lookups that were done. ok is false if it failed.
+func floodRun(report *proof.Report, program string, queries, connections int) (done float64, ok bool) {
+	c, err := play(program, runConfig{
+		seed:        99,
+		calls:       1500,
+		queries:     queries,
+		pause:       2 * time.Millisecond,
+		connections: connections,
+	})
 	if err != nil || len(c.violations) > 0 {
 		report.Failf("%v %v", err, c.violations)
 		return 0, false
--- a/internal/proof/sparql/run.go
+++ b/internal/proof/sparql/run.go
@@ -18,19 +18,19 @@
 	clientsPerController = 2 // of each protocol
 	engineWork           = 3 * time.Millisecond
 	engineCores          = 8
-	settleTime           = 100 * time.Millisecond // in which what was given up ends
+	settleTime           = 100 * time.Millisecond // for abandoned attempts to end
 )
 
-// runConfig is what a run consists of.
+// runConfig describes a run.
 type runConfig struct {
 	seed           uint64
 	faults         bool
-	calls, queries int           // of all clients of a controller, by protocol
+	calls, queries int           // MessagePack calls and SPARQL requests of all clients
 	pause          time.Duration // between a client's requests
-	lanes          int           // connections of a SPARQL client
+	connections    int           // of each SPARQL client
 }
 
-// run is the fakes and controllers of one.
+// run holds the fakes and controllers of a run.
 type run struct {
 	config      runConfig
 	events      testcluster.EventLog
@@ -40,14 +40,14 @@
 	controllers []*controller
 }
 
-// play plays a run and counts its logs.
+// play plays a run and returns the counts of its log.
 func play(program string, config runConfig) (counts, error) {
 	r := &run{config: config, engines: map[string]*fake.Engine{}, endpoints: map[string]*fake.Endpoint{}}
 	dir, err := os.MkdirTemp("", "proof")
 	if err != nil {
 		return counts{}, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder: what is left is the system's to remove
+	defer func() { _ = os.RemoveAll(dir) }() // leftovers in the temporary directory do no harm
 	defer r.close()
 	if err := r.start(program, dir); err != nil {
 		return counts{}, err
@@ -56,8 +56,8 @@
 	for i, c := range r.controllers {
 		for k := range clientsPerController {
 			name := fmt.Sprintf("%d%d", i, k)
-			clients.Go(func() { r.runCaller(c, i, name) })
-			clients.Go(func() { r.runQuerier(c, i, name) })
+			clients.Go(func() { r.runMessagePackClient(c, i, name) })
+			clients.Go(func() { r.runSPARQLClient(c, i, name) })
 		}
 	}
 	if config.faults {
@@ -72,7 +72,7 @@
 	return countLog(r.events.Entries()), nil
 }
 
-// start starts engines, endpoints, discovery and controllers. e4 does not speak the line protocol, e3 not SPARQL.
+// start starts engines, endpoints, discovery and controllers. e4 does not support the line protocol, e3 not SPARQL.
 func (r *run) start(program, dir string) error {
 	faults := testcluster.NewFaultPlan(r.config.seed, r.config.faults, engineWork)
 	var err error
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// engineAddress is where an engine speaks the line protocol, "" where it does not.
+// engineAddress returns an engine's address for the line protocol, or "" if it does not support that protocol.
 func (r *run) engineAddress(name string) string {
 	if e := r.engines[name]; e != nil {
 		return e.Address()
@@ -129,14 +129,14 @@
 		Cores: engineCores})
 }
 
-// setEngineState lists an engine in another state. It is logged after controllers can know it: the grace of rule 3
-// counts from then on.
+// setEngineState publishes a new state of an engine. It is logged only after controllers can know it, because the grace
+// period of rule 3 starts at that time.
 func (r *run) setEngineState(name, state string) {
 	r.discovery.AddEvent(false, "["+engineEntry(name, r.engineAddress(name), state)+"]")
 	r.logListed(name, state)
 }
 
-// stop ends the controllers.
+// stop drains and stops the controllers.
 func (r *run) stop() error {
 	var errs []error
 	for i, c := range r.controllers {
@@ -148,7 +148,7 @@
 	return errors.Join(errs...)
 }
 
-// close ends what is left.
+// close kills the remaining controllers and stops all fakes.
 func (r *run) close() {
 	for _, c := range r.controllers {
 		c.Kill()
--- a/internal/proof/sparql/settings.go
+++ b/internal/proof/sparql/settings.go
@@ -8,7 +8,7 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// The reservation types: two of each protocol.
+// Reservation types, two for each protocol.
 const (
 	lookupType = "lookup"
 	importType = "import"
@@ -21,7 +21,7 @@
 	writeTimeout = 4 * time.Second // of imports and updates
 )
 
-// settings are the controllers', with a blank for their index.
+// settings is the format of the controllers' settings. Its argument is the controller's index.
 const settings = `{"balancers":2,"me":%d,"step_ns":5000000,"discovery":"automatic","localities":["east"],"locality":0,
 "kinds":["std"],
 "tenants":[{"name":"acme","quota_per_s":100000,"share":1},{"name":"terms","quota_per_s":100000,"share":1}],
@@ -38,7 +38,7 @@
 "telemetry":{"via":"on_probe","fields":["concurrent"]},
 "invariants":{"answer_slack_ns":20000000,"drain_grace_ns":250000000,"order_pause_ns":50000000}}`
 
-// configText is the form of ROUTER_CONFIG, operatorText that of the operator's file.
+// configText is the format of the ROUTER_CONFIG file, operatorText that of the operator's file.
 const (
 	configText = `{"name":"n%d","listen":"127.0.0.1:0","seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "feed":%q,"known":{"n":1,"events":[%s]},"settings":%s}`
@@ -57,17 +57,18 @@
 	DrainGrace:  int64(400 * time.Millisecond),
 }
 
-// controllerConfig is the configuration of the controller of an index. known is the event that lists all engines.
+// controllerConfig returns the configuration of the controller with the given index. known is the event that lists all
+// engines.
 func controllerConfig(index int, seed uint64, discovery, known string) string {
 	return fmt.Sprintf(configText, index, seed*2+uint64(index)+1, discovery, known, fmt.Sprintf(settings, index))
 }
 
-// operatorFile turns SPARQL on; endpoints are names and URLs as JSON members.
+// operatorFile returns an operator's file that enables SPARQL. endpoints are JSON object members of name and URL.
 func operatorFile(endpoints []string) string {
 	return fmt.Sprintf(operatorText, strings.Join(endpoints, ","))
 }
 
-// engineEntry is an engine's entry in the endpoint list.
+// engineEntry returns an engine's entry in the endpoint list.
 func engineEntry(name, address, state string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"east","class":"std","block":0,"health":%q,"share":1,"born_ms":0}`,
 		name, address, state)
