--- a/internal/proof/solve/controller_plan.go
+++ b/internal/proof/solve/controller_plan.go
@@ -5,11 +5,11 @@
 	"swiftreel/internal/solve"
 )
 
-// maxDemandRatio is how far the demand may be from the planned one until the plan is no longer followed.
+// maxDemandRatio is the largest ratio between actual and planned demand at which controllers follow the plan.
 const maxDemandRatio = 3
 
-// controllerPlan translates a step of a plan into the identifiers of a controller in a zone. Engines are named by a
-// letter and a digit, their identifier.
+// controllerPlan converts a step of a plan for a controller in the given zone. Engine names must be a letter and a
+// digit; the digit is the engine's ID.
 func controllerPlan(problem *solve.Problem, step *solve.Step, zone int) *choice.Plan {
 	plan := &choice.Plan{MaxDemandRatio: maxDemandRatio}
 	for i, share := range step.Shares {
@@ -34,7 +34,7 @@
 
 func engineID(name string) choice.EngineID { return choice.EngineID(name[1] - '0') }
 
-// zoneWeights returns the weights for jobs from a zone, each relative to the greatest of its type.
+// zoneWeights returns the weights for jobs from a zone, each relative to the largest weight of its type.
 func zoneWeights(problem *solve.Problem, step *solve.Step, zone string) []choice.PlanWeight {
 	maxByType := map[string]int64{}
 	for _, weight := range step.Weights {
--- a/internal/proof/solve/decision_cost.go
+++ b/internal/proof/solve/decision_cost.go
@@ -13,7 +13,7 @@
 	costEngines       = 40
 	costJobs          = 40_000
 	costRounds        = 15
-	maxPlanCost       = 0.05 // as a fraction of what a decision costs without a plan
+	maxPlanCost       = 0.05 // as a fraction of the time of a decision without a plan
 	jobsPerTimer      = 20
 	costJobInterval   = choice.Nanos(time.Millisecond)
 	costJobDuration   = choice.Nanos(50 * time.Millisecond)
@@ -23,8 +23,8 @@
 	costArrivingTypes = 2
 )
 
-// checkDecisionCost compares Decide with a plan and without, in turns. It takes the shortest time of each: what else
-// the machine does comes on top of both.
+// checkDecisionCost compares the time of Decide with and without a plan, in alternating rounds. It uses the shortest
+// time of each, because other load on the machine only adds to the times.
 func checkDecisionCost(report *proof.Report) {
 	var without, with []time.Duration
 	for range costRounds {
@@ -40,7 +40,7 @@
 	}
 }
 
-// costPlan spreads all types over all engines, with different weights.
+// costPlan returns a plan that spreads all types over all engines, with different weights.
 func costPlan() *choice.Plan {
 	plan := &choice.Plan{
 		Tenants:        []choice.PlanTenant{{Tenant: 0, Share: 1}},
@@ -57,14 +57,14 @@
 	return plan
 }
 
-// decisionLoop takes jobs in and out at one controller, one at a time.
+// decisionLoop runs jobs through one controller, one at a time.
 type decisionLoop struct {
 	controller choice.Controller
 	now        choice.Nanos
-	timer      choice.TimerID // the last one that was set
+	timer      choice.TimerID // the timer set last
 }
 
-// decide hands over an event and returns the engine that a job is dispatched to.
+// decide passes an event to the controller and returns the engine to which a job was dispatched.
 func (l *decisionLoop) decide(event choice.Event) choice.EngineID {
 	var engine choice.EngineID
 	for _, action := range l.controller.Decide(l.now, event) {
@@ -78,7 +78,7 @@
 	return engine
 }
 
-// runJob takes one job in and out.
+// runJob lets one job arrive and ends its attempt.
 func (l *decisionLoop) runJob(job choice.JobID, jobType choice.TypeID) {
 	l.now += costJobInterval
 	engine := l.decide(choice.Event{
@@ -99,7 +99,7 @@
 	})
 }
 
-// measureDecisions returns how long a new controller takes for all jobs. A nil plan is none.
+// measureDecisions returns how long a new controller takes for all jobs. With a nil plan, it follows none.
 func measureDecisions(plan *choice.Plan) time.Duration {
 	loop := decisionLoop{now: virtualStart}
 	settings := choice.ParseSettings(rawSettings(0, 1))
--- a/internal/proof/solve/fleets.go
+++ b/internal/proof/solve/fleets.go
@@ -21,18 +21,18 @@
 	growthSolveTime    = 1500 * time.Millisecond
 )
 
-// ordinaryResult is what came of an ordinary fleet.
+// ordinaryResult is the result for an ordinary fleet.
 type ordinaryResult struct {
 	timedAnswer
-	err error // of an answer that is wrong
+	err error // not nil if the answer is wrong
 }
 
-// costExcess returns how far the cost is over its bound, as a fraction of the bound.
+// costExcess returns by how much the cost exceeds its bound, as a fraction of the bound.
 func (r ordinaryResult) costExcess() float64 {
 	return float64(r.Cost-r.CostBound) / float64(max(1, r.CostBound))
 }
 
-// checkOrdinaryFleets measures how good answers are after a second.
+// checkOrdinaryFleets measures the quality of answers after ordinarySolveTime.
 func checkOrdinaryFleets(report *proof.Report) {
 	results := make([]ordinaryResult, ordinaryFleetCount)
 	runParallel(ordinaryFleetCount, max(1, runtime.NumCPU()/2), func(index int) {
@@ -73,7 +73,7 @@
 	fmt.Printf("  time until the value was settled: %s\n\n", summarize(valueTimes))
 }
 
-// checkLargeFleet solves one problem of many engines.
+// checkLargeFleet solves one problem with many engines.
 func checkLargeFleet(report *proof.Report) {
 	problem := draw.Ordinary(1, 300, 3, 8, 40, 1.1)
 	answer := solveWithin(problem, largeSolveTime)
@@ -88,7 +88,7 @@
 		answer.took.Round(time.Millisecond))
 }
 
-// printGrowth shows how the time that the solver needs grows with the fleet.
+// printGrowth prints how the solver's time grows with the size of the fleet.
 func printGrowth() {
 	fmt.Println("how time grows (3 zones, 6 types, 12 tenants, 1.1 of capacity asked, seed 7, 1.5 s):")
 	fmt.Println("  engines   value settled after   gap")
--- a/internal/proof/solve/main.go
+++ b/internal/proof/solve/main.go
@@ -1,6 +1,6 @@
-// Command solve proves the solver: make proof-solve. It holds answers against trying all, measures how good they are
-// in a given time, and follows plans with the decision module in virtual time. It prints its tables and exits with 1
-// if a figure fails.
+// Command solve tests the solver: make proof-solve. It compares answers with those of an exhaustive search, measures
+// their quality within a time limit, and simulates controllers that follow plans in virtual time. It prints its tables
+// and exits with 1 if a check fails.
 package main
 
 import (
--- a/internal/proof/solve/measure.go
+++ b/internal/proof/solve/measure.go
@@ -10,10 +10,10 @@
 	"swiftreel/internal/solve"
 )
 
-// valuePerMille is the part of the solver's time after which it no longer works on the value.
+// valuePerMille is the fraction of the time limit that the solver spends on the value at most.
 const valuePerMille = 600
 
-// runParallel calls work with each index below count, on up to so many workers but no more than there are cores.
+// runParallel calls work with each index below count, on as many goroutines as given but no more than there are cores.
 func runParallel(count, workers int, work func(index int)) {
 	var running sync.WaitGroup
 	indexes := make(chan int)
@@ -31,14 +31,14 @@
 	running.Wait()
 }
 
-// timedAnswer is an answer with the time that it took.
+// timedAnswer is an answer with the time that the solver took.
 type timedAnswer struct {
 	solve.Answer
-	valueSettledAfter time.Duration // 0: the solver ended while it worked on the value
+	valueSettledAfter time.Duration // 0: the solver ended before it went beyond the value
 	took              time.Duration
 }
 
-// solveWithin solves a problem in a limited time.
+// solveWithin solves a problem within a time limit.
 func solveWithin(problem *solve.Problem, limit time.Duration) timedAnswer {
 	var timed timedAnswer
 	startedAt := time.Now()
@@ -54,7 +54,7 @@
 	return timed
 }
 
-// stopAfter returns a condition that ends each stage of the solver once its part of the time is over.
+// stopAfter returns a stop condition that ends each stage of the solver when its portion of the time limit has passed.
 func stopAfter(limit time.Duration) solve.Stop {
 	startedAt := time.Now()
 	return func(perMille int) bool { return time.Since(startedAt) > portionOf(limit, perMille) }
@@ -64,7 +64,7 @@
 	return limit * time.Duration(perMille) / 1000
 }
 
-// verifySteps holds each step of an answer against the problem.
+// verifySteps verifies each step of an answer against the problem.
 func verifySteps(problem *solve.Problem, answer solve.Answer) error {
 	for _, step := range answer.Steps {
 		if err := solve.Verify(problem, step); err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// summarize describes how durations, of which there is at least one, are distributed.
+// summarize describes the distribution of durations. There must be at least one.
 func summarize(durations []time.Duration) string {
 	sorted := slices.Sorted(slices.Values(durations))
 	quantile := func(fraction float64) time.Duration {
--- a/internal/proof/solve/plan_effect.go
+++ b/internal/proof/solve/plan_effect.go
@@ -11,23 +11,23 @@
 const (
 	effectSeeds        = 4
 	effectSolveTime    = time.Second
-	minFittingValue    = 0.98 // of what is billed without a plan
+	minFittingValue    = 0.98 // as a fraction of the value billed without a plan
 	maxFittingCrossing = 0.9
 	minStaleValue      = 0.97
 	staleEngineCount   = 5
 )
 
-// planEffect is what the controllers achieve with a plan, as a mean of all seeds.
+// planEffect is what the controllers achieve with a plan, as the mean over all seeds.
 type planEffect struct {
 	value       float64
 	crossingMB  float64
 	throttled   int
-	onTimeShare float64 // of all jobs that arrived
+	onTimeShare float64 // fraction of all jobs that arrived
 }
 
-// checkPlanEffect compares, in virtual time and through the decision module itself, a fleet of two zones whose demand
-// is skewed: without a plan, with one worked out for it, and with one worked out for the opposite skew and a smaller
-// fleet.
+// checkPlanEffect simulates a fleet of two zones with skewed demand, in virtual time and with the real decision module.
+// It compares the results without a plan, with the plan for this fleet, and with a stale plan for the opposite skew and
+// a smaller fleet.
 func checkPlanEffect(report *proof.Report) {
 	fleet := twoZoneFleet(800)
 	staleFleet := twoZoneFleet(200)
@@ -75,15 +75,15 @@
 	return effect
 }
 
-// Places of what is simulated, within the lists of twoZoneFleet.
+// Index of a type in twoZoneFleet, and sizes of that fleet.
 const (
-	importType  = 2 // may run once only
+	importType  = 2 // index of the run-once type
 	zoneCount   = 2
 	engineCount = 8
 	engineCores = 16
 )
 
-// twoZoneFleet returns eight engines in two zones, with so many per mille of the demand in the first.
+// twoZoneFleet returns a fleet of eight engines in two zones, with firstZonePerMille of the demand in the first zone.
 func twoZoneFleet(firstZonePerMille int64) *solve.Problem {
 	problem := &solve.Problem{
 		Zones: []solve.Zone{
@@ -111,7 +111,7 @@
 }
 
 func twoZoneDemand(problem *solve.Problem, firstZonePerMille int64) []solve.Demand {
-	threadsByType := []int64{25, 50, 20} // of the 128 cores
+	threadsByType := []int64{25, 50, 20} // the fleet has 128 cores
 	perMilleByZone := []int64{firstZonePerMille, 1000 - firstZonePerMille}
 	perMilleByTenant := []int64{600, 400}
 	var demands []solve.Demand
--- a/internal/proof/solve/settings.go
+++ b/internal/proof/solve/settings.go
@@ -2,7 +2,7 @@
 
 import "swiftreel/choice"
 
-// rawSettings returns the settings of a controller in a zone, one of several controllers.
+// rawSettings returns the settings of one of several controllers, in the given zone.
 func rawSettings(zone, controllers int) choice.RawSettings {
 	return choice.RawSettings{
 		"balancers": float64(controllers),
--- a/internal/proof/solve/simulated_controller.go
+++ b/internal/proof/solve/simulated_controller.go
@@ -7,17 +7,17 @@
 	"swiftreel/internal/solve"
 )
 
-// simulatedJob is a job as its client and the controller's gateway know it.
+// simulatedJob is the state of a job that its client and the controller's gateway would keep.
 type simulatedJob struct {
 	typeIndex    int
 	zone         int
 	arrivedAt    choice.Nanos
 	isAnswered   bool
-	isDispatched bool // an attempt is out
+	isDispatched bool // an attempt is in progress
 	attempts     choice.AttemptSeq
 }
 
-// simulatedController is a decision module with the jobs that arrive at it.
+// simulatedController is a decision module together with its jobs.
 type simulatedController struct {
 	*simulation
 	module  choice.Controller
@@ -35,7 +35,7 @@
 	}
 }
 
-// scheduleArrivals begins the streams of jobs from the controller's zone.
+// scheduleArrivals starts the job streams of the controller's zone.
 func (c *simulatedController) scheduleArrivals() {
 	for _, demand := range c.problem.Demand {
 		if demand.Zone != c.problem.Zones[c.zone].Name || demand.JobsPer1000S == 0 {
@@ -51,7 +51,7 @@
 	}
 }
 
-// checkAllAnswered is called when each job should long have its answer.
+// checkAllAnswered records a violation for each job without an answer. It is called after all answers are due.
 func (c *simulatedController) checkAllAnswered() {
 	for _, job := range c.jobs {
 		if !job.isAnswered {
@@ -60,7 +60,7 @@
 	}
 }
 
-// jobStream is the arrivals of one type for one tenant at a controller, at random intervals.
+// jobStream generates the arrivals of one type and tenant at a controller, at random intervals.
 type jobStream struct {
 	controller   *simulatedController
 	typeIndex    int
@@ -96,7 +96,7 @@
 	})
 }
 
-// decide hands an event to the module and carries out its actions.
+// decide passes an event to the module and carries out its actions.
 func (c *simulatedController) decide(event choice.Event) {
 	for _, action := range slices.Clone(c.module.Decide(c.clock.now, event)) {
 		switch action.Kind {
@@ -104,7 +104,7 @@
 			c.dispatch(action.Job, action.Engine)
 		case choice.Throttle, choice.CancelPermanently:
 			c.reject(action)
-		case choice.CancelAttempt: // these simulated servers end what they began
+		case choice.CancelAttempt: // simulated servers always complete what they have started
 		case choice.SetTimer:
 			fired := choice.Event{Kind: choice.TimerFired, TimerID: action.TimerID}
 			c.clock.after(action.Duration, func() { c.decide(fired) })
@@ -119,7 +119,7 @@
 	c.decide(choice.Event{Kind: choice.ProbeCompleted, Engine: engine, Result: choice.Done, Load: load})
 }
 
-// reject answers a job without a result.
+// reject records an answer without a result: the job was throttled or cancelled permanently.
 func (c *simulatedController) reject(action choice.Action) {
 	job := c.jobs[action.Job]
 	if job.isAnswered {
@@ -158,7 +158,7 @@
 	})
 }
 
-// endAttempt takes a server's answer.
+// endAttempt processes a server's answer.
 func (c *simulatedController) endAttempt(ended attempt) {
 	job := c.jobs[ended.job]
 	server := c.servers[ended.engine]
@@ -181,8 +181,8 @@
 	})
 }
 
-// packUsage returns what an engine reports of a job: its CPU time in milliseconds in the upper 20 bits, its memory in
-// units of 4 MB in the lower 12.
+// packUsage returns the usage that an engine reports for a job: the CPU time in milliseconds in the upper 20 bits, the
+// memory in units of 4 MB in the lower 12 bits.
 func packUsage(jobType solve.Type) uint32 {
 	return uint32(jobType.WorkMS)<<12 | uint32(jobType.MemoryMB/4)
 }
--- a/internal/proof/solve/simulated_server.go
+++ b/internal/proof/solve/simulated_server.go
@@ -6,27 +6,27 @@
 	"swiftreel/choice"
 )
 
-// workTolerance is how much work, in nanoseconds of thread time, may be left of a job that is done.
+// workTolerance is the remaining work, in nanoseconds of thread time, at which a job counts as done.
 const workTolerance = 1
 
-// simulatedServer is an engine whose threads share its cores evenly.
+// simulatedServer simulates an engine whose threads share its cores evenly.
 type simulatedServer struct {
 	clock      *virtualClock
 	zone       int
 	cores      float64
 	executions []*execution
 	settledAt  choice.Nanos
-	generation int // rises whenever the set of executions may have changed
+	generation int // incremented whenever the set of executions may have changed
 }
 
-// execution is a job that runs at a server.
+// execution is a job that runs on a server.
 type execution struct {
 	workLeft float64 // nanoseconds of thread time
 	threads  float64
 	onDone   func()
 }
 
-// load returns what the server reports about itself.
+// load returns the server's load report: the number of executions.
 func (s *simulatedServer) load() []float64 { return []float64{float64(len(s.executions))} }
 
 // start begins an execution.
@@ -36,8 +36,8 @@
 	s.settle()
 }
 
-// settle works off what ran since it was last called, ends what is done, and schedules itself for when the next
-// execution will be.
+// settle accounts for the work done since the last call, completes the finished executions, and schedules the next call
+// for the time at which another execution will finish.
 func (s *simulatedServer) settle() {
 	done := s.advance()
 	s.generation++
@@ -47,7 +47,7 @@
 	}
 }
 
-// advance works off the time that has passed, and removes and returns the executions that are done.
+// advance subtracts the work done since the last call. It removes and returns the finished executions.
 func (s *simulatedServer) advance() []*execution {
 	rate := s.threadRate()
 	elapsed := float64(s.clock.now - s.settledAt)
@@ -65,7 +65,8 @@
 	return done
 }
 
-// scheduleNext settles the server again when the next execution is done, unless something changes before.
+// scheduleNext schedules settle for the time at which the next execution finishes. The call has no effect if the set of
+// executions may have changed by then.
 func (s *simulatedServer) scheduleNext() {
 	if len(s.executions) == 0 {
 		return
@@ -83,7 +84,7 @@
 	})
 }
 
-// threadRate returns how much of a core each thread gets.
+// threadRate returns the fraction of a core that each thread gets.
 func (s *simulatedServer) threadRate() float64 {
 	threads := 0.0
 	for _, e := range s.executions {
--- a/internal/proof/solve/simulation.go
+++ b/internal/proof/solve/simulation.go
@@ -11,20 +11,20 @@
 const (
 	controllerCount = 4
 	arrivalDuration = choice.Nanos(60e9)
-	answerDuration  = choice.Nanos(25e9) // after the last arrival: by then each job has its answer
+	answerDuration  = choice.Nanos(25e9) // time after the last arrival within which all answers are due
 	networkDelay    = choice.Nanos(500e3)
 	jobTimeout      = choice.Nanos(20e9)
 	keyCount        = 1000
-	lateValue       = 0.3 // of a job's value, where its answer is late
+	lateValue       = 0.3 // fraction of a job's value that is billed for a late answer
 	nanosPerMilli   = 1e6
 	nanosPer1000S   = 1e12
 	randomStream    = 8
 )
 
-// outcomes are what came of the jobs of a simulation.
+// outcomes holds the results of a simulation's jobs.
 type outcomes struct {
 	value          float64 // billed
-	crossingBytes  float64 // of answers from an engine in another zone
+	crossingBytes  float64 // bytes of answers from engines in another zone
 	arrived        int
 	onTime         int
 	throttled      int
@@ -44,7 +44,7 @@
 	}
 }
 
-// violate counts a broken rule.
+// violate records a violation of a rule.
 func (o *outcomes) violate(rule string) {
 	o.violations++
 	if o.firstViolation == "" {
@@ -52,7 +52,7 @@
 	}
 }
 
-// simulation is a fleet under load in virtual time. All that is random in it comes from one seed.
+// simulation simulates a fleet under load in virtual time. One seed determines all random draws.
 type simulation struct {
 	outcomes
 	problem *solve.Problem
@@ -61,7 +61,7 @@
 	servers []*simulatedServer
 }
 
-// simulate runs a fleet for a minute under controllers that follow a plan, or none if it is nil.
+// simulate runs a fleet under load for arrivalDuration. Its controllers follow the plan; with nil, they have none.
 func simulate(problem *solve.Problem, plan *solve.Step, seed uint64) outcomes {
 	s := &simulation{
 		problem: problem,
@@ -90,7 +90,7 @@
 	return s.outcomes
 }
 
-// typeIndex returns the place of a reservation type in the problem.
+// typeIndex returns the index of a reservation type in the problem.
 func (s *simulation) typeIndex(name string) int {
 	for i, jobType := range s.problem.Types {
 		if jobType.Name == name {
@@ -100,7 +100,7 @@
 	panic(fmt.Sprintf("the fleet has no type %q", name))
 }
 
-// tenantIndex returns the place of a tenant in the problem.
+// tenantIndex returns the index of a tenant in the problem.
 func (s *simulation) tenantIndex(name string) choice.TenantID {
 	for i, tenant := range s.problem.Tenants {
 		if tenant.Name == name {
@@ -110,7 +110,7 @@
 	panic(fmt.Sprintf("the fleet has no tenant %q", name))
 }
 
-// recordAnswer counts the answer of a server to a job.
+// recordAnswer adds a server's answer to the outcomes.
 func (s *simulation) recordAnswer(job *simulatedJob, serverZone int) {
 	jobType := s.problem.Types[job.typeIndex]
 	latency := s.clock.now - job.arrivedAt
--- a/internal/proof/solve/small.go
+++ b/internal/proof/solve/small.go
@@ -19,18 +19,18 @@
 	maxSmallWorkers   = 64
 )
 
-// smallResult is what came of a problem that was solved and also tried out.
+// smallResult compares the solver's answer to a problem with that of an exhaustive search.
 type smallResult struct {
-	mistake         error // nil: the solver is right
+	mismatch        error // nil: the solver is right
 	isInfeasible    bool
-	isTooLarge      bool // to be tried out
+	isTooLarge      bool // for an exhaustive search
 	conflicts       int
-	conflictDemands int // in all conflicts together
+	conflictDemands int // total over all conflicts
 	solverTime      time.Duration
 	exhaustiveTime  time.Duration
 }
 
-// checkSmallProblems holds the solver against trying all answers.
+// checkSmallProblems compares the solver with an exhaustive search on small problems.
 func checkSmallProblems(report *proof.Report) {
 	results := make([]smallResult, smallProblemCount)
 	runParallel(smallProblemCount, maxSmallWorkers, func(index int) {
@@ -40,8 +40,8 @@
 	infeasible, tooLarge, conflicts, conflictDemands := 0, 0, 0, 0
 	var solverTimes, exhaustiveTimes []time.Duration
 	for i, r := range results {
-		if r.mistake != nil {
-			report.Failf("problem %d: %s", i, r.mistake)
+		if r.mismatch != nil {
+			report.Failf("problem %d: %s", i, r.mismatch)
 		}
 		if r.isInfeasible {
 			infeasible++
@@ -77,17 +77,17 @@
 		return result
 	}
 	result.isInfeasible = want.Status == solve.Infeasible
-	result.mistake = cmp.Or(compareAnswers(got, want), verifySteps(problem, got))
+	result.mismatch = cmp.Or(compareAnswers(got, want), verifySteps(problem, got))
 	if result.isInfeasible && len(got.Conflicts) == 0 {
-		result.mistake = cmp.Or(result.mistake, errors.New("no answer, and no conflict told"))
+		result.mismatch = cmp.Or(result.mismatch, errors.New("infeasible, but no conflict reported"))
 	}
 	for _, conflict := range got.Conflicts {
 		if conflict.FromMS != 0 {
-			continue // its demands are named with figures of a later moment
+			continue // its demands are named with the figures of a later time
 		}
 		result.conflicts++
 		result.conflictDemands += len(conflict.Demands)
-		result.mistake = cmp.Or(result.mistake, checkConflict(problem, conflict))
+		result.mismatch = cmp.Or(result.mismatch, checkConflict(problem, conflict))
 	}
 	return result
 }
@@ -98,24 +98,24 @@
 	if isEqual {
 		return nil
 	}
-	return fmt.Errorf("%s %d %d %d, by trying all %s %d %d %d", got.Status, got.Value, got.Cost, got.Evenness,
+	return fmt.Errorf("got %s %d %d %d, exhaustive search got %s %d %d %d", got.Status, got.Value, got.Cost, got.Evenness,
 		want.Status, want.Value, want.Cost, want.Evenness)
 }
 
-// checkConflict holds a conflict against trying all answers: its demands cannot be met together, but without any one
-// of them the rest can.
+// checkConflict checks a conflict by exhaustive search: its demands cannot be met together, but if any one of them is
+// removed, the others can.
 func checkConflict(problem *solve.Problem, conflict solve.Conflict) error {
 	var names []string
 	for _, member := range conflict.Demands {
 		names = append(names, member.Demand)
 	}
 	if fits, known := solve.Fits(problem, names); fits || !known {
-		return fmt.Errorf("no conflict: %q", names)
+		return fmt.Errorf("not a conflict: %q", names)
 	}
 	for i, name := range names {
 		others := slices.Delete(slices.Clone(names), i, i+1)
 		if fits, known := solve.Fits(problem, others); !fits || !known {
-			return fmt.Errorf("%q is not needed in %q", name, names)
+			return fmt.Errorf("%q is not needed for the conflict %q", name, names)
 		}
 	}
 	return nil
--- a/internal/proof/solve/virtual_clock.go
+++ b/internal/proof/solve/virtual_clock.go
@@ -6,23 +6,23 @@
 	"swiftreel/choice"
 )
 
-// virtualStart is when a simulation begins. It is far from 0, which the decision module may take for unset.
+// virtualStart is the time at which a simulation starts. It is not 0, which the decision module may interpret as unset.
 const virtualStart = choice.Nanos(1e12)
 
-// virtualClock holds what is to happen and when. It moves from one event to the next.
+// virtualClock is the clock and event queue of a simulation. It advances from one event to the next.
 type virtualClock struct {
 	now    choice.Nanos
 	queue  eventQueue
-	queued int // events so far
+	queued int // number of events queued so far
 }
 
-// after has something done once a time has passed.
+// after schedules an action for the end of a delay.
 func (c *virtualClock) after(delay choice.Nanos, action func()) {
 	c.queued++
 	heap.Push(&c.queue, scheduledEvent{dueAt: c.now + delay, sequence: c.queued, action: action})
 }
 
-// runUntil does all that is due, until nothing is left or the clock has reached a moment.
+// runUntil runs events in order until the queue is empty or the clock has reached end.
 func (c *virtualClock) runUntil(end choice.Nanos) {
 	for len(c.queue) > 0 && c.now < end {
 		event := heap.Pop(&c.queue).(scheduledEvent)
@@ -31,10 +31,10 @@
 	}
 }
 
-// scheduledEvent is something that happens at a moment.
+// scheduledEvent is an action to run at a given time.
 type scheduledEvent struct {
 	dueAt    choice.Nanos
-	sequence int // those of one moment happen in the order in which they were queued
+	sequence int // events due at the same time run in the order in which they were queued
 	action   func()
 }
 
--- a/internal/proof/solve/warm_up.go
+++ b/internal/proof/solve/warm_up.go
@@ -14,20 +14,20 @@
 	warmingFleetCount = 30
 	warmingSolveTime  = 100 * time.Millisecond
 	minWarmingSteps   = 100
-	warmingHorizonMS  = 25_000 // all engines are warm by then
+	warmingHorizonMS  = 25_000 // by then all engines are warm
 	warmingIntervalMS = 50
 	fullCapacity      = 1_000_000 // of an engine, in millionths
 	threadsPerCore    = 2
 )
 
-// warmUpCheck counts what was looked at.
+// warmUpCheck counts the checks of plans for engines that warm up.
 type warmUpCheck struct {
 	report  *proof.Report
 	steps   int
-	moments int // each of one engine
+	moments int // checked, for each engine separately
 }
 
-// checkWarmUps looks at plans for engines that warm up, at every moment and not only where a step begins.
+// checkWarmUps checks plans for engines that warm up, throughout each step and not only at its start.
 func checkWarmUps(report *proof.Report) {
 	check := warmUpCheck{report: report}
 	for seed := range uint64(warmingFleetCount) {
@@ -48,7 +48,7 @@
 		warmingFleetCount, check.steps, check.moments)
 }
 
-// drawWarmingFleet draws a fleet of which about half warms up; of every third fleet all engines do.
+// drawWarmingFleet draws a fleet in which about half the engines warm up; in every third fleet all of them do.
 func drawWarmingFleet(seed uint64) *solve.Problem {
 	problem := draw.Ordinary(seed, 8, 2, 3, 3, 1.1)
 	problem.Constraints = solve.Constraints{}
@@ -64,7 +64,7 @@
 	return problem
 }
 
-// checkStep checks that no engine has more threads than its capacity allows while a step holds.
+// checkStep checks that no engine has more threads than its capacity allows while a step is in effect.
 func (c *warmUpCheck) checkStep(seed uint64, engines []solve.Engine, step solve.Step, endMS int64) {
 	c.steps++
 	assigned := map[string]int64{}
@@ -84,8 +84,8 @@
 	}
 }
 
-// capacityAt returns how much of its threads an engine may use at a moment, in millionths. It grows evenly while the
-// engine warms up.
+// capacityAt returns the fraction of its threads that an engine may use at a given time, in millionths. It grows
+// linearly while the engine warms up.
 func capacityAt(engine solve.Engine, atMS int64) int64 {
 	switch {
 	case engine.State == solve.Draining:
