--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -29,8 +29,8 @@
 `
 )
 
-// runKnownRed runs test-known-red in a generated module with the given KNOWN-RED.txt ("" for none). The tests of package
-// red named by without are left out. It returns the output and whether the script succeeded.
+// runKnownRed runs test-known-red in a generated module with the given KNOWN-RED.txt ("" for none). The tests listed in
+// without are left out of package red. It returns the output and whether the script succeeded.
 func runKnownRed(t *testing.T, knownRed string, without ...string) (string, bool) {
 	t.Helper()
 	script, err := filepath.Abs("test-known-red")
