--- a/example/fakes.go
+++ b/example/fakes.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// command executes one line of standard input, split into fields.
-func (f *fakes) command(fields []string) {
+// runCommand executes one line of standard input, split into fields.
+func (f *fakes) runCommand(fields []string) {
 	if len(fields) == 2 && engineAddresses[fields[1]] != "" {
 		switch fields[0] {
 		case "lose":
--- a/example/main.go
+++ b/example/main.go
@@ -55,7 +55,7 @@
 	log.Printf("engines %v and feed %s are up; type: lose e1, back e1", engineAddresses, feedAddress)
 	lines := bufio.NewScanner(os.Stdin)
 	for lines.Scan() {
-		f.command(strings.Fields(lines.Text()))
+		f.runCommand(strings.Fields(lines.Text()))
 	}
 	select {} // standard input has ended: run until interrupted
 }
