--- a/scripts/samedecisions/entry.go
+++ b/scripts/samedecisions/entry.go
@@ -67,7 +67,8 @@
 		return fmt.Sprintf("site %s (%s), panel %s, mode %s", e.Site, e.SiteSHA, e.Panel, e.Mode)
 	}
 	if identity(before) != identity(after) {
-		return fmt.Errorf("%s is %s, but %s is %s", before.ID, identity(before), after.ID, identity(after))
+		return fmt.Errorf("entries of different runs: %s is %s, %s is %s",
+			before.ID, identity(before), after.ID, identity(after))
 	}
 	return nil
 }
--- a/scripts/samedecisions/main.go
+++ b/scripts/samedecisions/main.go
@@ -1,13 +1,13 @@
 // Command samedecisions compares pairs of bench journal entries, one recorded before a change and one after it.
 //
-// On the simulator the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of
+// On the simulator, the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of
 // the same deployment are equal in every figure except those that measure CPU time. The command prints the first
-// differences of each pair and exits with status 1 when there is one, and with status 2 when entries cannot be read or
+// differences of each pair. It exits with status 1 if there are any, and with status 2 if entries cannot be read or
 // compared.
 //
 //	go run ./scripts/samedecisions [-journal DIR] -before ID[,ID...] -after ID[,ID...]
 //
-// An ID is the identifier of an entry in the journal, or the path of its file. Pairs are formed in the order given.
+// An ID is the identifier of an entry in the journal, or the path of its file. Entries are paired in the order given.
 package main
 
 import (
