--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -160,7 +160,7 @@
 	return r.cluster.Leader(candidates)
 }
 
-// replicatedChange is the part of a replicated rollout record that the proof reads.
+// replicatedChange is the part of the replicated rollout record that the proof reads.
 type replicatedChange struct {
 	State   rollout.State `json:"state"`
 	NewSpec change.Spec   `json:"to"`
--- a/internal/proof/owner/cost_fleet.go
+++ b/internal/proof/owner/cost_fleet.go
@@ -30,7 +30,7 @@
 	listeners []*listener
 	sockets   []net.Listener
 	voters    []*exec.Cmd
-	bytes     atomic.Int64 // to and from the listeners
+	bytes     atomic.Int64 // sent and received by the listeners
 }
 
 // startCostFleet starts a fleet with count listeners.
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// close kills the voters and removes all files.
+// close kills the voters, closes the listeners' sockets and removes all files.
 func (f *costFleet) close() {
 	for _, voter := range f.voters {
 		_ = voter.Process.Kill() // fails if it has already exited
@@ -94,7 +94,7 @@
 	f.listeners = append(f.listeners, l)
 	mux := http.NewServeMux()
 	l.registerHandlers(mux)
-	go func() { _ = http.Serve(countingListener{socket, &f.bytes}, mux) }() // until close
+	go func() { _ = http.Serve(countingListener{socket, &f.bytes}, mux) }() // ends when close closes the socket
 	f.settings.Members = append(f.settings.Members, operator.Member{Name: name, Listen: socket.Addr().String()})
 	return nil
 }
--- a/internal/proof/owner/costs.go
+++ b/internal/proof/owner/costs.go
@@ -17,7 +17,7 @@
 
 const (
 	costDuration   = 4 * time.Second // length of the measurement, after the first assignments
-	maxLeaderCores = 0.5             // at 300 listeners
+	maxLeaderCores = 0.5             // up to 300 listeners, the largest of listenerCounts
 	minAssignments = 0.5             // per listener and second
 	costTimeout    = 20 * time.Second
 	costInterval   = 50 * time.Millisecond
@@ -28,7 +28,7 @@
 // leadingCost is what a leader uses and sends, per second.
 type leadingCost struct {
 	cores       float64
-	bytes       float64 // to and from listeners
+	bytes       float64 // sent to and received from listeners
 	assignments float64 // per listener
 }
 
--- a/internal/proof/owner/fences.go
+++ b/internal/proof/owner/fences.go
@@ -15,7 +15,7 @@
 	for _, member := range r.cluster.Members {
 		texts = append(texts, member.Supervisor.Log())
 	}
-	leaders := map[int64]string{} // by term
+	leaders := map[int64]string{} // leader by term
 	for _, text := range texts {
 		r.planCount += strings.Count(text, "msg=plan_taken")
 		if err := checkOrders(text, leaders); err != nil {
--- a/internal/proof/owner/roles.go
+++ b/internal/proof/owner/roles.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	go duties.Run(context.Background()) // until the process is killed
+	go duties.Run(context.Background()) // runs until the process is killed
 	return http.Serve(socket, mux)
 }
 
--- a/internal/proof/owner/shares.go
+++ b/internal/proof/owner/shares.go
@@ -14,13 +14,13 @@
 
 const (
 	unevenDuration      = 10 * time.Second
-	unevenSettledFor    = 3 * time.Second // before the end; by then shares have settled
+	unevenMeasuredFor   = 3 * time.Second // before the end; by then shares have settled
 	unevenCheckInterval = 200 * time.Millisecond
 	unevenJobInterval   = 20 * time.Millisecond
 	unevenServiceTime   = 60 * time.Millisecond
 	unevenSeed          = 40
 	unevenClients       = 9
-	shareUnit           = 1e6
+	fullShareMillionths = 1e6
 )
 
 // unevenResult describes how well the controllers' shares match the jobs that they receive.
@@ -99,7 +99,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if time.Until(end) > unevenSettledFor {
+		if time.Until(end) > unevenMeasuredFor {
 			continue
 		}
 		for _, difference := range differences {
@@ -124,7 +124,7 @@
 		if err != nil {
 			return nil, err
 		}
-		shares[i] = float64(status.SharePerMillion) / shareUnit
+		shares[i] = float64(status.SharePerMillion) / fullShareMillionths
 		for _, work := range status.JobCounts {
 			jobs[i] += float64(work.Jobs)
 		}
