--- a/internal/proof/rollout/handover.go
+++ b/internal/proof/rollout/handover.go
@@ -22,8 +22,8 @@
 	// steadyLoadTime is the duration of load before the switches and after each one.
 	steadyLoadTime = 1500 * time.Millisecond
 
-	maxGapMS = 500  // without an answer
-	minDone  = 0.99 // of all answers
+	maxGapMS = 500  // longest time without an answer
+	minDone  = 0.99 // least fraction of jobs done, of all answers
 )
 
 // errNotRunning is returned when the controller has no process that could be restarted.
--- a/internal/proof/rollout/result.go
+++ b/internal/proof/rollout/result.go
@@ -23,7 +23,7 @@
 	brokenConnections int64 // closed before an answer
 	exposure          time.Duration
 	violations        []rulecheck.Violation
-	kills             int // of the coordinator
+	kills             int // number of coordinators killed
 	err               error
 }
 
--- a/internal/proof/rollout/rollout_test.go
+++ b/internal/proof/rollout/rollout_test.go
@@ -114,7 +114,7 @@
 	var text bytes.Buffer
 	for _, harm := range []float64{0, 0.05} {
 		for seed := range uint64(6) {
-			r := newVirtualFleet(seed, 3, 20, harm).roll(300)
+			r := newVirtualFleet(seed, 3, 20, harm).simulateRollout(300)
 			fmt.Fprintf(&text, "harm %g, seed %d: %s, fixed test stops %t, %d new jobs, %d s: %s\n",
 				harm, seed, r.phase, r.fixedTestStops, r.newJobs, r.seconds, r.outcome)
 		}
--- a/internal/proof/rollout/scenario.go
+++ b/internal/proof/rollout/scenario.go
@@ -30,7 +30,7 @@
 type fault struct {
 	AtMS    int64                `json:"at_ms"` // since the scenario's start
 	Member  int                  `json:"member"`
-	Mode    testcluster.LinkMode `json:"way"` // of the link to the supervisor
+	Mode    testcluster.LinkMode `json:"way"` // mode of the link to the supervisor
 	DelayMS int64                `json:"delay_ms"`
 	Repeat  bool                 `json:"repeat"`  // the last order is delivered again
 	StopMS  int64                `json:"stop_ms"` // how long the supervisor is stopped by SIGSTOP
--- a/internal/proof/rollout/virtual.go
+++ b/internal/proof/rollout/virtual.go
@@ -37,8 +37,8 @@
 	harmed        int     // number of changes for each harm
 }
 
-// roll simulates count changes in parallel and returns their results in the order of their seeds.
-func (s virtualSeries) roll(count, seedFactor int, harm float64) []virtualResult {
+// simulateRollouts simulates count changes in parallel and returns their results in the order of their seeds.
+func (s virtualSeries) simulateRollouts(count, seedFactor int, harm float64) []virtualResult {
 	results := make([]virtualResult, count)
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, runtime.NumCPU())
@@ -47,7 +47,7 @@
 		wait.Go(func() {
 			defer func() { <-slots }()
 			seed := uint64(seedFactor*s.controllers + i)
-			results[i] = newVirtualFleet(seed, s.controllers, s.jobsPerSecond, harm).roll(virtualSamples)
+			results[i] = newVirtualFleet(seed, s.controllers, s.jobsPerSecond, harm).simulateRollout(virtualSamples)
 		})
 	}
 	wait.Wait()
@@ -93,7 +93,7 @@
 // falseAlarms simulates the changes without effect and counts their results.
 func (s virtualSeries) falseAlarms() falseAlarms {
 	f := falseAlarms{changes: s.nulls, reasons: map[string]int{}}
-	for _, r := range s.roll(s.nulls, nullSeedFactor, 0) {
+	for _, r := range s.simulateRollouts(s.nulls, nullSeedFactor, 0) {
 		switch r.phase {
 		case rollout.PhaseDone:
 			f.passed++
@@ -147,7 +147,7 @@
 	fmt.Printf("  %3d controllers:", s.controllers)
 	for _, harm := range harms {
 		var jobs, seconds []int
-		for _, r := range s.roll(s.harmed, harmSeedFactor, harm) {
+		for _, r := range s.simulateRollouts(s.harmed, harmSeedFactor, harm) {
 			if r.phase == rollout.PhaseReverted {
 				jobs = append(jobs, int(r.newJobs))
 				seconds = append(seconds, r.seconds)
--- a/internal/proof/rollout/virtual_rollout.go
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -10,7 +10,7 @@
 
 const (
 	nanosPerSecond    = int64(1e9)
-	maxStepsPerSample = 10 // a rollout that runs longer than this many times its samples is undecided
+	maxDurationFactor = 10 // a rollout that takes longer than this many bake times is undecided
 )
 
 // virtualResult is the result of a change in a virtual fleet.
@@ -31,7 +31,7 @@
 	analysis *canary.Analysis
 	recovery canary.RecoveryCheck
 	fixed    fixedTest
-	isNew    []bool // by controller
+	isNew    []bool // whether it runs the new version, by controller
 
 	phase      rollout.Phase // in the last second
 	stage      int
@@ -39,8 +39,8 @@
 	result     virtualResult
 }
 
-// roll simulates a change whose stages bake for at most the given number of samples.
-func (f *virtualFleet) roll(samples int) virtualResult {
+// simulateRollout simulates a change whose stages bake for at most the given number of samples.
+func (f *virtualFleet) simulateRollout(samples int) virtualResult {
 	timing := change.Timing{
 		BaselineMS:         60_000,
 		BakeMS:             60_000,
@@ -64,7 +64,7 @@
 		phase:    rollout.PhasePreparing,
 		stage:    -1,
 	}
-	for t := 0; !v.machine.State.Phase.IsTerminal() && t < maxStepsPerSample*samples; t++ {
+	for t := 0; !v.machine.State.Phase.IsTerminal() && t < maxDurationFactor*samples; t++ {
 		v.step(t)
 	}
 	v.result.phase = v.machine.State.Phase
@@ -175,7 +175,7 @@
 			}
 		}
 	}
-	const minJobs = 30 // of each version
+	const minJobs = 30 // for each version
 	if f.newJobs < minJobs || f.oldJobs < minJobs {
 		return false
 	}
