--- a/internal/proof/solve/decision_cost.go
+++ b/internal/proof/solve/decision_cost.go
@@ -18,7 +18,7 @@
 	costJobInterval   = choice.Nanos(time.Millisecond)
 	costJobDuration   = choice.Nanos(50 * time.Millisecond)
 	costJobTimeout    = choice.Nanos(4 * time.Second)
-	costThreads       = 8 // of an engine
+	costThreads       = 8 // planned threads per engine
 	costPlannedTypes  = 3
 	costArrivingTypes = 2
 )
--- a/internal/proof/solve/fleets.go
+++ b/internal/proof/solve/fleets.go
@@ -15,7 +15,7 @@
 	ordinaryFleetCount = 50
 	ordinarySolveTime  = time.Second
 	maxOrdinaryTime    = 1300 * time.Millisecond
-	maxGap             = 0.001 // between the value and its bound, as a fraction of the bound
+	maxGap             = 0.001 // largest gap between the value and its bound, as a fraction of the bound
 	largeSolveTime     = 10 * time.Second
 	maxLargeTime       = 11 * time.Second
 	growthSolveTime    = 1500 * time.Millisecond
--- a/internal/proof/solve/simulated_controller.go
+++ b/internal/proof/solve/simulated_controller.go
@@ -55,7 +55,7 @@
 func (c *simulatedController) checkAllAnswered() {
 	for _, job := range c.jobs {
 		if !job.isAnswered {
-			c.violate("rule 1: a job without its answer")
+			c.recordViolation("rule 1: a job without its answer")
 		}
 	}
 }
@@ -123,10 +123,10 @@
 func (c *simulatedController) reject(action choice.Action) {
 	job := c.jobs[action.Job]
 	if job.isAnswered {
-		c.violate("rule 1: a second answer")
+		c.recordViolation("rule 1: a second answer")
 	}
 	if action.Kind == choice.Throttle && job.attempts > 0 && job.typeIndex == importType {
-		c.violate("rule 2: a run-once job that may have run is throttled")
+		c.recordViolation("rule 2: a run-once job that may have run is throttled")
 	}
 	job.isAnswered = true
 	c.throttled++
@@ -143,7 +143,7 @@
 func (c *simulatedController) dispatch(id choice.JobID, engine choice.EngineID) {
 	job := c.jobs[id]
 	if job.isAnswered || job.isDispatched {
-		c.violate("rule 1: job sent after its answer, or twice at once")
+		c.recordViolation("rule 1: job sent after its answer, or twice at once")
 	}
 	started := attempt{job: id, sequence: job.attempts, engine: engine, dispatchedAt: c.clock.now}
 	job.attempts++
--- a/internal/proof/solve/simulation.go
+++ b/internal/proof/solve/simulation.go
@@ -28,7 +28,7 @@
 	arrived        int
 	onTime         int
 	throttled      int
-	violations     int // of the rules of operation
+	violations     int // violations of the rules of operation
 	firstViolation string
 }
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// violate records a violation of a rule.
-func (o *outcomes) violate(rule string) {
+// recordViolation records a violation of a rule.
+func (o *outcomes) recordViolation(rule string) {
 	o.violations++
 	if o.firstViolation == "" {
 		o.firstViolation = rule
--- a/internal/proof/solve/simulation_test.go
+++ b/internal/proof/solve/simulation_test.go
@@ -29,7 +29,7 @@
 func TestServerSharesItsCores(t *testing.T) {
 	const work = 1e6 // nanoseconds of thread time
 	for name, test := range map[string]struct {
-		threads []float64 // of jobs that start together, each with the same work
+		threads []float64 // threads of jobs that start at the same time with equal work
 		want    []choice.Nanos
 	}{
 		"one thread":                  {[]float64{1}, []choice.Nanos{work}},
--- a/internal/proof/solve/small.go
+++ b/internal/proof/solve/small.go
@@ -21,7 +21,7 @@
 
 // smallResult compares the solver's answer to a problem with that of an exhaustive search.
 type smallResult struct {
-	mismatch        error // nil: the solver is right
+	mismatch        error // nil if the solver is right
 	isInfeasible    bool
 	isTooLarge      bool // for an exhaustive search
 	conflicts       int
