--- a/internal/proof/sparql/run.go
+++ b/internal/proof/sparql/run.go
@@ -62,7 +62,7 @@
 	}
 	if config.faults {
 		time.Sleep(time.Duration(config.calls) / 8 * config.pause)
-		r.setEngineState("e2", "draining") // for both protocols
+		r.setEngineState("e2", "draining") // applies to both protocols
 	}
 	clients.Wait()
 	time.Sleep(settleTime)
