--- a/internal/proof/upgrade/build.go
+++ b/internal/proof/upgrade/build.go
@@ -10,7 +10,7 @@
 
 // build is a directory with the binaries of one of the two versions.
 type build struct {
-	version string // as its processes report it
+	version string // as reported by its processes
 	dir     string
 }
 
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -28,7 +28,7 @@
 	versions      map[string]build // supervisor version by member
 	load          load
 	logs          map[string]string // logs of earlier supervisor processes by member
-	number        int64             // of the last change
+	number        int64             // number of the last change
 	stopped       bool
 }
 
--- a/internal/proof/upgrade/report.go
+++ b/internal/proof/upgrade/report.go
@@ -16,7 +16,7 @@
 	notRun outcome = "NOT RUN"
 )
 
-// check is one line of the table.
+// check is one line of the printed table.
 type check struct {
 	name    string
 	outcome outcome
--- a/internal/proof/upgrade/scenario.go
+++ b/internal/proof/upgrade/scenario.go
@@ -69,7 +69,7 @@
 		err = fmt.Errorf("%w; errors logged: %s", err, f.logErrors())
 	}
 	r.result("no controller ends unasked", "", err)
-	detail, err = f.outcomes()
+	detail, err = f.checkOutcomes()
 	r.result("no rule is broken, each job has one outcome", detail, err)
 	if logs != "" {
 		if err := f.writeLogs(logs, s.name); err != nil {
@@ -81,8 +81,8 @@
 // minJobs is the number of jobs below which a scenario proves nothing.
 const minJobs = 100
 
-// outcomes checks the logs of clients and engines against the rules.
-func (f *fleet) outcomes() (string, error) {
+// checkOutcomes checks the logs of clients and engines against the rules.
+func (f *fleet) checkOutcomes() (string, error) {
 	if !f.stopped {
 		return "", fmt.Errorf("fleet was not stopped; jobs so far: %+v", f.load.jobs())
 	}
--- a/internal/proof/upgrade/watch.go
+++ b/internal/proof/upgrade/watch.go
@@ -23,7 +23,7 @@
 	wait    sync.WaitGroup
 
 	// Owned by the sampling goroutine until it has ended.
-	last       map[string]supervisor.Status // by member
+	last       map[string]supervisor.Status // last status by member
 	orderedBy  map[changeTerm]string        // the only coordinator of a term
 	violations []string
 	crashes    map[string]uint64 // by member: unexpected exits of its controller
