--- a/internal/proof/rollout/transfer.go
+++ b/internal/proof/rollout/transfer.go
@@ -39,7 +39,7 @@
 	fmt.Printf("jobs that take 50 times their estimate, of %d after a switch of the program, dispatched again: "+
 		"taught %.0f, not taught %.0f\n", countedJobs, with, without)
 	if with >= without {
-		return "the state transfer does not reduce retries"
+		return "it makes no difference"
 	}
 	return ""
 }
