--- a/scripts/samedecisions/main.go
+++ b/scripts/samedecisions/main.go
@@ -1,13 +1,13 @@
 // Command samedecisions compares pairs of bench journal entries, one recorded before a change and one after it.
 //
-// On the simulator the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of
+// On the simulator, the decisions of a deployment are deterministic: as long as behaviour is unchanged, two entries of
 // the same deployment are equal in every figure except those that measure CPU time. The command prints the first
-// differences of each pair and exits with status 1 when there is one, and with status 2 when entries cannot be read or
+// differences of each pair. It exits with status 1 if there are any, and with status 2 if entries cannot be read or
 // compared.
 //
 //	go run ./scripts/samedecisions [-journal DIR] -before ID[,ID...] -after ID[,ID...]
 //
-// An ID is the identifier of an entry in the journal, or the path of its file. Pairs are formed in the order given.
+// An ID is the identifier of an entry in the journal, or the path of its file. Entries are paired in the order given.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"strings"
 )
 
-// maxPrinted bounds the differences printed for one pair; the rest are counted.
+// maxPrinted limits the differences printed per pair; the rest are only counted.
 const maxPrinted = 10
 
 const (
@@ -27,7 +27,7 @@
 	exitUnusable  = 2
 )
 
-// errDifferent reports that all pairs were compared and at least one of them differs.
+// errDifferent is returned when all pairs were compared and at least one of them differs.
 var errDifferent = errors.New("decisions differ")
 
 func main() {
@@ -50,7 +50,7 @@
 }
 
 // compareAll compares the entries pair by pair and reports each pair on out. It returns errDifferent if a pair differs,
-// and another error if an entry cannot be read or two entries of a pair are no runs of the same days.
+// and another error if an entry cannot be read or the entries of a pair are not runs of the same days.
 func compareAll(out io.Writer, journal string, before, after []string) error {
 	if len(before) == 0 || len(before) != len(after) {
 		return fmt.Errorf("need as many entries before as after, at least one: got %d and %d", len(before), len(after))
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// comparePair returns how many figures differ between two entries.
+// comparePair compares two entries, reports the result on out and returns the number of differing figures.
 func comparePair(out io.Writer, journal, before, after string) (int, error) {
 	old, err := readEntry(journal, before)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := sameRun(old, recent); err != nil {
+	if err := checkSameRun(old, recent); err != nil {
 		return 0, err
 	}
 	differences := compareFigures(old.figures(), recent.figures())
