--- a/example/fakes.go
+++ b/example/fakes.go
@@ -139,7 +139,7 @@
 	case "stats", "alive":
 		session.Answer(command.ID, "well", fmt.Sprintf("load=concurrent:%d", len(e.running)), "")
 	case "fetch":
-		log.Printf("%s runs %s: %s (%s)", e.engine, command.ID, command.Body, command.Fields)
+		log.Printf("%s runs %s: %s (%s)", e.engine, command.ID, command.Statement, command.Fields)
 		e.running[command.ID] = true
 		time.AfterFunc(jobDuration, func() { e.finish(session, command.ID) })
 	case "more":
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -77,15 +77,15 @@
 	GrantMB        float64
 	Priority       uint8
 	Lane           Lane
-	OrderedAt      time.Time
+	DecidedAt      time.Time // when the decision module ordered the dispatch
 	Gate           Gate
 }
 
 // Gate grants the permission to send a dispatch. It is safe for concurrent use.
 type Gate interface {
-	// Await waits until all pending input that Permit depends on is read, at most while the dispatch may still be sent. It
-	// is called before Permit, with no lock held.
-	Await()
+	// AwaitPendingInput waits until all pending input that Permit depends on is read, at most while the dispatch may
+	// still be sent. It is called before Permit, with no lock held.
+	AwaitPendingInput()
 	// Permit is called immediately before the first byte of the dispatch is sent, after any delay by queueing, dialing or
 	// a move to another connection, and again for each connection that is tried. It does not block.
 	Permit() Permission
@@ -105,10 +105,10 @@
 // abort any dispatch that has to finish.
 type Lane uint8
 
-// The lanes. Run-once and keyed jobs use RunOnce.
+// The lanes. Run-once and keyed jobs use NotRestartable.
 const (
 	Restartable Lane = iota // also used by probes
-	RunOnce
+	NotRestartable
 )
 
 // Outcome is the outcome of a dispatch or a probe.
@@ -129,13 +129,13 @@
 
 // Reply is a progress notice or the outcome of a dispatch or a probe.
 type Reply struct {
-	Outcome  Outcome
-	Pages    [][]byte // Done only: the result, in order, charged to Limits.ResultBytes until Release
-	Load     string   // the load report as the engine sent it, such as inflight:7;util:0.61
-	WorkMS   float64  // work done, if the engine reports it
-	MemoryMB float64  // memory used, if the engine reports it
-	Notice   string   // Running only: frac, missing or parked
-	Amount   float64  // value of the notice
+	Outcome      Outcome
+	Pages        [][]byte // Done only: the result, in order, charged to Limits.ResultBytes until Release
+	Load         string   // the load report as the engine sent it, such as inflight:7;util:0.61
+	WorkMS       float64  // work done, if the engine reports it
+	MemoryMB     float64  // memory used, if the engine reports it
+	Notice       string   // Running only: frac, missing or parked
+	NoticeAmount float64  // value of the notice
 
 	ConnectedAt time.Time // when the connection that carried the answer was established; zero if unknown
 }
--- a/internal/engine/crossing_harness_test.go
+++ b/internal/engine/crossing_harness_test.go
@@ -176,8 +176,8 @@
 	return backend.Permission{Granted: !isTooLate, TimeoutMS: 1000}
 }
 
-func (deadlineGate) Withdraw() {}
-func (deadlineGate) Await()    {}
+func (deadlineGate) Withdraw()          {}
+func (deadlineGate) AwaitPendingInput() {}
 
 func (w *harness) start(id string, until time.Time) backend.Dispatch {
 	host := backend.Host{Name: "e1", Address: w.peer.Addr().String()}
@@ -186,8 +186,8 @@
 		Type:      []byte("import"),
 		Statement: []byte("x"),
 		Priority:  1,
-		Lane:      backend.RunOnce,
-		OrderedAt: time.Now(),
+		Lane:      backend.NotRestartable,
+		DecidedAt: time.Now(),
 		Gate:      deadlineGate(until),
 	}
 	return w.pool.Start(host, request, func(r backend.Reply) { w.replies <- r })
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -27,7 +27,7 @@
 	pool      *Pool
 	id        string
 	reply     func(backend.Reply)
-	orderedAt time.Time
+	decidedAt time.Time
 	isProbe   bool
 	lane      backend.Lane
 	probe     []byte           // the command of a probe
@@ -130,7 +130,7 @@
 // awaitGate waits until the gate can decide whether the dispatch may be sent. No lock is held.
 func (d *Dispatch) awaitGate() {
 	if !d.isProbe {
-		d.request.Gate.Await()
+		d.request.Gate.AwaitPendingInput()
 	}
 }
 
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -91,7 +91,7 @@
 		Type:      []byte("report"),
 		Statement: []byte("SELECT 1"),
 		Priority:  2,
-		OrderedAt: time.Now(),
+		DecidedAt: time.Now(),
 		Gate:      openGate(1500),
 	}, reply)
 	peer.expect("fetch 9b1f03aa5c7e2d41 c=report,w=1500,urgency=2 8\r\nSELECT 1\r\n")
@@ -110,7 +110,7 @@
 		Type:           []byte("import"),
 		IdempotencyKey: []byte("key-7"),
 		GrantMB:        12.5,
-		OrderedAt:      time.Now(),
+		DecidedAt:      time.Now(),
 		Gate:           openGate(0),
 	}, reply)
 	peer.expect("fetch 00000000000000ff c=import,w=0,allot=13,urgency=0,i=key-7 0\r\n\r\n")
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -34,15 +34,15 @@
 func (g openGate) Permit() backend.Permission {
 	return backend.Permission{Granted: true, TimeoutMS: int64(g)}
 }
-func (openGate) Withdraw() {}
-func (openGate) Await()    {}
+func (openGate) Withdraw()          {}
+func (openGate) AwaitPendingInput() {}
 
 // closedGate permits no dispatch.
 type closedGate struct{}
 
 func (closedGate) Permit() backend.Permission { return backend.Permission{TimeoutMS: 1000} }
 func (closedGate) Withdraw()                  {}
-func (closedGate) Await()                     {}
+func (closedGate) AwaitPendingInput()         {}
 
 func newHarness(t *testing.T, change func(*backend.Limits)) *harness {
 	t.Helper()
@@ -82,12 +82,12 @@
 
 func (b *harness) start(id string) backend.Dispatch {
 	return b.pool.Start(b.host, backend.Request{ID: []byte(id), Type: []byte("report"), Statement: []byte("SELECT 1"),
-		Priority: 1, OrderedAt: time.Now(), Gate: openGate(1000)}, func(r backend.Reply) { b.replies <- r })
+		Priority: 1, DecidedAt: time.Now(), Gate: openGate(1000)}, func(r backend.Reply) { b.replies <- r })
 }
 
 // startImport starts a run-once dispatch.
 func (b *harness) startImport(id string) {
-	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.RunOnce, OrderedAt: time.Now(),
+	request := backend.Request{ID: []byte(id), Type: []byte("import"), Lane: backend.NotRestartable, DecidedAt: time.Now(),
 		Gate: openGate(1000)}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 }
--- a/internal/engine/peer.go
+++ b/internal/engine/peer.go
@@ -9,11 +9,11 @@
 
 // Command is a command as an engine reads it. It is for engines written in Go: the example, fakes and tests.
 type Command struct {
-	Name   string
-	ID     string
-	Fields string // of fetch
-	Number int    // of renice and more
-	Body   []byte // of fetch: the statement
+	Name      string
+	ID        string
+	Fields    string // of fetch
+	Number    int    // of renice and more
+	Statement []byte // of fetch: the statement
 }
 
 // ReadCommand reads one command as an engine does.
@@ -31,7 +31,7 @@
 	switch {
 	case c.Name == commandFetch && len(parts) == 4:
 		c.Fields = string(parts[2])
-		c.Body, err = readStatement(r, string(parts[3]))
+		c.Statement, err = readStatement(r, string(parts[3]))
 	case hasNumber && len(parts) == 3:
 		c.Number, err = strconv.Atoi(string(parts[2]))
 	case len(parts) != 2:
--- a/internal/engine/permission_test.go
+++ b/internal/engine/permission_test.go
@@ -18,8 +18,8 @@
 	}
 	return granted
 }
-func (stallingGate) Withdraw() {}
-func (stallingGate) Await()    {}
+func (stallingGate) Withdraw()          {}
+func (stallingGate) AwaitPendingInput() {}
 
 // The process is stopped between the permission and the first byte. The dispatch is not sent with the expired
 // permission, but requests a new one. In a soak run with drains placed in pauses (seed 8001), a call reached an engine
@@ -38,7 +38,7 @@
 			b := newHarness(t, nil)
 			gate := stallingGate{stalls: new(atomic.Int64)}
 			gate.stalls.Store(c.stalls)
-			request := backend.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now(), Gate: gate}
+			request := backend.Request{ID: []byte("a"), Type: []byte("report"), DecidedAt: time.Now(), Gate: gate}
 			b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 			if !c.isSent {
 				b.expectOutcome(backend.Superseded)
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -51,7 +51,7 @@
 		pool:      p,
 		id:        string(r.ID),
 		reply:     reply,
-		orderedAt: r.OrderedAt,
+		decidedAt: r.DecidedAt,
 		lane:      r.Lane,
 		request:   &r,
 	}
--- a/internal/engine/pool_test.go
+++ b/internal/engine/pool_test.go
@@ -113,7 +113,7 @@
 // is draining. The gate, which knows, is asked when the first byte is about to be sent.
 func TestADispatchThatIsNotPermittedIsSuperseded(t *testing.T) {
 	b := newHarness(t, nil)
-	request := backend.Request{ID: []byte("a"), Type: []byte("report"), OrderedAt: time.Now(),
+	request := backend.Request{ID: []byte("a"), Type: []byte("report"), DecidedAt: time.Now(),
 		Gate: closedGate{}}
 	b.pool.Start(b.host, request, func(r backend.Reply) { b.replies <- r })
 	b.expectOutcome(backend.Superseded)
--- a/internal/engine/probe.go
+++ b/internal/engine/probe.go
@@ -36,7 +36,7 @@
 }
 
 func (p *Pool) probe(to backend.Host, id string, command []byte, timeout time.Duration, reply func(backend.Reply)) {
-	d := &Dispatch{pool: p, id: id, reply: reply, orderedAt: time.Now(), isProbe: true, probe: command}
+	d := &Dispatch{pool: p, id: id, reply: reply, decidedAt: time.Now(), isProbe: true, probe: command}
 	p.place(to, d)
 	startTimeout(timeout, func() {
 		if d.Cancel(func() {}) {
--- a/internal/engine/protocol_test.go
+++ b/internal/engine/protocol_test.go
@@ -101,7 +101,7 @@
 		r := bufio.NewReader(bytes.NewReader(appendNumberCommand(b, commandMore, "x", 2)))
 		c, err := ReadCommand(r)
 		hasGrant := strings.Contains(c.Fields, "allot")
-		if err != nil || c.Name != "fetch" || !bytes.Equal(c.Body, statement) || hasGrant != (grant > 0) {
+		if err != nil || c.Name != "fetch" || !bytes.Equal(c.Statement, statement) || hasGrant != (grant > 0) {
 			t.Fatalf("%+v %v", c, err)
 		}
 		if c, err = ReadCommand(r); err != nil || c.Name != "more" || c.ID != "x" || c.Number != 2 {
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -55,14 +55,14 @@
 
 func (d *Dispatch) receiveNotice(a answer) {
 	d.noticeCount++
-	if time.Duration(d.noticeCount-noticeBurst)*minNoticeInterval > time.Since(d.orderedAt) {
+	if time.Duration(d.noticeCount-noticeBurst)*minNoticeInterval > time.Since(d.decidedAt) {
 		d.closeForInvalidAnswer("news_flood")
 		return
 	}
 	note, hasNote := a.field("note")
 	amount, hasAmount := a.number("val")
 	if hasNote && hasAmount {
-		d.reply(backend.Reply{Notice: note, Amount: amount})
+		d.reply(backend.Reply{Notice: note, NoticeAmount: amount})
 	}
 }
 
--- a/internal/engine/result_test.go
+++ b/internal/engine/result_test.go
@@ -13,11 +13,11 @@
 	b := newHarness(t, nil)
 	b.start("a")
 	c := b.nextCommand("fetch")
-	if c.Fields != "c=report,w=1000,urgency=1" || string(c.Body) != "SELECT 1" {
+	if c.Fields != "c=report,w=1000,urgency=1" || string(c.Statement) != "SELECT 1" {
 		t.Fatalf("%+v", c.Command)
 	}
 	c.from.Answer("a", "news", "note=frac,val=0.5", "")
-	if r := b.expectOutcome(backend.Running); r.Notice != "frac" || r.Amount != 0.5 {
+	if r := b.expectOutcome(backend.Running); r.Notice != "frac" || r.NoticeAmount != 0.5 {
 		t.Fatalf("%+v", r)
 	}
 	c.from.Answer("a", "data", "sheets=3,toil=35,room=76", "one\tb\tc\n")
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -122,7 +122,7 @@
 	delete(c.open, dispatch.id)
 	p.remove(c, closedSendFailed)
 	// After half the dial timeout, another connection might come up only once the engine has begun to drain.
-	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.orderedAt) <= p.limits.DialTimeout/2
+	canMove := written == 0 && dispatch.moves < maxMoves && time.Since(dispatch.decidedAt) <= p.limits.DialTimeout/2
 	if !canMove {
 		dispatch.markEnded(backend.Reset)
 		p.mu.Unlock()
--- a/internal/engine/unsent_test.go
+++ b/internal/engine/unsent_test.go
@@ -58,7 +58,7 @@
 		return socket, err
 	}
 	request := backend.Request{ID: []byte("given-up"), Type: []byte("report"), Statement: largeStatement, Priority: 1,
-		OrderedAt: time.Now(), Gate: deadlineGate{}, Lane: backend.Restartable}
+		DecidedAt: time.Now(), Gate: deadlineGate{}, Lane: backend.Restartable}
 	dispatch := pool.Start(backend.Host{Name: "e1", Address: peer.Addr().String()}, request, func(backend.Reply) {})
 	conn := <-peer.conns
 	waitUntil(t, "the dispatch was not written", func() bool { return pool.isWritten("e1") })
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -171,7 +171,7 @@
 		IdempotencyKey: r.job.IdempotencyKey,
 		GrantMB:        r.grantMB,
 		Priority:       r.priority,
-		OrderedAt:      message.decidedAt,
+		DecidedAt:      message.decidedAt,
 		Gate:           sendGate{gateway: g, job: r.job, attempt: a, host: host, deadline: r.attemptDeadline},
 		Lane:           g.settings.lane(g.ids.types[string(r.job.Type)]),
 	}
@@ -227,7 +227,7 @@
 		Seq:      m.attempt.sequence,
 		Engine:   m.attempt.engine,
 		Progress: kind,
-		Amount:   m.reply.Amount,
+		Amount:   m.reply.NoticeAmount,
 	})
 }
 
--- a/internal/gateway/send_gate.go
+++ b/internal/gateway/send_gate.go
@@ -40,9 +40,9 @@
 	deadline time.Time    // of the attempt, not after that of the job
 }
 
-// Await implements backend.Gate. After a stall of the process, unread input may contain a cancellation by the client or
-// an update of the endpoint list.
-func (s sendGate) Await() {
+// AwaitPendingInput implements backend.Gate. After a stall of the process, unread input may contain a cancellation by
+// the client or an update of the endpoint list.
+func (s sendGate) AwaitPendingInput() {
 	s.job.Client.AwaitInput(maxInputWait)
 	if s.gateway.list != nil && s.gateway.settings.drainGrace > 0 {
 		s.awaitList()
--- a/internal/gateway/send_gate_test.go
+++ b/internal/gateway/send_gate_test.go
@@ -128,7 +128,7 @@
 				Client: newDisconnectingClient()})
 			request := <-engines.requests
 			if c.awaits {
-				request.Gate.Await()
+				request.Gate.AwaitPendingInput()
 			}
 			if permission := request.Gate.Permit(); permission.Granted != c.granted {
 				t.Errorf("granted: %v", permission.Granted)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -217,7 +217,7 @@
 // lane returns the connection lane for the jobs of a type.
 func (s settings) lane(id choice.TypeID) backend.Lane {
 	if t, _ := s.typeOf(id); t.notRestartable {
-		return backend.RunOnce
+		return backend.NotRestartable
 	}
 	return backend.Restartable
 }
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -96,8 +96,8 @@
 func (openGate) Permit() backend.Permission {
 	return backend.Permission{Granted: true, TimeoutMS: 20000}
 }
-func (openGate) Withdraw() {}
-func (openGate) Await()    {}
+func (openGate) Withdraw()          {}
+func (openGate) AwaitPendingInput() {}
 
 func (f *fixture) do(operation Operation) backend.Reply {
 	f.t.Helper()
