--- a/cmd/rollout-view/watch.go
+++ b/cmd/rollout-view/watch.go
@@ -125,7 +125,7 @@
 			runs = "other"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%s\n", fleet.Members[i].Name, status.Version, runs, status.Serving,
-			status.OwedAnswers, status.Fence, status.Crashes, note)
+			status.PendingAnswers, status.Fence, status.Crashes, note)
 	}
 	_ = w.Flush() // writes to memory
 }
--- a/cmd/swiftreel/reload_test.go
+++ b/cmd/swiftreel/reload_test.go
@@ -74,7 +74,7 @@
 		},
 		operator: operator.File{
 			SPARQL: &operator.SPARQL{Path: "/sparql"},
-			Stats:  &operator.Stats{Listen: "a:2", Spec: "s1"},
+			Stats:  &operator.Stats{Listen: "a:2", SpecDigest: "s1"},
 		},
 	}
 	r := reloader{current: current}
@@ -86,7 +86,7 @@
 	next := current
 	next.config.Name, next.config.Listen = "n1", "a:9"
 	next.config.Settings = map[string]any{"kept": 1.0, "changed": 2.0, "added": 1.0}
-	next.operator = operator.File{Stats: &operator.Stats{Listen: "a:3", Spec: "s2"}}
+	next.operator = operator.File{Stats: &operator.Stats{Listen: "a:3", SpecDigest: "s2"}}
 	names := r.retainUntilRestart(&next)
 	want := []string{
 		"listen",
@@ -104,8 +104,8 @@
 		t.Errorf("changed: %+v", next.operator)
 	}
 	spec := current
-	spec.operator.Stats = &operator.Stats{Listen: "a:2", Spec: "s2"} // another file at the same address
-	if names := r.retainUntilRestart(&spec); len(names) > 0 || spec.operator.Stats.Spec != "s2" {
+	spec.operator.Stats = &operator.Stats{Listen: "a:2", SpecDigest: "s2"} // another file at the same address
+	if names := r.retainUntilRestart(&spec); len(names) > 0 || spec.operator.Stats.SpecDigest != "s2" {
 		t.Errorf("%q, %+v", names, spec.operator.Stats)
 	}
 }
--- a/cmd/swiftreel/server.go
+++ b/cmd/swiftreel/server.go
@@ -50,7 +50,7 @@
 	})
 	sparql.attach(gate)
 	clients := client.NewServer(gate, budget)
-	stats, err := newStatsServer(files, gate, func() int64 { return clients.OwedAnswers() + sparql.pendingAnswers() })
+	stats, err := newStatsServer(files, gate, func() int64 { return clients.PendingAnswers() + sparql.pendingAnswers() })
 	if err != nil {
 		sparql.close()
 		clients.Close()
--- a/cmd/swiftreel/shutdown.go
+++ b/cmd/swiftreel/shutdown.go
@@ -36,7 +36,7 @@
 func (s *server) stop(signal os.Signal) {
 	stoppedAt := time.Now()
 	s.gateway.Stop()
-	slog.Info("stopping", "signal", signal, "owed", s.clients.OwedAnswers())
+	slog.Info("stopping", "signal", signal, "owed", s.clients.PendingAnswers())
 	s.awaitQuiet(stoppedAt)
 	_ = s.listener.Close() // an error does not matter: no more connections are accepted
 	s.clients.CloseWithin(s.closeTime(stoppedAt))
@@ -67,7 +67,7 @@
 		now := time.Now()
 		sinceStop := now.Sub(stoppedAt)
 		if sinceStop >= lateArrivalWindow {
-			s.clients.RefuseCalls()
+			s.clients.ThrottleNewCalls()
 		}
 		if sinceStop >= lateArrivalWindow+idleCloseDelay {
 			s.clients.CloseIdle()
@@ -84,14 +84,16 @@
 	}
 }
 
-func (s *server) pendingAnswers() int64 { return s.clients.OwedAnswers() + s.sparql.pendingAnswers() }
+func (s *server) pendingAnswers() int64 {
+	return s.clients.PendingAnswers() + s.sparql.pendingAnswers()
+}
 
 func (s *server) isQuiet(sinceStop, sincePoll time.Duration) bool {
 	switch {
 	case sinceStop < lateArrivalWindow, s.pendingAnswers() > 0, sincePoll > stallTolerance:
 		return false
 	case sinceStop < lateArrivalWindow+partialMessageTimeout:
-		return !s.clients.HasPendingInput()
+		return !s.clients.HasPendingWork()
 	default:
 		return true
 	}
--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -122,7 +122,7 @@
 	if s.options == nil {
 		return 0
 	}
-	return s.front.Owed()
+	return s.front.PendingAnswers()
 }
 
 func (s *sparqlServer) close() {
--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -59,7 +59,7 @@
 func (s *statsServer) setApplied(files files) {
 	applied := appliedDigests{settings: change.JSONDigest(files.settings)}
 	if files.operator.Stats != nil {
-		applied.spec = files.operator.Stats.Spec
+		applied.spec = files.operator.Stats.SpecDigest
 	}
 	s.applied.Store(&applied)
 }
@@ -76,10 +76,10 @@
 	report.ReloadsFailed = counters.Value("reloads_failed")
 	report.EjectedEngines = s.gateway.EjectedEngines()
 	report.ReadyEngines = s.gateway.ReadyEngines()
-	report.SharePerMillion = int64(perMillion * s.gateway.Share())
-	report.OwedAnswers = s.pendingAnswers()
+	report.SharePerMillion = int64(perMillion * s.gateway.FleetShare())
+	report.PendingAnswers = s.pendingAnswers()
 	report.EngineHealth = marshalOrNil(s.gateway.EngineHealth())
-	report.LearnedEstimates = marshalOrNil(s.gateway.TypeStats())
+	report.TypeStats = marshalOrNil(s.gateway.TypeStats())
 	return report
 }
 
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -338,7 +338,7 @@
 			t.Errorf("%s: %s", body, r.Status)
 		}
 	}
-	eventually(t, "the share is not applied", func() bool { return gate.Share() == 0.25 })
+	eventually(t, "the share is not applied", func() bool { return gate.FleetShare() == 0.25 })
 }
 
 // addressLog is a log handler that sends the listen address of the stats server to a channel.
--- a/internal/client/arrival_time_test.go
+++ b/internal/client/arrival_time_test.go
@@ -72,7 +72,7 @@
 	}
 	conn.Write(AppendRevoke(nil, 1))
 	conn.Write(AppendRevoke(nil, 2))
-	s.waitUntil("calls stay unanswered", func() bool { return server.OwedAnswers() == 0 })
+	s.waitUntil("calls stay unanswered", func() bool { return server.PendingAnswers() == 0 })
 }
 
 // A call arrives during startup, after the listener was opened but before it is served. Its arrival time must not be
--- a/internal/client/await_input_test.go
+++ b/internal/client/await_input_test.go
@@ -19,7 +19,7 @@
 	conn.Write(encodeCall(1, "SELECT 1 FROM a_1.b"))
 	call := s.jobs.nextRequest(t).Client
 	conn.Write(AppendRevoke(nil, 1))
-	s.waitUntil("the revocation does not show as unread", s.server.HasPendingInput)
+	s.waitUntil("the revocation does not show as unread", s.server.HasPendingWork)
 	const limit = 50 * time.Millisecond
 	startedAt := time.Now()
 	call.AwaitInput(limit)
--- a/internal/client/call.go
+++ b/internal/client/call.go
@@ -79,7 +79,7 @@
 	parts = append(parts, appendDoneTail(nil))
 	if c.conn.settle(c, 1) {
 		c.conn.writeResult(parts)
-		c.conn.server.outstandingCalls.Add(-1)
+		c.conn.server.pendingAnswers.Add(-1)
 	}
 }
 
@@ -108,7 +108,7 @@
 		counters.Increment("client_conns_closed_unread")
 		_ = c.conn.socket.Close() // the client does not read its answers; the reader returns with an error
 	}
-	c.conn.server.outstandingCalls.Add(-1)
+	c.conn.server.pendingAnswers.Add(-1)
 }
 
 // Connected reports whether the client still waits for the answer. It detects a close of the connection even if earlier
--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -159,7 +159,7 @@
 // abandon ends a call whose client no longer waits for it, unless the call has already ended.
 func (c *conn) abandon(call *call) {
 	if c.settle(call, 0) {
-		c.server.outstandingCalls.Add(-1)
+		c.server.pendingAnswers.Add(-1)
 		call.notifyAbandoned()
 	}
 }
--- a/internal/client/crossing_test.go
+++ b/internal/client/crossing_test.go
@@ -36,7 +36,7 @@
 			if n := len(s.jobs.requests); n > 0 {
 				t.Errorf("%d calls were submitted", n)
 			}
-			s.waitUntil("calls stay unanswered", func() bool { return s.server.OwedAnswers() == 0 })
+			s.waitUntil("calls stay unanswered", func() bool { return s.server.PendingAnswers() == 0 })
 		})
 	}
 }
@@ -164,7 +164,7 @@
 	c.Write(encodeCall(1, "SELECT 1 FROM a_1.b"))
 	one := s.jobs.nextRequest(t) // the reader is blocked
 	c.Write(encodeCall(2, "SELECT 1 FROM a_1.b"))
-	s.waitUntil("the second call has not arrived", s.server.HasPendingInput)
+	s.waitUntil("the second call has not arrived", s.server.HasPendingWork)
 	one.Client.Done([][]byte{[]byte("a\tb\tc\n")})
 	ended := make(chan struct{})
 	go func() {
@@ -188,12 +188,12 @@
 	s.server = NewServer(s.jobs, s.server.limits) // closed by the cleanup
 }
 
-// A call that is read after RefuseCalls is throttled and not submitted.
+// A call that is read after ThrottleNewCalls is throttled and not submitted.
 func TestCallsReadDuringShutdownAreThrottled(t *testing.T) {
 	s := newTestServer(t, 6)
 	c := s.dial()
 	c.Write(encodeCall(1, "SELECT 1 FROM a_1.b"))
-	s.server.RefuseCalls()
+	s.server.ThrottleNewCalls()
 	close(s.listener.open)
 	b := make([]byte, 100)
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -202,7 +202,9 @@
 	if err != nil || bad != nil || a.Error != errorThrottled || len(s.jobs.requests) > 0 {
 		t.Errorf("%+v, %v, %v", a, err, bad)
 	}
-	s.waitUntil("a call is unanswered", func() bool { return s.server.OwedAnswers() == 0 && !s.server.HasPendingInput() })
+	s.waitUntil("a call is unanswered", func() bool {
+		return s.server.PendingAnswers() == 0 && !s.server.HasPendingWork()
+	})
 }
 
 // Replies that a client does not read delay shutdown no longer than an incomplete message does, and do not count as
@@ -216,34 +218,34 @@
 	var wrote sync.WaitGroup
 	wrote.Go(func() { one.Client.Done([][]byte{make([]byte, 8<<20)}) }) // fills the socket buffers
 	s.waitUntil("no result is being written", func() bool { return s.server.isWritingResult() })
-	owed := s.server.OwedAnswers()
+	owed := s.server.PendingAnswers()
 	c.Write(AppendHeartbeat(nil, 2))
 	s.waitUntil("the heartbeat is not read", func() bool { return s.server.pendingReplies.Load() == 1 })
-	if s.server.OwedAnswers() != owed || !s.server.HasPendingInput() {
-		t.Errorf("unanswered: %d, before: %d; pending input: %v", s.server.OwedAnswers(), owed, s.server.HasPendingInput())
+	if s.server.PendingAnswers() != owed || !s.server.HasPendingWork() {
+		t.Errorf("unanswered: %d, before: %d; pending input: %v", s.server.PendingAnswers(), owed, s.server.HasPendingWork())
 	}
 	c.Close()
 	wrote.Wait()
 	s.waitUntil("input or calls stay pending after the client has disconnected", func() bool {
-		return !s.server.HasPendingInput() && s.server.OwedAnswers() == 0
+		return !s.server.HasPendingWork() && s.server.PendingAnswers() == 0
 	})
 }
 
-// HasPendingInput must detect connections that only the kernel has accepted, unread input, and partial messages.
+// HasPendingWork must detect connections that only the kernel has accepted, unread input, and partial messages.
 func TestPendingInputIsDetected(t *testing.T) {
 	s := newTestServer(t, 6)
 	s.jobs.blocked = make(chan struct{})
-	if s.server.HasPendingInput() {
+	if s.server.HasPendingWork() {
 		t.Error("pending input is reported although none was sent")
 	}
 	first, second := s.dial(), s.dial() // the listener holds the first; the second waits in the kernel's accept queue
-	s.waitUntil("a connection waiting to be accepted is not detected", s.server.HasPendingInput)
+	s.waitUntil("a connection waiting to be accepted is not detected", s.server.HasPendingWork)
 	close(s.listener.open)
-	s.waitUntil("the connections are not accepted", func() bool { return !s.server.HasPendingInput() })
+	s.waitUntil("the connections are not accepted", func() bool { return !s.server.HasPendingWork() })
 	first.Write(encodeCall(1, "SELECT 1 FROM a_1.b"))
 	s.jobs.nextRequest(t)
 	first.Write([]byte{0x94})
-	s.waitUntil("unread input is not detected", s.server.HasPendingInput)
+	s.waitUntil("unread input is not detected", s.server.HasPendingWork)
 	second.Write(append(AppendHeartbeat(nil, 1), 0x94))
 	s.waitUntil("a partial message is not detected", func() bool {
 		s.server.mu.Lock()
--- a/internal/client/handle.go
+++ b/internal/client/handle.go
@@ -120,7 +120,7 @@
 		return callOverLimit
 	}
 	c.open[call.id] = call
-	c.server.outstandingCalls.Add(1)
+	c.server.pendingAnswers.Add(1)
 	return callOpened
 }
 
--- a/internal/client/input_end_test.go
+++ b/internal/client/input_end_test.go
@@ -39,7 +39,7 @@
 			if answer, answered := answers[1]; !answered || answer.Error != "" || string(answer.Body) != "a\tb\tc\n" {
 				t.Errorf("the open call got answer %+v, answered: %v", answer, answered)
 			}
-			s.waitUntil("calls stay unanswered", func() bool { return s.server.OwedAnswers() == 0 })
+			s.waitUntil("calls stay unanswered", func() bool { return s.server.PendingAnswers() == 0 })
 		})
 	}
 }
@@ -59,7 +59,7 @@
 	if reason == nil || !c.settle(opened, 0) {
 		t.Fatalf("%v", reason)
 	}
-	s.server.outstandingCalls.Add(-1)
+	s.server.pendingAnswers.Add(-1)
 	c.answerUnreadable(reason)
 	if len(c.replies) > 0 || c.isWritingReplies {
 		t.Errorf("second answer: %q", c.replies)
@@ -253,10 +253,10 @@
 	waiting := s.dial()
 	waiting.Write(encodeCall(2, "SELECT 2 FROM a_1.b"))
 	s.waitUntil("the connection is not accepted", s.server.isAdmitting.Load)
-	if !s.server.HasPendingInput() {
+	if !s.server.HasPendingWork() {
 		t.Error("the waiting connection does not count as pending input")
 	}
-	s.server.RefuseCalls() // shutdown continues, and there is still no capacity
+	s.server.ThrottleNewCalls() // shutdown continues, and there is still no capacity
 	if answer := readAnswer(t, waiting); answer.ID != 2 || answer.Error != errorThrottled {
 		t.Errorf("its call got answer %+v", answer)
 	}
--- a/internal/client/server.go
+++ b/internal/client/server.go
@@ -36,17 +36,17 @@
 	limits  *limits.Budget
 	buffers sync.Pool // of *firstBuffer
 
-	malformed        ratelog.Logger
-	unusable         ratelog.Logger
-	writesFailed     ratelog.Logger
-	acceptsFailed    ratelog.Logger
-	stalls           *stallDetector
-	outstandingCalls atomic.Int64 // calls that are unanswered or whose result is being written
-	pendingReplies   atomic.Int64 // connections with refusals or heartbeat answers still to be written
-	isThrottling     atomic.Bool  // new calls are throttled instead of submitted
-	isAdmitting      atomic.Bool  // an accepted connection is waiting to be served
-	done             chan struct{}
-	readers          sync.WaitGroup // the connections' reader goroutines
+	malformed      ratelog.Logger
+	unusable       ratelog.Logger
+	writesFailed   ratelog.Logger
+	acceptsFailed  ratelog.Logger
+	stalls         *stallDetector
+	pendingAnswers atomic.Int64 // calls that are unanswered or whose result is being written
+	pendingReplies atomic.Int64 // connections with refusals or heartbeat answers still to be written
+	isThrottling   atomic.Bool  // new calls are throttled instead of submitted
+	isAdmitting    atomic.Bool  // an accepted connection is waiting to be served
+	done           chan struct{}
+	readers        sync.WaitGroup // the connections' reader goroutines
 
 	mu            sync.Mutex // guards the fields below
 	capacityFreed *sync.Cond // signaled when a connection ends or the server is closed
@@ -142,16 +142,17 @@
 	s.capacityFreed.Signal()
 }
 
-// OwedAnswers returns the number of calls whose answer has not been written completely.
-func (s *Server) OwedAnswers() int64 { return s.outstandingCalls.Load() }
+// PendingAnswers returns the number of calls whose answer has not been written completely.
+func (s *Server) PendingAnswers() int64 { return s.pendingAnswers.Load() }
 
-// RefuseCalls throttles all calls that are not yet submitted, and all later ones. Submitted calls are still answered.
-func (s *Server) RefuseCalls() { s.isThrottling.Store(true) }
+// ThrottleNewCalls throttles all calls that are not yet submitted, and all later ones. Submitted calls are still
+// answered.
+func (s *Server) ThrottleNewCalls() { s.isThrottling.Store(true) }
 
-// HasPendingInput reports whether client input is unread or partly read, a connection is waiting to be accepted or
+// HasPendingWork reports whether client input is unread or partly read, a connection is waiting to be accepted or
 // served, or refusals or heartbeat answers are still to be written. A client can keep this state up indefinitely, so a
 // caller must bound its wait for it.
-func (s *Server) HasPendingInput() bool {
+func (s *Server) HasPendingWork() bool {
 	if s.pendingReplies.Load() > 0 || s.isAdmitting.Load() {
 		return true
 	}
@@ -178,7 +179,7 @@
 // still answered, until the limit is reached. Each connection is half-closed first, so that an answer just written
 // reaches its client even if the client has sent more; that input is discarded.
 func (s *Server) CloseWithin(limit time.Duration) {
-	s.RefuseCalls()
+	s.ThrottleNewCalls()
 	s.mu.Lock()
 	s.isClosed = true
 	s.capacityFreed.Broadcast()
--- a/internal/command/fleet/fleet_status.go
+++ b/internal/command/fleet/fleet_status.go
@@ -93,7 +93,7 @@
 			note = "out of service"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%d\t%v\t%d\t%.0f\t%s\n", status.Name, status.Version, status.RunningSpec,
-			status.Serving, status.OwedAnswers, status.Fence, status.Crashes, status.MemoryMB, note)
+			status.Serving, status.PendingAnswers, status.Fence, status.Crashes, status.MemoryMB, note)
 	}
 	return table.Flush()
 }
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -42,7 +42,7 @@
 	}))
 	defer s.Close()
 	f := coordinator.NewFleetClient(
-		[]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}},
+		[]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", AdvertiseAddress: strings.TrimPrefix(s.URL, "http://")}},
 		20*time.Second,
 		20*time.Second,
 	)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -161,8 +161,8 @@
 	g.notify(choice.Event{Kind: choice.QuotaAssigned, Quota: quota})
 }
 
-// Share returns the share of the fleet, from 0 to 1, that the module currently assumes for this controller.
-func (g *Gateway) Share() float64 {
+// FleetShare returns the share of the fleet, from 0 to 1, that the module currently assumes for this controller.
+func (g *Gateway) FleetShare() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.module.FleetShare()
--- a/internal/jobstats/jobstats_test.go
+++ b/internal/jobstats/jobstats_test.go
@@ -39,10 +39,10 @@
 		SpecDigest:     "aa",
 		SettingsDigest: "bb",
 		Ready:          true,
-		OwedAnswers:    3,
+		PendingAnswers: 3,
 		ReloadsFailed:  2,
 		EjectedEngines: 4,
-		LearnedEstimates: json.RawMessage(
+		TypeStats: json.RawMessage(
 			`{"lookup":1.5}`,
 		),
 		EngineHealth:    json.RawMessage(`{"e1":{}}`),
--- a/internal/jobstats/server.go
+++ b/internal/jobstats/server.go
@@ -35,15 +35,15 @@
 	SpecDigest     change.Digest `json:"spec"`     // from the operator's file in force
 	SettingsDigest change.Digest `json:"settings"` // of the settings in force
 	Ready          bool          `json:"ready"`
-	OwedAnswers    int64         `json:"owed"`
+	PendingAnswers int64         `json:"owed"`
 	ReloadsFailed  uint64        `json:"reloads_failed"`
 	Probes         uint64        `json:"probes"` // sent
 	EjectedEngines int           `json:"aside"`  // current number
-	// LearnedEstimates (by type) and EngineHealth (by engine) are the snapshot for a newer process of this controller.
-	LearnedEstimates json.RawMessage                   `json:"learned,omitempty"`
-	EngineHealth     json.RawMessage                   `json:"health,omitempty"`
-	JobCounts        map[canary.Group]canary.JobCounts `json:"work"`
-	ReadyEngines     []string                          `json:"engines,omitempty"` // sorted
+	// TypeStats (by type) and EngineHealth (by engine) are the snapshot for a newer process of this controller.
+	TypeStats    json.RawMessage                   `json:"learned,omitempty"`
+	EngineHealth json.RawMessage                   `json:"health,omitempty"`
+	JobCounts    map[canary.Group]canary.JobCounts `json:"work"`
+	ReadyEngines []string                          `json:"engines,omitempty"` // sorted
 	// SharePerMillion is the share of the fleet that the controller currently uses.
 	SharePerMillion int64 `json:"carries_per_million"`
 }
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -37,11 +37,11 @@
 
 // Member is a controller and its supervisor.
 type Member struct {
-	Name   string   `json:"name"`
-	Listen string   `json:"listen"`          // host:port of the supervisor's HTTP server
-	Reach  string   `json:"reach,omitempty"` // address at which others reach that server; default: Listen
-	Zone   string   `json:"zone,omitempty"`
-	Types  []string `json:"types,omitempty"` // job types that the controller serves; empty: all
+	Name             string   `json:"name"`
+	Listen           string   `json:"listen"`          // host:port of the supervisor's HTTP server
+	AdvertiseAddress string   `json:"reach,omitempty"` // address at which others reach that server; default: Listen
+	Zone             string   `json:"zone,omitempty"`
+	Types            []string `json:"types,omitempty"` // job types that the controller serves; empty: all
 }
 
 // Defaults in milliseconds. defaultDrainMS exceeds the longest job timeout of all known deployments.
@@ -138,7 +138,7 @@
 }
 
 // Address returns the address at which others reach the member's supervisor.
-func (m Member) Address() string { return cmp.Or(m.Reach, m.Listen) }
+func (m Member) Address() string { return cmp.Or(m.AdvertiseAddress, m.Listen) }
 
 // Member returns the member with the given name.
 func (f *Fleet) Member(name string) (Member, bool) {
--- a/internal/operator/stats.go
+++ b/internal/operator/stats.go
@@ -9,7 +9,7 @@
 // Stats makes the controller record job statistics and report them over HTTP. A supervisor writes this part.
 type Stats struct {
 	Listen      string        `json:"listen"` // host:port; port 0: any free port, which is logged
-	Spec        change.Digest `json:"spec"`   // digest of the specification of this file, reported unchanged
+	SpecDigest  change.Digest `json:"spec"`   // digest of the specification of this file, reported unchanged
 	Predecessor bool          `json:"elder"`  // an older process of this controller is still running
 
 	TypeStats    json.RawMessage `json:"learned,omitempty"` // job type statistics, as the older process reports them
--- a/internal/sparql/front/front_test.go
+++ b/internal/sparql/front/front_test.go
@@ -44,8 +44,8 @@
 	t.Cleanup(func() {
 		f.Close()
 		running.Wait()
-		if f.Owed() != 0 {
-			t.Errorf("%d answers were not written", f.Owed())
+		if f.PendingAnswers() != 0 {
+			t.Errorf("%d answers were not written", f.PendingAnswers())
 		}
 	})
 	return l.Addr().String()
--- a/internal/sparql/front/server.go
+++ b/internal/sparql/front/server.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Owed returns the number of jobs whose answer has not been written completely.
-func (f *Front) Owed() int64 { return f.pendingAnswers.Load() }
+// PendingAnswers returns the number of jobs whose answer has not been written completely.
+func (f *Front) PendingAnswers() int64 { return f.pendingAnswers.Load() }
 
 // Close closes the listener and all connections.
 func (f *Front) Close() {
--- a/internal/supervisor/fake_controller_test.go
+++ b/internal/supervisor/fake_controller_test.go
@@ -61,18 +61,18 @@
 		mu.Lock()
 		defer mu.Unlock()
 		return jobstats.Report{
-			Format:           change.Format,
-			StartedUnixNS:    started,
-			Version:          "stand-in",
-			SpecDigest:       stats.Spec,
-			SettingsDigest:   "5e77",
-			Ready:            true,
-			Probes:           3,
-			EjectedEngines:   1,
-			LearnedEstimates: learned,
-			EngineHealth:     json.RawMessage(`{"e1":{"ok":true}}`),
-			ReadyEngines:     []string{"e1", "e2"},
-			SharePerMillion:  sharePerMillion,
+			Format:          change.Format,
+			StartedUnixNS:   started,
+			Version:         "stand-in",
+			SpecDigest:      stats.SpecDigest,
+			SettingsDigest:  "5e77",
+			Ready:           true,
+			Probes:          3,
+			EjectedEngines:  1,
+			TypeStats:       learned,
+			EngineHealth:    json.RawMessage(`{"e1":{"ok":true}}`),
+			ReadyEngines:    []string{"e1", "e2"},
+			SharePerMillion: sharePerMillion,
 			JobCounts: map[canary.Group]canary.JobCounts{
 				{Type: "lookup", Tenant: "acme"}: {
 					Jobs:           5,
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -69,7 +69,7 @@
 		PlanText:  json.RawMessage(leaderPlan),
 	}
 	s.current = &controller{}
-	s.current.report.LearnedEstimates, s.current.report.EngineHealth = json.RawMessage(
+	s.current.report.TypeStats, s.current.report.EngineHealth = json.RawMessage(
 		`{"lookup":{"mean":12.5}}`,
 	), json.RawMessage(
 		`{"e1":{"ok":true}}`,
@@ -137,7 +137,7 @@
 		Crashes:        4,
 		PID:            5,
 		DrainingPIDs:   []int{6, 7},
-		OwedAnswers:    8,
+		PendingAnswers: 8,
 		SinceOrderMS:   9,
 		SinceRequestMS: 10,
 		MemoryMB:       11.5,
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -121,10 +121,10 @@
 // statsSection returns the section that makes a controller serve its report. A controller that replaces the current one
 // also gets the learned estimates and engine health of that one.
 func (s *Supervisor) statsSection(target *controller, config controllerConfig) (json.RawMessage, error) {
-	stats := operator.Stats{Listen: anyLoopbackPort, Spec: config.spec, Predecessor: config.hasPredecessor}
+	stats := operator.Stats{Listen: anyLoopbackPort, SpecDigest: config.spec, Predecessor: config.hasPredecessor}
 	s.mu.Lock()
 	if s.current != nil && target != s.current {
-		stats.TypeStats = s.current.report.LearnedEstimates
+		stats.TypeStats = s.current.report.TypeStats
 		stats.EngineHealth = s.current.report.EngineHealth
 	}
 	s.mu.Unlock()
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -30,10 +30,10 @@
 	Drained   bool         `json:"drained"` // no controller runs, as the order demands
 	Failure   string       `json:"failed"`  // why the order cannot be carried out
 	// Crashes counts unexpected exits of controllers and failed starts.
-	Crashes      uint64 `json:"crashes"`
-	PID          int    `json:"pid"`    // of the serving process
-	DrainingPIDs []int  `json:"drains"` // of older processes that finish their outstanding jobs
-	OwedAnswers  int64  `json:"owed"`
+	Crashes        uint64 `json:"crashes"`
+	PID            int    `json:"pid"`    // of the serving process
+	DrainingPIDs   []int  `json:"drains"` // of older processes that finish their outstanding jobs
+	PendingAnswers int64  `json:"owed"`
 	// SinceOrderMS is the time since the last order was received, accepted or not; -1 if there was none.
 	SinceOrderMS   int64   `json:"order_ms"`
 	SinceRequestMS int64   `json:"asked_ms"` // since the previous status request
@@ -125,7 +125,7 @@
 	s.SettingsDigest = report.SettingsDigest
 	s.RunningSpec = report.SpecDigest
 	s.Serving = report.Ready
-	s.OwedAnswers = report.OwedAnswers
+	s.PendingAnswers = report.PendingAnswers
 	s.StartedUnixNS = report.StartedUnixNS
 	s.Probes = report.Probes
 	s.EjectedEngines = report.EjectedEngines
--- a/internal/testcluster/config.go
+++ b/internal/testcluster/config.go
@@ -116,7 +116,7 @@
 	for i, m := range c.Members {
 		zone := []string{"east", "west"}[i%2]
 		fleet.Members = append(fleet.Members,
-			operator.Member{Name: m.Name, Listen: m.SupervisorAddress, Reach: m.Link.Address(), Zone: zone})
+			operator.Member{Name: m.Name, Listen: m.SupervisorAddress, AdvertiseAddress: m.Link.Address(), Zone: zone})
 		if i < config.Voters {
 			fleet.Voters = append(fleet.Voters, m.Name)
 		}
