--- a/cmd/swiftreel/faults_test.go
+++ b/cmd/swiftreel/faults_test.go
@@ -139,7 +139,7 @@
 				return feeds
 			}
 			feeds = append(feeds, moved)
-			moved.AddRaw(known)
+			moved.AddKnownEvent(known)
 			w.writeConfig(moved.Address(), known)
 			w.sendSIGHUP()
 			now.Close()
--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -9,37 +9,37 @@
 
 // Limits of an event.
 const (
-	maxEngines   = 4096 // entries
-	maxNameBytes = 255
-	maxShare     = 1e6
-	maxBornMS    = 1 << 43 // Unix time in ms, exclusive
+	maxEngines     = 4096 // entries
+	maxNameBytes   = 255
+	maxCapacity    = 1e6
+	maxStartedAtMS = 1 << 43 // Unix time in ms, exclusive
 )
 
 var errTooManyEngines = errors.New("event lists too many engines")
 
-// Engine is one entry of the endpoint list, with the field names of the protocol.
+// Engine is one entry of the endpoint list. The JSON keys are those of the protocol.
 type Engine struct {
-	Host   string  `json:"host"` // unique name
-	Dial   string  `json:"dial"` // address, host:port; empty: unchanged
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  uint16  `json:"block"` // engines of one block fail together
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`   // capacity
-	BornMS int64   `json:"born_ms"` // start time, Unix time in ms; 0: unknown
+	Name        string  `json:"host"` // unique
+	Address     string  `json:"dial"` // host:port; empty: unchanged
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Cell        uint16  `json:"block"` // engines of one cell fail together
+	Health      string  `json:"health"`
+	Capacity    float64 `json:"share"`
+	StartedAtMS int64   `json:"born_ms"` // Unix time; 0: unknown
 }
 
 // Event is one event of the discovery feed.
 type Event struct {
-	Number     uint64
-	Members    *Members  // nil: the event does not concern engines
-	IsPosition bool      // not an event: Number is that of the last one
-	Invalid    int       // entries that were skipped as invalid
-	UpToDateAt time.Time // when the feed last reported no further event, so that this one is newer; zero: unknown
+	Number         uint64
+	Change         *ListChange // nil: the event does not concern engines
+	IsPosition     bool        // not an event: Number is that of the last one
+	InvalidEntries int         // entries that were skipped as invalid
+	UpToDateAt     time.Time   // when the feed last reported no further event, so that this one is newer; zero: unknown
 }
 
-// Members is a change of the endpoint list.
-type Members struct {
+// ListChange is a change of the endpoint list.
+type ListChange struct {
 	IsComplete bool // Engines holds all engines; otherwise only those that changed
 	Engines    []Engine
 }
@@ -67,23 +67,23 @@
 	if len(raw.Members.Engines) > maxEngines {
 		return event, errTooManyEngines
 	}
-	event.Members = &Members{IsComplete: raw.Members.IsComplete}
+	event.Change = &ListChange{IsComplete: raw.Members.IsComplete}
 	for _, entry := range raw.Members.Engines {
 		var engine Engine
 		if err := json.Unmarshal(entry, &engine); err != nil || !engine.isValid() {
-			event.Invalid++
+			event.InvalidEntries++
 			continue
 		}
-		event.Members.Engines = append(event.Members.Engines, engine)
+		event.Change.Engines = append(event.Change.Engines, engine)
 	}
 	return event, nil
 }
 
 // isValid reports whether an entry has a name, a well-formed address if any, and numbers in range.
 func (e Engine) isValid() bool {
-	_, _, err := net.SplitHostPort(e.Dial)
-	hasValidName := e.Host != "" && len(e.Host) <= maxNameBytes
-	hasValidAddress := e.Dial == "" || err == nil
-	isInRange := e.Share >= 0 && e.Share <= maxShare && e.BornMS >= 0 && e.BornMS < maxBornMS
+	_, _, err := net.SplitHostPort(e.Address)
+	hasValidName := e.Name != "" && len(e.Name) <= maxNameBytes
+	hasValidAddress := e.Address == "" || err == nil
+	isInRange := e.Capacity >= 0 && e.Capacity <= maxCapacity && e.StartedAtMS >= 0 && e.StartedAtMS < maxStartedAtMS
 	return hasValidName && hasValidAddress && isInRange
 }
--- a/internal/discovery/slow_feed_test.go
+++ b/internal/discovery/slow_feed_test.go
@@ -39,7 +39,7 @@
 	defer watcher.Close()
 	select {
 	case event := <-events:
-		if event.Number != 1 || len(event.Members.Engines) != 1 {
+		if event.Number != 1 || len(event.Change.Engines) != 1 {
 			t.Errorf("received %+v", event)
 		}
 	case <-time.After(20 * time.Second):
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -132,9 +132,9 @@
 	if err != nil {
 		return err
 	}
-	if event.Invalid > 0 {
+	if event.InvalidEntries > 0 {
 		const name = "discovery_entries_invalid"
-		w.invalid.CountAndWarn(name, name, "address", from.address, "event", event.Number, "entries", event.Invalid)
+		w.invalid.CountAndWarn(name, name, "address", from.address, "event", event.Number, "entries", event.InvalidEntries)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -31,7 +31,7 @@
 		t.Helper()
 		select {
 		case ev := <-delivered:
-			if ev.Number != n || ev.Members.Engines[0].Host != "e1" || ev.Members.Engines[0].BornMS != 5 {
+			if ev.Number != n || ev.Change.Engines[0].Name != "e1" || ev.Change.Engines[0].StartedAtMS != 5 {
 				t.Fatalf("%+v instead of event %d", ev, n)
 			}
 		case <-time.After(20 * time.Second):
@@ -102,11 +102,11 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		ev, err := discovery.ParseEvent(text)
-		if err != nil || ev.Members == nil {
+		if err != nil || ev.Change == nil {
 			return
 		}
-		for _, e := range ev.Members.Engines {
-			if e.Host == "" || e.BornMS < 0 || e.Share < 0 {
+		for _, e := range ev.Change.Engines {
+			if e.Name == "" || e.StartedAtMS < 0 || e.Capacity < 0 {
 				t.Fatalf("%+v", e)
 			}
 		}
@@ -117,7 +117,7 @@
 func TestInvalidEntriesAreSkipped(t *testing.T) {
 	const unusable = `{"host":"","dial":"a:1"},{"host":"e","dial":"nowhere"},{"host":"e","block":-1},`
 	ev, err := discovery.ParseEvent([]byte(`{"n":1,"members":{"hosts":[` + unusable + hosts[1:] + `}}`))
-	if err != nil || ev.Invalid != 3 || len(ev.Members.Engines) != 1 || ev.Members.Engines[0].Host != "e1" {
+	if err != nil || ev.InvalidEntries != 3 || len(ev.Change.Engines) != 1 || ev.Change.Engines[0].Name != "e1" {
 		t.Errorf("%+v, %v", ev, err)
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -109,9 +109,9 @@
 	return line
 }
 
-// AddRaw adds the JSON line of an event that another server has already sent. It does not send it to current
+// AddKnownEvent adds the JSON line of an event that another server has already sent. It does not send it to current
 // subscribers.
-func (d *Discovery) AddRaw(line string) {
+func (d *Discovery) AddKnownEvent(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.events = append(d.events, line)
--- a/internal/gateway/engine_table.go
+++ b/internal/gateway/engine_table.go
@@ -61,13 +61,13 @@
 // update applies a discovery event. It returns the updated entries in the module's representation, and the names of the
 // engines that this event removed.
 func (t *engineTable) update(
-	members *discovery.Members, ids identifiers, now time.Time, startTimes *startTimeConverter,
+	change *discovery.ListChange, ids identifiers, now time.Time, startTimes *startTimeConverter,
 ) (changed []choice.EngineEntry, removed []string) {
 	t.dropExpired(now)
-	if members.IsComplete {
+	if change.IsComplete {
 		t.markAllRemoved(now)
 	}
-	for _, engine := range members.Engines {
+	for _, engine := range change.Engines {
 		changed = append(changed, t.updateEntry(engine, ids, now, startTimes))
 	}
 	return changed, t.namesRemovedAt(now)
@@ -95,17 +95,17 @@
 func (t *engineTable) updateEntry(
 	engine discovery.Engine, ids identifiers, now time.Time, startTimes *startTimeConverter,
 ) choice.EngineEntry {
-	entry, known := t.byName[engine.Host], true
+	entry, known := t.byName[engine.Name], true
 	if entry == nil {
-		entry, known = t.addEntry(engine.Host), false
+		entry, known = t.addEntry(engine.Name), false
 	}
 	startedAt := entry.listing.StartedAt
-	if !known || entry.startMS != engine.BornMS { // otherwise keep the known start: the clock may have been stepped
-		startedAt = startTimes.startTime(engine.BornMS)
+	if !known || entry.startMS != engine.StartedAtMS { // otherwise keep the known start: the clock may have been stepped
+		startedAt = startTimes.startTime(engine.StartedAtMS)
 	}
-	entry.startMS = engine.BornMS
-	if engine.Dial != "" {
-		entry.host.Address = engine.Dial
+	entry.startMS = engine.StartedAtMS
+	if engine.Address != "" {
+		entry.host.Address = engine.Address
 	}
 	state := engineState(engine.Health)
 	entry.removedAt = time.Time{}
@@ -114,11 +114,11 @@
 	}
 	entry.listing = choice.EngineEntry{
 		Engine:      entry.id,
-		Zone:        ids.zone(engine.Site),
-		Kind:        ids.kind(engine.Class),
-		Cell:        choice.CellID(engine.Block),
+		Zone:        ids.zone(engine.Zone),
+		Kind:        ids.kind(engine.Kind),
+		Cell:        choice.CellID(engine.Cell),
 		State:       state,
-		Size:        engine.Share,
+		Size:        engine.Capacity,
 		StartedAt:   startedAt,
 		Unsupported: t.unsupportedProtocols(entry.host),
 	}
@@ -192,20 +192,20 @@
 // UpdateEngines applies a discovery event. If cached is true, the event comes from the configuration file and may be
 // out of date.
 func (g *Gateway) UpdateEngines(event discovery.Event, cached bool) {
-	if event.Members == nil {
+	if event.Change == nil {
 		counters.Increment("discovery_events_ignored")
 		return
 	}
 	g.mu.Lock()
 	actions := g.notifyClockStep() // before the event's start times are converted
 	startTimes := g.newStartTimeConverter(event, cached)
-	entries, removed := g.table.update(event.Members, g.ids, time.Now(), startTimes)
+	entries, removed := g.table.update(event.Change, g.ids, time.Now(), startTimes)
 	if g.drains != nil {
 		entries = g.drains.ApplyList(g.clock.now(), entries)
 	}
 	actions = append(actions, g.decide(choice.Event{
 		Kind:    choice.EnginesListed,
-		List:    listKind(event.Members.IsComplete, cached),
+		List:    listKind(event.Change.IsComplete, cached),
 		Engines: entries,
 	})...)
 	g.mu.Unlock()
--- a/internal/gateway/engine_table_test.go
+++ b/internal/gateway/engine_table_test.go
@@ -13,9 +13,9 @@
 	a, b, now := newEngineTable(), newEngineTable(), time.Now()
 	clock := newClock()
 	startTimes := &startTimeConverter{clock: &clock, now: clock.now()}
-	first, _ := a.update(engineList(t, "true", "e1", "e2", "e3").Members, n, now, startTimes)
-	b.update(engineList(t, "true", "e3").Members, n, now, startTimes)
-	b.update(engineList(t, "false", "e2", "e1").Members, n, now, startTimes)
+	first, _ := a.update(engineList(t, "true", "e1", "e2", "e3").Change, n, now, startTimes)
+	b.update(engineList(t, "true", "e3").Change, n, now, startTimes)
+	b.update(engineList(t, "false", "e2", "e1").Change, n, now, startTimes)
 	want := choice.EngineEntry{Engine: a.byName["e1"].id, Zone: 1, Cell: 2, State: choice.Ready, Size: 4, StartedAt: 5e6}
 	if first[0] != want {
 		t.Errorf("%+v, want %+v", first[0], want)
@@ -25,13 +25,13 @@
 			t.Errorf("%s has IDs %d and %d", name, l.id, b.byName[name].id)
 		}
 	}
-	_, removed := a.update(engineList(t, "true", "e2").Members, n, now, startTimes)
+	_, removed := a.update(engineList(t, "true", "e2").Change, n, now, startTimes)
 	if slices.Sort(removed); !slices.Equal(removed, []string{"e1", "e3"}) ||
 		a.byName["e1"].listing.State != choice.Removed {
 		t.Errorf("removed %v", removed)
 	}
-	a.update(engineList(t, "false", "e1").Members, n, now.Add(time.Minute), startTimes)
-	a.update(engineList(t, "false", "e2").Members, n, now.Add(removedRetention+time.Minute), startTimes)
+	a.update(engineList(t, "false", "e1").Change, n, now.Add(time.Minute), startTimes)
+	a.update(engineList(t, "false", "e2").Change, n, now.Add(removedRetention+time.Minute), startTimes)
 	if len(a.byName) != 2 || len(a.byID) != 2 {
 		t.Errorf("%d engines kept, including one removed long ago", len(a.byName))
 	}
@@ -43,7 +43,7 @@
 	r := newEngineTable()
 	clock := newClock()
 	lines, _ := r.update(
-		engineList(t, "true", "e1").Members,
+		engineList(t, "true", "e1").Change,
 		newIdentifiers(choice.RawSettings{"localities": []any{"east"}, "kinds": []any{"small"}}),
 		time.Now(),
 		&startTimeConverter{clock: &clock, now: clock.now()},
--- a/internal/gateway/send_gate_test.go
+++ b/internal/gateway/send_gate_test.go
@@ -39,12 +39,12 @@
 		"client left": {func(_ *Gateway, c disconnectingClient) { c.disconnected.Store(true) }, false},
 		"another address": {func(g *Gateway, _ disconnectingClient) {
 			moved := engineList(t, "false", "e1")
-			moved.Members.Engines[0].Dial = "127.0.0.1:2"
+			moved.Change.Engines[0].Address = "127.0.0.1:2"
 			g.UpdateEngines(moved, false)
 		}, false},
 		"drains": {func(g *Gateway, _ disconnectingClient) {
 			draining := engineList(t, "false", "e1")
-			draining.Members.Engines[0].Health = "draining"
+			draining.Change.Engines[0].Health = "draining"
 			g.UpdateEngines(draining, false)
 		}, false},
 	} {
--- a/internal/gateway/start_time.go
+++ b/internal/gateway/start_time.go
@@ -25,7 +25,7 @@
 // a lower bound for starts: the configuration and complete lists also contain engines that started long ago.
 func (g *Gateway) newStartTimeConverter(event discovery.Event, cached bool) *startTimeConverter {
 	c := &startTimeConverter{clock: &g.clock, now: max(g.lastTime, g.clock.now())}
-	if !cached && !event.Members.IsComplete && !event.UpToDateAt.IsZero() {
+	if !cached && !event.Change.IsComplete && !event.UpToDateAt.IsZero() {
 		c.notBefore = g.clock.at(event.UpToDateAt) - choice.Nanos(maxAnnouncementDelay)
 	}
 	return c
