--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -28,7 +28,7 @@
 type sparqlServer struct {
 	options  *operator.SPARQL
 	listener net.Listener
-	maxConns limits.Count     // maximum number of connections to endpoints
+	maxConns limits.Limit     // maximum number of connections to endpoints
 	gateway  *gateway.Gateway // set by attach
 	front    *front.Front     // set by attach
 }
@@ -40,7 +40,7 @@
 	if options == nil {
 		return s, nil
 	}
-	if s.remainingLimits(machine).Sockets < minDescriptors {
+	if s.remainingLimits(machine).Descriptors < minDescriptors {
 		return nil, fmt.Errorf("sparql: with %d connections, fewer than %d descriptors are left for other uses",
 			options.Connections, minDescriptors)
 	}
@@ -56,7 +56,7 @@
 // remainingLimits returns the machine's limits less the descriptors that this server needs.
 func (s *sparqlServer) remainingLimits(machine config.Limits) config.Limits {
 	if s.options != nil {
-		machine.Sockets -= 2*s.options.Connections + 1 // clients, endpoints and the listener
+		machine.Descriptors -= 2*s.options.Connections + 1 // clients, endpoints and the listener
 	}
 	return machine
 }
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	budget := new(limits.Budget)
-	budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+	budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024})
 	engines := scriptedEngines{hanging: make(chan struct{}, 10)}
 	gate = gateway.New(gateway.Options{
 		Settings: choice.RawSettings(settings),
@@ -203,7 +203,7 @@
 				t.Fatal(err)
 			}
 			budget := new(limits.Budget)
-			budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+			budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024})
 			gate := gateway.New(gateway.Options{
 				Settings: choice.RawSettings(settings),
 				Seed:     1,
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -36,7 +36,7 @@
 	// Messages sent in reaction to that report must not overtake the close.
 	CancelDelay    time.Duration
 	StreamsPerConn int
-	Conns          *limits.Count // connections to all engines
+	Conns          *limits.Limit // connections to all engines
 	ResultBytes    *limits.Bytes // memory for results
 }
 
--- a/internal/client/eviction.go
+++ b/internal/client/eviction.go
@@ -128,7 +128,7 @@
 func (s *Server) linger(c *conn) {
 	delete(s.conns, c)
 	s.lingering = append(s.lingering, c)
-	if len(s.lingering) > max(1, s.limits.Lingering.Max()) {
+	if len(s.lingering) > max(1, s.limits.LingeringConns.Max()) {
 		counters.Increment("lingering_full")
 		_ = s.lingering[0].socket.Close() // the reader returns with an error
 		s.lingering = slices.Delete(s.lingering, 0, 1)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,22 +18,22 @@
 
 // Limits are the resource limits of the machine that the controller runs on.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // file descriptors, including those that are not sockets
+	Cores       float64 `json:"cores"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors int     `json:"sockets"` // file descriptors, including those that are not sockets
 }
 
 // Range of Limits that the controller supports.
 const (
-	maxCores    = 1024
-	minMemoryMB = 16
-	maxMemoryMB = 1 << 24
-	minSockets  = 64
+	maxCores       = 1024
+	minMemoryMB    = 16
+	maxMemoryMB    = 1 << 24
+	minDescriptors = 64
 )
 
 func (l Limits) isSupported() bool {
 	return l.Cores > 0 && l.Cores < maxCores && l.MemoryMB >= minMemoryMB && l.MemoryMB < maxMemoryMB &&
-		l.Sockets >= minSockets
+		l.Descriptors >= minDescriptors
 }
 
 // CachedEvents holds what the discovery feed had sent when the file was written.
@@ -138,7 +138,8 @@
 		return File{}, fmt.Errorf("feed: %w", err)
 	}
 	if l := raw.Limits; !l.isSupported() {
-		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d are out of range", l.Cores, l.MemoryMB, l.Sockets)
+		return File{}, fmt.Errorf("limits cores=%v memory_mb=%v sockets=%d are out of range",
+			l.Cores, l.MemoryMB, l.Descriptors)
 	}
 	return File{
 		Name:         raw.Name,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 	}
 	f, err := Load(func(name string) string { return env[name] })
 	if err != nil || f.Name != "n4" || f.Listen != "127.0.0.1:0" || f.Seed != 0x8c1f30d27a5be964 ||
-		f.Limits.Sockets != 1024 ||
+		f.Limits.Descriptors != 1024 ||
 		f.CachedEvents.LastNumber != 3 || len(f.CachedEvents.Events) != 1 || f.Settings["x"].(map[string]any)["y"] != 1.0 {
 		t.Fatalf("%+v %v", f, err)
 	}
--- a/internal/engine/crossing_harness_test.go
+++ b/internal/engine/crossing_harness_test.go
@@ -144,7 +144,7 @@
 		DialTimeout:    20 * time.Second,
 		IdleTimeout:    time.Minute,
 		StreamsPerConn: 1,
-		Conns:          new(limits.Count),
+		Conns:          new(limits.Limit),
 		ResultBytes:    new(limits.Bytes),
 	}
 	bounds.Conns.Store(10)
--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -79,5 +79,5 @@
 // isLocalDialError reports whether a dial failed for a reason local to this machine, a shortage or a rule such as a
 // firewall's, which says nothing about the engine.
 func isLocalDialError(err error) bool {
-	return shortage.Is(err) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
+	return shortage.IsTransient(err) || errors.Is(err, syscall.EACCES) || errors.Is(err, syscall.EPERM)
 }
--- a/internal/engine/dial_test.go
+++ b/internal/engine/dial_test.go
@@ -18,7 +18,7 @@
 		DialTimeout:    time.Second,
 		IdleTimeout:    time.Minute,
 		StreamsPerConn: 1,
-		Conns:          new(limits.Count),
+		Conns:          new(limits.Limit),
 		ResultBytes:    new(limits.Bytes),
 	})
 	defer p.Close()
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -45,7 +45,7 @@
 		DialTimeout:    5 * time.Second,
 		IdleTimeout:    time.Minute,
 		StreamsPerConn: 100,
-		Conns:          new(limits.Count),
+		Conns:          new(limits.Limit),
 		ResultBytes:    new(limits.Bytes),
 	}
 	bounds.Conns.Store(1)
--- a/internal/engine/harness_test.go
+++ b/internal/engine/harness_test.go
@@ -62,7 +62,7 @@
 		DialTimeout:    5 * time.Second,
 		IdleTimeout:    time.Minute,
 		StreamsPerConn: 100,
-		Conns:          new(limits.Count),
+		Conns:          new(limits.Limit),
 		ResultBytes:    b.bytes,
 	}
 	bounds.Conns.Store(10)
--- a/internal/engine/unsent_test.go
+++ b/internal/engine/unsent_test.go
@@ -46,7 +46,7 @@
 func TestUnsentDataIsDiscardedOnClose(t *testing.T) {
 	peer := newStalledEngine(t)
 	bounds := backend.Limits{DialTimeout: 50 * time.Millisecond, IdleTimeout: time.Minute, StreamsPerConn: 1,
-		Conns: new(limits.Count), ResultBytes: new(limits.Bytes)}
+		Conns: new(limits.Limit), ResultBytes: new(limits.Bytes)}
 	bounds.Conns.Store(10)
 	pool := NewPool(bounds)
 	t.Cleanup(pool.Close)
--- a/internal/gateway/helpers_test.go
+++ b/internal/gateway/helpers_test.go
@@ -33,7 +33,7 @@
 
 func testBudget() *limits.Budget {
 	p := new(limits.Budget)
-	p.Apply(config.Limits{Cores: 1, MemoryMB: 32, Sockets: 64})
+	p.Apply(config.Limits{Cores: 1, MemoryMB: 32, Descriptors: 64})
 	return p
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -12,9 +12,9 @@
 
 var record = flag.Bool("record", false, "write golden files that do not exist yet; existing ones are never overwritten")
 
-// Missing reports whether the file at path does not exist and the test is to write it, because -record is set. Without
-// -record it returns false.
-func Missing(path string) bool {
+// ShouldRecord reports whether the file at path does not exist and the test is to write it, because -record is set.
+// Without -record it returns false.
+func ShouldRecord(path string) bool {
 	_, err := os.Stat(path)
 	return *record && errors.Is(err, fs.ErrNotExist)
 }
@@ -24,7 +24,7 @@
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
-	if Missing(path) {
+	if ShouldRecord(path) {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -33,7 +33,7 @@
 // fixtureFolder returns a folder with a copy of the recorded members' files.
 func fixtureFolder(t *testing.T) string {
 	t.Helper()
-	if golden.Missing(statePath) {
+	if golden.ShouldRecord(statePath) {
 		recordFixture(t)
 	}
 	folder := t.TempDir()
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -13,12 +13,12 @@
 
 // Budget is how one machine's limits are divided.
 type Budget struct {
-	ClientConns  Count // about half of the descriptors; clients typically use a third
-	EngineConns  Count // at least as many
-	Lingering    Count // connections closed by the controller but not yet by clients; from the reserved descriptors
-	Jobs         Count // admitted and not finished
-	MessageBytes Bytes // statements and results
-	ReadBytes    Bytes // messages of clients while they are being read
+	ClientConns    Limit // about half of the descriptors; clients typically use a third
+	EngineConns    Limit // at least as many
+	LingeringConns Limit // connections closed by the controller but not yet by clients; from the reserved descriptors
+	Jobs           Limit // admitted and not finished
+	MessageBytes   Bytes // statements and results
+	ReadBytes      Bytes // messages of clients while they are being read
 }
 
 // Shares of the machine's memory.
@@ -42,8 +42,8 @@
 )
 
 // reservedDescriptors returns the number of reserved descriptors.
-func reservedDescriptors(sockets int) int {
-	return min(maxReserved, baseDescriptors+sockets/socketsPerReserve)
+func reservedDescriptors(descriptors int) int {
+	return min(maxReserved, baseDescriptors+descriptors/socketsPerReserve)
 }
 
 // Apply sets the limits of the Go runtime and divides the remaining resources. If a limit is lowered, resources in use
@@ -51,20 +51,20 @@
 func (b *Budget) Apply(machine config.Limits) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(machine.Cores))))
 	debug.SetMemoryLimit(int64(machine.MemoryMB * heapShare * bytesPerMB))
-	connections := machine.Sockets - reservedDescriptors(machine.Sockets)
+	connections := machine.Descriptors - reservedDescriptors(machine.Descriptors)
 	b.ClientConns.Store(int64(max(1, connections/2)))
-	b.Lingering.Store(int64(max(1, (reservedDescriptors(machine.Sockets)-baseDescriptors)/2)))
+	b.LingeringConns.Store(int64(max(1, (reservedDescriptors(machine.Descriptors)-baseDescriptors)/2)))
 	b.EngineConns.Store(int64(max(1, connections-connections/2)))
 	b.Jobs.Store(int64(min(maxJobs, jobsPerMB*machine.MemoryMB)))
 	b.MessageBytes.SetCapacity(int64(machine.MemoryMB * messageShare * bytesPerMB))
 	b.ReadBytes.SetCapacity(int64(machine.MemoryMB * readShare * bytesPerMB))
 }
 
-// Count is the maximum number of items of a kind.
-type Count struct{ atomic.Int64 }
+// Limit is the maximum number of items of a kind.
+type Limit struct{ atomic.Int64 }
 
 // Max returns the maximum.
-func (c *Count) Max() int { return int(c.Load()) }
+func (c *Limit) Max() int { return int(c.Load()) }
 
 // Bytes is a memory budget that messages share. The zero value has a capacity of 0.
 type Bytes struct {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -9,7 +9,7 @@
 func TestBudgetStaysWithinTheLimits(t *testing.T) {
 	var p Budget
 	for _, sockets := range []int{64, 100, 256, 1024, 65536} {
-		p.Apply(config.Limits{Cores: 0.5, MemoryMB: 192, Sockets: sockets})
+		p.Apply(config.Limits{Cores: 0.5, MemoryMB: 192, Descriptors: sockets})
 		clients, engines := p.ClientConns.Max(), p.EngineConns.Max()
 		if clients < sockets/3 || engines < sockets/3 || clients+engines+reservedDescriptors(sockets) > sockets ||
 			reservedDescriptors(sockets) < 14 {
--- a/internal/recovery/fixture_test.go
+++ b/internal/recovery/fixture_test.go
@@ -223,7 +223,7 @@
 
 func TestOldStoreYieldsTheSameDecisions(t *testing.T) {
 	from := filepath.Join(jobsDir, "store")
-	if golden.Missing(from) {
+	if golden.ShouldRecord(from) {
 		recordFixture(t, from)
 	}
 	dir := t.TempDir()
--- a/internal/shortage/shortage.go
+++ b/internal/shortage/shortage.go
@@ -20,8 +20,8 @@
 	syscall.EIO, syscall.EBUSY, // disk
 }
 
-// Is reports whether err is a transient error of the local machine.
-func Is(err error) bool {
+// IsTransient reports whether err is a transient error of the local machine.
+func IsTransient(err error) bool {
 	return slices.ContainsFunc(transient, func(one error) bool { return errors.Is(err, one) })
 }
 
@@ -33,7 +33,7 @@
 	stop := time.Now().Add(timeout)
 	for {
 		err := call()
-		if err == nil || !Is(err) || time.Now().After(stop) {
+		if err == nil || !IsTransient(err) || time.Now().After(stop) {
 			return err
 		}
 		time.Sleep(retryDelay)
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -58,7 +58,7 @@
 	host := backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}
 	f := &fixture{t: t, host: host, bytes: new(limits.Bytes)}
 	f.bytes.SetCapacity(1 << 20)
-	connLimit := new(limits.Count)
+	connLimit := new(limits.Limit)
 	connLimit.Store(conns)
 	bounds := backend.Limits{
 		DialTimeout: time.Second,
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -252,7 +252,7 @@
 	t.Helper()
 	for name, write := range fixtureWriters {
 		old := filepath.Join(storesDir, name)
-		if !golden.Missing(old) {
+		if !golden.ShouldRecord(old) {
 			continue
 		}
 		dir := t.TempDir()
--- a/internal/supervisor/state_dir_test.go
+++ b/internal/supervisor/state_dir_test.go
@@ -73,7 +73,7 @@
 // orders that were refused before are still refused, and the next order is carried out.
 func TestStateDirOfEarlierBuildIsLoaded(t *testing.T) {
 	recorded := filepath.Join("testdata", "state")
-	if golden.Missing(recorded) {
+	if golden.ShouldRecord(recorded) {
 		generateStateDir(t, recorded)
 	}
 	dir := filepath.Join(t.TempDir(), "state")
