--- a/cmd/rollout-view/chart.go
+++ b/cmd/rollout-view/chart.go
@@ -32,27 +32,27 @@
 // chart plots one metric of both versions over the course of a change.
 type chart struct {
 	title string
-	value func(coordinator.VersionSample) weightedSum
+	value func(coordinator.VersionSummary) weightedSum
 }
 
 var charts = []chart{
-	{"jobs that missed their SLA time, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Missed })},
-	{"throttled, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Throttled })},
-	{"cancelled for good, %", percentOfJobs(func(v coordinator.VersionSample) uint64 { return v.Cancelled })},
-	{"median latency, ms", latencyMS(func(v coordinator.VersionSample) int64 { return v.MedianNS })},
-	{"99th percentile of latency, ms", latencyMS(func(v coordinator.VersionSample) int64 { return v.P99NS })},
+	{"jobs that missed their SLA time, %", percentOfJobs(func(v coordinator.VersionSummary) uint64 { return v.Missed })},
+	{"throttled, %", percentOfJobs(func(v coordinator.VersionSummary) uint64 { return v.Throttled })},
+	{"cancelled for good, %", percentOfJobs(func(v coordinator.VersionSummary) uint64 { return v.Cancelled })},
+	{"median latency, ms", latencyMS(func(v coordinator.VersionSummary) int64 { return v.MedianNS })},
+	{"99th percentile of latency, ms", latencyMS(func(v coordinator.VersionSummary) int64 { return v.P99NS })},
 }
 
 // percentOfJobs returns the percentage of jobs that count selects, weighted by the number of jobs.
-func percentOfJobs(count func(coordinator.VersionSample) uint64) func(coordinator.VersionSample) weightedSum {
-	return func(sample coordinator.VersionSample) weightedSum {
+func percentOfJobs(count func(coordinator.VersionSummary) uint64) func(coordinator.VersionSummary) weightedSum {
+	return func(sample coordinator.VersionSummary) weightedSum {
 		return weightedSum{sum: percent * float64(count(sample)), weight: float64(sample.Jobs)}
 	}
 }
 
 // latencyMS returns a latency in milliseconds, weighted by the number of jobs.
-func latencyMS(nanoseconds func(coordinator.VersionSample) int64) func(coordinator.VersionSample) weightedSum {
-	return func(sample coordinator.VersionSample) weightedSum {
+func latencyMS(nanoseconds func(coordinator.VersionSummary) int64) func(coordinator.VersionSummary) weightedSum {
+	return func(sample coordinator.VersionSummary) weightedSum {
 		jobs := float64(sample.Jobs)
 		return weightedSum{sum: float64(nanoseconds(sample)) / nsPerMS * jobs, weight: jobs}
 	}
@@ -62,11 +62,11 @@
 type version struct {
 	name     string
 	color    color.Color
-	sampleOf func(coordinator.Sample) coordinator.VersionSample
+	sampleOf func(coordinator.PollSummary) coordinator.VersionSummary
 }
 
-func oldVersion(sample coordinator.Sample) coordinator.VersionSample { return sample.Old }
-func newVersion(sample coordinator.Sample) coordinator.VersionSample { return sample.New }
+func oldVersion(sample coordinator.PollSummary) coordinator.VersionSummary { return sample.Old }
+func newVersion(sample coordinator.PollSummary) coordinator.VersionSummary { return sample.New }
 
 var versions = []version{
 	{"old", color.RGBA{R: 90, G: 90, B: 90, A: 255}, oldVersion},
@@ -74,7 +74,7 @@
 }
 
 // draw returns the chart as SVG. It needs at least one sample. Vertical lines mark where a phase or a stage begins.
-func (c chart) draw(samples []coordinator.Sample) (template.HTML, error) {
+func (c chart) draw(samples []coordinator.PollSummary) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = c.title
 	p.X.Label.Text = "s"
@@ -89,7 +89,7 @@
 }
 
 // addLine adds the line of a version, unless it has no jobs.
-func (c chart) addLine(p *plot.Plot, version version, samples []coordinator.Sample) error {
+func (c chart) addLine(p *plot.Plot, version version, samples []coordinator.PollSummary) error {
 	points := c.points(version, samples)
 	if len(points) == 0 {
 		return nil
@@ -105,7 +105,7 @@
 }
 
 // points averages consecutive samples, weighted by their jobs, so that a line has at most maxChartPoints points.
-func (c chart) points(version version, samples []coordinator.Sample) plotter.XYs {
+func (c chart) points(version version, samples []coordinator.PollSummary) plotter.XYs {
 	perPoint := (len(samples) + maxChartPoints - 1) / maxChartPoints
 	var points plotter.XYs
 	for first := 0; first < len(samples); first += perPoint {
@@ -122,12 +122,12 @@
 	return points
 }
 
-func secondsSinceFirst(samples []coordinator.Sample, i int) float64 {
+func secondsSinceFirst(samples []coordinator.PollSummary, i int) float64 {
 	return samples[i].Time.Sub(samples[0].Time).Seconds()
 }
 
 // addTransitions draws a vertical line where a phase or a stage begins.
-func addTransitions(p *plot.Plot, samples []coordinator.Sample) {
+func addTransitions(p *plot.Plot, samples []coordinator.PollSummary) {
 	top := max(p.Y.Max, minAxisTop)
 	for i := 1; i < len(samples); i++ {
 		if samples[i].Stage == samples[i-1].Stage && samples[i].Phase == samples[i-1].Phase {
--- a/cmd/rollout-view/main.go
+++ b/cmd/rollout-view/main.go
@@ -55,7 +55,7 @@
 }
 
 func writeReport(folder, out string) error {
-	store := coordinator.UnlockedFolder(folder)
+	store := coordinator.OpenUnlocked(folder)
 	record, found, err := store.Record()
 	if err != nil {
 		return err
--- a/cmd/rollout-view/page_test.go
+++ b/cmd/rollout-view/page_test.go
@@ -15,7 +15,7 @@
 var svgElement = regexp.MustCompile(`(?s)<svg.*?</svg>`)
 
 func TestReportPageMatchesGoldenFiles(t *testing.T) {
-	store := coordinator.UnlockedFolder("testdata/folder")
+	store := coordinator.OpenUnlocked("testdata/folder")
 	record, found, err := store.Record()
 	if err != nil || !found {
 		t.Fatal(found, err)
--- a/cmd/rollout-view/report.go
+++ b/cmd/rollout-view/report.go
@@ -57,7 +57,7 @@
 	return text.Bytes(), nil
 }
 
-func drawCharts(samples []coordinator.Sample) ([]template.HTML, error) {
+func drawCharts(samples []coordinator.PollSummary) ([]template.HTML, error) {
 	var drawn []template.HTML
 	for _, chart := range charts {
 		svg, err := chart.draw(samples)
--- a/cmd/rollout-view/report_test.go
+++ b/cmd/rollout-view/report_test.go
@@ -41,14 +41,14 @@
 	var points []any
 	began := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 400 {
-		p := coordinator.Sample{
+		p := coordinator.PollSummary{
 			Time:   began.Add(time.Duration(i) * time.Second),
 			Number: 7,
 			Phase:  rollout.PhaseBaking,
-			Old:    coordinator.VersionSample{Jobs: 50, Missed: 1, MedianNS: 5e6, P99NS: 9e6},
+			Old:    coordinator.VersionSummary{Jobs: 50, Missed: 1, MedianNS: 5e6, P99NS: 9e6},
 		}
 		if i >= 200 {
-			p.Stage, p.New = 1, coordinator.VersionSample{Jobs: 10, Missed: 4, MedianNS: 7e6, P99NS: 20e6}
+			p.Stage, p.New = 1, coordinator.VersionSummary{Jobs: 10, Missed: 4, MedianNS: 7e6, P99NS: 20e6}
 		}
 		points = append(points, p)
 	}
@@ -58,7 +58,7 @@
 		coordinator.Transition{Time: began, Number: 7, Phase: rollout.PhaseRollback, Reason: "worse"},
 		coordinator.Transition{Time: began, Number: 6, Phase: rollout.PhaseDone, Reason: "another change"},
 	)
-	f := coordinator.UnlockedFolder(dir)
+	f := coordinator.OpenUnlocked(dir)
 	got, _, err := f.Record()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/rollout-view/watch.go
+++ b/cmd/rollout-view/watch.go
@@ -31,7 +31,7 @@
 type refreshedMsg string
 
 func watch(folder, operatorFile string) error {
-	model := watchModel{store: coordinator.UnlockedFolder(folder)}
+	model := watchModel{store: coordinator.OpenUnlocked(folder)}
 	if operatorFile != "" {
 		file, err := operator.Load(operatorFile)
 		if err != nil {
@@ -104,7 +104,7 @@
 	}
 	last := samples[len(samples)-1]
 	fmt.Fprintf(out, "last look: odds of harm %.3g; new %d jobs, %d missed; old %d jobs, %d missed\n\n",
-		last.Odds, last.New.Jobs, last.New.Missed, last.Old.Jobs, last.Old.Missed)
+		last.EValue, last.New.Jobs, last.New.Missed, last.Old.Jobs, last.Old.Missed)
 }
 
 // printControllers polls the fleet and prints a line for each controller. versions maps the specs of the change to
--- a/internal/assignment/accepted_test.go
+++ b/internal/assignment/accepted_test.go
@@ -15,7 +15,7 @@
 	assigned := func(term, sequence int64, leader string) Assignment {
 		return Assignment{
 			Format: change.Format, Term: term, Sequence: sequence, Leader: leader, Member: "c1", Incarnation: "x",
-			Shares: quota.Shares{quota.Fleet: 5}, SharesUntil: 200,
+			Shares: quota.Shares{quota.FleetThreads: 5}, SharesUntil: 200,
 		}
 	}
 	otherMember, otherIncarnation, tooFar := assigned(9, 9, "a"), assigned(9, 9, "a"), assigned(9, 9, "a")
@@ -50,7 +50,8 @@
 		accepted = next
 	}
 	expired := accepted.ValidAt(200)
-	if accepted.Term != 3 || accepted.ValidAt(199).Shares[quota.Fleet] != 5 || expired.Shares != nil || expired.Term != 3 {
+	if accepted.Term != 3 || accepted.ValidAt(199).Shares[quota.FleetThreads] != 5 ||
+		expired.Shares != nil || expired.Term != 3 {
 		t.Errorf("%+v", accepted)
 	}
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -91,7 +91,7 @@
 	}
 	for resource, share := range shares {
 		_, isQuota := resource.Tenant()
-		if !isQuota && resource != quota.Fleet {
+		if !isQuota && resource != quota.FleetThreads {
 			return fmt.Errorf("/part/%s: unknown resource", resource)
 		}
 		if share < 1 || share > quota.FullShare {
--- a/internal/assignment/exhaustive_test.go
+++ b/internal/assignment/exhaustive_test.go
@@ -84,7 +84,7 @@
 	}
 	put(s.now, s.term, s.maxTerm[0], s.maxTerm[1], int64(s.stalls))
 	fmt.Fprint(h, s.isStalled)
-	put(s.committed.Limits["c1"][quota.Fleet], s.committed.Limits["c2"][quota.Fleet])
+	put(s.committed.Limits["c1"][quota.FleetThreads], s.committed.Limits["c2"][quota.FleetThreads])
 	for _, l := range s.leaders {
 		put(l.term, int64(l.step), l.quorumAt, l.polledAt, l.sequence, l.roundAt)
 		if l.ledger != nil {
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, a := range s.accepted {
-		put(a.Term, a.Sequence, a.Shares[quota.Fleet], a.SharesUntil)
+		put(a.Term, a.Sequence, a.Shares[quota.FleetThreads], a.SharesUntil)
 	}
 	for _, d := range s.deliveries {
 		put(int64(d.to), d.assignment.Term, d.assignment.Sequence)
@@ -113,7 +113,7 @@
 
 // targetsOf returns a leader's targets. The second leader raises the share of c2 and lowers that of c1.
 func targetsOf(index int) map[string]quota.Shares {
-	large, small := quota.Shares{quota.Fleet: 700_000}, quota.Shares{quota.Fleet: 300_000}
+	large, small := quota.Shares{quota.FleetThreads: 700_000}, quota.Shares{quota.FleetThreads: 300_000}
 	if index == 0 {
 		return map[string]quota.Shares{"c1": large, "c2": small}
 	}
@@ -254,7 +254,7 @@
 func (s *modelState) invariantViolation() string {
 	sum := int64(0)
 	for _, a := range s.accepted {
-		sum += a.ValidAt(s.now).Shares[quota.Fleet]
+		sum += a.ValidAt(s.now).Shares[quota.FleetThreads]
 	}
 	if sum > quota.FullShare {
 		return fmt.Sprintf("%d of %d are out at %d", sum, quota.FullShare, s.now)
@@ -360,7 +360,7 @@
 	ledger.Grant("c1", targetsOf(0)["c1"], 1, 1)
 	ledger.Confirm("c1", 1)
 	granted := clone.Grant("c1", targetsOf(1)["c1"], 2, 1)
-	if granted[quota.Fleet] != 300_000 || !maps.Equal(limits, record.Limits["c1"]) {
+	if granted[quota.FleetThreads] != 300_000 || !maps.Equal(limits, record.Limits["c1"]) {
 		t.Errorf("%v %v", granted, record.Limits)
 	}
 }
--- a/internal/assignment/golden_test.go
+++ b/internal/assignment/golden_test.go
@@ -46,7 +46,7 @@
 		Member:      "c1",
 		Incarnation: "0123456789abcdef",
 		Shares: quota.Shares{
-			quota.Fleet: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1,
+			quota.FleetThreads: 250_000, quota.TenantQuota("acme"): 500_000, quota.TenantQuota(""): 1,
 		},
 		SharesUntil: 123_456_789_000,
 		Plan:        change.JSONDigest(plan),
--- a/internal/command/fleet/rollout.go
+++ b/internal/command/fleet/rollout.go
@@ -115,7 +115,7 @@
 	if o.replicated {
 		return postToLeader(ctx, o.operatorFile, requestPath, coordinator.OperatorRequest{Request: request})
 	}
-	return coordinator.UnlockedFolder(o.folder).Submit(request)
+	return coordinator.OpenUnlocked(o.folder).Submit(request)
 }
 
 func checkCommand() *cobra.Command {
--- a/internal/command/fleet/rollout_status.go
+++ b/internal/command/fleet/rollout_status.go
@@ -66,7 +66,7 @@
 // readRecord returns the record of the change in the folder, or of the one that the fleet's leader coordinates.
 func (o *rolloutOptions) readRecord(ctx context.Context) (record coordinator.Record, found bool, err error) {
 	if !o.replicated {
-		return coordinator.UnlockedFolder(o.folder).Record()
+		return coordinator.OpenUnlocked(o.folder).Record()
 	}
 	voters, err := loadVoters(o.operatorFile)
 	if err != nil {
@@ -106,7 +106,7 @@
 		Short: "The transitions of all changes recorded",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			transitions, err := coordinator.UnlockedFolder(options.folder).History()
+			transitions, err := coordinator.OpenUnlocked(options.folder).History()
 			if err != nil {
 				return command.Failure(command.ExitFailed, err)
 			}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -67,7 +67,7 @@
 		store:     store,
 		record:    record,
 		fleet:     fleet,
-		machine:   rollout.New(record.State, record.plan(), 0),
+		machine:   rollout.New(record.State, record.rolloutConfig(), 0),
 		members:   make([]memberView, len(fleet.Members)),
 		start:     time.Now(),
 		baseline:  baseline,
@@ -75,9 +75,9 @@
 	}, nil
 }
 
-// plan returns the state machine's configuration for the change.
-func (r Record) plan() rollout.Plan {
-	return rollout.Plan{
+// rolloutConfig returns the state machine's configuration for the change.
+func (r Record) rolloutConfig() rollout.Config {
+	return rollout.Config{
 		Kind:     r.Change.Kind,
 		FromSpec: r.FromSpec.Digest(),
 		ToSpec:   r.ToSpec.Digest(),
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -44,14 +44,14 @@
 	if state.Phase.IsTerminal() {
 		return
 	}
-	c.store.addSample(Sample{
+	c.store.addSample(PollSummary{
 		Time:   failpoint.WallClock().UTC(),
 		Number: c.record.Change.Number,
 		Phase:  state.Phase,
 		Stage:  state.Stage,
-		Odds:   seen.Verdict.EValue,
-		Old:    versionSample(canary.SumCounts(counts, false)),
-		New:    versionSample(canary.SumCounts(counts, true)),
+		EValue: seen.Verdict.EValue,
+		Old:    versionSummary(canary.SumCounts(counts, false)),
+		New:    versionSummary(canary.SumCounts(counts, true)),
 	})
 }
 
--- a/internal/coordinator/fixtures_test.go
+++ b/internal/coordinator/fixtures_test.go
@@ -363,7 +363,7 @@
 	if err := os.CopyFS(dir, os.DirFS(from)); err != nil {
 		t.Fatal(err)
 	}
-	before, found, err := coordinator.UnlockedFolder(dir).Record()
+	before, found, err := coordinator.OpenUnlocked(dir).Record()
 	if err != nil || !found {
 		t.Fatal(found, err)
 	}
@@ -385,11 +385,11 @@
 			if !s.isReached(before.State) {
 				t.Errorf("the recorded state is %+v", before.State)
 			}
-			oldSteps, err := coordinator.UnlockedFolder(dir).History()
+			oldSteps, err := coordinator.OpenUnlocked(dir).History()
 			if err != nil {
 				t.Fatal(err)
 			}
-			oldPoints, err := coordinator.UnlockedFolder(dir).Samples()
+			oldPoints, err := coordinator.OpenUnlocked(dir).Samples()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -434,16 +434,16 @@
 				}
 			}
 			stepUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
-			after, _, err := coordinator.UnlockedFolder(dir).Record()
+			after, _, err := coordinator.OpenUnlocked(dir).Record()
 			if err != nil || after.State.Phase != s.finalPhase {
 				t.Fatalf("%+v %v", after.State, err)
 			}
 			checkNothingLost(t, before, after)
-			steps, err := coordinator.UnlockedFolder(dir).History()
+			steps, err := coordinator.OpenUnlocked(dir).History()
 			if err != nil || len(steps) < len(oldSteps) || !slices.Equal(steps[:len(oldSteps)], oldSteps) {
 				t.Errorf("the history is %v, was %v: %v", steps, oldSteps, err)
 			}
-			points, err := coordinator.UnlockedFolder(dir).Samples()
+			points, err := coordinator.OpenUnlocked(dir).Samples()
 			if err != nil || len(points) < len(oldPoints) || !slices.Equal(points[:len(oldPoints)], oldPoints) {
 				t.Errorf("%d samples, were %d: %v", len(points), len(oldPoints), err)
 			}
@@ -530,7 +530,7 @@
 		a.items[name] = text
 	}
 	c, err := coordinator.TakeOver(
-		coordinator.Replicated(a),
+		coordinator.NewReplicatedStore(a),
 		coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout),
 	)
 	if err != nil {
@@ -540,7 +540,7 @@
 		t.Errorf("term %d", c.State().Fence.Term)
 	}
 	stepUntil(t, c, func(st rollout.State) bool { return st.Phase.IsTerminal() })
-	after, is, err := coordinator.Replicated(a).Record()
+	after, is, err := coordinator.NewReplicatedStore(a).Record()
 	if err != nil || !is || after.State.Phase != rollout.PhaseDone {
 		t.Fatalf("%+v %v", after.State, err)
 	}
@@ -556,7 +556,7 @@
 			t.Errorf("ordered by %q", o.CoordinatorID)
 		}
 	}
-	earlier := coordinator.Replicated(&replicatedItems{items: a.items, term: a.term - 1})
+	earlier := coordinator.NewReplicatedStore(&replicatedItems{items: a.items, term: a.term - 1})
 	fleet := coordinator.NewFleetClient(fakes.members, requestTimeout, requestTimeout)
 	if _, err := coordinator.TakeOver(earlier, fleet); err == nil ||
 		err.Error() != fmt.Sprintf("the leader's term %d comes before the recorded term %d", a.term-1, a.term) {
--- a/internal/coordinator/fleet_client.go
+++ b/internal/coordinator/fleet_client.go
@@ -31,7 +31,7 @@
 // not delay the others: a call waits for at most the client's maximum wait, and a late reply is returned by the next
 // poll.
 //
-// Poll, SendOrders and SendAssignments are for one goroutine; Answered may be called by any. Members and
+// Poll, SendOrders and SendAssignments are for one goroutine; ReplyCounts may be called by any. Members and
 // IncludeEngines must not be changed while another method runs.
 type FleetClient struct {
 	Members        []operator.Member
@@ -136,9 +136,9 @@
 	return reply
 }
 
-// Answered returns how many of the members replied to the last poll, and the number of members. Both are 0 until the
+// ReplyCounts returns how many of the members replied to the last poll, and the number of members. Both are 0 until the
 // first poll has ended.
-func (c *FleetClient) Answered() (answered, members int) {
+func (c *FleetClient) ReplyCounts() (answered, members int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.polled {
--- a/internal/coordinator/history.go
+++ b/internal/coordinator/history.go
@@ -20,7 +20,9 @@
 }
 
 // Samples returns the polls of the last change, oldest first.
-func (s *RecordStore) Samples() ([]Sample, error) { return readLines[Sample](s.path(samplesFile)) }
+func (s *RecordStore) Samples() ([]PollSummary, error) {
+	return readLines[PollSummary](s.path(samplesFile))
+}
 
 // discardSamples removes the samples of the previous change.
 func (s *RecordStore) discardSamples() {
@@ -32,7 +34,7 @@
 
 func (s *RecordStore) addTransition(transition Transition) { s.appendLine(historyFile, transition) }
 
-func (s *RecordStore) addSample(sample Sample) { s.appendLine(samplesFile, sample) }
+func (s *RecordStore) addSample(sample PollSummary) { s.appendLine(samplesFile, sample) }
 
 // appendLine appends a line to a file of a folder. Lines are informational: one that cannot be written is lost and does
 // not fail the rollout.
--- a/internal/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -7,7 +7,7 @@
 
 // A full disk or a kill can leave an incomplete line. Only this line may be lost, not the ones appended after it.
 func TestATornLineCostsNoOther(t *testing.T) {
-	store := UnlockedFolder(t.TempDir())
+	store := OpenUnlocked(t.TempDir())
 	store.addTransition(Transition{Reason: "first"})
 	path := store.path(historyFile)
 	text, err := os.ReadFile(path)
--- a/internal/coordinator/process_faults_test.go
+++ b/internal/coordinator/process_faults_test.go
@@ -31,7 +31,7 @@
 	waitUntil(t, cluster, "the failure is logged", func() bool {
 		return strings.Contains(process.Log(), "rollout_not_recorded") || process.Exited()
 	})
-	r, _, _ := coordinator.UnlockedFolder(folder + ".gone").Record()
+	r, _, _ := coordinator.OpenUnlocked(folder + ".gone").Record()
 	if !everyStatus(t, cluster, func(s supervisor.Status) bool {
 		return s.RunningSpec == r.FromSpec.Digest() && s.Fence.Compare(r.State.Fence) <= 0
 	}) {
@@ -95,7 +95,7 @@
 	if err := process.WaitExit(); err != nil || recordedState(folder).Phase != rollout.PhaseDone {
 		t.Fatalf("%v: %s", err, process.Log())
 	}
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	if !everyStatus(
 		t,
 		cluster,
@@ -122,7 +122,7 @@
 	waitUntil(t, cluster, "the first stage bakes", func() bool {
 		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	var next, old *testcluster.Member
 	for _, m := range cluster.Members {
 		if !slices.Contains(r.Stages[0], m.Name) {
--- a/internal/coordinator/process_leader_test.go
+++ b/internal/coordinator/process_leader_test.go
@@ -222,9 +222,9 @@
 	settled := func(members []*testcluster.Member, term int64) bool {
 		list := statuses(members)
 		for _, s := range list {
-			if near := s.SharePerMillion - s.Assignment.Shares[quota.Fleet]; s.Assignment.Term <= term ||
+			if near := s.SharePerMillion - s.Assignment.Shares[quota.FleetThreads]; s.Assignment.Term <= term ||
 				s.Assignment.Plan == "" ||
-				s.Assignment.Shares[quota.Fleet] == 0 ||
+				s.Assignment.Shares[quota.FleetThreads] == 0 ||
 				near < -1 ||
 				near > 1 {
 				return false
--- a/internal/coordinator/process_rollback_test.go
+++ b/internal/coordinator/process_rollback_test.go
@@ -42,7 +42,7 @@
 	waitUntil(t, cluster, "the first stage bakes", func() bool {
 		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	var unreachable *testcluster.Member
 	for _, m := range cluster.Members {
 		if !strings.Contains(fmt.Sprint(r.Stages[0]), m.Name) {
@@ -78,7 +78,7 @@
 	waitUntil(t, cluster, "the first stage bakes", func() bool {
 		return recordedState(folder).Phase == rollout.PhaseBaking || process.Exited()
 	})
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	var unreachable *testcluster.Member
 	for _, m := range cluster.Members {
 		if m.Name == r.Stages[0][0] {
@@ -88,7 +88,7 @@
 		}
 	}
 	unreachable.Link.SetMode(testcluster.LinkSilent, 0)
-	if err := coordinator.UnlockedFolder(folder).Submit(rollout.RequestRollback); err != nil {
+	if err := coordinator.OpenUnlocked(folder).Submit(rollout.RequestRollback); err != nil {
 		t.Fatal(err)
 	}
 	waitUntil(t, cluster, "the rollback is degraded, and the reason names the unreachable member", func() bool {
--- a/internal/coordinator/process_setup_test.go
+++ b/internal/coordinator/process_setup_test.go
@@ -164,7 +164,7 @@
 }
 
 func recordedState(folder string) rollout.State {
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	return r.State
 }
 
--- a/internal/coordinator/process_takeover_test.go
+++ b/internal/coordinator/process_takeover_test.go
@@ -94,7 +94,7 @@
 		n, _ := a.Body.Read(b)
 		return a.StatusCode, string(b[:n])
 	}
-	r, _, _ := coordinator.UnlockedFolder(folder).Record()
+	r, _, _ := coordinator.OpenUnlocked(folder).Record()
 	late := change.Order{Format: change.Format, Fence: before.Fence, CoordinatorID: r.ID, Member: m.Name, Spec: r.FromSpec}
 	late.Fence.Revision--
 	resendOldOrders := func() {
--- a/internal/coordinator/record.go
+++ b/internal/coordinator/record.go
@@ -31,19 +31,19 @@
 	Outcome string        `json:"outcome,omitempty"`
 }
 
-// Sample summarizes one poll by version, for reports.
-type Sample struct {
-	Time   time.Time     `json:"at"` // wall clock of the coordinator's machine
-	Number int64         `json:"number"`
-	Phase  rollout.Phase `json:"phase"`
-	Stage  int           `json:"stage"`
-	Odds   float64       `json:"odds"` // e-value of the verdict: evidence of a regression; about 1 without any
-	Old    VersionSample `json:"old"`
-	New    VersionSample `json:"new"`
+// PollSummary summarizes one poll by version, for reports.
+type PollSummary struct {
+	Time   time.Time      `json:"at"` // wall clock of the coordinator's machine
+	Number int64          `json:"number"`
+	Phase  rollout.Phase  `json:"phase"`
+	Stage  int            `json:"stage"`
+	EValue float64        `json:"odds"` // e-value of the verdict: evidence of a regression; about 1 without any
+	Old    VersionSummary `json:"old"`
+	New    VersionSummary `json:"new"`
 }
 
-// VersionSample is one version's part of a Sample: counts of jobs since the previous poll.
-type VersionSample struct {
+// VersionSummary is one version's part of a PollSummary: counts of jobs since the previous poll.
+type VersionSummary struct {
 	Jobs      uint64 `json:"jobs"`
 	Missed    uint64 `json:"missed"` // not done within the SLA time
 	Throttled uint64 `json:"throttled"`
@@ -52,8 +52,8 @@
 	P99NS     int64  `json:"p99_ns"`
 }
 
-func versionSample(counts canary.JobCounts) VersionSample {
-	return VersionSample{
+func versionSummary(counts canary.JobCounts) VersionSummary {
+	return VersionSummary{
 		Jobs:      counts.Jobs,
 		Missed:    counts.Jobs - counts.WithinSLA,
 		Throttled: counts.Throttled,
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -24,7 +24,7 @@
 	baselineFile = "base.json"     // canary.Baseline
 	requestFile  = "ask.json"      // OperatorRequest
 	historyFile  = "history.jsonl" // a Transition per line; in folders only
-	samplesFile  = "looks.jsonl"   // a Sample per line; in folders only
+	samplesFile  = "looks.jsonl"   // a PollSummary per line; in folders only
 	lockFile     = "lock"
 )
 
@@ -64,7 +64,7 @@
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, err
 	}
-	store := UnlockedFolder(path)
+	store := OpenUnlocked(path)
 	lock, err := os.OpenFile(store.path(lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, err
@@ -77,12 +77,12 @@
 	return store, nil
 }
 
-// UnlockedFolder returns a store that does not lock its folder, for reading and for submitting requests while another
+// OpenUnlocked returns a store that does not lock its folder, for reading and for submitting requests while another
 // process may coordinate a change there.
-func UnlockedFolder(path string) *RecordStore { return &RecordStore{folder: path} }
+func OpenUnlocked(path string) *RecordStore { return &RecordStore{folder: path} }
 
-// Replicated returns a store of replicated items.
-func Replicated(items ReplicatedItems) *RecordStore {
+// NewReplicatedStore returns a store of replicated items.
+func NewReplicatedStore(items ReplicatedItems) *RecordStore {
 	return &RecordStore{folder: "agreed", replicated: items} // the name of the folder is used in error texts only
 }
 
--- a/internal/coordinator/stored_form_test.go
+++ b/internal/coordinator/stored_form_test.go
@@ -65,7 +65,7 @@
 func TestStoredFilesAreWrittenAsTheyWere(t *testing.T) {
 	for _, folder := range storedFolders(t) {
 		t.Run(filepath.Base(folder), func(t *testing.T) {
-			from, to := UnlockedFolder(folder), UnlockedFolder(t.TempDir())
+			from, to := OpenUnlocked(folder), OpenUnlocked(t.TempDir())
 			record, is, err := from.Record()
 			if err != nil || !is {
 				t.Fatal(is, err)
@@ -115,7 +115,7 @@
 }
 
 func TestALongFileOfLinesBeginsAnewAndKeepsOneBefore(t *testing.T) {
-	f := UnlockedFolder(t.TempDir())
+	f := OpenUnlocked(t.TempDir())
 	f.addTransition(Transition{Number: 1})
 	if err := os.Truncate(f.path(historyFile), maxHistoryBytes+1); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	for _, v := range []any{Record{}, Transition{}, Sample{}, OperatorRequest{}} {
+	for _, v := range []any{Record{}, Transition{}, PollSummary{}, OperatorRequest{}} {
 		walk(reflect.TypeOf(v))
 	}
 	if len(seen) < 13 {
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -82,7 +82,7 @@
 		Leader:      "c2",
 		Member:      "c1",
 		Incarnation: "l",
-		Shares:      quota.Shares{quota.Fleet: 333_333, "acme": 500_000},
+		Shares:      quota.Shares{quota.FleetThreads: 333_333, "acme": 500_000},
 		SharesUntil: 6,
 		Plan:        "0123",
 		PlanUntil:   7,
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -145,7 +145,7 @@
 
 // continueRollout coordinates the rollout in progress, if any, until the rollout or ctx ends.
 func (d *Duties) continueRollout(ctx context.Context, store termStore) error {
-	records := coordinator.Replicated(store)
+	records := coordinator.NewReplicatedStore(store)
 	record, isPresent, err := records.Record()
 	if err != nil || !isPresent {
 		return err
--- a/internal/leader/duty_handlers.go
+++ b/internal/leader/duty_handlers.go
@@ -60,7 +60,7 @@
 	fleet := coordinator.NewFleetClient(d.fleet.Members, requestTimeout, requestTimeout)
 	ctx, cancel := context.WithTimeout(r.Context(), beginTimeout)
 	defer cancel()
-	return coordinator.Begin(ctx, coordinator.Replicated(store), requested, fleet, false)
+	return coordinator.Begin(ctx, coordinator.NewReplicatedStore(store), requested, fleet, false)
 }
 
 // requestAction records an operator request for the rollout in progress.
@@ -69,5 +69,5 @@
 	if err := decodeRequest(r, maxActionBytes, &request); err != nil {
 		return err
 	}
-	return coordinator.Replicated(store).Submit(request.Request)
+	return coordinator.NewReplicatedStore(store).Submit(request.Request)
 }
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -292,7 +292,7 @@
 	if err := json.Unmarshal(recorded.Items[quotaItem], &shares); err != nil {
 		t.Fatal(err)
 	}
-	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.Fleet] <= shares.Limits["v3"][quota.Fleet] {
+	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.FleetThreads] <= shares.Limits["v3"][quota.FleetThreads] {
 		t.Errorf("the recorded shares do not suit the test: %+v", shares)
 	}
 	return planned.Digest
--- a/internal/leader/health_watch.go
+++ b/internal/leader/health_watch.go
@@ -83,7 +83,7 @@
 // poll them. Both results are 0 if no duty has polled yet.
 func (d *Duties) reachableMembers() (reachable, members int) {
 	for _, poll := range d.activePolls() {
-		n, of := poll.Answered()
+		n, of := poll.ReplyCounts()
 		if of > 0 && (members == 0 || n < reachable) {
 			reachable = n
 			members = of
--- a/internal/leader/record_test.go
+++ b/internal/leader/record_test.go
@@ -68,7 +68,7 @@
 		items := f.state(f.awaitLeader().name).Items
 		var record quota.Record
 		err := json.Unmarshal(items[quotaItem], &record)
-		return err == nil && record.Limits["v1"][quota.Fleet] > 450_000 && items[planItem] != nil
+		return err == nil && record.Limits["v1"][quota.FleetThreads] > 450_000 && items[planItem] != nil
 	})
 }
 
--- a/internal/proof/rollout/play.go
+++ b/internal/proof/rollout/play.go
@@ -53,7 +53,7 @@
 	load.Stop()
 	r.jobs = load.Done.Load() + load.Throttled.Load() + load.Cancelled.Load()
 	r.brokenConnections = load.Broken.Load()
-	record, _, err := coordinator.UnlockedFolder(folder).Record()
+	record, _, err := coordinator.OpenUnlocked(folder).Record()
 	r.setError(err)
 	r.addRecord(record)
 	r.exposure = exposure(folder)
@@ -105,7 +105,7 @@
 // loseEngine crashes an engine while the first stage bakes.
 func loseEngine(cluster *testcluster.Cluster, folder string) {
 	isBaking := func() bool {
-		record, _, err := coordinator.UnlockedFolder(folder).Record()
+		record, _, err := coordinator.OpenUnlocked(folder).Record()
 		return err == nil && record.State.Phase == rollout.PhaseBaking
 	}
 	_ = cluster.WaitUntil(awaitTimeout, isBaking) // if the rollout ends earlier, its result shows it
@@ -175,7 +175,7 @@
 	if !s.killsCoordinator {
 		return false
 	}
-	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	record, exists, err := coordinator.OpenUnlocked(folder).Record()
 	if err != nil || !exists || record.State.Phase.IsTerminal() {
 		return false
 	}
@@ -187,13 +187,13 @@
 
 // hasEnded reports whether the record shows that the rollout is over.
 func hasEnded(folder string) bool {
-	record, exists, err := coordinator.UnlockedFolder(folder).Record()
+	record, exists, err := coordinator.OpenUnlocked(folder).Record()
 	return err == nil && exists && record.State.Phase.IsTerminal()
 }
 
 // exposure returns the time from the start of the first stage to the decision to roll back, or to the end.
 func exposure(folder string) time.Duration {
-	steps, err := coordinator.UnlockedFolder(folder).History()
+	steps, err := coordinator.OpenUnlocked(folder).History()
 	if err != nil {
 		return 0
 	}
--- a/internal/proof/rollout/virtual_rollout.go
+++ b/internal/proof/rollout/virtual_rollout.go
@@ -54,10 +54,10 @@
 		PollIntervalMS:     1000,
 	}
 	start := rollout.State{Phase: rollout.PhasePreparing, Fence: change.Fence{Number: 1, Term: 1, Revision: 1}}
-	plan := rollout.Plan{Kind: change.KindSettings, FromSpec: "old", ToSpec: "new", Timing: timing}
+	config := rollout.Config{Kind: change.KindSettings, FromSpec: "old", ToSpec: "new", Timing: timing}
 	v := &virtualRollout{
 		fleet:    f,
-		machine:  rollout.New(start, plan, 0),
+		machine:  rollout.New(start, config, 0),
 		limits:   canary.DefaultLimits(),
 		baseline: canary.NewBaseline(),
 		isNew:    make([]bool, len(f.jobRates)),
--- a/internal/proof/upgrade/fleet.go
+++ b/internal/proof/upgrade/fleet.go
@@ -58,7 +58,7 @@
 
 // record reads the record of the last change. It returns a zero record if it cannot be read.
 func (f *fleet) record() coordinator.Record {
-	r, _, err := coordinator.UnlockedFolder(f.recordFolder()).Record()
+	r, _, err := coordinator.OpenUnlocked(f.recordFolder()).Record()
 	if err != nil {
 		return coordinator.Record{}
 	}
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -80,7 +80,7 @@
 // followsAssignment reports whether a member has a share and a plan and its controller uses that share. A difference of
 // one millionth is allowed: the conversion between millionths and fractions rounds.
 func followsAssignment(s supervisor.Status) bool {
-	share := s.Assignment.Shares[quota.Fleet]
+	share := s.Assignment.Shares[quota.FleetThreads]
 	off := s.SharePerMillion - share
 	return s.Assignment.Term != 0 && s.Assignment.Plan != "" && share != 0 && off >= -1 && off <= 1
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -174,7 +174,7 @@
 
 // loads sums the demand of the members by resource: in threads for the fleet, in jobs for a tenant's quota.
 func (d *Demand) loads(members []string) map[Resource]*load {
-	loads := map[Resource]*load{Fleet: {byMember: map[string]float64{}}}
+	loads := map[Resource]*load{FleetThreads: {byMember: map[string]float64{}}}
 	add := func(resource Resource, member string, amount float64) {
 		if loads[resource] == nil {
 			loads[resource] = &load{byMember: map[string]float64{}}
@@ -185,7 +185,7 @@
 	for _, name := range members {
 		rates := d.members[name].rates
 		for _, group := range sortedGroups(rates) {
-			add(Fleet, name, rates[group]*d.serviceTime(group.Type))
+			add(FleetThreads, name, rates[group]*d.serviceTime(group.Type))
 			add(TenantQuota(group.Tenant), name, rates[group])
 		}
 	}
--- a/internal/quota/demand_test.go
+++ b/internal/quota/demand_test.go
@@ -30,11 +30,11 @@
 		observe(d, now, 10, true)
 	}
 	targets := d.Targets(60e9)
-	sum := targets["a"][Fleet] + targets["b"][Fleet] + targets["c"][Fleet]
+	sum := targets["a"][FleetThreads] + targets["b"][FleetThreads] + targets["c"][FleetThreads]
 	if sum > FullShare || sum < FullShare-3 {
 		t.Errorf("the fleet shares sum to %d", sum)
 	}
-	if targets["a"][Fleet] < 600_000 || targets["c"][Fleet] < 50_000 {
+	if targets["a"][FleetThreads] < 600_000 || targets["c"][FleetThreads] < 50_000 {
 		t.Errorf("%v", targets)
 	}
 	if targets["b"][TenantQuota("bee")] < 800_000 || targets["a"][TenantQuota("acme")] < 700_000 {
@@ -49,11 +49,11 @@
 	for now := int64(64e9); now < 90e9; now += 1e9 {
 		observe(d, now, 0, false)
 	}
-	if got := d.Targets(90e9); got["b"] == nil || got["b"][Fleet] > FullShare/3+1 {
+	if got := d.Targets(90e9); got["b"] == nil || got["b"][FleetThreads] > FullShare/3+1 {
 		t.Errorf("with an unreachable member: %v", got)
 	}
 	observe(d, 63e9+unseenTimeout, 0, false)
-	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][Fleet] < 700_000 {
+	if got := d.Targets(63e9 + unseenTimeout); got["b"] != nil || got["a"][FleetThreads] < 700_000 {
 		t.Errorf("with a member that has been unreachable for a long time: %v", got)
 	}
 	d.Observe(200e9, []Observation{{Member: "a", Reachable: true}}, fixedLatency)
@@ -65,7 +65,7 @@
 func TestTargetsAreEvenWithoutDemand(t *testing.T) {
 	d := NewDemand()
 	d.Observe(1, []Observation{{Member: "a", Reachable: true}, {Member: "b", Reachable: true}}, fixedLatency)
-	if got := d.Targets(1); got["a"][Fleet] != FullShare/2 || got["b"][Fleet] != FullShare/2 {
+	if got := d.Targets(1); got["a"][FleetThreads] != FullShare/2 || got["b"][FleetThreads] != FullShare/2 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/quota/golden_test.go
+++ b/internal/quota/golden_test.go
@@ -39,7 +39,10 @@
 // A ledger can resume from a record written by an earlier version, and grants none of its shares to another member
 // before they have expired.
 func TestALedgerGoesOnFromARecordOfAnEarlierProgram(t *testing.T) {
-	targets := map[string]Shares{"a": {Fleet: 700_000, TenantQuota("acme"): 1_000_000}, "b": {Fleet: 300_000}}
+	targets := map[string]Shares{
+		"a": {FleetThreads: 700_000, TenantQuota("acme"): 1_000_000},
+		"b": {FleetThreads: 300_000},
+	}
 	l := NewLedger(Record{}, 5000, 0)
 	first, _ := l.NextRecord(targets, 1)
 	var record Record
@@ -47,11 +50,11 @@
 		t.Fatal(err)
 	}
 	l = NewLedger(record, 5000, 1000)
-	other := map[string]Shares{"a": {Fleet: 100_000}, "b": {Fleet: 900_000}}
+	other := map[string]Shares{"a": {FleetThreads: 100_000}, "b": {FleetThreads: 900_000}}
 	next, _ := l.NextRecord(other, 1001)
 	checkGolden(t, "record-next.json", marshal(t, next))
 	l.Commit(next)
-	if got := l.Grant("b", other["b"], 1002, 1); got[Fleet] != 300_000 {
+	if got := l.Grant("b", other["b"], 1002, 1); got[FleetThreads] != 300_000 {
 		t.Errorf("%v is granted while the earlier shares are still in use", got)
 	}
 	next, _ = l.NextRecord(other, 1000+5000+250)
@@ -110,7 +113,7 @@
 // drawTargets randomly divides three resources among most of the members.
 func drawTargets(random *rand.Rand) map[string]Shares {
 	targets := map[string]Shares{}
-	for _, resource := range []Resource{Fleet, TenantQuota("x"), TenantQuota("y")} {
+	for _, resource := range []Resource{FleetThreads, TenantQuota("x"), TenantQuota("y")} {
 		left := int64(FullShare)
 		for _, member := range traceMembers {
 			if random.IntN(8) == 0 {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -17,8 +17,8 @@
 // Resource identifies what is divided: the fleet's threads or a tenant's quota. It is the key of Shares on the wire.
 type Resource string
 
-// Fleet is the resource that stands for the threads of all engines.
-const Fleet = Resource("fleet")
+// FleetThreads is the resource that stands for the threads of all engines.
+const FleetThreads = Resource("fleet")
 
 const tenantQuotaPrefix = "quota of "
 
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -60,7 +60,7 @@
 	s := &shareSimulation{
 		random:    rand.New(rand.NewPCG(seed, 1)),
 		newLedger: newLedger,
-		resources: []Resource{Fleet, TenantQuota("a"), TenantQuota("")},
+		resources: []Resource{FleetThreads, TenantQuota("a"), TenantQuota("")},
 		term:      1,
 	}
 	for i := range 2 + s.random.IntN(5) {
--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -34,19 +34,19 @@
 
 func (m *Machine) whilePreparing(seen Observation) (event, string) {
 	unready := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Serving && member.Running == m.plan.FromSpec
+		return member.Reachable && member.Serving && member.Running == m.config.FromSpec
 	})
 	switch {
 	case len(unready) == 0:
 		return fleetReady, "all are there"
-	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.phaseLasted(seen.Now, m.config.Timing.ApplyTimeoutMS):
 		return fleetNotReady, "not ready to begin: " + strings.Join(unready, " ")
 	}
 	return noEvent, ""
 }
 
 func (m *Machine) whileBaseline(seen Observation) (event, string) {
-	if m.State.Paused || !m.phaseLasted(seen.Now, m.plan.Timing.BaselineMS) {
+	if m.State.Paused || !m.phaseLasted(seen.Now, m.config.Timing.BaselineMS) {
 		return noEvent, ""
 	}
 	return baselineComplete, "watched before the first stage"
@@ -59,14 +59,14 @@
 		return m.failRegressed(seen)
 	}
 	for _, member := range seen.Members {
-		if member.Failure != "" && m.desiredSpec(member.Name) == m.plan.ToSpec {
+		if member.Failure != "" && m.desiredSpec(member.Name) == m.config.ToSpec {
 			return stageFailed, fmt.Sprintf("%s cannot take it: %s", member.Name, member.Failure)
 		}
 	}
 	if m.State.Paused {
 		return noEvent, ""
 	}
-	stage := m.plan.Stages[m.State.Stage]
+	stage := m.config.Stages[m.State.Stage]
 	staged := seen.Members
 	if stage != nil { // in a fleet of one controller the first stage is empty: the reason then names all members
 		staged = membersNamed(seen.Members, stage)
@@ -79,15 +79,15 @@
 	switch {
 	case len(missingReachable) == 0 && updated > m.previousStageSize():
 		return stageApplied, fmt.Sprintf("stage %d of %d is on %d controllers",
-			m.State.Stage+1, len(m.plan.Stages), updated)
-	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+			m.State.Stage+1, len(m.config.Stages), updated)
+	case m.phaseLasted(seen.Now, m.config.Timing.ApplyTimeoutMS):
 		return stageFailed, fmt.Sprintf("stage %d was not taken by %s", m.State.Stage+1, strings.Join(missing, " "))
 	}
 	return noEvent, ""
 }
 
 func (m *Machine) servesTarget(member Member) bool {
-	return member.Reachable && member.Running == m.plan.ToSpec && member.Serving
+	return member.Reachable && member.Running == m.config.ToSpec && member.Serving
 }
 
 // previousStageSize returns the number of controllers in the previous stage. A stage that adds no reachable controller
@@ -96,7 +96,7 @@
 	if m.State.Stage == 0 {
 		return 0
 	}
-	return len(m.plan.Stages[m.State.Stage-1])
+	return len(m.config.Stages[m.State.Stage-1])
 }
 
 // failRegressed records the verdict that makes the stage fail.
@@ -117,7 +117,7 @@
 		}
 		return m.passStage(seen)
 	}
-	if m.State.Paused || !m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+	if m.State.Paused || !m.phaseLasted(seen.Now, m.config.Timing.MaxBakeMS) {
 		return noEvent, ""
 	}
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
@@ -127,7 +127,7 @@
 // passStage records the verdict with which the stage passes, and moves on to the next stage.
 func (m *Machine) passStage(seen Observation) (event, string) {
 	m.State.Verdicts = append(m.State.Verdicts, seen.Verdict)
-	if m.State.Stage+1 == len(m.plan.Stages) {
+	if m.State.Stage+1 == len(m.config.Stages) {
 		return lastStagePassed, "the last stage passed"
 	}
 	m.State.Stage++
@@ -143,7 +143,7 @@
 	switch {
 	case len(remaining) == 0:
 		return stageReverted, "withdrawn"
-	case m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.phaseLasted(seen.Now, m.config.Timing.ApplyTimeoutMS):
 		return stageFailed, "could not be withdrawn: " + strings.Join(remaining, " ")
 	}
 	return noEvent, ""
@@ -155,15 +155,15 @@
 func (m *Machine) whileAwaitingRecovery(seen Observation) (event, string) {
 	state := &m.State
 	if !seen.Recovered {
-		if m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS) {
+		if m.phaseLasted(seen.Now, m.config.Timing.MaxBakeMS) {
 			return stageFailed, "undecided: the day stays bad"
 		}
 		return noEvent, ""
 	}
-	if !state.Paused && !m.phaseLasted(seen.Now, m.plan.Timing.SharedRecoveryMS) {
+	if !state.Paused && !m.phaseLasted(seen.Now, m.config.Timing.SharedRecoveryMS) {
 		state.PromptRecoveries++
 	}
-	retriesExhausted := state.StageRetries >= m.plan.Timing.MaxSharedRetries
+	retriesExhausted := state.StageRetries >= m.config.Timing.MaxSharedRetries
 	switch {
 	case retriesExhausted && state.PromptRecoveries > state.StageRetries:
 		return stageFailed, fmt.Sprintf("all did worse each of the %d times that the stage stood, "+
@@ -174,7 +174,7 @@
 	case !state.Paused:
 		state.StageRetries++
 		return stageRetried, "all do as before: the stage or the day, it is begun once more"
-	case m.phaseLasted(seen.Now, m.plan.Timing.MaxBakeMS):
+	case m.phaseLasted(seen.Now, m.config.Timing.MaxBakeMS):
 		return stageFailed, "undecided: the day stays bad"
 	}
 	return noEvent, ""
@@ -182,7 +182,7 @@
 
 func (m *Machine) whileFinishing(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.plan.ToSpec
+		return member.Reachable && member.Running == m.config.ToSpec
 	})
 	if len(remaining) > 0 {
 		return noEvent, ""
@@ -192,12 +192,12 @@
 
 func (m *Machine) whileRollback(seen Observation) (event, string) {
 	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.plan.FromSpec
+		return member.Reachable && member.Running == m.config.FromSpec
 	})
 	switch {
 	case len(remaining) == 0:
 		return fleetReverted, m.State.Outcome
-	case m.State.Phase == PhaseRollback && m.phaseLasted(seen.Now, m.plan.Timing.ApplyTimeoutMS):
+	case m.State.Phase == PhaseRollback && m.phaseLasted(seen.Now, m.config.Timing.ApplyTimeoutMS):
 		return rollbackOverdue, "not back: " + strings.Join(remaining, " ")
 	}
 	return noEvent, ""
--- a/internal/rollout/machine.go
+++ b/internal/rollout/machine.go
@@ -7,8 +7,8 @@
 	"swiftreel/internal/change"
 )
 
-// Plan is the configuration of a rollout. It does not change in the course of the rollout, except for Stages.
-type Plan struct {
+// Config is the configuration of a rollout. It does not change in the course of the rollout, except for Stages.
+type Config struct {
 	Kind     change.Kind
 	FromSpec change.Digest // the old version
 	ToSpec   change.Digest // the new version
@@ -19,37 +19,37 @@
 // Machine is a rollout in progress.
 type Machine struct {
 	State      State
-	plan       Plan
+	config     Config
 	phaseStart int64 // ns, as Observation.Now; reset when another coordinator takes over
 }
 
 // New returns a machine that continues a rollout from its recorded state; now is the time as in Observation.
-func New(state State, plan Plan, now int64) *Machine {
+func New(state State, config Config, now int64) *Machine {
 	if state.Drained == nil {
 		state.Drained = map[string]string{}
 	}
-	return &Machine{State: state, plan: plan, phaseStart: now}
+	return &Machine{State: state, config: config, phaseStart: now}
 }
 
 // SetStages sets the stages, which are planned from the observations of PhaseBaseline. It must be called before the
 // state that follows PhaseBaseline is recorded.
-func (m *Machine) SetStages(stages [][]string) { m.plan.Stages = stages }
+func (m *Machine) SetStages(stages [][]string) { m.config.Stages = stages }
 
 // TargetMembers returns the names of the controllers that have to run the new version now.
 func (m *Machine) TargetMembers() []string {
 	switch m.State.Phase {
 	case PhaseApplying, PhaseBaking, PhaseFinishing, PhaseDone:
-		return m.plan.Stages[m.State.Stage]
+		return m.config.Stages[m.State.Stage]
 	case PhaseStageRollback, PhaseAwaitingRecovery:
 		if m.State.Stage > 0 {
-			return m.plan.Stages[m.State.Stage-1]
+			return m.config.Stages[m.State.Stage-1]
 		}
 	}
 	return nil
 }
 
 // BakeElapsed reports whether the stage has been observed for its minimum time.
-func (m *Machine) BakeElapsed(now int64) bool { return m.phaseLasted(now, m.plan.Timing.BakeMS) }
+func (m *Machine) BakeElapsed(now int64) bool { return m.phaseLasted(now, m.config.Timing.BakeMS) }
 
 // Step processes an observation and reports whether the state has changed. A changed state must be recorded before the
 // Orders that follow from it are sent.
@@ -138,7 +138,7 @@
 		}
 		isDrained := m.isDrained(member)
 		switch {
-		case member.Failure != "" && member.Running != m.plan.FromSpec && !isDrained:
+		case member.Failure != "" && member.Running != m.config.FromSpec && !isDrained:
 			m.State.Drained[member.Name] = member.Failure
 			changed = true
 		case member.Failure == "" && isDrained:
@@ -154,7 +154,7 @@
 // desiredSpec returns the spec that a controller has to run.
 func (m *Machine) desiredSpec(name string) change.Digest {
 	if slices.Contains(m.TargetMembers(), name) {
-		return m.plan.ToSpec
+		return m.config.ToSpec
 	}
-	return m.plan.FromSpec
+	return m.config.FromSpec
 }
--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -96,7 +96,7 @@
 	f.recorded.Fence.Term++
 	f.machine = New(
 		f.recorded,
-		Plan{
+		Config{
 			Kind:     change.KindProgram,
 			FromSpec: specs[false].Digest(),
 			ToSpec:   specs[true].Digest(),
@@ -415,8 +415,8 @@
 
 func TestAnEmptyFirstStageNamesAllThatDidNotTakeIt(t *testing.T) {
 	timing := change.Timing{ApplyTimeoutMS: 10}
-	plan := Plan{FromSpec: "old", ToSpec: "new", Stages: [][]string{nil, {"c1"}}, Timing: timing}
-	m := New(State{Phase: PhaseApplying}, plan, 0)
+	config := Config{FromSpec: "old", ToSpec: "new", Stages: [][]string{nil, {"c1"}}, Timing: timing}
+	m := New(State{Phase: PhaseApplying}, config, 0)
 	seen := Observation{Now: 20e6, Members: []Member{{Name: "c1", Reachable: true, Serving: true, Running: "old"}}}
 	if !m.Step(seen) || m.State.Outcome != "stage 1 was not taken by c1" {
 		t.Errorf("%s: %q", m.State.Phase, m.State.Outcome)
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		desired := m.desiredSpec(member.Name)
-		if m.State.Paused && desired == m.plan.ToSpec && member.Running != m.plan.ToSpec {
+		if m.State.Paused && desired == m.config.ToSpec && member.Running != m.config.ToSpec {
 			continue
 		}
 		if m.takesOutOfService(member) {
@@ -26,7 +26,7 @@
 			}
 			restartsLeft--
 		}
-		orders = append(orders, Order{Member: member.Name, UseTarget: desired == m.plan.ToSpec, Drain: m.isDrained(member)})
+		orders = append(orders, Order{Member: member.Name, UseTarget: desired == m.config.ToSpec, Drain: m.isDrained(member)})
 	}
 	return orders
 }
@@ -43,7 +43,7 @@
 
 // takesOutOfService reports whether an order makes a member restart that is serving now.
 func (m *Machine) takesOutOfService(member Member) bool {
-	restarts := m.plan.Kind == change.KindProgram
+	restarts := m.config.Kind == change.KindProgram
 	return restarts && member.Running != m.desiredSpec(member.Name) && member.Serving && !m.inProgress(member)
 }
 
@@ -56,7 +56,7 @@
 		}
 	}
 	const all = 1000
-	required := (m.plan.Timing.MinHealthyPerMille*int64(len(seen.Members)) + all - 1) / all
+	required := (m.config.Timing.MinHealthyPerMille*int64(len(seen.Members)) + all - 1) / all
 	return serving - int(required)
 }
 
--- a/internal/supervisor/controller_client.go
+++ b/internal/supervisor/controller_client.go
@@ -63,7 +63,7 @@
 // shareOf converts the shares of an assignment to the form that controllers read.
 func shareOf(assigned assignment.Accepted) jobstats.Share {
 	share := jobstats.Share{
-		PerMillion:   assigned.Shares[quota.Fleet],
+		PerMillion:   assigned.Shares[quota.FleetThreads],
 		TenantQuotas: map[string]int64{},
 		ExpiryNS:     assigned.SharesUntil,
 	}
--- a/internal/supervisor/state_dir_test.go
+++ b/internal/supervisor/state_dir_test.go
@@ -39,7 +39,7 @@
 		Leader:      "c2",
 		Member:      "c1",
 		Incarnation: s.Incarnation,
-		Shares:      quota.Shares{quota.Fleet: 400_000},
+		Shares:      quota.Shares{quota.FleetThreads: 400_000},
 		SharesUntil: monotonic.Now() + int64(
 			time.Minute,
 		),
--- a/internal/supervisor/step.go
+++ b/internal/supervisor/step.go
@@ -117,7 +117,7 @@
 // deliverShare sends the assigned share to the controllers that have not accepted it yet. Only ready ones are
 // contacted, so that one that hangs does not delay orders.
 func (s *Supervisor) deliverShare(ctx context.Context, state snapshot) {
-	if state.assigned.Shares[quota.Fleet] <= 0 {
+	if state.assigned.Shares[quota.FleetThreads] <= 0 {
 		return
 	}
 	id := idOf(state.assigned)
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -220,7 +220,7 @@
 	accept := func(sequence, share int64) {
 		t.Helper()
 		assigned := assignment.Assignment{Term: 1, Sequence: sequence, Leader: "a", Member: "c1", Incarnation: s.incarnation,
-			Shares: quota.Shares{quota.Fleet: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}
+			Shares: quota.Shares{quota.FleetThreads: share, quota.TenantQuota("acme"): 7}, SharesUntil: monotonic.Now() + 60e9}
 		if err := s.AcceptAssignment(assigned); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -75,7 +75,7 @@
 		requests.Go(func() {
 			samples[i] = last[i]
 			if s, err := w.cluster.Status(m); err == nil && s.AppliedAssignment != 0 {
-				samples[i] = shareSample{s.Assignment.Shares[quota.Fleet], s.Assignment.SharesUntil}
+				samples[i] = shareSample{s.Assignment.Shares[quota.FleetThreads], s.Assignment.SharesUntil}
 			}
 		})
 	}
