--- a/internal/command/plan.go
+++ b/internal/command/plan.go
@@ -105,7 +105,8 @@
 			}
 			changes := plan.Diff(before, after)
 			if asJSON {
-				return WriteJSON(c.OutOrStdout(), append([]plan.Change{}, changes...)) // an empty list is encoded as [], not null
+				// An empty list is encoded as [], not null.
+				return WriteJSON(c.OutOrStdout(), append([]plan.ThreadChange{}, changes...))
 			}
 			return renderChanges(c.OutOrStdout(), changes)
 		},
@@ -114,7 +115,7 @@
 	return c
 }
 
-func renderChanges(out io.Writer, changes []plan.Change) error {
+func renderChanges(out io.Writer, changes []plan.ThreadChange) error {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for _, change := range changes {
 		_, err := fmt.Fprintf(table, "%s\t%s\t%s\t%d\t->\t%d\n",
--- a/internal/command/render.go
+++ b/internal/command/render.go
@@ -46,8 +46,8 @@
 			proved = "not all proved in time"
 		}
 		_, _ = fmt.Fprintf(table, "\nconflict %d, %d ms from now (%s):\n", i+1, conflict.FromMS, proved)
-		for _, member := range conflict.Demands {
-			_, _ = fmt.Fprintf(table, "  %s\n    it fits with: %s\n", member.Demand, member.Change)
+		for _, member := range conflict.Requirements {
+			_, _ = fmt.Fprintf(table, "  %s\n    it fits with: %s\n", member.Requirement, member.Change)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	_, _ = fmt.Fprintf(table, "cost of a second, millionths\t%d\tat least %d\t\tproved %v\n",
 		a.Cost, a.CostBound, a.Proved.Cost)
 	_, _ = fmt.Fprintf(table, "greatest use of an engine\t%.2f%%\tat least %.2f%%\t\tproved %v\n",
-		float64(a.Evenness)/100, float64(a.EvennessBound)/100, a.Proved.Evenness)
+		float64(a.MaxUtilization)/100, float64(a.MaxUtilizationBound)/100, a.Proved.MaxUtilization)
 }
 
 func renderSteps(table io.Writer, types []string, steps []solve.Step) {
--- a/internal/command/solve.go
+++ b/internal/command/solve.go
@@ -52,7 +52,7 @@
 }
 
 func runSolve(out io.Writer, problemPath string, options solveOptions) error {
-	method, err := solve.Named(options.method)
+	method, err := solve.MethodByName(options.method)
 	if err != nil {
 		return BadInput(err)
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Change is a difference between two plans: the threads for jobs of a type and tenant on an engine.
-type Change struct {
+// ThreadChange is a difference between two plans: the threads for jobs of a type and tenant on an engine.
+type ThreadChange struct {
 	Type   string `json:"type"`
 	Tenant string `json:"tenant"`
 	Engine string `json:"engine"`
@@ -120,19 +120,19 @@
 }
 
 // compareChanges orders changes by type, tenant and engine.
-func compareChanges(a, b Change) int {
+func compareChanges(a, b ThreadChange) int {
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Engine, b.Engine))
 }
 
 // Diff returns the differences between the last steps of two plans, sorted by type, tenant and engine. Threads are
 // summed over zones of origin.
-func Diff(before, after solve.Answer) []Change {
+func Diff(before, after solve.Answer) []ThreadChange {
 	type key struct{ jobType, tenant, engine string }
-	changes := map[key]*Change{}
-	change := func(t solve.Threads) *Change {
+	changes := map[key]*ThreadChange{}
+	change := func(t solve.Assignment) *ThreadChange {
 		k := key{t.Type, t.Tenant, t.Engine}
 		if changes[k] == nil {
-			changes[k] = &Change{Type: t.Type, Tenant: t.Tenant, Engine: t.Engine}
+			changes[k] = &ThreadChange{Type: t.Type, Tenant: t.Tenant, Engine: t.Engine}
 		}
 		return changes[k]
 	}
@@ -142,7 +142,7 @@
 	for _, t := range lastStep(after).Threads {
 		change(t).After += t.Threads
 	}
-	var list []Change
+	var list []ThreadChange
 	for _, c := range changes {
 		if c.Before != c.After {
 			list = append(list, *c)
--- a/internal/proof/solve/small.go
+++ b/internal/proof/solve/small.go
@@ -83,10 +83,10 @@
 	}
 	for _, conflict := range got.Conflicts {
 		if conflict.FromMS != 0 {
-			continue // its demands are named with the figures of a later time
+			continue // its requirements are named with the figures of a later time
 		}
 		result.conflicts++
-		result.conflictDemands += len(conflict.Demands)
+		result.conflictDemands += len(conflict.Requirements)
 		result.mismatch = cmp.Or(result.mismatch, checkConflict(problem, conflict))
 	}
 	return result
@@ -94,20 +94,21 @@
 
 func compareAnswers(got, want solve.Answer) error {
 	isEqual := got.Status == want.Status && got.Value == want.Value && got.Cost == want.Cost &&
-		got.Evenness == want.Evenness
+		got.MaxUtilization == want.MaxUtilization
 	if isEqual {
 		return nil
 	}
-	return fmt.Errorf("got %s %d %d %d, exhaustive search got %s %d %d %d", got.Status, got.Value, got.Cost, got.Evenness,
-		want.Status, want.Value, want.Cost, want.Evenness)
+	return fmt.Errorf("got %s %d %d %d, exhaustive search got %s %d %d %d",
+		got.Status, got.Value, got.Cost, got.MaxUtilization,
+		want.Status, want.Value, want.Cost, want.MaxUtilization)
 }
 
-// checkConflict checks a conflict by exhaustive search: its demands cannot be met together, but if any one of them is
+// checkConflict checks a conflict by exhaustive search: its requirements cannot be met together, but if any one is
 // removed, the others can.
 func checkConflict(problem *solve.Problem, conflict solve.Conflict) error {
 	var names []string
-	for _, member := range conflict.Demands {
-		names = append(names, member.Demand)
+	for _, member := range conflict.Requirements {
+		names = append(names, member.Requirement)
 	}
 	if fits, known := solve.Fits(problem, names); fits || !known {
 		return fmt.Errorf("not a conflict: %q", names)
--- a/internal/solve/answer.go
+++ b/internal/solve/answer.go
@@ -9,49 +9,49 @@
 )
 
 // Answer is the result of a method. Value is the billed value per second, in millionths; Cost the cost per second, in
-// millionths of the currency unit; Evenness the maximum utilization of an engine, in ten-thousandths of its usable
-// threads. The top-level figures are those of the last step, when all engines are warm.
+// millionths of the currency unit; MaxUtilization the highest utilization of an engine, in ten-thousandths of its
+// usable threads. The top-level figures are those of the last step, when all engines are warm.
 type Answer struct {
-	Method        string     `json:"method"`
-	Status        string     `json:"status"`
-	Value         int64      `json:"value"`
-	Cost          int64      `json:"cost"`
-	Evenness      int64      `json:"evenness"`
-	Bound         int64      `json:"bound"` // upper bound on the value of any plan
-	Gap           float64    `json:"gap"`   // (bound - value) / bound
-	CostBound     int64      `json:"cost_bound"`
-	EvennessBound int64      `json:"evenness_bound"`
-	Proved        Proved     `json:"proved"`
-	Steps         []Step     `json:"steps,omitempty"` // in order of their start times
-	Binding       []Binding  `json:"binding,omitempty"`
-	Conflicts     []Conflict `json:"conflicts,omitempty"`
+	Method              string     `json:"method"`
+	Status              string     `json:"status"`
+	Value               int64      `json:"value"`
+	Cost                int64      `json:"cost"`
+	MaxUtilization      int64      `json:"evenness"`
+	Bound               int64      `json:"bound"` // upper bound on the value of any plan
+	Gap                 float64    `json:"gap"`   // (bound - value) / bound
+	CostBound           int64      `json:"cost_bound"`
+	MaxUtilizationBound int64      `json:"evenness_bound"`
+	Proved              Proved     `json:"proved"`
+	Steps               []Step     `json:"steps,omitempty"` // in order of their start times
+	Binding             []Binding  `json:"binding,omitempty"`
+	Conflicts           []Conflict `json:"conflicts,omitempty"`
 }
 
 // Proved says which objectives are proved optimal.
 type Proved struct {
-	Value    bool `json:"value"`
-	Cost     bool `json:"cost"`
-	Evenness bool `json:"evenness"`
+	Value          bool `json:"value"`
+	Cost           bool `json:"cost"`
+	MaxUtilization bool `json:"evenness"`
 }
 
 // Step is the plan from FromMS until the next step begins. Engines that warm up count with their capacity at its
 // beginning, which is the lowest during the step.
 type Step struct {
-	FromMS   int64     `json:"from_ms"`
-	Status   string    `json:"status"`
-	Value    int64     `json:"value"`
-	Cost     int64     `json:"cost"`
-	Evenness int64     `json:"evenness"`
-	Bound    int64     `json:"bound"`
-	Threads  []Threads `json:"threads"`
-	Use      []Use     `json:"use"`
-	Shares   []Share   `json:"shares"`
-	Weights  []Weight  `json:"weights"`
-	Served   []Served  `json:"served"`
+	FromMS         int64        `json:"from_ms"`
+	Status         string       `json:"status"`
+	Value          int64        `json:"value"`
+	Cost           int64        `json:"cost"`
+	MaxUtilization int64        `json:"evenness"`
+	Bound          int64        `json:"bound"`
+	Threads        []Assignment `json:"threads"`
+	Use            []EngineUse  `json:"use"`
+	Shares         []Share      `json:"shares"`
+	Weights        []Weight     `json:"weights"`
+	Served         []Served     `json:"served"`
 }
 
-// Threads is the number of an engine's threads assigned to a type's jobs for a tenant from a zone.
-type Threads struct {
+// Assignment is the number of an engine's threads assigned to a type's jobs for a tenant from a zone.
+type Assignment struct {
 	Type    string `json:"type"`
 	Tenant  string `json:"tenant"`
 	Zone    string `json:"zone"`
@@ -59,8 +59,9 @@
 	Threads int64  `json:"threads"`
 }
 
-// Use is the utilization of an engine: the threads in use, the threads usable now, and all threads once it is warm.
-type Use struct {
+// EngineUse is the utilization of an engine: the threads in use, the threads usable now, and all threads once it is
+// warm.
+type EngineUse struct {
 	Engine  string `json:"engine"`
 	Threads int64  `json:"threads"`
 	Usable  int64  `json:"may"`
--- a/internal/solve/conflict.go
+++ b/internal/solve/conflict.go
@@ -9,15 +9,15 @@
 // Conflict is an irreducible infeasible subset of the requirements: they cannot be met together, but without any one of
 // them the others can.
 type Conflict struct {
-	FromMS  int64               `json:"from_ms"`
-	Demands []RequirementChange `json:"demands"`
-	Proved  bool                `json:"proved"` // that each one is needed and all together are infeasible
+	FromMS       int64               `json:"from_ms"`
+	Requirements []RequirementChange `json:"demands"`
+	Proved       bool                `json:"proved"` // that each one is needed and all together are infeasible
 }
 
 // RequirementChange is a requirement of a conflict and the smallest change of it alone that resolves the conflict.
 type RequirementChange struct {
-	Demand string `json:"demand"`
-	Change string `json:"change"`
+	Requirement string `json:"demand"`
+	Change      string `json:"change"`
 }
 
 // feasibility says whether constraints can be satisfied.
@@ -87,8 +87,8 @@
 		found := m.findIrreducibleSubset(candidates, stop)
 		conflict := Conflict{FromMS: atMS, Proved: found.isProved}
 		for i, r := range found.needed {
-			member := RequirementChange{Demand: r.name, Change: m.smallestChange(found.needed, i, stop)}
-			conflict.Demands = append(conflict.Demands, member)
+			member := RequirementChange{Requirement: r.name, Change: m.smallestChange(found.needed, i, stop)}
+			conflict.Requirements = append(conflict.Requirements, member)
 		}
 		list = append(list, conflict)
 		candidates = found.others
--- a/internal/solve/golden_test.go
+++ b/internal/solve/golden_test.go
@@ -38,7 +38,7 @@
 				a.Status,
 				a.Value,
 				a.Cost,
-				a.Evenness,
+				a.MaxUtilization,
 				len(a.Steps),
 				len(a.Binding),
 				len(a.Conflicts),
--- a/internal/solve/methods.go
+++ b/internal/solve/methods.go
@@ -10,8 +10,8 @@
 	solve(m *model, constraints *constraintSet, stop Stop) outcome
 }
 
-// Named returns a method by its name.
-func Named(name string) (Method, error) {
+// MethodByName returns a method by its name.
+func MethodByName(name string) (Method, error) {
 	for _, m := range []Method{Solver{}, Exhaustive{}, Proportional{}} {
 		if m.Name() == name {
 			return m, nil
@@ -51,6 +51,6 @@
 		solution:  found.solution,
 		objective: found.objective,
 		bound:     found.objective,
-		proved:    Proved{Value: true, Cost: true, Evenness: true},
+		proved:    Proved{Value: true, Cost: true, MaxUtilization: true},
 	}
 }
--- a/internal/solve/solve.go
+++ b/internal/solve/solve.go
@@ -89,10 +89,10 @@
 	}
 	a.Value = out.objective.value
 	a.Cost = out.objective.cost
-	a.Evenness = out.objective.utilization
+	a.MaxUtilization = out.objective.utilization
 	a.Bound = out.bound.value
 	a.CostBound = out.bound.cost
-	a.EvennessBound = out.bound.utilization
+	a.MaxUtilizationBound = out.bound.utilization
 	a.Proved = out.proved
 	a.Gap = 0
 	if a.Bound > a.Value {
--- a/internal/solve/solve_test.go
+++ b/internal/solve/solve_test.go
@@ -32,18 +32,18 @@
 			continue
 		}
 		if got.Status != want.Status || got.Value != want.Value || got.Cost != want.Cost ||
-			got.Evenness != want.Evenness {
+			got.MaxUtilization != want.MaxUtilization {
 			t.Fatalf(
 				"problem %d: %s %d %d %d, by exhaustive search %s %d %d %d",
 				n,
 				got.Status,
 				got.Value,
 				got.Cost,
-				got.Evenness,
+				got.MaxUtilization,
 				want.Status,
 				want.Value,
 				want.Cost,
-				want.Evenness,
+				want.MaxUtilization,
 			)
 		}
 		for _, s := range got.Steps {
@@ -68,10 +68,10 @@
 func checkIrreducible(t *testing.T, problem *solve.Problem, c solve.Conflict) {
 	t.Helper()
 	var names []string
-	for _, m := range c.Demands {
-		names = append(names, m.Demand)
+	for _, m := range c.Requirements {
+		names = append(names, m.Requirement)
 		if m.Change == "" || strings.Contains(m.Change, "in time") {
-			t.Errorf("%s: change %q", m.Demand, m.Change)
+			t.Errorf("%s: change %q", m.Requirement, m.Change)
 		}
 	}
 	if fits, known := solve.Fits(problem, names); known && fits {
@@ -129,7 +129,7 @@
 	problem.Engines[1].Kind = "std"
 	problem.Constraints.MinServed = []solve.MinServed{{Type: "import", PerMille: 500}}
 	a = solve.Solve(problem, solve.Options{})
-	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
+	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Requirements) != 2 {
 		t.Fatalf("no engine of the required kind: %+v", a)
 	}
 	checkIrreducible(t, problem, a.Conflicts[0])
@@ -150,11 +150,11 @@
 	}
 	problem.Constraints.MinServed[0].PerMille = 900
 	a := solve.Solve(problem, solve.Options{})
-	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Demands) != 2 {
+	if a.Status != solve.Infeasible || len(a.Conflicts) != 1 || len(a.Conflicts[0].Requirements) != 2 {
 		t.Fatalf("6 of 6 threads without a zone: %+v", a)
 	}
 	checkIrreducible(t, problem, a.Conflicts[0])
-	if got := a.Conflicts[0].Demands[0].Change; got != "serve it at least 666 per mille" {
+	if got := a.Conflicts[0].Requirements[0].Change; got != "serve it at least 666 per mille" {
 		t.Errorf("smallest change: %s", got)
 	}
 }
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -155,7 +155,7 @@
 		low = middle + 1
 	}
 	isProved = isProved && low >= high
-	out.proved.Evenness = out.proved.Cost && isProved
+	out.proved.MaxUtilization = out.proved.Cost && isProved
 	if !isProved {
 		return
 	}
--- a/internal/solve/step.go
+++ b/internal/solve/step.go
@@ -29,17 +29,17 @@
 		solution: out.solution,
 		order:    m.enginesByName(),
 		step: Step{
-			FromMS:   atMS,
-			Status:   Feasible,
-			Value:    out.objective.value,
-			Cost:     out.objective.cost,
-			Evenness: out.objective.utilization,
-			Bound:    out.bound.value,
+			FromMS:         atMS,
+			Status:         Feasible,
+			Value:          out.objective.value,
+			Cost:           out.objective.cost,
+			MaxUtilization: out.objective.utilization,
+			Bound:          out.bound.value,
 		},
 		byTenant: make([]int64, len(m.problem.Tenants)),
 		byType:   make([]int64, len(m.problem.Types)),
 	}
-	if out.proved == (Proved{Value: true, Cost: true, Evenness: true}) {
+	if out.proved == (Proved{Value: true, Cost: true, MaxUtilization: true}) {
 		w.step.Status = Optimal
 	}
 	w.writeThreads()
@@ -87,10 +87,10 @@
 }
 
 // threadsOf returns the assignment of an engine's threads to a workload.
-func (w *stepWriter) threadsOf(load workload, engine int, threads int64) Threads {
+func (w *stepWriter) threadsOf(load workload, engine int, threads int64) Assignment {
 	p := w.model.problem
 	class := w.model.classes[load.class]
-	return Threads{
+	return Assignment{
 		Type:    p.Types[class.typ].Name,
 		Tenant:  p.Tenants[load.tenant].Name,
 		Zone:    p.Zones[class.zone].Name,
@@ -102,7 +102,7 @@
 func (w *stepWriter) writeUse() {
 	p := w.model.problem
 	for _, engine := range w.order {
-		w.step.Use = append(w.step.Use, Use{
+		w.step.Use = append(w.step.Use, EngineUse{
 			Engine:  p.Engines[engine].Name,
 			Threads: sumOf(w.solution.threads[engine]),
 			Usable:  w.model.groups[w.model.groupOf[engine]].threads,
--- a/internal/solve/verify.go
+++ b/internal/solve/verify.go
@@ -17,7 +17,7 @@
 	if err := m.violation(s, &constraints); err != nil {
 		return err
 	}
-	stated := objective{value: step.Value, cost: step.Cost, utilization: step.Evenness}
+	stated := objective{value: step.Value, cost: step.Cost, utilization: step.MaxUtilization}
 	if found := m.objective(s); found != stated {
 		return fmt.Errorf("stated value %d, cost %d, evenness %d; computed %d, %d, %d",
 			stated.value, stated.cost, stated.utilization, found.value, found.cost, found.utilization)
@@ -50,7 +50,7 @@
 }
 
 // isWorkloadOf reports whether threads of a plan are assigned to a workload.
-func (m *model) isWorkloadOf(w workload, t Threads) bool {
+func (m *model) isWorkloadOf(w workload, t Assignment) bool {
 	class := m.classes[w.class]
 	return m.problem.Types[class.typ].Name == t.Type &&
 		m.problem.Zones[class.zone].Name == t.Zone &&
