--- a/internal/coordinator/process_successor_test.go
+++ b/internal/coordinator/process_successor_test.go
@@ -53,7 +53,7 @@
 				Job:        job,
 				Type:       "import",
 				Key:        "k",
-				Front:      m.Name,
+				OrderScope: m.Name,
 				DeadlineNS: time.Now().Add(8 * time.Second).UnixNano(),
 			},
 		)
--- a/internal/failpoint/fault.go
+++ b/internal/failpoint/fault.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// LoseAnswer reports whether the answer of a job must be dropped.
-func LoseAnswer(jobType string, engineName func() string) bool {
+// DropAnswer reports whether the answer of a job must be dropped.
+func DropAnswer(jobType string, engineName func() string) bool {
 	if jobType != faultyJobType {
 		return false
 	}
--- a/internal/gateway/hooks.go
+++ b/internal/gateway/hooks.go
@@ -8,5 +8,5 @@
 	rejectJob   func(jobType string) bool                           // whether to reject this job
 	extraProbes func() int                                          // number of probes to send in addition to a due one
 	delayAnswer func(sinceArrival time.Duration) time.Duration      // how long to delay the delivery of a result
-	loseAnswer  func(jobType string, engineName func() string) bool // whether to answer that a completed job failed
+	dropAnswer  func(jobType string, engineName func() string) bool // whether to answer that a completed job failed
 }
--- a/internal/gateway/hooks_fault.go
+++ b/internal/gateway/hooks_fault.go
@@ -8,5 +8,5 @@
 	testHooks.rejectJob = failpoint.RejectJob
 	testHooks.extraProbes = failpoint.ExtraProbes
 	testHooks.delayAnswer = failpoint.AnswerDelay
-	testHooks.loseAnswer = failpoint.LoseAnswer
+	testHooks.dropAnswer = failpoint.DropAnswer
 }
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -261,10 +261,10 @@
 
 // losesAnswer reports whether fault injection drops the result of this attempt.
 func (r *jobRunner) losesAnswer(a *attempt) bool {
-	if testHooks.loseAnswer == nil {
+	if testHooks.dropAnswer == nil {
 		return false
 	}
-	return testHooks.loseAnswer(string(r.job.Type), func() string { return r.engineName(a) })
+	return testHooks.dropAnswer(string(r.job.Type), func() string { return r.engineName(a) })
 }
 
 func (r *jobRunner) engineName(a *attempt) string {
--- a/internal/proof/owner/cluster.go
+++ b/internal/proof/owner/cluster.go
@@ -81,7 +81,7 @@
 	if err := watch.Stop(); err != nil {
 		return err
 	}
-	r.maxInUse = watch.MaxAssigned
+	r.maxInUse = watch.MaxShareSum
 	r.stopLoad(load)
 	if err := r.checkFences(); err != nil {
 		return err
--- a/internal/proof/soak/main.go
+++ b/internal/proof/soak/main.go
@@ -134,7 +134,7 @@
 		rules[f.Rule]++
 	}
 	fmt.Printf("seed %d: %d faults, calls %v, %d dispatches, %d stalls here, %d killed after SIGTERM, findings %v\n",
-		seed, len(report.Faults), report.Outcomes, report.Fetches, report.Stalls, report.Kills, rules)
+		seed, len(report.Faults), report.Outcomes, report.Dispatches, report.Stalls, report.KillsAfterTerm, rules)
 	if len(report.Findings) == 0 {
 		return true
 	}
--- a/internal/proof/sparql/clients.go
+++ b/internal/proof/sparql/clients.go
@@ -31,7 +31,7 @@
 }
 
 func (r *run) logAccepted(j job) {
-	r.events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: j.id, Type: j.jobType, Key: j.key, Front: j.front,
+	r.events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: j.id, Type: j.jobType, Key: j.key, OrderScope: j.front,
 		DeadlineNS: time.Now().Add(j.timeout).UnixNano()})
 }
 
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -54,7 +54,7 @@
 		{"assignments are followed by base processes", f.awaitAssigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
-			percent := 100 * float64(shares.MaxAssigned) / float64(quota.FullShare)
+			percent := 100 * float64(shares.MaxShareSum) / float64(quota.FullShare)
 			return fmt.Sprintf("at most %.1f%%, %d samples", percent, shares.Samples), err
 		}},
 	}
--- a/internal/rulecheck/check.go
+++ b/internal/rulecheck/check.go
@@ -22,7 +22,7 @@
 }
 
 // orderKey identifies jobs that must run one after the other.
-type orderKey struct{ front, key string }
+type orderKey struct{ scope, key string }
 
 type checker struct {
 	rules       Rules
@@ -101,7 +101,7 @@
 	c.jobs[entry.Job] = j
 	c.acceptedAt = append(c.acceptedAt, entry.TimeNS)
 	if c.rules.Types[entry.Type].Ordered && entry.Key != "" {
-		key := orderKey{front: entry.Front, key: entry.Key}
+		key := orderKey{scope: entry.OrderScope, key: entry.Key}
 		c.orderedJobs[key] = append(c.orderedJobs[key], j)
 	}
 }
--- a/internal/rulecheck/dispatch_rules.go
+++ b/internal/rulecheck/dispatch_rules.go
@@ -52,7 +52,7 @@
 	if !c.rules.Types[j.Type].Ordered || j.Key == "" {
 		return
 	}
-	for _, earlier := range c.orderedJobs[orderKey{front: j.Front, key: j.Key}] {
+	for _, earlier := range c.orderedJobs[orderKey{scope: j.OrderScope, key: j.Key}] {
 		if earlier == j {
 			return
 		}
--- a/internal/rulecheck/log.go
+++ b/internal/rulecheck/log.go
@@ -53,7 +53,7 @@
 	Type       string `json:"type,omitempty"`
 	Tenant     string `json:"tenant,omitempty"`
 	Key        string `json:"key,omitempty"`   // ordering key
-	Front      string `json:"front,omitempty"` // scope of the ordering key: a controller or client
+	OrderScope string `json:"front,omitempty"` // scope of the ordering key: a controller or client
 	DeadlineNS int64  `json:"until,omitempty"` // Accepted: the job timeout
 
 	Answer string `json:"answer,omitempty"` // Answered and Ended
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -28,12 +28,12 @@
 
 // Report is the result of a run.
 type Report struct {
-	Faults   []Fault
-	Findings []Finding
-	Outcomes map[Outcome]int
-	Fetches  int
-	Stalls   int // stalls of the recording process; the times of events recorded during one are not checked
-	Kills    int // controllers killed because they had not exited after SIGTERM
+	Faults         []Fault
+	Findings       []Finding
+	Outcomes       map[Outcome]int
+	Dispatches     int
+	Stalls         int // stalls of the recording process; the times of events recorded during one are not checked
+	KillsAfterTerm int // controllers killed because they had not exited after SIGTERM
 
 	Pairs map[string]int // injected pairs of faults, by name
 }
@@ -67,7 +67,8 @@
 	r.stopped.Store(true)
 	clients.Wait()
 	report := Report{Faults: faults, Findings: Check(r.records), Outcomes: map[Outcome]int{},
-		Fetches: len(r.records.fetches), Stalls: len(r.records.stalls), Kills: r.records.stopKills, Pairs: r.records.pairs}
+		Dispatches: len(r.records.fetches), Stalls: len(r.records.stalls), KillsAfterTerm: r.records.stopKills,
+		Pairs: r.records.pairs}
 	for _, call := range r.records.calls {
 		report.Outcomes[call.Outcome]++
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -55,14 +55,14 @@
 	httpTimeout         = 500 * time.Millisecond // of other HTTP requests
 )
 
-// ErrNotReached is returned if a condition is not met in time.
-var ErrNotReached = errors.New("condition not met")
+// ErrConditionTimeout is returned if a condition is not met in time.
+var ErrConditionTimeout = errors.New("condition not met")
 
-// WaitUntil polls a condition until it is met. After the timeout it returns an error that wraps ErrNotReached.
+// WaitUntil polls a condition until it is met. After the timeout it returns an error that wraps ErrConditionTimeout.
 func (c *Cluster) WaitUntil(timeout time.Duration, condition func() bool) error {
 	for stop := time.Now().Add(timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(stop) {
-			return fmt.Errorf("%w after %v", ErrNotReached, timeout)
+			return fmt.Errorf("%w after %v", ErrConditionTimeout, timeout)
 		}
 	}
 	return nil
--- a/internal/testcluster/load.go
+++ b/internal/testcluster/load.go
@@ -93,7 +93,7 @@
 // loadClient is one client of a load. It is used by one goroutine only.
 type loadClient struct {
 	load    *Load
-	name    string // four digits; used as the jobs' Front and ordering key
+	name    string // four digits; used as the jobs' OrderScope and ordering key
 	address string
 	random  *rand.Rand
 }
@@ -161,7 +161,7 @@
 func (c *loadClient) runJob(conn *fake.Client) error {
 	job := c.nextJob()
 	events := &c.load.cluster.Events
-	events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job.id, Type: job.method, Key: job.key, Front: c.name,
+	events.Add(rulecheck.Entry{Event: rulecheck.Accepted, Job: job.id, Type: job.method, Key: job.key, OrderScope: c.name,
 		DeadlineNS: time.Now().Add(job.timeout).UnixNano()})
 	answer, err := c.request(conn, job)
 	if err != nil {
--- a/internal/testcluster/shares.go
+++ b/internal/testcluster/shares.go
@@ -19,7 +19,7 @@
 	sampling sync.WaitGroup
 
 	// Valid once Stop has returned.
-	MaxAssigned int64 // largest sum of shares held at the same time, in units of quota.FullShare
+	MaxShareSum int64 // largest sum of shares held at the same time, in units of quota.FullShare
 	Samples     int   // number of samples with any share held
 }
 
@@ -42,7 +42,7 @@
 		now := monotonic.Now()
 		samples := w.sample(last)
 		sum := sharesInBoth(last, samples, now)
-		w.MaxAssigned = max(w.MaxAssigned, sum)
+		w.MaxShareSum = max(w.MaxShareSum, sum)
 		if sum > 0 {
 			w.Samples++
 		}
@@ -91,8 +91,8 @@
 func (w *ShareWatch) Stop() error {
 	close(w.done)
 	w.sampling.Wait()
-	if w.MaxAssigned > quota.FullShare {
-		return fmt.Errorf("shares held at the same time sum to %d of %d", w.MaxAssigned, quota.FullShare)
+	if w.MaxShareSum > quota.FullShare {
+		return fmt.Errorf("shares held at the same time sum to %d of %d", w.MaxShareSum, quota.FullShare)
 	}
 	if w.Samples == 0 {
 		return errNoShare
