--- a/internal/canary/canary.go
+++ b/internal/canary/canary.go
@@ -2,7 +2,7 @@
 // sequential test: the evidence may be evaluated after every sample, and the rollout may be stopped at any time, while
 // the probability of a false alarm stays within its limit.
 //
-// For each reservation type and tenant and for each measure (jobs over their SLA time, throttled, cancelled, retried,
+// For each job type and tenant and for each measure (jobs over their SLA time, throttled, cancelled, retried,
 // slow) the analysis keeps e-values: evidence whose expectation is at most 1 as long as the new version is not worse.
 // Guardrails cover memory, CPU, probes, ejected engines and crashes, which are not proportions of jobs.
 //
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// Group is a reservation type of a tenant. Controllers are compared by group, as the mix of types and tenants differs
+// Group is a job type of a tenant. Controllers are compared by group, as the mix of types and tenants differs
 // between controllers.
 type Group struct {
 	Type   string `json:"type"`
--- a/internal/change/stages.go
+++ b/internal/change/stages.go
@@ -17,7 +17,7 @@
 type Candidate struct {
 	Name         string
 	Zone         string
-	Types        []string // the reservation types that it serves; empty: all
+	Types        []string // the job types that it serves; empty: all
 	BaselineJobs uint64   // jobs that it answered during the baseline
 }
 
@@ -28,7 +28,7 @@
 // the fleet. Each further controller comes from the zone with the most controllers left on the old version, again
 // nearest to the median first, so that zones stay comparable and controllers with unusually high or low traffic are
 // changed late. Until the last stage, one controller of each zone with at least two, and one that serves each
-// reservation type, stay on the old version.
+// job type, stay on the old version.
 func PlanStages(stages []Stage, candidates []Candidate) ([][]string, error) {
 	known := map[string]bool{}
 	for _, candidate := range candidates {
@@ -83,7 +83,7 @@
 type fleetCounts struct {
 	zoneSize    map[string]int
 	zoneOnOld   map[string]int // by zone: controllers that are not chosen yet
-	typeOnOld   map[string]int // by reservation type: controllers that are not chosen yet
+	typeOnOld   map[string]int // by job type: controllers that are not chosen yet
 	medianOfAll uint64         // of the controllers' baseline jobs
 }
 
@@ -97,8 +97,8 @@
 			continue
 		}
 		counts.zoneOnOld[candidate.Zone]++
-		for _, reservationType := range candidate.Types {
-			counts.typeOnOld[reservationType]++
+		for _, jobType := range candidate.Types {
+			counts.typeOnOld[jobType]++
 		}
 	}
 	slices.Sort(jobs)
@@ -107,7 +107,7 @@
 }
 
 // isLastOnOld reports whether the candidate is the last controller on the old version in its zone or for one of its
-// reservation types.
+// job types.
 func (c fleetCounts) isLastOnOld(candidate Candidate) bool {
 	if c.zoneSize[candidate.Zone] > 1 && c.zoneOnOld[candidate.Zone] == 1 {
 		return true
--- a/internal/proof/solve/settings.go
+++ b/internal/proof/solve/settings.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// rawType returns the settings of a reservation type.
+// rawType returns the settings of a job type.
 func rawType(effect string, objectiveNS, value float64, ordered bool) map[string]any {
 	return map[string]any{
 		"idempotency":      effect,
--- a/internal/proof/solve/simulation.go
+++ b/internal/proof/solve/simulation.go
@@ -90,7 +90,7 @@
 	return s.outcomes
 }
 
-// typeIndex returns the index of a reservation type in the problem.
+// typeIndex returns the index of a job type in the problem.
 func (s *simulation) typeIndex(name string) int {
 	for i, jobType := range s.problem.Types {
 		if jobType.Name == name {
--- a/internal/proof/sparql/counts.go
+++ b/internal/proof/sparql/counts.go
@@ -24,7 +24,7 @@
 // countLog counts the events in a run's log and checks it against the rules.
 func countLog(log []rulecheck.Entry) counts {
 	c := counts{violations: rulecheck.Check(rules, log)}
-	types := map[string]string{} // reservation type by job
+	types := map[string]string{} // job type by job
 	for _, e := range log {
 		switch e.Event {
 		case rulecheck.Accepted:
--- a/internal/proof/sparql/settings.go
+++ b/internal/proof/sparql/settings.go
@@ -8,7 +8,7 @@
 	"swiftreel/internal/rulecheck"
 )
 
-// Reservation types, two for each protocol.
+// Job types, two for each protocol.
 const (
 	lookupType = "lookup"
 	importType = "import"
--- a/internal/solve/problem.go
+++ b/internal/solve/problem.go
@@ -1,4 +1,4 @@
-// Package solve computes a plan for a fleet: how many whole threads of each engine serve each reservation type, tenant
+// Package solve computes a plan for a fleet: how many whole threads of each engine serve each job type, tenant
 // and zone. An answer comes with bounds that prove its quality, or with the requirements that cannot be met together.
 //
 // The objectives are ordered lexicographically: the greatest billed value, then the least cost, then the lowest maximum
@@ -40,7 +40,7 @@
 	Cost             int64 `json:"cost,omitempty"` // per thread-second, in millionths of the currency unit
 }
 
-// Type is a reservation type. Kinds and Zones are its placement bound: only engines of these kinds and in these zones
+// Type is a job type. Kinds and Zones are its placement bound: only engines of these kinds and in these zones
 // may run it; absent: any.
 type Type struct {
 	Name        string   `json:"name"`
