--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	budget := new(limits.Budget)
-	budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+	budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024})
 	engines := scriptedEngines{hanging: make(chan struct{}, 10)}
 	gate = gateway.New(gateway.Options{
 		Settings: choice.RawSettings(settings),
@@ -203,7 +203,7 @@
 				t.Fatal(err)
 			}
 			budget := new(limits.Budget)
-			budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024})
+			budget.Apply(config.Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024})
 			gate := gateway.New(gateway.Options{
 				Settings: choice.RawSettings(settings),
 				Seed:     1,
@@ -338,7 +338,7 @@
 			t.Errorf("%s: %s", body, r.Status)
 		}
 	}
-	eventually(t, "the share is not applied", func() bool { return gate.Share() == 0.25 })
+	eventually(t, "the share is not applied", func() bool { return gate.FleetShare() == 0.25 })
 }
 
 // addressLog is a log handler that sends the listen address of the stats server to a channel.
--- a/internal/coordinator/wire_test.go
+++ b/internal/coordinator/wire_test.go
@@ -42,7 +42,7 @@
 	}))
 	defer s.Close()
 	f := coordinator.NewFleetClient(
-		[]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", Reach: strings.TrimPrefix(s.URL, "http://")}},
+		[]operator.Member{{Name: "c1", Listen: "127.0.0.1:1", AdvertiseAddress: strings.TrimPrefix(s.URL, "http://")}},
 		20*time.Second,
 		20*time.Second,
 	)
@@ -82,7 +82,7 @@
 		Leader:      "c2",
 		Member:      "c1",
 		Incarnation: "l",
-		Shares:      quota.Shares{quota.Fleet: 333_333, "acme": 500_000},
+		Shares:      quota.Shares{quota.FleetThreads: 333_333, "acme": 500_000},
 		SharesUntil: 6,
 		Plan:        "0123",
 		PlanUntil:   7,
--- a/internal/engine/unsent_test.go
+++ b/internal/engine/unsent_test.go
@@ -46,7 +46,7 @@
 func TestUnsentDataIsDiscardedOnClose(t *testing.T) {
 	peer := newStalledEngine(t)
 	bounds := backend.Limits{DialTimeout: 50 * time.Millisecond, IdleTimeout: time.Minute, StreamsPerConn: 1,
-		Conns: new(limits.Count), ResultBytes: new(limits.Bytes)}
+		Conns: new(limits.Limit), ResultBytes: new(limits.Bytes)}
 	bounds.Conns.Store(10)
 	pool := NewPool(bounds)
 	t.Cleanup(pool.Close)
@@ -58,7 +58,7 @@
 		return socket, err
 	}
 	request := backend.Request{ID: []byte("given-up"), Type: []byte("report"), Statement: largeStatement, Priority: 1,
-		OrderedAt: time.Now(), Gate: deadlineGate{}, Lane: backend.Restartable}
+		DecidedAt: time.Now(), Gate: deadlineGate{}, Lane: backend.Restartable}
 	dispatch := pool.Start(backend.Host{Name: "e1", Address: peer.Addr().String()}, request, func(backend.Reply) {})
 	conn := <-peer.conns
 	waitUntil(t, "the dispatch was not written", func() bool { return pool.isWritten("e1") })
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -171,7 +171,7 @@
 		IdempotencyKey: r.job.IdempotencyKey,
 		GrantMB:        r.grantMB,
 		Priority:       r.priority,
-		OrderedAt:      message.decidedAt,
+		DecidedAt:      message.decidedAt,
 		Gate:           sendGate{gateway: g, job: r.job, attempt: a, host: host, deadline: r.attemptDeadline},
 		Lane:           g.settings.lane(g.ids.types[string(r.job.Type)]),
 	}
@@ -227,7 +227,7 @@
 		Seq:      m.attempt.sequence,
 		Engine:   m.attempt.engine,
 		Progress: kind,
-		Amount:   m.reply.Amount,
+		Amount:   m.reply.NoticeAmount,
 	})
 }
 
@@ -261,10 +261,10 @@
 
 // losesAnswer reports whether fault injection drops the result of this attempt.
 func (r *jobRunner) losesAnswer(a *attempt) bool {
-	if testHooks.loseAnswer == nil {
+	if testHooks.dropAnswer == nil {
 		return false
 	}
-	return testHooks.loseAnswer(string(r.job.Type), func() string { return r.engineName(a) })
+	return testHooks.dropAnswer(string(r.job.Type), func() string { return r.engineName(a) })
 }
 
 func (r *jobRunner) engineName(a *attempt) string {
--- a/internal/leader/fixture_test.go
+++ b/internal/leader/fixture_test.go
@@ -33,7 +33,7 @@
 // fixtureFolder returns a folder with a copy of the recorded members' files.
 func fixtureFolder(t *testing.T) string {
 	t.Helper()
-	if golden.Missing(statePath) {
+	if golden.ShouldRecord(statePath) {
 		recordFixture(t)
 	}
 	folder := t.TempDir()
@@ -292,7 +292,7 @@
 	if err := json.Unmarshal(recorded.Items[quotaItem], &shares); err != nil {
 		t.Fatal(err)
 	}
-	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.Fleet] <= shares.Limits["v3"][quota.Fleet] {
+	if len(shares.Limits) != 3 || shares.Limits["v1"][quota.FleetThreads] <= shares.Limits["v3"][quota.FleetThreads] {
 		t.Errorf("the recorded shares do not suit the test: %+v", shares)
 	}
 	return planned.Digest
--- a/internal/proof/upgrade/voters.go
+++ b/internal/proof/upgrade/voters.go
@@ -54,7 +54,7 @@
 		{"assignments are followed by base processes", f.awaitAssigned},
 		{"never more than the whole is assigned", func() (string, error) {
 			err := shares.Stop()
-			percent := 100 * float64(shares.MaxAssigned) / float64(quota.FullShare)
+			percent := 100 * float64(shares.MaxShareSum) / float64(quota.FullShare)
 			return fmt.Sprintf("at most %.1f%%, %d samples", percent, shares.Samples), err
 		}},
 	}
@@ -80,7 +80,7 @@
 // followsAssignment reports whether a member has a share and a plan and its controller uses that share. A difference of
 // one millionth is allowed: the conversion between millionths and fractions rounds.
 func followsAssignment(s supervisor.Status) bool {
-	share := s.Assignment.Shares[quota.Fleet]
+	share := s.Assignment.Shares[quota.FleetThreads]
 	off := s.SharePerMillion - share
 	return s.Assignment.Term != 0 && s.Assignment.Plan != "" && share != 0 && off >= -1 && off <= 1
 }
--- a/internal/sparql/endpoint/endpoint_test.go
+++ b/internal/sparql/endpoint/endpoint_test.go
@@ -58,7 +58,7 @@
 	host := backend.Host{Name: "e1", Address: "http://" + l.Addr().String() + "/sparql", Protocol: backend.SPARQL}
 	f := &fixture{t: t, host: host, bytes: new(limits.Bytes)}
 	f.bytes.SetCapacity(1 << 20)
-	connLimit := new(limits.Count)
+	connLimit := new(limits.Limit)
 	connLimit.Store(conns)
 	bounds := backend.Limits{
 		DialTimeout: time.Second,
@@ -96,8 +96,8 @@
 func (openGate) Permit() backend.Permission {
 	return backend.Permission{Granted: true, TimeoutMS: 20000}
 }
-func (openGate) Withdraw() {}
-func (openGate) Await()    {}
+func (openGate) Withdraw()          {}
+func (openGate) AwaitPendingInput() {}
 
 func (f *fixture) do(operation Operation) backend.Reply {
 	f.t.Helper()
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -69,7 +69,7 @@
 		PlanText:  json.RawMessage(leaderPlan),
 	}
 	s.current = &controller{}
-	s.current.report.LearnedEstimates, s.current.report.EngineHealth = json.RawMessage(
+	s.current.report.TypeStats, s.current.report.EngineHealth = json.RawMessage(
 		`{"lookup":{"mean":12.5}}`,
 	), json.RawMessage(
 		`{"e1":{"ok":true}}`,
@@ -137,7 +137,7 @@
 		Crashes:        4,
 		PID:            5,
 		DrainingPIDs:   []int{6, 7},
-		OwedAnswers:    8,
+		PendingAnswers: 8,
 		SinceOrderMS:   9,
 		SinceRequestMS: 10,
 		MemoryMB:       11.5,
@@ -163,7 +163,7 @@
 			Term:        17,
 			Sequence:    18,
 			Leader:      "c2",
-			Shares:      quota.Shares{quota.Fleet: 19, quota.TenantQuota("acme"): 20},
+			Shares:      quota.Shares{quota.FleetThreads: 19, quota.TenantQuota("acme"): 20},
 			SharesUntil: 21,
 			Plan:        "p",
 			PlanUntil:   22,
@@ -224,7 +224,7 @@
 		Leader:      "c2",
 		Member:      "c1",
 		Incarnation: s.Incarnation,
-		Shares:      quota.Shares{quota.Fleet: 400_000, quota.TenantQuota("acme"): 7},
+		Shares:      quota.Shares{quota.FleetThreads: 400_000, quota.TenantQuota("acme"): 7},
 		SharesUntil: monotonic.Now() + int64(10*time.Minute),
 		Plan:        change.JSONDigest(json.RawMessage(leaderPlan)),
 		PlanUntil:   monotonic.Now() + int64(10*time.Minute),
--- a/internal/supervisor/state_dir_test.go
+++ b/internal/supervisor/state_dir_test.go
@@ -39,7 +39,7 @@
 		Leader:      "c2",
 		Member:      "c1",
 		Incarnation: s.Incarnation,
-		Shares:      quota.Shares{quota.Fleet: 400_000},
+		Shares:      quota.Shares{quota.FleetThreads: 400_000},
 		SharesUntil: monotonic.Now() + int64(
 			time.Minute,
 		),
@@ -73,7 +73,7 @@
 // orders that were refused before are still refused, and the next order is carried out.
 func TestStateDirOfEarlierBuildIsLoaded(t *testing.T) {
 	recorded := filepath.Join("testdata", "state")
-	if golden.Missing(recorded) {
+	if golden.ShouldRecord(recorded) {
 		generateStateDir(t, recorded)
 	}
 	dir := filepath.Join(t.TempDir(), "state")
