--- a/choice/action.go
+++ b/choice/action.go
@@ -14,8 +14,8 @@
 	SendProbe                                // Engine
 	CloseIdle                                // close idle connections: Engine
 	SendGossip                               // Peer, Payload
-	WatchEngines                             // start or stop watching the engine list: Enabled
-	ListEngines                              // request the full engine list from discovery
+	WatchEngines                             // start or stop watching the endpoint list: Enabled
+	ListEngines                              // request the full endpoint list from discovery
 	Log                                      // Text
 	Fault                                    // report an internal error of this program: Text
 )
@@ -27,7 +27,7 @@
 	Engine       EngineID
 	Seq          AttemptSeq
 	Duration     Nanos
-	SendDeadline Nanos // no byte of the attempt may be sent after it; then the attempt is Superseded
+	SendDeadline Nanos // no byte of the attempt may be sent later; an attempt not sent by then is Superseded
 	Priority     uint8 // from 1, the lowest, to 3
 	MemoryMB     float64
 	TimerID      TimerID
@@ -43,11 +43,11 @@
 
 // The reasons.
 const (
-	TooLateToServe  Reason = "too_late_to_serve" // it would end after it expires, or it is about to expire
-	WouldNotFinish  Reason = "stopping"          // it would end after this process stops
-	ValueTooLow     Reason = "value_too_low"     // its value is below the overload price of its work
+	TooLateToServe  Reason = "too_late_to_serve" // the job would end after it expires, or is about to expire
+	WouldNotFinish  Reason = "stopping"          // the job would end after this process stops
+	ValueTooLow     Reason = "value_too_low"     // the value of the job is below the overload price of its work
 	QueueFull       Reason = "queue_full"
-	NoRetryLeft     Reason = "no_retry_left"    // its attempt failed, and no other is allowed
+	NoRetryLeft     Reason = "no_retry_left"    // the attempt of the job failed, and no other is allowed
 	ProgressStopped Reason = "progress_stopped" // progress reports stopped, and a retry is unsafe
 )
 
--- a/choice/admission.go
+++ b/choice/admission.go
@@ -7,7 +7,7 @@
 
 const (
 	maxParkedPerBucket, maxParkedPerType = 96, 400            // parked per bucket; per type, over all tenants
-	maxWork, maxMemoryMB                 = 3600 * second, 1e9 // caps work estimates; larger memory is ignored
+	maxWork, maxMemoryMB                 = 3600 * second, 1e9 // cap on estimated work; larger memory is ignored
 	idleStateTTL                         = 10 * second        // idle buckets and tenants are deleted after this
 	offeredDecayTime                     = 10 * second        // time constant by which the offered load decays
 	demandSamples                        = 100.0              // jobs that the moving means of demand cover
--- a/choice/bucket.go
+++ b/choice/bucket.go
@@ -10,7 +10,7 @@
 	jobType       *jobType
 	tenant        TenantID
 	threadsInUse  float64
-	headWaitRatio float64 // time that its head has waited for capacity, over the latency objective
+	headWaitRatio float64 // time that the bucket's head has waited for capacity, over the latency objective
 	queue         []*job  // parked jobs
 	lastUsedAt    Nanos
 }
--- a/choice/capacity.go
+++ b/choice/capacity.go
@@ -8,7 +8,7 @@
 	pressureStartContention, pressureEndContention = 1.75, 1.4 // threads per core: starts above; ends below
 	maxLimitFactor                                 = 2.0       // limit without pressure, and cap, per own core
 
-	shortTypeFill, unreportedFill = 1.25, 0.6 // usable part of an idle engine for short types; without a report
+	shortTypeFill, unreportedFill = 1.25, 0.6 // factor on an engine's capacity: short types; no load report
 	swapFill                      = 0.8       // usable part of the memory of an engine that swaps
 	probeExhaustedAfter           = second    // unreportedFill is ignored after this long without a token
 	priorJobs                     = 2.0       // weight, in jobs, of the prior in the means of threads and memory
--- a/choice/controller.go
+++ b/choice/controller.go
@@ -49,9 +49,9 @@
 	cores            float64 // of ready engines that are neither ejected nor in slow start
 	contention       float64 // threads per core, of all controllers
 	share            float64 // part of the fleet's capacity that this controller uses, from 0 to 1
-	estimatedShare   float64 // the same as estimated from load reports; used while no share is assigned
+	estimatedShare   float64 // share as estimated from load reports; used while no share is assigned
 	meanLatencyRatio float64 // of ready engines that are not ejected
-	meanFailureRate  float64 // of the same engines
+	meanFailureRate  float64 // of ready engines that are not ejected
 	underPressure    bool    // most engines were under pressure when this was last logged
 	lastReportAt     Nanos   // when the load of any engine was last reported
 }
@@ -94,7 +94,7 @@
 	c.retryBudget.trim(c.now - c.settings.retryWindow)
 }
 
-// requestWatch subscribes to changes of the engine list if discovery requires it, until a current list
+// requestWatch subscribes to changes of the endpoint list if discovery requires it, until a current list
 // arrives.
 func (c *Controller) requestWatch() {
 	if c.settings.subscribesToList && !c.watchingEngines && c.now-c.watchRequestedAt >= watchInterval {
--- a/choice/dispatch.go
+++ b/choice/dispatch.go
@@ -9,7 +9,7 @@
 	normalPriority, lockPriority, shortPriority = 1, 2, 3 // lock: for loads, as other jobs wait for their tables
 
 	minGrantSafety, maxGrantSafety = 0.6, 2.2 // safety added to a memory estimate, in mean deviations
-	grantSafetySlope               = 2.5      // safety on an empty engine, less as it fills; fixed if it swaps
+	grantSafetySlope               = 2.5      // safety on an empty engine; falls as it fills, unless it swaps
 
 	workSamples, estimateErrorSamples  = 50.0, 100.0 // samples in the moving means of work; of estimate errors
 	minCostDivisor, minMemoryDivisor   = 10.0, 5.0   // minimum divisor of the first errors of cost; memory
@@ -109,7 +109,7 @@
 		work = t.observeUsage(a.job, usage(ev.Usage))
 	}
 	if a.stallTime > 0 {
-		return // its latency includes a stall of this process
+		return // the measured latency includes a stall of this process
 	}
 	c.durationError.observe(a, ev.Latency, maxDurationError, minCostDivisor, estimateErrorSamples)
 	slowdown := float64(ev.Latency) / (work / t.threads)
--- a/choice/engine.go
+++ b/choice/engine.go
@@ -11,11 +11,11 @@
 	EngineEntry
 	index    int // index in Controller.engines
 	cores    float64
-	memoryMB float64 // 0: not known
+	memoryMB float64 // 0: unknown
 
 	attempts     []*attempt // own attempts in flight
-	ownThreads   float64    // of these attempts
-	ownMemoryMB  float64    // of these attempts
+	ownThreads   float64    // of own attempts
+	ownMemoryMB  float64    // of own attempts
 	peerThreads  float64    // of peers' attempts, as reported or estimated
 	loadKnownAt  Nanos      // when the engine or a peer last reported the peers' threads
 	lastReportAt Nanos      // when the engine itself last reported its load
@@ -33,13 +33,13 @@
 	ejectedAt           Nanos
 	ejectionTime        Nanos // minimum duration of this ejection; doubled by the next
 	consecutiveFailures int
-	probesPassed        int // consecutive ones
+	probesPassed        int // consecutive successful probes since the ejection
 	probePending        bool
 	lastProbeAt         Nanos
 
 	refusing            bool        // a dial failed or was refused, and it has not answered since
 	dialFailedAt        Nanos       // first failed dial since it last answered; 0: none, or one was refused
-	suspectedRestartAt  Nanos       // when it seems to have restarted; the engine list reports no restart
+	suspectedRestartAt  Nanos       // when it seems to have restarted; the endpoint list reports no restart
 	slowStartDispatches []timedWork // dispatches during its slow start
 
 	gossipedThreads float64 // own threads in the last message sent
@@ -51,10 +51,10 @@
 	lockedTablesAt  Nanos   // when that map arrived
 }
 
-// timedWork is work dispatched at a time, in ns of one thread.
+// timedWork is work with the time of its dispatch.
 type timedWork struct {
 	dispatchedAt Nanos
-	work         float64
+	work         float64 // ns of one thread
 }
 
 func (c *Controller) findEngine(id EngineID) (int, bool) {
@@ -72,7 +72,7 @@
 	return c.engines[i]
 }
 
-// upsertEngine adds or updates an engine from an entry of an engine list. A new engine counts as restarted.
+// upsertEngine adds or updates an engine from an entry of an endpoint list. A new engine counts as restarted.
 func (c *Controller) upsertEngine(entry EngineEntry) (e *engine, restarted bool) {
 	i, known := c.findEngine(entry.Engine)
 	if !known {
--- a/choice/engine_view.go
+++ b/choice/engine_view.go
@@ -4,7 +4,7 @@
 type EngineView struct {
 	Engine            EngineID
 	Jobs              int     // own jobs in flight there
-	Threads           float64 // of these jobs
+	Threads           float64 // of own jobs
 	PeerThreads       float64 // of peers' jobs, as reported or estimated
 	ReportAge         Nanos   // since the last load report; below 0: none yet
 	LastSeenAge       Nanos   // since the last answer or progress report; below 0: none yet
--- a/choice/estimates.go
+++ b/choice/estimates.go
@@ -34,13 +34,14 @@
 	d.meanMemoryTime += (j.memoryMB*math.Exp(t.memoryBias)*j.work/t.threads - d.meanMemoryTime) / d.sampleCount
 }
 
-// meanThreadsPerJob returns the mean of this controller's jobs, which is assumed for peers' jobs too.
+// meanThreadsPerJob returns the mean threads of this controller's jobs. It is assumed for peers' jobs too.
 func (c *Controller) meanThreadsPerJob() float64 {
 	prior := priorJobs * c.demand.meanWork / c.demand.meanDuration
 	return (c.ownLoad.threads + prior) / (c.ownLoad.jobs + priorJobs)
 }
 
-// meanMemoryPerThread returns the mean of this controller's jobs in MB, which is assumed for peers' jobs too.
+// meanMemoryPerThread returns the mean memory of this controller's jobs in MB per thread. It is assumed for
+// peers' jobs too.
 func (c *Controller) meanMemoryPerThread() float64 {
 	prior := priorJobs * c.demand.meanMemoryTime / c.demand.meanWork
 	return (c.ownLoad.memoryMB + prior) / (c.ownLoad.threads + priorJobs)
--- a/choice/event.go
+++ b/choice/event.go
@@ -10,9 +10,9 @@
 	StreamStarted                           // a job's answer is being sent to the client: Job
 	ProgressReported                        // an attempt reported progress: Job, Seq, Engine, Progress, Amount
 	AttemptEnded                            // an attempt ended: Job, Seq, Engine, Result to ConnectedAt
-	ClientDisconnected                      // the client left before the final answer: Job
+	ClientDisconnected                      // the client disconnected before the final answer: Job
 	TimerFired                              // TimerID
-	EnginesListed                           // discovery reported an engine list: List, Engines
+	EnginesListed                           // discovery reported an endpoint list: List, Engines
 	ProbeCompleted                          // a probe ended: Engine, Result, Latency, Load, ConnectedAt
 	GossipReceived                          // a peer sent a gossip message: Peer, Payload
 	Stopping                                // this process will end; answers are still sent within TimeLeft
@@ -36,7 +36,7 @@
 	ConnectionRefused        // the engine refused the connection
 	Reset                    // the connection broke
 	Canceled                 // canceled at this controller's request
-	Superseded               // it was never sent
+	Superseded               // the attempt was never sent
 	DialFailed               // no connection was made for another reason, such as a timeout
 )
 
@@ -55,10 +55,10 @@
 	ProgressWaiting                          // the attempt waits for tables
 )
 
-// ListKind is the kind of an engine list.
+// ListKind is the kind of an endpoint list.
 type ListKind uint8
 
-// The kinds of engine list.
+// The kinds of endpoint list.
 const (
 	FullList   ListKind = iota + 1 // all engines; those not in it are removed
 	CachedList                     // all engines, as of an earlier time
@@ -73,13 +73,13 @@
 const (
 	Removed EngineState = iota
 	Ready
-	Draining // it accepts no new attempts
+	Draining // the engine accepts no new attempts
 )
 
 // Protocols is a set of protocols. The caller assigns a bit to each.
 type Protocols uint8
 
-// EngineEntry is one engine of an engine list.
+// EngineEntry is one engine of an endpoint list.
 type EngineEntry struct {
 	Engine      EngineID
 	Zone        ZoneID
@@ -122,7 +122,7 @@
 	ArrivedAt         Nanos // earliest time at which the job may have arrived, if it was read late; 0: now
 	Cost              Nanos // estimated work
 	CostKnown         bool
-	IsRepeat          bool // the client sends the job again
+	IsRepeat          bool // the client retries an earlier request
 	IsWrite           bool
 	MemoryMB          float64 // estimated; 0: unknown
 	Tables            TableGroup
@@ -139,7 +139,7 @@
 	// restarted since. 0: unknown.
 	ConnectedAt Nanos
 	Progress    ProgressKind
-	Amount      float64
+	Amount      float64 // see ProgressKind
 
 	TimerID TimerID
 
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -18,7 +18,7 @@
 	maxOwnLoadSpeedup, ownLoadJobs = 10.0, 4.0 // ownLoadStep is multiplied by own jobs / ownLoadJobs, capped
 )
 
-// updateEngines applies an engine list from discovery. A new start time means a restart, which resets the
+// updateEngines applies an endpoint list from discovery. A new start time means a restart, which resets the
 // engine's statistics.
 func (c *Controller) updateEngines(ev Event) {
 	c.watchingEngines = ev.List != ListFailed && (c.watchingEngines || ev.List != CachedList)
--- a/choice/gossip.go
+++ b/choice/gossip.go
@@ -5,7 +5,7 @@
 const (
 	gossipCollectors     = 3    // controllers that collect messages and broadcast maps
 	gossipPointsPerJob   = 0.01 // points earned per admitted job: for messages, and at most for maps
-	minMapPointsShare    = 0.25 // part of these earned for maps in an idle fleet, where engines have capacity
+	minMapPointsShare    = 0.25 // least part of these points, earned for maps while engines have capacity
 	gossipPriceUnitBytes = 256  // bytes per unit of the gossip price
 	roundsPerTableMap    = 3    // one in this many rounds of maps includes locked tables, which cost most
 
@@ -24,7 +24,7 @@
 	changed := payload != c.gossip.lastPayload || c.now-c.gossip.lastMessageAt >= gossipRepeatInterval
 	cost := bytePrice * float64((messageOverhead+len(message))*c.collectorCount())
 	if c.gossip.messagePoints >= cost && changed {
-		c.recordMessageSent(payload, cost)
+		c.recordGossipSent(payload, cost)
 		c.sendToCollectors(message)
 	}
 	mapSize := min(maxMessageSize, entrySize*len(c.engines))
--- a/choice/gossip_message.go
+++ b/choice/gossip_message.go
@@ -65,8 +65,8 @@
 	return message
 }
 
-// recordMessageSent records that a message was sent, with its payload and its cost in points.
-func (c *Controller) recordMessageSent(payload string, cost float64) {
+// recordGossipSent records that a gossip message was sent, with its payload and its cost in points.
+func (c *Controller) recordGossipSent(payload string, cost float64) {
 	c.gossip.lastPayload = payload
 	c.gossip.lastMessageAt = c.now
 	c.gossip.messagePoints -= cost
--- a/choice/job.go
+++ b/choice/job.go
@@ -22,7 +22,7 @@
 	headSince         Nanos   // when it became the head of its bucket; 0: it is not the head
 	deadline          Nanos   // by its latency objective
 	expiresAt         Nanos   // by its client's timeout
-	work              float64 // estimated, ns of one thread
+	work              float64 // ns of one thread, estimated
 	memoryMB          float64 // estimated
 	value             float64
 	candidates        []*engine // engines sampled for it at sampledAt
@@ -30,12 +30,12 @@
 	attempt           *attempt // in flight; nil: none
 	attemptCount      int
 	firstAttemptAt    Nanos   // of the first attempt that may have run
-	firstEngine       *engine // of the same attempt
+	firstEngine       *engine // of the first attempt that may have run
 	lastEngine        *engine // of the last attempt
 	mayHaveRun        bool    // some attempt ended without proof that it never ran
 	parked            bool
-	streaming         bool // its answer is being sent to the client
-	finished          bool // it has its final answer
+	streaming         bool // the answer is being sent to the client
+	finished          bool // the final answer was given
 }
 
 // attempt is an attempt in flight: a dispatch of a job whose outcome is not known yet.
@@ -44,14 +44,14 @@
 	engine           *engine
 	seq              AttemptSeq
 	dispatchedAt     Nanos // when Dispatch was emitted
-	sendDeadline     Nanos // no byte of it may be sent later
+	sendDeadline     Nanos // no byte of the attempt may be sent later
 	engineStartedAt  Nanos // StartedAt of the engine at that time
 	lastProgressAt   Nanos
 	stallTime        Nanos   // time for which this process was stalled
 	expectedDuration float64 // ns
-	reservedMB       float64 // memory that it is assumed to use
+	reservedMB       float64 // MB that the attempt is assumed to use
 	cancelRequested  bool
-	countedAsTimeout bool // it was counted as a timeout of its engine
+	countedAsTimeout bool // counted as a timeout of the engine
 }
 
 // attach adds an attempt to its job, bucket and engine.
--- a/choice/load_report.go
+++ b/choice/load_report.go
@@ -3,7 +3,7 @@
 const (
 	reportTTL                          = 1500 * ms // a load report counts as fresh for this long
 	maxReportedJobs, maxReportedMemory = 1e6, 1e3  // caps on reported jobs; on granted memory / engine size
-	engineGrantFactor                  = 1.25      // granted over estimated memory if engines choose it
+	engineGrantFactor                  = 1.25      // granted over estimated memory, if engines choose the grants
 	contentionStep                     = 0.2       // step of the fleet's contention per report
 )
 
--- a/choice/permission.go
+++ b/choice/permission.go
@@ -15,7 +15,7 @@
 	DispatchTooOld              // rules 2 and 3: the send deadline passed, or more time than a dial may take
 	EngineListStale             // rule 3: recent updates of the list may be unread, as after a stall
 	EngineInSlowStart           // rule 4: this controller's part of the engine's slow-start budget is used up
-	EngineRestarted             // rule 4: it restarted after the dispatch, which its slow start does not count
+	EngineRestarted             // rule 4: the engine restarted since; its slow start does not count the dispatch
 	OutOfOrder                  // rule 5: an earlier job of the key has not ended, or the key is paused
 	PlacementNotAllowed         // rule 6: the job does not allow the engine's zone, kind or protocols
 	RetryBudgetSpent            // rule 7: the retry budget is used up
@@ -94,8 +94,8 @@
 	ClientConnected bool  // the client's connection is not known to have closed
 	TimeLeft        Nanos // until the client or the attempt times out; sent to the engine
 	SameAddress     bool  // the engine is still listed at the address of the connection
-	MaxAge          Nanos // of the dispatch; later the engine may have been drained unnoticed
-	ListCurrentAt   Nanos // all updates of the engine list until then were applied; 0: unknown
+	MaxAge          Nanos // of the dispatch: after this the engine may have been drained unnoticed
+	ListCurrentAt   Nanos // all updates of the endpoint list until then were applied; 0: unknown
 }
 
 // SendRefusal decides whether the first byte of a dispatched attempt may be sent now. It checks the
@@ -122,8 +122,8 @@
 	return Permitted
 }
 
-// listCurrentAt returns when the engine list was last known to be complete. If the caller does not know, it
-// is the last sweep: the process may have stalled since, and later updates may be unread.
+// listCurrentAt returns when the endpoint list was last known to be complete: the time of the last sweep if
+// the caller does not know. The process may have stalled since that sweep, and later updates may be unread.
 func (c *Controller) listCurrentAt(conditions SendConditions) Nanos {
 	if conditions.ListCurrentAt != 0 {
 		return conditions.ListCurrentAt
--- a/choice/placement.go
+++ b/choice/placement.go
@@ -22,7 +22,7 @@
 	minLatencyWeight, maxLatencyWeight   = 0.5, 3.0  // bounds of the weight for latency relative to the fleet
 	failurePenalty, sameEnginePenalty    = 4.0, 4.0  // at failure rate 1; for the engine of the last attempt
 	maxCrossZonePenalty, crossZoneFactor = 2.0, 10.0 // for another zone: maximum; per price over job value
-	minCrossZoneValue                    = 0.01      // lower bound of the job value in that
+	minCrossZoneValue                    = 0.01      // lower bound of the job value in that ratio
 	peerTablesPenalty, maxTieBreak       = 3.0, 0.02 // table loads on peers' engines; largest tie-break
 )
 
--- a/choice/shedding.go
+++ b/choice/shedding.go
@@ -70,7 +70,7 @@
 			t.price = max(0, t.price-priceChangePerSecond*step)
 		}
 		if c.now-t.lastLatencyAt >= latencyStaleAfter {
-			t.slowdown += latencyDecay * (1 - t.slowdown) // else a type shed for its slowdown would keep it
+			t.slowdown += latencyDecay * (1 - t.slowdown) // else a type shed for its slowdown would keep this slowdown
 		}
 		highestPrice, longestWait = max(highestPrice, t.price), max(longestWait, wait)
 	}
--- a/choice/simulation_chaos_test.go
+++ b/choice/simulation_chaos_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// chaos runs random steps with arbitrary outcomes, progress reports, probe results, engine lists and disconnects.
+// chaos runs random steps with arbitrary outcomes, progress reports, probe results, endpoint lists and disconnects.
 func (s *simulation) chaos(r *rand.Rand, steps int) {
 	s.manualProbes = true
 	for range steps {
@@ -71,7 +71,7 @@
 	}
 }
 
-// randomList may change the engine list, or send events about unknown jobs and timers.
+// randomList may change the endpoint list, or send events about unknown jobs and timers.
 func (s *simulation) randomList(r *rand.Rand) {
 	id := EngineID(100 + r.Intn(5))
 	entry := EngineEntry{Engine: id, State: Ready, Zone: ZoneID(id % 2)}
--- a/choice/simulation_test.go
+++ b/choice/simulation_test.go
@@ -61,7 +61,7 @@
 	return slices.ContainsFunc(j.attempts, (*simulatedAttempt).mayHaveRun)
 }
 
-// testSettings has three types: a short repeatable one, a long repeatable one, and a run-once load ordered by key.
+// testSettings has three types: a short restartable one, a long restartable one, and a run-once load ordered by key.
 func testSettings() RawSettings {
 	class := func(idempotency string, objective, timeout, gain float64, extra map[string]any) map[string]any {
 		settings := map[string]any{"idempotency": idempotency, "aim_ns": objective * 1e9, "give_up_ns": timeout * 1e9,
--- a/choice/slow_start.go
+++ b/choice/slow_start.go
@@ -2,7 +2,7 @@
 
 const (
 	slowStartSafety     = 0.51       // used part of the work that an engine in slow start withstands
-	slowStartTurnShare  = 0.75       // of that when controllers take turns, as two may overlap in a window
+	slowStartTurnShare  = 0.75       // factor on slowStartSafety if controllers take turns: two may overlap
 	outageTimeout       = 5 * second // an outage lasts this long after the last failed dial
 	restartSuspectShare = 0.15       // part of the expected jobs below which a restart is suspected
 )
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -102,7 +102,8 @@
 	return json.Marshal(list)
 }
 
-// UnmarshalJSON decodes such an array. One of another length was written by another version and is an error.
+// UnmarshalJSON decodes the array that MarshalJSON writes. An array of another length is an error, because
+// another version wrote it.
 func (s *TypeStats) UnmarshalJSON(text []byte) error {
 	var list []float64
 	if err := json.Unmarshal(text, &list); err != nil {
--- a/choice/sweep.go
+++ b/choice/sweep.go
@@ -5,7 +5,7 @@
 const (
 	sweepInterval  = 20 * ms
 	stallThreshold = 100 * ms // a sweep this late means that the process stalled
-	watchInterval  = second   // between requests to watch the engine list
+	watchInterval  = second   // between requests to watch the endpoint list
 )
 
 // sweep runs every sweepInterval. It ends expiring jobs, cancels overdue attempts and updates all estimates.
