--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -78,8 +78,8 @@
 	delete(g.openCalls, string(j.ID))
 }
 
-// remove drops a finished job from the table and reports whether it did. A job with unread messages is kept: the module
-// must get an outcome for each dispatch that it requested, even if the client has disconnected meanwhile.
+// remove removes a finished job from the table and reports whether it was removed. A job with unread messages is kept:
+// the module must get an outcome for each dispatch that it requested, even if the client has disconnected meanwhile.
 func (g *Gateway) remove(j *job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/job_runner.go
+++ b/internal/gateway/job_runner.go
@@ -250,7 +250,7 @@
 	if testHooks.delayAnswer != nil {
 		time.Sleep(testHooks.delayAnswer(time.Since(r.job.ArrivedAt)))
 	}
-	if r.losesAnswer(m.attempt) {
+	if r.dropsAnswer(m.attempt) {
 		r.countOutcome(jobstats.Cancelled, 0)
 		r.job.Client.Failed(ReasonCancelled)
 		return
@@ -259,8 +259,9 @@
 	r.job.Client.Done(m.reply.Pages)
 }
 
-// losesAnswer reports whether fault injection drops the result of this attempt.
-func (r *jobRunner) losesAnswer(a *attempt) bool {
+// dropsAnswer reports whether fault injection drops the result of this attempt, and the client is told that the job
+// failed.
+func (r *jobRunner) dropsAnswer(a *attempt) bool {
 	if testHooks.dropAnswer == nil {
 		return false
 	}
--- a/internal/gateway/job_state.go
+++ b/internal/gateway/job_state.go
@@ -57,6 +57,7 @@
 // hasDispatch reports whether a dispatch is in flight.
 func (s jobState) hasDispatch() bool { return s > jobWaiting && s < jobFinished }
 
+// String returns the name of the state.
 func (s jobState) String() string {
 	return [...]string{"waiting", "running", "cancelling", "draining", "finished"}[s]
 }
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -26,7 +26,7 @@
 	defaultTimeLimit   = time.Hour // for latency objectives and job timeouts
 )
 
-// answerSlackMargin is added to the setting's slack before the gateway answers an overdue job itself.
+// answerSlackMargin is added to settings.answerSlack before the gateway answers an overdue job itself.
 const answerSlackMargin = 50 * time.Millisecond
 
 // listAgeDivisor sets listMaxAge as a fraction of the drain grace.
@@ -43,12 +43,12 @@
 	crossConnDelay time.Duration // delay between causally related messages on different connections
 	answerSlack    time.Duration // how late after the job timeout an answer may be
 	drainGrace     time.Duration // how long a draining engine may still be sent jobs; 0 means no limit
-	keyPause       time.Duration // pause of an ordering key after an uncertain outcome
+	keyPause       time.Duration // pause of an ordering key after an unknown outcome
 	retries        audit.RetryBudget
 	stopTimeout    time.Duration // time after SIGTERM in which all jobs must be answered
-	streamsPerConn int
-	maxJobs        int
-	maxMemoryMB    float64 // largest accepted memory estimate of a job
+	streamsPerConn int           // open dispatches that one connection to an engine may carry
+	maxJobs        int           // maximum number of jobs in progress
+	maxMemoryMB    float64       // largest accepted memory estimate of a job
 	loadFields     []string
 	reportsLoad    bool // probes ask for load reports
 	types          []typeSettings
@@ -58,7 +58,7 @@
 type typeSettings struct {
 	objective        time.Duration // latency objective, excluding objectivePerWork
 	objectivePerWork float64       // ms added to the objective per ms of work per thread
-	threads          float64
+	threads          float64       // per job
 	clientTimeout    time.Duration // total time that clients wait
 	notRestartable   bool          // run-once or keyed: a dispatch must not be aborted
 	runOnce          bool          // must not be dispatched again once it may have run, not even by its key
