--- a/internal/client/conn.go
+++ b/internal/client/conn.go
@@ -88,7 +88,7 @@
 	if !c.rate.delayReading(now) {
 		return false
 	}
-	if c.hasBufferedInput() { // it may have arrived at any time during the delay
+	if c.hasBufferedInput() { // this input may have arrived at any time during the delay
 		c.bufferedSince = now
 	}
 	return true
--- a/internal/client/msgpack.go
+++ b/internal/client/msgpack.go
@@ -155,8 +155,8 @@
 // valueWalk tracks the position in nested values, and enforces maxDepth and maxItems.
 type valueWalk struct {
 	remaining [maxDepth]uint64 // values still to come at each depth
-	depth     int
-	items     uint64 // values so far in all arrays and maps
+	depth     int              // number of arrays and maps that are open
+	items     uint64           // values so far in all arrays and maps
 }
 
 // next advances to the next value and returns false if there is none.
--- a/internal/client/server.go
+++ b/internal/client/server.go
@@ -205,7 +205,7 @@
 		_ = c.socket.Close() // the reader returns with an error
 	}
 	for _, c := range s.lingering {
-		_ = c.socket.Close() // likewise
+		_ = c.socket.Close() // the reader returns with an error
 	}
 }
 
