--- a/internal/engine/abort.go
+++ b/internal/engine/abort.go
@@ -75,7 +75,7 @@
 	p.markSuspect(c.engine.Name, since)
 	if c.lane == backend.Restartable || len(c.open) == 0 {
 		c.isClosedLocally = true
-		p.remove(c, closedSilent) // its reader ends the dispatches still open
+		p.remove(c, closedSilent) // the reader of the connection ends the dispatches still open
 		return
 	}
 	startTimeout(p.limits.DialTimeout, func() { c.checkAbort(id, since) })
--- a/internal/engine/conn.go
+++ b/internal/engine/conn.go
@@ -39,7 +39,7 @@
 	pendingAborts    map[string]func() // by id; called once the engine is known to have read the abort
 	strayAnswers     int               // consecutive answers for ids that are not open
 	idleSince        time.Time
-	idleBefore       time.Duration // before the dispatches now open were sent; 0 once something is received
+	idleBefore       time.Duration // idle time before the dispatches now open were sent; 0 once something is received
 	lastReceived     time.Time
 	connectedAt      time.Time     // zero until dialled
 	dialTime         time.Duration // used by the connection's own goroutine only
--- a/internal/engine/dispatch.go
+++ b/internal/engine/dispatch.go
@@ -16,9 +16,9 @@
 
 const (
 	stateQueued     dispatchState = iota // waits for its connection to be dialled
-	stateSending                         // it is being written, or is about to be
+	stateSending                         // the dispatch is being written, or is about to be
 	stateDispatched                      // in flight at the engine
-	stateEnded                           // its outcome was reported, or is about to be
+	stateEnded                           // the outcome was reported, or is about to be
 )
 
 // Dispatch is a dispatch or probe whose outcome was not reported yet. It implements backend.Dispatch and is safe for
@@ -38,13 +38,13 @@
 	conn          *conn
 	state         dispatchState
 	writtenAt     time.Time
-	reservedBytes int // for result pages
+	reservedBytes int // of the memory budget, for result pages
 
 	// Used by the connection's reader goroutine only.
 	noticeCount  int
 	result       backend.Reply
 	pages        [][]byte // nil until the first data answer
-	missingPages int
+	missingPages int      // pages of the result that have not arrived
 }
 
 // proceed continues after assign, without waiting for a write. A dispatch on a connection that is still being dialled
@@ -55,7 +55,7 @@
 		go d.conn.send(d) // a write to an engine that reads nothing must not block the caller, which answers the job
 	case stateEnded:
 		counters.Increment("engine_conns_full")
-		d.notifyEnd(backend.Reply{Outcome: backend.Full}) // it never ran, and the engine did not refuse it
+		d.notifyEnd(backend.Reply{Outcome: backend.Full}) // the dispatch never ran, and the engine did not refuse it
 	case stateQueued, stateDispatched:
 	}
 }
@@ -76,7 +76,7 @@
 		r.ConnectedAt = d.conn.connectedAt
 		d.conn.release(d)
 		d.markEnded(r.Outcome)
-		if r.Outcome != backend.Done { // its id may be sent again, and a second copy of this answer may arrive
+		if r.Outcome != backend.Done { // the id may be sent again, and a second copy of this answer may arrive
 			d.conn.rememberID(d.id)
 		}
 	}
@@ -118,7 +118,7 @@
 		d.conn.release(d)
 		d.markEnded(backend.Failed)
 		d.conn.isClosedLocally = true
-		p.remove(d.conn, closedMalformed) // its reader ends the others
+		p.remove(d.conn, closedMalformed) // the reader of the connection ends the others
 	}
 	p.mu.Unlock()
 	if wasOpen {
--- a/internal/engine/idle_limit.go
+++ b/internal/engine/idle_limit.go
@@ -16,9 +16,9 @@
 // idleLimit is the idle time up to which a connection may carry another dispatch. Some networks silently drop idle
 // connections long before the configured timeout; the next dispatch on such a connection is lost and may have run.
 type idleLimit struct {
-	configured time.Duration
+	configured time.Duration // upper bound
 	current    time.Duration
-	changedAt  time.Time
+	changedAt  time.Time // when current was last lowered or raised
 }
 
 // isPromptReset reports whether a connection ended so soon after a write that the idle time before the write is the
--- a/internal/engine/placement.go
+++ b/internal/engine/placement.go
@@ -140,7 +140,7 @@
 	if oldest == nil {
 		return false
 	}
-	p.remove(oldest, closedToMakeRoom)
+	p.remove(oldest, evictedForCapacity)
 	return true
 }
 
@@ -160,7 +160,7 @@
 const (
 	closedIdle          closeReason = "engine_conns_closed_idle"
 	closedSuspect       closeReason = "engine_conns_closed_suspect"
-	closedToMakeRoom    closeReason = "engine_conns_closed_for_another"
+	evictedForCapacity  closeReason = "engine_conns_closed_for_another" // idle longest, and the pool was full
 	closedEngineRemoved closeReason = "engine_conns_closed_engine_removed"
 	closedSilent        closeReason = "engine_conns_closed_silent" // an abort was not answered in time
 	closedMalformed     closeReason = "engine_conns_closed_malformed"
--- a/internal/engine/result.go
+++ b/internal/engine/result.go
@@ -8,7 +8,7 @@
 	"swiftreel/internal/counters"
 )
 
-// An engine may send noticeBurst notices on a dispatch at once, and further ones at this average interval.
+// An engine may send noticeBurst notices on a dispatch at once, and further ones minNoticeInterval apart on average.
 const (
 	noticeBurst       = 32
 	minNoticeInterval = 10 * time.Millisecond
