--- a/internal/discovery/event.go
+++ b/internal/discovery/event.go
@@ -35,7 +35,7 @@
 	Change         *ListChange // nil: the event does not concern engines
 	IsPosition     bool        // not an event: Number is that of the last one
 	InvalidEntries int         // entries that were skipped as invalid
-	UpToDateAt     time.Time   // when the feed last reported no further event, so that this one is newer; zero: unknown
+	UpToDateAt     time.Time   // when the feed last reported no further event, so this event is newer; zero: unknown
 }
 
 // ListChange is a change of the endpoint list.
--- a/internal/discovery/feed_reader.go
+++ b/internal/discovery/feed_reader.go
@@ -28,7 +28,7 @@
 
 	// Guarded by the freshness lock.
 	isWaiting   bool      // everything received was delivered
-	hasReceived bool      // any data
+	hasReceived bool      // any data was received
 	currentAt   time.Time // everything that had arrived by then was delivered
 	drainedAt   time.Time // when the last read began that left nothing unread
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -3,9 +3,9 @@
 //
 // A Watcher subscribes over TCP ("SUB <last event>\n") and receives one event per line, in JSON, or the number of the
 // last event alone. Whenever the feed is unreachable, silent or unreadable, or skips an event, the watcher reconnects
-// and resumes from the last event that it delivered, so each event is delivered once and in order. It owns one
-// goroutine for each address that it watches, normally one and two while the feed moves, and one that detects stalls of
-// the process.
+// and resumes from the last event that it delivered, so each event is delivered once and in order. It owns a
+// goroutine for each address that it watches (two addresses while the feed moves, otherwise one), and a goroutine that
+// detects stalls of the process.
 package discovery
 
 import (
@@ -26,8 +26,8 @@
 
 // GapError means that events are missing between two that were received.
 type GapError struct {
-	Last     uint64 // delivered
-	Received uint64
+	Last     uint64 // number of the last event delivered
+	Received uint64 // number of the event received after it
 }
 
 // Error implements error.
@@ -104,7 +104,7 @@
 }
 
 // CurrentAt returns a time such that everything the feed had sent by then was delivered; what is unread or being
-// delivered came later. If the known time is within maxAge, it does not look for a later one. While the feed is
+// delivered came later. If the known time is within maxAge, no later one is looked for. While the feed is
 // unreachable it returns the present, as events sent then count as notified only 7 s later (protocol page, Figures).
 func (w *Watcher) CurrentAt(maxAge time.Duration) time.Time {
 	currentAt, _ := w.freshness.check(maxAge)
