--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -35,7 +35,7 @@
 	// CancelDelay is the time from closing a connection until the dispatches in flight on it are reported as ended.
 	// Messages sent in reaction to that report must not overtake the close.
 	CancelDelay    time.Duration
-	StreamsPerConn int
+	StreamsPerConn int           // open dispatches that one connection may carry
 	Conns          *limits.Limit // connections to all engines
 	ResultBytes    *limits.Bytes // memory for results
 }
@@ -118,13 +118,13 @@
 const (
 	Running      Outcome = iota // no outcome yet: the reply is a progress notice
 	Done                        // all pages are in memory; for a probe, the engine answered
-	Failed                      // an error, missing pages or a malformed answer: it may have run
-	Full                        // the engine refused it
-	Superseded                  // it was not sent, since it was too late
+	Failed                      // an error, missing pages or a malformed answer: the dispatch may have run
+	Full                        // the engine refused the dispatch
+	Superseded                  // the dispatch was not sent, since it was too late
 	NotConnected                // the connection was refused: no process listens at the address
-	Reset                       // the connection broke: it may have run
+	Reset                       // the connection broke: the dispatch may have run
 	TimedOut                    // only for probes: a dispatch is cancelled instead
-	DialFailed                  // no connection was established in time, or it broke before a byte was sent
+	DialFailed                  // no connection was established in time, or the connection broke before a byte was sent
 )
 
 // Reply is a progress notice or the outcome of a dispatch or a probe.
