--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -47,7 +47,7 @@
 type Job struct {
 	ID       choice.JobID
 	Deadline time.Time  // until which the client waits
-	RunOnce  bool       // it must not run twice
+	RunOnce  bool       // the job must not run twice
 	Key      choice.Key // jobs of one key run one at a time, in order; 0: no ordering
 }
 
@@ -67,14 +67,14 @@
 	mu       sync.Mutex
 	jobs     map[choice.JobID]*jobRecord
 	keys     map[choice.Key]*keyRecord
-	admitted int
+	admitted int // number of jobs admitted so far
 	retries  retries
 }
 
 // Bounds are the limits that the rules refer to.
 type Bounds struct {
 	DrainGrace time.Duration // for dispatches to an engine that became unavailable; 0: not checked
-	KeyPause   time.Duration // pause of an ordering key after an uncertain outcome
+	KeyPause   time.Duration // pause of an ordering key after an unknown outcome
 	Retries    RetryBudget
 }
 
@@ -92,7 +92,7 @@
 // keyRecord is the record of an ordering key.
 type keyRecord struct {
 	open           map[choice.JobID]*jobRecord
-	arrivals       int
+	arrivals       int // number of jobs admitted with the key
 	lastDispatched int // highest arrival number among dispatched jobs
 	pausedUntil    time.Time
 }
--- a/internal/audit/retries.go
+++ b/internal/audit/retries.go
@@ -6,8 +6,8 @@
 // retries plus Ratio times the number of admitted jobs.
 type RetryBudget struct {
 	Window time.Duration // 0: no limit
-	Free   float64
-	Ratio  float64
+	Free   float64       // retries per window
+	Ratio  float64       // further retries per job admitted in the window
 }
 
 // retrySlack is the longest time from the decision to dispatch until the first byte is sent. It is needed because the
