--- a/cmd/swiftreel/sparql.go
+++ b/cmd/swiftreel/sparql.go
@@ -78,7 +78,7 @@
 	return endpoint.New(limits, func(name string, signal decide.Signal) { s.gateway.UpdateDrain(name, signal) })
 }
 
-// attach connects the server to the gateway. It must be called before the gateway gets its first engine list.
+// attach connects the server to the gateway. It must be called before the gateway gets its first endpoint list.
 func (s *sparqlServer) attach(gate *gateway.Gateway) {
 	if s.options == nil {
 		return
--- a/cmd/swiftreel/stats.go
+++ b/cmd/swiftreel/stats.go
@@ -25,7 +25,7 @@
 	stats          *jobstats.Recorder
 	gateway        *gateway.Gateway
 	pendingAnswers func() int64 // number of pending answers
-	startedNS      int64        // Unix time by the process's own clock; identifies the process, not comparable
+	startedNS      int64        // Unix time by this process's clock, not comparable with others; identifies the process
 	applied        atomic.Pointer[appliedDigests]
 }
 
--- a/cmd/swiftreel/stats_test.go
+++ b/cmd/swiftreel/stats_test.go
@@ -74,7 +74,7 @@
 func (a recordingClient) Connected() bool          { return true }
 func (a recordingClient) AwaitInput(time.Duration) {}
 
-// patientSettings are testSettings with SLA times that even a slow machine meets.
+// patientSettings are testSettings with latency objectives that even a slow machine meets.
 var patientSettings = strings.NewReplacer(
 	`"aim_ns":5e8`,
 	`"aim_ns":5e12`,
