--- a/internal/supervisor/config.go
+++ b/internal/supervisor/config.go
@@ -24,8 +24,8 @@
 }
 
 // covers reports whether a controller with this configuration needs no reload to satisfy the wanted one. Every rewrite
-// of the operator file costs a reload, so a later expiry of the same plan is written only once the remaining time has
-// dropped below half of the new one. now is in nanoseconds of the monotonic clock.
+// of the operator file costs a reload, so a later expiry of the same plan is written only once the time left until the
+// earlier expiry is less than half of the time left until the later one. now is in nanoseconds of the monotonic clock.
 func (c controllerConfig) covers(wanted controllerConfig, now int64) bool {
 	remaining := c.leaderPlanExpiry - now
 	wantedRemaining := wanted.leaderPlanExpiry - now
--- a/internal/supervisor/controller.go
+++ b/internal/supervisor/controller.go
@@ -39,7 +39,7 @@
 	appliedAssignment assignmentID    // the assignment whose share the process applies; guarded by the supervisor's lock
 
 	mu      sync.Mutex
-	address string // of its report; empty until the process has logged it
+	address string // host:port where the process serves its report; empty until the process has logged it
 }
 
 // start starts the process and copies its log to logOutput until it exits.
--- a/internal/supervisor/decision.go
+++ b/internal/supervisor/decision.go
@@ -5,11 +5,11 @@
 type situation struct {
 	drainOrdered      bool // the order is to run no controller
 	hasCurrent        bool
-	currentMatches    bool // it runs the ordered program
-	currentConfigured bool // its operator file is up to date
+	currentMatches    bool // the current controller runs the ordered program
+	currentConfigured bool // the current controller's operator file is up to date
 	hasNext           bool
-	nextMatches       bool // it runs the ordered program
-	nextReady         bool // it runs the ordered spec and is ready for jobs
+	nextMatches       bool // the next controller runs the ordered program
+	nextReady         bool // the next controller runs the ordered spec and is ready for jobs
 	drainingCount     int
 	backingOff        bool // the restart delay after a crash has not elapsed
 }
@@ -19,15 +19,15 @@
 
 const (
 	noAction         action = iota
-	startController         // as the current one, or as the next one if there is a current one
-	promoteNext             // the next controller becomes the current one, the former one drains
+	startController         // as the current controller, or as the next one if there is a current one
+	promoteNext             // the next controller becomes the current one, and the former current one drains
 	discardNext             // the next controller drains
 	configureCurrent        // rewrite the current controller's operator file and reload
 	stopControllers         // drain all controllers
 )
 
-// decide returns the next action. A program that fails to run never replaces one that works: it is started alongside
-// the current one and takes over only once it reports that it is ready.
+// decide returns the next action. A program that fails to run never replaces one that works: the controller with the
+// new program is started alongside the current one and takes over only once it reports that it is ready.
 func (s situation) decide() action {
 	switch {
 	case s.drainOrdered && (s.hasCurrent || s.hasNext):
--- a/internal/supervisor/operatorfile.go
+++ b/internal/supervisor/operatorfile.go
@@ -119,7 +119,7 @@
 }
 
 // statsSection returns the section that makes a controller serve its report. A controller that replaces the current one
-// also gets the learned estimates and engine health of that one.
+// also gets the job type statistics and engine health that the current one reported.
 func (s *Supervisor) statsSection(target *controller, config controllerConfig) (json.RawMessage, error) {
 	stats := operator.Stats{Listen: anyLoopbackPort, SpecDigest: config.spec, Predecessor: config.hasPredecessor}
 	s.mu.Lock()
@@ -153,15 +153,15 @@
 	return json.Marshal(section)
 }
 
-// prunePlanFiles removes the oldest plan files, except for the one named keep.
-func (s *Supervisor) prunePlanFiles(keep string) {
+// prunePlanFiles removes the oldest plan files, except for the one with the name keptName.
+func (s *Supervisor) prunePlanFiles(keptName string) {
 	paths, err := filepath.Glob(s.statePath("plan-*.json"))
 	if err != nil {
 		return // the directory's name makes the pattern malformed: nothing is removed
 	}
 	slices.SortFunc(paths, func(a, b string) int { return cmp.Compare(modifiedUnixNS(a), modifiedUnixNS(b)) })
 	for i := 0; i < len(paths)-retainedPlanFiles; i++ {
-		if filepath.Base(paths[i]) != keep {
+		if filepath.Base(paths[i]) != keptName {
 			_ = os.Remove(paths[i]) // retried when the next plan is written
 		}
 	}
--- a/internal/supervisor/status.go
+++ b/internal/supervisor/status.go
@@ -31,7 +31,7 @@
 	Failure   string       `json:"failed"`  // why the order cannot be carried out
 	// Crashes counts unexpected exits of controllers and failed starts.
 	Crashes        uint64 `json:"crashes"`
-	PID            int    `json:"pid"`    // of the serving process
+	PID            int    `json:"pid"`    // of the current controller
 	DrainingPIDs   []int  `json:"drains"` // of older processes that finish their outstanding jobs
 	PendingAnswers int64  `json:"owed"`
 	// SinceOrderMS is the time since the last order was received, accepted or not; -1 if there was none.
--- a/internal/supervisor/step.go
+++ b/internal/supervisor/step.go
@@ -18,7 +18,7 @@
 	current        *controller
 	next           *controller
 	hasPredecessor bool          // an older process is still draining
-	ready          []*controller // those that responded to the last poll and are ready
+	ready          []*controller // controllers that responded to the last poll and are ready
 	situation      situation
 	recheckDue     bool // it is time to check whether the cause of a failed order is gone
 }
@@ -44,8 +44,8 @@
 	}
 }
 
-// poll requests a controller's report. If the controller has rejected its operator file, it keeps the former
-// configuration, so the failure of the order is recorded.
+// poll requests a controller's report. A controller that rejects its operator file keeps its former configuration; poll
+// then records the failure of the order.
 func (s *Supervisor) poll(ctx context.Context, target *controller) {
 	report, err := target.fetchReport(ctx, &s.httpClient)
 	s.mu.Lock()
@@ -114,8 +114,8 @@
 	return at
 }
 
-// deliverShare sends the assigned share to the controllers that have not accepted it yet. Only ready ones are
-// contacted, so that one that hangs does not delay orders.
+// deliverShare sends the assigned share to the controllers that have not accepted it yet. Only ready controllers are
+// contacted: waiting for one that hangs would delay orders.
 func (s *Supervisor) deliverShare(ctx context.Context, state snapshot) {
 	if state.assigned.Shares[quota.FleetThreads] <= 0 {
 		return
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -4,8 +4,9 @@
 //
 // The supervisor is a separate process, so that a controller program that fails to run can be rolled back. It owns a
 // state directory with the accepted order (held.json), the operator files that it writes for its controllers
-// (operator-N.json) and the plans that these files name (plan-DIGEST.json). An order is stored on disk before it takes
-// effect. Assignments of the leader are valid for one incarnation of the supervisor only and are never stored.
+// (operator-N.json) and the plans that these files name (plan-DIGEST.json). An operator file is derived from the
+// operator's file, which a person writes, and from the order. An order is stored on disk before it takes effect.
+// Assignments of the leader are valid for one incarnation of the supervisor only and are never stored.
 //
 // Run drives the controllers from a single goroutine. All other exported methods may be called concurrently with it.
 package supervisor
@@ -28,8 +29,8 @@
 	pollInterval = 50 * time.Millisecond
 	// controllerTimeout is the timeout of a request to a controller.
 	controllerTimeout = 2 * time.Second
-	// failureCheckInterval is the time between two checks of whether the cause of a failed order is gone. They are made
-	// only while no controller runs.
+	// failureCheckInterval is the time between two checks of whether the cause of a failed order is gone. These checks
+	// are made only while no controller runs.
 	failureCheckInterval = 2 * time.Second
 )
 
