--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -27,7 +27,7 @@
 	baseline  *canary.Baseline
 	analysis  *canary.Analysis     // of the stage; nil before the first
 	recovery  canary.RecoveryCheck // of the fleet, after a stage was rolled back
-	evaluated stageInPhase         // the part that analysis and recovery belong to
+	evaluated stageInPhase         // the stage and phase that analysis and recovery belong to
 
 	recordPending bool   // the state has changed but could not be recorded yet
 	lastRejection string // of an order, as last logged
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// advance steps the state machine, with the pending operator's request if there is a new one. It reports whether there
-// is a new state to record.
+// advance steps the state machine, with the operator's pending request if it is a new one. It reports whether there is
+// a new state to record.
 func (c *Coordinator) advance(seen *rollout.Observation) bool {
 	request := c.store.PendingRequest()
 	isNew := request.ID != c.record.LastRequestID
--- a/internal/coordinator/evaluation.go
+++ b/internal/coordinator/evaluation.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// beginEvaluation starts a new analysis when a stage is applied; it continues while the stage bakes. A coordinator that
-// takes over a stage that bakes starts a new one.
+// beginEvaluation starts a new analysis when a stage is applied; the analysis continues while the stage bakes. A
+// coordinator that takes over a stage that bakes starts a new one.
 func (c *Coordinator) beginEvaluation(state rollout.State) {
 	current := stageInPhase{phase: state.Phase, stage: state.Stage}
 	if current == c.evaluated {
--- a/internal/coordinator/fleet_client.go
+++ b/internal/coordinator/fleet_client.go
@@ -35,7 +35,7 @@
 // IncludeEngines must not be changed while another method runs.
 type FleetClient struct {
 	Members        []operator.Member
-	IncludeEngines bool // statuses are polled with the names of the engines that are ready
+	IncludeEngines bool // polls also request the names of the ready engines
 
 	maxWait          time.Duration
 	http             http.Client
--- a/internal/coordinator/member_view.go
+++ b/internal/coordinator/member_view.go
@@ -14,7 +14,7 @@
 type memberView struct {
 	status      supervisor.Status
 	repliedAt   int64 // of the last reply; 0: none yet
-	targetSince int64 // when it was first seen on the new version; 0: it runs another one
+	targetSince int64 // when the controller was first seen on the new version; 0: it runs another one
 }
 
 // unreachable returns a member that did not reply to the poll, in its last known state. It counts as reachable until
--- a/internal/coordinator/store.go
+++ b/internal/coordinator/store.go
@@ -48,8 +48,9 @@
 }
 
 // RecordStore stores a fleet's changes: the one in progress with its baseline, and the history of all. It is either a
-// folder or a set of replicated items; with the latter, transitions appear in the leader's log only, and samples are
-// not kept. It has no mutex: only one goroutine may write, and files are replaced atomically for concurrent readers.
+// folder or a set of replicated items; with replicated items, transitions appear in the leader's log only, and samples
+// are not kept. It has no mutex: only one goroutine may write, and files are replaced atomically for concurrent
+// readers.
 type RecordStore struct {
 	folder     string
 	lock       *os.File // nil unless opened by OpenFolder
@@ -87,7 +88,7 @@
 }
 
 // Close unlocks a folder that OpenFolder opened.
-func (s *RecordStore) Close() { _ = s.lock.Close() } // nothing is written to the lock file: an error would lose nothing
+func (s *RecordStore) Close() { _ = s.lock.Close() } // an error loses no data: the lock file is empty
 
 // maySendOrders reports whether this process may send orders: it holds the folder's lock, or is the leader.
 func (s *RecordStore) maySendOrders() bool { return s.replicated == nil || s.replicated.IsLeader() }
