--- a/internal/leader/core.go
+++ b/internal/leader/core.go
@@ -50,7 +50,7 @@
 
 	quorumAt    int64  // latest time at which a quorum is known to have followed this member
 	claimedTerm uint64 // latest raft term that this member proposed to claim
-	ignoreLease bool   // set by tests to verify that they detect the defect
+	ignoreLease bool   // set by tests to verify that they detect a member that ignores its lease
 
 	transferring      bool // leadership is being transferred: this member no longer acts
 	transferStartedAt int64
--- a/internal/leader/distributor.go
+++ b/internal/leader/distributor.go
@@ -125,7 +125,7 @@
 // distribute performs one round: it polls all members and sends assignments based on their replies.
 func (d *distributor) distribute(ctx context.Context) error {
 	answers := d.fleet.Poll(ctx)
-	now := d.now() // not before the members read the clocks in their replies
+	now := d.now() // read after the poll: not before the members read the clocks in their replies
 	if !d.store.IsLeader() {
 		return nil
 	}
@@ -268,7 +268,8 @@
 	return next
 }
 
-// logRejections logs assignments that were rejected or could not be delivered. It skips one equal to the last logged.
+// logRejections logs assignments that were rejected or could not be delivered. A rejection equal to the last one that
+// was logged is skipped.
 func (d *distributor) logRejections(rejections map[int]error) {
 	for i, err := range rejections {
 		name := d.fleet.Members[i].Name
--- a/internal/leader/duties.go
+++ b/internal/leader/duties.go
@@ -37,7 +37,7 @@
 	changeMu sync.Mutex     // held while a change is started
 	fitness  FitnessMonitor // used by the running term
 
-	mu    sync.Mutex
+	mu    sync.Mutex                 // guards polls
 	polls []*coordinator.FleetClient // of running duties that poll all members
 
 	// Used by the distributor of the running term.
--- a/internal/leader/handlers.go
+++ b/internal/leader/handlers.go
@@ -94,7 +94,8 @@
 	n.replyStatus(w, err)
 }
 
-// updateMembers calls the core. It returns ErrNotMember if the process is not an active member.
+// updateMembers calls a method of the core that changes the members, and processes its output. It returns ErrNotMember
+// if the process is not an active member.
 func (n *Node) updateMembers(call func(*Core) (Output, error)) error {
 	err := ErrNotMember
 	n.update(func(c *Core) Output {
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -31,8 +31,8 @@
 	return c.collectOutput(), true
 }
 
-// successor returns the ID of the active voter with the most complete log, only considering the given name if it is not
-// empty. It returns 0 if there is none.
+// successor returns the ID of the active voter with the most complete log, or 0 if there is none. If name is not empty,
+// only voters with that name are considered.
 func (c *Core) successor(name string) uint64 {
 	var best, bestMatch uint64
 	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
--- a/internal/leader/node.go
+++ b/internal/leader/node.go
@@ -145,8 +145,9 @@
 	}
 }
 
-// halt stops the node from sending messages after a failed write, because their content may not be persisted. It still
-// asks another voter to take over, as that message relies on no persisted state. The caller holds the lock.
+// halt stops the node from sending messages after a failed write, because the content of these messages may not be
+// persisted. The node still asks another voter to take over, as that message relies on no persisted state. The caller
+// holds the lock.
 func (n *Node) halt(cause error) {
 	n.storeError = cause
 	n.resumeAt = n.now() + n.timing.Lease
@@ -160,7 +161,7 @@
 }
 
 // resumeIfDue retries the store of a halted node once per lease. Once the store works, the node resumes like a process
-// that restarts from this file. This is safe because the node has sent nothing that was not persisted.
+// that restarts from the store's file. This is safe because the node has sent nothing that was not persisted.
 func (n *Node) resumeIfDue() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/leader/store.go
+++ b/internal/leader/store.go
@@ -178,7 +178,7 @@
 }
 
 // saveEntries writes entries and replaces all stored ones from the index of the first one on. Entries up to the index
-// covered are not stored, because the new snapshot includes them (0 if there is no new snapshot).
+// covered are not stored, because the new snapshot includes them; covered is 0 if there is no new snapshot.
 func saveEntries(tx *bbolt.Tx, entries []*raftpb.Entry, covered uint64) error {
 	if len(entries) == 0 {
 		return nil
