--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -41,7 +41,7 @@
 	return member.Fence != m.State.Fence || !followed
 }
 
-// takesOutOfService reports whether an order makes a member restart that is serving now.
+// takesOutOfService reports whether an order makes a member restart while it is serving.
 func (m *Machine) takesOutOfService(member Member) bool {
 	restarts := m.config.Kind == change.KindProgram
 	return restarts && member.Running != m.desiredSpec(member.Name) && member.Serving && !m.inProgress(member)
