--- a/internal/canary/guardrail.go
+++ b/internal/canary/guardrail.go
@@ -10,7 +10,7 @@
 	guardrailMinJobs = 30
 
 	memoryToleranceMB      = 8   // normal variation of a garbage-collected process
-	ejectedTolerance       = 1   // engine: controllers do not eject an engine at the same time
+	ejectedTolerance       = 1   // in engines: controllers do not eject an engine at the same time
 	probesPerJobTolerance  = 1   // the relative limit is too strict where few probes are sent
 	cpuNSPerJobTolerance   = 1e6 // the relative limit is too strict for jobs that use little CPU time
 	guardrailMemory        = "memory"
