--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -113,6 +113,7 @@
 	Spec Digest
 }
 
+// Error returns a message with the spec.
 func (e *UnchangedError) Error() string { return fmt.Sprintf("the fleet already has spec %s", e.Spec) }
 
 // TargetSpec returns the spec that results from applying the change to another spec. It reads the plan's or the
--- a/internal/change/order.go
+++ b/internal/change/order.go
@@ -131,6 +131,7 @@
 	Accepted Fence
 }
 
+// Error returns a message with both fences.
 func (e *StaleOrderError) Error() string {
 	return fmt.Sprintf("order %v comes after %v was taken", e.Order, e.Accepted)
 }
@@ -142,6 +143,7 @@
 	AcceptedID    string
 }
 
+// Error returns a message with both coordinators.
 func (e *ForeignOrderError) Error() string {
 	return fmt.Sprintf("order %v is by %s, and %s conducts under that term", e.Order, e.CoordinatorID, e.AcceptedID)
 }
@@ -151,6 +153,7 @@
 	Order Fence
 }
 
+// Error returns a message with the fence.
 func (e *ConflictingOrderError) Error() string {
 	return fmt.Sprintf("order %v wants what an order of that name did not", e.Order)
 }
