--- a/internal/assignment/accepted.go
+++ b/internal/assignment/accepted.go
@@ -30,9 +30,9 @@
 	Sequence    int64         `json:"count"`
 	Leader      string        `json:"owner"`
 	Shares      quota.Shares  `json:"part,omitempty"`
-	SharesUntil int64         `json:"part_until_boot_ns,omitempty"`
+	SharesUntil int64         `json:"part_until_boot_ns,omitempty"` // expiry of Shares, in ns of the machine's clock
 	Plan        change.Digest `json:"plan,omitempty"`
-	PlanUntil   int64         `json:"plan_until_boot_ns,omitempty"`
+	PlanUntil   int64         `json:"plan_until_boot_ns,omitempty"` // expiry of Plan, likewise
 
 	PlanText json.RawMessage `json:"-"`
 }
--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -27,10 +27,10 @@
 	Member      string          `json:"member"`
 	Incarnation string          `json:"life"` // of the supervisor's process; a new process starts without an assignment
 	Shares      quota.Shares    `json:"part,omitempty"`
-	SharesUntil int64           `json:"part_until_boot_ns,omitempty"`
-	Plan        change.Digest   `json:"plan,omitempty"` // to be followed; empty means none
-	PlanUntil   int64           `json:"plan_until_boot_ns,omitempty"`
-	PlanText    json.RawMessage `json:"plan_text,omitempty"` // sent until the member reports that it has the plan
+	SharesUntil int64           `json:"part_until_boot_ns,omitempty"` // expiry of Shares, in ns
+	Plan        change.Digest   `json:"plan,omitempty"`               // to be followed; empty means none
+	PlanUntil   int64           `json:"plan_until_boot_ns,omitempty"` // expiry of Plan, in ns
+	PlanText    json.RawMessage `json:"plan_text,omitempty"`          // sent until the member reports that it has the plan
 }
 
 // Limits of an assignment.
