--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -30,13 +30,13 @@
 
 // Demand tracks the recent load of the controllers and computes their target shares. It is not safe for concurrent use.
 type Demand struct {
-	members      map[string]*memberDemand
-	serviceTimes map[string]*weightedMean // by job type: how long a job occupies its threads, in the unit of medianLatency
+	members      map[string]*memberDemand // by name
+	serviceTimes map[string]*weightedMean // by job type: mean time a job occupies threads, in the unit of medianLatency
 	lastTargets  map[string]Shares        // returned again while new targets differ little
 }
 
 type memberDemand struct {
-	lastSeen int64
+	lastSeen int64                    // ns
 	rates    map[canary.Group]float64 // jobs per second, smoothed
 }
 
@@ -48,8 +48,8 @@
 	return &Demand{members: map[string]*memberDemand{}, serviceTimes: map[string]*weightedMean{}}
 }
 
-// Observe records one observation per member and removes members that have none. medianLatency computes the median of
-// a latency histogram.
+// Observe records one observation per member and removes members that have none. medianLatency computes the median of a
+// latency histogram, in any unit.
 func (d *Demand) Observe(now int64, observations []Observation, medianLatency func(counts []uint64) float64) {
 	observed := map[string]bool{}
 	for _, observation := range observations {
@@ -172,7 +172,8 @@
 	byMember map[string]float64
 }
 
-// loads sums the demand of the members by resource: in threads for the fleet, in jobs for a tenant's quota.
+// loads sums the demand of the members by resource: for the fleet in proportion to the threads that their jobs occupy,
+// for a tenant's quota in jobs per second.
 func (d *Demand) loads(members []string) map[Resource]*load {
 	loads := map[Resource]*load{FleetThreads: {byMember: map[string]float64{}}}
 	add := func(resource Resource, member string, amount float64) {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -17,15 +17,15 @@
 // Ledger is a leader's view of the shares: the committed record, and the grants that may still be in use.
 type Ledger struct {
 	record      Record
-	lifetime    int64 // of a grant, in ns of the member's clock
-	grants      map[string]grant
-	isUncertain bool // a commit failed but may still take effect, until a later record is committed
+	lifetime    int64            // of a grant, in ns of the member's clock
+	grants      map[string]grant // by member
+	isUncertain bool             // a commit failed but may still take effect, until a later record is committed
 }
 
 // grant holds the shares that a member may be using.
 type grant struct {
 	upperBound Shares // over all its grants that have not expired
-	expiresAt  int64
+	expiresAt  int64  // in ns of the leader's clock
 	latest     Shares
 	sequence   int64 // of the assignment that carried latest
 }
@@ -68,7 +68,8 @@
 
 // NextRecord returns the record that comes closest to the targets, and whether it must be committed because it differs
 // from the committed one or because that one is uncertain. The record takes effect only with Commit. Limits are first
-// lowered towards their targets, but not below what may still be in use; then limits are raised into what is free.
+// lowered towards their targets, but not below what may still be in use; then limits are raised as far as shares are
+// free.
 func (l *Ledger) NextRecord(targets map[string]Shares, now int64) (next Record, isChanged bool) {
 	next.Limits = map[string]Shares{}
 	free := map[Resource]int64{} // the unallocated part minus FullShare
