--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -63,8 +63,8 @@
 }
 
 // DrainTimeout returns how long after SIGTERM a controller is killed. It returns 0 for a controller without a
-// supervisor: the time of the protocol page applies. Supervisors of earlier versions do not set the variable and use
-// the default.
+// supervisor, for which the drain time of the protocol page applies. Supervisors of earlier versions do not set the
+// variable and use the default.
 func (f File) DrainTimeout(getenv func(string) string) time.Duration {
 	if f.Stats == nil { // not supervised
 		return 0
