--- a/internal/jobstats/server.go
+++ b/internal/jobstats/server.go
@@ -44,7 +44,7 @@
 	EngineHealth json.RawMessage                   `json:"health,omitempty"`
 	JobCounts    map[canary.Group]canary.JobCounts `json:"work"`
 	ReadyEngines []string                          `json:"engines,omitempty"` // sorted
-	// SharePerMillion is the share of the fleet that the controller currently uses.
+	// SharePerMillion is the share of the fleet that the controller applies now.
 	SharePerMillion int64 `json:"carries_per_million"`
 }
 
