--- a/internal/solve/answer.go
+++ b/internal/solve/answer.go
@@ -34,8 +34,9 @@
 	MaxUtilization bool `json:"evenness"`
 }
 
-// Step is the plan from FromMS until the next step begins. Engines that warm up count with their capacity at its
-// beginning, which is the lowest during the step.
+// Step is the plan from FromMS until the next step begins. Engines that warm up count with their capacity at the
+// beginning of the step, which is the lowest during it. Value, Cost and MaxUtilization have the units of those of
+// Answer.
 type Step struct {
 	FromMS         int64        `json:"from_ms"`
 	Status         string       `json:"status"`
--- a/internal/solve/binding.go
+++ b/internal/solve/binding.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Binding is a binding constraint, and the value per second that relaxing it by one unit would add.
+// Binding is a binding constraint, and the value per second, in millionths, that relaxing it by one unit would add.
 type Binding struct {
 	What  string `json:"what"`
 	Unit  string `json:"unit"`
--- a/internal/solve/check.go
+++ b/internal/solve/check.go
@@ -11,6 +11,7 @@
 	Text string
 }
 
+// String returns the path and the text, separated by a colon.
 func (f Fault) String() string { return f.Path + ": " + f.Text }
 
 // Limits on sizes and figures. Check also makes sure that no sum within the solver exceeds 62 bits.
--- a/internal/solve/constraints.go
+++ b/internal/solve/constraints.go
@@ -21,7 +21,7 @@
 	quotas          []int64 // by tenant: threads
 	crossingBudgets []int64 // by zone: bytes per second
 	outsideLimits   []int64 // by type: threads outside its placement bound; 0: the bound is strict
-	maxCost         int64   // per second
+	maxCost         int64   // per second, in millionths of the currency unit
 	maxUsePerMille  int64   // of the usable threads of each engine
 	outage          outage
 
--- a/internal/solve/diving.go
+++ b/internal/solve/diving.go
@@ -32,9 +32,9 @@
 type diver struct {
 	master            *master
 	stage             stage
-	targetValue       int64   // ends the heuristic
-	defaultCostWeight int64   // outside dives
-	diveCostWeight    int64   // during dives
+	targetValue       int64   // ends the heuristic once best reaches it and bestFeasible is known
+	defaultCostWeight int64   // weight of cost in the objective outside dives
+	divingCostWeight  int64   // weight of cost in the objective during dives
 	best              []int64 // may fall short of minimums, at a penalty
 	bestValue         int64
 	bestFeasible      []int64 // meets all minimums
@@ -46,21 +46,21 @@
 func (s *master) improveByDiving(target stage, start []int64, targetValue int64) []int64 {
 	d := diver{master: s, stage: target, targetValue: targetValue, bestFeasible: start, bestValue: math.MinInt64}
 	d.defaultCostWeight = s.costWeight
-	d.diveCostWeight = s.costWeight
+	d.divingCostWeight = s.costWeight
 	if target.goal == maxValue {
-		d.diveCostWeight = s.maxTotalValue() / max(1, s.model.maxCost()) / costWeightDivisor
+		d.divingCostWeight = s.maxTotalValue() / max(1, s.model.maxCost()) / costWeightDivisor
 	}
 	if start != nil {
 		d.best = s.padded(start)
 		d.bestValue, _ = s.program.Value(d.best)
 	}
 	for i := 0; i < len(roundingThresholds) && !d.isDone(); i++ {
-		d.dive(nil, roundingThresholds[i])
+		d.tryDive(nil, roundingThresholds[i])
 	}
 	random := rand.New(rand.NewPCG(1, 1)) // fixed seed, for reproducible results
 	for idle := 0; d.best != nil && idle < maxIdleRounds && !d.isDone(); idle++ {
 		fixed := s.releaseEngines(d.best, 2+idle%releaseFractions, random)
-		if d.dive(fixed, roundingThresholds[idle%len(roundingThresholds)]) {
+		if d.tryDive(fixed, roundingThresholds[idle%len(roundingThresholds)]) {
 			idle = -1
 		}
 	}
@@ -71,11 +71,11 @@
 	return d.stage.stop() || (d.bestFeasible != nil && d.bestValue >= d.targetValue)
 }
 
-// dive runs the diving heuristic from fixed engines, and reports whether it improved the best solution.
-func (d *diver) dive(fixed []int64, threshold float64) bool {
+// tryDive runs the diving heuristic from fixed engines, and reports whether it improved the best solution.
+func (d *diver) tryDive(fixed []int64, threshold float64) bool {
 	s := d.master
 	s.allowShortfall(true)
-	s.setCostWeight(d.diveCostWeight)
+	s.setCostWeight(d.divingCostWeight)
 	values := s.padded(s.runDivingHeuristic(fixed, threshold, d.stage.stop))
 	s.setCostWeight(d.defaultCostWeight)
 	value, isFeasible := s.program.Value(values)
@@ -95,19 +95,19 @@
 // releaseEngines releases each engine of a solution with a probability of 1/divisor, and returns the engines that stay
 // fixed, by column.
 func (s *master) releaseEngines(values []int64, divisor int, random *rand.Rand) []int64 {
-	kept := slices.Clone(values)
+	fixed := slices.Clone(values)
 	for column, engines := range values {
 		if !s.columns[column].isPattern() {
-			kept[column] = 0
+			fixed[column] = 0
 			continue
 		}
 		for range engines {
 			if random.IntN(divisor) == 0 {
-				kept[column]--
+				fixed[column]--
 			}
 		}
 	}
-	return kept
+	return fixed
 }
 
 // bounds are the saved bounds of a column.
--- a/internal/solve/generation.go
+++ b/internal/solve/generation.go
@@ -6,9 +6,10 @@
 	"swiftreel/internal/ilp"
 )
 
-// generatePatterns adds patterns with a positive reduced cost until there is none (column generation). It returns a
-// bound that holds for all patterns, in the program or not, and is computed in integers so that rounding errors of the
-// LP cannot invalidate it; math.MaxInt64 if none is known. The multipliers are those of the last round.
+// generatePatterns adds patterns with a positive reduced cost until there is none (column generation). It returns an
+// upper bound that holds for all patterns, including those not in the program; it is math.MaxInt64 if none is known.
+// The bound is computed in integers, so rounding errors of the LP cannot invalidate it. The multipliers are those of
+// the last round.
 func (s *master) generatePatterns(stop func() bool) (int64, ilp.Multipliers) {
 	bound := int64(math.MaxInt64)
 	var multipliers ilp.Multipliers
--- a/internal/solve/master.go
+++ b/internal/solve/master.go
@@ -282,7 +282,8 @@
 	s.setObjectives()
 }
 
-// allowShortfall lets a dive miss minimums at a penalty. Otherwise it would end at the first minimum that it misses.
+// allowShortfall sets whether a dive may miss minimums at a penalty. Without this a dive would end at the first minimum
+// that it misses.
 func (s *master) allowShortfall(isAllowed bool) {
 	if s.goal != maxValue {
 		return
--- a/internal/solve/model.go
+++ b/internal/solve/model.go
@@ -10,7 +10,7 @@
 type model struct {
 	problem        *Problem
 	jobRates       []int64 // by type: jobs that a thread completes per second, in millionths
-	threadValues   []int64 // by type: value per second of a fully used thread
+	threadValues   []int64 // by type: value per second of a fully used thread, in millionths
 	threadMemoryMB []int64 // by type
 	answerBytes    []int64 // by type: per thread and second
 	classes        []jobClass
@@ -185,13 +185,14 @@
 	return g
 }
 
-// canRunOn reports whether a job of a class fits on an engine with some threads and memory.
+// canRunOn reports whether a job of a class fits on an engine with the given threads and memory.
 func (m *model) canRunOn(class jobClass, threads, memoryMB int64) bool {
 	t := m.problem.Types[class.typ]
 	return t.Threads <= threads && t.MemoryMB <= memoryMB
 }
 
-// crossingCost returns the cost of some bytes, rounded up. For a checked problem it does not overflow 64 bits.
+// crossingCost returns the cost of bytes that cross zones, rounded up. For a checked problem it does not overflow 64
+// bits.
 func crossingCost(bytes, costPerGB int64) int64 {
 	return bytes/bytesPerGB*costPerGB + (bytes%bytesPerGB*costPerGB+bytesPerGB-1)/bytesPerGB
 }
--- a/internal/solve/problem.go
+++ b/internal/solve/problem.go
@@ -44,14 +44,14 @@
 // may run it; absent: any.
 type Type struct {
 	Name        string   `json:"name"`
-	Threads     int64    `json:"threads"` // per job
-	MemoryMB    int64    `json:"memory_mb"`
-	WorkMS      int64    `json:"work_ms"` // thread time per job
+	Threads     int64    `json:"threads"`   // per job
+	MemoryMB    int64    `json:"memory_mb"` // per job
+	WorkMS      int64    `json:"work_ms"`   // thread time per job
 	SLATimeMS   int64    `json:"sla_time_ms,omitempty"`
 	Value       int64    `json:"value"` // billed per completed job
 	Kinds       []string `json:"kinds,omitempty"`
 	Zones       []string `json:"zones,omitempty"`
-	AnswerBytes int64    `json:"answer_bytes,omitempty"`
+	AnswerBytes int64    `json:"answer_bytes,omitempty"` // per job
 }
 
 // Tenant is a party that jobs run for.
@@ -83,7 +83,7 @@
 type Constraints struct {
 	MinServed      []MinServed `json:"least_served,omitempty"`
 	EnforceShares  bool        `json:"shares_hold,omitempty"`
-	MaxCost        *int64      `json:"greatest_cost,omitempty"`          // per second
+	MaxCost        *int64      `json:"greatest_cost,omitempty"`          // per second, in millionths of the currency unit
 	MaxUsePerMille *int64      `json:"greatest_use_per_mille,omitempty"` // of the usable threads of each engine
 	FitsWithout    []string    `json:"fits_without,omitempty"`           // "any engine", "engine NAME", "zone NAME"
 }
--- a/internal/solve/requirement.go
+++ b/internal/solve/requirement.go
@@ -14,7 +14,7 @@
 	strictest  int64  // level that the problem asks for
 }
 
-// outage is the remaining threads of the engines that fail, by engine. Engines that are not in it are unaffected.
+// outage maps each engine that fails to the threads that it has left. Engines that are not in the map are unaffected.
 type outage map[int]int64
 
 // requirements lists all requirements of the problem in a fixed order: minimums, limits, outages.
--- a/internal/solve/stages.go
+++ b/internal/solve/stages.go
@@ -58,9 +58,9 @@
 // stage is the parameters of one run of the master program.
 type stage struct {
 	goal       goal
-	start      *solution // nil: none known
-	above      int64     // only solutions above it count, and the first one ends the stage; math.MinInt64: all count
-	gapDivisor int64     // reciprocal of the gap that ends it if patterns are generated; 0: no gap
+	start      *solution // solution to start from; nil: none known
+	above      int64     // only greater objective values count, and the first one ends the stage; math.MinInt64: all
+	gapDivisor int64     // reciprocal of the relative gap that ends the stage if patterns are generated; 0: no gap
 	minValue   int64     // value reached by an earlier stage
 	maxCost    int64     // per second; none: as in the constraints
 	stop       func() bool
@@ -193,7 +193,8 @@
 	multipliers ilp.Multipliers
 }
 
-// solveStage runs a stage, and tries to close a remaining gap with the compact form if that is small enough.
+// solveStage runs a stage, and tries to close a remaining gap with the compact form if the compact form is small
+// enough.
 func (s *master) solveStage(target stage) stageResult {
 	result := s.solveForm(target)
 	if s.isComplete || target.stop() || !s.shouldTryCompact(target, result) || result.bound <= target.above {
