--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -61,8 +61,8 @@
 	return c
 }
 
-// check prints the problems of a file. It returns an error with the exit code. If there are problems, that error is
-// silent, as they are printed already.
+// check prints the problems of a file. It returns an error with the exit code. If problems were printed, the error
+// itself is not printed.
 func check(out io.Writer, path, kind string, asJSON bool) error {
 	checker, known := checkers[kind]
 	if !known {
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -14,7 +14,7 @@
 
 // ServeOptions are the flags of the root command, which serves.
 type ServeOptions struct {
-	Trace    bool   // log every event and action of the module
+	Trace    bool   // log every event and action of the decision module
 	Operator string // path of the operator's file; if empty, the value of ROUTER_OPERATOR
 }
 
