--- a/internal/sparql/decide/cost.go
+++ b/internal/sparql/decide/cost.go
@@ -36,7 +36,7 @@
 	anyGraphFactor   = 3.0 // for access to graphs that the statement does not name
 )
 
-// patternWeights are the costs of a triple pattern by its number of variables.
+// patternWeights are the weights of a triple pattern by its number of variables.
 var patternWeights = [4]float64{1, 3, 30, 600}
 
 // CostEstimator learns the cost of statements by their fingerprint. It holds a bounded number of fingerprints and
--- a/internal/sparql/decide/drain.go
+++ b/internal/sparql/decide/drain.go
@@ -17,7 +17,8 @@
 
 // DrainTracker combines the states in the endpoint list with the signals of the engines themselves, which may disagree
 // and arrive in any order. An engine is draining if either source reports it. An engine's own drain signal is valid
-// until a serving signal, a restart of the engine or its expiry, by when the list has had time to catch up.
+// until the engine sends a serving signal or restarts, or the signal expires. By its expiry the list has had time to
+// catch up.
 type DrainTracker struct {
 	lifetime choice.Nanos // of an engine's drain signal
 	engines  map[choice.EngineID]*drainState
