--- a/internal/acceptance/pause_test.go
+++ b/internal/acceptance/pause_test.go
@@ -67,15 +67,26 @@
 		sendAll()
 		time.Sleep(pauseLength)
 		before := len(engines[drains].dispatches())
+		resumedAt := time.Now()
 		c.Signal(syscall.SIGCONT)
 		answerAll()
 		if sent := engines[drains].dispatches()[before:]; len(sent) > 0 {
 			t.Errorf("round %d: %d calls reach an engine that has been draining for %v", round, len(sent), pauseLength)
+			logLateCalls(t, c, sent, resumedAt)
 		}
 		feed.AddEvent(false, "["+entry(drains, "ready")+"]")
 	}
 }
 
+// logLateCalls logs when calls arrived after the controller resumed, and the controller's log.
+func logLateCalls(t *testing.T, c *controller, calls []dispatch, resumedAt time.Time) {
+	t.Helper()
+	for _, call := range calls {
+		t.Logf("call %s arrived at %s, %v after the controller resumed", call.id, call.at, call.at.Sub(resumedAt))
+	}
+	t.Logf("log of the controller:\n%s", c.Log())
+}
+
 const (
 	revocationRounds = 12
 	waitingJobs      = 20
--- a/internal/engine/crossing_harness_test.go
+++ b/internal/engine/crossing_harness_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"net"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -66,6 +67,22 @@
 	return c.TCPConn.Write(b)
 }
 
+func (c blockingConn) SyscallConn() (syscall.RawConn, error) {
+	raw, err := c.TCPConn.SyscallConn()
+	return blockingRawConn{raw, c.writes}, err
+}
+
+// blockingRawConn is the raw connection of a blockingConn.
+type blockingRawConn struct {
+	syscall.RawConn
+	writes *latch
+}
+
+func (c blockingRawConn) Write(write func(fd uintptr) (done bool)) error {
+	c.writes.wait()
+	return c.RawConn.Write(write)
+}
+
 func (c blockingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.reads.wait()
--- a/internal/engine/pool.go
+++ b/internal/engine/pool.go
@@ -22,6 +22,7 @@
 	done           chan struct{} // closed by Close
 	malformedLog   ratelog.Logger
 	dialFailureLog ratelog.Logger
+	stalledSendLog ratelog.Logger
 	dialTimeout    func(network, address string, timeout time.Duration) (net.Conn, error)
 
 	mu        sync.Mutex
--- a/internal/engine/send.go
+++ b/internal/engine/send.go
@@ -100,10 +100,22 @@
 	if isClosedByPeer(c.socket) {
 		return 0, errClosedByEngine
 	}
-	if !granted.ExpiresAt.IsZero() && time.Now().After(granted.ExpiresAt) { // the process has stalled since
-		return 0, errPermissionExpired
+	written, err := c.writeLocked(command, granted.ExpiresAt)
+	if written > 0 {
+		c.recordSendTime(d, granted)
+	}
+	return written, err
+}
+
+// recordSendTime logs a send that ended after its permission expired: the process was stopped, or short of CPU time,
+// shortly before, during or after the system call.
+func (c *conn) recordSendTime(d *Dispatch, granted backend.Permission) {
+	overdue := time.Since(granted.ExpiresAt)
+	if granted.ExpiresAt.IsZero() || overdue <= 0 {
+		return
 	}
-	return c.writeLocked(command)
+	c.pool.stalledSendLog.CountAndWarn("sends_stalled", "send_stalled", "call", d.id, "engine", c.engine.Name,
+		"overdue_ms", overdue.Milliseconds())
 }
 
 // finishSend continues after the write of a dispatch: it is in flight, ends, or moves to another connection.
@@ -148,14 +160,15 @@
 func (c *conn) write(message []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_, _ = c.writeLocked(message) // after an error the reader sees the end of the connection
+	_, _ = c.writeLocked(message, time.Time{}) // after an error the reader sees the end of the connection
 }
 
-// writeLocked writes a message and returns how many bytes were written. writeMu is held.
-func (c *conn) writeLocked(message []byte) (int, error) {
+// writeLocked writes a message whose first byte must not be sent after expiresAt (zero: no limit), and returns how many
+// bytes were written. writeMu is held.
+func (c *conn) writeLocked(message []byte, expiresAt time.Time) (int, error) {
 	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error surfaces at the write
-	n, err := c.socket.Write(message)
-	if err != nil {
+	n, err := writeBefore(c.socket, message, expiresAt)
+	if err != nil && !errors.Is(err, errPermissionExpired) {
 		closeSocket(c.socket, true) // nothing valid can follow an incomplete message
 	}
 	return n, err
