--- a/internal/engine/timed_write.go
+++ b/internal/engine/timed_write.go
@@ -6,6 +6,7 @@
 	"os"
 	"syscall"
 	"time"
+	"unsafe"
 
 	"golang.org/x/sys/unix"
 )
@@ -42,25 +43,27 @@
 }
 
 // writeAvailable writes as much as the socket accepts. It returns false if the socket must become writable first.
+//
+// The system call is a raw one: preparing the Go scheduler for a call that may block takes longer than the check of the
+// time and would leave room for a stall. The socket is in non-blocking mode, so the call does not wait for the engine.
 func (w *timedWrite) writeAvailable(fd uintptr) (done bool) {
 	for len(w.rest) > 0 {
 		if w.hasExpired() {
 			w.err = errPermissionExpired
 			return true
 		}
-		n, err := unix.Write(int(fd), w.rest)
-		if errors.Is(err, unix.EINTR) {
-			continue
-		}
-		if errors.Is(err, unix.EAGAIN) {
+		n, _, errno := unix.RawSyscall(unix.SYS_WRITE, fd, uintptr(unsafe.Pointer(&w.rest[0])), uintptr(len(w.rest)))
+		switch errno {
+		case 0:
+			w.written += int(n)
+			w.rest = w.rest[n:]
+		case unix.EINTR:
+		case unix.EAGAIN:
 			return false
-		}
-		if err != nil {
-			w.err = os.NewSyscallError("write", err)
+		default:
+			w.err = os.NewSyscallError("write", errno)
 			return true
 		}
-		w.written += n
-		w.rest = w.rest[n:]
 	}
 	return true
 }
