--- a/internal/rollout/machine_test.go
+++ b/internal/rollout/machine_test.go
@@ -232,6 +232,9 @@
 		if want != "" && member.running != want {
 			return fmt.Sprintf("%s, and %s runs %s", f.machine.State.Phase, f.names[i], member.running)
 		}
+		if want != "" && member.restarting {
+			return fmt.Sprintf("%s, and %s does not serve yet", f.machine.State.Phase, f.names[i])
+		}
 	}
 	return f.violation
 }
@@ -422,3 +425,31 @@
 		t.Errorf("%s: %q", m.State.Phase, m.State.Outcome)
 	}
 }
+
+// A controller reports its version as soon as it has started, and serves some milliseconds later, or tens of them on a
+// busy machine. The failure: the rollout ended while a controller did not serve yet. At a load of 27 on 8 cores,
+// TestAProgramThatDiesIsRolledBack of package coordinator then found a controller that did not serve.
+func TestARolloutEndsOnceAllControllersServe(t *testing.T) {
+	config := Config{FromSpec: "old", ToSpec: "new", Stages: [][]string{{"c1", "c2"}}, Timing: timing}
+	for from, c := range map[Phase]struct {
+		running change.Digest
+		wanted  Phase
+	}{
+		PhaseRollback:  {"old", PhaseReverted},
+		PhaseDegraded:  {"old", PhaseReverted},
+		PhaseFinishing: {"new", PhaseDone},
+	} {
+		m := New(State{Phase: from}, config, 0)
+		started := Member{Name: "c1", Reachable: true, Running: c.running}
+		serving := Member{Name: "c2", Reachable: true, Running: c.running, Serving: true}
+		m.Step(Observation{Now: 1, Members: []Member{started, serving}})
+		if m.State.Phase != from {
+			t.Errorf("%s: %s while a controller does not serve", from, m.State.Phase)
+		}
+		started.Serving = true
+		m.Step(Observation{Now: 2, Members: []Member{started, serving}})
+		if m.State.Phase != c.wanted {
+			t.Errorf("%s: %s once all serve, want %s", from, m.State.Phase, c.wanted)
+		}
+	}
+}
