--- a/internal/rollout/events.go
+++ b/internal/rollout/events.go
@@ -33,9 +33,7 @@
 }
 
 func (m *Machine) whilePreparing(seen Observation) (event, string) {
-	unready := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Serving && member.Running == m.config.FromSpec
-	})
+	unready := namesUnless(seen.Members, m.servesOriginal)
 	switch {
 	case len(unready) == 0:
 		return fleetReady, "all are there"
@@ -90,6 +88,10 @@
 	return member.Reachable && member.Running == m.config.ToSpec && member.Serving
 }
 
+func (m *Machine) servesOriginal(member Member) bool {
+	return member.Reachable && member.Running == m.config.FromSpec && member.Serving
+}
+
 // previousStageSize returns the number of controllers in the previous stage. A stage that adds no reachable controller
 // to these would provide no evidence.
 func (m *Machine) previousStageSize() int {
@@ -181,9 +183,7 @@
 }
 
 func (m *Machine) whileFinishing(seen Observation) (event, string) {
-	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.config.ToSpec
-	})
+	remaining := namesUnless(seen.Members, m.servesTarget)
 	if len(remaining) > 0 {
 		return noEvent, ""
 	}
@@ -191,9 +191,7 @@
 }
 
 func (m *Machine) whileRollback(seen Observation) (event, string) {
-	remaining := namesUnless(seen.Members, func(member Member) bool {
-		return member.Reachable && member.Running == m.config.FromSpec
-	})
+	remaining := namesUnless(seen.Members, m.servesOriginal)
 	switch {
 	case len(remaining) == 0:
 		return fleetReverted, m.State.Outcome
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -11,10 +11,10 @@
 	PhaseBaking           Phase = "baking"      // the stage is observed and compared with the old version
 	PhaseStageRollback    Phase = "withdrawing" // all regressed: the stage is rolled back, to find out if it is the cause
 	PhaseAwaitingRecovery Phase = "waiting"     // the stage is rolled back; it is retried once the fleet has recovered
-	PhaseFinishing        Phase = "finishing"   // every stage passed; unreachable controllers still have to follow
-	PhaseDone             Phase = "done"        // all controllers run the new version
+	PhaseFinishing        Phase = "finishing"   // every stage passed; the other controllers still have to follow
+	PhaseDone             Phase = "done"        // all controllers serve with the new version
 	PhaseRollback         Phase = "going back"  // all controllers have to return to the old version
-	PhaseReverted         Phase = "back"        // all controllers run the old version again
+	PhaseReverted         Phase = "back"        // all controllers serve with the old version again
 	PhaseDegraded         Phase = "stuck"       // some could not return: they are named, and drained if reachable
 	PhaseStopped          Phase = "stopped"     // by an operator, or before anything changed; no controller is changed
 )
