--- a/internal/recovery/ledger_test.go
+++ b/internal/recovery/ledger_test.go
@@ -84,13 +84,7 @@
 }
 
 func TestASnapshotHoldsTheState(t *testing.T) {
-	restored := NewLedger(2)
-	put := func(kind store.Kind, payload []byte) error {
-		return restored.Apply(store.Record{Kind: kind, Payload: payload})
-	}
-	if err := ledgerOfAllStates(t).Snapshot(put); err != nil {
-		t.Fatal(err)
-	}
+	restored := restore(t, ledgerOfAllStates(t))
 	if got := describeOpenJobs(restored, 120); got != allActions || !restored.Contains("over") {
 		t.Errorf("%s", got)
 	}
@@ -134,3 +128,44 @@
 		t.Errorf("%d open, %d answered, %d in total", open, answered, len(ledger.jobs))
 	}
 }
+
+// A job is answered while an attempt that was cancelled is still in flight, as at its timeout, and other answers follow
+// before the attempt ends. The failure: the record of that end was refused as one of an unknown call, so that the log
+// could not be read again.
+func TestAnAttemptMayEndAfterItsAnswerIsNoLongerRetained(t *testing.T) {
+	for _, isRestored := range []bool{false, true} {
+		ledger := NewLedger(1)
+		mustApply(t, ledger, KindAccepted, Accepted{Call: "slow", Effect: EffectRunOnce})
+		mustApply(t, ledger, KindDispatched, Dispatched{Call: "slow", Engine: "e", AtNS: 1})
+		mustApply(t, ledger, KindAnswered, Answered{"slow", AnswerThrottled})
+		for _, call := range []CallID{"next", "last"} {
+			mustApply(t, ledger, KindAccepted, Accepted{Call: call})
+			mustApply(t, ledger, KindAnswered, Answered{call, AnswerThrottled})
+		}
+		if isRestored {
+			ledger = restore(t, ledger)
+		}
+		if list := ledger.InterruptedAttempts(); len(list) != 1 || list[0].Call != "slow" {
+			t.Errorf("restored from a checkpoint: %v: interrupted: %v", isRestored, list)
+		}
+		if err := apply(t, ledger, KindAttemptEnded, AttemptEnded{Call: "slow", Outcome: OutcomeRan}); err != nil {
+			t.Errorf("restored from a checkpoint: %v: %v", isRestored, err)
+		}
+		if _, answered := ledger.Size(); answered != 1 || !ledger.Contains("last") || len(ledger.jobs) != 1 {
+			t.Errorf("restored from a checkpoint: %v: %d answers, %d jobs", isRestored, answered, len(ledger.jobs))
+		}
+	}
+}
+
+// restore returns a ledger with the limits of another, built from that one's checkpoint.
+func restore(t *testing.T, ledger *Ledger) *Ledger {
+	t.Helper()
+	restored := NewLedger(ledger.maxAnswered)
+	put := func(kind store.Kind, payload []byte) error {
+		return restored.Apply(store.Record{Kind: kind, Payload: payload})
+	}
+	if err := ledger.Snapshot(put); err != nil {
+		t.Fatal(err)
+	}
+	return restored
+}
