--- a/internal/recovery/ledger.go
+++ b/internal/recovery/ledger.go
@@ -12,14 +12,15 @@
 // ones are removed from it.
 const compactSlack = 64
 
-// Ledger is the state of the jobs in a log: all open ones, and the last answered ones. It is for one goroutine at a
-// time.
+// Ledger is the state of the jobs in a log: all open ones, the last answered ones, and those answered earlier that have
+// an attempt in flight. It is for one goroutine at a time.
 type Ledger struct {
 	jobs        map[CallID]*job
 	admitted    []CallID // in the order of admission: all open jobs, and answered ones until the next compaction
 	openJobs    int
 	answered    []CallID // in the order of their answers, at most maxAnswered
 	maxAnswered int
+	awaited     []CallID // answered, no longer retained, and with an attempt in flight
 }
 
 // NewLedger returns an empty ledger that retains the last maxAnswered final answers.
@@ -76,7 +77,11 @@
 	if err != nil {
 		return err
 	}
-	return j.endAttempt(body)
+	if err := j.endAttempt(body); err != nil {
+		return err
+	}
+	l.dropAwaited(body.Call)
+	return nil
 }
 
 func (l *Ledger) applyAnswered(r store.Record) error {
@@ -124,11 +129,30 @@
 func (l *Ledger) retainAnswer(call CallID) {
 	l.answered = append(l.answered, call)
 	for len(l.answered) > l.maxAnswered {
-		delete(l.jobs, l.answered[0])
+		l.dropAnswer(l.answered[0])
 		l.answered = l.answered[1:]
 	}
 }
 
+// dropAnswer drops a job that is over, or keeps it until its attempt in flight ends: the record of that refers to it.
+func (l *Ledger) dropAnswer(call CallID) {
+	if l.jobs[call].InFlight {
+		l.awaited = append(l.awaited, call)
+		return
+	}
+	delete(l.jobs, call)
+}
+
+// dropAwaited drops a job if it was kept only until its attempt ended.
+func (l *Ledger) dropAwaited(call CallID) {
+	i := slices.Index(l.awaited, call)
+	if i < 0 {
+		return
+	}
+	l.awaited = slices.Delete(l.awaited, i, i+1)
+	delete(l.jobs, call)
+}
+
 // StoredAnswer is the final answer of a job.
 type StoredAnswer struct {
 	Answer FinalAnswer
@@ -171,10 +195,13 @@
 	return other != nil && other.isOpen() && j.Key != "" && other.Key == j.Key && other.Type == j.Type
 }
 
-// Snapshot passes the records of a checkpoint to put: the retained answers, then the open jobs in the order of
+// calls returns all jobs: those that are over, in the order of their answers, then the open ones in the order of
 // admission.
+func (l *Ledger) calls() []CallID { return slices.Concat(l.awaited, l.answered, l.openCalls()) }
+
+// Snapshot passes the records of a checkpoint to put: one for each job, in the order of calls.
 func (l *Ledger) Snapshot(put func(store.Kind, []byte) error) error {
-	for _, call := range slices.Concat(l.answered, l.openCalls()) {
+	for _, call := range l.calls() {
 		payload, err := json.Marshal(l.jobs[call])
 		if err != nil {
 			return err
