--- a/internal/recovery/ledger.go
+++ b/internal/recovery/ledger.go
@@ -168,8 +168,8 @@
 	return StoredAnswer{Answer: j.FinalAnswer, Result: j.Result}, true
 }
 
-// Contains reports whether a call is open, its answer is retained or an attempt of it is in flight. Such a call must not
-// be admitted again.
+// Contains reports whether a call is open, its answer is retained or an attempt of it is in flight. Such a call must
+// not be admitted again.
 func (l *Ledger) Contains(call CallID) bool { return l.jobs[call] != nil }
 
 // CanDispatch reports whether a job may be dispatched now: it is pending, and all jobs of its type and ordering key
